--- a/crates/core/src/learned.rs
+++ b/crates/core/src/learned.rs
@@ -12,12 +12,12 @@
 use crate::node::*;
 use crate::records::*;
 use foldhash::HashMap;
-use glenmount_runtimes::book::{class_id, About, Book, ClassId};
-use glenmount_runtimes::constants::{CLASSES_KEPT, NAME_BYTES};
-use glenmount_runtimes::history::{Batch, History};
-use glenmount_runtimes::machines::Machines;
-use glenmount_runtimes::mixture::Mixture;
-use glenmount_runtimes::{End, Run};
+use glenmount_runtime_estimates::book::{class_id, About, Book, ClassId};
+use glenmount_runtime_estimates::constants::{CLASSES_KEPT, NAME_BYTES};
+use glenmount_runtime_estimates::history::{Batch, History};
+use glenmount_runtime_estimates::machines::Machines;
+use glenmount_runtime_estimates::mixture::Mixture;
+use glenmount_runtime_estimates::{End, Run};
 use std::collections::BTreeSet;
 
 type Attempt = (TaskId, u64);
@@ -437,7 +437,11 @@
         if elapsed + ms as f64 / 1e3 < known.early_s {
             return Some(0.0);
         }
-        let share = |secs: f64| known.tasks.share_within(glenmount_runtimes::ln(secs));
+        let share = |secs: f64| {
+            known
+                .tasks
+                .share_within(glenmount_runtime_estimates::ln(secs))
+        };
         let (over, by_then) = (share(elapsed), share(elapsed + ms as f64 / 1e3));
         (over < 0.99).then(|| (by_then - over) / (1.0 - over))
     }
--- a/crates/core/src/records/values.rs
+++ b/crates/core/src/records/values.rs
@@ -321,7 +321,7 @@
     /// Time of day of the latest change, by which the least used go first.
     pub at: WallMs,
     #[serde(flatten)]
-    pub packed: glenmount_runtimes::history::Packed,
+    pub packed: glenmount_runtime_estimates::history::Packed,
 }
 
 /// The cloud's machine types as last read: a node that starts while the cloud is down knows
--- a/crates/core/tests/allocations.rs
+++ b/crates/core/tests/allocations.rs
@@ -2,7 +2,7 @@
 
 use glenmount_core::model::*;
 use glenmount_core::node::*;
-use glenmount_world::*;
+use glenmount_simulation::*;
 
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
--- a/crates/core/tests/checks.rs
+++ b/crates/core/tests/checks.rs
@@ -6,8 +6,8 @@
 use glenmount_core::model::*;
 use glenmount_core::node::*;
 use glenmount_core::records::Record;
-use glenmount_world::day::leave_out;
-use glenmount_world::*;
+use glenmount_simulation::day::leave_out;
+use glenmount_simulation::*;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// What a story cost, or the rule that it broke.
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -8,8 +8,8 @@
 use glenmount_core::model::*;
 use glenmount_core::node::*;
 use glenmount_core::records::*;
-use glenmount_world::operator::Refused;
-use glenmount_world::*;
+use glenmount_simulation::operator::Refused;
+use glenmount_simulation::*;
 use rand::Rng;
 
 const LIMITS: ChangeLimits = ChangeLimits {
--- a/crates/core/tests/learned.rs
+++ b/crates/core/tests/learned.rs
@@ -3,10 +3,10 @@
 
 use glenmount_core::model::*;
 use glenmount_core::records::*;
-use glenmount_runtimes::book::class_id;
-use glenmount_runtimes::constants::CLASSES_KEPT;
-use glenmount_runtimes::history::History;
-use glenmount_world::*;
+use glenmount_runtime_estimates::book::class_id;
+use glenmount_runtime_estimates::constants::CLASSES_KEPT;
+use glenmount_runtime_estimates::history::History;
+use glenmount_simulation::*;
 
 fn learning(seed: u64, nodes: usize, machines: usize) -> World {
     let mut w = World::new(seed, nodes, machines);
--- a/crates/core/tests/lost_zones.rs
+++ b/crates/core/tests/lost_zones.rs
@@ -3,7 +3,7 @@
 
 use glenmount_core::model::*;
 use glenmount_core::records::Phase;
-use glenmount_world::*;
+use glenmount_simulation::*;
 
 fn fleet(seed: u64, machines: usize, nodes_in: &[&str]) -> World {
     let mut w = World::new(seed, 3, 0);
--- a/crates/core/tests/meetings.rs
+++ b/crates/core/tests/meetings.rs
@@ -4,8 +4,8 @@
 use glenmount_core::model::*;
 use glenmount_core::node::*;
 use glenmount_core::records::*;
-use glenmount_world::service::Rate;
-use glenmount_world::*;
+use glenmount_simulation::service::Rate;
+use glenmount_simulation::*;
 use rand::Rng;
 
 /// Long tasks on machines that all report to node 0.
--- a/crates/core/tests/page_meetings.rs
+++ b/crates/core/tests/page_meetings.rs
@@ -4,7 +4,7 @@
 use glenmount_core::model::*;
 use glenmount_core::node::*;
 use glenmount_core::records::*;
-use glenmount_world::*;
+use glenmount_simulation::*;
 use rand::Rng;
 
 fn is_over(w: &World, id: &str) -> bool {
--- a/crates/core/tests/pipelines.rs
+++ b/crates/core/tests/pipelines.rs
@@ -6,7 +6,7 @@
 use glenmount_core::node::*;
 use glenmount_core::pipelines;
 use glenmount_core::records::*;
-use glenmount_world::*;
+use glenmount_simulation::*;
 
 fn settled(seed: u64, nodes: usize, machines: usize) -> World {
     let mut w = World::new(seed, nodes, machines);
--- a/crates/core/tests/quick_returns.rs
+++ b/crates/core/tests/quick_returns.rs
@@ -5,7 +5,7 @@
 
 use glenmount_core::records::Phase;
 use glenmount_core::standby::Sign;
-use glenmount_world::*;
+use glenmount_simulation::*;
 
 /// Milliseconds after which a process is back: from less than an end takes to be told to about as
 /// long as beats are missed.
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -1,7 +1,7 @@
 //! What a node does by the number of machines. A measurement, run by hand:
 //! `cargo test --release -p glenmount-core --test sizes -- --ignored --nocapture`
 
-use glenmount_world::*;
+use glenmount_simulation::*;
 
 #[test]
 #[ignore = "a measurement of minutes"]
--- a/crates/core/tests/standby.rs
+++ b/crates/core/tests/standby.rs
@@ -3,7 +3,7 @@
 
 use glenmount_core::node::*;
 use glenmount_core::standby::Sign;
-use glenmount_world::*;
+use glenmount_simulation::*;
 
 /// So many nodes and machines, with the times of a large fleet.
 fn large(seed: u64, nodes: usize, machines: usize) -> World {
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -7,7 +7,7 @@
 use glenmount_core::model::*;
 use glenmount_core::node::*;
 use glenmount_core::records::*;
-use glenmount_world::*;
+use glenmount_simulation::*;
 use rand::Rng;
 use serde_json::Value;
 use std::collections::BTreeMap;
--- a/crates/core/tests/zones.rs
+++ b/crates/core/tests/zones.rs
@@ -4,7 +4,7 @@
 use glenmount_core::model::*;
 use glenmount_core::node::*;
 use glenmount_core::records::*;
-use glenmount_world::*;
+use glenmount_simulation::*;
 
 /// No machine is returned for having nothing to do, none is rented, and leases are long enough to find
 /// another node.
--- a/crates/ctl/src/learned.rs
+++ b/crates/ctl/src/learned.rs
@@ -4,8 +4,8 @@
 use crate::state::StateService;
 use crate::Failure;
 use glenmount_core::records::{Record, RunsRecord};
-use glenmount_runtimes::history::History;
-use glenmount_runtimes::mixture::Mixture;
+use glenmount_runtime_estimates::history::History;
+use glenmount_runtime_estimates::mixture::Mixture;
 use serde::Serialize;
 
 /// Records read at most: many times what nodes keep.
--- a/crates/ctl/src/replay.rs
+++ b/crates/ctl/src/replay.rs
@@ -3,8 +3,8 @@
 
 use crate::run::Row;
 use crate::Failure;
-use glenmount_runtimes::book::{About, Book};
-use glenmount_runtimes::End;
+use glenmount_runtime_estimates::book::{About, Book};
+use glenmount_runtime_estimates::End;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::cmp::Reverse;
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,7 +1,7 @@
 //! A run as exports have it, and how it is read from a controller's log.
 
 use crate::Failure;
-use glenmount_runtimes::{End, Run};
+use glenmount_runtime_estimates::{End, Run};
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a name at most, as submissions allow.
--- a/crates/ctl/tests/state.rs
+++ b/crates/ctl/tests/state.rs
@@ -1,9 +1,9 @@
 //! What is read from a state service: pages, refusals, damage, and what is none.
 
 use glenmount_core::records::{Key, Record, RunsRecord};
-use glenmount_runtimes::book::class_id;
-use glenmount_runtimes::history::{Batch, History};
-use glenmount_runtimes::{End, Run};
+use glenmount_runtime_estimates::book::class_id;
+use glenmount_runtime_estimates::history::{Batch, History};
+use glenmount_runtime_estimates::{End, Run};
 use glenmountctl::learned;
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpListener;
--- a/crates/glenmount/tests/small_plan.rs
+++ b/crates/glenmount/tests/small_plan.rs
@@ -1,12 +1,12 @@
 //! The scale run's small plan: all troubles within some twenty seconds, real processes on loopback. No
 //! timings: only that no rule is broken, nobody ends by itself, and work is done.
 
-use glenmount_edge::counters::Timed;
-use glenmount_edge::plan::Plan;
-use glenmount_edge::run::{run_alone, Options};
+use glenmount_loadtest::counters::Timed;
+use glenmount_loadtest::plan::Plan;
+use glenmount_loadtest::run::{run_alone, Options};
 use std::path::PathBuf;
 
-const PLAN: &str = include_str!("../../edge/plans/small.toml");
+const PLAN: &str = include_str!("../../loadtest/plans/small.toml");
 
 fn options(name: &str) -> Options {
     let folder = format!("glenmount-{name}-{}", std::process::id());
--- a/crates/edge/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,10 +1,10 @@
 //! Plays a plan against real controller processes on loopback, and measures what these spend.
 
 use clap::{Args, Parser, Subcommand};
-use glenmount_edge::plan::Plan;
-use glenmount_edge::result::{Earlier, Figures, RunResult};
-use glenmount_edge::run::{run_alone, Options, RunError};
-use glenmount_edge::{compare, slopes};
+use glenmount_loadtest::plan::Plan;
+use glenmount_loadtest::result::{Earlier, Figures, RunResult};
+use glenmount_loadtest::run::{run_alone, Options, RunError};
+use glenmount_loadtest::{compare, slopes};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
--- a/crates/edge/tests/common/mod.rs
+++ b/crates/loadtest/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A submission that several tests change a little.
 
-use glenmount_edge::plan::{Rank, Shape};
-use glenmount_edge::protocol::Submission;
+use glenmount_loadtest::plan::{Rank, Shape};
+use glenmount_loadtest::protocol::Submission;
 
 pub fn submission(id: &str, tasks: u32, vcpus: f64) -> Submission {
     Submission {
--- a/crates/edge/tests/ending.rs
+++ b/crates/loadtest/tests/ending.rs
@@ -18,7 +18,7 @@
 
 fn start(folder: &Path) -> Child {
     let plan = Path::new(env!("CARGO_MANIFEST_DIR")).join("plans/small.toml");
-    Command::new(env!("CARGO_BIN_EXE_glenmount-edge"))
+    Command::new(env!("CARGO_BIN_EXE_glenmount-loadtest"))
         .arg("scale")
         .arg(plan)
         .args(["--quiet", "--binary"])
@@ -78,7 +78,7 @@
 #[test]
 fn a_plan_that_makes_no_sense_ends_with_2_and_one_line() {
     let plan = Path::new(env!("CARGO_MANIFEST_DIR")).join("plans/small.toml");
-    let out = Command::new(env!("CARGO_BIN_EXE_glenmount-edge"))
+    let out = Command::new(env!("CARGO_BIN_EXE_glenmount-loadtest"))
         .arg("scale")
         .arg(plan)
         .args(["--set", "workers.count=0"])
--- a/crates/edge/tests/plans.rs
+++ b/crates/loadtest/tests/plans.rs
@@ -1,8 +1,8 @@
 //! Plans, results and slopes: good ones are taken, bad ones are named in one line.
 
-use glenmount_edge::plan::Plan;
-use glenmount_edge::result::Earlier;
-use glenmount_edge::slopes::fit;
+use glenmount_loadtest::plan::Plan;
+use glenmount_loadtest::result::Earlier;
+use glenmount_loadtest::slopes::fit;
 
 const TARGET: &str = include_str!("../plans/target.toml");
 
--- a/crates/edge/tests/stand_ins.rs
+++ b/crates/loadtest/tests/stand_ins.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use glenmount_edge::limits::RateLimit;
-use glenmount_edge::machine::{
+use glenmount_loadtest::limits::RateLimit;
+use glenmount_loadtest::machine::{
     Accepted, Capacity, Change, Described, Descriptions, Identity, Machine,
 };
-use glenmount_edge::protocol::{Order, TaskId, Verb};
-use glenmount_edge::store::{Outcome, Sizes, Store, Transaction};
+use glenmount_loadtest::protocol::{Order, TaskId, Verb};
+use glenmount_loadtest::store::{Outcome, Sizes, Store, Transaction};
 use std::sync::Arc;
 
 const SIZES: Sizes = Sizes {
--- a/crates/runtimes/tests/estimates.rs
+++ b/crates/runtime-estimates/tests/estimates.rs
@@ -1,9 +1,9 @@
 //! Stories of estimates: histories with known truth go in, and what is said of the next run is
 //! held against it.
 
-use glenmount_runtimes::book::{About, Book};
-use glenmount_runtimes::constants::*;
-use glenmount_runtimes::{End, Run};
+use glenmount_runtime_estimates::book::{About, Book};
+use glenmount_runtime_estimates::constants::*;
+use glenmount_runtime_estimates::{End, Run};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Normal};
--- a/crates/runtimes/tests/records.rs
+++ b/crates/runtime-estimates/tests/records.rs
@@ -1,8 +1,8 @@
 //! Records are read back as written, and what is broken is refused without harm.
 
-use glenmount_runtimes::book::{About, Book};
-use glenmount_runtimes::history::{Batch, History, Packed};
-use glenmount_runtimes::{End, Run};
+use glenmount_runtime_estimates::book::{About, Book};
+use glenmount_runtime_estimates::history::{Batch, History, Packed};
+use glenmount_runtime_estimates::{End, Run};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/world/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -1,7 +1,7 @@
 //! Described days: what is read, what is refused, and that a play measures what happened.
 
-use glenmount_world::day::Experiment;
-use glenmount_world::play::play;
+use glenmount_simulation::day::Experiment;
+use glenmount_simulation::play::play;
 
 const DAY: &str = r#"
 [[day]]
--- a/crates/xtask/src/experiment.rs
+++ b/crates/xtask/src/experiment.rs
@@ -1,9 +1,9 @@
 //! Plays described days in the project's own world: days by seeds by variants, several at once, and
 //! writes down what was served and how long takeovers took. All figures are simulated.
 
-use glenmount_world::day::{Day, Experiment, Variant};
-use glenmount_world::measure::{Outcome, Times};
-use glenmount_world::play;
+use glenmount_simulation::day::{Day, Experiment, Variant};
+use glenmount_simulation::measure::{Outcome, Times};
+use glenmount_simulation::play;
 use indicatif::{ProgressBar, ProgressStyle};
 use plotters::prelude::*;
 use std::collections::BTreeMap;
