--- a/crates/core/tests/meetings.rs
+++ b/crates/core/tests/meetings.rs
@@ -4,9 +4,9 @@
 use glenmount_core::model::*;
 use glenmount_core::node::*;
 use glenmount_core::records::*;
+use glenmount_simulation::random_faults::{self, RandomFaults, STEPS};
 use glenmount_simulation::service::Rate;
 use glenmount_simulation::*;
-use rand::Rng;
 
 /// Long tasks on machines that all report to node 0.
 fn led(mut w: World, tasks: u32) -> World {
@@ -205,144 +205,11 @@
     let mut starts = 0;
     for seed in from..from + seeds() {
         eprintln!("seed {seed}");
-        // Some begin with the version before, which is replaced meanwhile.
-        let rolls = seed % 4 == 1;
-        let mut w = match rolls {
-            true => World::old(7_000 + seed, 3, 6),
-            false => World::new(7_000 + seed, 3, 6),
-        };
-        w.run(9_000);
-        w.capacity = 4;
-        if seed % 3 == 0 {
-            long_leases(&mut w);
-            for n in 0..3 {
-                w.crash(n, 50);
-            }
-            w.run(9_000);
-        }
-        let mut jobs: Vec<String> = Vec::new();
-        for step in 0..140 {
-            match w.rng.gen_range(0..25) {
-                0..=3 => {
-                    let id = format!("j-{step}");
-                    let tasks = w.rng.gen_range(1..4);
-                    let mut spec = match w.rng.gen_bool(0.3) {
-                        true => service(&id, tasks),
-                        false => job(&id, tasks),
-                    };
-                    if w.rng.gen_bool(0.5) {
-                        spec.team = "blue".into();
-                    }
-                    spec.scatter = w.rng.gen_bool(0.3);
-                    spec.together = !spec.scatter && w.rng.gen_bool(0.2);
-                    let ms = [2_000, 15_000, 70_000][w.rng.gen_range(0..3)];
-                    w.job_ms.insert(id.clone(), ms);
-                    w.submit(step % 3, spec);
-                    jobs.push(id);
-                }
-                4 | 5 if !jobs.is_empty() => {
-                    let id = jobs[w.rng.gen_range(0..jobs.len())].clone();
-                    for n in 0..3 {
-                        w.cancel(n, &id);
-                    }
-                }
-                6 => {
-                    let (n, back) = (w.rng.gen_range(0..3), w.rng.gen_range(100..4_000));
-                    w.crash(n, back);
-                }
-                7 => {
-                    let back = w.rng.gen_range(100..6_000);
-                    (0..3).for_each(|n| w.crash(n, back * (n as u64 + 1) / 2));
-                }
-                8 => {
-                    let n = w.rng.gen_range(0..3);
-                    let slot = &mut w.nodes[n];
-                    (slot.cut_from_state, slot.cut_from_peers) = (true, true);
-                }
-                9 => {
-                    let n = w.rng.gen_range(0..3);
-                    w.nodes[n].refused = !w.nodes[n].refused;
-                }
-                10 => w.state_down = !w.state_down,
-                11 | 12 => {
-                    let what = w.rng.gen_range(0..3);
-                    let share = w.rng.gen_range(0.1..0.8);
-                    let names: Vec<String> = w.workers.keys().cloned().collect();
-                    for name in names {
-                        if w.rng.gen_bool(share) {
-                            let worker = w.workers.get_mut(&name).unwrap();
-                            match what {
-                                0 => worker.deaf = !worker.deaf,
-                                1 => worker.mute = !worker.mute,
-                                _ => worker.cut = !worker.cut,
-                            }
-                        }
-                    }
-                }
-                13 => {
-                    let (n, ms) = (w.rng.gen_range(0..3), w.rng.gen_range(1_000..30_000));
-                    w.freeze(n, ms);
-                }
-                14 => {
-                    w.mishaps = Mishaps {
-                        txn_late: [0.0, 0.1, 0.4][w.rng.gen_range(0..3)],
-                        txn_answer_lost: [0.0, 0.3][w.rng.gen_range(0..2)],
-                        report_kept: [0.0, 0.2][w.rng.gen_range(0..2)],
-                        report_twice: [0.0, 0.3][w.rng.gen_range(0..2)],
-                        report_late: [0.0, 0.2][w.rng.gen_range(0..2)],
-                        command_late: [0.0, 0.3][w.rng.gen_range(0..2)],
-                        reply_lost: [0.0, 0.2][w.rng.gen_range(0..2)],
-                        answer_slow: [0.0, 0.5][w.rng.gen_range(0..2)],
-                        ..Mishaps::default()
-                    }
-                }
-                15 => w.heal(),
-                16 if rolls => {
-                    let (n, back) = (w.rng.gen_range(0..3), w.rng.gen_range(100..3_000));
-                    w.upgrade(n, back);
-                }
-                17 => w.close_looks = !w.close_looks,
-                18 => w.cancelled_at_end = [0.0, 0.5][w.rng.gen_range(0..2)],
-                19 | 20 if !jobs.is_empty() => {
-                    // Jobs that run are called off, and their machines hang; some go on inside their lease.
-                    let ms = w.rng.gen_range(500..2 * w.settings.lease_ms);
-                    for _ in 0..w.rng.gen_range(1..4) {
-                        let id = jobs[w.rng.gen_range(0..jobs.len())].clone();
-                        for machine in w.machines_of(&id) {
-                            w.hang(&machine, ms);
-                        }
-                        for n in 0..3 {
-                            w.cancel(n, &id);
-                        }
-                    }
-                }
-                21 if !w.workers.is_empty() => {
-                    let names: Vec<String> = w.workers.keys().cloned().collect();
-                    let name = names[w.rng.gen_range(0..names.len())].clone();
-                    match w.rng.gen_bool(0.4) {
-                        true => w.kill_machine(&name),
-                        false => w.restart_machine(&name, 300),
-                    }
-                }
-                22 => w.boot_ms = [1_000..5_000, 20..2_000][w.rng.gen_range(0..2)].clone(),
-                23 => w.slow_links_ms = [0, 300, 1_500][w.rng.gen_range(0..3)],
-                _ => {
-                    for id in jobs.clone() {
-                        let n = w.rng.gen_range(0..3);
-                        w.status(n, &id);
-                    }
-                }
-            }
-            let pause = w.rng.gen_range(50..2_500);
-            w.run(pause);
-            if w.rng.gen_bool(0.03) {
-                let long = w.settings.cancel_ms + 10_000;
-                w.run(long);
-            }
-            if w.rng.gen_bool(0.12) {
-                w.heal();
-            }
-        }
+        let RandomFaults {
+            world: mut w,
+            jobs,
+            rolling_upgrade: rolls,
+        } = random_faults::play(seed, 6, STEPS);
         w.mishaps = Mishaps::default();
         (w.cancelled_at_end, w.close_looks, w.slow_links_ms) = (0.0, false, 0);
         w.heal();
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -3,10 +3,12 @@
 //! plays fleets of thousands of machines in seconds.
 
 pub mod day;
+pub mod digest;
 pub mod measure;
 pub mod old;
 pub mod operator;
 pub mod play;
+pub mod random_faults;
 mod rules;
 pub mod service;
 pub mod troubles;
@@ -289,6 +291,8 @@
     kept_reports: Vec<Report>,
     /// What operators have put on record.
     pub configured: operator::Configured,
+    /// Hashes what controllers do, if wanted.
+    pub digest: Option<digest::EffectDigest>,
 }
 
 /// Run times learned, and used for all that they can be.
@@ -558,6 +562,7 @@
             cancelled_at_end: 0.0,
             kept_reports: Vec::new(),
             configured: operator::Configured::default(),
+            digest: None,
         };
         for i in 0..nodes {
             w.nodes.push(NodeSlot {
@@ -1151,6 +1156,12 @@
         if slot.first_ready.is_none() && node.ready() {
             slot.first_ready = Some(now);
         }
+        if let Some(digest) = &mut self.digest {
+            let ready = node.ready();
+            for effect in &effects {
+                digest.add(n, now, effect, ready);
+            }
+        }
         for effect in effects {
             match effect {
                 Effect::User { request, reply } => {
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -1,6 +1,7 @@
 //! Plays a described day: users, troubles, and what is measured meanwhile.
 
 use crate::day::{self, Class, Day, Variant, What};
+use crate::digest::EffectDigest;
 use crate::measure::{Outcome, Times};
 use crate::service::Rate;
 use crate::users::{Users, STEP_MS};
@@ -64,12 +65,23 @@
 
 /// Plays a day once.
 pub fn play(day: &Day, variant: &Variant, seed: u64) -> Result<Outcome, String> {
+    Ok(play_digested(day, variant, seed, None)?.0)
+}
+
+/// The same; hashes what the controllers do, if given a digest.
+pub fn play_digested(
+    day: &Day,
+    variant: &Variant,
+    seed: u64,
+    digest: Option<EffectDigest>,
+) -> Result<(Outcome, Option<EffectDigest>), String> {
     let mut day = day.clone();
     day.machines = variant.machines.unwrap_or(day.machines);
     day.nodes = variant.nodes.unwrap_or(day.nodes);
     let mut play = Play::new(&day, variant, seed)?;
+    play.w.digest = digest;
     play.run();
-    Ok(play.out)
+    Ok((play.out, play.w.digest))
 }
 
 fn ms(s: f64) -> u64 {
--- a/crates/xtask/src/experiment.rs
+++ b/crates/xtask/src/experiment.rs
@@ -35,13 +35,20 @@
     seed: u64,
 }
 
+/// Reads files of described days.
+pub fn read(files: &[PathBuf]) -> Result<Vec<Experiment>, String> {
+    let one = |file: &PathBuf| {
+        let name = file.display();
+        let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
+        Experiment::read(&text).map_err(|e| format!("{name}: {e}"))
+    };
+    files.iter().map(one).collect()
+}
+
 pub fn play(files: &[PathBuf], plan: &Plan) -> Result<Vec<Played>, String> {
     let mut played: Vec<Played> = Vec::new();
     let mut jobs: Vec<Job> = Vec::new();
-    for file in files {
-        let name = file.display();
-        let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-        let read = Experiment::read(&text).map_err(|e| format!("{name}: {e}"))?;
+    for read in read(files)? {
         for day in &read.days {
             for variant in &read.variants {
                 let at = played.len();
--- a/crates/xtask/src/lib.rs
+++ b/crates/xtask/src/lib.rs
@@ -2,6 +2,7 @@
 //! repository. The binary plays the sets; everything that decides is here.
 
 pub mod base;
+pub mod digest;
 pub mod experiment;
 pub mod journal;
 pub mod known_red;
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -5,6 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
 use xtask::base::Base;
+use xtask::digest;
 use xtask::experiment;
 use xtask::journal::{self, Entry, Read};
 use xtask::known_red;
@@ -53,6 +54,17 @@
         #[arg(long)]
         template: Option<PathBuf>,
     },
+    /// Plays runs in the simulation and prints a digest of all that the controllers did in each
+    Digest {
+        /// Runs of random faults
+        #[arg(long, default_value_t = 20)]
+        seeds: u64,
+        /// Runs at once
+        #[arg(long, default_value_t = 4)]
+        jobs: usize,
+        /// Described days to be played as well
+        days: Vec<PathBuf>,
+    },
     /// Compares entries that the journal has already
     Compare {
         /// Their ids
@@ -152,6 +164,12 @@
                 .iter()
                 .all(|r| r.broken.is_empty() && r.outcome.failed().is_empty()))
         }
+        Verb::Digest { seeds, jobs, days } => {
+            for line in digest::lines(seeds, &days, jobs)? {
+                println!("{line}");
+            }
+            Ok(true)
+        }
         Verb::Compare { ids, template } => {
             let base = confirmed(&args.base, &args.journal)?;
             let entries = entries(named(&args.journal, &ids)?);
