--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -7,10 +7,12 @@
 //! What a node decides by a configuration is conditional on the revision of the version record that it came
 //! from: see `Policy::stamp`.
 
+mod rollout;
+
 use crate::constants::TXN_BYTES;
-use crate::formats;
 use crate::model::{have_milli, JobSpec, Millis, Shape, Team, WallMs};
-use crate::records::{Cache, Key, Record, Txn};
+use crate::state::formats;
+use crate::state::{Cache, Key, Record, Txn};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/core/src/following.rs
+++ b/crates/core/src/configuration/rollout.rs
@@ -2,10 +2,10 @@
 //! lets operators put configurations on record once every node reads them.
 
 use crate::configuration::{ConfigurableRecord, FollowingRecord, Taken};
-use crate::formats;
-use crate::lookup::KeptTurns;
-use crate::node::*;
-use crate::records::*;
+use crate::controller::*;
+use crate::scheduling::placement::KeptTurns;
+use crate::state::formats;
+use crate::state::*;
 
 impl Node {
     /// Takes up the configuration that the copy shows; before anything is decided by a copy that changed.
--- a/crates/core/src/node.rs
+++ b/crates/core/src/controller/mod.rs
@@ -1,26 +1,28 @@
 //! One controller node: takes events, keeps the copy of the records, and emits effects.
 
-use crate::admission::AdmissionControl;
-use crate::allowance::Allowance;
+mod readiness;
+
 use crate::configuration::Configuration;
 use crate::constants::*;
-use crate::formats::{self, FormatRecord};
-use crate::hearing::Hearing;
-use crate::jobs::Ask;
-use crate::learned::Learned;
-use crate::lookup::KeptTurns;
-use crate::machines::{Held, Seen};
+use crate::jobs::admission::AdmissionControl;
+use crate::jobs::requests::Ask;
+use crate::metrics::Stats;
 use crate::model::*;
-use crate::moves::Moves;
-use crate::records::*;
-use crate::results::Ended;
+use crate::peers::tracker::{Sibling, Standby};
+use crate::run_times::Learned;
+use crate::scheduling::placement::KeptTurns;
+use crate::scheduling::rescheduling::Moves;
 use crate::settings::*;
-use crate::signs::Signs;
-use crate::standby::{Sibling, Standby};
-use crate::starts::Starts;
-use crate::state::Reading;
-use crate::stats::Stats;
-use crate::zones::Zones;
+use crate::state::formats::{self, FormatRecord};
+use crate::state::sync::Reading;
+use crate::state::*;
+use crate::token_bucket::Allowance;
+use crate::workers::heartbeats::{Held, Seen};
+use crate::workers::observations::Signs;
+use crate::workers::reachability::Hearing;
+use crate::workers::results::Ended;
+use crate::workers::starts::Starts;
+use crate::zones::failures::Zones;
 use foldhash::{HashMap, HashMapExt, HashSet};
 use glenmount_runtime_estimates::book::ClassId;
 use glenmount_runtime_estimates::history::Batch;
--- a/crates/core/src/first_round.rs
+++ b/crates/core/src/controller/readiness.rs
@@ -1,8 +1,8 @@
 //! Whether a node has heard and read enough since its start, or since it stood still, to decide anything.
 
+use crate::controller::Node;
 use crate::model::Millis;
-use crate::node::Node;
-use crate::signs::Liveness;
+use crate::workers::observations::Liveness;
 
 impl Node {
     /// Whether a round of reports has come in since the start, or since it stood still: what was
--- a/crates/core/src/cancels.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -14,11 +14,11 @@
 //! cancellation is conditional on the key as it was known. See docs/design.md.
 
 use crate::constants::*;
-use crate::formats;
-use crate::jobs::{Ask, Want};
+use crate::controller::*;
+use crate::jobs::requests::{Ask, Want};
 use crate::model::*;
-use crate::node::*;
-use crate::records::*;
+use crate::state::formats;
+use crate::state::*;
 
 impl Node {
     /// Writes, once all nodes have the format, from when on cancellations are told when all is gone;
--- a/crates/core/src/sweeping.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -1,10 +1,10 @@
 //! Ending jobs of several chunks, and clearing what nothing needs any more.
 
 use crate::constants::*;
+use crate::controller::*;
 use crate::model::*;
-use crate::node::*;
-use crate::records::*;
-use crate::starts::Attempt;
+use crate::state::*;
+use crate::workers::starts::Attempt;
 
 impl Node {
     /// A job of several chunks is done once all of them are; a done chunk never changes.
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -6,7 +6,7 @@
 
 use crate::constants::*;
 use crate::model::*;
-use crate::records::*;
+use crate::state::*;
 use foldhash::{HashMap, HashMapExt};
 
 /// What jobs downstream make of a job: the highest rank among them, and the time of day by which
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -2,10 +2,10 @@
 //! old, except what can never change.
 
 use crate::constants::*;
-use crate::formats;
+use crate::controller::*;
 use crate::model::*;
-use crate::node::*;
-use crate::records::*;
+use crate::state::formats;
+use crate::state::*;
 
 #[derive(Clone, Debug)]
 pub(crate) enum Want {
--- a/crates/core/src/stats.rs
+++ b/crates/core/src/metrics.rs
@@ -1,9 +1,9 @@
 //! What this node spends and how long things take, logged every so often.
 
 use crate::constants::*;
+use crate::controller::Purpose;
 use crate::model::*;
-use crate::node::Purpose;
-use crate::records::{Key, Txn};
+use crate::state::{Key, Txn};
 use foldhash::{HashMap, HashMapExt};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
--- a/crates/core/src/takeover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -5,9 +5,9 @@
 //! harm that two do it, or that the sibling lives.
 
 use crate::constants::*;
-use crate::node::*;
-use crate::standby::{Heeded, Judged, Sign};
-use crate::starts::Attempt;
+use crate::controller::*;
+use crate::peers::tracker::{Heeded, Judged, Sign};
+use crate::workers::starts::Attempt;
 
 impl Node {
     pub(crate) fn heed(&mut self, beat: Heartbeat) {
@@ -120,7 +120,7 @@
             ..said
         };
         // Versions before format 2 refuse a beat with an element more.
-        let longer = self.loaded && self.cache.format() >= crate::formats::PIPELINES;
+        let longer = self.loaded && self.cache.format() >= crate::state::formats::PIPELINES;
         self.emit(Effect::Heartbeat(Heartbeat {
             node: self.settings.node.clone(),
             at: self.wall,
--- a/crates/core/src/standby.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -8,8 +8,8 @@
 //! guess: what rests on it may waste work, and nothing else.
 
 use crate::constants::*;
+use crate::controller::{Heard, Heartbeat, Said};
 use crate::model::*;
-use crate::node::{Heard, Heartbeat, Said};
 use crate::settings::*;
 use crate::tuning::Tuning;
 use foldhash::{HashMap, HashMapExt};
--- a/crates/core/src/rentals.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -1,10 +1,10 @@
 //! Dealings with the cloud: its types and lists, rentals and deletions under way.
 
 use crate::constants::*;
-use crate::formats;
+use crate::controller::*;
 use crate::model::*;
-use crate::node::*;
-use crate::records::*;
+use crate::state::formats;
+use crate::state::*;
 use std::collections::BTreeSet;
 
 impl Node {
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -1,10 +1,10 @@
 //! Renting and returning machines.
 
-use crate::claims::zone_room;
 use crate::constants::*;
-use crate::lookup::Waiting;
 use crate::model::*;
-use crate::records::*;
+use crate::scheduling::claims::zone_room;
+use crate::scheduling::placement::Waiting;
+use crate::state::*;
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/src/learned.rs
+++ b/crates/core/src/run_times.rs
@@ -6,11 +6,11 @@
 //! to; should its outcome never be known, these runs are not sent again. Nothing rests on what is
 //! learned: no rule, no proof, no claim's condition.
 
-use crate::claims::Outcome;
 use crate::constants::*;
+use crate::controller::*;
 use crate::model::*;
-use crate::node::*;
-use crate::records::*;
+use crate::scheduling::claims::Outcome;
+use crate::state::*;
 use foldhash::HashMap;
 use glenmount_runtime_estimates::book::{class_id, About, Book, ClassId};
 use glenmount_runtime_estimates::constants::{CLASSES_KEPT, NAME_BYTES};
@@ -403,7 +403,7 @@
         let known = self.learned.known.get(job);
         match known.filter(|_| self.settings.learned.due) {
             Some(k) => k.least_ms,
-            None => crate::pipelines::least_run_ms(spec),
+            None => crate::jobs::dependencies::least_run_ms(spec),
         }
     }
 
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -6,10 +6,10 @@
 //! claim writes: what is in use is then known exactly, since no other claim came between.
 
 use crate::constants::*;
-use crate::formats;
 use crate::model::*;
-use crate::records::*;
 use crate::settings::*;
+use crate::state::formats;
+use crate::state::*;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
--- a/crates/core/src/placing.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -1,15 +1,15 @@
 //! When and for what a node looks up work: claims, stops for what waits, rentals, moves.
 
-use crate::capacity;
-use crate::claims;
 use crate::constants::*;
-use crate::lookup::{self, Candidate, RunTimes};
+use crate::controller::*;
+use crate::jobs::dependencies::{self, Pull};
 use crate::model::*;
-use crate::moves::{self, Reason, Wish};
-use crate::node::*;
-use crate::pipelines::{self, Pull};
-use crate::preempt;
-use crate::records::*;
+use crate::provisioning::demand;
+use crate::scheduling::claims;
+use crate::scheduling::placement::{self, Candidate, RunTimes};
+use crate::scheduling::preemption;
+use crate::scheduling::rescheduling::{self, Reason, Wish};
+use crate::state::*;
 use foldhash::HashMap;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,12 +42,12 @@
         self.look_at_run_times();
         let mut turns = std::mem::take(&mut self.turns);
         let least = |job: &str, spec: &JobSpec| self.least_run_ms(job, spec);
-        let pulls = pipelines::pulls(&self.cache, &least);
+        let pulls = dependencies::pulls(&self.cache, &least);
         let runs = RunTimes {
             least: &least,
             before_due: &|job| self.start_before_ms(job),
         };
-        let mut work = lookup::waiting(
+        let mut work = placement::waiting(
             &self.cache,
             &self.settings,
             &pulls,
@@ -61,7 +61,7 @@
         if work.is_empty() {
             return;
         }
-        let least = lookup::least_need(&work);
+        let least = placement::least_need(&work);
         let mut machines: Vec<Candidate> = Vec::new();
         for (id, m, _) in self.cache.machines() {
             let Some(kind) = self.types.get(&m.type_name) else {
@@ -114,7 +114,7 @@
             false => Millis::MAX,
         };
         self.lookup_at = self.lookup_at.min(self.now.saturating_add(hold));
-        let plan = lookup::plan(
+        let plan = placement::plan(
             &self.cache,
             &self.settings,
             &self.types,
@@ -164,11 +164,11 @@
     /// there is room after all.
     fn hold_for_images(
         &self,
-        work: &mut [lookup::Waiting],
+        work: &mut [placement::Waiting],
         pulls: &HashMap<String, Pull>,
     ) -> Millis {
         let usable = |id: &str| self.usable(id);
-        let rank = |job: &str, spec: &JobSpec| pipelines::rank(pulls, job, spec);
+        let rank = |job: &str, spec: &JobSpec| dependencies::rank(pulls, job, spec);
         let site = self.site();
         let rates = self.types.values().map(|t| t.fetch_gb_per_s);
         let rate = rates.fold(0.001, f64::max);
@@ -179,7 +179,7 @@
             let fetch_s = spec.map_or(0.0, |s| s.image_gb / rate);
             if left > 0
                 && fetch_s * 1_000.0 > WARM_WORTH_MS as f64
-                && preempt::warm_room(&site, w, usable, rank) >= w.indices.len() as u64
+                && preemption::warm_room(&site, w, usable, rank) >= w.indices.len() as u64
             {
                 w.warm_only = true;
                 next = next.min(left);
@@ -188,8 +188,8 @@
         next
     }
 
-    fn site(&self) -> preempt::Site<'_> {
-        preempt::Site {
+    fn site(&self) -> preemption::Site<'_> {
+        preemption::Site {
             cache: &self.cache,
             settings: &self.settings,
             types: &self.types,
@@ -203,19 +203,19 @@
     }
 
     /// Stops work of lower rank for what found no room.
-    fn preempt(&mut self, work: &[lookup::Waiting], pulls: &HashMap<String, Pull>) {
+    fn preempt(&mut self, work: &[placement::Waiting], pulls: &HashMap<String, Pull>) {
         if work.is_empty() || !self.may_write() || self.now < self.preempted_at + PREEMPT_GAP_MS {
             return;
         }
         // Urgent work is not kept waiting; other work waits a little for room to come by itself.
-        let after = |w: &lookup::Waiting| match w.own_rank {
+        let after = |w: &placement::Waiting| match w.own_rank {
             _ if w.warm_only => Some(0),
             Rank::High | Rank::Production => Some(PREEMPT_AFTER_MS),
             Rank::Normal => Some(PREEMPT_LATER_MS),
             Rank::Low => Some(PREEMPT_LATER_MS).filter(|_| w.within),
         };
         let mut next = Millis::MAX;
-        let mut ripe: Vec<lookup::Waiting> = Vec::new();
+        let mut ripe: Vec<placement::Waiting> = Vec::new();
         for w in work {
             let Some(at) = after(w).map(|ms| w.at + ms) else {
                 continue;
@@ -241,12 +241,12 @@
         };
         let usable = |id: &str| self.usable(id);
         let rank = |id: &str, spec: &JobSpec| {
-            let rank = pipelines::rank(pulls, id, spec);
+            let rank = dependencies::rank(pulls, id, spec);
             if rank >= Rank::High {
                 return rank;
             }
             let at = self.cache.job(id).map_or(0, |j| self.cache.ready_at(j));
-            match lookup::begins_late(&self.cache, &self.settings, id, at, self.wall) {
+            match placement::begins_late(&self.cache, &self.settings, id, at, self.wall) {
                 Some(_) => Rank::High,
                 None => rank,
             }
@@ -256,8 +256,8 @@
         let spared = |task: &TaskId, attempt: u64| {
             spares && self.about_to_end(task, attempt, SPARED_MS, SPARED_CHANCE)
         };
-        let open = lookup::reserve_open(work, self.wall);
-        let stops = preempt::victims(site, &ripe, usable, age, rank, spared, open);
+        let open = placement::reserve_open(work, self.wall);
+        let stops = preemption::victims(site, &ripe, usable, age, rank, spared, open);
         let mut draft = TransactionBuilder::new(&self.cache);
         let mut chosen = Vec::new();
         for (id, task) in stops {
@@ -284,13 +284,13 @@
         self.too_large(large);
     }
 
-    pub(crate) fn rent(&mut self, work: &[lookup::Waiting]) {
+    pub(crate) fn rent(&mut self, work: &[placement::Waiting]) {
         // What is wanted while requests are under way goes into the next ones together: the
         // cloud takes few calls, and a call brings up to 50 machines.
         if work.is_empty() || self.hire_busy || !self.hires_asked.is_empty() {
             return;
         }
-        let wishes = capacity::wishes(
+        let wishes = demand::wishes(
             &self.cache,
             &self.types,
             work,
@@ -414,7 +414,7 @@
                 let up = self.signs.of(id).up;
                 up.is_some_and(|at| now >= at + DISPENSABLE_AFTER_MS)
             };
-            for id in capacity::dispensable(&self.cache, &self.types, old, most) {
+            for id in demand::dispensable(&self.cache, &self.types, old, most) {
                 let Some(mut machine) = draft.machine(&id) else {
                     continue;
                 };
@@ -482,7 +482,7 @@
             let Some((fullest, n)) = zones.zones.iter().max_by_key(|(_, n)| **n) else {
                 continue;
             };
-            let gain_s = moves::spread_gain_s(job.tasks, *n, free.len());
+            let gain_s = rescheduling::spread_gain_s(job.tasks, *n, free.len());
             if gain_s <= 0.0 {
                 continue;
             }
@@ -498,7 +498,7 @@
                 })
                 .map(|(at, m, _)| match self.cache.has_image(at, &spec.image) {
                     true => 0.0,
-                    false => lookup::fetch_ms(&self.types, m, spec) as f64 / 1e3,
+                    false => placement::fetch_ms(&self.types, m, spec) as f64 / 1e3,
                 })
                 .min_by(f64::total_cmp);
             let Some(fetch_s) = fetch_s else { continue };
--- a/crates/core/src/lookup.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -4,13 +4,13 @@
 //! As in the paper (section 5): each free machine names the set it serves best, per set the
 //! machine idle longest wins, and one conditional transaction allocates it.
 
-use crate::claims::{self, within_limit, zone_room};
 use crate::constants::*;
+use crate::jobs::dependencies::{self, Pull};
 use crate::model::*;
-use crate::pipelines::{self, Pull};
-use crate::records::*;
+use crate::scheduling::claims::{self, within_limit, zone_room};
+use crate::scheduling::queue_order;
 use crate::settings::*;
-use crate::turns;
+use crate::state::*;
 use foldhash::{HashMap, HashMapExt};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -135,7 +135,7 @@
     settings: &Settings,
     wall: WallMs,
 ) -> Vec<WallMs> {
-    let own = pipelines::deadline(job, spec).into_iter();
+    let own = dependencies::deadline(job, spec).into_iter();
     let deadline = own.chain(pull.and_then(|p| p.due)).min();
     let goals = settings.policy.goals.get(&spec.class).into_iter().flatten();
     let goals = goals.map(|within| ready_at + within);
@@ -225,7 +225,7 @@
         let plain = Waiting::of(cache, settings, id, job, spec);
         found.push(Waiting {
             urgency: Urgency {
-                rank: std::cmp::Reverse(pipelines::rank(pulls, id, spec)),
+                rank: std::cmp::Reverse(dependencies::rank(pulls, id, spec)),
                 due: due.saturating_sub(before_due),
                 ..plain.urgency
             },
@@ -366,7 +366,7 @@
             }
             Shape::Array => {
                 let (work, tasks) = running.entry(spec.rank).or_default();
-                *work += turns::work(1, cpus, pipelines::run_ms(spec) / 2);
+                *work += queue_order::work(1, cpus, dependencies::run_ms(spec) / 2);
                 // They have been started: what is left are their results.
                 *tasks += u64::from(cache.counts(id).booked / 2);
             }
@@ -382,7 +382,7 @@
             0 => 0,
             most => (most.saturating_sub(held.get(name.as_str()).copied().unwrap_or(0))).max(1),
         });
-    let mut means = turns::Means {
+    let mut means = queue_order::Means {
         cpus: cpus.saturating_sub(services),
         tasks_per_s: settings.write_rps * settings.nodes.len() as f64 / CHANGES_PER_TASK,
         before: 0,
@@ -398,14 +398,14 @@
             means.before += work;
             means.tasks_before += tasks;
         }
-        let jobs: Vec<turns::Turn> = (class.iter())
+        let jobs: Vec<queue_order::Turn> = (class.iter())
             .map(|w| {
                 let spec = cache.open_job(&w.job);
                 let team = spec.and_then(|s| names.iter().position(|n| **n == s.team));
-                let run_ms = spec.map_or(0, pipelines::run_ms);
+                let run_ms = spec.map_or(0, dependencies::run_ms);
                 let goals = next_goals.get(&w.job);
-                turns::Turn {
-                    work: turns::work(w.indices.len() as u64, w.set.need.cpus, run_ms),
+                queue_order::Turn {
+                    work: queue_order::work(w.indices.len() as u64, w.set.need.cpus, run_ms),
                     tasks: w.indices.len() as u64,
                     team: team.unwrap_or(0),
                     due: goals.map(|_| w.urgency.due),
@@ -414,12 +414,12 @@
                 }
             })
             .collect();
-        let places = turns::places_if_short(&jobs, &means, from, share, wall);
+        let places = queue_order::places_if_short(&jobs, &means, from, share, wall);
         for (w, place) in class.iter_mut().zip(places) {
             match place {
-                turns::Place::Due(due) => w.urgency.due = due,
+                queue_order::Place::Due(due) => w.urgency.due = due,
                 // What has been overdue for long comes first: nothing is put off for ever.
-                turns::Place::PutOff => {
+                queue_order::Place::PutOff => {
                     w.urgency.put_off = w.urgency.due > wall && !arrived.contains(&w.job);
                 }
             }
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/scheduling/preemption.rs
@@ -1,12 +1,12 @@
 //! Preemption: which tasks to stop so that waiting work gets room: those of lower rank, and, for
 //! work within its team's guarantee, what other teams run beyond theirs.
 
-use crate::claims::zone_room;
 use crate::constants::*;
-use crate::lookup::Waiting;
 use crate::model::*;
-use crate::records::*;
+use crate::scheduling::claims::zone_room;
+use crate::scheduling::placement::Waiting;
 use crate::settings::*;
+use crate::state::*;
 use foldhash::HashMap;
 use std::collections::BTreeMap;
 
--- a/crates/core/src/eviction.rs
+++ b/crates/core/src/scheduling/quota_enforcement.rs
@@ -3,9 +3,9 @@
 //! ends what was claimed before.
 
 use crate::configuration::Policy;
+use crate::controller::*;
 use crate::model::*;
-use crate::node::*;
-use crate::records::*;
+use crate::state::*;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,8 +1,8 @@
 //! What a node is told at its start: the platform's settings and the operators' own.
 
-use crate::checks::Checks;
 use crate::configuration::Policy;
 use crate::model::Millis;
+use crate::safety_checks::Checks;
 use crate::tuning::Tuning;
 use std::collections::BTreeMap;
 
--- a/crates/core/src/records/cache.rs
+++ b/crates/core/src/state/cache.rs
@@ -7,8 +7,8 @@
 };
 use crate::configuration::{ConfigurableRecord, FollowingRecord, PageRecord, VersionRecord};
 use crate::constants::*;
-use crate::formats::{self, FormatRecord};
 use crate::model::*;
+use crate::state::formats::{self, FormatRecord};
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/src/formats.rs
+++ b/crates/core/src/state/formats.rs
@@ -22,7 +22,7 @@
 
 use crate::constants::*;
 use crate::model::*;
-use crate::records::*;
+use crate::state::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
--- a/crates/core/src/records/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -5,12 +5,14 @@
 
 mod cache;
 mod dependents;
+pub mod formats;
 mod key;
+mod records;
+pub(crate) mod sync;
 mod transaction;
-mod values;
 
 pub use cache::*;
 pub use dependents::Dependents;
 pub use key::*;
+pub use records::*;
 pub use transaction::*;
-pub use values::*;
--- a/crates/core/src/records/values.rs
+++ b/crates/core/src/state/records.rs
@@ -3,8 +3,8 @@
 use super::Key;
 use crate::configuration::{ConfigurableRecord, FollowingRecord, PageRecord, VersionRecord};
 use crate::constants::*;
-use crate::formats::{self, CompactChunk, FormatRecord};
 use crate::model::*;
+use crate::state::formats::{self, CompactChunk, FormatRecord};
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state/sync.rs
@@ -2,10 +2,10 @@
 //! outcomes of transactions.
 
 use crate::constants::*;
-use crate::formats;
+use crate::controller::*;
 use crate::model::*;
-use crate::node::*;
-use crate::records::*;
+use crate::state::formats;
+use crate::state::*;
 use std::collections::BTreeSet;
 
 /// The reading of all records, page by page.
--- a/crates/core/src/records/transaction.rs
+++ b/crates/core/src/state/transaction.rs
@@ -4,9 +4,9 @@
     Booking, Cache, ChunkRecord, FleetRecord, Key, MachineRecord, Phase, Record, TeamRecord,
 };
 use crate::constants::*;
-use crate::formats;
 use crate::model::*;
 use crate::settings::*;
+use crate::state::formats;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
--- a/crates/core/src/machines.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -3,15 +3,15 @@
 //! A start travels by one direct command, or in the answer to the check-in recorded in its
 //! booking. `reconcile` says what proves that it will never arrive.
 
-use crate::claims::{Carrier, Outcome};
 use crate::constants::*;
+use crate::controller::*;
 use crate::model::*;
-use crate::node::*;
-use crate::records::*;
-use crate::results::{Ended, Travel};
-use crate::signs::{Liveness, OfMachine};
-use crate::silence::Survey;
-use crate::standby::Sibling;
+use crate::peers::tracker::Sibling;
+use crate::scheduling::claims::{Carrier, Outcome};
+use crate::state::*;
+use crate::workers::observations::{Liveness, OfMachine};
+use crate::workers::results::{Ended, Travel};
+use crate::zones::detector::Survey;
 use foldhash::HashMap;
 use rand::seq::SliceRandom;
 use std::collections::{BTreeMap, BTreeSet};
--- /dev/null
+++ b/crates/core/src/workers/mod.rs
@@ -0,0 +1,7 @@
+//! Workers: heartbeats in, reconciliation with the records, commands out, failure detection.
+
+pub(crate) mod heartbeats;
+pub(crate) mod observations;
+pub(crate) mod reachability;
+pub(crate) mod results;
+pub(crate) mod starts;
--- a/crates/core/src/signs.rs
+++ b/crates/core/src/workers/observations.rs
@@ -2,9 +2,9 @@
 //! it is looked at several times a second for every one of them.
 
 use crate::constants::DEAF_ASKED_MS;
+use crate::controller::{Heard, Node};
 use crate::model::Millis;
-use crate::node::{Heard, Node};
-use crate::standby::Told;
+use crate::peers::tracker::Told;
 use foldhash::{HashMap, HashMapExt};
 
 /// Times at which something was noted of a machine, where it was.
--- a/crates/core/src/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -4,11 +4,11 @@
 //! A check-in is answered before that. Its worker repeats what it reports until it is told to
 //! forget it, which follows the commit, so a node that ends in between loses nothing.
 
-use crate::claims::{self, Outcome};
 use crate::constants::*;
+use crate::controller::*;
 use crate::model::*;
-use crate::node::*;
-use crate::records::*;
+use crate::scheduling::claims::{self, Outcome};
+use crate::state::*;
 use std::collections::BTreeMap;
 
 /// How a booking's start travels: what it is armed for, or the direct command.
--- a/crates/core/src/silence.rs
+++ b/crates/core/src/zones/detector.rs
@@ -3,11 +3,11 @@
 //! goes on answering them. To delete them would end what the cut leaves alone.
 
 use crate::constants::*;
+use crate::controller::*;
 use crate::model::*;
-use crate::moves::Wish;
-use crate::node::*;
-use crate::signs::Liveness;
-use crate::zones::{Kind, Turn, Why};
+use crate::scheduling::rescheduling::Wish;
+use crate::workers::observations::Liveness;
+use crate::zones::failures::{Kind, Turn, Why};
 use std::collections::BTreeMap;
 
 /// What is heard of a zone's machines.
--- a/crates/core/src/lost.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -1,14 +1,14 @@
 //! Looks at the machines of lost zones: which of them are ended so that their work is placed
-//! elsewhere, in which order. The decision for each is `zones::verdict`.
+//! elsewhere, in which order. The decision for each is `failures::verdict`.
 
-use crate::claims;
 use crate::constants::*;
-use crate::lookup::Waiting;
+use crate::controller::*;
+use crate::jobs::dependencies;
 use crate::model::*;
-use crate::node::*;
-use crate::pipelines;
-use crate::records::*;
-use crate::zones::{self, Holding, Kind, Lost, Why};
+use crate::scheduling::claims;
+use crate::scheduling::placement::Waiting;
+use crate::state::*;
+use crate::zones::failures::{self, Holding, Kind, Lost, Why};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -109,7 +109,7 @@
                 continue;
             }
             let (holds, taken, turn) = self.holdings(id, m, lost, &mut outside, &mut places);
-            match zones::verdict(lost, &holds, lease_ms, &tuning, self.wall) {
+            match failures::verdict(lost, &holds, lease_ms, &tuning, self.wall) {
                 Some(why) => turns.push(Turn { why, ..turn }),
                 None => {
                     // What only lacks room elsewhere, now or by the time that room is there.
@@ -125,7 +125,7 @@
                         .collect();
                     let wall = self.wall + ZONE_AHEAD_MS;
                     if foreseen.len() < tuning.zone_ends
-                        && zones::verdict(&ahead, &roomy, lease_ms, &tuning, wall).is_some()
+                        && failures::verdict(&ahead, &roomy, lease_ms, &tuning, wall).is_some()
                     {
                         foreseen.push(id.to_string());
                     }
@@ -197,9 +197,9 @@
                 continue;
             };
             let unseen = self.unseen(id, task, &placed.booking);
-            let run_ms = pipelines::run_ms(spec);
+            let run_ms = dependencies::run_ms(spec);
             let ready_at = self.cache.ready_at(job);
-            let deadline = pipelines::deadline(job, spec);
+            let deadline = dependencies::deadline(job, spec);
             let within = self
                 .settings
                 .policy
--- a/crates/core/src/zones.rs
+++ b/crates/core/src/zones/failures.rs
@@ -8,8 +8,8 @@
 
 use crate::constants::*;
 use crate::model::*;
-use crate::silence::ZoneSigns;
 use crate::tuning::Tuning;
+use crate::zones::detector::ZoneSigns;
 use std::collections::BTreeMap;
 
 /// What a silent zone most likely is, as far as its nodes tell.
--- a/crates/core/tests/allocations.rs
+++ b/crates/core/tests/allocations.rs
@@ -1,7 +1,7 @@
 //! What a check-in allocates in the core: exact, and so bounded here, unlike its time.
 
+use glenmount_core::controller::*;
 use glenmount_core::model::*;
-use glenmount_core::node::*;
 use glenmount_simulation::*;
 
 #[global_allocator]
--- a/crates/core/tests/checks.rs
+++ b/crates/core/tests/checks.rs
@@ -2,10 +2,10 @@
 //! time, when that one check is left out, and does not when all hold. See docs/design.md, "Before the
 //! first decision".
 
-use glenmount_core::checks::Checks;
+use glenmount_core::controller::*;
 use glenmount_core::model::*;
-use glenmount_core::node::*;
-use glenmount_core::records::Record;
+use glenmount_core::safety_checks::Checks;
+use glenmount_core::state::Record;
 use glenmount_simulation::day::leave_out;
 use glenmount_simulation::*;
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -4,10 +4,10 @@
     self, ChangeLimits, ConfigurableRecord, FollowingRecord, ObjectiveSettings, PageRecord,
     PolicySettings, TeamSettings, VersionRecord,
 };
-use glenmount_core::formats;
+use glenmount_core::controller::*;
 use glenmount_core::model::*;
-use glenmount_core::node::*;
-use glenmount_core::records::*;
+use glenmount_core::state::formats;
+use glenmount_core::state::*;
 use glenmount_simulation::operator::Refused;
 use glenmount_simulation::*;
 use rand::Rng;
--- a/crates/core/tests/learned.rs
+++ b/crates/core/tests/learned.rs
@@ -2,7 +2,7 @@
 //! and that nothing rests on them.
 
 use glenmount_core::model::*;
-use glenmount_core::records::*;
+use glenmount_core::state::*;
 use glenmount_runtime_estimates::book::class_id;
 use glenmount_runtime_estimates::constants::CLASSES_KEPT;
 use glenmount_runtime_estimates::history::History;
--- a/crates/core/tests/lost_zones.rs
+++ b/crates/core/tests/lost_zones.rs
@@ -2,7 +2,7 @@
 //! which order. The world checks every rule at each step.
 
 use glenmount_core::model::*;
-use glenmount_core::records::Phase;
+use glenmount_core::state::Phase;
 use glenmount_simulation::*;
 
 fn fleet(seed: u64, machines: usize, nodes_in: &[&str]) -> World {
--- a/crates/core/tests/meetings.rs
+++ b/crates/core/tests/meetings.rs
@@ -1,9 +1,9 @@
 //! Troubles that meet: the rules hold when several of them fall together, and all that was accepted
 //! runs or stays known.
 
+use glenmount_core::controller::*;
 use glenmount_core::model::*;
-use glenmount_core::node::*;
-use glenmount_core::records::*;
+use glenmount_core::state::*;
 use glenmount_simulation::random_faults::{self, RandomFaults, STEPS};
 use glenmount_simulation::service::Rate;
 use glenmount_simulation::*;
--- a/crates/core/tests/page_meetings.rs
+++ b/crates/core/tests/page_meetings.rs
@@ -1,9 +1,9 @@
 //! Meetings of troubles that the users' page names, beyond those of their letters: machines that reach no
 //! node, ends that meet requests, zones that bind, nodes that are all away, more work than room.
 
+use glenmount_core::controller::*;
 use glenmount_core::model::*;
-use glenmount_core::node::*;
-use glenmount_core::records::*;
+use glenmount_core::state::*;
 use glenmount_simulation::*;
 use rand::Rng;
 
--- a/crates/core/tests/pipelines.rs
+++ b/crates/core/tests/pipelines.rs
@@ -2,10 +2,10 @@
 //! the jobs that its job needs are done, and that what needs a cancelled job is not called pending
 //! or running for longer than a cancellation may take.
 
+use glenmount_core::controller::*;
+use glenmount_core::jobs::dependencies;
 use glenmount_core::model::*;
-use glenmount_core::node::*;
-use glenmount_core::pipelines;
-use glenmount_core::records::*;
+use glenmount_core::state::*;
 use glenmount_simulation::*;
 
 fn settled(seed: u64, nodes: usize, machines: usize) -> World {
@@ -316,7 +316,7 @@
         (slow, 2_000),
         (last, 3_000),
     ]);
-    let pulls = pipelines::pulls(&cache, &|_, spec| pipelines::least_run_ms(spec));
+    let pulls = dependencies::pulls(&cache, &|_, spec| dependencies::least_run_ms(spec));
     // Of 5 and 50 s that a job is estimated to run, six tenths must do.
     let due = |id: &str| pulls[id].due.unwrap();
     assert_eq!((due("j-2"), due("j-3")), (100_000, 100_000));
@@ -336,7 +336,7 @@
     ]);
     assert!(cache.blocked("j-1") && cache.waiting_jobs().next().is_none());
     assert!(
-        !pipelines::pulls(&cache, &|_, spec| pipelines::least_run_ms(spec)).contains_key("j-2")
+        !dependencies::pulls(&cache, &|_, spec| dependencies::least_run_ms(spec)).contains_key("j-2")
     );
     let over = cache.job("j-1").unwrap().over(Phase::Cancelled, 9);
     cache.put(Key::Job("j-1".into()), 9, Record::Job(over));
--- a/crates/core/tests/quick_returns.rs
+++ b/crates/core/tests/quick_returns.rs
@@ -3,8 +3,8 @@
 //! the new life. No start is given twice (the world checks every rule at each step), no worker is
 //! stranded, and nothing that was learned of the old life is held against the new one.
 
-use glenmount_core::records::Phase;
-use glenmount_core::standby::Sign;
+use glenmount_core::peers::tracker::Sign;
+use glenmount_core::state::Phase;
 use glenmount_simulation::*;
 
 /// Milliseconds after which a process is back: from less than an end takes to be told to about as
--- a/crates/core/tests/seven_meetings.rs
+++ b/crates/core/tests/seven_meetings.rs
@@ -1,9 +1,9 @@
 //! The meetings of the users' letter "The hunt goes on": answers within milliseconds, lost replies, limits
 //! while cancellations meet machines that hang, hand-overs, quick boots, old reports, one-task floods.
 
+use glenmount_core::controller::*;
 use glenmount_core::model::*;
-use glenmount_core::node::*;
-use glenmount_core::records::*;
+use glenmount_core::state::*;
 use glenmount_simulation::service::Rate;
 use glenmount_simulation::*;
 
--- a/crates/core/tests/standby.rs
+++ b/crates/core/tests/standby.rs
@@ -1,8 +1,8 @@
 //! Short stories of nodes that end, stand still and come back, one after another and while others take
 //! over from them.
 
-use glenmount_core::node::*;
-use glenmount_core::standby::Sign;
+use glenmount_core::controller::*;
+use glenmount_core::peers::tracker::Sign;
 use glenmount_simulation::*;
 
 /// So many nodes and machines, with the times of a large fleet.
@@ -56,7 +56,7 @@
     let n = (0..w.nodes.len()).find(|n| w.nodes[*n].node.is_some());
     w.submit(n.unwrap(), job(&id, 3));
     w.until(30_000, "work goes on", |w| {
-        w.job_phase(&id) == Some(glenmount_core::records::Phase::Done)
+        w.job_phase(&id) == Some(glenmount_core::state::Phase::Done)
     });
     w.check_records();
 }
--- a/crates/core/tests/stories.rs
+++ b/crates/core/tests/stories.rs
@@ -1,9 +1,9 @@
 //! Short stories of what happens to jobs when things go wrong. The world checks every rule
 //! of the protocol at each step; each story says what must come out of it in the end.
 
+use glenmount_core::controller::*;
 use glenmount_core::model::*;
-use glenmount_core::node::*;
-use glenmount_core::records::*;
+use glenmount_core::state::*;
 use glenmount_simulation::*;
 use rand::Rng;
 
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -3,10 +3,10 @@
 //! write only the shapes they know, and checks that until all are new nothing else is written.
 
 use glenmount_core::constants::*;
-use glenmount_core::formats::{self, FormatRecord};
+use glenmount_core::controller::*;
 use glenmount_core::model::*;
-use glenmount_core::node::*;
-use glenmount_core::records::*;
+use glenmount_core::state::formats::{self, FormatRecord};
+use glenmount_core::state::*;
 use glenmount_simulation::*;
 use rand::Rng;
 use serde_json::Value;
--- a/crates/core/tests/zones.rs
+++ b/crates/core/tests/zones.rs
@@ -1,9 +1,9 @@
 //! Short stories of zones that are cut off from everything, with a node inside.
 
 use glenmount_core::constants::SETTLED_TERM;
+use glenmount_core::controller::*;
 use glenmount_core::model::*;
-use glenmount_core::node::*;
-use glenmount_core::records::*;
+use glenmount_core::state::*;
 use glenmount_simulation::*;
 
 /// No machine is returned for having nothing to do, none is rented, and leases are long enough to find
--- a/crates/ctl/src/config/mod.rs
+++ b/crates/ctl/src/config/mod.rs
@@ -10,7 +10,7 @@
 use glenmount_core::configuration::{
     self, ConfigurationError, Policy, PolicySettings, TeamSettings, VersionRecord,
 };
-use glenmount_core::eviction;
+use glenmount_core::scheduling::quota_enforcement;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -143,7 +143,7 @@
     let policy = settings.policy()?;
     let cache = records.bookings()?;
     let mut effects: BTreeMap<String, Effect> = BTreeMap::new();
-    for (_, task, _) in eviction::over_limits(&cache, &policy) {
+    for (_, task, _) in quota_enforcement::over_limits(&cache, &policy) {
         let Some(spec) = cache.open_job(&task.job) else {
             continue;
         };
--- a/crates/ctl/src/config/records.rs
+++ b/crates/ctl/src/config/records.rs
@@ -5,9 +5,9 @@
 use glenmount_core::configuration::{
     self, PageRecord, PolicySettings, VersionRecord, CONFIGURATION_FORM,
 };
-use glenmount_core::formats;
 use glenmount_core::model::JobSpec;
-use glenmount_core::records::{Cache, Key, Record, Txn};
+use glenmount_core::state::formats;
+use glenmount_core::state::{Cache, Key, Record, Txn};
 use std::collections::BTreeMap;
 
 /// Records read at most: many times what a site of two years has.
--- a/crates/ctl/src/learned.rs
+++ b/crates/ctl/src/learned.rs
@@ -3,7 +3,7 @@
 use crate::run::Row;
 use crate::state::StateService;
 use crate::Failure;
-use glenmount_core::records::{Record, RunsRecord};
+use glenmount_core::state::{Record, RunsRecord};
 use glenmount_runtime_estimates::history::History;
 use glenmount_runtime_estimates::mixture::Mixture;
 use serde::Serialize;
--- a/crates/ctl/src/state.rs
+++ b/crates/ctl/src/state.rs
@@ -1,7 +1,7 @@
 //! A client of the state service, by its published protocol.
 
 use crate::Failure;
-use glenmount_core::records::{Key, Record, Txn};
+use glenmount_core::state::{Key, Record, Txn};
 use serde::Deserialize;
 use std::io::Read;
 use std::time::Duration;
--- a/crates/ctl/tests/config.rs
+++ b/crates/ctl/tests/config.rs
@@ -1,9 +1,9 @@
 //! `glenmountctl config` against a state service in memory: changes, refusals, conflicts, lost answers.
 
 use glenmount_core::configuration::{ConfigurableRecord, FollowingRecord, PolicySettings};
-use glenmount_core::formats::{FormatRecord, LATEST};
 use glenmount_core::model::{JobSpec, Rank, Room, Shape};
-use glenmount_core::records::{Booking, ChunkRecord, JobRecord, Key, Phase, Record, TaskState};
+use glenmount_core::state::formats::{FormatRecord, LATEST};
+use glenmount_core::state::{Booking, ChunkRecord, JobRecord, Key, Phase, Record, TaskState};
 use glenmountctl::config::{self, Change, ConfigFailure, ConfigurationFile, FileLimits, Records};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
--- a/crates/ctl/tests/state.rs
+++ b/crates/ctl/tests/state.rs
@@ -1,6 +1,6 @@
 //! What is read from a state service: pages, refusals, damage, and what is none.
 
-use glenmount_core::records::{Key, Record, RunsRecord};
+use glenmount_core::state::{Key, Record, RunsRecord};
 use glenmount_runtime_estimates::book::class_id;
 use glenmount_runtime_estimates::history::{Batch, History};
 use glenmount_runtime_estimates::{End, Run};
--- a/crates/glenmount/src/cloud.rs
+++ b/crates/glenmount/src/cloud.rs
@@ -4,7 +4,7 @@
 use crate::http::Http;
 use crate::wire;
 use glenmount_core::constants::*;
-use glenmount_core::node::{CloudAnswer, CloudOp, Event, Token};
+use glenmount_core::controller::{CloudAnswer, CloudOp, Event, Token};
 use hyper::Method;
 use serde_json::json;
 use tokio::sync::mpsc;
--- a/crates/glenmount/src/costs.rs
+++ b/crates/glenmount/src/costs.rs
@@ -3,7 +3,7 @@
 //! Three looks at the clock an event. What runs between two events - HTTP, the runtime, the kernel -
 //! is not in here: it is the difference to what the platform counts.
 
-use glenmount_core::node::Event;
+use glenmount_core::controller::Event;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
--- a/crates/glenmount/src/main.rs
+++ b/crates/glenmount/src/main.rs
@@ -13,7 +13,7 @@
 mod workers;
 
 use clap::Parser;
-use glenmount_core::node::{Effect, Event, Heartbeat, Node};
+use glenmount_core::controller::{Effect, Event, Heartbeat, Node};
 use server::{Call, Door, Reached};
 use settings::Config;
 use std::collections::hash_map::RandomState;
@@ -256,13 +256,13 @@
                         since: Instant::now(),
                     };
                     if state.try_send(job).is_err() {
-                        let answer = glenmount_core::node::StateAnswer::Unavailable;
+                        let answer = glenmount_core::controller::StateAnswer::Unavailable;
                         let _ = events_in.try_send(Event::State { token, answer });
                     }
                 }
                 Effect::Cloud { token, op } => {
                     if cloud.try_send((token, op)).is_err() {
-                        let answer = glenmount_core::node::CloudAnswer::Failed;
+                        let answer = glenmount_core::controller::CloudAnswer::Failed;
                         let _ = events_in.try_send(Event::Cloud { token, answer });
                     }
                 }
--- a/crates/glenmount/src/peer.rs
+++ b/crates/glenmount/src/peer.rs
@@ -3,7 +3,7 @@
 
 use crate::costs::FRAMES;
 use glenmount_core::constants::PEER_BEAT_MS;
-use glenmount_core::node::{Event, Heartbeat, Said};
+use glenmount_core::controller::{Event, Heartbeat, Said};
 use serde::de::{Error, IgnoredAny, SeqAccess, Visitor};
 use serde::Deserialize;
 use std::collections::HashMap;
--- a/crates/glenmount/src/server.rs
+++ b/crates/glenmount/src/server.rs
@@ -4,7 +4,7 @@
 use crate::wire;
 use futures_util::{Stream, StreamExt};
 use glenmount_core::constants::BODY_BYTES;
-use glenmount_core::node::{Event, RequestId, UserReply, WorkerReply};
+use glenmount_core::controller::{Event, RequestId, UserReply, WorkerReply};
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/crates/glenmount/src/settings.rs
+++ b/crates/glenmount/src/settings.rs
@@ -1,8 +1,8 @@
 //! The platform's settings file (TOML) and the operators' own (XML), checked on reading.
 
-use glenmount_core::checks::Checks;
 use glenmount_core::configuration::{ObjectiveSettings, PolicySettings, TeamSettings};
 use glenmount_core::constants::*;
+use glenmount_core::safety_checks::Checks;
 use glenmount_core::settings::{LearnedUse, Settings};
 use glenmount_core::tuning::Tuning;
 use serde::Deserialize;
--- a/crates/glenmount/src/wire.rs
+++ b/crates/glenmount/src/wire.rs
@@ -1,8 +1,8 @@
 //! The published messages. Names of the wire end here; inside, the standard ones are used.
 
 use glenmount_core::constants::*;
+use glenmount_core::controller::{UserReply, WorkerReply};
 use glenmount_core::model::*;
-use glenmount_core::node::{UserReply, WorkerReply};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use serde_json::Value;
 use std::borrow::Cow;
--- a/crates/glenmount/src/workers.rs
+++ b/crates/glenmount/src/workers.rs
@@ -3,8 +3,8 @@
 use crate::http::Http;
 use crate::wire;
 use glenmount_core::constants::COMMAND_LIMIT_MS;
+use glenmount_core::controller::{Event, Reach};
 use glenmount_core::model::Order;
-use glenmount_core::node::{Event, Reach};
 use hyper::Method;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -1,6 +1,6 @@
 //! Days of a site, described in TOML: what there is, what is asked, and what goes wrong when.
 
-use glenmount_core::checks::Checks;
+use glenmount_core::safety_checks::Checks;
 use serde::Deserialize;
 
 /// A file of `experiment`: days, and variants that each of them is played with.
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -14,14 +14,14 @@
 pub mod troubles;
 pub mod users;
 
-use glenmount_core::checks::Checks;
 use glenmount_core::configuration::Policy;
 use glenmount_core::constants::UNANSWERED_LEAST_MS;
-use glenmount_core::formats::OLDEST;
+use glenmount_core::controller::*;
 use glenmount_core::model::*;
-use glenmount_core::node::*;
-use glenmount_core::records::*;
+use glenmount_core::safety_checks::Checks;
 use glenmount_core::settings::*;
+use glenmount_core::state::formats::OLDEST;
+use glenmount_core::state::*;
 use glenmount_core::tuning::Tuning;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/simulation/src/old.rs
+++ b/crates/simulation/src/old.rs
@@ -2,8 +2,8 @@
 //! node of that version reads and writes goes through them: it passes over fields it does not know
 //! and drops them when it writes a record anew.
 
-use glenmount_core::formats::OLDEST;
-use glenmount_core::records::{Key, Record};
+use glenmount_core::state::formats::OLDEST;
+use glenmount_core::state::{Key, Record};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -8,9 +8,9 @@
 use glenmount_core::configuration::{
     self, ChangeLimits, ConfigurationError, PageRecord, Policy, PolicySettings, TeamSettings,
 };
+use glenmount_core::controller::{Event, StateAnswer, StateOp};
 use glenmount_core::model::JobSpec;
-use glenmount_core::node::{Event, StateAnswer, StateOp};
-use glenmount_core::records::*;
+use glenmount_core::state::*;
 use std::collections::BTreeMap;
 
 /// What operators have done.
--- a/crates/simulation/src/troubles.rs
+++ b/crates/simulation/src/troubles.rs
@@ -2,8 +2,8 @@
 //! jobs that have just changed, old reports for the next node, cancellations at the moment of an end.
 
 use crate::{no_answer, Act, Overlaps, World};
+use glenmount_core::controller::Reach;
 use glenmount_core::model::*;
-use glenmount_core::node::Reach;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
