--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -1,18 +1,18 @@
-//! What operators may change while nodes run: teams with their guarantees and limits, objectives, and
+//! What operators may change while controllers run: teams with their guarantees and limits, objectives, and
 //! the time after which idle machines are returned.
 //!
 //! A configuration comes from the platform's settings file until one is put on record. On record it is one
 //! version record and a few pages, all of them written by one transaction. Pages are never changed, so
 //! whoever reads a version record and the pages that it counts has the whole of that version or nothing.
-//! What a node decides by a configuration is conditional on the revision of the version record that it came
-//! from: see `Policy::stamp`.
+//! What a controller decides by a configuration is conditional on the revision of the version record that it came
+//! from: see `Policy::mod_revision`.
 
 mod rollout;
 
 use crate::constants::TXN_BYTES;
-use crate::model::{have_milli, JobSpec, Millis, Shape, Team, WallMs};
+use crate::model::{have_milli, JobKind, JobSpec, Millis, Team, WallMs};
 use crate::state::formats;
-use crate::state::{Cache, Key, Record, Txn};
+use crate::state::{CasTransaction, Key, Record, StateCache};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -106,13 +106,13 @@
     pub version: u64,
     /// The revision of the version record that it came from; 0: there was none. Decisions that rest on
     /// limits, guarantees or order are conditional on it.
-    pub stamp: u64,
+    pub mod_revision: u64,
     pub teams: BTreeMap<String, Team>,
     /// Per class, milliseconds within which its jobs should be complete, shortest first.
     pub goals: BTreeMap<String, Vec<u64>>,
     /// Per class, milliseconds within which its tasks should start.
     pub starts: BTreeMap<String, u64>,
-    /// Milliseconds after which idle machines are returned; none: as the node's own settings say.
+    /// Milliseconds after which idle machines are returned; none: as the controller's own settings say.
     pub idle_return_ms: Option<Millis>,
 }
 
@@ -229,7 +229,7 @@
 
 /// A version of the configuration: written with its pages by one transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct VersionRecord {
+pub struct ConfigurationVersionRecord {
     /// The form in which its pages are written.
     #[serde(rename = "f")]
     pub form: u32,
@@ -268,7 +268,7 @@
 
 /// A part of a version's entries. Never changed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PageRecord {
+pub struct ConfigurationPageRecord {
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     pub teams: Vec<TeamEntry>,
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
@@ -319,16 +319,16 @@
     }
 }
 
-/// The version that a node decides by.
+/// The version that a controller decides by.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FollowingRecord {
+pub struct ObservedVersionRecord {
     #[serde(rename = "v")]
     pub version: u64,
 }
 
-/// Once on record, every node reads configurations from the records. Written once, never changed.
+/// Once on record, every controller reads configurations from the records. Written once, never changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ConfigurableRecord {
+pub struct ConfigurationEnabledRecord {
     /// The format that brought it.
     #[serde(rename = "v")]
     pub version: u32,
@@ -339,16 +339,16 @@
 }
 
 /// The entries on as few pages as hold them, each within so many bytes.
-pub fn pages(settings: &PolicySettings, page_bytes: usize) -> Vec<PageRecord> {
-    let first = PageRecord {
+pub fn pages(settings: &PolicySettings, page_bytes: usize) -> Vec<ConfigurationPageRecord> {
+    let first = ConfigurationPageRecord {
         idle_return_s: settings.idle_return_s,
-        ..PageRecord::default()
+        ..ConfigurationPageRecord::default()
     };
     let mut pages = vec![first];
     let mut bytes = PAGE_BASE_BYTES;
-    let mut page_for = |pages: &mut Vec<PageRecord>, entry: usize| {
+    let mut page_for = |pages: &mut Vec<ConfigurationPageRecord>, entry: usize| {
         if bytes + entry > page_bytes {
-            pages.push(PageRecord::default());
+            pages.push(ConfigurationPageRecord::default());
             bytes = PAGE_BASE_BYTES;
         }
         bytes += entry;
@@ -367,7 +367,7 @@
 }
 
 /// The settings that a version's pages hold; none if pages are missing.
-pub fn settings_of(pages: &[PageRecord]) -> PolicySettings {
+pub fn settings_of(pages: &[ConfigurationPageRecord]) -> PolicySettings {
     let teams = pages.iter().flat_map(|page| &page.teams);
     let objectives = pages.iter().flat_map(|page| &page.objectives);
     PolicySettings {
@@ -378,7 +378,11 @@
 }
 
 /// The configuration on record, whole; an error if it is damaged, of a later form, or not all there.
-fn read(record: &VersionRecord, stamp: u64, cache: &Cache) -> Result<Policy, ConfigurationError> {
+fn read(
+    record: &ConfigurationVersionRecord,
+    mod_revision: u64,
+    cache: &StateCache,
+) -> Result<Policy, ConfigurationError> {
     let form = format!("{} is later than {CONFIGURATION_FORM}", record.form);
     require(record.form <= CONFIGURATION_FORM, "form", &form)?;
     let version = record.version;
@@ -395,7 +399,7 @@
     settings.check_strictly()?;
     Ok(Policy {
         version,
-        stamp,
+        mod_revision,
         ..settings.policy()?
     })
 }
@@ -412,16 +416,16 @@
             let problem = format!("removed, and {} is unfinished", spec.id);
             return Err(ConfigurationError::new(field(""), problem));
         };
-        let at_once = match spec.shape {
-            Shape::Array => 1,
-            Shape::Service => u64::from(spec.tasks),
+        let at_once = match spec.kind {
+            JobKind::Array => 1,
+            JobKind::Service => u64::from(spec.tasks),
         };
         let limits = [
-            ("cpus_max", spec.need.cpus, team.cpus_max),
-            ("gpus_max", spec.need.gpus, team.gpus_max),
+            ("cpus_max", spec.resources.cpus, team.cpus_max),
+            ("gpus_max", spec.resources.gpus, team.gpus_max),
         ];
-        for (name, need, limit) in limits {
-            let needed = need.saturating_mul(at_once);
+        for (name, resources, limit) in limits {
+            let needed = resources.saturating_mul(at_once);
             let fits = limit == 0 || needed <= limit;
             let needed = needed as f64 / 1e3;
             let problem = format!("below the {needed} that {} needs", spec.id);
@@ -435,24 +439,27 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeLimits {
     /// Bytes of a value, and changes of a transaction, that the state service takes.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     pub changes: usize,
 }
 
 /// The one transaction that puts a configuration on record, conditional on the version before (`current`,
-/// with its revision) and on the record that says that all nodes read configurations.
+/// with its revision) and on the record that says that all controllers read configurations.
 pub fn change(
     settings: &PolicySettings,
-    current: Option<(&VersionRecord, u64)>,
+    current: Option<(&ConfigurationVersionRecord, u64)>,
     configurable: u64,
     limits: ChangeLimits,
     at: WallMs,
     note: &str,
-) -> Result<Txn, ConfigurationError> {
+) -> Result<CasTransaction, ConfigurationError> {
     settings.check_strictly()?;
     let short = note.len() <= NOTE_BYTES;
     require(short, "note", &format!("longer than {NOTE_BYTES} bytes"))?;
-    let pages = pages(settings, limits.value_bytes.saturating_sub(PAGE_BASE_BYTES));
+    let pages = pages(
+        settings,
+        limits.max_value_bytes.saturating_sub(PAGE_BASE_BYTES),
+    );
     let mut kept: Vec<KeptVersion> = Vec::new();
     if let Some((before, _)) = current {
         kept.push(KeptVersion {
@@ -464,7 +471,7 @@
         kept.extend(before.kept.iter().cloned());
         kept.truncate(VERSIONS_KEPT - 1);
     }
-    let mut record = VersionRecord {
+    let mut record = ConfigurationVersionRecord {
         form: CONFIGURATION_FORM,
         version: current.map_or(0, |(before, _)| before.version) + 1,
         pages: pages.len() as u32,
@@ -475,11 +482,11 @@
         kept,
     };
     // What can be gone back to is bounded by a value as well.
-    while json_bytes(&record) > limits.value_bytes && record.kept.pop().is_some() {}
+    while json_bytes(&record) > limits.max_value_bytes && record.kept.pop().is_some() {}
     let version = record.version;
     let mut changes: Vec<(Key, Option<Record>)> = Vec::new();
     for (n, page) in pages.into_iter().enumerate() {
-        let fits = json_bytes(&page) <= limits.value_bytes;
+        let fits = json_bytes(&page) <= limits.max_value_bytes;
         let field = page.teams.first().map_or("objectives", |_| "teams");
         require(
             fits,
@@ -503,27 +510,30 @@
     let large = format!("{bytes} bytes, and a transaction takes {TXN_BYTES}");
     require(bytes <= TXN_BYTES, "settings.teams", &large)?;
     let mut conditions = vec![
-        (Key::Configuration, current.map_or(0, |(_, stamp)| stamp)),
-        (Key::Configurable, configurable),
+        (
+            Key::Configuration,
+            current.map_or(0, |(_, mod_revision)| mod_revision),
+        ),
+        (Key::ConfigurationEnabled, configurable),
     ];
     let pages = changes.iter().map(|(key, _)| key);
     let pages = pages.filter(|key| matches!(key, Key::ConfigurationPage(..)));
     conditions.extend(pages.map(|key| (key.clone(), 0)));
-    Ok(Txn {
+    Ok(CasTransaction {
         conditions,
         changes,
-        format: formats::CONFIGURABLE,
+        format: formats::STORED_CONFIGURATION,
     })
 }
 
 fn change_bytes(key: &Key, record: &Record) -> usize {
-    let value = record.value(formats::CONFIGURABLE).to_string();
+    let value = record.value(formats::STORED_CONFIGURATION).to_string();
     value.len() + 2 * key.path().len() + CHANGE_FRAME_BYTES
 }
 
 /// Pages of versions that can't be gone back to any more, of those that are on record.
 pub fn outdated_pages<'a>(
-    record: &VersionRecord,
+    record: &ConfigurationVersionRecord,
     pages: impl Iterator<Item = &'a (u64, u32)>,
 ) -> Vec<Key> {
     let is_kept = |version: u64| {
@@ -534,7 +544,7 @@
         .collect()
 }
 
-/// How the configuration on record stands with a node.
+/// How the configuration on record stands with a controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Standing {
     /// Nothing is on record: the settings file holds.
@@ -544,7 +554,7 @@
     Unreadable(ConfigurationError),
 }
 
-/// What changed for a node.
+/// What changed for a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Taken {
     Unchanged,
@@ -553,14 +563,14 @@
     Unreadable(ConfigurationError),
 }
 
-/// The part of a node that follows the configuration on record.
+/// The part of a controller that follows the configuration on record.
 #[derive(Debug)]
 pub struct Configuration {
     from_file: Policy,
     standing: Standing,
-    /// The revision of the version record that was last looked at, and how many pages the copy had.
+    /// The revision of the version record that was last looked at, and how many pages the cache had.
     seen: (u64, usize),
-    /// The version on its way to the records as the one that this node follows.
+    /// The version on its way to the records as the one that this controller follows.
     telling: bool,
 }
 
@@ -585,17 +595,17 @@
         file.teams != policy.teams || file.goals != policy.goals || file.starts != policy.starts
     }
 
-    /// Looks at the copy of the records; to be called whenever it has changed, before anything is decided.
-    pub fn take(&mut self, cache: &Cache) -> Taken {
-        let (record, stamp) = match cache.configuration() {
-            Some((record, stamp)) => (Some(record), stamp),
+    /// Looks at the state cache; to be called whenever it has changed, before anything is decided.
+    pub fn take(&mut self, cache: &StateCache) -> Taken {
+        let (record, mod_revision) = match cache.configuration() {
+            Some((record, mod_revision)) => (Some(record), mod_revision),
             None => (None, 0),
         };
-        let seen = (stamp, cache.configuration_pages());
+        let seen = (mod_revision, cache.configuration_pages());
         if seen == self.seen {
             return Taken::Unchanged;
         }
-        let same_version = stamp == self.seen.0 && self.standing == Standing::InForce;
+        let same_version = mod_revision == self.seen.0 && self.standing == Standing::InForce;
         self.seen = seen;
         let Some(record) = record else {
             let was = std::mem::replace(&mut self.standing, Standing::FromFile);
@@ -608,7 +618,7 @@
             // Pages of other versions came or went.
             return Taken::Unchanged;
         }
-        match read(record, stamp, cache) {
+        match read(record, mod_revision, cache) {
             Ok(policy) => {
                 self.standing = Standing::InForce;
                 Taken::InForce(policy)
@@ -620,7 +630,7 @@
         }
     }
 
-    /// Whether a node should put on record now that it follows this version.
+    /// Whether a controller should put on record now that it follows this version.
     pub fn should_tell(&mut self, version: u64, on_record: Option<u64>) -> bool {
         let due = self.standing == Standing::InForce && on_record != Some(version);
         let tells = due && !self.telling;
--- a/crates/core/src/configuration/rollout.rs
+++ b/crates/core/src/configuration/rollout.rs
@@ -1,17 +1,17 @@
-//! A node follows the configuration on record: takes versions up, says which one it decides by, and
-//! lets operators put configurations on record once every node reads them.
+//! A controller follows the configuration on record: takes versions up, says which one it decides by, and
+//! lets operators put configurations on record once every controller reads them.
 
-use crate::configuration::{ConfigurableRecord, FollowingRecord, Taken};
+use crate::configuration::{ConfigurationEnabledRecord, ObservedVersionRecord, Taken};
 use crate::controller::*;
-use crate::scheduling::placement::KeptTurns;
+use crate::scheduling::placement::CachedQueueOrder;
 use crate::state::formats;
 use crate::state::*;
 
-impl Node {
-    /// Takes up the configuration that the copy shows; before anything is decided by a copy that changed.
-    /// While the records are read page by page the copy may show a part of one.
-    pub(crate) fn follow_configuration(&mut self) {
-        if !self.loaded || !self.settings.checks.configuration {
+impl Controller {
+    /// Takes up the configuration that the cache shows; before anything is decided by a copy that changed.
+    /// While the records are read page by page the cache may show a part of one.
+    pub(crate) fn apply_stored_configuration(&mut self) {
+        if !self.has_listed || !self.settings.checks.configuration {
             return;
         }
         match self.configuration.take(&self.cache) {
@@ -26,8 +26,8 @@
                     );
                 }
                 self.settings.policy = policy;
-                self.turns = KeptTurns::default();
-                self.lookup_wanted = true;
+                self.queue_order = CachedQueueOrder::default();
+                self.pass_requested = true;
             }
             Taken::Unreadable(error) => {
                 let error = error.to_string();
@@ -39,36 +39,47 @@
         }
     }
 
-    /// Says that configurations may be on record, where every node reads them and nobody has said it yet.
-    pub(crate) fn draft_configurable(&self, draft: &mut TransactionBuilder) {
-        if self.cache.format() >= formats::CONFIGURABLE && !self.cache.is_configurable() {
-            let version = formats::CONFIGURABLE;
-            let record = Record::Configurable(ConfigurableRecord { version });
-            draft.put(Key::Configurable, record);
+    /// Says that configurations may be on record, where every controller reads them and nobody has said it yet.
+    pub(crate) fn draft_configuration_enabled(&self, draft: &mut TransactionBuilder) {
+        if self.cache.format() >= formats::STORED_CONFIGURATION && !self.cache.is_configurable() {
+            let version = formats::STORED_CONFIGURATION;
+            let record = Record::ConfigurationEnabled(ConfigurationEnabledRecord { version });
+            draft.put(Key::ConfigurationEnabled, record);
         }
     }
 
-    /// Puts on record, once, that configurations may be, and the version that this node follows.
-    pub(crate) fn note_configuration(&mut self) {
-        if self.cache.format() < formats::CONFIGURABLE {
+    /// Puts on record, once, that configurations may be, and the version that this controller follows.
+    pub(crate) fn record_observed_version(&mut self) {
+        if self.cache.format() < formats::STORED_CONFIGURATION {
             return;
         }
-        let settled = self.cache.stamp(&Key::Settled) > 0;
+        let settled = self.cache.mod_revision(&Key::CancellationConfirmation) > 0;
         if settled && !self.cache.is_configurable() && !self.upgrade.configurable_busy {
             let mut draft = TransactionBuilder::new(&self.cache);
-            self.draft_configurable(&mut draft);
-            let txn = draft.finish();
+            self.draft_configuration_enabled(&mut draft);
+            let transaction = draft.finish();
             self.upgrade.configurable_busy = true;
-            self.commit(txn, Purpose::Configurable, Priority::Housekeeping);
+            self.commit(
+                transaction,
+                PendingOperation::EnableConfiguration,
+                RequestClass::Housekeeping,
+            );
         }
         let version = self.settings.policy.version;
-        let on_record = self.cache.followed_by(&self.settings.node);
+        let on_record = self.cache.followed_by(&self.settings.controller);
         if self.configuration.should_tell(version, on_record) {
             let mut draft = TransactionBuilder::new(&self.cache);
-            let key = Key::Following(self.settings.node.clone());
-            draft.put(key, Record::Following(FollowingRecord { version }));
-            let txn = draft.finish();
-            self.commit(txn, Purpose::Following, Priority::Result);
+            let key = Key::ObservedVersion(self.settings.controller.clone());
+            draft.put(
+                key,
+                Record::ObservedVersion(ObservedVersionRecord { version }),
+            );
+            let transaction = draft.finish();
+            self.commit(
+                transaction,
+                PendingOperation::RecordObservedVersion,
+                RequestClass::Result,
+            );
         }
     }
 }
--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -4,49 +4,49 @@
 /// Milliseconds between two housekeeping passes: fine enough for second-sized waits.
 pub const TICK_MS: u64 = 200;
 
-/// Milliseconds between two events after which a node takes it that it stood still: its clock
+/// Milliseconds between two events after which a controller takes it that it was paused: its clock
 /// ticks every 50, and workers and users wait 2,000 and more for an answer.
-pub const GAP_MS: u64 = 2_000;
-/// Milliseconds after it that a node waits for a proof of its view before users that find no
-/// other node are sent to it again, to be told when to come back.
-pub const GAP_READY_MS: u64 = 2_000;
+pub const PAUSE_MS: u64 = 2_000;
+/// Milliseconds after it that a controller waits for a proof of its view before users that find no
+/// other controller are sent to it again, to be told when to come back.
+pub const PAUSE_READY_MS: u64 = 2_000;
 
 /// Milliseconds between two looks at all machines for those that are silent, idle or stuck.
-pub const JUDGE_MS: u64 = 400;
+pub const FAILURE_DETECTION_INTERVAL_MS: u64 = 400;
 
-/// Milliseconds between two full lookups when nothing else triggers one. The watch
+/// Milliseconds between two full scheduling passes when nothing else triggers one. The watch
 /// normally triggers them; this backs up a lost message.
-pub const POLL_MS: u64 = 5_000;
+pub const PASS_INTERVAL_MS: u64 = 5_000;
 
-/// Most a node waits, in milliseconds, before it looks up work that a sibling accepted.
-/// The accepting node looks first, so that three nodes do not claim the same work.
-pub const FOREIGN_LOOKUP_MS: u64 = 700;
+/// Most a controller waits, in milliseconds, before it looks up work that a peer accepted.
+/// The accepting controller looks first, so that three controllers do not claim the same work.
+pub const PEER_CHANGE_PASS_DELAY_MS: u64 = 700;
 
 /// Tasks per chunk record at most. A claim or a release writes the whole chunk.
 pub const CHUNK_TASKS: u32 = 100;
-/// Bytes reserved per task of a chunk when the value limit sets the chunk's size: a booking
+/// Bytes reserved per task of a chunk when the value limit sets the chunk's size: a assignment
 /// takes about 60.
 pub const CHUNK_TASK_BYTES: u64 = 76;
-/// Bytes of a booking apart from its machine's name and a stop's reason.
-pub const BOOKING_BYTES: usize = 60;
+/// Bytes of a assignment apart from its machine's name and a stop's reason.
+pub const ASSIGNMENT_BYTES: usize = 60;
 /// Bytes of a chunk's record apart from its tasks and names.
 pub const CHUNK_BASE_BYTES: usize = 120;
 /// Bytes reserved per task of a compact chunk when the value limit sets the chunk's size: a
-/// booking takes 8 to 12, and 10 more once it is armed anew and to be stopped.
+/// assignment takes 8 to 12, and 10 more once it is armed anew and to be stopped.
 pub const COMPACT_TASK_BYTES: u64 = 20;
-/// Bytes of a compact booking apart from its machine's name: its attempt, its start, and what
+/// Bytes of a compact assignment apart from its machine's name: its attempt, its start, and what
 /// other names grow by when it shortens what all have in common is left to the spare bytes.
-pub const COMPACT_BOOKING_BYTES: usize = 24;
-/// Bytes by which a booking grows when it is armed anew and gets a reason to stop, beyond what is
+pub const COMPACT_ASSIGNMENT_BYTES: usize = 24;
+/// Bytes by which a assignment grows when it is armed anew and gets a reason to stop, beyond what is
 /// reserved for it otherwise.
-pub const BOOKING_EDIT_BYTES: usize = 10;
+pub const ASSIGNMENT_EDIT_BYTES: usize = 10;
 /// Bytes added to a value's length as written here, should the state service count some spaces.
 pub const VALUE_SPARE_BYTES: usize = 48;
 /// Records remembered as too large for the state service.
-pub const BARRED_KEPT: usize = 1_000;
+pub const REFUSED_RECORDS_KEPT: usize = 1_000;
 /// Milliseconds after which they are tried once more.
-pub const BARRED_MS: u64 = 30_000;
-/// Bytes of a machine's name, as far as a rental's record allows for it: known ones take 8.
+pub const REFUSED_RECORDS_RETRY_MS: u64 = 30_000;
+/// Bytes of a machine's name, as far as a instance request's record allows for it: known ones take 8.
 pub const MACHINE_NAME_BYTES: u64 = 24;
 /// Bytes of any other record in a transaction, its key included.
 pub const SMALL_RECORD_BYTES: usize = 900;
@@ -70,37 +70,37 @@
 
 /// Milliseconds between two proofs of freshness: requests that arrive meanwhile share one.
 /// Users wait 2 s for a status, and hundreds of services are asked about all the time.
-pub const PROOF_GAP_MS: u64 = 120;
-/// Seconds' worth of a node's changes to the state service that may go at once; the service
-/// allows one second's worth of all nodes'.
+pub const READ_INDEX_INTERVAL_MS: u64 = 120;
+/// Seconds' worth of a controller's changes to the state service that may go at once; the service
+/// allows one second's worth of all controllers'.
 pub const WRITE_BURST_S: f64 = 0.9;
-/// Changes that must be left to a node for a flush or a claim to be drafted.
-pub const WRITES_LEAST: usize = 4;
+/// Changes that must be left to a controller for a flush or a claim to be drafted.
+pub const MIN_CHANGES: usize = 4;
 /// Results that wait to be recorded from which transactions are gathered until ...
 pub const BACKLOG_RESULTS: usize = 40;
 /// ... so many changes may go at once.
-pub const WRITES_BATCH: usize = 12;
+pub const MIN_CHANGES_BACKLOG: usize = 12;
 /// Milliseconds after which a result is recorded before others that would share a change: users
 /// expect `done` within 3 s.
 pub const RESULT_PATIENCE_MS: u64 = 1_200;
-/// Milliseconds between two transactions that record what check-ins brought. Results that
+/// Milliseconds between two transactions that record what heartbeats brought. Results that
 /// fall together share the put of their chunk.
-pub const FLUSH_GAP_MS: u64 = 250;
+pub const RESULTS_WRITE_INTERVAL_MS: u64 = 250;
 /// Milliseconds after which a user's request that could not be decided gets a 503.
 /// Users give up on submissions after 5 s.
 pub const SUBMIT_PATIENCE_MS: u64 = 3_500;
 /// The same for status requests, which users give up on after 2 s.
 pub const STATUS_PATIENCE_MS: u64 = 1_500;
-/// Seconds told to a user whose job awaits others while a rolling upgrade is under way: a node
+/// Seconds told to a user whose job awaits others while a rolling upgrade is under way: a controller
 /// takes some seconds to come back.
 pub const UPGRADE_RETRY_AFTER_S: u32 = 5;
-/// Milliseconds after which other nodes cancel what needs a cancelled job, should the one that
+/// Milliseconds after which other controllers cancel what needs a cancelled job, should the one that
 /// was asked not have done so.
 pub const CASCADE_PATIENCE_MS: u64 = 1_500;
 /// What the shared term is raised by once nothing is left of cancellations that were told at their
 /// commit: terms start at 1, and a machine's token rises by 1 with a command that went missing, at
 /// most once a second, so none comes near it otherwise.
-pub const SETTLED_TERM: u64 = 1 << 24;
+pub const CONFIRMED_CANCELLATION_TERM: u64 = 1 << 24;
 /// Milliseconds that a user waits for the tasks of a job to go that was just cancelled: their stops
 /// take a few, their workers report the end within 500, which is recorded within 250.
 pub const CANCEL_PATIENCE_MS: u64 = 1_500;
@@ -109,7 +109,7 @@
 pub const CANCEL_RETRY_AFTER_S: u32 = 5;
 /// Milliseconds after which a machine that still holds a cancelled task is deleted so that its user
 /// can be told: users repeat their request for 60 s in all, and a deletion takes some seconds.
-pub const CANCEL_UNTOLD_MS: u64 = 40_000;
+pub const CANCEL_UNCONFIRMED_MS: u64 = 40_000;
 /// Seconds told to a user in `Retry-After` when the service can't decide.
 pub const RETRY_AFTER_S: u32 = 1;
 /// The same while the state service does not answer: outages last longer than that.
@@ -117,92 +117,92 @@
 
 /// Milliseconds at the least after which a transaction that was sent counts as unanswered: answers now
 /// and then take a few hundred.
-pub const UNANSWERED_LEAST_MS: u64 = 400;
-/// Milliseconds without the state service and without any sibling after which a node takes itself to be
-/// cut off alone, and asks the balancer to send users elsewhere: within it siblings are missed as well.
-pub const ALONE_MS: u64 = 3_500;
+pub const STATE_TIMEOUT_MS: u64 = 400;
+/// Milliseconds without the state service and without any peer after which a controller takes itself to be
+/// cut off alone, and asks the balancer to send users elsewhere: within it peers are missed as well.
+pub const ISOLATED_MS: u64 = 3_500;
 /// Milliseconds between two questions to a machine that reports and may not hear: each that is not
 /// answered holds a connection for more than a second.
-pub const DEAF_ASKED_MS: u64 = 3_000;
+pub const UNREACHABLE_PROBE_INTERVAL_MS: u64 = 3_000;
 /// Such machines asked in one look.
-pub const DEAF_ASKED: usize = 8;
+pub const UNREACHABLE_PROBES_MAX: usize = 8;
 /// Milliseconds without any good answer from the state service before it counts as lost.
 pub const STATE_LOST_MS: u64 = 1_500;
 /// Milliseconds between heartbeat reads of the state service when nothing else is read.
-pub const STATE_BEAT_MS: u64 = 500;
+pub const STATE_PROBE_INTERVAL_MS: u64 = 500;
 /// Most, in milliseconds, that a lost transaction waits for the watch before its next try.
 pub const CONFLICT_PAUSE_MS: u64 = 400;
 /// Milliseconds that the watch may trail a proven revision before it is opened anew.
 pub const WATCH_TRAIL_MS: u64 = 1_000;
-/// Milliseconds that it may trail in all, opened anew or not, until the node counts as cut off.
+/// Milliseconds that it may trail in all, opened anew or not, until the controller counts as cut off.
 pub const WATCH_LOST_MS: u64 = 4_000;
 /// Milliseconds a watch is held open by the state service.
 pub const WATCH_HOLD_MS: u64 = 10_000;
 
-/// Milliseconds between two messages to each sibling.
-pub const PEER_BEAT_MS: u64 = 500;
-/// Milliseconds after its start for which a node says that it has just started: its records
-/// are read by then, and a few beats sent.
-pub const YOUNG_MS: u64 = 4_000;
-/// Milliseconds after which a sibling's last message says nothing about it any more.
-pub const PEER_FRESH_MS: u64 = 2_500;
+/// Milliseconds between two messages to each peer.
+pub const PEER_HEARTBEAT_MS: u64 = 500;
+/// Milliseconds after its start for which a controller says that it has just started: its records
+/// are read by then, and a few heartbeats sent.
+pub const JUST_STARTED_MS: u64 = 4_000;
+/// Milliseconds after which a peer's last message says nothing about it any more.
+pub const PEER_LOST_MS: u64 = 2_500;
 
-/// Milliseconds of silence, at the least, from which a sibling is taken to be away: two beats of 600,
+/// Milliseconds of silence, at the least, from which a peer is taken to be away: two heartbeats of 600,
 /// as ticks of 200 space them, and what a packet's resending takes.
-pub const BEATS_MISSED_MS: u64 = 1_300;
-/// Part of what is known of a sibling's rhythm that a new beat replaces: some dozen count.
-pub const RHYTHM_PART: f64 = 0.08;
-/// Mean deviations of a sibling's beats after which its silence is no chance.
-pub const RHYTHM_DEVIATIONS: f64 = 6.0;
-/// Its beats come so many times as seldom as they should: it has too little processor time.
-pub const RHYTHM_SLOW: f64 = 1.6;
-/// Milliseconds by which a node's clock ticks late, on the whole, from which it counts as slow:
+pub const HEARTBEATS_MISSED_MS: u64 = 1_300;
+/// Part of what is known of a peer's rhythm that a new heartbeat replaces: some dozen count.
+pub const HEARTBEAT_INTERVAL_WEIGHT: f64 = 0.08;
+/// Mean deviations of a peer's heartbeats after which its silence is no chance.
+pub const HEARTBEAT_INTERVAL_DEVIATIONS: f64 = 6.0;
+/// Its heartbeats come so many times as seldom as they should: it has too little processor time.
+pub const HEARTBEAT_SLOW_FACTOR: f64 = 1.6;
+/// Milliseconds by which a controller's clock ticks late, on the whole, from which it counts as slow:
 /// users wait 800 for an acceptance.
-pub const LATE_MS: u32 = 300;
-/// A node whose clock ticks late counts its workers as one in so many more when it hands over.
+pub const TICK_DELAY_SLOW_MS: u32 = 300;
+/// A controller whose clock ticks late counts its workers as one in so many more when it hands over.
 pub const SLOW_PART: usize = 4;
-/// Machines that a beat may name: some 60 bytes each, twice a second. A site of 5,000 has room.
-pub const BEAT_MACHINES: usize = 20_000;
-/// Of a silent sibling's machines so many must come here before that says anything, ...
-pub const CAME_LEAST: usize = 3;
+/// Machines that a heartbeat may name: some 60 bytes each, twice a second. A site of 5,000 has room.
+pub const HEARTBEAT_MAX_MACHINES: usize = 20_000;
+/// Of a silent peer's machines so many must come here before that says anything, ...
+pub const FAILOVER_WORKERS_MIN: usize = 3;
 /// ... and one in so many.
-pub const CAME_PART: usize = 20;
-/// Milliseconds that a sibling's word on another may be behind what is known here.
-pub const WORD_SPARE_MS: u64 = 400;
-/// A takeover is over when all but one in so many of the machines are heard, ...
-pub const TAKEN_PART: usize = 100;
-/// ... or after so many times what a worker needs to turn to another node.
-pub const TAKEOVER_MOVES: u64 = 3;
+pub const FAILOVER_WORKERS_PART: usize = 20;
+/// Milliseconds that a peer's word on another may be behind what is known here.
+pub const PEER_OPINION_MARGIN_MS: u64 = 400;
+/// A failover is over when all but one in so many of the machines are heard, ...
+pub const FAILOVER_MISSING_PART: usize = 100;
+/// ... or after so many times what a worker needs to turn to another controller.
+pub const FAILOVER_MOVES_MAX: u64 = 3;
 /// Starts followed until a report shows them, each some 150 bytes.
-pub const STARTS_FOLLOWED: usize = 20_000;
-/// Milliseconds between two lookups while machines are heard for the first time after a start.
-pub const FIRST_LOOKUP_MS: u64 = 250;
-/// Milliseconds after which a node that is to end does so, whatever it still waits for, beyond the
+pub const STARTS_TRACKED_MAX: usize = 20_000;
+/// Milliseconds between two scheduling passes while machines are heard for the first time after a start.
+pub const FIRST_PASS_MS: u64 = 250;
+/// Milliseconds after which a controller that is to end does so, whatever it still waits for, beyond the
 /// time in which each worker reports once.
-pub const LEAVE_SPARE_MS: u64 = 2_000;
-/// Milliseconds after a sibling is lost at which machines are asked for starts that it claimed last:
+pub const SHUTDOWN_MARGIN_MS: u64 = 2_000;
+/// Milliseconds after a peer is lost at which machines are asked for starts that it claimed last:
 /// what it did send has arrived by then.
-pub const CARRY_ON_MS: u64 = 1_000;
+pub const FAILOVER_START_CHECK_MS: u64 = 1_000;
 /// Milliseconds, after a claim, of a later sign of its machine with which its start counts as shown:
-/// the node that got the report judges it.
-pub const STARTS_SHOWN_MS: u64 = 3_000;
-/// Milliseconds between two nodes' looks at what a lost sibling left.
-pub const TAKEOVER_STAGGER_MS: u64 = 100;
-/// Milliseconds between two ticks of a node's clock.
+/// the controller that got the report judges it.
+pub const STARTS_REPORTED_WITHIN_MS: u64 = 3_000;
+/// Milliseconds between two controllers' looks at what a lost peer left.
+pub const FAILOVER_STAGGER_MS: u64 = 100;
+/// Milliseconds between two ticks of a controller's clock.
 pub const CLOCK_MS: u64 = 50;
-/// Machines asked at most whether the starts arrived that a lost sibling may have made last.
-pub const CARRY_ON_ASK: usize = 200;
+/// Machines asked at most whether the starts arrived that a lost peer may have made last.
+pub const FAILOVER_START_CHECKS_MAX: usize = 200;
 
 /// Jobs are put off once more than so many times what there is would be needed to have all in time:
 /// below that serving the earliest due first loses less than a wrong estimate would.
-pub const PUT_OFF_FROM: f64 = 1.25;
+pub const DEFER_OVERLOAD_FACTOR: f64 = 1.25;
 /// Share of the processors and changes that is planned with then: estimates are off by half, and what
 /// comes next takes its part (experiments/hot-classes.toml).
-pub const PUT_OFF_SHARE: f64 = 0.5;
+pub const DEFER_SHARE: f64 = 0.5;
 /// Changes of the state service that a task takes, claims, results and machines together, when many
 /// share the puts of their chunks (docs/design.md, Budget).
 pub const CHANGES_PER_TASK: f64 = 0.7;
-/// Share of a node's changes that acceptances may take for long: each accepted task takes some 0.7 more,
+/// Share of a controller's changes that acceptances may take for long: each accepted task takes some 0.7 more,
 /// and jobs have several.
 pub const ADMIT_SHARE: f64 = 0.5;
 /// Seconds' worth of all its changes that acceptances save up: after an outage of 20 s all that was asked
@@ -217,9 +217,9 @@
 /// Milliseconds for which moves rest after a trouble: what it upset is placed first.
 pub const MOVES_REST_MS: u64 = 10_000;
 /// Of a service's tasks one machine gets this share, as long as others serve it as well.
-pub const CROWD_SHARE: f64 = 0.5;
+pub const MACHINE_SHARE_OF_SERVICE: f64 = 0.5;
 /// Milliseconds between two times at which it is worked out which jobs are put off.
-pub const TURNS_MS: u64 = 1_000;
+pub const QUEUE_ORDER_CACHE_MS: u64 = 1_000;
 /// Milliseconds after which some of a batch of which nothing has begun goes first in its rank: users
 /// expect the largest to begin within four minutes, and room takes a minute or two to come free.
 pub const BEGIN_LATE_MS: u64 = 120_000;
@@ -229,107 +229,107 @@
 /// is to start within some 10 s.
 pub const FRESH_MS: u64 = 12_000;
 
-/// Milliseconds of a beat's age, by times of day that may be off, from which it is dropped: held
-/// by a cut or by this node's standing still, it says nothing of now.
-pub const BEAT_OLD_MS: u64 = 1_500;
-/// Direct commands in a row without an answer, and no check-in meanwhile, after which a node
-/// whose siblings hear from workers takes itself to be cut off from them.
-pub const CUT_SILENT: u32 = 3;
-/// Milliseconds without a worker's word, at the least, after which a node was cut off from them, if
+/// Milliseconds of a heartbeat's age, by times of day that may be off, from which it is dropped: held
+/// by a cut or by this controller's a pause, it says nothing of now.
+pub const HEARTBEAT_MAX_AGE_MS: u64 = 1_500;
+/// Direct commands in a row without an answer, and no heartbeat meanwhile, after which a controller
+/// whose peers hear from workers takes itself to be cut off from them.
+pub const PARTITION_UNANSWERED_COMMANDS: u32 = 3;
+/// Milliseconds without a worker's word, at the least, after which a controller was cut off from them, if
 /// as many reports should have come meanwhile as of a zone that falls silent.
-pub const DEAF_MS: u64 = 600;
+pub const INBOUND_GAP_MS: u64 = 600;
 /// Milliseconds after the state service refused something for being asked too much for which a
-/// node keeps to its own share of it.
+/// controller keeps to its own share of it.
 pub const THROTTLED_MS: u64 = 20_000;
-/// Milliseconds between two machines that such a node asks whether they hear it again.
-pub const CUT_PROBE_MS: u64 = 1_000;
-/// A node hands workers over when more report to it than this share of the mean ...
+/// Milliseconds between two machines that such a controller asks whether they hear it again.
+pub const PARTITION_PROBE_INTERVAL_MS: u64 = 1_000;
+/// A controller hands workers over when more report to it than this share of the mean ...
 pub const LOAD_SHARE: f64 = 1.15;
 /// ... and this many: below, an even load is not worth a worker's detour.
 pub const LOAD_SPARE: usize = 3;
-/// Most workers handed over between two beats.
-pub const HANDOVER_MAX: usize = 24;
-/// Milliseconds between two workers sent to a sibling that hears from none: were it cut off from
+/// Most workers handed over between two heartbeats.
+pub const HANDOFF_MAX: usize = 24;
+/// Milliseconds between two workers sent to a peer that hears from none: were it cut off from
 /// them, each would lose some seconds.
-pub const HANDOVER_PROBE_MS: u64 = 6_000;
+pub const HANDOFF_PROBE_MS: u64 = 6_000;
 
-/// Milliseconds a check-in may wait for a transaction of its own before it is answered:
+/// Milliseconds a heartbeat may wait for a transaction of its own before it is answered:
 /// workers give up after 4 s.
-pub const CHECKIN_PATIENCE_MS: u64 = 3_200;
+pub const HEARTBEAT_HOLD_MS: u64 = 3_200;
 
-/// Milliseconds that workers take to turn to another node (4 s limit and 1 s pause).
-pub const WORKER_MOVE_MS: u64 = 5_000;
-/// Milliseconds within which a worker that was handed over is at its new node: half a second, and a beat.
-pub const WORKER_HANDED_MS: u64 = 1_000;
+/// Milliseconds that workers take to turn to another controller (4 s limit and 1 s pause).
+pub const WORKER_FAILOVER_MS: u64 = 5_000;
+/// Milliseconds within which a worker that was handed over is at its new controller: half a second, and a heartbeat.
+pub const WORKER_HANDOFF_MS: u64 = 1_000;
 /// Milliseconds of spare time added to a worker's move before its silence counts.
-pub const SILENCE_SPARE_MS: u64 = 1_000;
-/// Milliseconds after an overdue check-in at which its machine is asked directly.
+pub const SILENCE_MARGIN_MS: u64 = 1_000;
+/// Milliseconds after an overdue heartbeat at which its machine is asked directly.
 pub const PROBE_AFTER_MS: u64 = 500;
 /// Milliseconds within which a failed direct command still speaks against a silent machine.
 pub const PROBE_FRESH_MS: u64 = 4_000;
 /// By how much longer silence must last before it counts while it is the silence of many:
 /// then the network or the controllers are at fault rather than the machines.
-pub const SILENCE_DOUBT: u64 = 3;
+pub const MASS_SILENCE_FACTOR: u64 = 3;
 /// Machines of a zone from which on its silence as a whole is told from theirs one by one: fewer
 /// may well die together.
-pub const ZONE_LEAST: u64 = 8;
+pub const ZONE_MIN_MACHINES: u64 = 8;
 /// Reports that would have come from a zone while it is found to be silent: that none does by
 /// chance is one in e to the power of so many.
-pub const ZONE_REPORTS: u64 = 12;
+pub const ZONE_MISSED_HEARTBEATS: u64 = 12;
 /// Of its machines one in so many must be overdue for it ...
 pub const ZONE_LATE_PART: u64 = 50;
 /// ... and so many at the least: single ones die at any time.
 pub const ZONE_LATE_LEAST: u64 = 3;
 /// Milliseconds after which machines of a zone that stays silent as a whole are given up of which
 /// nothing is to be had: empty ones, and those of a zone that is dead rather than cut off.
-pub const ZONE_PATIENCE_MS: u64 = 240_000;
+pub const ZONE_EVACUATION_MAX_WAIT_MS: u64 = 240_000;
 /// Milliseconds of a zone's silence after which starts that were on the way into it are taken for
 /// lost: those few that did arrive are started anew elsewhere.
-pub const ZONE_UNSEEN_MS: u64 = 6_000;
+pub const ZONE_UNCONFIRMED_START_MS: u64 = 6_000;
 /// Milliseconds for which a zone must have been found silent before machines of it are ended: several
-/// beats of siblings that may hear it.
-pub const ZONE_SURE_MS: u64 = 3_000;
-/// Milliseconds beyond a lease after which all has ended in a zone without a node: a report may have
+/// heartbeats of peers that may hear it.
+pub const ZONE_CONFIRM_MS: u64 = 3_000;
+/// Milliseconds beyond a lease after which all has ended in a zone without a controller: a report may have
 /// been sent a while before it was last heard, but not after.
-pub const ZONE_LEASE_SPARE_MS: u64 = 1_000;
-/// Milliseconds after which machines count as gone none of which is heard, though all nodes of their
+pub const ZONE_LEASE_MARGIN_MS: u64 = 1_000;
+/// Milliseconds after which machines count as gone none of which is heard, though all controllers of their
 /// zone are: the cloud lists what died as failed after some 30 s, what hangs mostly goes on sooner.
 pub const ZONE_DEAD_MS: u64 = 40_000;
 /// Milliseconds after which what may run on inside is given up all the same.
-pub const ZONE_GIVEN_UP_MS: u64 = 1_800_000;
+pub const ZONE_GIVE_UP_MS: u64 = 1_800_000;
 /// Milliseconds of silence from which work that is late in any case is run anew elsewhere.
 pub const ZONE_LATE_MS: u64 = 60_000;
 /// Milliseconds from a zone's return until the results from inside are on record: thousands at the
 /// state service's changes a second.
-pub const ZONE_BACK_MS: u64 = 5_000;
+pub const ZONE_RECOVERY_MARGIN_MS: u64 = 5_000;
 /// Machines of lost zones ended in one look, so that others' changes are not starved: ...
-pub const ZONE_ENDS: usize = 40;
+pub const ZONE_TERMINATIONS_MAX: usize = 40;
 /// ... and milliseconds between two such looks.
-pub const ZONE_LOOK_MS: u64 = 1_000;
-/// Milliseconds ahead of its need for which room is rented outside a lost zone: a boot takes 15 to 35 s.
-pub const ZONE_AHEAD_MS: u64 = 20_000;
+pub const ZONE_EVACUATION_INTERVAL_MS: u64 = 1_000;
+/// Milliseconds ahead of its need for which room is provisioned outside a lost zone: a boot takes 15 to 35 s.
+pub const ZONE_PROVISION_AHEAD_MS: u64 = 20_000;
 /// Machines of a silent zone that are asked in one look whether they answer: each unanswered
 /// command holds a connection for more than a second, and starts elsewhere need them.
-pub const ZONE_PROBES: usize = 2;
-/// Milliseconds between the same step of two nodes, so that one of them goes first.
-pub const NODE_STAGGER_MS: u64 = 600;
+pub const ZONE_PROBES_MAX: usize = 2;
+/// Milliseconds between the same step of two controllers, so that one of them goes first.
+pub const CONTROLLER_STAGGER_MS: u64 = 600;
 /// Milliseconds spared before `cancel_s` runs out, for a halt or a deletion to work.
 pub const CANCEL_MARGIN_MS: u64 = 5_000;
 /// Share of `cancel_s` after which a machine that still holds a cancelled task is deleted.
 pub const CANCEL_DELETE_SHARE: f64 = 0.6;
-/// Milliseconds a directly commanded start may be missing from check-ins before its token is
+/// Milliseconds a directly commanded start may be missing from heartbeats before its token is
 /// raised: commands usually take a few milliseconds, and a claim's news a few more.
-pub const MISSING_MS: u64 = 1_000;
-/// Milliseconds for which a claim whose transaction got no answer is looked for in the copy: those that
+pub const START_MISSING_MS: u64 = 1_000;
+/// Milliseconds for which a claim whose transaction got no answer is looked for in the cache: those that
 /// are carried out late are so within some twelve seconds.
-pub const DOUBT_MS: u64 = 30_000;
+pub const UNCERTAIN_CLAIM_MS: u64 = 30_000;
 /// Milliseconds, beyond those after which a transaction counts as unanswered, after which the start of such
 /// a claim is barred and sent anew: an answer that is merely slow comes sooner.
-pub const DOUBT_SPARE_MS: u64 = 200;
-/// A session that no worker has, since they count from 1: a command for it is refused, which is an
+pub const UNCERTAIN_CLAIM_MARGIN_MS: u64 = 200;
+/// A incarnation that no worker has, since they count from 1: a command for it is refused, which is an
 /// answer.
-pub const NO_SESSION: u64 = 0;
-/// Milliseconds that starts go by check-ins after a direct command failed.
+pub const NO_INCARNATION: u64 = 0;
+/// Milliseconds that starts go by heartbeats after a direct command failed.
 pub const COMMAND_PAUSE_MS: u64 = 8_000;
 /// Milliseconds that the answer to a direct command is waited for.
 pub const COMMAND_LIMIT_MS: u64 = 1_200;
@@ -341,25 +341,25 @@
 /// Starts followed there until they run.
 pub const STATS_STARTS: usize = 4_000;
 /// Milliseconds between two readings of the cloud's catalogue.
-pub const CATALOG_MS: u64 = 45_000;
+pub const MACHINE_TYPES_INTERVAL_MS: u64 = 45_000;
 /// Milliseconds between two tries for the first catalogue.
-pub const CATALOG_RETRY_MS: u64 = 1_000;
+pub const MACHINE_TYPES_RETRY_MS: u64 = 1_000;
 /// Milliseconds between two readings of the cloud's machine list.
-pub const LIST_MS: u64 = 8_000;
+pub const INSTANCE_LIST_INTERVAL_MS: u64 = 8_000;
 /// Machines asked for per page of the list, by protocol.
-pub const LIST_PAGE: u32 = 500;
-/// Machines per rental request at most, by protocol.
-pub const HIRE_MAX: u32 = 50;
+pub const INSTANCE_LIST_PAGE: u32 = 500;
+/// Machines per instance request request at most, by protocol.
+pub const PROVISION_MAX_INSTANCES: u32 = 50;
 /// Milliseconds that a type, zone and kind is passed over after a refusal.
-pub const REFUSED_MS: u64 = 15_000;
-/// Share of the cloud's rate that a node may use at least.
+pub const OFFER_UNAVAILABLE_MS: u64 = 15_000;
+/// Share of the cloud's rate that a controller may use at least.
 pub const CLOUD_SHARE: f64 = 0.5;
-/// Milliseconds after which a rental without an outcome is asked again by any node.
-pub const HIRE_RETRY_MS: u64 = 4_000;
-/// Milliseconds after which a rental whose outcome could not be recorded is asked again.
-pub const HIRE_AGAIN_MS: u64 = 300;
+/// Milliseconds after which a instance request without an outcome is asked again by any controller.
+pub const PROVISION_RETRY_MS: u64 = 4_000;
+/// Milliseconds after which a instance request whose outcome could not be recorded is asked again.
+pub const PROVISION_RETRY_SOON_MS: u64 = 300;
 /// Rental requests made in one step: a burst may need several types and zones.
-pub const HIRES_AT_ONCE: usize = 4;
+pub const PROVISION_REQUESTS_AT_ONCE: usize = 4;
 /// Boot times (multiples of the catalogue's) after which a machine is given up.
 pub const BOOT_GIVE_UP: f64 = 4.0;
 /// Boot times after which a machine on its way is late: most need 0.6 to 1.5.
@@ -377,19 +377,19 @@
 pub const IDLE_RETURN_MS: u64 = 45_000;
 /// A machine is emptied when it costs so many times the cheapest ordinary price for each
 /// processor in use: below that, moving its services saves too little.
-pub const DISPENSABLE_PRICE: f64 = 2.0;
+pub const SCALE_IN_PRICE_FACTOR: f64 = 2.0;
 /// Milliseconds a machine must have been up, and nothing have waited, before that: after
 /// 30 s machines were given up that the next burst could not get back.
-pub const DISPENSABLE_AFTER_MS: u64 = 75_000;
+pub const SCALE_IN_AFTER_MS: u64 = 75_000;
 /// Milliseconds of work that may be wasted by stopping a task for one of high rank; with
 /// 12 s hardly any task qualified when it mattered. Services
 /// may waste more: until one is up it serves nobody.
 pub const PREEMPT_WASTE_MS: u64 = 45_000;
 /// Milliseconds that a service waits for room on machines with its image: a stop, its proof and the
 /// claim take some 500.
-pub const WARM_PATIENCE_MS: u64 = 1_000;
+pub const WARM_IMAGE_WAIT_MS: u64 = 1_000;
 /// Milliseconds of a fetch, at the fastest type's rate, from which that is worth it.
-pub const WARM_WORTH_MS: u64 = 1_000;
+pub const WARM_IMAGE_MIN_FETCH_MS: u64 = 1_000;
 /// Milliseconds that work waits before others are stopped for it: room often comes by itself.
 pub const PREEMPT_AFTER_MS: u64 = 250;
 /// The same for work that is not urgent: what is within a guarantee is to start in some 10 s, and a
@@ -400,9 +400,9 @@
 /// Tasks stopped in one round: urgent jobs have up to some 60.
 pub const PREEMPT_TASKS: usize = 32;
 /// Proofs that wait for the watch to reach them, kept apart; more share the latest revision.
-pub const PROOFS_KEPT: usize = 64;
+pub const PENDING_READS_MAX: usize = 64;
 /// Revisions whose times are remembered, to tell how old an attempt is.
-pub const EPOCHS_REMEMBERED: usize = 4_000;
+pub const REVISION_TIMES_KEPT: usize = 4_000;
 /// Services' tasks move, and machines are emptied, one at a time for so many machines that are up,
 /// so that it takes a large fleet no longer than a small one ...
 pub const MOVES_PART: usize = 20;
@@ -440,17 +440,17 @@
 /// Milliseconds between two rounds of forgetting what is known of machines that are gone.
 pub const FORGET_MS: u64 = 10_000;
 /// Names of deleted machines that are remembered, so that a late report is not taken up.
-pub const GONE_REMEMBERED: usize = 2_000;
+pub const DELETED_MACHINES_KEPT: usize = 2_000;
 /// Requests of users waiting at once; more are answered 503.
 pub const WAITING_REQUESTS: usize = 2_000;
 /// Sessions of a machine at most: one a second for more than a century.
-pub const SESSIONS_MOST: u64 = 1 << 32;
+pub const MAX_INCARNATION: u64 = 1 << 32;
 /// Messages that a machine counts at most: a million a second for some years.
-pub const TALLIES_MOST: u64 = 1 << 48;
-/// Tasks that one check-in may list.
-pub const REPORT_TASKS: usize = 1_000;
-/// Orders in one answer to a check-in: some 90 bytes each, and a line may have 64 KiB.
-pub const REPLY_ORDERS: usize = 600;
+pub const MAX_SEQUENCE: u64 = 1 << 48;
+/// Tasks that one heartbeat may list.
+pub const HEARTBEAT_MAX_TASKS: usize = 1_000;
+/// Orders in one answer to a heartbeat: some 90 bytes each, and a line may have 64 KiB.
+pub const REPLY_MAX_COMMANDS: usize = 600;
 /// Bytes of a request body at most, by protocol.
 pub const BODY_BYTES: u64 = 64 * 1024;
 /// Tasks of a job at most, by protocol.
@@ -467,13 +467,13 @@
 pub const FEASIBLE_SHARE: f64 = 0.6;
 /// Milliseconds after acceptance at which a job is due that has no goal in reach.
 pub const NO_GOAL_MS: u64 = 900_000;
-/// Share of this node's changes that what is learned of run times may take.
+/// Share of this controller's changes that what is learned of run times may take.
 pub const LEARN_SHARE: f64 = 0.01;
 /// Attempts whose beginnings, ends or progress are remembered for that, each some 150 bytes.
 pub const ATTEMPTS_FOLLOWED: usize = 40_000;
 /// Milliseconds after which an estimate is worked out anew: some 40 microseconds each, ...
 pub const ESTIMATE_MS: u64 = 8_000;
-/// ... so many in one lookup, ...
+/// ... so many in one scheduling pass, ...
 pub const ESTIMATES_AT_ONCE: usize = 24;
 /// ... of so many jobs, some 1 KiB each.
 pub const ESTIMATES_KEPT: usize = 4_000;
@@ -497,7 +497,7 @@
 /// Milliseconds of a notice not counted on: the machine may be taken a little early, and the result
 /// must be heard.
 pub const NOTICE_SPARE_MS: u64 = 2_500;
-/// Jobs looked at per lookup, best first: bounds the work of one pass.
-pub const LOOKUP_JOBS: usize = 400;
-/// Chunks looked at per job and lookup.
-pub const LOOKUP_CHUNKS: u32 = 4;
+/// Jobs looked at per scheduling pass, best first: bounds the work of one pass.
+pub const PASS_MAX_JOBS: usize = 400;
+/// Chunks looked at per job and scheduling pass.
+pub const PASS_MAX_CHUNKS: u32 = 4;
--- a/crates/core/src/controller/readiness.rs
+++ b/crates/core/src/controller/readiness.rs
@@ -1,26 +1,26 @@
-//! Whether a node has heard and read enough since its start, or since it stood still, to decide anything.
+//! Whether a controller has heard and read enough since its start, or since it was paused, to decide anything.
 
-use crate::controller::Node;
+use crate::controller::Controller;
 use crate::model::Millis;
 use crate::workers::observations::Liveness;
 
-impl Node {
-    /// Whether a round of reports has come in since the start, or since it stood still: what was
+impl Controller {
+    /// Whether a round of reports has come in since the start, or since it was paused: what was
     /// not heard by then is silent, and what is not there is missing.
-    pub(crate) fn settled(&self) -> bool {
-        !self.settings.checks.round || self.now - self.woke >= self.settings.report_due_ms()
+    pub(crate) fn has_heard_full_round(&self) -> bool {
+        !self.settings.checks.round || self.now - self.resumed_at >= self.settings.report_due_ms()
     }
 
-    /// Whether a machine's own report has come in since then, here or at a sibling. Work is placed
+    /// Whether a machine's own report has come in since then, here or at a peer. Work is placed
     /// on it before all others have reported.
-    pub(crate) fn reported(&self, sight: &Liveness) -> bool {
-        let since = |at: Millis| at >= self.woke;
-        let round = self.now - self.woke >= self.settings.report_due_ms();
-        !self.settings.checks.heard || round || sight.check_in().is_some_and(since)
+    pub(crate) fn has_reported_since_resume(&self, sight: &Liveness) -> bool {
+        let since = |at: Millis| at >= self.resumed_at;
+        let round = self.now - self.resumed_at >= self.settings.report_due_ms();
+        !self.settings.checks.heard || round || sight.last_heartbeat_at().is_some_and(since)
     }
 
-    /// Whether the copy holds all that the reading page by page met.
-    pub(crate) fn caught_up_since_reading(&self) -> bool {
-        !self.settings.checks.caught_up || self.cache.epoch >= self.reading.high
+    /// Whether the cache holds all that the reading page by page met.
+    pub(crate) fn has_synced(&self) -> bool {
+        !self.settings.checks.caught_up || self.cache.revision >= self.list_progress.high
     }
 }
--- a/crates/core/src/jobs/admission.rs
+++ b/crates/core/src/jobs/admission.rs
@@ -2,7 +2,7 @@
 //!
 //! Each acceptance is a change. A flood of small jobs would take the changes by which what was accepted
 //! before is started and ended, and one team's flood would take those of all others. So acceptances
-//! have a share of this node's changes, saved up over some seconds; while that is short, teams that
+//! have a share of this controller's changes, saved up over some seconds; while that is short, teams that
 //! ask get equal parts of it. Whoever is told to come back is told at once.
 
 use crate::constants::*;
@@ -20,7 +20,7 @@
 }
 
 impl Admission {
-    /// `write_rps`: this node's changes a second.
+    /// `write_rps`: this controller's changes a second.
     pub fn new(write_rps: f64, now: Millis) -> Admission {
         let most = (write_rps * ADMIT_BURST_S).max(ADMIT_LEAST);
         Admission {
--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -1,103 +1,116 @@
 //! Cancellations that are told only when nothing is left of the job, and what rests on it: that a
-//! node which is cut off may renew leases for as long as the cut lasts.
+//! controller which is cut off may renew leases for as long as the cut lasts.
 //!
 //! A user who was told that a job is cancelled must find nothing of it anywhere `cancel_s` later.
 //! Told at its commit, that rests on what happens after: a halt that arrives, a deletion that the
-//! cloud carries out, or a lease that nobody renews, so a node cut off with its zone had to stop
-//! renewing in time, and let everything die that nothing was wrong with. Told when every booking of
+//! cloud carries out, or a lease that nobody renews, so a controller cut off with its zone had to stop
+//! renewing in time, and let everything die that nothing was wrong with. Told when every assignment of
 //! the job is proven to be over, it rests on nothing that is still to happen. So renewing can break
 //! no rule, whoever does it and for however long.
 //!
-//! Until every node has format 3 cancellations are told at their commit, as older versions do, and
+//! Until every controller has format 3 cancellations are told at their commit, as older versions do, and
 //! leases are renewed no longer than they allow. `g/settled` is written once when all have it:
 //! which of the two holds for a cancellation is the order of the two revisions, and each
 //! cancellation is conditional on the key as it was known. See docs/design.md.
 
 use crate::constants::*;
 use crate::controller::*;
-use crate::jobs::requests::{Ask, Want};
+use crate::jobs::requests::{RequestKind, UserRequest};
 use crate::model::*;
 use crate::state::formats;
 use crate::state::*;
 
-impl Node {
-    /// Writes, once all nodes have the format, from when on cancellations are told when all is gone;
+impl Controller {
+    /// Writes, once all controllers have the format, from when on cancellations are told when all is gone;
     /// and, once nothing is left of any that was told before, raises the term beyond
-    /// `SETTLED_TERM`. A worker that has seen such a token proves that to a node without records.
-    pub(crate) fn note_settled(&mut self) {
-        let settled = self.cache.stamp(&Key::Settled);
-        if self.upgrade.settle_busy || self.cache.format() < formats::SETTLED {
+    /// `CONFIRMED_CANCELLATION_TERM`. A worker that has seen such a token proves that to a controller without records.
+    pub(crate) fn record_cancellation_confirmation(&mut self) {
+        let settled = self.cache.mod_revision(&Key::CancellationConfirmation);
+        if self.upgrade.settle_busy || self.cache.format() < formats::CONFIRMED_CANCELLATION {
             return;
         }
         let mut draft = TransactionBuilder::new(&self.cache);
         match (settled, self.cache.term()) {
             (0, _) => {
-                let version = formats::SETTLED;
-                draft.put(Key::Settled, Record::Settled(SettledRecord { version }));
-                self.draft_configurable(&mut draft);
+                let version = formats::CONFIRMED_CANCELLATION;
+                draft.put(
+                    Key::CancellationConfirmation,
+                    Record::CancellationConfirmation(CancellationConfirmationRecord { version }),
+                );
+                self.draft_configuration_enabled(&mut draft);
             }
-            (_, Some(term)) if term < SETTLED_TERM && self.cache.epoch >= settled => {
+            (_, Some(term))
+                if term < CONFIRMED_CANCELLATION_TERM && self.cache.revision >= settled =>
+            {
                 let told_before = |(job, counts): (&str, Counts)| {
                     let phase = self.cache.job(job).map(|j| j.phase);
-                    let before = self.cache.job_stamp(job) < settled;
-                    counts.booked > 0 && phase == Some(Phase::Cancelled) && before
+                    let before = self.cache.job_revision(job) < settled;
+                    counts.assigned > 0 && phase == Some(JobPhase::Cancelled) && before
                 };
                 if self.cache.counted().any(told_before) {
                     return;
                 }
-                let term = term + SETTLED_TERM;
+                let term = term + CONFIRMED_CANCELLATION_TERM;
                 draft.put(Key::Term, Record::Term(TermRecord { term }));
             }
             _ => return,
         }
-        let txn = draft.finish();
+        let transaction = draft.finish();
         self.upgrade.settle_busy = true;
-        self.commit(txn, Purpose::Settle, Priority::User);
+        self.commit(
+            transaction,
+            PendingOperation::ConfirmCancellations,
+            RequestClass::User,
+        );
     }
 
     /// A cancellation was committed, or asked for once more, and tasks of the job may be left: its
     /// user waits a moment, as most tasks are gone within half a second. One whose machines can't
     /// be reached now is told at once when to come back.
-    pub(crate) fn await_end(&mut self, request: RequestId) {
-        let Some(job) = self.asks.get(&request).map(|a| a.job.clone()) else {
+    pub(crate) fn await_cancellation(&mut self, request: RequestId) {
+        let Some(job) = self.user_requests.get(&request).map(|a| a.job.clone()) else {
             return;
         };
-        let unreached = |b: &Booking| match self.cache.machine(&b.machine) {
+        let unreached = |b: &Assignment| match self.cache.machine(&b.machine) {
             Some(m) => {
                 let reached = self.reachable(&b.machine, &m.zone) || self.answers(&b.machine);
-                m.phase == MachinePhase::Returning || !reached
+                m.phase == MachinePhase::Deprovisioning || !reached
             }
             None => true,
         };
-        let booked = self.cache.chunks_of(&job).flat_map(|(_, c)| c.booked());
-        if booked.map(|(_, b)| b).any(unreached) {
+        let assigned = self.cache.chunks_of(&job).flat_map(|(_, c)| c.assigned());
+        if assigned.map(|(_, b)| b).any(unreached) {
             let after_s = CANCEL_RETRY_AFTER_S;
-            self.answer(request, UserReply::Later { after_s });
+            self.answer(request, UserReply::RetryAfter { after_s });
             return;
         }
         let until = self.now + CANCEL_PATIENCE_MS;
-        if let Some(ask) = self.asks.get_mut(&request) {
+        if let Some(ask) = self.user_requests.get_mut(&request) {
             ask.until = ask.until.min(until);
-            self.ending_asks.insert(request);
+            self.requests_awaiting_cancellation.insert(request);
         }
     }
 
     /// Tells those who wait for it that their job is cancelled, now that nothing is left of it.
-    pub(crate) fn tell_ended(&mut self) {
-        if self.ending_asks.is_empty() || !self.loaded {
+    pub(crate) fn confirm_cancellations(&mut self) {
+        if self.requests_awaiting_cancellation.is_empty() || !self.has_listed {
             return;
         }
-        let asks = &self.asks;
-        self.ending_asks
+        let asks = &self.user_requests;
+        self.requests_awaiting_cancellation
             .retain(|request| asks.contains_key(request));
         let gone = |request: &RequestId| {
-            let ask: &Ask = self.asks.get(request)?;
-            let told = matches!(ask.want, Want::Cancel) && !self.cache.ending(&ask.job);
+            let ask: &UserRequest = self.user_requests.get(request)?;
+            let told = matches!(ask.want, RequestKind::Cancel) && !self.cache.ending(&ask.job);
             told.then(|| (*request, ask.job.clone()))
         };
-        let over: Vec<(RequestId, String)> = self.ending_asks.iter().filter_map(gone).collect();
+        let over: Vec<(RequestId, String)> = self
+            .requests_awaiting_cancellation
+            .iter()
+            .filter_map(gone)
+            .collect();
         for (request, job) in over {
-            self.ending_asks.remove(&request);
+            self.requests_awaiting_cancellation.remove(&request);
             let state = JobState::Cancelled;
             self.answer(request, UserReply::Cancelled { job, state });
         }
@@ -106,105 +119,110 @@
     /// Whether a machine that holds a cancelled task which nobody was told of is left alone: its zone
     /// is cut off, and it runs others' work. The user waits longer then, but nobody else loses what
     /// runs well behind the cut.
-    pub(crate) fn spared(&self, id: &str) -> bool {
+    pub(crate) fn is_spared(&self, id: &str) -> bool {
         let quiet = self
             .cache
             .machine(id)
-            .is_some_and(|m| self.zone_quiet(&m.zone));
+            .is_some_and(|m| self.is_zone_unreachable(&m.zone));
         let other = |(task, _): (&TaskId, &Placed)| self.cache.open_job(&task.job).is_some();
-        quiet && self.cache.bookings(id).any(other)
+        quiet && self.cache.assignments(id).any(other)
     }
 
     /// Whether renewing a lease can break no rule. Cancellations later than `g/settled` are told when
     /// nothing is left; a copy that has reached it knows all earlier ones, and stops their tasks; and
     /// where a worker has seen a settled term there are none of these.
-    fn renewing_is_safe(&self, report: &Report) -> bool {
-        let settled = self.cache.stamp(&Key::Settled);
-        report.token >= SETTLED_TERM || self.loaded && settled > 0 && self.cache.epoch >= settled
+    fn renewing_is_safe(&self, report: &WorkerHeartbeat) -> bool {
+        let settled = self.cache.mod_revision(&Key::CancellationConfirmation);
+        report.token >= CONFIRMED_CANCELLATION_TERM
+            || self.has_listed && settled > 0 && self.cache.revision >= settled
     }
 
-    /// Cut off from the state service: hand workers to a sibling that reaches it, or keep their
+    /// Cut off from the state service: hand workers to a peer that reaches it, or keep their
     /// leases alive. Nothing is started; what was cancelled before the cut is stopped, since that
-    /// never changes. A node that has started inside the cut, and so knows nothing, does the same.
-    pub(crate) fn cut_off_reply(&mut self, report: &Report) -> WorkerReply {
-        if let Some(node) = self.sibling_with_state() {
-            return WorkerReply::Elsewhere { node: Some(node) };
+    /// never changes. A controller that has started inside the cut, and so knows nothing, does the same.
+    pub(crate) fn reply_without_state(&mut self, report: &WorkerHeartbeat) -> WorkerReply {
+        if let Some(controller) = self.peer_with_state() {
+            return WorkerReply::Redirect {
+                controller: Some(controller),
+            };
         }
         let renews = match self.renewing_is_safe(report) {
-            true => self.keeps(&report.machine),
+            true => self.keeps_worker(&report.machine),
             // Somebody may have been told of a cancellation since the last answer, also of one that
             // came a moment before all lost the state service.
-            false => self.lost_lately() || !self.settings.checks.bounded,
+            false => self.lost_state_recently() || !self.settings.checks.bounded,
         };
-        let token = self.machine_token(&report.machine).unwrap_or(0);
-        // Siblings may have raised it since this node was cut off. Nothing is started, so a start
+        let token = self.fencing_token(&report.machine).unwrap_or(0);
+        // Peers may have raised it since this controller was cut off. Nothing is started, so a start
         // that this bars stays barred.
         let token = token.max(report.token);
         if !renews || token == 0 {
-            return WorkerReply::NotNow;
+            return WorkerReply::Unavailable;
         }
-        WorkerReply::Orders {
+        WorkerReply::Commands {
             token,
-            orders: self.stops_of_cancelled(report),
+            commands: self.stops_for_cancelled(report),
         }
     }
 
-    fn stops_of_cancelled(&self, report: &Report) -> Vec<Order> {
-        let cancelled = |t: &&TaskReport| {
+    fn stops_for_cancelled(&self, report: &WorkerHeartbeat) -> Vec<WorkerCommand> {
+        let cancelled = |t: &&TaskStatus| {
             let job = self.cache.job(&t.task.job);
             !matches!(t.phase, TaskPhase::Exited(_))
-                && job.is_some_and(|j| j.phase == Phase::Cancelled)
+                && job.is_some_and(|j| j.phase == JobPhase::Cancelled)
         };
         let tasks = report.tasks.iter().filter(cancelled);
-        let stop = |t: &TaskReport| Order::Stop {
+        let stop = |t: &TaskStatus| WorkerCommand::Stop {
             task: t.task.clone(),
             attempt: t.attempt,
             grace_s: 0.0,
         };
-        tasks.map(stop).take(REPLY_ORDERS).collect()
+        tasks.map(stop).take(REPLY_MAX_COMMANDS).collect()
     }
 
     /// Whether the state service answered so lately that what somebody was told since is in time
-    /// though this node renews: the lease may begin with the last answer.
-    fn lost_lately(&self) -> bool {
+    /// though this controller renews: the lease may begin with the last answer.
+    fn lost_state_recently(&self) -> bool {
         let limit = self
             .settings
             .cancel_ms
             .saturating_sub(self.settings.lease_ms + CANCEL_MARGIN_MS);
-        self.loaded && self.state_age() < limit
+        self.has_listed && self.state_age() < limit
     }
 
-    /// Whether a worker is kept, rather than sent to look for another node. A node that is cut off
+    /// Whether a worker is kept, rather than sent to look for another controller. A controller that is cut off
     /// alone must not keep workers that others would serve; one that is cut off with its zone is all
     /// they have. Which it is shows in who still reports: only machines of its own zone, or those of
     /// others as well. Else each worker is sent away once, if its lease allows for the way round: one
     /// that is back found no other.
-    fn keeps(&mut self, id: &str) -> bool {
-        let common = self.fresh_siblings().count() + 1 == self.settings.nodes.len();
-        if self.loaded && common {
+    fn keeps_worker(&mut self, id: &str) -> bool {
+        let common = self.fresh_peers().count() + 1 == self.settings.controllers.len();
+        if self.has_listed && common {
             return true;
         }
         let several = self.settings.zones.len() > 1;
         let recent = 2 * self.settings.report_ms;
         let here = self.settings.zone.as_str();
-        let mut zones = self.reporting.iter();
+        let mut zones = self.zones_heard_at.iter();
         let foreign = zones.any(|(zone, at)| zone != here && self.now < at + recent);
         if several && !foreign {
             return true;
         }
         let lease_ms = self.settings.lease_ms;
-        let round = (self.settings.nodes.len() as u64 - 1) * WORKER_MOVE_MS
+        let round = (self.settings.controllers.len() as u64 - 1) * WORKER_FAILOVER_MS
             + self.settings.report_due_ms()
-            + SILENCE_SPARE_MS;
+            + SILENCE_MARGIN_MS;
         if round >= lease_ms {
-            return self.lost_lately();
+            return self.lost_state_recently();
         }
-        // Those that come back to a node that was away have looked already.
-        let sent = self.turned_away.get(id).copied();
-        if self.now < self.woke + lease_ms || sent.is_some_and(|at| self.now < at + 2 * lease_ms) {
+        // Those that come back to a controller that was away have looked already.
+        let sent = self.redirected_at.get(id).copied();
+        if self.now < self.resumed_at + lease_ms
+            || sent.is_some_and(|at| self.now < at + 2 * lease_ms)
+        {
             return true;
         }
-        self.turned_away.insert(id.to_string(), self.now);
+        self.redirected_at.insert(id.to_string(), self.now);
         false
     }
 }
--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -6,48 +6,56 @@
 use crate::state::*;
 use crate::workers::starts::Attempt;
 
-impl Node {
+impl Controller {
     /// A job of several chunks is done once all of them are; a done chunk never changes.
     pub(crate) fn finish_jobs(&mut self) {
         let mut due = Vec::new();
         for (id, counts) in self.cache.counted() {
-            let Some(job) = self.cache.job(id).filter(|j| j.phase == Phase::Open) else {
+            let Some(job) = self.cache.job(id).filter(|j| j.phase == JobPhase::Open) else {
                 continue;
             };
-            if job.chunks() > 1 && counts.done == job.tasks && !self.finishing.contains(id) {
-                due.push((id.to_string(), job.over(Phase::Done, self.wall)));
+            if job.chunks() > 1 && counts.done == job.tasks && !self.finishing_jobs.contains(id) {
+                due.push((id.to_string(), job.over(JobPhase::Done, self.wall)));
             }
         }
         for (id, over) in due {
             let mut draft = TransactionBuilder::new(&self.cache);
             draft.put(Key::Job(id.clone()), Record::Job(over));
-            let txn = draft.finish();
-            self.finishing.insert(id.clone());
-            self.commit(txn, Purpose::Finish(id), Priority::Result);
+            let transaction = draft.finish();
+            self.finishing_jobs.insert(id.clone());
+            self.commit(
+                transaction,
+                PendingOperation::FinishJob(id),
+                RequestClass::Result,
+            );
         }
     }
 
-    /// Cancels on record what needs a cancelled job. The node that was asked does so at once; the
+    /// Cancels on record what needs a cancelled job. The controller that was asked does so at once; the
     /// others follow should it not have. Until then such jobs are answered as cancelled all the
     /// same, so nothing depends on how soon that is.
-    pub(crate) fn cascade(&mut self) {
+    pub(crate) fn cancel_overdue_dependents(&mut self) {
         let doomed = self.cache.dependents().doomed();
-        self.doomed_since.retain(|id, _| doomed.contains(id));
+        self.cancelled_dependency_since
+            .retain(|id, _| doomed.contains(id));
         for id in doomed {
-            if !self.doomed_since.contains_key(id) {
-                self.doomed_since.insert(id.clone(), self.now);
+            if !self.cancelled_dependency_since.contains_key(id) {
+                self.cancelled_dependency_since.insert(id.clone(), self.now);
             }
         }
-        let patience = CASCADE_PATIENCE_MS + self.settings.node_index() * NODE_STAGGER_MS;
+        let patience =
+            CASCADE_PATIENCE_MS + self.settings.controller_index() * CONTROLLER_STAGGER_MS;
         let late = |since: &Millis| self.now >= since + patience;
-        if self.doomed_since.values().any(late) {
-            self.cancel_doomed();
+        if self.cancelled_dependency_since.values().any(late) {
+            self.cancel_dependents();
         }
     }
 
-    pub(crate) fn cancel_doomed(&mut self) {
-        let most = self.writes_left().min(self.settings.txn_ops);
-        if self.cascade_busy || most == 0 || !self.state_ok() {
+    pub(crate) fn cancel_dependents(&mut self) {
+        let most = self
+            .changes_left()
+            .min(self.settings.max_transaction_changes);
+        if self.dependents_cancellation_in_flight || most == 0 || !self.has_current_state() {
             return;
         }
         let mut draft = TransactionBuilder::limited(&self.cache, most);
@@ -59,63 +67,79 @@
             if !draft.has_room(&self.settings, 1, 1, SMALL_RECORD_BYTES) {
                 break;
             }
-            let over = job.over(Phase::Cancelled, self.wall);
+            let over = job.over(JobPhase::Cancelled, self.wall);
             draft.put(Key::Job(id.clone()), Record::Job(over));
             jobs.push(id.clone());
         }
         if !jobs.is_empty() {
-            let txn = draft.finish();
-            self.cascade_busy = true;
-            self.commit(txn, Purpose::Cascade(jobs), Priority::Result);
+            let transaction = draft.finish();
+            self.dependents_cancellation_in_flight = true;
+            self.commit(
+                transaction,
+                PendingOperation::CancelDependents(jobs),
+                RequestClass::Result,
+            );
         }
     }
 
     /// Removes chunks and places of jobs that are over.
-    pub(crate) fn sweep(&mut self) {
-        if self.sweep_busy {
+    pub(crate) fn remove_obsolete_records(&mut self) {
+        if self.removal_in_flight {
             return;
         }
         let mut draft = TransactionBuilder::new(&self.cache);
         for (job, counts) in self.cache.counted() {
-            let over = self.cache.job(job).is_some_and(|j| j.phase != Phase::Open);
-            if !over || counts.booked > 0 {
+            let over = self
+                .cache
+                .job(job)
+                .is_some_and(|j| j.phase != JobPhase::Open);
+            if !over || counts.assigned > 0 {
                 continue;
             }
             for (n, _) in self.cache.chunks_of(job) {
-                if draft.ops() < self.settings.txn_ops.div_ceil(2) {
+                if draft.ops() < self.settings.max_transaction_changes.div_ceil(2) {
                     draft.remove(Key::Chunk(job.to_string(), n));
                 }
             }
         }
         for (job, _, _) in self.cache.places() {
-            if draft.ops() < self.settings.txn_ops.div_ceil(2)
-                && self.cache.job(job).is_some_and(|j| j.phase != Phase::Open)
+            if draft.ops() < self.settings.max_transaction_changes.div_ceil(2)
+                && self
+                    .cache
+                    .job(job)
+                    .is_some_and(|j| j.phase != JobPhase::Open)
             {
-                draft.remove(Key::Place(job.to_string()));
+                draft.remove(Key::ZoneSpread(job.to_string()));
             }
         }
         if !draft.is_empty() {
-            let txn = draft.finish();
-            self.sweep_busy = true;
-            self.commit(txn, Purpose::Sweep, Priority::Housekeeping);
+            let transaction = draft.finish();
+            self.removal_in_flight = true;
+            self.commit(
+                transaction,
+                PendingOperation::RemoveObsolete,
+                RequestClass::Housekeeping,
+            );
         }
     }
 
     /// Forgets what belongs to machines that are gone.
-    pub(crate) fn forget_old(&mut self) {
+    pub(crate) fn forget_deleted_machines(&mut self) {
         let cache = &self.cache;
-        self.signs.forget(|id| cache.machine(id).is_some());
-        self.used_at.retain(|id, _| cache.machine(id).is_some());
-        self.heard
+        self.observations.forget(|id| cache.machine(id).is_some());
+        self.last_assigned_at
+            .retain(|id, _| cache.machine(id).is_some());
+        self.last_heartbeats
             .retain(|id, h| cache.machine(id).is_some() || self.now.saturating_sub(h.at) < 60_000);
-        self.standby.forget(|id| cache.machine(id).is_some());
-        self.fetching.retain(|_, until| *until > self.now);
-        self.turned_away.retain(|id, _| cache.machine(id).is_some());
-        self.delete_tried
+        self.peer_tracker.forget(|id| cache.machine(id).is_some());
+        self.fetching_until.retain(|_, until| *until > self.now);
+        self.redirected_at
+            .retain(|id, _| cache.machine(id).is_some());
+        self.deletion_tried_at
             .retain(|id, _| cache.machine(id).is_some());
-        let mut starts = std::mem::take(&mut self.starts);
-        let booked = |(task, at): &Attempt| self.cache.attempt(task, *at).is_some();
-        starts.forget(booked, |id| self.last_check_in(id).unwrap_or(0));
-        self.starts = starts;
+        let mut starts = std::mem::take(&mut self.starts_in_flight);
+        let assigned = |(task, at): &Attempt| self.cache.attempt(task, *at).is_some();
+        starts.forget(assigned, |id| self.last_worker_heartbeat(id).unwrap_or(0));
+        self.starts_in_flight = starts;
     }
 }
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -12,15 +12,19 @@
 /// What jobs downstream make of a job: the highest rank among them, and the time of day by which
 /// it must be done for their deadlines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pull {
-    pub rank: Rank,
+pub struct InheritedPriority {
+    pub priority: JobPriority,
     pub due: Option<WallMs>,
 }
 
 /// What a job counts as: its own rank, or the highest of the jobs that need it.
-pub fn rank(pulls: &HashMap<String, Pull>, job: &str, spec: &JobSpec) -> Rank {
-    let pulled = pulls.get(job).map(|p| p.rank);
-    pulled.map_or(spec.rank, |rank| rank.max(spec.rank))
+pub fn priority(
+    pulls: &HashMap<String, InheritedPriority>,
+    job: &str,
+    spec: &JobSpec,
+) -> JobPriority {
+    let pulled = pulls.get(job).map(|p| p.priority);
+    pulled.map_or(spec.priority, |priority| priority.max(spec.priority))
 }
 
 fn earliest(a: Option<WallMs>, b: Option<WallMs>) -> Option<WallMs> {
@@ -33,7 +37,10 @@
 /// For every open job that others need, what these make of it. Rank and deadline stand on the
 /// last job of a pipeline; passed upstream, a deadline is earlier by the run time of each job
 /// between, of which a share must do, since estimates are often too high.
-pub fn pulls(cache: &Cache, least_run_ms: &dyn Fn(&str, &JobSpec) -> u64) -> HashMap<String, Pull> {
+pub fn pulls(
+    cache: &StateCache,
+    least_run_ms: &dyn Fn(&str, &JobSpec) -> u64,
+) -> HashMap<String, InheritedPriority> {
     let dependents = cache.dependents().by_awaited();
     // Open jobs downstream that are still to be looked at, per job; those without go first.
     let mut left: HashMap<&str, usize> = HashMap::new();
@@ -47,26 +54,26 @@
         }
         left.insert(id, jobs.len());
     }
-    let mut pulls: HashMap<String, Pull> = HashMap::new();
+    let mut pulls: HashMap<String, InheritedPriority> = HashMap::new();
     while let Some(id) = next.pop() {
         let (Some(job), Some(spec)) = (cache.job(id), cache.open_job(id)) else {
             continue;
         };
         let own = pulls.get(id);
-        let rank = own.map_or(spec.rank, |p| p.rank.max(spec.rank));
+        let priority = own.map_or(spec.priority, |p| p.priority.max(spec.priority));
         let due = earliest(deadline(job, spec), own.and_then(|p| p.due));
         let due = due.map(|due| due.saturating_sub(least_run_ms(id, spec)));
-        for awaited in &spec.awaits {
-            if let Some(n) = left.get_mut(awaited.as_str()) {
+        for dependency in &spec.dependencies {
+            if let Some(n) = left.get_mut(dependency.as_str()) {
                 *n = n.saturating_sub(1);
                 if *n == 0 {
-                    next.push(awaited);
+                    next.push(dependency);
                 }
             }
-            if cache.open_job(awaited).is_some() {
-                let pull = Pull { rank, due };
-                let known = pulls.entry(awaited.clone()).or_insert(pull);
-                known.rank = known.rank.max(rank);
+            if cache.open_job(dependency).is_some() {
+                let pull = InheritedPriority { priority, due };
+                let known = pulls.entry(dependency.clone()).or_insert(pull);
+                known.priority = known.priority.max(priority);
                 known.due = earliest(known.due, due);
             }
         }
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -8,134 +8,141 @@
 use crate::state::*;
 
 #[derive(Clone, Debug)]
-pub(crate) enum Want {
+pub(crate) enum RequestKind {
     Submit(Box<JobSpec>),
     Status,
     Cancel,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct UserRequest {
     pub job: String,
-    pub want: Want,
+    pub want: RequestKind,
     pub since: Millis,
     pub until: Millis,
 }
 
-impl Node {
-    pub(crate) fn ask_submit(&mut self, request: RequestId, spec: JobSpec) {
-        let ask = Ask {
+impl Controller {
+    pub(crate) fn handle_submit(&mut self, request: RequestId, spec: JobSpec) {
+        let ask = UserRequest {
             job: spec.id.clone(),
-            want: Want::Submit(Box::new(spec)),
+            want: RequestKind::Submit(Box::new(spec)),
             since: self.now,
             until: self.now + SUBMIT_PATIENCE_MS,
         };
-        self.ask(request, ask);
+        self.enqueue_request(request, ask);
     }
 
-    pub(crate) fn ask_status(&mut self, request: RequestId, job: String) {
-        let ask = Ask {
+    pub(crate) fn handle_status(&mut self, request: RequestId, job: String) {
+        let ask = UserRequest {
             job,
-            want: Want::Status,
+            want: RequestKind::Status,
             since: self.now,
             until: self.now + STATUS_PATIENCE_MS,
         };
-        self.ask(request, ask);
+        self.enqueue_request(request, ask);
     }
 
-    pub(crate) fn ask_cancel(&mut self, request: RequestId, job: String) {
-        let ask = Ask {
+    pub(crate) fn handle_cancel(&mut self, request: RequestId, job: String) {
+        let ask = UserRequest {
             job,
-            want: Want::Cancel,
+            want: RequestKind::Cancel,
             since: self.now,
             until: self.now + SUBMIT_PATIENCE_MS,
         };
-        self.ask(request, ask);
+        self.enqueue_request(request, ask);
     }
 
-    fn ask(&mut self, request: RequestId, ask: Ask) {
-        // A final state never changes, so the copy suffices however old it is.
+    fn enqueue_request(&mut self, request: RequestId, ask: UserRequest) {
+        // A final state never changes, so the cache suffices however old it is.
         if let Some(job) = self.cache.job(&ask.job).filter(|j| self.over(&ask.job, j)) {
             let reply = self.job_reply(&ask, job);
             self.emit(Effect::User { request, reply });
             return;
         }
-        if !self.state_ok() || self.leaving.is_some() || self.asks.len() >= WAITING_REQUESTS {
+        if !self.has_current_state()
+            || self.shutting_down_since.is_some()
+            || self.user_requests.len() >= WAITING_REQUESTS
+        {
             let reply = self.later();
             self.emit(Effect::User { request, reply });
             return;
         }
         // A new job needs no proof of freshness: its record is only written if absent.
         let new = self.cache.job(&ask.job).is_none();
-        let valid = matches!(&ask.want, Want::Submit(spec)
+        let valid = matches!(&ask.want, RequestKind::Submit(spec)
             if self.refusal(spec).is_none());
-        if let (true, Want::Submit(spec)) = (new && valid, &ask.want) {
+        if let (true, RequestKind::Submit(spec)) = (new && valid, &ask.want) {
             if let Err(after_s) = self.admission.submissions.takes(self.now, &spec.team) {
-                let reply = UserReply::Later { after_s };
+                let reply = UserReply::RetryAfter { after_s };
                 self.emit(Effect::User { request, reply });
                 return;
             }
         }
-        let at_once = new && valid && !self.types.is_empty();
-        if let (Want::Cancel, Some(spec)) = (&ask.want, self.cache.open_job(&ask.job)) {
+        let at_once = new && valid && !self.machine_types.is_empty();
+        if let (RequestKind::Cancel, Some(spec)) = (&ask.want, self.cache.open_job(&ask.job)) {
             // A flood of these would leave no changes for results, by which what is cancelled is told.
             if let Err(after_s) = self.admission.cancellations.takes(self.now, &spec.team) {
-                let reply = UserReply::Later { after_s };
+                let reply = UserReply::RetryAfter { after_s };
                 self.emit(Effect::User { request, reply });
                 return;
             }
         }
-        self.asks.insert(request, ask);
+        self.user_requests.insert(request, ask);
         if at_once || !self.settings.checks.proof {
-            self.proven(request);
+            self.serve_with_current_state(request);
         } else {
-            self.unproven.push(request);
+            self.unissued_reads.push(request);
         }
     }
 
     pub(crate) fn later(&self) -> UserReply {
-        let after_s = match self.state_ok() {
+        let after_s = match self.has_current_state() {
             true => RETRY_AFTER_S,
             false => OUTAGE_RETRY_AFTER_S,
         };
-        UserReply::Later { after_s }
+        UserReply::RetryAfter { after_s }
     }
 
     pub(crate) fn answer(&mut self, request: RequestId, reply: UserReply) {
-        if self.asks.remove(&request).is_some() {
+        if self.user_requests.remove(&request).is_some() {
             self.emit(Effect::User { request, reply });
         }
     }
 
     /// The records are at least as new as the request.
-    pub(crate) fn proven(&mut self, request: RequestId) {
-        let Some(ask) = self.asks.get(&request).cloned() else {
+    pub(crate) fn serve_with_current_state(&mut self, request: RequestId) {
+        let Some(ask) = self.user_requests.get(&request).cloned() else {
             return;
         };
         if let Some(job) = self.cache.job(&ask.job).cloned() {
-            if matches!(ask.want, Want::Cancel) && !self.over(&ask.job, &job) {
+            if matches!(ask.want, RequestKind::Cancel) && !self.over(&ask.job, &job) {
                 let mut draft = TransactionBuilder::new(&self.cache);
-                if job.phase == Phase::Cancelled {
-                    self.await_end(request);
+                if job.phase == JobPhase::Cancelled {
+                    self.await_cancellation(request);
                     return;
                 }
-                let over = job.over(Phase::Cancelled, self.wall);
+                let over = job.over(JobPhase::Cancelled, self.wall);
                 draft.put(Key::Job(ask.job), Record::Job(over));
                 // Which way it is to be told is the order of the two.
-                draft.rests_on(Key::Settled);
-                let txn = draft.finish();
-                self.commit(txn, Purpose::Ask(request), Priority::User);
+                draft.rests_on(Key::CancellationConfirmation);
+                let transaction = draft.finish();
+                self.commit(
+                    transaction,
+                    PendingOperation::UserRequest(request),
+                    RequestClass::User,
+                );
                 return;
             }
             let reply = self.job_reply(&ask, &job);
             self.answer(request, reply);
             return;
         }
-        let Want::Submit(spec) = ask.want else {
+        let RequestKind::Submit(spec) = ask.want else {
             self.answer(request, UserReply::NotFound);
             return;
         };
-        let types_known = !self.types.is_empty() || !self.settings.checks.types;
+        let types_known = !self.machine_types.is_empty() || !self.settings.checks.machine_types;
         if !types_known || !self.configuration.is_readable() {
             let reply = self.later();
             self.answer(request, reply);
@@ -143,31 +150,35 @@
         }
         if let Some(why) = self.refusal(&spec) {
             tracing::info!(job = spec.id, why, "refused");
-            self.answer(request, UserReply::Never(why));
+            self.answer(request, UserReply::Rejected(why));
             return;
         }
-        if !spec.awaits.is_empty() && self.cache.format() < formats::PIPELINES {
-            // A node of an older version would start it at once.
+        if !spec.dependencies.is_empty() && self.cache.format() < formats::PIPELINES {
+            // A controller of an older version would start it at once.
             let after_s = UPGRADE_RETRY_AFTER_S;
-            self.answer(request, UserReply::Later { after_s });
+            self.answer(request, UserReply::RetryAfter { after_s });
             return;
         }
         let record = self.accepted(spec);
         let mut draft = TransactionBuilder::new(&self.cache);
         draft.put(Key::Job(ask.job), Record::Job(record));
         if self.settings.checks.configured {
-            draft.rests_on_revision(Key::Configuration, self.settings.policy.stamp);
+            draft.rests_on_revision(Key::Configuration, self.settings.policy.mod_revision);
         }
-        let txn = draft.finish();
-        self.commit(txn, Purpose::Ask(request), Priority::User);
+        let transaction = draft.finish();
+        self.commit(
+            transaction,
+            PendingOperation::UserRequest(request),
+            RequestClass::User,
+        );
     }
 
     /// A job's record at its acceptance.
     fn accepted(&self, spec: Box<JobSpec>) -> JobRecord {
         JobRecord {
-            phase: Phase::Open,
+            phase: JobPhase::Open,
             tasks: spec.tasks,
-            chunk: formats::chunk_tasks(self.cache.format(), self.settings.value_bytes),
+            chunk: formats::chunk_tasks(self.cache.format(), self.settings.max_value_bytes),
             at: self.wall,
             ended: 0,
             spec: Some(spec),
@@ -175,47 +186,47 @@
     }
 
     /// The state service gave no proof this time.
-    pub(crate) fn unproved(&mut self, request: RequestId) {
-        if self.state_ok() && self.asks.contains_key(&request) {
-            self.unproven.push(request);
+    pub(crate) fn retry_read(&mut self, request: RequestId) {
+        if self.has_current_state() && self.user_requests.contains_key(&request) {
+            self.unissued_reads.push(request);
         } else {
             let reply = self.later();
             self.answer(request, reply);
         }
     }
 
-    pub(crate) fn ask_committed(&mut self, request: RequestId, committed: bool) {
-        let Some(ask) = self.asks.get(&request).cloned() else {
+    pub(crate) fn request_committed(&mut self, request: RequestId, committed: bool) {
+        let Some(ask) = self.user_requests.get(&request).cloned() else {
             return;
         };
         if !committed {
             // Lost to another request, or the outcome is unknown: read again, then decide.
-            self.unproved(request);
+            self.retry_read(request);
             return;
         }
         match ask.want {
-            Want::Submit(spec) => {
+            RequestKind::Submit(spec) => {
                 tracing::info!(
                     job = ask.job,
                     class = spec.class,
                     team = spec.team,
                     tasks = spec.tasks,
                     image = spec.image,
-                    awaits = spec.awaits.join(" "),
+                    dependencies = spec.dependencies.join(" "),
                     "accepted"
                 );
-                // The watch may have brought the record first, as if a sibling had made it.
-                self.lookup_wanted = true;
-                self.stats.accepted(self.now - ask.since);
+                // The watch may have brought the record first, as if a peer had made it.
+                self.pass_requested = true;
+                self.metrics.accepted(self.now - ask.since);
                 self.answer(request, UserReply::Accepted { job: ask.job });
             }
             _ => {
                 tracing::info!(job = ask.job, "cancelled");
                 let state = JobState::Cancelled;
-                self.command_stops(&ask.job);
-                self.cancel_doomed();
+                self.send_stops(&ask.job);
+                self.cancel_dependents();
                 if self.cache.ending(&ask.job) {
-                    self.await_end(request);
+                    self.await_cancellation(request);
                     return;
                 }
                 self.answer(
@@ -229,9 +240,9 @@
         }
     }
 
-    pub(crate) fn tick_asks(&mut self) {
+    pub(crate) fn expire_user_requests(&mut self) {
         let late: Vec<RequestId> = self
-            .asks
+            .user_requests
             .iter()
             .filter(|(_, a)| self.now >= a.until)
             .map(|(r, _)| *r)
@@ -240,34 +251,34 @@
             let reply = self.later();
             self.answer(request, reply);
         }
-        if !self.state_ok() {
-            let waiting: Vec<RequestId> = self.asks.keys().copied().collect();
+        if !self.has_current_state() {
+            let waiting: Vec<RequestId> = self.user_requests.keys().copied().collect();
             for request in waiting {
                 let reply = self.later();
                 self.answer(request, reply);
             }
-            self.unproven.clear();
+            self.unissued_reads.clear();
         }
     }
 
     /// Whether a job's state is final, though its record may not say so yet.
     fn over(&self, id: &str, job: &JobRecord) -> bool {
         match job.phase {
-            Phase::Open => self.cache.doomed(id),
-            Phase::Done => true,
-            // While the records are read page by page the copy may lack what is booked.
-            Phase::Cancelled => self.loaded && !self.cache.ending(id),
+            JobPhase::Open => self.cache.doomed(id),
+            JobPhase::Done => true,
+            // While the records are read page by page the cache may lack what is assigned.
+            JobPhase::Cancelled => self.has_listed && !self.cache.ending(id),
         }
     }
 
-    fn job_reply(&self, ask: &Ask, job: &JobRecord) -> UserReply {
+    fn job_reply(&self, ask: &UserRequest, job: &JobRecord) -> UserReply {
         let (state, done, running) = self.job_state(&ask.job, job);
         match ask.want {
-            Want::Cancel => UserReply::Cancelled {
+            RequestKind::Cancel => UserReply::Cancelled {
                 job: ask.job.clone(),
                 state,
             },
-            _ => UserReply::State {
+            _ => UserReply::Status {
                 job: ask.job.clone(),
                 state,
                 done,
@@ -278,21 +289,21 @@
 
     fn job_state(&self, id: &str, job: &JobRecord) -> (JobState, u32, u32) {
         match job.phase {
-            Phase::Done => (JobState::Done, job.tasks, 0),
+            JobPhase::Done => (JobState::Done, job.tasks, 0),
             // Nobody has been told of it yet.
-            Phase::Cancelled if self.cache.ending(id) => {
+            JobPhase::Cancelled if self.cache.ending(id) => {
                 let counts = self.cache.counts(id);
-                (JobState::Running, counts.done, counts.booked)
+                (JobState::Running, counts.done, counts.assigned)
             }
-            Phase::Cancelled => (JobState::Cancelled, 0, 0),
-            Phase::Open if self.cache.doomed(id) => (JobState::Cancelled, 0, 0),
-            Phase::Open => {
+            JobPhase::Cancelled => (JobState::Cancelled, 0, 0),
+            JobPhase::Open if self.cache.doomed(id) => (JobState::Cancelled, 0, 0),
+            JobPhase::Open => {
                 let counts = self.cache.counts(id);
-                let state = match counts.booked {
-                    0 => JobState::Queued,
+                let state = match counts.assigned {
+                    0 => JobState::Pending,
                     _ => JobState::Running,
                 };
-                (state, counts.done, counts.booked)
+                (state, counts.done, counts.assigned)
             }
         }
     }
@@ -307,35 +318,35 @@
         let Some(team) = self.settings.policy.teams.get(&spec.team) else {
             return Some(format!("unknown team {}", spec.team));
         };
-        let fits = self.types.values().any(|t| {
-            t.room.fits(&spec.need) && t.zones.iter().any(|z| spec.allows(&t.name, z, false))
+        let fits = self.machine_types.values().any(|t| {
+            t.room.fits(&spec.resources) && t.zones.iter().any(|z| spec.allows(&t.name, z, false))
         });
         if !fits {
             return Some("a task fits no allowed machine type".into());
         }
-        let at_once = match spec.shape {
-            Shape::Array => 1,
-            Shape::Service => spec.tasks as u64,
+        let at_once = match spec.kind {
+            JobKind::Array => 1,
+            JobKind::Service => spec.tasks as u64,
         };
-        if (team.cpus_max > 0 && spec.need.cpus.saturating_mul(at_once) > team.cpus_max)
-            || (team.gpus_max > 0 && spec.need.gpus.saturating_mul(at_once) > team.gpus_max)
+        if (team.cpus_max > 0 && spec.resources.cpus.saturating_mul(at_once) > team.cpus_max)
+            || (team.gpus_max > 0 && spec.resources.gpus.saturating_mul(at_once) > team.gpus_max)
         {
             return Some("more than the team's limit".into());
         }
         let service = |a: &&String| {
             let spec = self.cache.open_job(a);
-            spec.is_some_and(|s| s.shape == Shape::Service)
+            spec.is_some_and(|s| s.kind == JobKind::Service)
         };
-        if let Some(awaited) = spec.awaits.iter().find(service) {
-            return Some(format!("awaits: {awaited} is a service"));
+        if let Some(dependency) = spec.dependencies.iter().find(service) {
+            return Some(format!("awaits: {dependency} is a service"));
         }
-        if spec.awaits.contains(&spec.id) {
+        if spec.dependencies.contains(&spec.id) {
             return Some("awaits: a job can't await itself".into());
         }
         let record = Record::Job(self.accepted(Box::new(spec.clone())));
         let (bytes, most) = (
             formats::stored_bytes(&record, formats::LATEST),
-            self.settings.value_bytes as usize,
+            self.settings.max_value_bytes as usize,
         );
         (bytes > most).then(|| {
             format!("awaits and flavours are too long: the job takes {bytes} bytes of {most}")
@@ -345,7 +356,7 @@
     /// Names an awaited job that was never accepted, as far as the records show.
     fn unknown_awaited(&self, spec: &JobSpec) -> Option<String> {
         let unknown = |a: &&String| self.cache.job(a).is_none();
-        let awaited = spec.awaits.iter().find(unknown)?;
-        Some(format!("awaits: {awaited} was never accepted"))
+        let dependency = spec.dependencies.iter().find(unknown)?;
+        Some(format!("awaits: {dependency} was never accepted"))
     }
 }
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -1,9 +1,9 @@
-//! What this node spends and how long things take, logged every so often.
+//! What this controller spends and how long things take, logged every so often.
 
 use crate::constants::*;
-use crate::controller::Purpose;
+use crate::controller::PendingOperation;
 use crate::model::*;
-use crate::state::{Key, Txn};
+use crate::state::{CasTransaction, Key};
 use foldhash::{HashMap, HashMapExt};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
     pub cloud: u64,
     /// From a submission to its acceptance, both here.
     accepted: Times,
-    /// From a job's acceptance, by the nodes' times of day, to the claim of a task.
+    /// From a job's acceptance, by the controllers' times of day, to the claim of a task.
     claimed: Times,
     /// From a claim made here to the first report, here, that the task runs.
     running: Times,
@@ -72,18 +72,20 @@
             starting: HashMap::new(),
         }
     }
-    pub fn sent(&mut self, purpose: &Purpose, txn: &Txn) {
+    pub fn sent(&mut self, purpose: &PendingOperation, transaction: &CasTransaction) {
         self.transactions += 1;
-        self.changes += txn.changes.len() as u64;
+        self.changes += transaction.changes.len() as u64;
         let purpose = match purpose {
-            Purpose::Lookup(_) => "claim",
-            Purpose::Flush { .. } => "report",
-            Purpose::Ask(_) => "user",
-            Purpose::Stop(_) => "stop",
-            Purpose::NewHires(_) | Purpose::HireDone(_) | Purpose::Tidy(_) => "rent",
+            PendingOperation::Claim(_) => "claim",
+            PendingOperation::WriteResults { .. } => "report",
+            PendingOperation::UserRequest(_) => "user",
+            PendingOperation::Stop(_) => "stop",
+            PendingOperation::CreateInstanceRequests(_)
+            | PendingOperation::RecordProvisioned(_)
+            | PendingOperation::RemoveInstanceRequest(_) => "rent",
             _ => "keep",
         };
-        for (key, change) in &txn.changes {
+        for (key, change) in &transaction.changes {
             let kind = match (key, change) {
                 (Key::Chunk(..), _) => "chunk",
                 (Key::Machine(_), None) => "gone",
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -4,17 +4,17 @@
 
 /// Steady milliseconds since the process began.
 pub type Millis = u64;
-/// Milliseconds of the time of day. Differs between nodes by up to `clock_off_ms`.
+/// Milliseconds of the time of day. Differs between controllers by up to `clock_off_ms`.
 pub type WallMs = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shape {
+pub enum JobKind {
     Array,
     Service,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Rank {
+pub enum JobPriority {
     Low,
     Normal,
     High,
@@ -23,7 +23,7 @@
 
 /// An amount of a machine in thousandths, so that sums stay exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     #[serde(rename = "c")]
     pub cpus: u64,
     #[serde(rename = "g", default)]
@@ -42,30 +42,30 @@
     (x * 1000.0 + 1e-6).floor().max(0.0) as u64
 }
 
-impl Room {
-    pub fn fits(&self, need: &Room) -> bool {
-        need.cpus <= self.cpus && need.gpus <= self.gpus && need.ram <= self.ram
+impl Resources {
+    pub fn fits(&self, resources: &Resources) -> bool {
+        resources.cpus <= self.cpus && resources.gpus <= self.gpus && resources.ram <= self.ram
     }
-    pub fn less(&self, need: &Room) -> Room {
-        Room {
-            cpus: self.cpus.saturating_sub(need.cpus),
-            gpus: self.gpus.saturating_sub(need.gpus),
-            ram: self.ram.saturating_sub(need.ram),
+    pub fn less(&self, resources: &Resources) -> Resources {
+        Resources {
+            cpus: self.cpus.saturating_sub(resources.cpus),
+            gpus: self.gpus.saturating_sub(resources.gpus),
+            ram: self.ram.saturating_sub(resources.ram),
         }
     }
-    pub fn plus(&self, more: &Room) -> Room {
-        Room {
+    pub fn plus(&self, more: &Resources) -> Resources {
+        Resources {
             cpus: self.cpus.saturating_add(more.cpus),
             gpus: self.gpus.saturating_add(more.gpus),
             ram: self.ram.saturating_add(more.ram),
         }
     }
     /// How many tasks of this need fit.
-    pub fn count(&self, need: &Room) -> u64 {
+    pub fn count(&self, resources: &Resources) -> u64 {
         let part = |have: u64, want: u64| have.checked_div(want).unwrap_or(u64::MAX);
-        part(self.cpus, need.cpus)
-            .min(part(self.gpus, need.gpus))
-            .min(part(self.ram, need.ram))
+        part(self.cpus, resources.cpus)
+            .min(part(self.gpus, resources.gpus))
+            .min(part(self.ram, resources.ram))
     }
 }
 
@@ -74,24 +74,33 @@
     pub id: String,
     pub class: String,
     pub team: String,
-    pub shape: Shape,
-    pub rank: Rank,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
+    #[serde(rename = "rank")]
+    pub priority: JobPriority,
     pub tasks: u32,
-    pub need: Room,
+    #[serde(rename = "need")]
+    pub resources: Resources,
     pub image: String,
     pub image_gb: f64,
-    pub types: Option<Vec<String>>,
+    #[serde(rename = "types")]
+    pub machine_types: Option<Vec<String>>,
     pub zone: Option<String>,
-    pub together: bool,
-    pub scatter: bool,
+    #[serde(rename = "together")]
+    pub zone_affinity: bool,
+    #[serde(rename = "scatter")]
+    pub topology_spread: bool,
     pub spot: bool,
     pub estimate_s: f64,
-    pub checkpoint_s: f64,
-    pub save_s: f64,
+    #[serde(rename = "checkpoint_s")]
+    pub checkpoint_interval_s: f64,
+    #[serde(rename = "save_s")]
+    pub checkpoint_duration_s: f64,
     pub deadline_s: Option<f64>,
     /// Jobs that must be done before any task of this one starts, without repeats.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub awaits: Vec<String>,
+    #[serde(rename = "awaits")]
+    pub dependencies: Vec<String>,
 }
 
 impl JobSpec {
@@ -99,13 +108,13 @@
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
             && self
-                .types
+                .machine_types
                 .as_ref()
                 .is_none_or(|t| t.iter().any(|t| t == type_name))
     }
     /// Most tasks that may be in one zone.
     pub fn zone_cap(&self) -> u32 {
-        if self.scatter {
+        if self.topology_spread {
             self.tasks.div_ceil(2)
         } else {
             self.tasks
@@ -116,7 +125,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     pub name: String,
-    pub room: Room,
+    pub room: Resources,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
     pub price: f64,
@@ -138,16 +147,16 @@
 pub enum TaskPhase {
     Fetching,
     Running,
-    Saving,
-    Exited(Cause),
+    Checkpointing,
+    Exited(ExitCause),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum ExitCause {
     Done,
     Stopped,
     Error,
-    NoRoom,
+    NoResources,
     Busy,
     Unknown,
     Other,
@@ -176,28 +185,28 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TaskReport {
+pub struct TaskStatus {
     pub task: TaskId,
     pub attempt: u64,
     pub phase: TaskPhase,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     pub machine: String,
     pub address: String,
     pub type_name: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
-    pub tally: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
     pub token: u64,
     pub notice_s: Option<f64>,
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum WorkerCommand {
     Start {
         task: TaskId,
         attempt: u64,
@@ -216,26 +225,26 @@
 /// What a user is told about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    Queued,
+    Pending,
     Running,
     Done,
     Cancelled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostState {
+pub enum CloudInstanceState {
     Booting,
     Running,
     Failed,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Host {
+pub struct CloudInstance {
     pub name: String,
     pub address: String,
     pub type_name: String,
     pub zone: String,
     pub spot: bool,
-    pub state: HostState,
+    pub state: CloudInstanceState,
     pub age_s: f64,
 }
--- a/crates/core/src/peers/tracker.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -1,142 +1,145 @@
-//! What a node follows of its siblings, so that whatever one of them did is carried on when it
-//! ends, stands still or is cut off.
+//! What a controller follows of its peers, so that whatever one of them did is carried on when it
+//! ends, is paused or is cut off.
 //!
-//! There is no leader and nobody is asked to take over: every node is the standby of each of its
-//! siblings. While all is well this part keeps, with every beat, which machines report to which
-//! sibling, how regularly it is heard and what it says of itself. It judges by more than one sign
-//! what has become of one that falls silent; the node acts on that (see `takeover`). Suspicion is a
+//! There is no leader and nobody is asked to take over: every controller is the standby of each of its
+//! peers. While all is well this part keeps, with every heartbeat, which machines report to which
+//! peer, how regularly it is heard and what it says of itself. It judges by more than one sign
+//! what has become of one that falls silent; the controller acts on that (see `takeover`). Suspicion is a
 //! guess: what rests on it may waste work, and nothing else.
 
 use crate::constants::*;
-use crate::controller::{Heard, Heartbeat, Said};
+use crate::controller::{ControllerStatus, PeerHeartbeat, ReceivedHeartbeat};
 use crate::model::*;
 use crate::settings::*;
 use crate::tuning::Tuning;
 use foldhash::{HashMap, HashMapExt};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What has most likely become of a sibling.
+/// What has most likely become of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Sign {
+pub enum PeerStatus {
     Well,
-    /// Its beats come late: it has more to do than it has processor time for.
+    /// Its heartbeats come late: it has more to do than it has processor time for.
     Slow,
     /// It says that it does not reach the state service.
     NoState,
     /// It says that workers do not reach it.
     NoWorkers,
-    /// This node does not hear it, but a sibling does.
+    /// This controller does not hear it, but a peer does.
     Unlinked,
-    /// Silent for longer than beats vary; not known why.
+    /// Silent for longer than heartbeats vary; not known why.
     Silent,
-    /// Silent, and its workers turn to other nodes: it stands still or is cut off.
+    /// Silent, and its workers turn to other controllers: it is paused or is cut off.
     Lost,
     /// Silent, and its workers stay away as well: cut off together with them, or only its links are.
     Apart,
     /// The link to it has ended, and nobody hears it.
-    Ended,
+    Exited,
 }
 
-impl Sign {
+impl PeerStatus {
     /// Whether it is taken to do nothing now, so that others do what it did.
     pub fn is_away(self) -> bool {
-        matches!(self, Sign::Silent | Sign::Lost | Sign::Apart | Sign::Ended)
+        matches!(
+            self,
+            PeerStatus::Silent | PeerStatus::Lost | PeerStatus::Apart | PeerStatus::Exited
+        )
     }
     pub fn name(self) -> &'static str {
         match self {
-            Sign::Well => "well",
-            Sign::Slow => "slow",
-            Sign::NoState => "it does not reach the state service",
-            Sign::NoWorkers => "workers do not reach it",
-            Sign::Unlinked => "only this node does not hear it",
-            Sign::Silent => "silent",
-            Sign::Lost => "silent, and its workers leave it",
-            Sign::Apart => "silent, and its workers with it",
-            Sign::Ended => "ended",
+            PeerStatus::Well => "well",
+            PeerStatus::Slow => "slow",
+            PeerStatus::NoState => "it does not reach the state service",
+            PeerStatus::NoWorkers => "workers do not reach it",
+            PeerStatus::Unlinked => "only this node does not hear it",
+            PeerStatus::Silent => "silent",
+            PeerStatus::Lost => "silent, and its workers leave it",
+            PeerStatus::Apart => "silent, and its workers with it",
+            PeerStatus::Exited => "ended",
         }
     }
 }
 
-/// How regularly a sibling is heard, in milliseconds: means that follow the last dozen beats.
+/// How regularly a peer is heard, in milliseconds: means that follow the last dozen heartbeats.
 #[derive(Clone, Copy, Debug)]
-struct Rhythm {
+struct HeartbeatIntervals {
     mean: f64,
     deviation: f64,
 }
 
-impl Rhythm {
-    fn new() -> Rhythm {
-        Rhythm {
-            mean: PEER_BEAT_MS as f64,
-            deviation: PEER_BEAT_MS as f64 / 4.0,
+impl HeartbeatIntervals {
+    fn new() -> HeartbeatIntervals {
+        HeartbeatIntervals {
+            mean: PEER_HEARTBEAT_MS as f64,
+            deviation: PEER_HEARTBEAT_MS as f64 / 4.0,
         }
     }
     fn note(&mut self, gap: Millis) {
         // One long silence is not its rhythm.
-        let gap = (gap as f64).min(PEER_FRESH_MS as f64);
-        self.deviation += RHYTHM_PART * ((gap - self.mean).abs() - self.deviation);
-        self.mean += RHYTHM_PART * (gap - self.mean);
+        let gap = (gap as f64).min(PEER_LOST_MS as f64);
+        self.deviation += HEARTBEAT_INTERVAL_WEIGHT * ((gap - self.mean).abs() - self.deviation);
+        self.mean += HEARTBEAT_INTERVAL_WEIGHT * (gap - self.mean);
     }
     /// Milliseconds of silence after which chance is no explanation.
     fn patience(&self, least: Millis) -> Millis {
-        let usual = self.mean + RHYTHM_DEVIATIONS * self.deviation;
-        (usual as Millis).max(least).min(PEER_FRESH_MS)
+        let usual = self.mean + HEARTBEAT_INTERVAL_DEVIATIONS * self.deviation;
+        (usual as Millis).max(least).min(PEER_LOST_MS)
     }
     fn is_slow(&self) -> bool {
-        self.mean > RHYTHM_SLOW * PEER_BEAT_MS as f64
+        self.mean > HEARTBEAT_SLOW_FACTOR * PEER_HEARTBEAT_MS as f64
     }
 }
 
-/// One sibling, as far as it is known here.
+/// One peer, as far as it is known here.
 #[derive(Debug)]
-pub(crate) struct Sibling {
-    /// When its last beat was taken up.
+pub(crate) struct Peer {
+    /// When its last heartbeat was taken up.
     pub at: Millis,
-    pub beat: Heartbeat,
-    rhythm: Rhythm,
-    /// Its link ended, and no beat has come since.
+    pub heartbeat: PeerHeartbeat,
+    rhythm: HeartbeatIntervals,
+    /// Its link ended, and no heartbeat has come since.
     link_ended: bool,
-    /// Machines whose latest check-in, as far as is known here, it got.
+    /// Machines whose latest heartbeat, as far as is known here, it got.
     carries: BTreeSet<String>,
-    /// Of these, how many have come here since its last beat.
+    /// Of these, how many have come here since its last heartbeat.
     came: usize,
-    pub sign: Sign,
+    pub sign: PeerStatus,
 }
 
-impl Sibling {
+impl Peer {
     /// Workers that report to it.
     pub fn load(&self, recent: Millis) -> usize {
-        let heard = self.beat.heard.iter();
+        let heard = self.heartbeat.heard.iter();
         heard.filter(|(.., age)| *age < recent).count()
     }
 }
 
-/// What siblings said they heard of a machine.
+/// What peers said they heard of a machine.
 #[derive(Debug)]
-pub(crate) struct Told {
+pub(crate) struct PeerObservation {
     pub at: Millis,
-    pub session: u64,
-    pub tally: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
     by: String,
 }
 
-impl Told {
-    /// The sibling that got its latest check-in.
+impl PeerObservation {
+    /// The peer that got its latest heartbeat.
     pub fn by(&self) -> &str {
         &self.by
     }
 }
 
-impl Heard {
-    /// Whether a sibling is known to have got a later check-in.
-    pub fn older_than(&self, told: Option<&Told>) -> bool {
-        told.is_some_and(|t| (t.session, t.tally) > (self.session, self.tally))
+impl ReceivedHeartbeat {
+    /// Whether a peer is known to have got a later heartbeat.
+    pub fn older_than(&self, told: Option<&PeerObservation>) -> bool {
+        told.is_some_and(|t| (t.incarnation, t.sequence) > (self.incarnation, self.sequence))
     }
 }
 
-/// Why a beat says nothing.
+/// Why a heartbeat says nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
+pub enum RejectedHeartbeat {
     Stranger,
     Old,
     Ahead,
@@ -145,76 +148,76 @@
     TooLarge,
 }
 
-/// What a beat changed.
+/// What a heartbeat changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Heeded {
-    Dropped(Dropped),
-    Taken,
+pub(crate) enum HeartbeatOutcome {
+    Rejected(RejectedHeartbeat),
+    Accepted,
 }
 
-/// What has newly been judged of a sibling.
+/// What has newly been judged of a peer.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct Judged {
-    pub node: String,
-    pub was: Sign,
-    pub is: Sign,
+pub(crate) struct PeerStatusChange {
+    pub controller: String,
+    pub was: PeerStatus,
+    pub is: PeerStatus,
     /// Machines that report to it.
     pub machines: usize,
     pub silent_ms: Millis,
 }
 
-/// How a takeover goes on: for the log, and to know when it is over.
+/// How a failover goes on: for the log, and to know when it is over.
 #[derive(Debug)]
-struct Takeover {
+struct Failover {
     since: Millis,
     expected: BTreeSet<String>,
     machines: usize,
 }
 
-/// A takeover that has ended.
+/// A failover that has ended.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct TakenOver {
-    pub node: String,
+pub(crate) struct CompletedFailover {
+    pub controller: String,
     pub machines: usize,
-    /// Of these, not heard by any node since.
+    /// Of these, not heard by any controller since.
     pub missing: usize,
     pub ms: Millis,
 }
 
 #[derive(Debug)]
-pub(crate) struct Standby {
+pub(crate) struct PeerTracker {
     me: String,
     members: Vec<String>,
     clock_off_ms: Millis,
     tuning: Tuning,
-    /// A report and a move of a worker: within that all of an ended node's have turned elsewhere.
+    /// A report and a move of a worker: within that all of an ended controller's have turned elsewhere.
     move_ms: Millis,
-    siblings: BTreeMap<String, Sibling>,
-    told: HashMap<String, Told>,
-    takeovers: BTreeMap<String, Takeover>,
-    /// Beats that were dropped since the last log line, by reason.
-    dropped: BTreeMap<Dropped, u64>,
+    peers: BTreeMap<String, Peer>,
+    told: HashMap<String, PeerObservation>,
+    takeovers: BTreeMap<String, Failover>,
+    /// Heartbeats that were dropped since the last log line, by reason.
+    dropped: BTreeMap<RejectedHeartbeat, u64>,
     dropped_logged: Millis,
-    // What this node says itself
+    // What this controller says itself
     life: WallMs,
-    said: u64,
-    said_at: Millis,
-    /// The next beat says what is remembered of images.
+    sent: u64,
+    sent_at: Millis,
+    /// The next heartbeat says what is remembered of images.
     share_images: bool,
-    /// By how many milliseconds this node's clock ticks late, on the whole.
-    late_ms: f64,
-    /// Workers to be handed over until the next beat, and to whom.
+    /// By how many milliseconds this controller's clock ticks late, on the whole.
+    tick_delay_ms: f64,
+    /// Workers to be handed over until the next heartbeat, and to whom.
     handover: Option<(String, usize)>,
     handover_probe_at: Millis,
 }
 
-impl Standby {
-    pub fn new(settings: &Settings, wall: WallMs) -> Standby {
-        Standby::of(
-            settings.node.clone(),
-            settings.nodes.clone(),
+impl PeerTracker {
+    pub fn new(settings: &Settings, wall: WallMs) -> PeerTracker {
+        PeerTracker::of(
+            settings.controller.clone(),
+            settings.controllers.clone(),
             settings.clock_off_ms,
-            WORKER_MOVE_MS + settings.report_due_ms(),
+            WORKER_FAILOVER_MS + settings.report_due_ms(),
             settings.tuning,
             wall,
         )
@@ -227,23 +230,23 @@
         move_ms: Millis,
         tuning: Tuning,
         wall: WallMs,
-    ) -> Standby {
-        Standby {
+    ) -> PeerTracker {
+        PeerTracker {
             me,
             members,
             clock_off_ms,
             move_ms,
             tuning,
-            siblings: BTreeMap::new(),
+            peers: BTreeMap::new(),
             told: HashMap::new(),
             takeovers: BTreeMap::new(),
             dropped: BTreeMap::new(),
             dropped_logged: 0,
             life: wall,
-            said: 0,
-            said_at: 0,
+            sent: 0,
+            sent_at: 0,
             share_images: false,
-            late_ms: 0.0,
+            tick_delay_ms: 0.0,
             handover: None,
             handover_probe_at: 0,
         }
@@ -251,79 +254,80 @@
 
     // ---- Events -------------------------------------------------------------------------
 
-    /// Takes up a beat, or says why not. `own` is what this node heard of machines itself.
-    pub fn heed(
+    /// Takes up a heartbeat, or says why not. `own` is what this controller heard of machines itself.
+    pub fn receive_heartbeat(
         &mut self,
         now: Millis,
         wall: WallMs,
-        beat: Heartbeat,
-        own: &HashMap<String, Heard>,
-    ) -> Heeded {
-        if let Some(why) = self.refusal(now, wall, &beat) {
+        heartbeat: PeerHeartbeat,
+        own: &HashMap<String, ReceivedHeartbeat>,
+    ) -> HeartbeatOutcome {
+        if let Some(why) = self.refusal(now, wall, &heartbeat) {
             *self.dropped.entry(why).or_default() += 1;
-            tracing::debug!(node = beat.node, ?why, "beat dropped");
-            return Heeded::Dropped(why);
-        }
-        self.told_of(now, &beat, own);
-        let life = |b: &Heartbeat| b.said.as_ref().map(|s| s.life);
-        let known = self.siblings.get(&beat.node);
-        let appeared = known.is_none_or(|s| !s.beat.young || life(&s.beat) < life(&beat));
-        let appeared = appeared && beat.young;
+            tracing::debug!(controller = heartbeat.controller, ?why, "beat dropped");
+            return HeartbeatOutcome::Rejected(why);
+        }
+        self.told_of(now, &heartbeat, own);
+        let life = |b: &PeerHeartbeat| b.status.as_ref().map(|s| s.life);
+        let known = self.peers.get(&heartbeat.controller);
+        let appeared = known
+            .is_none_or(|s| !s.heartbeat.just_started || life(&s.heartbeat) < life(&heartbeat));
+        let appeared = appeared && heartbeat.just_started;
         self.share_images |= appeared;
-        let node = beat.node.clone();
-        match self.siblings.get_mut(&node) {
-            Some(sibling) => {
-                sibling.rhythm.note(now - sibling.at);
-                sibling.at = now;
-                sibling.link_ended = false;
-                sibling.came = 0;
-                sibling.beat = beat;
+        let controller = heartbeat.controller.clone();
+        match self.peers.get_mut(&controller) {
+            Some(peer) => {
+                peer.rhythm.note(now - peer.at);
+                peer.at = now;
+                peer.link_ended = false;
+                peer.came = 0;
+                peer.heartbeat = heartbeat;
             }
             None => {
-                let carries = self.carried_by(&node);
-                self.siblings.insert(
-                    node,
-                    Sibling {
+                let carries = self.carried_by(&controller);
+                self.peers.insert(
+                    controller,
+                    Peer {
                         at: now,
-                        beat,
-                        rhythm: Rhythm::new(),
+                        heartbeat,
+                        rhythm: HeartbeatIntervals::new(),
                         link_ended: false,
                         carries,
                         came: 0,
-                        sign: Sign::Well,
+                        sign: PeerStatus::Well,
                     },
                 );
             }
         }
-        Heeded::Taken
+        HeartbeatOutcome::Accepted
     }
 
-    /// The connection by which a sibling told its beats has ended, and it has no other.
-    pub fn link_ended(&mut self, node: &str) {
-        if let Some(sibling) = self.siblings.get_mut(node) {
-            sibling.link_ended = self.tuning.link_ends;
+    /// The connection by which a peer told its heartbeats has ended, and it has no other.
+    pub fn link_ended(&mut self, controller: &str) {
+        if let Some(peer) = self.peers.get_mut(controller) {
+            peer.link_ended = self.tuning.link_ends;
         }
     }
 
     /// A machine has checked in here.
-    pub fn came(&mut self, id: &str) {
+    pub fn note_failover_of(&mut self, id: &str) {
         for takeover in self.takeovers.values_mut() {
             takeover.expected.remove(id);
         }
         let Some(by) = self.told.get(id).map(|t| t.by.as_str()) else {
             return;
         };
-        if let Some(sibling) = self.siblings.get_mut(by) {
-            sibling.came += usize::from(sibling.carries.remove(id));
+        if let Some(peer) = self.peers.get_mut(by) {
+            peer.came += usize::from(peer.carries.remove(id));
         }
     }
 
-    /// After standing still: the silence was this node's own.
-    pub fn wake(&mut self, now: Millis) {
-        for sibling in self.siblings.values_mut() {
+    /// After a pause: the silence was this controller's own.
+    pub fn reset_after_pause(&mut self, now: Millis) {
+        for peer in self.peers.values_mut() {
             // Not known what has become of it, and no reason to take over from it.
-            sibling.at = sibling.at.min(now.saturating_sub(PEER_FRESH_MS + 1));
-            (sibling.sign, sibling.came) = (Sign::Silent, 0);
+            peer.at = peer.at.min(now.saturating_sub(PEER_LOST_MS + 1));
+            (peer.sign, peer.came) = (PeerStatus::Silent, 0);
         }
         self.takeovers.clear();
         self.handover = None;
@@ -331,62 +335,68 @@
 
     /// The clock ticked, so long after the last time.
     pub fn ticked(&mut self, gap: Millis) {
-        let late = gap.saturating_sub(CLOCK_MS).min(GAP_MS) as f64;
-        self.late_ms += RHYTHM_PART * (late - self.late_ms);
+        let late = gap.saturating_sub(CLOCK_MS).min(PAUSE_MS) as f64;
+        self.tick_delay_ms += HEARTBEAT_INTERVAL_WEIGHT * (late - self.tick_delay_ms);
     }
 
-    /// What this node adds to its next beat, when one is due: whether it says what it remembers of
+    /// What this controller adds to its next heartbeat, when one is due: whether it says what it remembers of
     /// images, and what it says of itself.
-    pub fn beat_due(&mut self, now: Millis) -> Option<(bool, Said)> {
-        if now < self.said_at + PEER_BEAT_MS {
+    pub fn beat_due(&mut self, now: Millis) -> Option<(bool, ControllerStatus)> {
+        if now < self.sent_at + PEER_HEARTBEAT_MS {
             return None;
         }
-        self.said_at = now;
-        self.said += 1;
-        let heard = |s: &&Sibling| now.saturating_sub(s.at) <= BEATS_MISSED_MS && !s.link_ended;
-        let hears = self.siblings.values().filter(heard);
-        let said = Said {
+        self.sent_at = now;
+        self.sent += 1;
+        let heard = |s: &&Peer| now.saturating_sub(s.at) <= HEARTBEATS_MISSED_MS && !s.link_ended;
+        let heard_peers = self.peers.values().filter(heard);
+        let status = ControllerStatus {
             life: self.life,
-            count: self.said,
-            late_ms: self.late_ms as u32,
-            hears: hears.map(|s| s.beat.node.clone()).collect(),
-            ..Said::default()
+            count: self.sent,
+            tick_delay_ms: self.tick_delay_ms as u32,
+            heard_peers: heard_peers
+                .map(|s| s.heartbeat.controller.clone())
+                .collect(),
+            ..ControllerStatus::default()
         };
-        Some((std::mem::take(&mut self.share_images), said))
+        Some((std::mem::take(&mut self.share_images), status))
     }
 
-    pub fn say_now(&mut self) {
-        self.said_at = 0;
+    pub fn send_heartbeat_now(&mut self) {
+        self.sent_at = 0;
     }
 
     // ---- Workers handed over ------------------------------------------------------------
 
-    /// Workers that lost their node all turn to the next one, and stay there: it would run out of
-    /// sockets, processor time and changes while its siblings have them to spare. Once these
+    /// Workers that lost their controller all turn to the next one, and stay there: it would run out of
+    /// sockets, processor time and changes while its peers have them to spare. Once these
     /// hear from workers again, they are handed over a few at a time. `own`: machines that report
     /// here.
-    pub fn plan_handover(&mut self, now: Millis, own: usize, recent: Millis) {
+    pub fn plan_handoff(&mut self, now: Millis, own: usize, recent: Millis) {
         self.handover = None;
         let loads: Vec<(usize, String)> = (self.fresh(now))
-            .filter(|s| s.beat.state_ok && s.beat.workers_ok && !s.beat.young)
-            .filter(|s| s.sign != Sign::Slow)
-            .map(|s| (s.load(recent), s.beat.node.clone()))
+            .filter(|s| {
+                s.heartbeat.has_current_state
+                    && s.heartbeat.workers_reachable
+                    && !s.heartbeat.just_started
+            })
+            .filter(|s| s.sign != PeerStatus::Slow)
+            .map(|s| (s.load(recent), s.heartbeat.controller.clone()))
             .collect();
         // Were it by number alone, one that has too little processor time would keep its part.
-        let own = match self.late_ms > f64::from(LATE_MS) {
+        let own = match self.tick_delay_ms > f64::from(TICK_DELAY_SLOW_MS) {
             true => own + own / SLOW_PART,
             false => own,
         };
         let sum = own + loads.iter().map(|(n, _)| n).sum::<usize>();
         let mean = sum / (loads.len() + 1);
-        let Some((least, node)) = loads.into_iter().min() else {
+        let Some((least, controller)) = loads.into_iter().min() else {
             return;
         };
         if own <= mean + LOAD_SPARE || own as f64 <= mean as f64 * LOAD_SHARE {
             return;
         }
         let count = match least {
-            0 if now < self.handover_probe_at + HANDOVER_PROBE_MS => return,
+            0 if now < self.handover_probe_at + HANDOFF_PROBE_MS => return,
             0 => {
                 self.handover_probe_at = now;
                 1
@@ -394,60 +404,60 @@
             _ => least
                 .max(2)
                 .min((own - mean) / 2)
-                .min(self.tuning.handover_max),
+                .min(self.tuning.handoff_max),
         };
-        tracing::debug!(own, mean, node, count, "workers to be handed over");
-        self.handover = Some((node, count));
+        tracing::debug!(own, mean, controller, count, "workers to be handed over");
+        self.handover = Some((controller, count));
     }
 
-    pub fn no_handover(&mut self) {
+    pub fn cancel_handoff(&mut self) {
         self.handover = None;
     }
 
-    /// The sibling that the next worker is handed over to, if any.
-    pub fn next_handover(&mut self) -> Option<String> {
-        let (node, left) = self.handover.as_mut().filter(|(_, left)| *left > 0)?;
+    /// The peer that the next worker is handed over to, if any.
+    pub fn next_handoff(&mut self) -> Option<String> {
+        let (controller, left) = self.handover.as_mut().filter(|(_, left)| *left > 0)?;
         *left -= 1;
-        Some(node.clone())
+        Some(controller.clone())
     }
 
-    /// Where workers are sent by a node that is about to end: to siblings in turn.
-    pub fn refuge(&self, now: Millis, turn: u64) -> Option<String> {
-        let takes = |s: &&Sibling| s.beat.state_ok && s.beat.workers_ok;
-        let those: Vec<&Sibling> = self.fresh(now).filter(takes).collect();
+    /// Where workers are sent by a controller that is about to end: to peers in turn.
+    pub fn shutdown_target(&self, now: Millis, turn: u64) -> Option<String> {
+        let takes = |s: &&Peer| s.heartbeat.has_current_state && s.heartbeat.workers_reachable;
+        let those: Vec<&Peer> = self.fresh(now).filter(takes).collect();
         let turn = turn.checked_rem(those.len() as u64)?;
-        Some(those[turn as usize].beat.node.clone())
+        Some(those[turn as usize].heartbeat.controller.clone())
     }
 
-    /// Judges all siblings anew; says of whom it now thinks otherwise, and which takeovers are over.
-    pub fn judge(&mut self, now: Millis) -> (Vec<Judged>, Vec<TakenOver>) {
+    /// Judges all peers anew; says of whom it now thinks otherwise, and which failovers are over.
+    pub fn judge(&mut self, now: Millis) -> (Vec<PeerStatusChange>, Vec<CompletedFailover>) {
         let mut changes = Vec::new();
-        let nodes: Vec<String> = self.siblings.keys().cloned().collect();
-        for node in nodes {
-            let is = self.sign_of(now, &node);
-            let Some(sibling) = self.siblings.get_mut(&node) else {
+        let controllers: Vec<String> = self.peers.keys().cloned().collect();
+        for controller in controllers {
+            let is = self.status_of(now, &controller);
+            let Some(peer) = self.peers.get_mut(&controller) else {
                 continue;
             };
-            let was = std::mem::replace(&mut sibling.sign, is);
+            let was = std::mem::replace(&mut peer.sign, is);
             if was == is {
                 continue;
             }
-            let machines = sibling.carries.len() + sibling.came;
+            let machines = peer.carries.len() + peer.came;
             if is.is_away() && !was.is_away() {
-                let expected = sibling.carries.clone();
-                let since = sibling.at;
+                let expected = peer.carries.clone();
+                let since = peer.at;
                 self.takeovers.insert(
-                    node.clone(),
-                    Takeover {
+                    controller.clone(),
+                    Failover {
                         since,
                         expected,
                         machines,
                     },
                 );
             }
-            changes.push(Judged {
-                silent_ms: now - sibling.at,
-                node,
+            changes.push(PeerStatusChange {
+                silent_ms: now - peer.at,
+                controller,
                 was,
                 is,
                 machines,
@@ -456,19 +466,19 @@
         (changes, self.ended_takeovers(now))
     }
 
-    fn ended_takeovers(&mut self, now: Millis) -> Vec<TakenOver> {
-        let over = |t: &Takeover| {
-            let rest = t.machines / TAKEN_PART;
-            t.expected.len() <= rest || now > t.since + TAKEOVER_MOVES * self.move_ms
+    fn ended_takeovers(&mut self, now: Millis) -> Vec<CompletedFailover> {
+        let over = |t: &Failover| {
+            let rest = t.machines / FAILOVER_MISSING_PART;
+            t.expected.len() <= rest || now > t.since + FAILOVER_MOVES_MAX * self.move_ms
         };
         let ended: Vec<String> = (self.takeovers.iter())
             .filter(|(_, t)| over(t))
-            .map(|(node, _)| node.clone())
+            .map(|(controller, _)| controller.clone())
             .collect();
-        let taken = ended.into_iter().filter_map(|node| {
-            let t = self.takeovers.remove(&node)?;
-            Some(TakenOver {
-                node,
+        let taken = ended.into_iter().filter_map(|controller| {
+            let t = self.takeovers.remove(&controller)?;
+            Some(CompletedFailover {
+                controller,
                 machines: t.machines,
                 missing: t.expected.len(),
                 ms: now - t.since,
@@ -477,8 +487,8 @@
         taken.collect()
     }
 
-    /// Beats dropped since the last time, now and then.
-    pub fn dropped(&mut self, now: Millis) -> Vec<(Dropped, u64)> {
+    /// Heartbeats dropped since the last time, now and then.
+    pub fn dropped(&mut self, now: Millis) -> Vec<(RejectedHeartbeat, u64)> {
         if self.dropped.is_empty() || now < self.dropped_logged + STATS_MS {
             return Vec::new();
         }
@@ -489,8 +499,8 @@
     /// Forgets machines that are gone.
     pub fn forget(&mut self, lives: impl Fn(&str) -> bool) {
         self.told.retain(|id, _| lives(id));
-        for sibling in self.siblings.values_mut() {
-            sibling.carries.retain(|id| lives(id));
+        for peer in self.peers.values_mut() {
+            peer.carries.retain(|id| lives(id));
         }
         for takeover in self.takeovers.values_mut() {
             takeover.expected.retain(|id| lives(id));
@@ -499,172 +509,206 @@
 
     // ---- What it knows ------------------------------------------------------------------
 
-    /// Siblings that were heard lately and are not known to have ended.
-    pub fn fresh(&self, now: Millis) -> impl Iterator<Item = &Sibling> {
-        let fresh = move |s: &&Sibling| {
-            let lost = s.link_ended || s.sign.is_away() || s.sign == Sign::Unlinked;
-            now.saturating_sub(s.at) <= PEER_FRESH_MS && !lost
+    /// Peers that were heard lately and are not known to have ended.
+    pub fn fresh(&self, now: Millis) -> impl Iterator<Item = &Peer> {
+        let fresh = move |s: &&Peer| {
+            let lost = s.link_ended || s.sign.is_away() || s.sign == PeerStatus::Unlinked;
+            now.saturating_sub(s.at) <= PEER_LOST_MS && !lost
         };
-        self.siblings.values().filter(fresh)
+        self.peers.values().filter(fresh)
     }
 
-    /// Siblings that are taken to serve, heard here or not, by name; as far as they were ever
+    /// Peers that are taken to serve, heard here or not, by name; as far as they were ever
     /// heard.
     pub fn serving(&self, now: Millis) -> usize {
-        let unlinked = self.siblings.values();
-        let unlinked = unlinked.filter(|s| s.sign == Sign::Unlinked).count();
+        let unlinked = self.peers.values();
+        let unlinked = unlinked.filter(|s| s.sign == PeerStatus::Unlinked).count();
         self.fresh(now).count() + unlinked
     }
 
-    /// Whether a sibling does the duties that fall to the first node that can: it is heard to reach
-    /// the state service, or was when only this node lost it.
-    pub fn does_duty(&self, now: Millis, node: &str) -> bool {
-        let sibling = self.siblings.get(node);
-        sibling.is_some_and(|s| s.beat.state_ok) && self.serves(now, node)
+    /// Whether a peer does the duties that fall to the first controller that can: it is heard to reach
+    /// the state service, or was when only this controller lost it.
+    pub fn is_on_duty(&self, now: Millis, controller: &str) -> bool {
+        let peer = self.peers.get(controller);
+        peer.is_some_and(|s| s.heartbeat.has_current_state) && self.serves(now, controller)
     }
 
-    /// Whether some sibling's work is being taken over.
-    pub fn takes_over(&self) -> bool {
+    /// Whether some peer's work is being taken over.
+    pub fn has_failover_in_progress(&self) -> bool {
         !self.takeovers.is_empty()
     }
 
-    /// Whether a sibling is heard, here or by another.
-    pub fn serves(&self, now: Millis, node: &str) -> bool {
-        let unlinked = self.siblings.get(node).map(|s| s.sign) == Some(Sign::Unlinked);
-        unlinked || self.fresh(now).any(|s| s.beat.node == node)
+    /// Whether a peer is heard, here or by another.
+    pub fn serves(&self, now: Millis, controller: &str) -> bool {
+        let unlinked = self.peers.get(controller).map(|s| s.sign) == Some(PeerStatus::Unlinked);
+        unlinked
+            || self
+                .fresh(now)
+                .any(|s| s.heartbeat.controller == controller)
     }
 
-    /// Whether a sibling is heard in time and reaches state service and workers.
-    pub fn is_well(&self, now: Millis, node: &str) -> bool {
-        let mut fresh = self.fresh(now).filter(|s| s.beat.node == node);
-        fresh.any(|s| s.sign == Sign::Well && s.beat.state_ok && s.beat.workers_ok)
+    /// Whether a peer is heard in time and reaches state service and workers.
+    pub fn is_well(&self, now: Millis, controller: &str) -> bool {
+        let mut fresh = self
+            .fresh(now)
+            .filter(|s| s.heartbeat.controller == controller);
+        fresh.any(|s| {
+            s.sign == PeerStatus::Well
+                && s.heartbeat.has_current_state
+                && s.heartbeat.workers_reachable
+        })
     }
 
-    pub fn sibling(&self, node: &str) -> Option<&Sibling> {
-        self.siblings.get(node)
+    pub fn peer(&self, controller: &str) -> Option<&Peer> {
+        self.peers.get(controller)
     }
 
-    /// Whether a sibling is taken to have ended or stopped, so that its work is carried on at once.
-    pub fn is_away(&self, node: &str) -> bool {
-        self.siblings.get(node).is_some_and(|s| s.sign.is_away())
+    /// Whether a peer is taken to have ended or stopped, so that its work is carried on at once.
+    pub fn is_away(&self, controller: &str) -> bool {
+        self.peers.get(controller).is_some_and(|s| s.sign.is_away())
     }
 
-    pub fn told(&self, id: &str) -> Option<&Told> {
+    pub fn told(&self, id: &str) -> Option<&PeerObservation> {
         self.told.get(id)
     }
 
     // ---- How it judges ------------------------------------------------------------------
 
-    fn refusal(&self, now: Millis, wall: WallMs, beat: &Heartbeat) -> Option<Dropped> {
+    fn refusal(
+        &self,
+        now: Millis,
+        wall: WallMs,
+        heartbeat: &PeerHeartbeat,
+    ) -> Option<RejectedHeartbeat> {
         let off = 2 * self.clock_off_ms;
-        if beat.node == self.me || !self.members.contains(&beat.node) {
-            return Some(Dropped::Stranger);
+        if heartbeat.controller == self.me || !self.members.contains(&heartbeat.controller) {
+            return Some(RejectedHeartbeat::Stranger);
         }
-        let hears = beat.said.as_ref().map_or(0, |s| s.hears.len());
-        if beat.heard.len() > BEAT_MACHINES || hears > self.members.len() {
-            return Some(Dropped::TooLarge);
+        let heard_peers = heartbeat.status.as_ref().map_or(0, |s| s.heard_peers.len());
+        if heartbeat.heard.len() > HEARTBEAT_MAX_MACHINES || heard_peers > self.members.len() {
+            return Some(RejectedHeartbeat::TooLarge);
         }
-        if wall > beat.at.saturating_add(BEAT_OLD_MS + off) {
-            return Some(Dropped::Old);
+        if wall > heartbeat.at.saturating_add(HEARTBEAT_MAX_AGE_MS + off) {
+            return Some(RejectedHeartbeat::Old);
         }
-        if beat.at > wall + off + BEAT_OLD_MS {
-            return Some(Dropped::Ahead);
+        if heartbeat.at > wall + off + HEARTBEAT_MAX_AGE_MS {
+            return Some(RejectedHeartbeat::Ahead);
         }
-        let sibling = self.siblings.get(&beat.node)?;
+        let peer = self.peers.get(&heartbeat.controller)?;
         // One that ends soon after its start, and whose time of day is set back meanwhile, begins a life
         // that seems to be earlier: it counts once the other is silent, or its link has ended.
-        let lives = now.saturating_sub(sibling.at) <= BEATS_MISSED_MS && !sibling.link_ended;
-        let known = &sibling.beat;
-        match (&known.said, &beat.said) {
-            (Some(a), Some(b)) if b.life < a.life => lives.then_some(Dropped::EarlierLife),
+        let lives = now.saturating_sub(peer.at) <= HEARTBEATS_MISSED_MS && !peer.link_ended;
+        let known = &peer.heartbeat;
+        match (&known.status, &heartbeat.status) {
+            (Some(a), Some(b)) if b.life < a.life => {
+                lives.then_some(RejectedHeartbeat::EarlierLife)
+            }
             // Of one life the time of day may be set back by as much as it may be off.
-            (Some(a), Some(b)) if b.life == a.life && b.count <= a.count => Some(Dropped::Repeated),
-            (None, None) if *known == *beat => Some(Dropped::Repeated),
+            (Some(a), Some(b)) if b.life == a.life && b.count <= a.count => {
+                Some(RejectedHeartbeat::Repeated)
+            }
+            (None, None) if *known == *heartbeat => Some(RejectedHeartbeat::Repeated),
             _ => None,
         }
     }
 
-    fn sign_of(&self, now: Millis, node: &str) -> Sign {
-        let Some(s) = self.siblings.get(node) else {
-            return Sign::Silent;
+    fn status_of(&self, now: Millis, controller: &str) -> PeerStatus {
+        let Some(s) = self.peers.get(controller) else {
+            return PeerStatus::Silent;
         };
         let gap = now.saturating_sub(s.at);
-        let patience = s.rhythm.patience(self.tuning.beats_missed_ms);
+        let patience = s.rhythm.patience(self.tuning.heartbeats_missed_ms);
         if s.link_ended || gap > patience {
-            let heard_elsewhere = self.siblings.values().any(|o| {
-                let fresh = now.saturating_sub(o.at) <= BEATS_MISSED_MS && !o.link_ended;
-                let hears = |said: &Said| said.hears.iter().any(|n| n == node);
+            let heard_elsewhere = self.peers.values().any(|o| {
+                let fresh = now.saturating_sub(o.at) <= HEARTBEATS_MISSED_MS && !o.link_ended;
+                let heard_peers =
+                    |said: &ControllerStatus| said.heard_peers.iter().any(|n| n == controller);
                 // What it said before that silence began says nothing of it.
-                let since = o.at > s.at + BEATS_MISSED_MS + WORD_SPARE_MS;
-                o.beat.node != node && fresh && since && o.beat.said.as_ref().is_some_and(hears)
+                let since = o.at > s.at + HEARTBEATS_MISSED_MS + PEER_OPINION_MARGIN_MS;
+                o.heartbeat.controller != controller
+                    && fresh
+                    && since
+                    && o.heartbeat.status.as_ref().is_some_and(heard_peers)
             });
-            let left = s.came > s.carries.len() / CAME_PART;
-            let stay = gap > self.move_ms && s.carries.len() >= CAME_LEAST && !left;
+            let left = s.came > s.carries.len() / FAILOVER_WORKERS_PART;
+            let stay = gap > self.move_ms && s.carries.len() >= FAILOVER_WORKERS_MIN && !left;
             return if heard_elsewhere {
-                Sign::Unlinked
+                PeerStatus::Unlinked
             } else if stay {
-                Sign::Apart
+                PeerStatus::Apart
             } else if s.link_ended {
-                Sign::Ended
-            } else if left && s.came >= CAME_LEAST {
-                Sign::Lost
+                PeerStatus::Exited
+            } else if left && s.came >= FAILOVER_WORKERS_MIN {
+                PeerStatus::Lost
             } else {
-                Sign::Silent
+                PeerStatus::Silent
             };
         }
-        if !s.beat.state_ok {
-            Sign::NoState
-        } else if !s.beat.workers_ok {
-            Sign::NoWorkers
-        } else if s.rhythm.is_slow() || s.beat.said.as_ref().is_some_and(|s| s.late_ms > LATE_MS) {
-            Sign::Slow
+        if !s.heartbeat.has_current_state {
+            PeerStatus::NoState
+        } else if !s.heartbeat.workers_reachable {
+            PeerStatus::NoWorkers
+        } else if s.rhythm.is_slow()
+            || s.heartbeat
+                .status
+                .as_ref()
+                .is_some_and(|s| s.tick_delay_ms > TICK_DELAY_SLOW_MS)
+        {
+            PeerStatus::Slow
         } else {
-            Sign::Well
+            PeerStatus::Well
         }
     }
 
-    /// Keeps what siblings say they heard. It must outlive their next beat: a node that has
+    /// Keeps what peers say they heard. It must outlive their next heartbeat: a controller that has
     /// just restarted has heard of nothing, and machines that had reported to it would seem
-    /// silent for as long as this node has not heard of them.
-    fn told_of(&mut self, now: Millis, beat: &Heartbeat, own: &HashMap<String, Heard>) {
-        for (id, session, tally, age) in &beat.heard {
+    /// silent for as long as this controller has not heard of them.
+    fn told_of(
+        &mut self,
+        now: Millis,
+        heartbeat: &PeerHeartbeat,
+        own: &HashMap<String, ReceivedHeartbeat>,
+    ) {
+        for (id, incarnation, sequence, age) in &heartbeat.heard {
             let at = now.saturating_sub(*age);
-            let mark = (*session, *tally);
+            let mark = (*incarnation, *sequence);
             let Some(told) = self.told.get_mut(id) else {
-                let by = beat.node.clone();
+                let by = heartbeat.controller.clone();
                 self.carry(&by, id);
-                let (session, tally) = mark;
-                let told = Told {
+                let (incarnation, sequence) = mark;
+                let told = PeerObservation {
                     at,
-                    session,
-                    tally,
+                    incarnation,
+                    sequence,
                     by,
                 };
                 self.told.insert(id.clone(), told);
                 continue;
             };
-            let newer = mark > (told.session, told.tally);
+            let newer = mark > (told.incarnation, told.sequence);
             told.at = told.at.max(at);
             if !newer {
                 continue;
             }
-            (told.session, told.tally) = mark;
-            let came = own.get(id).is_some_and(|h| (h.session, h.tally) >= mark);
-            let moved = told.by != beat.node;
-            let from = moved.then(|| std::mem::replace(&mut told.by, beat.node.clone()));
-            if let Some(from) = from.and_then(|from| self.siblings.get_mut(&from)) {
+            (told.incarnation, told.sequence) = mark;
+            let came = own
+                .get(id)
+                .is_some_and(|h| (h.incarnation, h.sequence) >= mark);
+            let moved = told.by != heartbeat.controller;
+            let from = moved.then(|| std::mem::replace(&mut told.by, heartbeat.controller.clone()));
+            if let Some(from) = from.and_then(|from| self.peers.get_mut(&from)) {
                 from.came += usize::from(from.carries.remove(id));
             }
             if !came {
-                self.carry(&beat.node, id);
+                self.carry(&heartbeat.controller, id);
             }
         }
     }
 
-    fn carry(&mut self, node: &str, id: &str) {
-        if let Some(sibling) = self.siblings.get_mut(node) {
-            if !sibling.carries.contains(id) {
-                sibling.carries.insert(id.to_string());
+    fn carry(&mut self, controller: &str, id: &str) {
+        if let Some(peer) = self.peers.get_mut(controller) {
+            if !peer.carries.contains(id) {
+                peer.carries.insert(id.to_string());
             }
         }
         for takeover in self.takeovers.values_mut() {
@@ -672,8 +716,8 @@
         }
     }
 
-    fn carried_by(&self, node: &str) -> BTreeSet<String> {
-        let those = self.told.iter().filter(|(_, t)| t.by == node);
+    fn carried_by(&self, controller: &str) -> BTreeSet<String> {
+        let those = self.told.iter().filter(|(_, t)| t.by == controller);
         those.map(|(id, _)| id.clone()).collect()
     }
 }
@@ -684,98 +728,98 @@
 
     const WALL: WallMs = 1_700_000_000_000;
 
-    fn standby() -> Standby {
+    fn standby() -> PeerTracker {
         let members = ["a", "b", "c"].map(String::from).to_vec();
-        Standby::of("a".into(), members, 1_000, 11_250, Tuning::default(), WALL)
+        PeerTracker::of("a".into(), members, 1_000, 11_250, Tuning::default(), WALL)
     }
 
-    fn beat(node: &str, at: Millis, count: u64, hears: &[&str]) -> Heartbeat {
-        let heard = (0..20).map(|i| (format!("{node}-{i}"), 1, 1 + at / 5_000, 100));
-        Heartbeat {
-            node: node.into(),
+    fn heartbeat(controller: &str, at: Millis, count: u64, heard_peers: &[&str]) -> PeerHeartbeat {
+        let heard = (0..20).map(|i| (format!("{controller}-{i}"), 1, 1 + at / 5_000, 100));
+        PeerHeartbeat {
+            controller: controller.into(),
             at: WALL + at,
-            state_ok: true,
-            workers_ok: true,
+            has_current_state: true,
+            workers_reachable: true,
             heard: heard.collect(),
-            said: Some(Said {
+            status: Some(ControllerStatus {
                 life: WALL,
                 count,
-                hears: hears.iter().map(|n| n.to_string()).collect(),
-                ..Said::default()
+                heard_peers: heard_peers.iter().map(|n| n.to_string()).collect(),
+                ..ControllerStatus::default()
             }),
-            ..Heartbeat::default()
+            ..PeerHeartbeat::default()
         }
     }
 
-    /// Both siblings beat regularly for so long.
-    fn followed(s: &mut Standby, until: Millis) {
+    /// Both peers heartbeat regularly for so long.
+    fn followed(s: &mut PeerTracker, until: Millis) {
         for i in 0..until / 500 {
             let at = i * 500;
-            for (node, other) in [("b", "c"), ("c", "b")] {
-                let heeded = s.heed(
+            for (controller, other) in [("b", "c"), ("c", "b")] {
+                let heeded = s.receive_heartbeat(
                     at,
                     WALL + at,
-                    beat(node, at, i, &[other, "a"]),
+                    heartbeat(controller, at, i, &[other, "a"]),
                     &HashMap::new(),
                 );
-                assert!(heeded == Heeded::Taken, "{heeded:?}");
+                assert!(heeded == HeartbeatOutcome::Accepted, "{heeded:?}");
             }
             s.judge(at);
         }
     }
 
-    fn sign(s: &mut Standby, now: Millis, node: &str) -> Sign {
+    fn sign(s: &mut PeerTracker, now: Millis, controller: &str) -> PeerStatus {
         s.judge(now);
-        s.sibling(node).unwrap().sign
+        s.peer(controller).unwrap().sign
     }
 
     #[test]
     fn an_end_shows_at_once_and_silence_only_when_beats_are_missed() {
         let mut s = standby();
         followed(&mut s, 10_000);
-        assert_eq!(sign(&mut s, 10_300, "b"), Sign::Well);
+        assert_eq!(sign(&mut s, 10_300, "b"), PeerStatus::Well);
         s.link_ended("b");
-        assert_eq!(sign(&mut s, 10_301, "b"), Sign::Ended);
-        assert!(!s.fresh(10_301).any(|x| x.beat.node == "b"));
+        assert_eq!(sign(&mut s, 10_301, "b"), PeerStatus::Exited);
+        assert!(!s.fresh(10_301).any(|x| x.heartbeat.controller == "b"));
         // Its next life is heard: all is forgiven.
-        let mut again = beat("b", 10_400, 0, &[]);
-        again.said.as_mut().unwrap().life += 10_400;
-        s.heed(10_400, WALL + 10_400, again, &HashMap::new());
-        assert_eq!(sign(&mut s, 10_400, "b"), Sign::Well);
+        let mut again = heartbeat("b", 10_400, 0, &[]);
+        again.status.as_mut().unwrap().life += 10_400;
+        s.receive_heartbeat(10_400, WALL + 10_400, again, &HashMap::new());
+        assert_eq!(sign(&mut s, 10_400, "b"), PeerStatus::Well);
         // c has been silent since 9,500.
-        assert_eq!(sign(&mut s, 10_500, "c"), Sign::Well);
-        assert_eq!(sign(&mut s, 10_900, "c"), Sign::Silent);
+        assert_eq!(sign(&mut s, 10_500, "c"), PeerStatus::Well);
+        assert_eq!(sign(&mut s, 10_900, "c"), PeerStatus::Silent);
     }
 
     #[test]
     fn what_its_workers_do_tells_a_frozen_node_from_a_broken_link() {
         let mut s = standby();
         followed(&mut s, 10_000);
-        let go_on = |s: &mut Standby, at, hears: &[&str]| {
-            s.heed(
+        let go_on = |s: &mut PeerTracker, at, heard_peers: &[&str]| {
+            s.receive_heartbeat(
                 at,
                 WALL + at,
-                beat("c", at, at / 500, hears),
+                heartbeat("c", at, at / 500, heard_peers),
                 &HashMap::new(),
             );
         };
         go_on(&mut s, 11_500, &["a"]);
-        assert_eq!(sign(&mut s, 11_500, "b"), Sign::Silent);
+        assert_eq!(sign(&mut s, 11_500, "b"), PeerStatus::Silent);
         // Its workers turn up here.
         for i in 0..6 {
-            s.came(&format!("b-{i}"));
+            s.note_failover_of(&format!("b-{i}"));
         }
-        assert_eq!(sign(&mut s, 11_600, "b"), Sign::Lost);
+        assert_eq!(sign(&mut s, 11_600, "b"), PeerStatus::Lost);
         // The other way round: they stay away for longer than they would need.
         let mut s = standby();
         followed(&mut s, 10_000);
         go_on(&mut s, 21_000, &["a"]);
-        assert_eq!(sign(&mut s, 21_000, "b"), Sign::Apart);
-        // Or a sibling says that it hears it.
+        assert_eq!(sign(&mut s, 21_000, "b"), PeerStatus::Apart);
+        // Or a peer says that it hears it.
         let mut s = standby();
         followed(&mut s, 10_000);
         go_on(&mut s, 12_000, &["a", "b"]);
-        assert_eq!(sign(&mut s, 12_000, "b"), Sign::Unlinked);
+        assert_eq!(sign(&mut s, 12_000, "b"), PeerStatus::Unlinked);
         assert_eq!(s.serving(12_000), 2);
     }
 
@@ -787,17 +831,17 @@
         let (judged, over) = s.judge(10_100);
         assert_eq!((judged.len(), judged[0].machines, over.len()), (1, 20, 0));
         for i in 0..12 {
-            s.came(&format!("b-{i}"));
+            s.note_failover_of(&format!("b-{i}"));
         }
         // The others have turned to c.
-        let mut both = beat("c", 13_000, 30, &["a"]);
+        let mut both = heartbeat("c", 13_000, 30, &["a"]);
         both.heard
             .extend((12..20).map(|i| (format!("b-{i}"), 1, 9, 50)));
-        s.heed(13_000, WALL + 13_000, both, &HashMap::new());
+        s.receive_heartbeat(13_000, WALL + 13_000, both, &HashMap::new());
         let (_, over) = s.judge(13_000);
         let over = &over[0];
         assert_eq!((over.machines, over.missing, over.ms), (20, 0, 3_500));
-        assert_eq!(s.sibling("c").unwrap().carries.len(), 28);
+        assert_eq!(s.peer("c").unwrap().carries.len(), 28);
     }
 
     #[test]
@@ -806,23 +850,26 @@
         followed(&mut s, 10_000);
         let now = 10_100;
         let mut cases = vec![
-            (beat("x", now, 99, &[]), Dropped::Stranger),
-            (beat("a", now, 99, &[]), Dropped::Stranger),
-            (beat("b", now, 19, &[]), Dropped::Repeated),
-            (beat("b", now, 3, &[]), Dropped::Repeated),
-            (beat("b", now + 60_000, 99, &[]), Dropped::Ahead),
-            (beat("b", 0, 99, &[]), Dropped::Old),
-            (beat("b", now, 99, &[]), Dropped::EarlierLife),
-            (beat("b", now, 99, &[]), Dropped::TooLarge),
+            (heartbeat("x", now, 99, &[]), RejectedHeartbeat::Stranger),
+            (heartbeat("a", now, 99, &[]), RejectedHeartbeat::Stranger),
+            (heartbeat("b", now, 19, &[]), RejectedHeartbeat::Repeated),
+            (heartbeat("b", now, 3, &[]), RejectedHeartbeat::Repeated),
+            (
+                heartbeat("b", now + 60_000, 99, &[]),
+                RejectedHeartbeat::Ahead,
+            ),
+            (heartbeat("b", 0, 99, &[]), RejectedHeartbeat::Old),
+            (heartbeat("b", now, 99, &[]), RejectedHeartbeat::EarlierLife),
+            (heartbeat("b", now, 99, &[]), RejectedHeartbeat::TooLarge),
         ];
-        cases[6].0.said.as_mut().unwrap().life -= 1;
-        cases[7].0.heard = (0..=BEAT_MACHINES)
+        cases[6].0.status.as_mut().unwrap().life -= 1;
+        cases[7].0.heard = (0..=HEARTBEAT_MAX_MACHINES)
             .map(|i| (format!("z-{i}"), 1, 1, 1))
             .collect();
         for (mut bad, why) in cases {
             bad.heard.push(("forged".into(), 9, 9, 0));
-            let heeded = s.heed(now, WALL + now, bad, &HashMap::new());
-            assert_eq!(heeded, Heeded::Dropped(why));
+            let heeded = s.receive_heartbeat(now, WALL + now, bad, &HashMap::new());
+            assert_eq!(heeded, HeartbeatOutcome::Rejected(why));
             assert!(s.told("forged").is_none());
         }
         assert_eq!(s.dropped(STATS_MS).iter().map(|(_, n)| n).sum::<u64>(), 8);
@@ -834,35 +881,35 @@
     fn a_life_that_seems_earlier_counts_once_the_other_has_ended() {
         let mut s = standby();
         followed(&mut s, 10_000);
-        let mut next = beat("b", 10_200, 0, &[]);
-        next.said.as_mut().unwrap().life -= 300;
-        let heed = |s: &mut Standby, at, beat: &Heartbeat| {
-            s.heed(at, WALL + at, beat.clone(), &HashMap::new())
+        let mut next = heartbeat("b", 10_200, 0, &[]);
+        next.status.as_mut().unwrap().life -= 300;
+        let heed = |s: &mut PeerTracker, at, heartbeat: &PeerHeartbeat| {
+            s.receive_heartbeat(at, WALL + at, heartbeat.clone(), &HashMap::new())
         };
-        let dropped = Heeded::Dropped(Dropped::EarlierLife);
+        let dropped = HeartbeatOutcome::Rejected(RejectedHeartbeat::EarlierLife);
         assert_eq!(heed(&mut s, 10_200, &next), dropped);
         s.link_ended("b");
-        assert_eq!(heed(&mut s, 10_300, &next), Heeded::Taken);
-        assert_eq!(sign(&mut s, 10_300, "b"), Sign::Well);
-        let late = beat("b", 10_400, 90, &[]);
+        assert_eq!(heed(&mut s, 10_300, &next), HeartbeatOutcome::Accepted);
+        assert_eq!(sign(&mut s, 10_300, "b"), PeerStatus::Well);
+        let late = heartbeat("b", 10_400, 90, &[]);
         assert_eq!(
             heed(&mut s, 10_400, &late),
-            Heeded::Taken,
+            HeartbeatOutcome::Accepted,
             "a later one is its next"
         );
     }
 
     #[test]
     fn irregular_beats_are_given_more_time() {
-        let mut regular = Rhythm::new();
-        let mut wild = Rhythm::new();
+        let mut regular = HeartbeatIntervals::new();
+        let mut wild = HeartbeatIntervals::new();
         for i in 0..40 {
             regular.note(500 + i % 3 * 20);
             wild.note([300, 1_100][i as usize % 2]);
         }
-        assert_eq!(regular.patience(BEATS_MISSED_MS), BEATS_MISSED_MS);
-        let patience = wild.patience(BEATS_MISSED_MS);
-        assert!(patience > 2_000 && patience <= PEER_FRESH_MS);
+        assert_eq!(regular.patience(HEARTBEATS_MISSED_MS), HEARTBEATS_MISSED_MS);
+        let patience = wild.patience(HEARTBEATS_MISSED_MS);
+        assert!(patience > 2_000 && patience <= PEER_LOST_MS);
         assert!(!regular.is_slow());
         for _ in 0..40 {
             wild.note(1_400);
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -1,4 +1,4 @@
-//! Dealings with the cloud: its types and lists, rentals and deletions under way.
+//! Dealings with the cloud: its types and lists, instance requests and deletions under way.
 
 use crate::constants::*;
 use crate::controller::*;
@@ -7,46 +7,49 @@
 use crate::state::*;
 use std::collections::BTreeSet;
 
-impl Node {
-    pub(crate) fn cloud_answer(&mut self, token: Token, answer: CloudAnswer) {
+impl Controller {
+    pub(crate) fn handle_cloud_response(&mut self, token: OperationId, answer: CloudResponse) {
         let Some((purpose, _)) = self.pending.remove(&token) else {
             return;
         };
         match (purpose, answer) {
-            (Purpose::Types, answer) => {
-                self.types_busy = false;
-                if let CloudAnswer::Types(types) = answer {
-                    self.types_at = Some(self.now);
-                    self.use_types(&types);
-                    self.keep_types(types);
+            (PendingOperation::MachineTypes, answer) => {
+                self.machine_types_in_flight = false;
+                if let CloudResponse::Types(machine_types) = answer {
+                    self.machine_types_read_at = Some(self.now);
+                    self.use_machine_types(&machine_types);
+                    self.store_machine_types(machine_types);
                 }
             }
-            (Purpose::Hosts, answer) => {
-                self.list_busy = false;
-                if let CloudAnswer::Hosts { hosts, more } = answer {
-                    let last = hosts.last().map(|h| h.name.clone());
-                    self.listed(hosts);
+            (PendingOperation::Instances, answer) => {
+                self.instance_list_in_flight = false;
+                if let CloudResponse::Instances { instances, more } = answer {
+                    let last = instances.last().map(|h| h.name.clone());
+                    self.take_instance_list(instances);
                     if more {
-                        self.list_busy = true;
-                        self.cloud(CloudOp::List { after: last }, Purpose::Hosts);
+                        self.instance_list_in_flight = true;
+                        self.cloud(
+                            CloudOperation::List { after: last },
+                            PendingOperation::Instances,
+                        );
                     }
                 }
             }
-            (Purpose::Hire(n), answer) => {
-                self.hire_tried.insert(n, self.now);
-                self.hires_asked.remove(&n);
+            (PendingOperation::Provision(n), answer) => {
+                self.request_tried_at.insert(n, self.now);
+                self.requests_in_flight.remove(&n);
                 match answer {
-                    CloudAnswer::Hired(hosts) => self.hired(n, hosts),
-                    CloudAnswer::NoCapacity => self.hired(n, Vec::new()),
+                    CloudResponse::Provisioned(instances) => self.record_provisioned(n, instances),
+                    CloudResponse::NoCapacity => self.record_provisioned(n, Vec::new()),
                     _ => {}
                 }
             }
-            (Purpose::Delete(machines), answer) => {
-                self.delete_busy = false;
-                if answer == CloudAnswer::Deleted {
+            (PendingOperation::Deprovision(machines), answer) => {
+                self.deletion_in_flight = false;
+                if answer == CloudResponse::Deleted {
                     for id in machines {
                         tracing::info!(machine = id, "deleted");
-                        self.deleted.insert(id);
+                        self.deletion_confirmed.insert(id);
                     }
                 }
             }
@@ -54,134 +57,168 @@
         }
     }
 
-    pub(crate) fn use_types(&mut self, types: &[MachineType]) {
+    pub(crate) fn use_machine_types(&mut self, machine_types: &[MachineType]) {
         let named = |t: &MachineType| (t.name.clone(), t.clone());
-        self.types = types.iter().map(named).collect();
+        self.machine_types = machine_types.iter().map(named).collect();
         let room = |t: &MachineType| (t.name.clone(), t.cache_gb);
-        self.cache.cache_gb = types.iter().map(room).collect();
-        self.lookup_wanted = true;
+        self.cache.cache_gb = machine_types.iter().map(room).collect();
+        self.pass_requested = true;
     }
 
-    /// Records the types for nodes that start while the cloud is down. Prices that move are
+    /// Records the types for controllers that start while the cloud is down. Prices that move are
     /// no reason to.
-    fn keep_types(&mut self, types: Vec<MachineType>) {
-        let unpriced = |types: &[MachineType]| {
-            let mut types = types.to_vec();
-            for t in &mut types {
+    fn store_machine_types(&mut self, machine_types: Vec<MachineType>) {
+        let unpriced = |machine_types: &[MachineType]| {
+            let mut machine_types = machine_types.to_vec();
+            for t in &mut machine_types {
                 (t.price, t.spot_price) = (0.0, 0.0);
             }
-            types.sort_by(|a, b| a.name.cmp(&b.name));
-            types
+            machine_types.sort_by(|a, b| a.name.cmp(&b.name));
+            machine_types
         };
-        let known = self.cache.types().map(|r| unpriced(&r.types));
-        if !self.state_ok() || known.is_some_and(|known| known == unpriced(&types)) {
+        let known = self
+            .cache
+            .machine_types()
+            .map(|r| unpriced(&r.machine_types));
+        if !self.has_current_state() || known.is_some_and(|known| known == unpriced(&machine_types))
+        {
             return;
         }
-        let record = Record::Types(TypesRecord { types });
-        if formats::stored_bytes(&record, formats::LATEST) as u64 > self.settings.value_bytes {
-            return; // more types than a value holds: each node reads them from the cloud
+        let record = Record::MachineTypes(MachineTypesRecord { machine_types });
+        if formats::stored_bytes(&record, formats::LATEST) as u64 > self.settings.max_value_bytes {
+            return; // more types than a value holds: each controller reads them from the cloud
         }
         let mut draft = TransactionBuilder::new(&self.cache);
-        draft.put(Key::Types, record);
-        let txn = draft.finish();
-        self.commit(txn, Purpose::Types, Priority::Housekeeping);
+        draft.put(Key::MachineTypes, record);
+        let transaction = draft.finish();
+        self.commit(
+            transaction,
+            PendingOperation::MachineTypes,
+            RequestClass::Housekeeping,
+        );
     }
 
-    pub(crate) fn send_hire(&mut self, n: u64) {
-        let Some(h) = self.cache.hire(&n).cloned() else {
+    pub(crate) fn send_instance_request(&mut self, n: u64) {
+        let Some(h) = self.cache.instance_request(&n).cloned() else {
             return;
         };
-        self.hire_tried.insert(n, self.now);
-        self.hires_asked.insert(n);
+        self.request_tried_at.insert(n, self.now);
+        self.requests_in_flight.insert(n);
         self.cloud(
-            CloudOp::Hire {
+            CloudOperation::Provision {
                 name: format!("g-{n}"),
                 type_name: h.type_name,
                 zone: h.zone,
                 spot: h.spot,
                 count: h.count,
             },
-            Purpose::Hire(n),
+            PendingOperation::Provision(n),
         );
     }
 
-    /// Records what a rental brought; an empty or partial answer bars the offer for a while.
-    fn hired(&mut self, n: u64, hosts: Vec<String>) {
-        let Some(hire) = self.cache.hire(&n).filter(|h| h.hosts.is_none()).cloned() else {
+    /// Records what a instance request brought; an empty or partial answer bars the offer for a while.
+    fn record_provisioned(&mut self, n: u64, instances: Vec<String>) {
+        let Some(instance_request) = self
+            .cache
+            .instance_request(&n)
+            .filter(|h| h.instances.is_none())
+            .cloned()
+        else {
             return;
         };
         tracing::info!(
-            type_name = hire.type_name,
-            zone = hire.zone,
-            spot = hire.spot,
-            wanted = hire.count,
-            got = hosts.len(),
+            type_name = instance_request.type_name,
+            zone = instance_request.zone,
+            spot = instance_request.spot,
+            wanted = instance_request.count,
+            got = instances.len(),
             "rented"
         );
         let wall = self.wall;
         let mut draft = TransactionBuilder::new(&self.cache);
-        if (hosts.len() as u32) < hire.count {
+        if (instances.len() as u32) < instance_request.count {
             let mut fleet = draft.fleet();
             fleet.refused.retain(|_, until| *until > wall);
-            fleet.refused.insert(hire.offer(), wall + REFUSED_MS);
+            fleet
+                .refused
+                .insert(instance_request.offer(), wall + OFFER_UNAVAILABLE_MS);
             // A hint: what there is no room for is asked once more than needed.
-            let most = self.settings.value_bytes as usize;
-            while formats::stored_bytes(&Record::Fleet(fleet.clone()), formats::LATEST) > most
+            let most = self.settings.max_value_bytes as usize;
+            while formats::stored_bytes(&Record::Provisioning(fleet.clone()), formats::LATEST)
+                > most
                 && fleet.refused.pop_first().is_some()
             {}
-            draft.put(Key::Fleet, Record::Fleet(fleet));
+            draft.put(Key::Provisioning, Record::Provisioning(fleet));
         }
-        if hosts.is_empty() {
-            draft.remove(Key::Hire(n));
+        if instances.is_empty() {
+            draft.remove(Key::InstanceRequest(n));
         } else {
-            let mut hire = HireRecord {
-                hosts: Some(hosts),
-                ..hire
+            let mut instance_request = InstanceRequestRecord {
+                instances: Some(instances),
+                ..instance_request
             };
             // Machines whose names find no room are taken up when they report or are listed.
-            let most = self.settings.value_bytes as usize;
-            while formats::stored_bytes(&Record::Hire(hire.clone()), formats::LATEST) > most
-                && hire.hosts.as_mut().and_then(Vec::pop).is_some()
+            let most = self.settings.max_value_bytes as usize;
+            while formats::stored_bytes(
+                &Record::InstanceRequest(instance_request.clone()),
+                formats::LATEST,
+            ) > most
+                && instance_request
+                    .instances
+                    .as_mut()
+                    .and_then(Vec::pop)
+                    .is_some()
             {}
-            draft.put(Key::Hire(n), Record::Hire(hire));
+            draft.put(
+                Key::InstanceRequest(n),
+                Record::InstanceRequest(instance_request),
+            );
         }
-        let txn = draft.finish();
-        self.commit(txn, Purpose::HireDone(n), Priority::Claim);
+        let transaction = draft.finish();
+        self.commit(
+            transaction,
+            PendingOperation::RecordProvisioned(n),
+            RequestClass::Claim,
+        );
     }
 
-    /// Whether a machine that a rental brought is still to come.
+    /// Whether a machine that a instance request brought is still to come.
     pub(crate) fn on_its_way(&self, id: &str) -> bool {
-        self.cache.machine(id).is_none() && !self.gone.contains(id)
+        self.cache.machine(id).is_none() && !self.recently_deleted.contains(id)
     }
 
-    /// Removes records of rentals all of whose machines have come, or gone again.
-    pub(crate) fn tidy_hires(&mut self) {
+    /// Removes records of instance requests all of whose machines have come, or gone again.
+    pub(crate) fn remove_completed_requests(&mut self) {
         let due: Vec<u64> = self
             .cache
-            .hires()
+            .instance_requests()
             .filter(|(n, h, _)| {
-                h.hosts
+                h.instances
                     .as_ref()
-                    .is_some_and(|hosts| !hosts.iter().any(|id| self.on_its_way(id)))
-                    && !self.tidying.contains(n)
-                    && (h.node == self.settings.node || self.on_duty())
+                    .is_some_and(|instances| !instances.iter().any(|id| self.on_its_way(id)))
+                    && !self.removing_requests.contains(n)
+                    && (h.controller == self.settings.controller || self.on_duty())
             })
             .map(|(n, _, _)| *n)
             .collect();
         for n in due {
             let mut draft = TransactionBuilder::new(&self.cache);
-            draft.remove(Key::Hire(n));
-            let txn = draft.finish();
-            self.tidying.insert(n);
-            self.commit(txn, Purpose::Tidy(n), Priority::Housekeeping);
+            draft.remove(Key::InstanceRequest(n));
+            let transaction = draft.finish();
+            self.removing_requests.insert(n);
+            self.commit(
+                transaction,
+                PendingOperation::RemoveInstanceRequest(n),
+                RequestClass::Housekeeping,
+            );
         }
     }
 
     /// Deletes machines whose deletion is committed, as long as their records stand.
-    pub(crate) fn send_delete(&mut self) {
+    pub(crate) fn send_deletions(&mut self) {
         // One request at a time, for all that are due: the cloud takes few, and what waits in
-        // line for them must not hold up rentals.
-        if self.delete_busy {
+        // line for them must not hold up instance requests.
+        if self.deletion_in_flight {
             return;
         }
         let now = self.now;
@@ -189,10 +226,10 @@
             .cache
             .machines()
             .filter(|(id, m, _)| {
-                m.phase == MachinePhase::Returning
-                    && !self.deleted.contains(*id)
+                m.phase == MachinePhase::Deprovisioning
+                    && !self.deletion_confirmed.contains(*id)
                     && self
-                        .delete_tried
+                        .deletion_tried_at
                         .get(*id)
                         .is_none_or(|at| now >= at + DELETE_RETRY_MS)
             })
@@ -203,91 +240,99 @@
             return;
         }
         for id in &due {
-            self.delete_tried.insert(id.clone(), now);
+            self.deletion_tried_at.insert(id.clone(), now);
         }
-        self.delete_busy = true;
-        let purpose = Purpose::Delete(due.clone());
-        self.cloud(CloudOp::Delete { machines: due }, purpose);
+        self.deletion_in_flight = true;
+        let purpose = PendingOperation::Deprovision(due.clone());
+        self.cloud(CloudOperation::Delete { machines: due }, purpose);
     }
 
-    fn listed(&mut self, hosts: Vec<Host>) {
-        // A list shows machines that are gone for up to twice its lag, and a node that has
+    fn take_instance_list(&mut self, instances: Vec<CloudInstance>) {
+        // A list shows machines that are gone for up to twice its lag, and a controller that has
         // just started does not know that they are.
-        let lag = self.settings.list_lag_ms * 2 + LIST_MS;
+        let lag = self.settings.list_lag_ms * 2 + INSTANCE_LIST_INTERVAL_MS;
         let now = self.now;
-        self.strange.retain(|_, at| now < *at + 4 * lag);
-        for host in hosts {
-            match self.cache.machine(&host.name) {
+        self.unmanaged.retain(|_, at| now < *at + 4 * lag);
+        for instance in instances {
+            match self.cache.machine(&instance.name) {
                 None => {
-                    // Rented by a request that nobody remembers. A machine that is up
+                    // Provisioned by a request that nobody remembers. A machine that is up
                     // reports by itself; one that never comes up is found here.
-                    let rented = self.cache.hires().any(|(_, h, _)| match &h.hosts {
-                        Some(hosts) => hosts.contains(&host.name),
-                        None => true,
-                    });
-                    if rented || self.gone.contains(&host.name) {
-                        self.strange.remove(&host.name);
+                    let rented =
+                        self.cache
+                            .instance_requests()
+                            .any(|(_, h, _)| match &h.instances {
+                                Some(instances) => instances.contains(&instance.name),
+                                None => true,
+                            });
+                    if rented || self.recently_deleted.contains(&instance.name) {
+                        self.unmanaged.remove(&instance.name);
                         continue;
                     }
-                    let since = *self.strange.entry(host.name.clone()).or_insert(now);
+                    let since = *self.unmanaged.entry(instance.name.clone()).or_insert(now);
                     if now >= since + lag {
-                        self.strange.remove(&host.name);
+                        self.unmanaged.remove(&instance.name);
                         let mut draft = TransactionBuilder::new(&self.cache);
                         draft.put(
-                            Key::Machine(host.name.clone()),
+                            Key::Machine(instance.name.clone()),
                             Record::Machine(MachineRecord::new(
-                                &host.type_name,
-                                &host.zone,
-                                host.spot,
+                                &instance.type_name,
+                                &instance.zone,
+                                instance.spot,
                                 MachinePhase::Booting,
                                 self.wall,
                             )),
                         );
-                        tracing::info!(machine = host.name, "listed machine taken up");
-                        let txn = draft.finish();
-                        self.commit(txn, Purpose::Sweep, Priority::Housekeeping);
+                        tracing::info!(machine = instance.name, "listed machine taken up");
+                        let transaction = draft.finish();
+                        self.commit(
+                            transaction,
+                            PendingOperation::RemoveObsolete,
+                            RequestClass::Housekeeping,
+                        );
                     }
                 }
                 Some(m)
-                    if host.state == HostState::Failed && m.phase != MachinePhase::Returning =>
+                    if instance.state == CloudInstanceState::Failed
+                        && m.phase != MachinePhase::Deprovisioning =>
                 {
-                    self.condemn(&host.name, "the cloud lists it as failed");
+                    self.mark_for_termination(&instance.name, "the cloud lists it as failed");
                 }
                 _ => {}
             }
         }
     }
 
-    pub(crate) fn retry_hires(&mut self) {
+    pub(crate) fn retry_instance_requests(&mut self) {
         let now = self.now;
         let mut due = Vec::new();
-        let live: BTreeSet<u64> = self.cache.hires().map(|(n, _, _)| *n).collect();
-        self.hire_tried.retain(|n, _| live.contains(n));
-        self.hire_since.retain(|n, _| live.contains(n));
-        for (n, h, _) in self.cache.hires() {
-            let patience = if self.standby.is_away(&h.node) {
+        let live: BTreeSet<u64> = self.cache.instance_requests().map(|(n, _, _)| *n).collect();
+        self.request_tried_at.retain(|n, _| live.contains(n));
+        self.request_known_since.retain(|n, _| live.contains(n));
+        for (n, h, _) in self.cache.instance_requests() {
+            let patience = if self.peer_tracker.is_away(&h.controller) {
                 // By the same name, so it does no harm should it only be silent.
-                HIRE_AGAIN_MS + self.settings.node_index() * NODE_STAGGER_MS
-            } else if h.node == self.settings.node {
+                PROVISION_RETRY_SOON_MS + self.settings.controller_index() * CONTROLLER_STAGGER_MS
+            } else if h.controller == self.settings.controller {
                 // Never asked: the transaction that recorded it got no answer.
-                let tried = self.hire_tried.contains_key(n) || !self.settings.checks.doubt;
+                let tried = self.request_tried_at.contains_key(n) || !self.settings.checks.doubt;
                 if tried {
-                    HIRE_RETRY_MS
+                    PROVISION_RETRY_MS
                 } else {
-                    HIRE_AGAIN_MS
+                    PROVISION_RETRY_SOON_MS
                 }
             } else {
-                HIRE_RETRY_MS * 2 + self.settings.node_index() * NODE_STAGGER_MS
+                PROVISION_RETRY_MS * 2 + self.settings.controller_index() * CONTROLLER_STAGGER_MS
             };
-            let since = *self.hire_since.entry(*n).or_insert(now);
-            let last = self.hire_tried.get(n).copied().unwrap_or(since);
-            let asked = self.hires_asked.contains(n);
-            if h.hosts.is_none() && !asked && now >= last + patience {
+            let since = *self.request_known_since.entry(*n).or_insert(now);
+            let last = self.request_tried_at.get(n).copied().unwrap_or(since);
+            let asked = self.requests_in_flight.contains(n);
+            if h.instances.is_none() && !asked && now >= last + patience {
                 due.push(*n);
             }
         }
         for n in due {
-            self.send_hire(n);
+            self.send_instance_request(n);
         }
     }
 }
