--- a/crates/core/src/provisioning/demand.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -3,18 +3,18 @@
 use crate::constants::*;
 use crate::model::*;
 use crate::scheduling::claims::zone_room;
-use crate::scheduling::placement::Waiting;
+use crate::scheduling::placement::PendingWork;
 use crate::state::*;
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine that could be rented, or one that is on its way.
+/// A machine that could be provisioned, or one that is on its way.
 #[derive(Clone, Debug, PartialEq)]
-struct Virtual {
+struct PlannedInstance {
     type_name: String,
     zone: String,
     spot: bool,
-    room: Room,
+    room: Resources,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -27,22 +27,22 @@
 
 /// What to rent for work that no machine, present or on its way, can take: per set the
 /// cheapest way to serve it, offers refused lately passed over. `pending` tells whether a
-/// machine that a rental brought is still on its way, `quiet` whether a zone is cut off: what is
-/// rented there would come up unheard.
-pub fn wishes(
-    cache: &Cache,
-    types: &HashMap<String, MachineType>,
-    work: &[Waiting],
+/// machine that a instance request brought is still on its way, `quiet` whether a zone is cut off: what is
+/// provisioned there would come up unheard.
+pub fn provisioning_demand(
+    cache: &StateCache,
+    machine_types: &HashMap<String, MachineType>,
+    work: &[PendingWork],
     pending: impl Fn(&str) -> bool,
     quiet: impl Fn(&str) -> bool,
     wall: WallMs,
 ) -> Vec<Wish> {
     let fleet = cache.fleet();
-    let mut coming: Vec<Virtual> = Vec::new();
+    let mut coming: Vec<PlannedInstance> = Vec::new();
     let mut push = |type_name: &str, zone: &str, spot: bool, count: u32| {
-        if let Some(kind) = types.get(type_name) {
+        if let Some(kind) = machine_types.get(type_name) {
             for _ in 0..count {
-                coming.push(Virtual {
+                coming.push(PlannedInstance {
                     type_name: type_name.to_string(),
                     zone: zone.to_string(),
                     spot,
@@ -54,7 +54,7 @@
     // A machine that is late may never come: a few such are not waited for. When many are late it
     // is the cloud that is slow, and more of them would only cost more.
     let late = |type_name: &str, at: WallMs| {
-        let boot_s = types.get(type_name).map_or(0.0, |t| t.boot_s);
+        let boot_s = machine_types.get(type_name).map_or(0.0, |t| t.boot_s);
         wall > at + (boot_s * 1_000.0 * BOOT_LATE) as u64 + BOOT_LATE_SPARE_MS
     };
     let mut on_the_way: Vec<(&str, &str, bool, u32, bool)> = Vec::new();
@@ -64,12 +64,12 @@
             on_the_way.push((&m.type_name, &m.zone, m.spot, 1, late));
         }
     }
-    for (_, h, _) in cache.hires() {
-        let count = match &h.hosts {
-            Some(hosts) => hosts.iter().filter(|id| pending(id)).count() as u32,
+    for (_, h, _) in cache.instance_requests() {
+        let count = match &h.instances {
+            Some(instances) => instances.iter().filter(|id| pending(id)).count() as u32,
             None => h.count,
         };
-        let late = h.hosts.is_some() && late(&h.type_name, h.at);
+        let late = h.instances.is_some() && late(&h.type_name, h.at);
         on_the_way.push((&h.type_name, &h.zone, h.spot, count, late));
     }
     let sum = |late: bool| -> u32 {
@@ -91,27 +91,29 @@
         let mut left = w.indices.len() as u64;
         for v in coming.iter_mut() {
             while left > 0
-                && v.room.fits(&spec.need)
+                && v.room.fits(&spec.resources)
                 && spec.allows(&v.type_name, &v.zone, v.spot)
                 && zone_room(spec, &zones, &v.zone) > 0
             {
-                v.room = v.room.less(&spec.need);
+                v.room = v.room.less(&spec.resources);
                 *zones.zones.entry(v.zone.clone()).or_default() += 1;
                 left -= 1;
             }
         }
         while left > 0 {
-            let Some(offer) = cheapest(types, &fleet, spec, &zones, left, &quiet, wall) else {
+            let Some(offer) = cheapest(machine_types, &fleet, spec, &zones, left, &quiet, wall)
+            else {
                 break;
             };
             let mut v = offer;
-            while left > 0 && v.room.fits(&spec.need) && zone_room(spec, &zones, &v.zone) > 0 {
-                v.room = v.room.less(&spec.need);
+            while left > 0 && v.room.fits(&spec.resources) && zone_room(spec, &zones, &v.zone) > 0 {
+                v.room = v.room.less(&spec.resources);
                 *zones.zones.entry(v.zone.clone()).or_default() += 1;
                 left -= 1;
             }
             coming.push(v);
-            if coming.len() - known >= HIRE_MAX as usize * HIRES_AT_ONCE {
+            if coming.len() - known >= PROVISION_MAX_INSTANCES as usize * PROVISION_REQUESTS_AT_ONCE
+            {
                 break;
             }
         }
@@ -137,39 +139,39 @@
 /// Machines, at most so many, that cost much for what they still do and whose services all fit
 /// elsewhere, on machines that have their images. Emptied, they can be returned. What machines being
 /// emptied still hold counts as there already.
-pub fn dispensable(
-    cache: &Cache,
-    types: &HashMap<String, MachineType>,
+pub fn scale_in_candidates(
+    cache: &StateCache,
+    machine_types: &HashMap<String, MachineType>,
     old_enough: impl Fn(&str) -> bool,
     most: usize,
 ) -> Vec<String> {
-    let cheapest = types
+    let cheapest = machine_types
         .values()
         .map(|t| t.price / t.room.cpus.max(1) as f64)
         .fold(f64::INFINITY, f64::min);
     let mut candidates: Vec<(f64, &str)> = Vec::new();
     for (id, m, _) in cache.machines() {
-        let Some(kind) = types.get(&m.type_name) else {
+        let Some(kind) = machine_types.get(&m.type_name) else {
             continue;
         };
-        let services_only = cache.bookings(id).all(|(task, _)| {
+        let services_only = cache.assignments(id).all(|(task, _)| {
             cache
                 .open_job(&task.job)
-                .is_some_and(|s| s.shape == Shape::Service)
+                .is_some_and(|s| s.kind == JobKind::Service)
         });
         let price = if m.spot { kind.spot_price } else { kind.price };
         let used = cache.used(id).cpus.max(1) as f64;
         if m.phase == MachinePhase::Up
-            && cache.booked_tasks(id) > 0
+            && cache.assigned_tasks(id) > 0
             && services_only
-            && price / used >= cheapest * DISPENSABLE_PRICE
+            && price / used >= cheapest * SCALE_IN_PRICE_FACTOR
             && old_enough(id)
         {
             candidates.push((price, id));
         }
     }
     candidates.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(b.1)));
-    let mut places = Places::new(cache, types);
+    let mut places = Places::new(cache, machine_types);
     for (id, m, _) in cache.machines() {
         if m.phase == MachinePhase::Draining {
             places.take_in(cache, id);
@@ -190,7 +192,7 @@
 /// Room that services may move to.
 struct Places<'a> {
     /// Ordinary machines that are up, by name, and their room.
-    rooms: BTreeMap<&'a str, (&'a MachineRecord, Room)>,
+    rooms: BTreeMap<&'a str, (&'a MachineRecord, Resources)>,
     /// Of these, those that others were moved to: they stay.
     used: BTreeSet<&'a str>,
     /// Processors that must stay free, so that a new service of the largest size starts at once.
@@ -198,17 +200,17 @@
 }
 
 impl<'a> Places<'a> {
-    fn new(cache: &'a Cache, types: &HashMap<String, MachineType>) -> Places<'a> {
+    fn new(cache: &'a StateCache, machine_types: &HashMap<String, MachineType>) -> Places<'a> {
         let up = cache.machines();
         let up = up.filter(|(_, m, _)| m.phase == MachinePhase::Up && !m.spot);
         let room = |id: &str, m: &MachineRecord| {
-            let kind = types.get(&m.type_name)?;
+            let kind = machine_types.get(&m.type_name)?;
             Some(kind.room.less(&cache.used(id)))
         };
         let largest = cache
             .open_jobs()
-            .filter(|(_, _, s)| s.shape == Shape::Service)
-            .map(|(_, _, s)| s.need.cpus.saturating_mul(s.tasks as u64))
+            .filter(|(_, _, s)| s.kind == JobKind::Service)
+            .map(|(_, _, s)| s.resources.cpus.saturating_mul(s.tasks as u64))
             .max()
             .unwrap_or(0);
         Places {
@@ -221,12 +223,12 @@
     }
 
     /// Finds room for all that a machine holds, and keeps it; nothing changes if there is none.
-    fn take_in(&mut self, cache: &'a Cache, id: &'a str) -> bool {
+    fn take_in(&mut self, cache: &'a StateCache, id: &'a str) -> bool {
         let Some(leaving) = cache.machine(id).filter(|_| !self.used.contains(id)) else {
             return false;
         };
-        let mut taken: BTreeMap<&str, Room> = BTreeMap::new();
-        for (task, placed) in cache.bookings(id) {
+        let mut taken: BTreeMap<&str, Resources> = BTreeMap::new();
+        for (task, placed) in cache.assignments(id) {
             let Some(spec) = cache.open_job(&task.job) else {
                 return false;
             };
@@ -236,7 +238,7 @@
                 let taken = taken.get(*other).copied().unwrap_or_default();
                 **other != id
                     && m.zone == leaving.zone
-                    && room.less(&taken).fits(&placed.need)
+                    && room.less(&taken).fits(&placed.resources)
                     && cache.has_image(other, &spec.image)
                     && spec.allows(&m.type_name, &m.zone, m.spot)
             });
@@ -245,7 +247,7 @@
                 return false;
             };
             let sum = taken.entry(*other).or_default();
-            *sum = sum.plus(&placed.need);
+            *sum = sum.plus(&placed.resources);
         }
         // What is left must still take a new service of the largest size at once.
         let rooms = self.rooms.iter().filter(|(other, _)| **other != id);
@@ -254,9 +256,9 @@
         if left < self.spare + needs && leaving.phase == MachinePhase::Up {
             return false;
         }
-        for (other, need) in taken {
+        for (other, resources) in taken {
             if let Some((_, room)) = self.rooms.get_mut(other) {
-                *room = room.less(&need);
+                *room = room.less(&resources);
             }
             self.used.insert(other);
         }
@@ -266,17 +268,17 @@
 }
 
 fn cheapest(
-    types: &HashMap<String, MachineType>,
-    fleet: &FleetRecord,
+    machine_types: &HashMap<String, MachineType>,
+    fleet: &ProvisioningRecord,
     spec: &JobSpec,
-    zones: &PlaceRecord,
+    zones: &ZoneSpreadRecord,
     left: u64,
     quiet: &impl Fn(&str) -> bool,
     wall: WallMs,
-) -> Option<Virtual> {
-    let mut best: Option<(f64, Virtual)> = None;
-    for kind in types.values() {
-        let fit = kind.room.count(&spec.need);
+) -> Option<PlannedInstance> {
+    let mut best: Option<(f64, PlannedInstance)> = None;
+    for kind in machine_types.values() {
+        let fit = kind.room.count(&spec.resources);
         if fit == 0 {
             continue;
         }
@@ -297,7 +299,7 @@
                     continue;
                 }
                 let per_task = price / fit.min(left).min(room) as f64;
-                let v = Virtual {
+                let v = PlannedInstance {
                     type_name: kind.name.clone(),
                     zone: zone.clone(),
                     spot,
--- a/crates/core/src/provisioning/mod.rs
+++ b/crates/core/src/provisioning/mod.rs
@@ -1,4 +1,4 @@
-//! Provisioning: which machines are rented and returned, and the requests to the cloud under way.
+//! Provisioning: which machines are provisioned and returned, and the requests to the cloud under way.
 
 mod cloud;
 pub mod demand;
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -1,7 +1,7 @@
-//! Run times: what this node hears of them, what it records, and what it makes of them.
+//! Run times: what this controller hears of them, what it records, and what it makes of them.
 //!
-//! A run is observed by the node that hears how its task begins and ends, and counted by the one
-//! whose transaction records that end: a booking is released once, so no run counts twice. What is
+//! A run is observed by the controller that hears how its task begins and ends, and counted by the one
+//! whose transaction records that end: a assignment is released once, so no run counts twice. What is
 //! counted goes to the class's record (`g/runs/CLASS`) in a transaction conditional on what it adds
 //! to; should its outcome never be known, these runs are not sent again. Nothing rests on what is
 //! learned: no rule, no proof, no claim's condition.
@@ -9,7 +9,7 @@
 use crate::constants::*;
 use crate::controller::*;
 use crate::model::*;
-use crate::scheduling::claims::Outcome;
+use crate::scheduling::claims::AttemptOutcome;
 use crate::state::*;
 use foldhash::HashMap;
 use glenmount_runtime_estimates::book::{class_id, About, Book, ClassId};
@@ -59,7 +59,7 @@
     carried: HashMap<TaskId, Carried>,
     /// Runs that ended, as heard here, until that is on record.
     ended: HashMap<Attempt, (Run, String)>,
-    /// Each machine's session, and when it last reported here.
+    /// Each machine's incarnation, and when it last reported here.
     reported: HashMap<String, (u64, Millis)>,
     known: HashMap<String, Known>,
     /// When the next change may be spent on records.
@@ -87,22 +87,22 @@
     name[..end.unwrap_or(0)].to_string()
 }
 
-impl Node {
+impl Controller {
     fn learns(&self) -> bool {
         self.settings.learned.learn
     }
 
     /// A chunk is about to change: notes claims in it, and attempts that were lost.
-    pub(crate) fn bookings_changed(&mut self, job: &str, n: u32, chunk: &ChunkRecord) {
+    pub(crate) fn assignments_changed(&mut self, job: &str, n: u32, chunk: &ChunkRecord) {
         if !self.learns() {
             return;
         }
-        let before = self.cache.claim_stamp(job, n);
+        let before = self.cache.claim_revision(job, n);
         let waits = |index: u32| {
             let slot = index.saturating_sub(chunk.first) as usize;
-            chunk.tasks.get(slot) == Some(&TaskState::Waiting)
+            chunk.tasks.get(slot) == Some(&TaskState::Pending)
         };
-        let old = self.cache.chunk(job, n).map(|c| c.booked());
+        let old = self.cache.chunk(job, n).map(|c| c.assigned());
         let lost: Vec<(u32, u64)> = (old.into_iter().flatten())
             .filter(|(index, _)| waits(*index))
             .map(|(index, b)| (index, b.attempt))
@@ -111,7 +111,7 @@
             job: job.to_string(),
             index,
         };
-        for (index, b) in chunk.booked().filter(|(_, b)| b.attempt == before) {
+        for (index, b) in chunk.assigned().filter(|(_, b)| b.attempt == before) {
             self.claim_seen(task(index), b.attempt);
         }
         for (index, attempt) in lost {
@@ -119,9 +119,9 @@
         }
     }
 
-    /// A booking that this node has not seen before.
+    /// A assignment that this controller has not seen before.
     fn claim_seen(&mut self, task: TaskId, attempt: u64) {
-        if self.learned.begun.len() < ATTEMPTS_FOLLOWED {
+        if self.run_times.begun.len() < ATTEMPTS_FOLLOWED {
             let at = self.now;
             let begun = Begun {
                 attempt,
@@ -129,19 +129,19 @@
                 runs: false,
                 exact: false,
             };
-            let known = self.learned.begun.entry(task).or_insert(begun);
+            let known = self.run_times.begun.entry(task).or_insert(begun);
             if known.attempt != attempt {
                 *known = begun;
             }
         }
     }
 
-    /// A task that saves its progress lost its attempt: unless this node knows how far it came, its
+    /// A task that saves its progress lost its attempt: unless this controller knows how far it came, its
     /// next run says only that it takes longer.
     fn interrupted(&mut self, task: TaskId, attempt: u64) {
         let open = self.cache.open_job(&task.job);
-        if open.is_none_or(|s| s.checkpoint_s <= 0.0)
-            || self.learned.carried.len() >= ATTEMPTS_FOLLOWED
+        if open.is_none_or(|s| s.checkpoint_interval_s <= 0.0)
+            || self.run_times.carried.len() >= ATTEMPTS_FOLLOWED
         {
             return;
         }
@@ -149,19 +149,20 @@
             attempt,
             secs: None,
         };
-        let known = self.learned.carried.entry(task).or_insert(unknown);
+        let known = self.run_times.carried.entry(task).or_insert(unknown);
         if known.attempt != attempt {
             *known = unknown;
         }
     }
 
     /// A report shows an attempt running. Asked only where run times are learned.
-    pub(crate) fn seen_running(&mut self, task: &TaskId, attempt: u64, report: &Report) {
-        let recent = self.settings.report_due_ms() + SILENCE_SPARE_MS;
-        let before = self.learned.reported.get(&report.machine);
-        let exact = before.is_some_and(|(s, at)| *s == report.session && self.now < at + recent);
-        let room = self.learned.begun.len() < ATTEMPTS_FOLLOWED;
-        match self.learned.begun.get(task) {
+    pub(crate) fn seen_running(&mut self, task: &TaskId, attempt: u64, report: &WorkerHeartbeat) {
+        let recent = self.settings.report_due_ms() + SILENCE_MARGIN_MS;
+        let before = self.run_times.reported.get(&report.machine);
+        let exact =
+            before.is_some_and(|(s, at)| *s == report.incarnation && self.now < at + recent);
+        let room = self.run_times.begun.len() < ATTEMPTS_FOLLOWED;
+        match self.run_times.begun.get(task) {
             Some(begun) if begun.runs && begun.attempt == attempt => {}
             None if !room => {}
             _ => {
@@ -172,65 +173,68 @@
                     runs: true,
                     exact,
                 };
-                self.learned.begun.insert(task.clone(), begun);
+                self.run_times.begun.insert(task.clone(), begun);
             }
         }
     }
 
     /// All of a report has been looked at.
-    pub(crate) fn noted_report(&mut self, report: &Report) {
+    pub(crate) fn noted_report(&mut self, report: &WorkerHeartbeat) {
         if self.learns() {
-            let mark = (report.session, self.now);
-            self.learned.reported.insert(report.machine.clone(), mark);
+            let mark = (report.incarnation, self.now);
+            self.run_times.reported.insert(report.machine.clone(), mark);
         }
     }
 
     /// An attempt's end was heard here.
-    pub(crate) fn run_ended(&mut self, task: &TaskId, attempt: u64, outcome: Outcome) {
+    pub(crate) fn run_ended(&mut self, task: &TaskId, attempt: u64, outcome: AttemptOutcome) {
         if !self.learns() {
             return;
         }
         let key = (task.clone(), attempt);
-        if self.learned.ended.contains_key(&key) {
+        if self.run_times.ended.contains_key(&key) {
             return;
         }
-        let begun = self.learned.begun.get(task).copied();
+        let begun = self.run_times.begun.get(task).copied();
         let begun = begun.filter(|b| b.attempt == attempt);
-        let booked = self.cache.attempt(task, attempt);
-        let (Some(begun), Some(booked)) = (begun.filter(|b| b.runs), booked) else {
+        let assigned = self.cache.attempt(task, attempt);
+        let (Some(begun), Some(assigned)) = (begun.filter(|b| b.runs), assigned) else {
             return;
         };
-        let machine = booked.machine.clone();
+        let machine = assigned.machine.clone();
         let spec = self.cache.open_job(&task.job).cloned();
-        let Some(spec) = spec.filter(|s| s.shape == Shape::Array) else {
+        let Some(spec) = spec.filter(|s| s.kind == JobKind::Array) else {
             return;
         };
         let until = match outcome {
-            Outcome::Gone => self.learned.reported.get(&machine).map_or(0, |r| r.1),
+            AttemptOutcome::Terminated => self.run_times.reported.get(&machine).map_or(0, |r| r.1),
             _ => self.now,
         };
         let own = until.saturating_sub(begun.at) as f64 / 1e3;
-        let saves = spec.checkpoint_s > 0.0;
-        let carried = self.learned.carried.get(task).filter(|_| saves);
+        let saves = spec.checkpoint_interval_s > 0.0;
+        let carried = self.run_times.carried.get(task).filter(|_| saves);
         let before = carried.map_or(Some(0.0), |c| c.secs);
         let exact = begun.exact && before.is_some();
         let secs = own + before.unwrap_or(0.0);
         let end = match outcome {
-            Outcome::Done if exact => End::Done,
-            Outcome::Done | Outcome::Gone => End::AtLeast,
-            Outcome::Failed | Outcome::Refused => return,
+            AttemptOutcome::Done if exact => End::Done,
+            AttemptOutcome::Done | AttemptOutcome::Terminated => End::AtLeast,
+            AttemptOutcome::Failed | AttemptOutcome::Refused => return,
         };
-        if saves && outcome == Outcome::Gone && self.learned.carried.len() < ATTEMPTS_FOLLOWED {
+        if saves
+            && outcome == AttemptOutcome::Terminated
+            && self.run_times.carried.len() < ATTEMPTS_FOLLOWED
+        {
             // Told to stop it saved all; lost with its machine, up to its last checkpoint.
-            let kept = match booked.stop.is_some() {
+            let kept = match assigned.stop.is_some() {
                 true => own,
-                false => (own / spec.checkpoint_s).floor() * spec.checkpoint_s,
+                false => (own / spec.checkpoint_interval_s).floor() * spec.checkpoint_interval_s,
             };
             let secs = before.filter(|_| begun.exact).map(|b| b + kept);
             let carried = Carried { attempt, secs };
-            self.learned.carried.insert(task.clone(), carried);
+            self.run_times.carried.insert(task.clone(), carried);
         }
-        if secs > 0.0 && self.learned.ended.len() < ATTEMPTS_FOLLOWED {
+        if secs > 0.0 && self.run_times.ended.len() < ATTEMPTS_FOLLOWED {
             let run = Run {
                 team: spec.team,
                 class: spec.class,
@@ -240,21 +244,21 @@
                 secs,
                 end,
             };
-            self.learned.ended.insert(key, (run, machine));
+            self.run_times.ended.insert(key, (run, machine));
         }
     }
 
-    /// These ends are on record, by this node's transaction.
+    /// These ends are on record, by this controller's transaction.
     pub(crate) fn count_runs(&mut self, released: Vec<(TaskId, u64)>) {
         for (task, attempt) in released {
-            let Some((run, machine)) = self.learned.ended.remove(&(task.clone(), attempt)) else {
+            let Some((run, machine)) = self.run_times.ended.remove(&(task.clone(), attempt)) else {
                 continue;
             };
-            let known = self.learned.known.get(&run.job);
+            let known = self.run_times.known.get(&run.job);
             let expected = known.map_or(run.ln_secs(), |k| k.tasks.quantile(0.5));
             let done = run.end == End::Done;
             let excess = run.ln_secs() - expected;
-            let sound = !done || self.learned.machines.ran(&machine, excess);
+            let sound = !done || self.run_times.machines.ran(&machine, excess);
             let faulty = self
                 .cache
                 .machine(&machine)
@@ -262,14 +266,14 @@
             if sound && !faulty {
                 let line = line(&run, &task, &machine, self.wall);
                 tracing::info!(run = %line, "ran");
-                self.learned.book.ran(&run);
-                self.learned.counted += 1;
+                self.run_times.book.ran(&run);
+                self.run_times.counted += 1;
             }
         }
     }
 
     /// A class's record changed, or went.
-    pub(crate) fn runs_changed(&mut self, class: ClassId) {
+    pub(crate) fn run_times_changed(&mut self, class: ClassId) {
         if !self.learns() {
             return;
         }
@@ -280,73 +284,73 @@
                     History::default()
                 });
                 let (team, name) = (r.team.clone(), r.class.clone());
-                self.learned.book.recorded(class, &team, &name, history);
+                self.run_times.book.recorded(class, &team, &name, history);
             }
-            None => self.learned.book.removed(class),
+            None => self.run_times.book.removed(class),
         }
     }
 
     /// The records were read anew.
-    pub(crate) fn runs_loaded(&mut self) {
+    pub(crate) fn run_times_listed(&mut self) {
         let classes: Vec<u64> = self.cache.all_runs().map(|(c, ..)| *c).collect();
         for class in classes {
-            self.runs_changed(class);
+            self.run_times_changed(class);
         }
     }
 
     /// Records what was counted, one class at a time, on its small share of the changes; not while
     /// these are short.
-    pub(crate) fn record_runs(&mut self) {
-        if !self.learns() || self.learned.busy || self.now < self.learned.record_at {
+    pub(crate) fn record_run_times(&mut self) {
+        if !self.learns() || self.run_times.busy || self.now < self.run_times.record_at {
             return;
         }
-        let plenty = self.writes_left() * 2 >= self.writes.most();
+        let plenty = self.changes_left() * 2 >= self.write_budget.most();
         let quiet = |at: Millis| self.now >= at + THROTTLED_MS;
         if !plenty || self.results.len() > BACKLOG_RESULTS || !self.throttled_at.is_none_or(quiet) {
             return;
         }
-        let Some(class) = self.learned.book.unrecorded().first().copied() else {
+        let Some(class) = self.run_times.book.unrecorded().first().copied() else {
             return;
         };
-        let Some((team, name, history, batches)) = self.learned.book.to_record(class) else {
+        let Some((team, name, history, batches)) = self.run_times.book.to_record(class) else {
             return;
         };
-        let record = RunsRecord {
+        let record = RunTimesRecord {
             team: shortened(team),
             class: shortened(name),
             at: self.wall,
             packed: history.pack(),
         };
         let mut draft = TransactionBuilder::new(&self.cache);
-        draft.put(Key::Runs(class), Record::Runs(record));
+        draft.put(Key::RunTimes(class), Record::RunTimes(record));
         let kept: Vec<(WallMs, u64)> = self.cache.all_runs().map(|(c, r, _)| (r.at, *c)).collect();
         let new = self.cache.class_runs(&class).is_none();
         if new && kept.len() >= CLASSES_KEPT {
             if let Some((_, least)) = kept.iter().min() {
-                draft.remove(Key::Runs(*least));
+                draft.remove(Key::RunTimes(*least));
             }
         }
         let rate = self.settings.write_rps.min(self.settings.next_write_rps) * LEARN_SHARE;
         let pause = draft.ops() as f64 * 1e3 / rate.max(1e-6);
-        self.learned.record_at = self.now + pause as Millis;
-        self.learned.busy = true;
-        self.learned.book.sent(class, &batches);
-        let txn = draft.finish();
-        let purpose = Purpose::Learn(class, batches);
-        self.commit(txn, purpose, Priority::Housekeeping);
+        self.run_times.record_at = self.now + pause as Millis;
+        self.run_times.busy = true;
+        self.run_times.book.sent(class, &batches);
+        let transaction = draft.finish();
+        let purpose = PendingOperation::RecordRunTimes(class, batches);
+        self.commit(transaction, purpose, RequestClass::Housekeeping);
     }
 
-    pub(crate) fn runs_recorded(
+    pub(crate) fn run_times_recorded(
         &mut self,
         class: ClassId,
         batches: Vec<Batch>,
-        answer: &StateAnswer,
+        answer: &StateResponse,
     ) {
-        self.learned.busy = false;
+        self.run_times.busy = false;
         match answer {
-            StateAnswer::Committed { .. } => self.learned.recorded += 1,
-            StateAnswer::Conflict { .. } | StateAnswer::Unavailable => {
-                self.learned.book.unsent(class, &batches)
+            StateResponse::Committed { .. } => self.run_times.recorded += 1,
+            StateResponse::Conflict { .. } | StateResponse::Unavailable => {
+                self.run_times.book.unsent(class, &batches)
             }
             // It may take effect yet: to send these again might count them twice.
             _ => tracing::info!(jobs = batches.len(), "run times given up: no answer"),
@@ -361,8 +365,8 @@
         }
         let now = self.now;
         let fresh = |k: &Known| now < k.at + ESTIMATE_MS;
-        let stale = |id: &str| !self.learned.known.get(id).is_some_and(fresh);
-        let running = self.cache.counted().filter(|(_, c)| c.booked > 0);
+        let stale = |id: &str| !self.run_times.known.get(id).is_some_and(fresh);
+        let running = self.cache.counted().filter(|(_, c)| c.assigned > 0);
         let ids: BTreeSet<&str> = (self.cache.waiting_jobs())
             .map(|(id, ..)| id)
             .chain(running.map(|(id, _)| id))
@@ -370,12 +374,12 @@
             .collect();
         let due: Vec<JobSpec> = (ids.into_iter())
             .filter_map(|id| self.cache.open_job(id))
-            .filter(|s| s.shape == Shape::Array)
+            .filter(|s| s.kind == JobKind::Array)
             .take(ESTIMATES_AT_ONCE)
             .cloned()
             .collect();
         for spec in due {
-            let tasks = self.learned.book.distribution(&About {
+            let tasks = self.run_times.book.distribution(&About {
                 team: &spec.team,
                 class: &spec.class,
                 image: &spec.image,
@@ -385,7 +389,7 @@
             let least_ms = (tasks.quantile(FEASIBLE_CHANCE).exp() * 1e3) as u64;
             let most_ms = (tasks.quantile(MOST_CHANCE).exp() * 1e3) as u64;
             let early_s = tasks.quantile(EARLY_CHANCE).exp();
-            if self.learned.known.len() < ESTIMATES_KEPT {
+            if self.run_times.known.len() < ESTIMATES_KEPT {
                 let known = Known {
                     at: now,
                     tasks,
@@ -393,14 +397,14 @@
                     most_ms,
                     early_s,
                 };
-                self.learned.known.insert(spec.id, known);
+                self.run_times.known.insert(spec.id, known);
             }
         }
     }
 
     /// Milliseconds that a job's tasks still take at the least.
     pub(crate) fn least_run_ms(&self, job: &str, spec: &JobSpec) -> u64 {
-        let known = self.learned.known.get(job);
+        let known = self.run_times.known.get(job);
         match known.filter(|_| self.settings.learned.due) {
             Some(k) => k.least_ms,
             None => crate::jobs::dependencies::least_run_ms(spec),
@@ -410,7 +414,7 @@
     /// Milliseconds before it is due by which a job should start; none where jobs are not served in
     /// that order.
     pub(crate) fn start_before_ms(&self, job: &str) -> u64 {
-        let known = self.learned.known.get(job);
+        let known = self.run_times.known.get(job);
         known
             .filter(|_| self.settings.learned.order)
             .map_or(0, |k| k.most_ms)
@@ -420,11 +424,11 @@
     /// known.
     fn ends_within(&self, task: &TaskId, attempt: u64, ms: Millis) -> Option<f64> {
         let begun = self
-            .learned
+            .run_times
             .begun
             .get(task)
             .filter(|b| b.attempt == attempt)?;
-        let known = self.learned.known.get(&task.job)?;
+        let known = self.run_times.known.get(&task.job)?;
         if !begun.runs && self.now < begun.at + START_TAKES_MS {
             return None;
         }
@@ -432,7 +436,7 @@
             true => begun.at,
             false => begun.at + START_TAKES_MS,
         };
-        let carried = self.learned.carried.get(task).and_then(|c| c.secs);
+        let carried = self.run_times.carried.get(task).and_then(|c| c.secs);
         let elapsed = (self.now - start) as f64 / 1e3 + carried.unwrap_or(0.0);
         if elapsed + ms as f64 / 1e3 < known.early_s {
             return Some(0.0);
@@ -459,14 +463,14 @@
     }
 
     /// Forgets what belongs to what is over.
-    pub(crate) fn forget_runs(&mut self) {
+    pub(crate) fn forget_old_runs(&mut self) {
         let cache = &self.cache;
-        let booked = |(task, attempt): &Attempt| cache.attempt(task, *attempt).is_some();
-        let learned = &mut self.learned;
+        let assigned = |(task, attempt): &Attempt| cache.attempt(task, *attempt).is_some();
+        let learned = &mut self.run_times;
         learned
             .begun
             .retain(|task, b| cache.attempt(task, b.attempt).is_some());
-        learned.ended.retain(|key, _| booked(key));
+        learned.ended.retain(|key, _| assigned(key));
         learned
             .carried
             .retain(|task, _| cache.open_job(&task.job).is_some());
@@ -483,6 +487,6 @@
 
     /// What is learned of a class, for tests and the log.
     pub fn class_history(&self, team: &str, class: &str) -> Option<&History> {
-        self.learned.book.history(class_id(team, class))
+        self.run_times.book.history(class_id(team, class))
     }
 }
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -1,6 +1,6 @@
 //! Claiming tasks for machines and giving them up again, as steps of one transaction.
 //!
-//! The booking stands in the task's chunk, so that one put claims, or releases, as many tasks
+//! The assignment stands in the task's chunk, so that one put claims, or releases, as many tasks
 //! of a chunk as there are. A claim rests on the job (one cancelled meanwhile refuses it), the
 //! chunk, the machine's record, and for teams with a limit on the team's, which every such
 //! claim writes: what is in use is then known exactly, since no other claim came between.
@@ -21,7 +21,7 @@
     WrongPlace,
     TeamLimit,
     Paused,
-    /// The chunk's value holds no more bookings.
+    /// The chunk's value holds no more assignments.
     ChunkFull,
     /// The transaction holds no more.
     Full,
@@ -30,26 +30,26 @@
 /// What will carry the start to the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Carrier {
-    /// The answer to the next check-in that any node gets.
+    /// The answer to the next heartbeat that any controller gets.
     Answer,
-    /// One direct command for a session, under the machine's token.
-    Command { session: u64, token: u64 },
+    /// One direct command for a incarnation, under the machine's token.
+    Command { incarnation: u64, token: u64 },
 }
 
-/// Why a booking ends, once it is proven that its attempt is gone (or never began).
+/// Why a assignment ends, once it is proven that its attempt is gone (or never began).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     Done,
     Failed,
     /// Refused by the worker, which has no room or does not know the job yet.
     Refused,
     /// Stopped, lost with its machine, or never started.
-    Gone,
+    Terminated,
 }
 
 /// Whether claims of a job's chunks must know of one another.
 fn counts_places(spec: &JobSpec, job: &JobRecord) -> bool {
-    (spec.together || spec.scatter) && job.chunks() > 1
+    (spec.zone_affinity || spec.topology_spread) && job.chunks() > 1
 }
 
 /// Live tasks per zone of a job, as the draft sees them. A machine that is not on record
@@ -59,13 +59,13 @@
     job: &JobRecord,
     id: &str,
     zones: &[String],
-) -> PlaceRecord {
-    let mut places = PlaceRecord::default();
+) -> ZoneSpreadRecord {
+    let mut places = ZoneSpreadRecord::default();
     for n in 0..job.chunks() {
         let Some(chunk) = draft.chunk(id, n) else {
             continue;
         };
-        for (_, b) in chunk.booked() {
+        for (_, b) in chunk.assigned() {
             match draft.cache.machine(&b.machine) {
                 Some(m) => *places.zones.entry(m.zone.clone()).or_default() += 1,
                 None => {
@@ -80,11 +80,11 @@
 }
 
 /// How many more tasks of the job the zone may take.
-pub fn zone_room(spec: &JobSpec, zones: &PlaceRecord, zone: &str) -> u32 {
-    if !spec.together && !spec.scatter {
+pub fn zone_room(spec: &JobSpec, zones: &ZoneSpreadRecord, zone: &str) -> u32 {
+    if !spec.zone_affinity && !spec.topology_spread {
         return spec.tasks;
     }
-    if spec.together && zones.zones.iter().any(|(z, n)| *n > 0 && z != zone) {
+    if spec.zone_affinity && zones.zones.iter().any(|(z, n)| *n > 0 && z != zone) {
         return 0;
     }
     let here = zones.count(zone);
@@ -92,9 +92,9 @@
 }
 
 /// Whether usage plus a need stays within the team's limit. A limit of 0 is none.
-pub fn within_limit(team: &Team, usage: &TeamRecord, need: &Room) -> bool {
-    (team.cpus_max == 0 || usage.cpus.saturating_add(need.cpus) <= team.cpus_max)
-        && (team.gpus_max == 0 || usage.gpus.saturating_add(need.gpus) <= team.gpus_max)
+pub fn within_limit(team: &Team, usage: &TeamRecord, resources: &Resources) -> bool {
+    (team.cpus_max == 0 || usage.cpus.saturating_add(resources.cpus) <= team.cpus_max)
+        && (team.gpus_max == 0 || usage.gpus.saturating_add(resources.gpus) <= team.gpus_max)
 }
 
 /// Books one task on a machine with `room` left. A refusal leaves the draft without the claim.
@@ -102,7 +102,7 @@
     draft: &mut TransactionBuilder,
     settings: &Settings,
     machine_id: &str,
-    room: &Room,
+    room: &Resources,
     task: &TaskId,
     carrier: Carrier,
     wall: WallMs,
@@ -114,18 +114,18 @@
         return Err(Refusal::Blocked);
     }
     let n = job.chunk_of(task.index);
-    if cache.barred(&Key::Chunk(task.job.clone(), n)) {
+    if cache.is_refused(&Key::Chunk(task.job.clone(), n)) {
         return Err(Refusal::ChunkFull);
     }
     if let Some(chunk) = draft.chunk(&task.job, n) {
         let slot = (task.index % job.chunk.max(1)) as usize;
-        if chunk.tasks.get(slot) != Some(&TaskState::Waiting) {
+        if chunk.tasks.get(slot) != Some(&TaskState::Pending) {
             return Err(Refusal::TaskTaken);
         }
         if chunk.pause_until > wall {
             return Err(Refusal::Paused);
         }
-        if !formats::takes_one_more(chunk, machine_id, cache.format(), settings.value_bytes) {
+        if !formats::takes_one_more(chunk, machine_id, cache.format(), settings.max_value_bytes) {
             return Err(Refusal::ChunkFull);
         }
     }
@@ -137,10 +137,10 @@
         return Err(Refusal::WrongPlace);
     }
     // One attempt of a task may be refused as `in_use` while an older one is still known.
-    if !room.fits(&spec.need) || cache.booking(machine_id, task).is_some() {
+    if !room.fits(&spec.resources) || cache.assignment(machine_id, task).is_some() {
         return Err(Refusal::MachineBusy);
     }
-    if spec.together || spec.scatter {
+    if spec.zone_affinity || spec.topology_spread {
         let zones = zones_of(draft, job, &task.job, &settings.zones);
         if zone_room(spec, &zones, &machine.zone) == 0 {
             return Err(Refusal::WrongPlace);
@@ -152,17 +152,18 @@
         .get(&spec.team)
         .ok_or(Refusal::JobOver)?;
     let usage = draft.usage(&spec.team);
-    if !within_limit(team, &usage, &spec.need) {
+    if !within_limit(team, &usage, &spec.resources) {
         return Err(Refusal::TeamLimit);
     }
-    let booking_bytes = BOOKING_BYTES + machine_id.len();
+    let booking_bytes = ASSIGNMENT_BYTES + machine_id.len();
     let limited = team.cpus_max > 0 || team.gpus_max > 0;
     let fits = match draft.touches(&Key::Chunk(task.job.clone(), n)) {
         true => draft.has_room(settings, 0, 1, booking_bytes),
         // With the records of its team and places, which may be new to the draft as well.
         false => {
             let team = limited && !draft.touches(&Key::Team(spec.team.clone()));
-            let place = counts_places(spec, job) && !draft.touches(&Key::Place(task.job.clone()));
+            let place =
+                counts_places(spec, job) && !draft.touches(&Key::ZoneSpread(task.job.clone()));
             let chunk = draft.chunk(&task.job, n).map_or(0, |c| c.size());
             let fresh = CHUNK_BASE_BYTES + job.chunk as usize * 4;
             draft.has_room(
@@ -178,69 +179,73 @@
     }
     // No two claims of a task that take effect share their attempt, whatever arrives late or
     // twice: each changes the revision that it was conditional on.
-    let attempt = cache.claim_stamp(&task.job, n);
+    let attempt = cache.claim_revision(&task.job, n);
     draft.rests_on(Key::Job(task.job.clone()));
     draft.rests_on(Key::Machine(machine_id.to_string()));
     if settings.checks.configured {
-        draft.rests_on_revision(Key::Configuration, settings.policy.stamp);
+        draft.rests_on_revision(Key::Configuration, settings.policy.mod_revision);
     }
     let chunk = draft
         .chunk_mut(&task.job, n, || Some(ChunkRecord::fresh(job, spec, n)))
         .ok_or(Refusal::JobOver)?;
     let slot = task.index.saturating_sub(chunk.first) as usize;
     let state = chunk.tasks.get_mut(slot).ok_or(Refusal::TaskTaken)?;
-    *state = TaskState::Booked(Booking {
+    *state = TaskState::Assigned(Assignment {
         machine: machine_id.to_string(),
         attempt,
-        armed: None,
-        direct: match carrier {
+        reply_start: None,
+        direct_start: match carrier {
             Carrier::Answer => None,
-            Carrier::Command { session, token } => Some((session, token)),
+            Carrier::Command { incarnation, token } => Some((incarnation, token)),
         },
         stop: None,
     });
     draft.grow(booking_bytes);
-    draft.use_more(&spec.team, &spec.need);
+    draft.use_more(&spec.team, &spec.resources);
     if limited {
         let usage = draft.usage(&spec.team);
         draft.put(Key::Team(spec.team.clone()), Record::Team(usage));
     }
     if counts_places(spec, job) {
         let zones = zones_of(draft, job, &task.job, &settings.zones);
-        draft.put(Key::Place(task.job.clone()), Record::Place(zones));
+        draft.put(Key::ZoneSpread(task.job.clone()), Record::ZoneSpread(zones));
     }
     Ok(())
 }
 
 /// Most changes that a release adds to a draft.
-pub fn release_changes(draft: &TransactionBuilder, task: &TaskId, outcome: Outcome) -> usize {
+pub fn release_changes(
+    draft: &TransactionBuilder,
+    task: &TaskId,
+    outcome: AttemptOutcome,
+) -> usize {
     let Some(job) = draft.cache.job(&task.job) else {
         return 0;
     };
     let n = job.chunk_of(task.index);
-    let Some(machine) = draft.booking(task).map(|b| b.machine.clone()) else {
+    let Some(machine) = draft.assignment(task).map(|b| b.machine.clone()) else {
         return 0;
     };
     let faults = draft.cache.machine(&machine).map_or(0, |m| m.faults.len());
     let health = match outcome {
-        Outcome::Failed => true,
-        Outcome::Done => faults > 0,
+        AttemptOutcome::Failed => true,
+        AttemptOutcome::Done => faults > 0,
         _ => false,
     };
     let new = |key: Key| usize::from(!draft.touches(&key));
-    let ends = outcome == Outcome::Done && job.chunks() == 1;
+    let ends = outcome == AttemptOutcome::Done && job.chunks() == 1;
     new(Key::Chunk(task.job.clone(), n))
         + usize::from(ends) * new(Key::Job(task.job.clone()))
         + usize::from(health) * new(Key::Machine(machine))
 }
 
-/// Ends the booking of an attempt that is proven gone. The caller holds the proof.
+/// Ends the assignment of an attempt that is proven gone. The caller holds the proof.
 /// `release_changes` says how many records are changed by it.
 pub fn release(
     draft: &mut TransactionBuilder,
     task: &TaskId,
     attempt: u64,
-    outcome: Outcome,
+    outcome: AttemptOutcome,
     wall: WallMs,
 ) {
     let cache = draft.cache;
@@ -249,26 +254,26 @@
     };
     let n = job.chunk_of(task.index);
     let Some(machine_id) = draft
-        .booking(task)
+        .assignment(task)
         .filter(|b| b.attempt == attempt)
         .map(|b| b.machine.clone())
     else {
         return;
     };
-    let array = job.open().is_none_or(|s| s.shape == Shape::Array);
+    let array = job.open().is_none_or(|s| s.kind == JobKind::Array);
     let Some(chunk) = draft.chunk_mut(&task.job, n, || None) else {
         return;
     };
     let slot = task.index.saturating_sub(chunk.first) as usize;
     chunk.tasks[slot] = match outcome {
         // A replica that completes is put up again: services end by cancellation only.
-        Outcome::Done if array => TaskState::Done,
-        _ => TaskState::Waiting,
+        AttemptOutcome::Done if array => TaskState::Done,
+        _ => TaskState::Pending,
     };
-    if outcome == Outcome::Refused {
+    if outcome == AttemptOutcome::Refused {
         chunk.pause_until = wall + FAIL_PAUSE_MS;
     }
-    if outcome == Outcome::Failed {
+    if outcome == AttemptOutcome::Failed {
         chunk.fails = chunk.fails.saturating_add(1);
         if !chunk.failed_on.contains(&machine_id) && chunk.failed_on.len() < FAULTY_MACHINES {
             chunk.failed_on.push(machine_id.clone());
@@ -280,28 +285,33 @@
         };
         chunk.pause_until = wall + (FAIL_PAUSE_MS << doublings).min(FAIL_PAUSE_MAX_MS);
     }
-    let booked = chunk.booked().next().is_some();
+    let assigned = chunk.assigned().next().is_some();
     let complete = chunk.done() == job.tasks;
-    if job.open().is_none() && !booked {
+    if job.open().is_none() && !assigned {
         // A job that is over stays so, and nothing of it is claimed any more.
         draft.remove(Key::Chunk(task.job.clone(), n));
     } else if job.open().is_some() && job.chunks() == 1 && complete {
         draft.remove(Key::Chunk(task.job.clone(), 0));
         draft.put(
             Key::Job(task.job.clone()),
-            Record::Job(job.over(Phase::Done, wall)),
+            Record::Job(job.over(JobPhase::Done, wall)),
         );
     }
     note_fault(draft, &machine_id, &task.job, outcome);
 }
 
 /// A machine on which tasks of several jobs fail with no success between takes no more work.
-fn note_fault(draft: &mut TransactionBuilder, machine_id: &str, job: &str, outcome: Outcome) {
+fn note_fault(
+    draft: &mut TransactionBuilder,
+    machine_id: &str,
+    job: &str,
+    outcome: AttemptOutcome,
+) {
     let Some(record) = draft.cache.machine(machine_id) else {
         return;
     };
-    let heals = outcome == Outcome::Done && !record.faults.is_empty();
-    if !heals && outcome != Outcome::Failed {
+    let heals = outcome == AttemptOutcome::Done && !record.faults.is_empty();
+    if !heals && outcome != AttemptOutcome::Failed {
         return;
     }
     let Some(mut machine) = draft.machine(machine_id) else {
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -1,8 +1,8 @@
-//! When and for what a node looks up work: claims, stops for what waits, rentals, moves.
+//! When and for what a controller looks up work: claims, stops for what waits, instance requests, moves.
 
 use crate::constants::*;
 use crate::controller::*;
-use crate::jobs::dependencies::{self, Pull};
+use crate::jobs::dependencies::{self, InheritedPriority};
 use crate::model::*;
 use crate::provisioning::demand;
 use crate::scheduling::claims;
@@ -14,33 +14,33 @@
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-impl Node {
-    /// Whether a lookup is wanted and nothing but a turn to write is lacking for it.
-    pub(crate) fn lookup_due(&self) -> bool {
-        (self.lookup_wanted || self.now >= self.lookup_at)
-            && self.caught_up_since_reading()
-            && self.state_ok()
-            && self.workers_ok()
-            && self.leaving.is_none()
+impl Controller {
+    /// Whether a scheduling pass is wanted and nothing but a turn to write is lacking for it.
+    pub(crate) fn is_pass_due(&self) -> bool {
+        (self.pass_requested || self.now >= self.next_pass_at)
+            && self.has_synced()
+            && self.has_current_state()
+            && self.workers_reachable()
+            && self.shutting_down_since.is_none()
             && self.configuration.is_readable()
-            && !self.types.is_empty()
+            && !self.machine_types.is_empty()
     }
 
-    pub(crate) fn look_up(&mut self) {
-        if !self.lookup_due() || !self.may_write() {
+    pub(crate) fn run_scheduling_pass(&mut self) {
+        if !self.is_pass_due() || !self.may_write() {
             return;
         }
-        let left = self.writes_left();
-        if left < self.writes_least() {
+        let left = self.changes_left();
+        if left < self.min_changes() {
             return;
         }
-        self.lookup_next = false;
-        self.stats.lookups += 1;
-        self.lookup_wanted = false;
-        let jitter = self.rng.gen_range(0..POLL_MS / 4);
-        self.lookup_at = self.now + POLL_MS + jitter;
+        self.pass_goes_first = false;
+        self.metrics.lookups += 1;
+        self.pass_requested = false;
+        let jitter = self.rng.gen_range(0..PASS_INTERVAL_MS / 4);
+        self.next_pass_at = self.now + PASS_INTERVAL_MS + jitter;
         self.look_at_run_times();
-        let mut turns = std::mem::take(&mut self.turns);
+        let mut turns = std::mem::take(&mut self.queue_order);
         let least = |job: &str, spec: &JobSpec| self.least_run_ms(job, spec);
         let pulls = dependencies::pulls(&self.cache, &least);
         let runs = RunTimes {
@@ -56,22 +56,22 @@
             &mut turns,
             self.wall,
         );
-        self.turns = turns;
-        self.waiting_work = !work.is_empty();
+        self.queue_order = turns;
+        self.has_pending_work = !work.is_empty();
         if work.is_empty() {
             return;
         }
         let least = placement::least_need(&work);
         let mut machines: Vec<Candidate> = Vec::new();
         for (id, m, _) in self.cache.machines() {
-            let Some(kind) = self.types.get(&m.type_name) else {
+            let Some(kind) = self.machine_types.get(&m.type_name) else {
                 continue;
             };
             let room = kind.room.less(&self.cache.used(id));
             if room.cpus == 0
                 || room.ram == 0
                 || m.phase != MachinePhase::Up
-                || self.condemned.contains_key(id)
+                || self.marked_for_termination.contains_key(id)
             {
                 continue;
             }
@@ -81,8 +81,8 @@
             if !fits && m.spot {
                 continue;
             }
-            let sight = self.sight(id);
-            if !self.reachable_by(&sight, &m.zone) || !self.reported(&sight) {
+            let sight = self.liveness(id);
+            if !self.reachable_by(&sight, &m.zone) || !self.has_reported_since_resume(&sight) {
                 continue;
             }
             if !fits {
@@ -94,30 +94,30 @@
                 record: m,
                 images: self.cache.images_of(id),
                 room,
-                used_at: self.used_at.get(id).copied().unwrap_or(0),
+                used_at: self.last_assigned_at.get(id).copied().unwrap_or(0),
                 own: sight.reports_here(),
-                busy: self.cache.booked_tasks(id) > 0,
+                busy: self.cache.assigned_tasks(id) > 0,
                 fetch_ms: self
-                    .fetching
+                    .fetching_until
                     .get(id)
                     .map_or(0, |until| until.saturating_sub(self.now)),
-                carrier: self.carrier(&sight, m),
+                carrier: self.delivery_for(&sight, m),
             });
         }
-        let settled = self.settled();
+        let settled = self.has_heard_full_round();
         if !settled {
             // Machines go on being heard for the first time: they are filled as they come.
-            self.lookup_at = self.lookup_at.min(self.now + FIRST_LOOKUP_MS);
+            self.next_pass_at = self.next_pass_at.min(self.now + FIRST_PASS_MS);
         }
         let hold = match settled {
             true => self.hold_for_images(&mut work, &pulls),
             false => Millis::MAX,
         };
-        self.lookup_at = self.lookup_at.min(self.now.saturating_add(hold));
+        self.next_pass_at = self.next_pass_at.min(self.now.saturating_add(hold));
         let plan = placement::plan(
             &self.cache,
             &self.settings,
-            &self.types,
+            &self.machine_types,
             &mut work,
             &mut machines,
             left,
@@ -125,7 +125,7 @@
         );
         let full = plan.full;
         for (id, ms) in plan.fetches {
-            self.fetching.insert(id, self.now + ms);
+            self.fetching_until.insert(id, self.now + ms);
         }
         if !plan.claimed.is_empty() {
             let claimed = plan.claimed.into_iter().map(|(task, machine)| {
@@ -133,21 +133,21 @@
                     .cache
                     .job(&task.job)
                     .map_or(0, |j| j.chunk_of(task.index));
-                Claimed {
-                    attempt: self.cache.claim_stamp(&task.job, n),
+                ClaimedTask {
+                    attempt: self.cache.claim_revision(&task.job, n),
                     task,
                     machine,
                 }
             });
-            let purpose = Purpose::Lookup(claimed.collect());
-            self.commit_bookings(plan.txn, purpose, Priority::Claim);
+            let purpose = PendingOperation::Claim(claimed.collect());
+            self.commit_assignments(plan.transaction, purpose, RequestClass::Claim);
         }
-        // What is not heard yet is not missing: nothing is stopped or rented before a round of reports.
+        // What is not heard yet is not missing: nothing is stopped or provisioned before a round of reports.
         if !full && settled {
             work.retain(|w| !w.indices.is_empty() && !w.suspect);
             self.preempt(&work, &pulls);
             work.retain(|w| !w.warm_only);
-            self.rent(&work);
+            self.scale_out(&work);
         }
     }
 
@@ -155,7 +155,7 @@
     fn cpus_up(&self) -> u64 {
         let up = self.cache.machines();
         let up = up.filter(|(id, m, _)| m.phase == MachinePhase::Up && self.reachable(id, &m.zone));
-        let cpus = up.filter_map(|(_, m, _)| Some(self.types.get(&m.type_name)?.room.cpus));
+        let cpus = up.filter_map(|(_, m, _)| Some(self.machine_types.get(&m.type_name)?.room.cpus));
         cpus.sum()
     }
 
@@ -164,22 +164,25 @@
     /// there is room after all.
     fn hold_for_images(
         &self,
-        work: &mut [placement::Waiting],
-        pulls: &HashMap<String, Pull>,
+        work: &mut [placement::PendingWork],
+        pulls: &HashMap<String, InheritedPriority>,
     ) -> Millis {
         let usable = |id: &str| self.usable(id);
-        let rank = |job: &str, spec: &JobSpec| dependencies::rank(pulls, job, spec);
+        let priority = |job: &str, spec: &JobSpec| dependencies::priority(pulls, job, spec);
         let site = self.site();
-        let rates = self.types.values().map(|t| t.fetch_gb_per_s);
+        let rates = self.machine_types.values().map(|t| t.fetch_gb_per_s);
         let rate = rates.fold(0.001, f64::max);
         let mut next = Millis::MAX;
-        for w in work.iter_mut().filter(|w| w.own_rank == Rank::Production) {
-            let left = (w.at + WARM_PATIENCE_MS).saturating_sub(self.wall);
+        for w in work
+            .iter_mut()
+            .filter(|w| w.own_rank == JobPriority::Production)
+        {
+            let left = (w.at + WARM_IMAGE_WAIT_MS).saturating_sub(self.wall);
             let spec = self.cache.open_job(&w.job);
             let fetch_s = spec.map_or(0.0, |s| s.image_gb / rate);
             if left > 0
-                && fetch_s * 1_000.0 > WARM_WORTH_MS as f64
-                && preemption::warm_room(&site, w, usable, rank) >= w.indices.len() as u64
+                && fetch_s * 1_000.0 > WARM_IMAGE_MIN_FETCH_MS as f64
+                && preemption::warm_room(&site, w, usable, priority) >= w.indices.len() as u64
             {
                 w.warm_only = true;
                 next = next.min(left);
@@ -188,34 +191,41 @@
         next
     }
 
-    fn site(&self) -> preemption::Site<'_> {
-        preemption::Site {
+    fn site(&self) -> preemption::ClusterView<'_> {
+        preemption::ClusterView {
             cache: &self.cache,
             settings: &self.settings,
-            types: &self.types,
+            machine_types: &self.machine_types,
         }
     }
 
     /// Whether a machine may be counted on for what waits.
     fn usable(&self, id: &str) -> bool {
         let zone = self.cache.machine(id).map(|m| &m.zone);
-        zone.is_some_and(|z| self.reachable(id, z)) && !self.condemned.contains_key(id)
+        zone.is_some_and(|z| self.reachable(id, z)) && !self.marked_for_termination.contains_key(id)
     }
 
     /// Stops work of lower rank for what found no room.
-    fn preempt(&mut self, work: &[placement::Waiting], pulls: &HashMap<String, Pull>) {
-        if work.is_empty() || !self.may_write() || self.now < self.preempted_at + PREEMPT_GAP_MS {
+    fn preempt(
+        &mut self,
+        work: &[placement::PendingWork],
+        pulls: &HashMap<String, InheritedPriority>,
+    ) {
+        if work.is_empty()
+            || !self.may_write()
+            || self.now < self.last_preemption_at + PREEMPT_GAP_MS
+        {
             return;
         }
         // Urgent work is not kept waiting; other work waits a little for room to come by itself.
-        let after = |w: &placement::Waiting| match w.own_rank {
+        let after = |w: &placement::PendingWork| match w.own_rank {
             _ if w.warm_only => Some(0),
-            Rank::High | Rank::Production => Some(PREEMPT_AFTER_MS),
-            Rank::Normal => Some(PREEMPT_LATER_MS),
-            Rank::Low => Some(PREEMPT_LATER_MS).filter(|_| w.within),
+            JobPriority::High | JobPriority::Production => Some(PREEMPT_AFTER_MS),
+            JobPriority::Normal => Some(PREEMPT_LATER_MS),
+            JobPriority::Low => Some(PREEMPT_LATER_MS).filter(|_| w.within),
         };
         let mut next = Millis::MAX;
-        let mut ripe: Vec<placement::Waiting> = Vec::new();
+        let mut ripe: Vec<placement::PendingWork> = Vec::new();
         for w in work {
             let Some(at) = after(w).map(|ms| w.at + ms) else {
                 continue;
@@ -227,28 +237,28 @@
         }
         if ripe.is_empty() {
             // What is too fresh is looked at again soon.
-            self.lookup_at = self.lookup_at.min(self.now.saturating_add(next));
+            self.next_pass_at = self.next_pass_at.min(self.now.saturating_add(next));
             return;
         }
         let now = self.now;
         let age = |attempt: u64| {
-            let at = self.epochs.partition_point(|(e, _)| *e <= attempt);
-            match self.epochs.get(at) {
+            let at = self.revision_times.partition_point(|(e, _)| *e <= attempt);
+            match self.revision_times.get(at) {
                 _ if at == 0 => Millis::MAX,
                 Some((_, t)) => now - t,
                 None => 0,
             }
         };
         let usable = |id: &str| self.usable(id);
-        let rank = |id: &str, spec: &JobSpec| {
-            let rank = dependencies::rank(pulls, id, spec);
-            if rank >= Rank::High {
-                return rank;
+        let priority = |id: &str, spec: &JobSpec| {
+            let priority = dependencies::priority(pulls, id, spec);
+            if priority >= JobPriority::High {
+                return priority;
             }
             let at = self.cache.job(id).map_or(0, |j| self.cache.ready_at(j));
             match placement::begins_late(&self.cache, &self.settings, id, at, self.wall) {
-                Some(_) => Rank::High,
-                None => rank,
+                Some(_) => JobPriority::High,
+                None => priority,
             }
         };
         let site = self.site();
@@ -257,17 +267,21 @@
             spares && self.about_to_end(task, attempt, SPARED_MS, SPARED_CHANCE)
         };
         let open = placement::reserve_open(work, self.wall);
-        let stops = preemption::victims(site, &ripe, usable, age, rank, spared, open);
+        let stops = preemption::victims(site, &ripe, usable, age, priority, spared, open);
         let mut draft = TransactionBuilder::new(&self.cache);
         let mut chosen = Vec::new();
         for (id, task) in stops {
-            let Some(attempt) = self.cache.booking(&id, &task).map(|p| p.booking.attempt) else {
+            let Some(attempt) = self
+                .cache
+                .assignment(&id, &task)
+                .map(|p| p.assignment.attempt)
+            else {
                 continue;
             };
-            if !draft.has_room(&self.settings, 1, 1, self.settings.value_bytes as usize) {
+            if !draft.has_room(&self.settings, 1, 1, self.settings.max_value_bytes as usize) {
                 break;
             }
-            self.edit_booking(&mut draft, &task, attempt, |b| {
+            self.edit_assignment(&mut draft, &task, attempt, |b| {
                 b.stop = Some("preempted".into());
             });
             chosen.push((id, task));
@@ -275,27 +289,32 @@
         if chosen.is_empty() {
             return;
         }
-        self.preempted_at = self.now;
-        let large = draft.drop_oversized(self.settings.value_bytes);
+        self.last_preemption_at = self.now;
+        let large = draft.drop_oversized(self.settings.max_value_bytes);
         if !draft.is_empty() {
-            let txn = draft.finish();
-            self.commit_bookings(txn, Purpose::Stop(chosen), Priority::Claim);
+            let transaction = draft.finish();
+            self.commit_assignments(
+                transaction,
+                PendingOperation::Stop(chosen),
+                RequestClass::Claim,
+            );
         }
-        self.too_large(large);
+        self.log_oversized(large);
     }
 
-    pub(crate) fn rent(&mut self, work: &[placement::Waiting]) {
+    pub(crate) fn scale_out(&mut self, work: &[placement::PendingWork]) {
         // What is wanted while requests are under way goes into the next ones together: the
         // cloud takes few calls, and a call brings up to 50 machines.
-        if work.is_empty() || self.hire_busy || !self.hires_asked.is_empty() {
+        if work.is_empty() || self.request_creation_in_flight || !self.requests_in_flight.is_empty()
+        {
             return;
         }
-        let wishes = demand::wishes(
+        let wishes = demand::provisioning_demand(
             &self.cache,
-            &self.types,
+            &self.machine_types,
             work,
-            |id| self.settings.checks.hires && self.on_its_way(id),
-            |zone| self.zone_quiet(zone),
+            |id| self.settings.checks.instance_requests && self.on_its_way(id),
+            |zone| self.is_zone_unreachable(zone),
             self.wall,
         );
         if wishes.is_empty() {
@@ -306,43 +325,47 @@
         }
         let mut draft = TransactionBuilder::new(&self.cache);
         let mut fleet = draft.fleet();
-        let mut hires = Vec::new();
+        let mut instance_requests = Vec::new();
         // The machines that it brings are named in its record.
         let names = self
             .settings
-            .value_bytes
+            .max_value_bytes
             .saturating_sub(SMALL_RECORD_BYTES as u64);
-        let most = (names / MACHINE_NAME_BYTES).clamp(1, HIRE_MAX as u64) as u32;
+        let most = (names / MACHINE_NAME_BYTES).clamp(1, PROVISION_MAX_INSTANCES as u64) as u32;
         // With the number of the next one, in one transaction.
-        let at_once = HIRES_AT_ONCE.min(self.settings.txn_ops - 1);
+        let at_once = PROVISION_REQUESTS_AT_ONCE.min(self.settings.max_transaction_changes - 1);
         for wish in wishes.into_iter().take(at_once) {
             let n = fleet.next;
             fleet.next += 1;
-            hires.push(n);
+            instance_requests.push(n);
             draft.put(
-                Key::Hire(n),
-                Record::Hire(HireRecord {
+                Key::InstanceRequest(n),
+                Record::InstanceRequest(InstanceRequestRecord {
                     type_name: wish.type_name,
                     zone: wish.zone,
                     spot: wish.spot,
                     count: wish.count.min(most),
-                    node: self.settings.node.clone(),
+                    controller: self.settings.controller.clone(),
                     at: self.wall,
-                    hosts: None,
+                    instances: None,
                 }),
             );
         }
-        draft.put(Key::Fleet, Record::Fleet(fleet));
-        let txn = draft.finish();
-        self.hire_busy = true;
-        self.commit(txn, Purpose::NewHires(hires), Priority::Claim);
+        draft.put(Key::Provisioning, Record::Provisioning(fleet));
+        let transaction = draft.finish();
+        self.request_creation_in_flight = true;
+        self.commit(
+            transaction,
+            PendingOperation::CreateInstanceRequests(instance_requests),
+            RequestClass::Claim,
+        );
     }
 
     /// Empties dear machines whose services fit elsewhere, one task at a time, and takes the
     /// services off machines that are being drained.
     pub(crate) fn move_services(&mut self) {
-        if self.waiting_work || self.cache.hires().next().is_some() {
-            self.quiet_since = self.now;
+        if self.has_pending_work || self.cache.instance_requests().next().is_some() {
+            self.idle_since = self.now;
         }
         if self.in_trouble() {
             // What it upset is placed first: moves rest, and pick up after.
@@ -352,23 +375,28 @@
             return;
         }
         // These can't wait until nothing else does. As often as machines are judged, which finds them.
-        let mute = match self.judged_at == self.now {
-            true => self.mute_services(),
+        let mute = match self.failures_detected_at == self.now {
+            true => self.services_on_mute_workers(),
             false => Vec::new(),
         };
-        if self.waiting_work && mute.is_empty() {
+        if self.has_pending_work && mute.is_empty() {
             return;
         }
         // As many at a time as the site is large: one by one a fleet of hundreds would stay for as
         // long as its services run.
         let up = self.cache.machines().filter(|(_, m, _)| m.is_up()).count();
-        let most = (up / MOVES_PART).clamp(1, MOVES_MOST.min(self.settings.txn_ops));
-        let most = most.max(mute.len().min(MOVES_MOST).min(self.settings.txn_ops));
+        let most =
+            (up / MOVES_PART).clamp(1, MOVES_MOST.min(self.settings.max_transaction_changes));
+        let most = most.max(
+            mute.len()
+                .min(MOVES_MOST)
+                .min(self.settings.max_transaction_changes),
+        );
         let mut moving: BTreeSet<String> = BTreeSet::new();
         let mut under_way = 0;
         for (id, _, _) in self.cache.machines() {
-            let stopped = self.cache.bookings(id);
-            for (task, _) in stopped.filter(|(_, p)| p.booking.stop.is_some()) {
+            let stopped = self.cache.assignments(id);
+            for (task, _) in stopped.filter(|(_, p)| p.assignment.stop.is_some()) {
                 under_way += 1;
                 moving.insert(task.job.clone());
             }
@@ -394,38 +422,46 @@
         if !leaving.is_empty() {
             let mut stops = Vec::new();
             for w in leaving {
-                if !draft.has_room(&self.settings, 1, 1, self.settings.value_bytes as usize) {
+                if !draft.has_room(&self.settings, 1, 1, self.settings.max_value_bytes as usize) {
                     break;
                 }
-                self.edit_booking(&mut draft, &w.task, w.attempt, |b| {
+                self.edit_assignment(&mut draft, &w.task, w.attempt, |b| {
                     b.stop = Some(w.reason.name().into());
                 });
                 stops.push((w.machine, w.task));
             }
-            let large = draft.drop_oversized(self.settings.value_bytes);
+            let large = draft.drop_oversized(self.settings.max_value_bytes);
             if !draft.is_empty() {
-                let txn = draft.finish();
-                self.commit_bookings(txn, Purpose::Stop(stops), Priority::Claim);
+                let transaction = draft.finish();
+                self.commit_assignments(
+                    transaction,
+                    PendingOperation::Stop(stops),
+                    RequestClass::Claim,
+                );
             }
-            self.too_large(large);
-        } else if under_way == 0 && self.now >= self.quiet_since + DISPENSABLE_AFTER_MS {
+            self.log_oversized(large);
+        } else if under_way == 0 && self.now >= self.idle_since + SCALE_IN_AFTER_MS {
             let now = self.now;
             let old = |id: &str| {
-                let up = self.signs.of(id).up;
-                up.is_some_and(|at| now >= at + DISPENSABLE_AFTER_MS)
+                let up = self.observations.of(id).up;
+                up.is_some_and(|at| now >= at + SCALE_IN_AFTER_MS)
             };
-            for id in demand::dispensable(&self.cache, &self.types, old, most) {
+            for id in demand::scale_in_candidates(&self.cache, &self.machine_types, old, most) {
                 let Some(mut machine) = draft.machine(&id) else {
                     continue;
                 };
-                let bookings = self.cache.booked_tasks(&id);
-                tracing::info!(machine = id, bookings, "emptying");
+                let assignments = self.cache.assigned_tasks(&id);
+                tracing::info!(machine = id, assignments, "emptying");
                 machine.phase = MachinePhase::Draining;
                 draft.put(Key::Machine(id), Record::Machine(machine));
             }
             if !draft.is_empty() {
-                let txn = draft.finish();
-                self.commit(txn, Purpose::Sweep, Priority::Housekeeping);
+                let transaction = draft.finish();
+                self.commit(
+                    transaction,
+                    PendingOperation::RemoveObsolete,
+                    RequestClass::Housekeeping,
+                );
             }
         }
     }
@@ -446,16 +482,16 @@
 
     /// All services' tasks off a machine.
     pub(crate) fn moves_off<'a>(&'a self, id: &'a str) -> impl Iterator<Item = Wish> + 'a {
-        let movable = move |(task, p): &(&TaskId, &Placed)| self.movable(task, &p.booking);
+        let movable = move |(task, p): &(&TaskId, &Placed)| self.movable(task, &p.assignment);
         let wish = move |(task, p): (&TaskId, &Placed)| Wish {
             task: task.clone(),
-            attempt: p.booking.attempt,
+            attempt: p.assignment.attempt,
             machine: id.to_string(),
             reason: Reason::Leaving,
             gain_s: 0.0,
             cost_s: MOVE_COST_S,
         };
-        self.cache.bookings(id).filter(movable).map(wish)
+        self.cache.assignments(id).filter(movable).map(wish)
     }
 
     /// Services back to an even spread over zones, as after one was lost: a task of the fullest zone
@@ -464,16 +500,16 @@
         let up = |(id, m, _): &(&str, &MachineRecord, u64)| {
             m.phase == MachinePhase::Up && self.reachable(id, &m.zone)
         };
-        let mut free: BTreeMap<&str, Vec<(&str, &MachineRecord, Room)>> = BTreeMap::new();
+        let mut free: BTreeMap<&str, Vec<(&str, &MachineRecord, Resources)>> = BTreeMap::new();
         for (id, m, _) in self.cache.machines().filter(up) {
-            if let Some(kind) = self.types.get(&m.type_name) {
+            if let Some(kind) = self.machine_types.get(&m.type_name) {
                 let room = kind.room.less(&self.cache.used(id));
                 free.entry(&m.zone).or_default().push((id, m, room));
             }
         }
         for (id, job, spec) in self.cache.open_jobs() {
-            let even = spec.shape == Shape::Service && !spec.together && spec.zone.is_none();
-            let whole = self.cache.counts(id).booked == job.tasks;
+            let even = spec.kind == JobKind::Service && !spec.zone_affinity && spec.zone.is_none();
+            let whole = self.cache.counts(id).assigned == job.tasks;
             if !even || job.tasks < 2 || !whole {
                 continue;
             }
@@ -494,16 +530,16 @@
             let fetch_s = places
                 .flat_map(|(_, machines)| machines)
                 .filter(|(_, m, room)| {
-                    room.fits(&spec.need) && spec.allows(&m.type_name, &m.zone, m.spot)
+                    room.fits(&spec.resources) && spec.allows(&m.type_name, &m.zone, m.spot)
                 })
                 .map(|(at, m, _)| match self.cache.has_image(at, &spec.image) {
                     true => 0.0,
-                    false => placement::fetch_ms(&self.types, m, spec) as f64 / 1e3,
+                    false => placement::fetch_ms(&self.machine_types, m, spec) as f64 / 1e3,
                 })
                 .min_by(f64::total_cmp);
             let Some(fetch_s) = fetch_s else { continue };
-            let chunks = self.cache.chunks_of(id).flat_map(|(_, c)| c.booked());
-            let there = |b: &Booking| self.cache.machine(&b.machine).map(|m| &m.zone);
+            let chunks = self.cache.chunks_of(id).flat_map(|(_, c)| c.assigned());
+            let there = |b: &Assignment| self.cache.machine(&b.machine).map(|m| &m.zone);
             let mut chunks = chunks.filter(|(_, b)| there(b) == Some(fullest) && b.stop.is_none());
             if let Some((index, b)) = chunks.next() {
                 wishes.push(Wish {
@@ -521,18 +557,20 @@
         }
     }
 
-    /// Whether something is upset just now: a zone is lost, a node is taken over from, or the state
+    /// Whether something is upset just now: a zone is lost, a controller is taken over from, or the state
     /// service says that too much is asked.
     fn in_trouble(&self) -> bool {
         let throttled = self.throttled_at.is_some_and(|at| self.now < at + TICK_MS);
-        self.zones.any_quiet() || self.standby.takes_over() || throttled
+        self.zone_detector.has_unreachable()
+            || self.peer_tracker.has_failover_in_progress()
+            || throttled
     }
 
-    fn movable(&self, task: &TaskId, b: &Booking) -> bool {
+    fn movable(&self, task: &TaskId, b: &Assignment) -> bool {
         b.stop.is_none()
             && self
                 .cache
                 .open_job(&task.job)
-                .is_some_and(|s| s.shape == Shape::Service)
+                .is_some_and(|s| s.kind == JobKind::Service)
     }
 }
--- a/crates/core/src/scheduling/placement.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -1,11 +1,11 @@
-//! The lookup: waiting work grouped by capability set, machines matched to sets, and what
+//! The scheduling pass: waiting work grouped by capability set, machines matched to sets, and what
 //! stays without a machine.
 //!
 //! As in the paper (section 5): each free machine names the set it serves best, per set the
 //! machine idle longest wins, and one conditional transaction allocates it.
 
 use crate::constants::*;
-use crate::jobs::dependencies::{self, Pull};
+use crate::jobs::dependencies::{self, InheritedPriority};
 use crate::model::*;
 use crate::scheduling::claims::{self, within_limit, zone_room};
 use crate::scheduling::queue_order;
@@ -18,8 +18,8 @@
 /// sets of their own.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CapabilitySet {
-    pub need: Room,
-    pub types: Option<Vec<String>>,
+    pub resources: Resources,
+    pub machine_types: Option<Vec<String>>,
     pub zone: Option<String>,
     pub spot: bool,
     pub image: String,
@@ -30,7 +30,7 @@
 /// is not put off, and what is due earliest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Urgency {
-    pub rank: std::cmp::Reverse<Rank>,
+    pub priority: std::cmp::Reverse<JobPriority>,
     pub borrowed: bool,
     /// There is not room for all of its rank in time, and most would miss if it went first.
     pub put_off: bool,
@@ -41,8 +41,8 @@
     /// What is within a guarantee goes before what is borrowed, whatever the ranks: the latter is stopped for
     /// it, and would else take the room again at once, and be stopped again.
     fn turn(&self) -> impl Ord {
-        let later = self.rank.0 != Rank::Production;
-        (later, self.borrowed, self.rank, self.put_off, self.due)
+        let later = self.priority.0 != JobPriority::Production;
+        (later, self.borrowed, self.priority, self.put_off, self.due)
     }
 }
 
@@ -60,58 +60,58 @@
 
 /// One job's waiting tasks, as far as its team's limit lets them run.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct PendingWork {
     pub job: String,
     pub set: CapabilitySet,
     pub urgency: Urgency,
     /// Without that of jobs which need it.
-    pub own_rank: Rank,
+    pub own_rank: JobPriority,
     pub indices: VecDeque<u32>,
     /// Machines on which tasks of it failed: others come first.
     pub avoid: Vec<String>,
-    /// It has failed wherever it was tried: one task at a time, for which nothing is rented.
+    /// It has failed wherever it was tried: one task at a time, for which nothing is provisioned.
     pub suspect: bool,
     /// All of them fit into what is left of their team's guarantee.
     pub within: bool,
     /// For now only machines with its image will do: on such a one room is soon made.
     pub warm_only: bool,
-    pub zones: PlaceRecord,
+    pub zones: ZoneSpreadRecord,
     /// When its tasks could have started.
     pub at: WallMs,
 }
 
-impl Waiting {
+impl PendingWork {
     /// A job's without any task, by its own rank and without a goal.
     pub fn of(
-        cache: &Cache,
+        cache: &StateCache,
         settings: &Settings,
         id: &str,
         job: &JobRecord,
         spec: &JobSpec,
-    ) -> Waiting {
-        let own = (spec.together || spec.scatter) && job.tasks > 1;
+    ) -> PendingWork {
+        let own = (spec.zone_affinity || spec.topology_spread) && job.tasks > 1;
         let zones = match own {
             true => claims::zones_of(&TransactionBuilder::new(cache), job, id, &settings.zones),
-            false => PlaceRecord::default(),
+            false => ZoneSpreadRecord::default(),
         };
         let ready_at = cache.ready_at(job);
-        Waiting {
+        PendingWork {
             job: id.to_string(),
             set: CapabilitySet {
-                need: spec.need,
-                types: spec.types.clone(),
+                resources: spec.resources,
+                machine_types: spec.machine_types.clone(),
                 zone: spec.zone.clone(),
                 spot: spec.spot,
                 image: spec.image.clone(),
                 own: own.then(|| id.to_string()),
             },
             urgency: Urgency {
-                rank: std::cmp::Reverse(spec.rank),
+                priority: std::cmp::Reverse(spec.priority),
                 borrowed: false,
                 put_off: false,
                 due: ready_at + NO_GOAL_MS,
             },
-            own_rank: spec.rank,
+            own_rank: spec.priority,
             indices: VecDeque::new(),
             avoid: Vec::new(),
             suspect: false,
@@ -130,7 +130,7 @@
     job: &JobRecord,
     spec: &JobSpec,
     ready_at: WallMs,
-    pull: Option<&Pull>,
+    pull: Option<&InheritedPriority>,
     run_ms: u64,
     settings: &Settings,
     wall: WallMs,
@@ -140,7 +140,7 @@
     let goals = settings.policy.goals.get(&spec.class).into_iter().flatten();
     let goals = goals.map(|within| ready_at + within);
     let start = settings.policy.starts.get(&spec.class);
-    let start = start.filter(|_| spec.shape == Shape::Array);
+    let start = start.filter(|_| spec.kind == JobKind::Array);
     let start = start.map(|within| ready_at + within + run_ms);
     deadline
         .into_iter()
@@ -160,15 +160,15 @@
 
 /// Waiting tasks in the order in which they should be served.
 pub fn waiting(
-    cache: &Cache,
+    cache: &StateCache,
     settings: &Settings,
-    pulls: &HashMap<String, Pull>,
+    pulls: &HashMap<String, InheritedPriority>,
     runs: &RunTimes,
     cpus: &dyn Fn() -> u64,
-    kept_turns: &mut KeptTurns,
+    kept_turns: &mut CachedQueueOrder,
     wall: WallMs,
-) -> Vec<Waiting> {
-    let mut found: Vec<Waiting> = Vec::new();
+) -> Vec<PendingWork> {
+    let mut found: Vec<PendingWork> = Vec::new();
     let mut next_goals: HashMap<String, Option<WallMs>> = HashMap::new();
     let new_turns = kept_turns.old(wall);
     for (id, job, spec) in cache.waiting_jobs() {
@@ -178,7 +178,7 @@
         let mut avoid: Vec<String> = Vec::new();
         let mut looked = 0;
         for n in 0..job.chunks() {
-            if looked >= LOOKUP_CHUNKS {
+            if looked >= PASS_MAX_CHUNKS {
                 break;
             }
             match cache.chunk(id, n) {
@@ -193,7 +193,7 @@
                             .tasks
                             .iter()
                             .enumerate()
-                            .filter(|(_, t)| **t == TaskState::Waiting)
+                            .filter(|(_, t)| **t == TaskState::Pending)
                             .map(|(i, _)| chunk.first + i as u32),
                     );
                     looked += u32::from(indices.len() > before);
@@ -207,7 +207,7 @@
         }
         let suspect = cache.suspect(id);
         if suspect {
-            indices.truncate(usize::from(cache.counts(id).booked == 0));
+            indices.truncate(usize::from(cache.counts(id).assigned == 0));
         }
         if indices.is_empty() {
             continue;
@@ -222,10 +222,10 @@
         }
         // What can meet none comes after everything that can, since it is late in any case.
         let due = goals.first().copied().unwrap_or(ready_at + NO_GOAL_MS);
-        let plain = Waiting::of(cache, settings, id, job, spec);
-        found.push(Waiting {
+        let plain = PendingWork::of(cache, settings, id, job, spec);
+        found.push(PendingWork {
             urgency: Urgency {
-                rank: std::cmp::Reverse(dependencies::rank(pulls, id, spec)),
+                priority: std::cmp::Reverse(dependencies::priority(pulls, id, spec)),
                 due: due.saturating_sub(before_due),
                 ..plain.urgency
             },
@@ -251,7 +251,7 @@
             // Not even the largest waits for ever, nor what urgent work never leaves room for: a part of it
             // begins, and the rest has its turn.
             (w.urgency.put_off, w.urgency.due) = (false, w.at);
-            w.urgency.rank.0 = w.urgency.rank.0.max(Rank::High);
+            w.urgency.priority.0 = w.urgency.priority.0.max(JobPriority::High);
             w.indices.truncate(begin_part(spec) as usize);
         }
     }
@@ -270,13 +270,13 @@
             .entry(spec.team.clone())
             .or_insert_with(|| cache.usage(&spec.team));
         let mut allowed = 0;
-        while allowed < w.indices.len() && within_limit(team, used, &spec.need) {
+        while allowed < w.indices.len() && within_limit(team, used, &spec.resources) {
             if allowed == 0 {
-                w.urgency.borrowed = used.cpus + spec.need.cpus > team.cpus
-                    || used.gpus + spec.need.gpus > team.gpus;
+                w.urgency.borrowed = used.cpus + spec.resources.cpus > team.cpus
+                    || used.gpus + spec.resources.gpus > team.gpus;
             }
-            used.cpus += spec.need.cpus;
-            used.gpus += spec.need.gpus;
+            used.cpus += spec.resources.cpus;
+            used.gpus += spec.resources.gpus;
             allowed += 1;
         }
         w.within = allowed == w.indices.len() && used.cpus <= team.cpus && used.gpus <= team.gpus;
@@ -286,7 +286,7 @@
         }
     }
     kept.sort_by(|a, b| a.urgency.cmp(&b.urgency).then(a.job.cmp(&b.job)));
-    kept.truncate(LOOKUP_JOBS);
+    kept.truncate(PASS_MAX_JOBS);
     kept
 }
 
@@ -298,7 +298,7 @@
 /// Of a batch that has waited for long, and of which no more than its first part has begun: how many tasks
 /// have. That part counts as urgent, or work that is would stop it again and again.
 pub fn begins_late(
-    cache: &Cache,
+    cache: &StateCache,
     settings: &Settings,
     id: &str,
     at: WallMs,
@@ -307,33 +307,33 @@
     if !settings.checks.begins || wall <= at + BEGIN_LATE_MS {
         return None;
     }
-    let spec = cache.open_job(id).filter(|s| s.shape == Shape::Array)?;
+    let spec = cache.open_job(id).filter(|s| s.kind == JobKind::Array)?;
     let counts = cache.counts(id);
-    let begun = counts.booked + counts.done;
+    let begun = counts.assigned + counts.done;
     (begun <= begin_part(spec)).then_some(begun)
 }
 
-/// Whose turn it is, worked out now and then: hundreds of jobs wait in a burst, and lookups are many.
+/// Whose turn it is, worked out now and then: hundreds of jobs wait in a burst, and scheduling passes are many.
 #[derive(Default)]
-pub struct KeptTurns {
+pub struct CachedQueueOrder {
     until: WallMs,
     /// Jobs that are put off, and when others are due if not by their first goal.
     places: HashMap<String, (bool, WallMs)>,
 }
 
-impl KeptTurns {
+impl CachedQueueOrder {
     /// Whether they are to be worked out anew; also when the time of day was set back.
     fn old(&self, wall: WallMs) -> bool {
-        wall >= self.until || wall + TURNS_MS < self.until
+        wall >= self.until || wall + QUEUE_ORDER_CACHE_MS < self.until
     }
 
-    fn keep(&mut self, found: &[Waiting], wall: WallMs) {
-        self.until = wall + TURNS_MS;
-        let place = |w: &Waiting| (w.job.clone(), (w.urgency.put_off, w.urgency.due));
+    fn keep(&mut self, found: &[PendingWork], wall: WallMs) {
+        self.until = wall + QUEUE_ORDER_CACHE_MS;
+        let place = |w: &PendingWork| (w.job.clone(), (w.urgency.put_off, w.urgency.due));
         self.places = found.iter().map(place).collect();
     }
 
-    fn take(&self, found: &mut [Waiting]) {
+    fn take(&self, found: &mut [PendingWork]) {
         for w in found {
             if let Some((put_off, due)) = self.places.get(&w.job) {
                 (w.urgency.put_off, w.urgency.due) = (*put_off, *due);
@@ -345,9 +345,9 @@
 /// Puts off, rank by rank, what there is no room for in time. `cpus`: thousandths of processors that
 /// there are in all.
 fn take_turns(
-    found: &mut [Waiting],
+    found: &mut [PendingWork],
     next_goals: &HashMap<String, Option<WallMs>>,
-    cache: &Cache,
+    cache: &StateCache,
     settings: &Settings,
     cpus: u64,
     wall: WallMs,
@@ -355,20 +355,20 @@
     found.sort_by(|a, b| a.urgency.cmp(&b.urgency).then(a.job.cmp(&b.job)));
     // Services stay; what else runs is half done, on the whole.
     let mut services = 0;
-    let mut running: BTreeMap<Rank, (u128, u64)> = BTreeMap::new();
+    let mut running: BTreeMap<JobPriority, (u128, u64)> = BTreeMap::new();
     let mut held: BTreeMap<&str, u64> = BTreeMap::new();
     for (id, _, spec) in cache.open_jobs() {
-        let cpus = u64::from(cache.counts(id).booked) * spec.need.cpus;
-        match spec.shape {
-            Shape::Service => {
+        let cpus = u64::from(cache.counts(id).assigned) * spec.resources.cpus;
+        match spec.kind {
+            JobKind::Service => {
                 services += cpus;
                 *held.entry(&spec.team).or_default() += cpus;
             }
-            Shape::Array => {
-                let (work, tasks) = running.entry(spec.rank).or_default();
+            JobKind::Array => {
+                let (work, tasks) = running.entry(spec.priority).or_default();
                 *work += queue_order::work(1, cpus, dependencies::run_ms(spec) / 2);
                 // They have been started: what is left are their results.
-                *tasks += u64::from(cache.counts(id).booked / 2);
+                *tasks += u64::from(cache.counts(id).assigned / 2);
             }
         }
     }
@@ -384,16 +384,18 @@
         });
     let mut means = queue_order::Means {
         cpus: cpus.saturating_sub(services),
-        tasks_per_s: settings.write_rps * settings.nodes.len() as f64 / CHANGES_PER_TASK,
+        tasks_per_s: settings.write_rps * settings.controllers.len() as f64 / CHANGES_PER_TASK,
         before: 0,
         tasks_before: 0,
         teams: limits.collect(),
     };
     let arrived = within_on_arrival(found, cache, settings, wall);
-    for class in found.chunk_by_mut(|a, b| a.urgency.rank == b.urgency.rank) {
+    for class in found.chunk_by_mut(|a, b| a.urgency.priority == b.urgency.priority) {
         // What runs of lower rank is stopped for it.
-        let rank = class.first().map_or(Rank::Low, |w| w.urgency.rank.0);
-        let above: Vec<Rank> = running.range(rank..).map(|(r, _)| *r).collect();
+        let priority = class
+            .first()
+            .map_or(JobPriority::Low, |w| w.urgency.priority.0);
+        let above: Vec<JobPriority> = running.range(priority..).map(|(r, _)| *r).collect();
         for (work, tasks) in above.iter().filter_map(|r| running.remove(r)) {
             means.before += work;
             means.tasks_before += tasks;
@@ -405,7 +407,7 @@
                 let run_ms = spec.map_or(0, dependencies::run_ms);
                 let goals = next_goals.get(&w.job);
                 queue_order::Turn {
-                    work: queue_order::work(w.indices.len() as u64, w.set.need.cpus, run_ms),
+                    work: queue_order::work(w.indices.len() as u64, w.set.resources.cpus, run_ms),
                     tasks: w.indices.len() as u64,
                     team: team.unwrap_or(0),
                     due: goals.map(|_| w.urgency.due),
@@ -432,8 +434,8 @@
 /// Jobs that have just come and that fit into their team's guarantee with all that the team had
 /// before: they need not wait for anybody.
 fn within_on_arrival(
-    found: &[Waiting],
-    cache: &Cache,
+    found: &[PendingWork],
+    cache: &StateCache,
     settings: &Settings,
     wall: WallMs,
 ) -> BTreeSet<String> {
@@ -454,8 +456,8 @@
         };
         let left = u64::from(spec.tasks.saturating_sub(cache.counts(id).done));
         let (cpus, gpus) = sums.entry(&spec.team).or_default();
-        *cpus += left * spec.need.cpus;
-        *gpus += left * spec.need.gpus;
+        *cpus += left * spec.resources.cpus;
+        *gpus += left * spec.resources.gpus;
         if fresh(at) && *cpus <= team.cpus && *gpus <= team.gpus {
             within.insert(id.to_string());
         }
@@ -463,30 +465,30 @@
     within
 }
 
-/// A machine with room, as the lookup sees it.
+/// A machine with room, as the scheduling pass sees it.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
     pub id: &'a str,
     pub record: &'a MachineRecord,
     /// Images it has had, by their numbers.
     pub images: &'a [(u32, f64)],
-    pub room: Room,
-    /// When a task was last placed there, as far as this node knows: the one left alone
+    pub room: Resources,
+    /// When a task was last placed there, as far as this controller knows: the one left alone
     /// longest comes first.
     pub used_at: Millis,
-    /// It reports to this node. Nodes that prefer different machines seldom give one
+    /// It reports to this controller. Controllers that prefer different machines seldom give one
     /// machine's room away twice.
     pub own: bool,
     pub busy: bool,
     /// Milliseconds of fetches still under way there: images share a machine's rate.
     pub fetch_ms: Millis,
-    /// How a start would get there from this node.
+    /// How a start would get there from this controller.
     pub carrier: claims::Carrier,
 }
 
 impl<'a> Candidate<'a> {
     /// One that has no room for anything that waits: it only counts for its zone.
-    pub fn full(id: &'a str, record: &'a MachineRecord, room: Room) -> Candidate<'a> {
+    pub fn full(id: &'a str, record: &'a MachineRecord, room: Resources) -> Candidate<'a> {
         Candidate {
             id,
             record,
@@ -503,9 +505,9 @@
 
 /// The least that any of the waiting tasks takes, of each kind of room: a machine with less serves
 /// none of them.
-pub fn least_need(work: &[Waiting]) -> Room {
-    let needs = work.iter().map(|w| w.set.need);
-    let least = needs.reduce(|a, b| Room {
+pub fn least_need(work: &[PendingWork]) -> Resources {
+    let needs = work.iter().map(|w| w.set.resources);
+    let least = needs.reduce(|a, b| Resources {
         cpus: a.cpus.min(b.cpus),
         gpus: a.gpus.min(b.gpus),
         ram: a.ram.min(b.ram),
@@ -515,7 +517,7 @@
 
 #[derive(Debug, Default)]
 pub struct Plan {
-    pub txn: Txn,
+    pub transaction: CasTransaction,
     pub claimed: Vec<(TaskId, String)>,
     /// Machines that will fetch images for it, and how long they will be fetching then.
     pub fetches: Vec<(String, Millis)>,
@@ -525,36 +527,36 @@
 
 /// Room on ordinary machines, per zone, that work of lower rank leaves to services: enough
 /// for the largest service there is. Services start at once or late; a batch can wait.
-struct Reserve {
+struct ServiceReserve {
     per_zone: u64,
     /// Free and whole room per zone.
     free: BTreeMap<String, (u64, u64)>,
     wall: WallMs,
     /// It is open to this rank and those above.
-    open: Option<Rank>,
+    open: Option<JobPriority>,
 }
 
 /// The lowest rank of which something has waited for so long that the room kept for services is open
 /// to it. It is open to all above as well: else what is made for them by stops goes to what has
 /// waited longer, is stopped for them again, and so on.
-pub fn reserve_open(work: &[Waiting], wall: WallMs) -> Option<Rank> {
+pub fn reserve_open(work: &[PendingWork], wall: WallMs) -> Option<JobPriority> {
     let long = work.iter().filter(|w| wall > w.at + RESERVE_PATIENCE_MS);
-    long.map(|w| w.urgency.rank.0).min()
+    long.map(|w| w.urgency.priority.0).min()
 }
 
-impl Reserve {
+impl ServiceReserve {
     fn new(
-        cache: &Cache,
+        cache: &StateCache,
         settings: &Settings,
-        types: &HashMap<String, MachineType>,
-        work: &[Waiting],
+        machine_types: &HashMap<String, MachineType>,
+        work: &[PendingWork],
         machines: &[Candidate],
         wall: WallMs,
-    ) -> Reserve {
+    ) -> ServiceReserve {
         let largest = cache
             .open_jobs()
-            .filter(|(_, _, s)| s.shape == Shape::Service && s.rank == Rank::Production)
-            .map(|(_, _, s)| s.need.cpus.saturating_mul(s.tasks as u64))
+            .filter(|(_, _, s)| s.kind == JobKind::Service && s.priority == JobPriority::Production)
+            .map(|(_, _, s)| s.resources.cpus.saturating_mul(s.tasks as u64))
             .max()
             .unwrap_or(0);
         let mut free: BTreeMap<String, (u64, u64)> = BTreeMap::new();
@@ -562,17 +564,17 @@
             free.entry(c.record.zone.clone()).or_default().0 += c.room.cpus;
         }
         for (_, m, _) in cache.machines().filter(|(_, m, _)| m.is_up() && !m.spot) {
-            let whole = types.get(&m.type_name).map_or(0, |t| t.room.cpus);
+            let whole = machine_types.get(&m.type_name).map_or(0, |t| t.room.cpus);
             free.entry(m.zone.clone()).or_default().1 += whole;
         }
-        Reserve {
+        ServiceReserve {
             per_zone: largest * RESERVE_SERVICES / settings.zones.len().max(1) as u64,
             free,
             wall,
             open: reserve_open(work, wall),
         }
     }
-    fn allows(&self, waiting: &Waiting, machine: &MachineRecord) -> bool {
+    fn allows(&self, waiting: &PendingWork, machine: &MachineRecord) -> bool {
         let (free, whole) = self.free.get(&machine.zone).copied().unwrap_or_default();
         // A small site keeps nothing back: part of a service's room helps nobody.
         let kept = match self.per_zone <= whole / RESERVE_PART {
@@ -580,11 +582,13 @@
             false => 0,
         };
         machine.spot
-            || waiting.urgency.rank.0 == Rank::Production
-            || free >= kept + waiting.set.need.cpus
-            || self.open.is_some_and(|rank| waiting.urgency.rank.0 >= rank)
+            || waiting.urgency.priority.0 == JobPriority::Production
+            || free >= kept + waiting.set.resources.cpus
+            || self
+                .open
+                .is_some_and(|priority| waiting.urgency.priority.0 >= priority)
                 && (self.wall > waiting.at + RESERVE_PATIENCE_MS
-                    || self.open < Some(waiting.urgency.rank.0))
+                    || self.open < Some(waiting.urgency.priority.0))
     }
     fn take(&mut self, machine: &MachineRecord, cpus: u64) {
         if !machine.spot {
@@ -594,28 +598,28 @@
     }
 }
 
-/// The paper's lookup, packed into one transaction. Sets are served in order of urgency; in
+/// The paper's scheduling pass, packed into one transaction. Sets are served in order of urgency; in
 /// a class of equal urgency a machine first serves the sets whose image it has. Per set the
 /// best machine wins, and is filled. The transaction makes `most` changes.
 pub fn plan(
-    cache: &Cache,
+    cache: &StateCache,
     settings: &Settings,
-    types: &HashMap<String, MachineType>,
-    work: &mut [Waiting],
+    machine_types: &HashMap<String, MachineType>,
+    work: &mut [PendingWork],
     machines: &mut Vec<Candidate>,
     most: usize,
     wall: WallMs,
 ) -> Plan {
-    let round = Round {
+    let round = PlacementPass {
         cache,
         settings,
-        types,
+        machine_types,
         wall,
     };
     let mut draft = TransactionBuilder::limited(cache, most);
     let mut result = Plan::default();
-    let mut reserve = Reserve::new(cache, settings, types, work, machines, wall);
-    // Claims only take room: what fits none of the work now never will in this lookup.
+    let mut reserve = ServiceReserve::new(cache, settings, machine_types, work, machines, wall);
+    // Claims only take room: what fits none of the work now never will in this scheduling pass.
     let least = least_need(work);
     machines.retain(|m| m.room.fits(&least));
     let classes = work.chunk_by_mut(|a, b| same_class(&a.urgency, &b.urgency));
@@ -632,7 +636,7 @@
             }
         }
     }
-    result.txn = draft.finish();
+    result.transaction = draft.finish();
     result
 }
 
@@ -643,11 +647,11 @@
     full: bool,
 }
 
-/// What one lookup rests on.
-struct Round<'a> {
-    cache: &'a Cache,
+/// What one scheduling pass rests on.
+struct PlacementPass<'a> {
+    cache: &'a StateCache,
     settings: &'a Settings,
-    types: &'a HashMap<String, MachineType>,
+    machine_types: &'a HashMap<String, MachineType>,
     wall: WallMs,
 }
 
@@ -656,14 +660,14 @@
 /// longest.
 type Grade = (Millis, bool, u64, bool, bool, Millis);
 
-impl Round<'_> {
+impl PlacementPass<'_> {
     /// Places a job's waiting tasks on the machines that suit it best, until there are no more
     /// or the transaction is full.
     fn serve(
         &self,
         draft: &mut TransactionBuilder,
-        reserve: &mut Reserve,
-        waiting: &mut Waiting,
+        reserve: &mut ServiceReserve,
+        waiting: &mut PendingWork,
         machines: &mut [Candidate],
         warm: bool,
     ) -> Placement {
@@ -678,11 +682,11 @@
         let has_image = |machine: &Candidate| {
             image.is_some_and(|image| machine.images.iter().any(|(i, _)| *i == image))
         };
-        let urgent = waiting.urgency.rank.0 >= Rank::High;
+        let urgent = waiting.urgency.priority.0 >= JobPriority::High;
         let mut best: Vec<(bool, Grade, usize)> = Vec::new();
         for (m, machine) in machines.iter().enumerate() {
             let record = machine.record;
-            if machine.room.fits(&waiting.set.need)
+            if machine.room.fits(&waiting.set.resources)
                 && (!warm || has_image(machine) && !waiting.avoid.iter().any(|id| id == machine.id))
                 && spec.allows(&record.type_name, &record.zone, record.spot)
             {
@@ -698,24 +702,25 @@
         best.sort();
         // What one machine's loss takes of a service is bounded where others serve it as well: first
         // each gets its part at most, then what is left goes to the best.
-        let part = (f64::from(spec.tasks) * self.settings.tuning.crowd_share).ceil() as usize;
-        let service = spec.shape == Shape::Service;
+        let part =
+            (f64::from(spec.tasks) * self.settings.tuning.machine_share_of_service).ceil() as usize;
+        let service = spec.kind == JobKind::Service;
         let spreads = service && part < spec.tasks as usize;
         // The same of zones, also where only one has the image: a fetch is short, a zone's loss is not.
         let zones = self.settings.zones.len() as u32;
         let even = self.settings.tuning.even_spread
             && service
             && zones > 1
-            && !spec.together
+            && !spec.zone_affinity
             && spec.zone.is_none();
         let mut in_zones = match even && spreads {
             true => self
                 .cache
                 .job(&waiting.job)
-                .map_or(PlaceRecord::default(), |job| {
+                .map_or(ZoneSpreadRecord::default(), |job| {
                     claims::zones_of(draft, job, &waiting.job, &self.settings.zones)
                 }),
-            false => PlaceRecord::default(),
+            false => ZoneSpreadRecord::default(),
         };
         let zone_part = spec.tasks.div_ceil(zones.max(1));
         let best: Vec<(usize, usize)> = match spreads {
@@ -735,7 +740,7 @@
             };
             let before = placement.claimed.len();
             while let Some(&index) = waiting.indices.front() {
-                if !machine.room.fits(&waiting.set.need)
+                if !machine.room.fits(&waiting.set.resources)
                     || there >= most
                     || even
                         && (warm || most != usize::MAX)
@@ -760,9 +765,9 @@
                     self.wall,
                 ) {
                     Ok(()) => {
-                        machine.room = machine.room.less(&waiting.set.need);
+                        machine.room = machine.room.less(&waiting.set.resources);
                         machine.busy = true;
-                        reserve.take(record, waiting.set.need.cpus);
+                        reserve.take(record, waiting.set.resources.cpus);
                         *waiting.zones.zones.entry(record.zone.clone()).or_default() += 1;
                         waiting.indices.pop_front();
                         there += 1;
@@ -797,14 +802,14 @@
         placement
     }
 
-    /// Tasks of a job that are booked on a machine.
+    /// Tasks of a job that are assigned to a machine.
     fn of_job(&self, id: &str, job: &str) -> usize {
-        let bookings = self.cache.bookings(id);
-        bookings.filter(|(task, _)| task.job == job).count()
+        let assignments = self.cache.assignments(id);
+        assignments.filter(|(task, _)| task.job == job).count()
     }
 
     fn fetch_ms(&self, record: &MachineRecord, spec: &JobSpec) -> Millis {
-        fetch_ms(self.types, record, spec)
+        fetch_ms(self.machine_types, record, spec)
     }
 
     fn grade(
@@ -817,11 +822,14 @@
         // Services gather on the largest ordinary machines, whose caches come to hold all their
         // images, and other work leaves these for last: what room is kept for the next service
         // is then where it starts without a fetch.
-        let cpus = self.types.get(&record.type_name).map_or(0, |t| t.room.cpus);
-        let size = match spec.shape {
-            Shape::Service => u64::MAX - cpus,
-            Shape::Array if record.spot => 0,
-            Shape::Array => cpus,
+        let cpus = self
+            .machine_types
+            .get(&record.type_name)
+            .map_or(0, |t| t.room.cpus);
+        let size = match spec.kind {
+            JobKind::Service => u64::MAX - cpus,
+            JobKind::Array if record.spot => 0,
+            JobKind::Array => cpus,
         };
         // Work of high rank has to start at once: a machine that fetches its image sooner
         // comes before others. The rest can wait for it.
@@ -842,15 +850,15 @@
 
 /// Milliseconds that a machine takes to fetch a job's image.
 pub fn fetch_ms(
-    types: &HashMap<String, MachineType>,
+    machine_types: &HashMap<String, MachineType>,
     record: &MachineRecord,
     spec: &JobSpec,
 ) -> Millis {
-    let kind = types.get(&record.type_name);
+    let kind = machine_types.get(&record.type_name);
     let rate = kind.map_or(1.0, |t| t.fetch_gb_per_s.max(0.001));
     (spec.image_gb / rate * 1000.0).min(FETCH_MAX_MS as f64) as Millis
 }
 
 fn same_class(a: &Urgency, b: &Urgency) -> bool {
-    (a.rank, a.borrowed, a.put_off) == (b.rank, b.borrowed, b.put_off)
+    (a.priority, a.borrowed, a.put_off) == (b.priority, b.borrowed, b.put_off)
 }
--- a/crates/core/src/scheduling/preemption.rs
+++ b/crates/core/src/scheduling/preemption.rs
@@ -4,27 +4,27 @@
 use crate::constants::*;
 use crate::model::*;
 use crate::scheduling::claims::zone_room;
-use crate::scheduling::placement::Waiting;
+use crate::scheduling::placement::PendingWork;
 use crate::settings::*;
 use crate::state::*;
 use foldhash::HashMap;
 use std::collections::BTreeMap;
 
 /// A machine as it will be once the stops under way have taken effect.
-struct Coming<'a> {
+struct PreemptionTarget<'a> {
     id: &'a str,
     record: &'a MachineRecord,
-    room: Room,
+    room: Resources,
     /// What of it is free already.
-    free: Room,
+    free: Resources,
     victims: Vec<Victim<'a>>,
 }
 
-impl Coming<'_> {
+impl PreemptionTarget<'_> {
     /// Room there for a claimant. What is free now on ordinary machines found no use for urgent
     /// work that takes no others: it is kept for services, and nothing would come of waiting for it.
-    fn room_for(&self, claimant: &Claimant) -> Room {
-        let urgent = claimant.rank == Rank::High && !claimant.open;
+    fn room_for(&self, claimant: &Preemptor) -> Resources {
+        let urgent = claimant.priority == JobPriority::High && !claimant.open;
         let kept = urgent && !claimant.spec.spot && !self.record.spot;
         match kept {
             true => self.room.less(&self.free),
@@ -36,8 +36,8 @@
 struct Victim<'a> {
     task: TaskId,
     team: &'a str,
-    need: Room,
-    rank: Rank,
+    resources: Resources,
+    priority: JobPriority,
     service: bool,
     /// Milliseconds of work that stopping it wastes.
     waste: Millis,
@@ -47,9 +47,9 @@
 type Borrowed<'a> = BTreeMap<&'a str, u64>;
 
 /// For whom room is made.
-struct Claimant<'a> {
+struct Preemptor<'a> {
     spec: &'a JobSpec,
-    rank: Rank,
+    priority: JobPriority,
     within: bool,
     /// Its team is beyond its guarantee.
     borrowed: bool,
@@ -58,7 +58,7 @@
     open: bool,
 }
 
-impl Claimant<'_> {
+impl Preemptor<'_> {
     /// Whether a task may be stopped for it, by rank or since its team gives back what it
     /// borrowed. Services are not moved about for that: they are down meanwhile.
     fn may_stop(&self, v: &Victim, borrowed: &Borrowed) -> bool {
@@ -68,40 +68,42 @@
                 && v.team != self.spec.team
                 && borrowed
                     .get(v.team)
-                    .is_some_and(|cpus| *cpus >= v.need.cpus)
+                    .is_some_and(|cpus| *cpus >= v.resources.cpus)
         };
         // Beyond its own guarantee a team's batches stop nothing of what others are guaranteed: that would
         // get its room back by the same right, and so on.
         let beyond = || {
             self.borrowed
-                && self.rank != Rank::Production
+                && self.priority != JobPriority::Production
                 && v.team != self.spec.team
-                && borrowed.get(v.team).is_none_or(|cpus| *cpus < v.need.cpus)
+                && borrowed
+                    .get(v.team)
+                    .is_none_or(|cpus| *cpus < v.resources.cpus)
         };
-        v.waste <= self.waste && (v.rank < self.rank && !beyond() || lent())
+        v.waste <= self.waste && (v.priority < self.priority && !beyond() || lent())
     }
 }
 
 fn give_back(borrowed: &mut Borrowed, v: &Victim) {
     if let Some(cpus) = borrowed.get_mut(v.team) {
-        *cpus = cpus.saturating_sub(v.need.cpus);
+        *cpus = cpus.saturating_sub(v.resources.cpus);
     }
 }
 
 /// What there is to choose from.
-pub struct Site<'a> {
-    pub cache: &'a Cache,
+pub struct ClusterView<'a> {
+    pub cache: &'a StateCache,
     pub settings: &'a Settings,
-    pub types: &'a HashMap<String, MachineType>,
+    pub machine_types: &'a HashMap<String, MachineType>,
 }
 
 /// Tasks of a job that could soon be on machines with its image, if what is of lower rank there is
 /// stopped.
 pub fn warm_room(
-    site: &Site,
-    work: &Waiting,
+    site: &ClusterView,
+    work: &PendingWork,
     usable: impl Fn(&str) -> bool,
-    rank: impl Fn(&str, &JobSpec) -> Rank,
+    priority: impl Fn(&str, &JobSpec) -> JobPriority,
 ) -> u64 {
     let Some(spec) = site.cache.open_job(&work.job) else {
         return 0;
@@ -113,72 +115,76 @@
             && spec.allows(&m.type_name, &m.zone, m.spot)
             && zone_room(spec, &work.zones, &m.zone) > 0
             && usable(id);
-        let Some(kind) = site.types.get(&m.type_name).filter(|_| fits) else {
+        let Some(kind) = site.machine_types.get(&m.type_name).filter(|_| fits) else {
             continue;
         };
-        let mut staying = Room::default();
-        for (task, p) in site.cache.bookings(id) {
-            let lower = |s: &JobSpec| s.shape == Shape::Array && rank(&task.job, s) < work.own_rank;
+        let mut staying = Resources::default();
+        for (task, p) in site.cache.assignments(id) {
+            let lower =
+                |s: &JobSpec| s.kind == JobKind::Array && priority(&task.job, s) < work.own_rank;
             if !site.cache.open_job(&task.job).is_some_and(lower) {
-                staying = staying.plus(&p.need);
+                staying = staying.plus(&p.resources);
             }
         }
-        tasks += kind.room.less(&staying).count(&spec.need);
+        tasks += kind.room.less(&staying).count(&spec.resources);
     }
     tasks
 }
 
 /// Tasks to stop, with their machines, so that waiting work gets started.
-/// `age` tells how long an attempt has been booked, `rank` what a job counts as for the sake of
+/// `age` tells how long an attempt has been assigned, `priority` what a job counts as for the sake of
 /// those that need it, `spared` whether an attempt is about to end by itself.
 pub fn victims(
-    site: Site,
-    work: &[Waiting],
+    site: ClusterView,
+    work: &[PendingWork],
     usable: impl Fn(&str) -> bool,
     age: impl Fn(u64) -> Millis,
-    rank: impl Fn(&str, &JobSpec) -> Rank,
+    priority: impl Fn(&str, &JobSpec) -> JobPriority,
     spared: impl Fn(&TaskId, u64) -> bool,
-    open: Option<Rank>,
+    open: Option<JobPriority>,
 ) -> Vec<(String, TaskId)> {
-    let Site {
+    let ClusterView {
         cache,
         settings,
-        types,
+        machine_types,
     } = site;
-    let mut machines: Vec<Coming> = Vec::new();
+    let mut machines: Vec<PreemptionTarget> = Vec::new();
     let mut borrowed = Borrowed::new();
-    let mut lowest = Rank::Production;
+    let mut lowest = JobPriority::Production;
     for (id, m, _) in cache.machines() {
-        let Some(kind) = types
+        let Some(kind) = machine_types
             .get(&m.type_name)
             .filter(|_| m.phase == MachinePhase::Up && usable(id))
         else {
             continue;
         };
-        let mut staying = Room::default();
+        let mut staying = Resources::default();
         let mut victims = Vec::new();
-        for (task, p) in cache.bookings(id).filter(|(_, p)| p.booking.stop.is_none()) {
-            staying = staying.plus(&p.need);
+        for (task, p) in cache
+            .assignments(id)
+            .filter(|(_, p)| p.assignment.stop.is_none())
+        {
+            staying = staying.plus(&p.resources);
             if let Some(spec) = cache.open_job(&task.job) {
-                let saved = spec.checkpoint_s > 0.0;
-                *borrowed.entry(&spec.team).or_default() += p.need.cpus;
-                let rank = rank(&task.job, spec);
-                lowest = lowest.min(rank);
-                if spared(task, p.booking.attempt) {
+                let saved = spec.checkpoint_interval_s > 0.0;
+                *borrowed.entry(&spec.team).or_default() += p.resources.cpus;
+                let priority = priority(&task.job, spec);
+                lowest = lowest.min(priority);
+                if spared(task, p.assignment.attempt) {
                     continue;
                 }
                 victims.push(Victim {
                     task: task.clone(),
                     team: &spec.team,
-                    need: p.need,
-                    rank,
-                    service: spec.shape == Shape::Service,
-                    waste: if saved { 0 } else { age(p.booking.attempt) },
+                    resources: p.resources,
+                    priority,
+                    service: spec.kind == JobKind::Service,
+                    waste: if saved { 0 } else { age(p.assignment.attempt) },
                 });
             }
         }
         victims.sort_by_key(|v| v.waste);
-        machines.push(Coming {
+        machines.push(PreemptionTarget {
             id,
             record: m,
             room: kind.room.less(&staying),
@@ -196,34 +202,34 @@
             continue;
         };
         let lent = w.within && borrowed.values().any(|cpus| *cpus > 0);
-        let rank = w.own_rank;
-        if lowest >= rank && !lent {
+        let priority = w.own_rank;
+        if lowest >= priority && !lent {
             continue;
         }
-        let claimant = Claimant {
+        let claimant = Preemptor {
             spec,
-            rank,
+            priority,
             within: w.within,
             borrowed: w.urgency.borrowed,
-            open: open.is_some_and(|lowest| rank > lowest),
-            waste: match rank {
-                Rank::Production => Millis::MAX,
+            open: open.is_some_and(|lowest| priority > lowest),
+            waste: match priority {
+                JobPriority::Production => Millis::MAX,
                 _ => PREEMPT_WASTE_MS,
             },
         };
         let mut zones = w.zones.clone();
         for _ in 0..w.indices.len().min(PREEMPT_TASKS) {
-            let fits = |m: &Coming| {
+            let fits = |m: &PreemptionTarget| {
                 spec.allows(&m.record.type_name, &m.record.zone, m.record.spot)
                     && zone_room(spec, &zones, &m.record.zone) > 0
                     && (!w.warm_only || cache.has_image(m.id, &spec.image))
             };
             if let Some(m) = machines
                 .iter_mut()
-                .find(|m| fits(m) && m.room_for(&claimant).fits(&spec.need))
+                .find(|m| fits(m) && m.room_for(&claimant).fits(&spec.resources))
             {
                 // Room that is free already, or being made.
-                m.room = m.room.less(&spec.need);
+                m.room = m.room.less(&spec.resources);
                 *zones.zones.entry(m.record.zone.clone()).or_default() += 1;
                 continue;
             }
@@ -247,14 +253,14 @@
                 if taken < count && claimant.may_stop(&v, &borrowed) {
                     taken += 1;
                     give_back(&mut borrowed, &v);
-                    m.room = m.room.plus(&v.need);
+                    m.room = m.room.plus(&v.resources);
                     stops.push((m.id.to_string(), v.task));
                 } else {
                     kept.push(v);
                 }
             }
             m.victims = kept;
-            m.room = m.room.less(&spec.need);
+            m.room = m.room.less(&spec.resources);
             *zones.zones.entry(m.record.zone.clone()).or_default() += 1;
         }
     }
@@ -262,7 +268,11 @@
 }
 
 /// How many victims, the least wasteful first, make enough room, and what that wastes.
-fn enough(m: &Coming, claimant: &Claimant, borrowed: &Borrowed) -> Option<(usize, Millis)> {
+fn enough(
+    m: &PreemptionTarget,
+    claimant: &Preemptor,
+    borrowed: &Borrowed,
+) -> Option<(usize, Millis)> {
     let mut room = m.room_for(claimant);
     let mut waste: Millis = 0;
     let mut count = 0;
@@ -274,10 +284,10 @@
         if borrowed.contains_key(v.team) {
             give_back(borrowed.to_mut(), v);
         }
-        room = room.plus(&v.need);
+        room = room.plus(&v.resources);
         waste = waste.saturating_add(v.waste);
         count += 1;
-        if room.fits(&claimant.spec.need) {
+        if room.fits(&claimant.spec.resources) {
             return Some((count, waste));
         }
     }
--- a/crates/core/src/scheduling/quota_enforcement.rs
+++ b/crates/core/src/scheduling/quota_enforcement.rs
@@ -17,15 +17,15 @@
     task: TaskId,
     machine: String,
     attempt: u64,
-    need: Room,
+    resources: Resources,
     service: bool,
-    rank: Rank,
+    priority: JobPriority,
 }
 
 impl Candidate {
     /// Batches before services, lower ranks before higher ones, the youngest first.
     fn turn(&self) -> impl Ord {
-        (self.service, self.rank, Reverse(self.attempt))
+        (self.service, self.priority, Reverse(self.attempt))
     }
 }
 
@@ -45,8 +45,8 @@
     exceeds(cpus, team.cpus_max) || exceeds(gpus, team.gpus_max)
 }
 
-/// Teams whose bookings take more than their limits, by what is counted anyway.
-fn teams_over<'a>(cache: &Cache, policy: &'a Policy) -> BTreeMap<&'a str, &'a Team> {
+/// Teams whose assignments take more than their limits, by what is counted anyway.
+fn teams_over<'a>(cache: &StateCache, policy: &'a Policy) -> BTreeMap<&'a str, &'a Team> {
     let over = policy.teams.values().filter(|team| {
         let used = cache.usage(&team.name);
         is_over(team, used.cpus, used.gpus)
@@ -56,7 +56,7 @@
 
 /// Tasks to stop so that each team's use fits its limit, with the machine and attempt of each. What is
 /// being stopped already, or belongs to a cancelled job, is counted as gone.
-pub fn over_limits(cache: &Cache, policy: &Policy) -> Vec<(String, TaskId, u64)> {
+pub fn over_limits(cache: &StateCache, policy: &Policy) -> Vec<(String, TaskId, u64)> {
     let over = teams_over(cache, policy);
     if over.is_empty() {
         return Vec::new();
@@ -67,20 +67,20 @@
             continue;
         };
         let used = uses.entry(*team).or_default();
-        let booked = cache.chunks_of(id).flat_map(|(_, chunk)| chunk.booked());
-        for (index, booking) in booked.filter(|(_, b)| b.stop.is_none()) {
-            used.cpus += spec.need.cpus;
-            used.gpus += spec.need.gpus;
+        let assigned = cache.chunks_of(id).flat_map(|(_, chunk)| chunk.assigned());
+        for (index, assignment) in assigned.filter(|(_, b)| b.stop.is_none()) {
+            used.cpus += spec.resources.cpus;
+            used.gpus += spec.resources.gpus;
             used.candidates.push(Candidate {
                 task: TaskId {
                     job: id.to_string(),
                     index,
                 },
-                machine: booking.machine.clone(),
-                attempt: booking.attempt,
-                need: spec.need,
-                service: spec.shape == Shape::Service,
-                rank: spec.rank,
+                machine: assignment.machine.clone(),
+                attempt: assignment.attempt,
+                resources: spec.resources,
+                service: spec.kind == JobKind::Service,
+                priority: spec.priority,
             });
         }
     }
@@ -89,14 +89,14 @@
         let Some(team) = over.get(name) else { continue };
         used.candidates.sort_by_key(Candidate::turn);
         for candidate in used.candidates {
-            let helps = exceeds(used.cpus, team.cpus_max) && candidate.need.cpus > 0
-                || exceeds(used.gpus, team.gpus_max) && candidate.need.gpus > 0;
+            let helps = exceeds(used.cpus, team.cpus_max) && candidate.resources.cpus > 0
+                || exceeds(used.gpus, team.gpus_max) && candidate.resources.gpus > 0;
             if !is_over(team, used.cpus, used.gpus) {
                 break;
             }
             if helps {
-                used.cpus -= candidate.need.cpus;
-                used.gpus -= candidate.need.gpus;
+                used.cpus -= candidate.resources.cpus;
+                used.gpus -= candidate.resources.gpus;
                 stops.push((candidate.machine, candidate.task, candidate.attempt));
             }
         }
@@ -104,37 +104,41 @@
     stops
 }
 
-impl Node {
+impl Controller {
     /// Stops what is above limits that were lowered. Only where a configuration is on record: limits from
-    /// the settings file don't change while nodes run.
+    /// the settings file don't change while controllers run.
     pub(crate) fn evict_over_limits(&mut self) {
         let configured = self.settings.policy.version > 0 && self.configuration.is_readable();
         if !configured || !self.settings.checks.eviction || !self.may_write() {
             return;
         }
         let stops = over_limits(&self.cache, &self.settings.policy);
-        if stops.is_empty() || self.writes_left() < self.writes_least() {
+        if stops.is_empty() || self.changes_left() < self.min_changes() {
             return;
         }
         let mut draft = TransactionBuilder::new(&self.cache);
         let mut chosen = Vec::new();
         for (machine, task, attempt) in stops {
-            if !draft.has_room(&self.settings, 1, 2, self.settings.value_bytes as usize) {
+            if !draft.has_room(&self.settings, 1, 2, self.settings.max_value_bytes as usize) {
                 break;
             }
-            self.edit_booking(&mut draft, &task, attempt, |booking| {
-                booking.stop = Some(OVER_LIMIT.into());
+            self.edit_assignment(&mut draft, &task, attempt, |assignment| {
+                assignment.stop = Some(OVER_LIMIT.into());
             });
             chosen.push((machine, task));
         }
         // Raised meanwhile, nothing has to go.
-        draft.rests_on_revision(Key::Configuration, self.settings.policy.stamp);
-        let large = draft.drop_oversized(self.settings.value_bytes);
+        draft.rests_on_revision(Key::Configuration, self.settings.policy.mod_revision);
+        let large = draft.drop_oversized(self.settings.max_value_bytes);
         if !draft.is_empty() {
             tracing::info!(tasks = chosen.len(), "stopped: above their teams' limits");
-            let txn = draft.finish();
-            self.commit_bookings(txn, Purpose::Stop(chosen), Priority::Claim);
+            let transaction = draft.finish();
+            self.commit_assignments(
+                transaction,
+                PendingOperation::Stop(chosen),
+                RequestClass::Claim,
+            );
         }
-        self.too_large(large);
+        self.log_oversized(large);
     }
 }
--- a/crates/core/src/scheduling/rescheduling.rs
+++ b/crates/core/src/scheduling/rescheduling.rs
@@ -3,7 +3,7 @@
 //! A move stops a task where it runs and lets it be placed anew. Each says what it gains and what it
 //! costs, in seconds of a replica's time; it is made only if the gain is clearly more. A service never
 //! loses two tasks at a time, nor one while another is missing, and no task moves twice within a
-//! stated time. What a move is made of, a stop on record and a claim, survives the end of any node.
+//! stated time. What a move is made of, a stop on record and a claim, survives the end of any controller.
 
 use crate::constants::*;
 use crate::model::*;
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start: the platform's settings and the operators' own.
+//! What a controller is told at its start: the platform's settings and the operators' own.
 
 use crate::configuration::Policy;
 use crate::model::Millis;
@@ -8,23 +8,23 @@
 
 #[derive(Clone, Debug)]
 pub struct Settings {
-    pub node: String,
-    /// Names of all nodes, this one included, in order.
-    pub nodes: Vec<String>,
+    pub controller: String,
+    /// Names of all controllers, this one included, in order.
+    pub controllers: Vec<String>,
     pub zones: Vec<String>,
-    /// That of this node.
+    /// That of this controller.
     pub zone: String,
-    /// Those of all nodes, as far as they are known.
-    pub node_zones: BTreeMap<String, String>,
+    /// Those of all controllers, as far as they are known.
+    pub controller_zones: BTreeMap<String, String>,
     /// Teams and objectives: from the settings file until others are on record.
     pub policy: Policy,
     pub report_ms: u64,
     pub lease_ms: u64,
     pub cancel_ms: u64,
-    /// The smaller of the state service's present limits and those announced, as is `txn_ops`.
-    pub value_bytes: u64,
-    pub txn_ops: usize,
-    /// Changes a second that this node may make to the state service, ...
+    /// The smaller of the state service's present limits and those announced, as is `max_transaction_changes`.
+    pub max_value_bytes: u64,
+    pub max_transaction_changes: usize,
+    /// Changes a second that this controller may make to the state service, ...
     pub write_rps: f64,
     /// ... and once the announced limits are in force.
     pub next_write_rps: f64,
@@ -33,7 +33,7 @@
     /// How far the cloud's list may lag; at times it is twice that.
     pub list_lag_ms: u64,
     pub learned: LearnedUse,
-    /// All of them hold, except in stories that show what one is for.
+    /// All of them hold, except in scenarios that show what one is for.
     pub checks: Checks,
     /// What experiments vary.
     pub tuning: Tuning,
@@ -63,7 +63,10 @@
     pub fn idle_return_ms(&self) -> Millis {
         self.policy.idle_return_ms.unwrap_or(self.idle_return_ms)
     }
-    pub fn node_index(&self) -> u64 {
-        self.nodes.iter().position(|n| *n == self.node).unwrap_or(0) as u64
+    pub fn controller_index(&self) -> u64 {
+        self.controllers
+            .iter()
+            .position(|n| *n == self.controller)
+            .unwrap_or(0) as u64
     }
 }
--- a/crates/core/src/state/dependents.rs
+++ b/crates/core/src/state/dependents.rs
@@ -27,16 +27,16 @@
     /// A job awaits others now: none, once it is over.
     pub(crate) fn link(&mut self, id: &str, before: &[String], now: &[String]) {
         if before != now {
-            for awaited in before {
-                if let Some(jobs) = self.by_awaited.get_mut(awaited) {
+            for dependency in before {
+                if let Some(jobs) = self.by_awaited.get_mut(dependency) {
                     jobs.remove(id);
                     if jobs.is_empty() {
-                        self.by_awaited.remove(awaited);
+                        self.by_awaited.remove(dependency);
                     }
                 }
             }
-            for awaited in now {
-                let jobs = self.by_awaited.entry(awaited.clone()).or_default();
+            for dependency in now {
+                let jobs = self.by_awaited.entry(dependency.clone()).or_default();
                 jobs.insert(id.to_string());
             }
         }
--- a/crates/core/src/state/formats.rs
+++ b/crates/core/src/state/formats.rs
@@ -1,22 +1,22 @@
-//! Versions of what nodes store, so that two versions of the program serve on the same data.
+//! Versions of what controllers store, so that two versions of the program serve on the same data.
 //!
-//! Each node records the latest format that it reads under `g/format/NODE`. What an older one
+//! Each controller records the latest format that it reads under `g/format/NODE`. What an older one
 //! would not read, or would drop when it writes a record anew, is written only in a format that
-//! every member named by the settings has on record. Beats and silence prove nothing here: a
-//! node that ends before it is upgraded comes back old. A node is upgraded once, so the common
+//! every member named by the settings has on record. Heartbeats and silence prove nothing here: a
+//! controller that ends before it is upgraded comes back old. A controller is upgraded once, so the common
 //! format never falls.
 //!
 //! | format | what came with it | when what it replaced may be dropped |
 //! |---|---|---|
-//! | 1 | records as JSON objects throughout | once no site has chunks from before format 2: every chunk is gone with its job's last booking, so a day after an upgrade |
-//! | 2 | compact chunks; jobs that await others (`awaits`) | |
+//! | 1 | records as JSON objects throughout | once no site has chunks from before format 2: every chunk is gone with its job's last assignment, so a day after an upgrade |
+//! | 2 | compact chunks; jobs that await others (`dependencies`) | |
 //! | 3 | cancellations are told when all tasks are gone (`g/settled`); records as in 2 | |
 //! | 4 | configurations on record (`g/configurable`); teams in a form that earlier versions can't read | |
 //!
-//! A compact chunk writes its tasks as words: `=N` tasks wait, `+N` are done, and a booking is
+//! A compact chunk writes its tasks as words: `=N` tasks wait, `+N` are done, and a assignment is
 //! `MACHINE:ATTEMPT[:START][!STOP][*N]`. The machine's name lacks what all have in common, the
 //! attempt is counted from the lowest, in base 36. START is left out if it is the usual one of
-//! the chunk, `n` for none, `sSESSION.TALLY` for a check-in's answer, `dSESSION.TOKEN` for a
+//! the chunk, `n` for none, `sSESSION.TALLY` for a heartbeat's answer, `dSESSION.TOKEN` for a
 //! direct command. STOP is the number of a reason, and N repeats the word for tasks that follow.
 //! A task takes some 8 bytes so instead of some 45, and a hundred of them fit into 2 KiB.
 
@@ -32,13 +32,13 @@
 /// From this one on chunks are compact and jobs may await others.
 pub const PIPELINES: u32 = 2;
 /// From this one on cancellations are told when all tasks are gone.
-pub const SETTLED: u32 = 3;
+pub const CONFIRMED_CANCELLATION: u32 = 3;
 /// From this one on configurations may be on record.
-pub const CONFIGURABLE: u32 = 4;
+pub const STORED_CONFIGURATION: u32 = 4;
 /// The latest format that this version reads and writes.
-pub const LATEST: u32 = CONFIGURABLE;
+pub const LATEST: u32 = STORED_CONFIGURATION;
 
-/// The latest format that a node reads.
+/// The latest format that a controller reads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FormatRecord {
     #[serde(rename = "v")]
@@ -48,8 +48,8 @@
 /// How a start travels: what it is armed for, or the direct command.
 type Start = (Option<(u64, u64)>, Option<(u64, u64)>);
 
-fn start_of(b: &Booking) -> Start {
-    (b.armed, b.direct)
+fn start_of(b: &Assignment) -> Start {
+    (b.reply_start, b.direct_start)
 }
 
 /// A chunk's record in format 2.
@@ -72,7 +72,7 @@
     #[serde(rename = "o", default)]
     team: String,
     #[serde(rename = "u", default)]
-    need: Room,
+    resources: Resources,
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     failed_on: Vec<String>,
     #[serde(rename = "n", default)]
@@ -87,7 +87,7 @@
     };
     match start {
         (None, None) => "n".into(),
-        (armed, direct) => part('s', armed) + &part('d', direct),
+        (reply_start, direct_start) => part('s', reply_start) + &part('d', direct_start),
     }
 }
 
@@ -99,13 +99,13 @@
         let (a, b) = s.split_once('.')?;
         Some((a.parse().ok()?, b.parse().ok()?))
     };
-    let (armed, direct) = match word.split_once('d') {
-        Some((armed, direct)) => (armed, Some(pair(direct)?)),
+    let (reply_start, direct_start) = match word.split_once('d') {
+        Some((reply_start, direct_start)) => (reply_start, Some(pair(direct_start)?)),
         None => (word, None),
     };
-    match armed.strip_prefix('s') {
-        Some(armed) => Some((Some(pair(armed)?), direct)),
-        None if armed.is_empty() && direct.is_some() => Some((None, direct)),
+    match reply_start.strip_prefix('s') {
+        Some(reply_start) => Some((Some(pair(reply_start)?), direct_start)),
+        None if reply_start.is_empty() && direct_start.is_some() => Some((None, direct_start)),
         None => None,
     }
 }
@@ -136,19 +136,19 @@
 
 impl CompactChunk {
     pub(crate) fn of(chunk: &ChunkRecord) -> CompactChunk {
-        let booked = || chunk.booked().map(|(_, b)| b);
-        let names: BTreeMap<&str, String> = booked()
+        let assigned = || chunk.assigned().map(|(_, b)| b);
+        let names: BTreeMap<&str, String> = assigned()
             .map(|b| (b.machine.as_str(), escape(&b.machine)))
             .collect();
         // Escaped names are plain ASCII: any byte is a place to cut.
         let prefix = common_prefix(names.values().map(String::as_str));
-        let attempt = booked().map(|b| b.attempt).min().unwrap_or(0);
+        let attempt = assigned().map(|b| b.attempt).min().unwrap_or(0);
         let mut starts: BTreeMap<Start, usize> = BTreeMap::new();
-        for b in booked() {
+        for b in assigned() {
             *starts.entry(start_of(b)).or_default() += 1;
         }
         let usual = starts.iter().max_by_key(|(_, n)| **n).map(|(s, _)| *s);
-        let stops: BTreeSet<&String> = booked().filter_map(|b| b.stop.as_ref()).collect();
+        let stops: BTreeSet<&String> = assigned().filter_map(|b| b.stop.as_ref()).collect();
         let stops: Vec<String> = stops.into_iter().cloned().collect();
         let mut words = String::new();
         for same in chunk.tasks.chunk_by(|a, b| a == b) {
@@ -157,9 +157,9 @@
             }
             let n = same.len();
             let _ = match &same[0] {
-                TaskState::Waiting => write!(words, "={n}"),
+                TaskState::Pending => write!(words, "={n}"),
                 TaskState::Done => write!(words, "+{n}"),
-                TaskState::Booked(b) => {
+                TaskState::Assigned(b) => {
                     let name = names.get(b.machine.as_str()).map_or("", |n| n.as_str());
                     let mut word = format!(
                         "{}:{}",
@@ -191,14 +191,14 @@
             start: usual.map_or(String::new(), start_word),
             stops,
             team: chunk.team.clone(),
-            need: chunk.need,
+            resources: chunk.resources,
             failed_on: chunk.failed_on.clone(),
             fails: chunk.fails,
             pause_until: chunk.pause_until,
         }
     }
 
-    fn booking(&self, word: &str) -> Option<(Booking, usize)> {
+    fn assignment(&self, word: &str) -> Option<(Assignment, usize)> {
         let (word, n) = match word.split_once('*') {
             Some((word, n)) => (word, n.parse().ok()?),
             None => (word, 1),
@@ -210,15 +210,15 @@
         let mut parts = word.split(':');
         let machine = unescape(&format!("{}{}", self.prefix, parts.next()?))?;
         let attempt = u64::from_str_radix(parts.next()?, 36).ok()?;
-        let (armed, direct) = read_start(parts.next().unwrap_or(&self.start))?;
-        let booking = Booking {
+        let (reply_start, direct_start) = read_start(parts.next().unwrap_or(&self.start))?;
+        let assignment = Assignment {
             machine,
             attempt: self.attempt.checked_add(attempt)?,
-            armed,
-            direct,
+            reply_start,
+            direct_start,
             stop: stop.cloned(),
         };
-        Some((booking, n))
+        Some((assignment, n))
     }
 
     /// None for what no version has written.
@@ -226,11 +226,11 @@
         let mut tasks = Vec::new();
         for word in self.tasks.split_ascii_whitespace() {
             let (state, n): (TaskState, usize) = match word.split_at_checked(1)? {
-                ("=", n) => (TaskState::Waiting, n.parse().ok()?),
+                ("=", n) => (TaskState::Pending, n.parse().ok()?),
                 ("+", n) => (TaskState::Done, n.parse().ok()?),
                 _ => {
-                    let (booking, n) = self.booking(word)?;
-                    (TaskState::Booked(booking), n)
+                    let (assignment, n) = self.assignment(word)?;
+                    (TaskState::Assigned(assignment), n)
                 }
             };
             if n > JOB_TASKS as usize - tasks.len() {
@@ -242,7 +242,7 @@
             first: self.first,
             tasks,
             team: self.team,
-            need: self.need,
+            resources: self.resources,
             failed_on: self.failed_on,
             fails: self.fails,
             pause_until: self.pause_until,
@@ -255,24 +255,29 @@
     record.value(format).to_string().len() + VALUE_SPARE_BYTES
 }
 
-/// Tasks per chunk of a new job: as many as fit into a value when all are booked.
-pub fn chunk_tasks(format: u32, value_bytes: u64) -> u32 {
+/// Tasks per chunk of a new job: as many as fit into a value when all are assigned.
+pub fn chunk_tasks(format: u32, max_value_bytes: u64) -> u32 {
     let fit = match format {
-        OLDEST => value_bytes / CHUNK_TASK_BYTES,
-        _ => value_bytes.saturating_sub(CHUNK_BASE_BYTES as u64 * 2) / COMPACT_TASK_BYTES,
+        OLDEST => max_value_bytes / CHUNK_TASK_BYTES,
+        _ => max_value_bytes.saturating_sub(CHUNK_BASE_BYTES as u64 * 2) / COMPACT_TASK_BYTES,
     };
     fit.clamp(1, CHUNK_TASKS as u64) as u32
 }
 
-/// Whether a chunk can take one more booking, all of which may still be armed anew or get a
+/// Whether a chunk can take one more assignment, all of which may still be armed anew or get a
 /// reason to stop.
-pub fn takes_one_more(chunk: &ChunkRecord, machine: &str, format: u32, value_bytes: u64) -> bool {
-    let most = value_bytes as usize;
-    let later = (chunk.booked().count() + 1) * BOOKING_EDIT_BYTES;
-    let plain = chunk.size() + BOOKING_BYTES + machine.len() + VALUE_SPARE_BYTES + later;
+pub fn takes_one_more(
+    chunk: &ChunkRecord,
+    machine: &str,
+    format: u32,
+    max_value_bytes: u64,
+) -> bool {
+    let most = max_value_bytes as usize;
+    let later = (chunk.assigned().count() + 1) * ASSIGNMENT_EDIT_BYTES;
+    let plain = chunk.size() + ASSIGNMENT_BYTES + machine.len() + VALUE_SPARE_BYTES + later;
     if plain <= most || format == OLDEST {
         return plain <= most;
     }
     let now = stored_bytes(&Record::Chunk(chunk.clone()), format);
-    now + machine.len() + COMPACT_BOOKING_BYTES + later <= most
+    now + machine.len() + COMPACT_ASSIGNMENT_BYTES + later <= most
 }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! Shared records: their keys, their values, a node's copy of them, and conditional transactions.
+//! Shared records: their keys, their values, a controller's copy of them, and conditional transactions.
 //!
-//! Values know keys, the copy knows both, and transactions are built over the copy: none of them knows
+//! Values know keys, the cache knows both, and transactions are built over the cache: none of them knows
 //! what stands after it here.
 
 mod cache;
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -1,7 +1,10 @@
 //! What the shared records hold, and how each is stored.
 
 use super::Key;
-use crate::configuration::{ConfigurableRecord, FollowingRecord, PageRecord, VersionRecord};
+use crate::configuration::{
+    ConfigurationEnabledRecord, ConfigurationPageRecord, ConfigurationVersionRecord,
+    ObservedVersionRecord,
+};
 use crate::constants::*;
 use crate::model::*;
 use crate::state::formats::{self, CompactChunk, FormatRecord};
@@ -11,7 +14,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Phase {
+pub enum JobPhase {
     Open,
     Done,
     Cancelled,
@@ -19,9 +22,9 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    pub phase: Phase,
+    pub phase: JobPhase,
     pub tasks: u32,
-    /// Tasks per chunk; the same for all nodes and for the job's whole life.
+    /// Tasks per chunk; the same for all controllers and for the job's whole life.
     pub chunk: u32,
     /// Time of day at which it was accepted.
     pub at: WallMs,
@@ -35,7 +38,7 @@
 impl JobRecord {
     pub fn open(&self) -> Option<&JobSpec> {
         match self.phase {
-            Phase::Open => self.spec.as_deref(),
+            JobPhase::Open => self.spec.as_deref(),
             _ => None,
         }
     }
@@ -46,7 +49,7 @@
     pub fn chunk_of(&self, index: u32) -> u32 {
         index / self.chunk.max(1)
     }
-    pub fn over(&self, phase: Phase, wall: WallMs) -> JobRecord {
+    pub fn over(&self, phase: JobPhase, wall: WallMs) -> JobRecord {
         JobRecord {
             phase,
             ended: wall,
@@ -59,17 +62,17 @@
 /// A task's claim on a machine. It stands in the task's chunk from the claim until its
 /// attempt is proven gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Booking {
+pub struct Assignment {
     #[serde(rename = "m")]
     pub machine: String,
     #[serde(rename = "a")]
     pub attempt: u64,
-    /// (session, tally) of the check-in whose answer carries the start.
+    /// (incarnation, sequence number) of the heartbeat whose answer carries the start.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
-    pub armed: Option<(u64, u64)>,
-    /// (session, token) of the direct command that carries the start. One is sent at most.
+    pub reply_start: Option<(u64, u64)>,
+    /// (incarnation, token) of the direct command that carries the start. One is sent at most.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
-    pub direct: Option<(u64, u64)>,
+    pub direct_start: Option<(u64, u64)>,
     /// To be stopped, with this reason.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub stop: Option<String>,
@@ -78,17 +81,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
     #[serde(rename = "w")]
-    Waiting,
+    Pending,
     #[serde(rename = "d")]
     Done,
     #[serde(rename = "b")]
-    Booked(Booking),
+    Assigned(Assignment),
 }
 
 impl TaskState {
-    pub fn booking(&self) -> Option<&Booking> {
+    pub fn assignment(&self) -> Option<&Assignment> {
         match self {
-            TaskState::Booked(b) => Some(b),
+            TaskState::Assigned(b) => Some(b),
             _ => None,
         }
     }
@@ -105,7 +108,7 @@
     #[serde(rename = "o", default)]
     pub team: String,
     #[serde(rename = "u", default)]
-    pub need: Room,
+    pub resources: Resources,
     /// Machines on which tasks of this chunk failed, without repeats.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub failed_on: Vec<String>,
@@ -123,60 +126,61 @@
         let len = job.tasks.saturating_sub(first).min(job.chunk);
         ChunkRecord {
             first,
-            tasks: vec![TaskState::Waiting; len as usize],
+            tasks: vec![TaskState::Pending; len as usize],
             team: spec.team.clone(),
-            need: spec.need,
+            resources: spec.resources,
             ..ChunkRecord::default()
         }
     }
     pub fn done(&self) -> u32 {
         self.tasks.iter().filter(|t| **t == TaskState::Done).count() as u32
     }
-    /// Tasks that are booked, by their number in the job.
-    pub fn booked(&self) -> impl Iterator<Item = (u32, &Booking)> {
+    /// Tasks that are assigned, by their number in the job.
+    pub fn assigned(&self) -> impl Iterator<Item = (u32, &Assignment)> {
         let tasks = self.tasks.iter().enumerate();
-        tasks.filter_map(|(i, t)| Some((self.first + i as u32, t.booking()?)))
+        tasks.filter_map(|(i, t)| Some((self.first + i as u32, t.assignment()?)))
     }
-    pub fn booking(&self, index: u32) -> Option<&Booking> {
+    pub fn assignment(&self, index: u32) -> Option<&Assignment> {
         let slot = index.checked_sub(self.first)?;
-        self.tasks.get(slot as usize)?.booking()
+        self.tasks.get(slot as usize)?.assignment()
     }
-    pub fn booking_mut(&mut self, index: u32) -> Option<&mut Booking> {
+    pub fn assignment_mut(&mut self, index: u32) -> Option<&mut Assignment> {
         let slot = index.checked_sub(self.first)?;
         match self.tasks.get_mut(slot as usize)? {
-            TaskState::Booked(b) => Some(b),
+            TaskState::Assigned(b) => Some(b),
             _ => None,
         }
     }
     /// Bytes its value takes at most.
     pub fn size(&self) -> usize {
         let tasks: usize = (self.tasks.iter())
-            .map(|t| t.booking().map_or(4, booking_size))
+            .map(|t| t.assignment().map_or(4, assignment_size))
             .sum();
         let failed: usize = self.failed_on.iter().map(|m| m.len() + 3).sum();
         CHUNK_BASE_BYTES + self.team.len() + failed + tasks
     }
 }
 
-fn booking_size(b: &Booking) -> usize {
-    BOOKING_BYTES + b.machine.len() + b.stop.as_ref().map_or(0, |why| why.len() + 7)
+fn assignment_size(b: &Assignment) -> usize {
+    ASSIGNMENT_BYTES + b.machine.len() + b.stop.as_ref().map_or(0, |why| why.len() + 7)
 }
 
 /// Live tasks per zone, for jobs of several chunks whose zones depend on one another.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PlaceRecord {
+pub struct ZoneSpreadRecord {
     pub zones: BTreeMap<String, u32>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachinePhase {
-    /// Rented, not heard of yet.
+    /// Provisioned, not heard of yet.
     Booting,
     Up,
     /// Takes no new work: spot notice, sick, or about to be returned.
     Draining,
-    /// Its deletion was committed; bookings stay until the cloud has answered 200.
-    Returning,
+    /// Its deletion was committed; assignments stay until the cloud has answered 200.
+    #[serde(rename = "Returning")]
+    Deprovisioning,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -195,10 +199,11 @@
     pub faults: Vec<String>,
     /// By how much this machine's token stands above the shared term.
     #[serde(default)]
-    pub raised: u64,
+    #[serde(rename = "raised")]
+    pub token_offset: u64,
 }
 
-impl PlaceRecord {
+impl ZoneSpreadRecord {
     /// Live tasks in a zone.
     pub fn count(&self, zone: &str) -> u32 {
         self.zones.get(zone).copied().unwrap_or(0)
@@ -221,7 +226,7 @@
             at,
             address: String::new(),
             faults: Vec::new(),
-            raised: 0,
+            token_offset: 0,
         }
     }
     /// Heard of, and not about to be deleted.
@@ -232,7 +237,7 @@
 
 /// Processors and GPUs in use. As a record it is what each claim of a team with a limit
 /// writes, so that two of them can't both fit into what only one of them may take; what is in
-/// use is counted from the bookings.
+/// use is counted from the assignments.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamRecord {
     #[serde(alias = "c")]
@@ -260,22 +265,24 @@
     }
 }
 
-/// A rental request under way: committed before its name is used.
+/// A instance request request under way: committed before its name is used.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HireRecord {
+pub struct InstanceRequestRecord {
     #[serde(rename = "type")]
     pub type_name: String,
     pub zone: String,
     pub spot: bool,
     pub count: u32,
-    pub node: String,
+    #[serde(rename = "node")]
+    pub controller: String,
     pub at: WallMs,
     /// The machines it brought. The record goes once each of them has one of its own.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub hosts: Option<Vec<String>>,
+    #[serde(rename = "hosts")]
+    pub instances: Option<Vec<String>>,
 }
 
-impl HireRecord {
+impl InstanceRequestRecord {
     pub fn offer(&self) -> String {
         offer_key(&self.type_name, &self.zone, self.spot)
     }
@@ -290,8 +297,8 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct FleetRecord {
-    /// Number of the next rental request; numbers are never used twice.
+pub struct ProvisioningRecord {
+    /// Number of the next instance request request; numbers are never used twice.
     pub next: u64,
     /// Offers refused lately, until a time of day.
     #[serde(default)]
@@ -306,7 +313,7 @@
 /// From this record's revision on cancellations are told only when all tasks are gone. Written once,
 /// never changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SettledRecord {
+pub struct CancellationConfirmationRecord {
     /// The format that brought it.
     #[serde(rename = "v")]
     pub version: u32,
@@ -314,7 +321,7 @@
 
 /// What is learned of a class's run times.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RunsRecord {
+pub struct RunTimesRecord {
     /// As far as it fits; the key tells classes apart.
     pub team: String,
     pub class: String,
@@ -324,31 +331,32 @@
     pub packed: glenmount_runtime_estimates::history::Packed,
 }
 
-/// The cloud's machine types as last read: a node that starts while the cloud is down knows
+/// The cloud's machine types as last read: a controller that starts while the cloud is down knows
 /// what jobs can run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TypesRecord {
-    pub types: Vec<MachineType>,
+pub struct MachineTypesRecord {
+    #[serde(rename = "types")]
+    pub machine_types: Vec<MachineType>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     Term(TermRecord),
-    Types(TypesRecord),
-    Fleet(FleetRecord),
+    MachineTypes(MachineTypesRecord),
+    Provisioning(ProvisioningRecord),
     Job(JobRecord),
     Chunk(ChunkRecord),
-    Place(PlaceRecord),
+    ZoneSpread(ZoneSpreadRecord),
     Machine(MachineRecord),
     Team(TeamRecord),
-    Hire(HireRecord),
+    InstanceRequest(InstanceRequestRecord),
     Format(FormatRecord),
-    Settled(SettledRecord),
-    Runs(RunsRecord),
-    Configuration(VersionRecord),
-    ConfigurationPage(PageRecord),
-    Configurable(ConfigurableRecord),
-    Following(FollowingRecord),
+    CancellationConfirmation(CancellationConfirmationRecord),
+    RunTimes(RunTimesRecord),
+    Configuration(ConfigurationVersionRecord),
+    ConfigurationPage(ConfigurationPageRecord),
+    ConfigurationEnabled(ConfigurationEnabledRecord),
+    ObservedVersion(ObservedVersionRecord),
 }
 
 /// Reads a record by its key's kind.
@@ -356,25 +364,25 @@
     ($key:expr, $compact:expr, $read:expr) => {
         match $key {
             Key::Term => $read.ok().map(Record::Term),
-            Key::Types => $read.ok().map(Record::Types),
-            Key::Fleet => $read.ok().map(Record::Fleet),
+            Key::MachineTypes => $read.ok().map(Record::MachineTypes),
+            Key::Provisioning => $read.ok().map(Record::Provisioning),
             Key::Job(_) => $read.ok().map(Record::Job),
             Key::Chunk(..) if $compact => {
                 let chunk: Option<CompactChunk> = $read.ok();
                 chunk?.read().map(Record::Chunk)
             }
             Key::Chunk(..) => $read.ok().map(Record::Chunk),
-            Key::Place(_) => $read.ok().map(Record::Place),
+            Key::ZoneSpread(_) => $read.ok().map(Record::ZoneSpread),
             Key::Machine(_) => $read.ok().map(Record::Machine),
             Key::Team(_) => $read.ok().map(Record::Team),
-            Key::Hire(_) => $read.ok().map(Record::Hire),
+            Key::InstanceRequest(_) => $read.ok().map(Record::InstanceRequest),
             Key::Format(_) => $read.ok().map(Record::Format),
-            Key::Settled => $read.ok().map(Record::Settled),
-            Key::Runs(_) => $read.ok().map(Record::Runs),
+            Key::CancellationConfirmation => $read.ok().map(Record::CancellationConfirmation),
+            Key::RunTimes(_) => $read.ok().map(Record::RunTimes),
             Key::Configuration => $read.ok().map(Record::Configuration),
             Key::ConfigurationPage(..) => $read.ok().map(Record::ConfigurationPage),
-            Key::Configurable => $read.ok().map(Record::Configurable),
-            Key::Following(_) => $read.ok().map(Record::Following),
+            Key::ConfigurationEnabled => $read.ok().map(Record::ConfigurationEnabled),
+            Key::ObservedVersion(_) => $read.ok().map(Record::ObservedVersion),
         }
     };
 }
@@ -384,23 +392,23 @@
     pub fn value(&self, format: u32) -> Value {
         let value = match self {
             Record::Term(r) => serde_json::to_value(r),
-            Record::Types(r) => serde_json::to_value(r),
-            Record::Fleet(r) => serde_json::to_value(r),
+            Record::MachineTypes(r) => serde_json::to_value(r),
+            Record::Provisioning(r) => serde_json::to_value(r),
             Record::Job(r) => serde_json::to_value(r),
             Record::Chunk(r) if format < formats::PIPELINES => serde_json::to_value(r),
             Record::Chunk(r) => serde_json::to_value(CompactChunk::of(r)),
-            Record::Place(r) => serde_json::to_value(r),
+            Record::ZoneSpread(r) => serde_json::to_value(r),
             Record::Machine(r) => serde_json::to_value(r),
-            Record::Team(r) if format < formats::CONFIGURABLE => serde_json::to_value(r),
+            Record::Team(r) if format < formats::STORED_CONFIGURATION => serde_json::to_value(r),
             Record::Team(r) => serde_json::to_value(FencedTeam::of(r)),
-            Record::Hire(r) => serde_json::to_value(r),
+            Record::InstanceRequest(r) => serde_json::to_value(r),
             Record::Format(r) => serde_json::to_value(r),
-            Record::Settled(r) => serde_json::to_value(r),
-            Record::Runs(r) => serde_json::to_value(r),
+            Record::CancellationConfirmation(r) => serde_json::to_value(r),
+            Record::RunTimes(r) => serde_json::to_value(r),
             Record::Configuration(r) => serde_json::to_value(r),
             Record::ConfigurationPage(r) => serde_json::to_value(r),
-            Record::Configurable(r) => serde_json::to_value(r),
-            Record::Following(r) => serde_json::to_value(r),
+            Record::ConfigurationEnabled(r) => serde_json::to_value(r),
+            Record::ObservedVersion(r) => serde_json::to_value(r),
         };
         value.unwrap_or(Value::Null)
     }
@@ -410,7 +418,7 @@
         read_as!(key, compact, serde_json::from_value(value))
     }
 
-    /// The same from its text: without a tree of values between, since nodes read every change that
+    /// The same from its text: without a tree of values between, since controllers read every change that
     /// any of them makes.
     pub fn read_text(key: &Key, text: &str) -> Option<Record> {
         #[derive(Deserialize)]
--- a/crates/core/src/state/sync.rs
+++ b/crates/core/src/state/sync.rs
@@ -10,446 +10,470 @@
 
 /// The reading of all records, page by page.
 #[derive(Default)]
-pub(crate) struct Reading {
+pub(crate) struct ListProgress {
     pub round: u64,
     pub listed: BTreeSet<Key>,
     /// The first page's revision.
-    pub epoch: u64,
-    /// Latest revision that the reading met: until the watch has reached it the copy may lack
+    pub revision: u64,
+    /// Latest revision that the reading met: until the watch has reached it the cache may lack
     /// what was written while it was read page by page.
     pub high: u64,
     pub busy: bool,
 }
 
-impl Node {
-    pub(crate) fn start_proof(&mut self) {
-        let wanted = !self.unproven.is_empty()
-            || (self.loaded && self.now >= self.last_beat_read + STATE_BEAT_MS);
-        if !wanted || self.proof_busy || !self.loaded || self.now < self.last_proof + PROOF_GAP_MS {
+impl Controller {
+    pub(crate) fn issue_read_index(&mut self) {
+        let wanted = !self.unissued_reads.is_empty()
+            || (self.has_listed
+                && self.now >= self.last_read_requested_at + STATE_PROBE_INTERVAL_MS);
+        if !wanted
+            || self.read_index_in_flight
+            || !self.has_listed
+            || self.now < self.last_read_index_at + READ_INDEX_INTERVAL_MS
+        {
             return;
         }
-        self.proof_busy = true;
-        self.last_proof = self.now;
-        self.last_beat_read = self.now;
-        self.proving = std::mem::take(&mut self.unproven);
-        let token = self.token(Purpose::Proof, None);
+        self.read_index_in_flight = true;
+        self.last_read_index_at = self.now;
+        self.last_read_requested_at = self.now;
+        self.issued_reads = std::mem::take(&mut self.unissued_reads);
+        let token = self.token(PendingOperation::ReadIndex, None);
         self.emit(Effect::State {
             token,
-            op: StateOp::Proof,
-            priority: Priority::User,
+            op: StateOperation::ReadIndex,
+            request_class: RequestClass::User,
         });
     }
 
-    pub(crate) fn reload(&mut self) {
-        self.loaded = false;
-        self.reading.round += 1;
-        self.reading.listed.clear();
-        self.reading.epoch = 0;
-        self.load_page(None);
+    pub(crate) fn start_list(&mut self) {
+        self.has_listed = false;
+        self.list_progress.round += 1;
+        self.list_progress.listed.clear();
+        self.list_progress.revision = 0;
+        self.request_list_page(None);
     }
 
-    fn load_page(&mut self, after: Option<String>) {
-        self.reading.busy = true;
+    fn request_list_page(&mut self, after: Option<String>) {
+        self.list_progress.busy = true;
         let token = self.token(
-            Purpose::Load {
-                round: self.reading.round,
+            PendingOperation::List {
+                round: self.list_progress.round,
             },
             None,
         );
         self.emit(Effect::State {
             token,
-            op: StateOp::List { after },
-            priority: Priority::User,
+            op: StateOperation::List { after },
+            request_class: RequestClass::User,
         });
     }
 
-    fn loaded_page(&mut self, answer: StateAnswer) {
-        self.reading.busy = false;
-        let StateAnswer::Listed {
+    fn take_list_page(&mut self, answer: StateResponse) {
+        self.list_progress.busy = false;
+        let StateResponse::Listed {
             items,
             last,
             more,
-            epoch,
+            revision,
         } = answer
         else {
             return; // the tick tries again
         };
-        if self.reading.epoch == 0 {
+        if self.list_progress.revision == 0 {
             // The first page's revision: whatever changed since is in the watch.
-            self.reading.epoch = epoch;
+            self.list_progress.revision = revision;
         }
-        for (key, stamp, record) in items {
-            self.reading.high = self.reading.high.max(stamp);
-            self.reading.listed.insert(key.clone());
-            self.cache.put(key, stamp, record);
+        for (key, mod_revision, record) in items {
+            self.list_progress.high = self.list_progress.high.max(mod_revision);
+            self.list_progress.listed.insert(key.clone());
+            self.cache.put(key, mod_revision, record);
         }
         if more && last.is_some() {
-            self.load_page(last);
+            self.request_list_page(last);
             return;
         }
         if let Some(record) = self
             .cache
-            .types()
-            .filter(|_| self.types.is_empty())
+            .machine_types()
+            .filter(|_| self.machine_types.is_empty())
             .cloned()
         {
-            self.use_types(&record.types);
+            self.use_machine_types(&record.machine_types);
         }
-        let listed = std::mem::take(&mut self.reading.listed);
-        self.cache.retain_listed(&listed, self.reading.epoch);
-        self.cache.epoch = self.reading.epoch;
-        self.runs_loaded();
-        self.loaded = true;
-        self.follow_configuration();
-        self.changed = true;
-        self.lookup_wanted = true;
+        let listed = std::mem::take(&mut self.list_progress.listed);
+        self.cache
+            .retain_listed(&listed, self.list_progress.revision);
+        self.cache.revision = self.list_progress.revision;
+        self.run_times_listed();
+        self.has_listed = true;
+        self.apply_stored_configuration();
+        self.state_changed = true;
+        self.pass_requested = true;
         tracing::info!(
             records = self.cache.len(),
-            epoch = self.reading.epoch,
+            revision = self.list_progress.revision,
             "records read"
         );
         self.emit(Effect::Watch {
-            since: self.reading.epoch,
+            since: self.list_progress.revision,
         });
     }
 
-    pub(crate) fn watched(&mut self, epoch: u64, changes: Vec<(Key, u64, Option<Record>)>) {
-        for (key, stamp, record) in changes {
+    pub(crate) fn watched(&mut self, revision: u64, changes: Vec<(Key, u64, Option<Record>)>) {
+        for (key, mod_revision, record) in changes {
             tracing::debug!(
                 ?key,
-                stamp,
-                cached = self.cache.stamp(&key),
+                mod_revision,
+                cached = self.cache.mod_revision(&key),
                 put = record.is_some(),
                 "news"
             );
-            self.apply(key, stamp, record, false);
+            self.apply(key, mod_revision, record, false);
         }
-        self.cache.epoch = self.cache.epoch.max(epoch);
-        self.epochs.push_back((self.cache.epoch, self.now));
-        if self.epochs.len() > EPOCHS_REMEMBERED {
-            self.epochs.pop_front();
+        self.cache.revision = self.cache.revision.max(revision);
+        self.revision_times
+            .push_back((self.cache.revision, self.now));
+        if self.revision_times.len() > REVISION_TIMES_KEPT {
+            self.revision_times.pop_front();
         }
-        self.changed = true;
-        self.follow_configuration();
-        self.caught_up();
+        self.state_changed = true;
+        self.apply_stored_configuration();
+        self.serve_caught_up_reads();
     }
 
-    fn apply(&mut self, key: Key, stamp: u64, record: Option<Record>, own: bool) {
+    fn apply(&mut self, key: Key, mod_revision: u64, record: Option<Record>, own: bool) {
         match record {
             Some(record) => {
                 if let (Key::Job(id), Record::Job(job)) = (&key, &record) {
-                    let new = job.phase == Phase::Open && self.cache.job(id).is_none();
-                    let awaited = || !self.cache.dependents().of(id).is_empty();
-                    if new || job.phase == Phase::Done && awaited() {
-                        self.want_lookup(own);
+                    let new = job.phase == JobPhase::Open && self.cache.job(id).is_none();
+                    let dependency = || !self.cache.dependents().of(id).is_empty();
+                    if new || job.phase == JobPhase::Done && dependency() {
+                        self.request_pass(own);
                     }
                 }
                 if let Key::Machine(_) | Key::Chunk(..) = &key {
-                    self.want_lookup(own);
+                    self.request_pass(own);
                 }
                 if let (Key::Chunk(job, n), Record::Chunk(chunk)) = (&key, &record) {
-                    let before = self.cache.claim_stamp(job, *n);
-                    for (index, b) in chunk.booked() {
+                    let before = self.cache.claim_revision(job, *n);
+                    for (index, b) in chunk.assigned() {
                         if b.attempt == before {
                             let job = job.clone();
                             let task = TaskId { job, index };
-                            self.starts.claimed(self.now, &task, before, &b.machine);
-                            self.used_at.insert(b.machine.clone(), self.now);
+                            self.starts_in_flight
+                                .claimed(self.now, &task, before, &b.machine);
+                            self.last_assigned_at.insert(b.machine.clone(), self.now);
                         }
                     }
-                    self.bookings_changed(job, *n, chunk);
+                    self.assignments_changed(job, *n, chunk);
                 }
                 let learned = match &key {
-                    Key::Runs(class) => Some(*class),
+                    Key::RunTimes(class) => Some(*class),
                     _ => None,
                 };
-                let raised = match (&key, &record) {
+                let token_offset = match (&key, &record) {
                     (Key::Machine(id), Record::Machine(m)) => {
-                        let before = self.cache.machine(id).map_or(0, |m| m.raised);
-                        let raised = m.raised > before && self.starts.raised(id);
-                        raised.then(|| id.clone())
+                        let before = self.cache.machine(id).map_or(0, |m| m.token_offset);
+                        let token_offset =
+                            m.token_offset > before && self.starts_in_flight.token_offset(id);
+                        token_offset.then(|| id.clone())
                     }
                     _ => None,
                 };
-                self.cache.put(key, stamp, record);
-                if let Some(id) = raised {
+                self.cache.put(key, mod_revision, record);
+                if let Some(id) = token_offset {
                     // Its worker reports as soon as it has seen the higher token.
-                    self.command_now(id, Vec::new());
+                    self.send_command(id, Vec::new());
                 }
                 if let Some(class) = learned {
-                    self.runs_changed(class);
+                    self.run_times_changed(class);
                 }
             }
             None => {
                 if let Key::Machine(id) = &key {
-                    if self.cache.stamp(&key) < stamp {
-                        self.gone.push(id.clone());
+                    if self.cache.mod_revision(&key) < mod_revision {
+                        self.recently_deleted.push(id.clone());
                     }
                 }
-                self.cache.remove(&key, stamp);
-                if let Key::Runs(class) = &key {
-                    self.runs_changed(*class);
+                self.cache.remove(&key, mod_revision);
+                if let Key::RunTimes(class) = &key {
+                    self.run_times_changed(*class);
                 }
             }
         }
-        self.changed = true;
+        self.state_changed = true;
     }
 
-    /// A change of this node's own is looked at now; a sibling's a little later, since the
-    /// node that made it looks first.
-    fn want_lookup(&mut self, own: bool) {
+    /// A change of this controller's own is looked at now; a peer's a little later, since the
+    /// controller that made it looks first.
+    fn request_pass(&mut self, own: bool) {
         if own {
-            self.lookup_wanted = true;
+            self.pass_requested = true;
         } else {
-            let at = self.now + FOREIGN_LOOKUP_MS + self.settings.node_index() * 100;
-            self.lookup_at = self.lookup_at.min(at);
+            let at = self.now + PEER_CHANGE_PASS_DELAY_MS + self.settings.controller_index() * 100;
+            self.next_pass_at = self.next_pass_at.min(at);
         }
     }
 
-    fn caught_up(&mut self) {
-        let epoch = self.cache.epoch;
-        let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.catching)
+    fn serve_caught_up_reads(&mut self) {
+        let revision = self.cache.revision;
+        let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.reads_behind_watch)
             .into_iter()
-            .partition(|(e, ..)| *e <= epoch);
-        self.catching = waiting;
-        if self.catching.is_empty() {
-            self.trailing_since = None;
+            .partition(|(e, ..)| *e <= revision);
+        self.reads_behind_watch = waiting;
+        if self.reads_behind_watch.is_empty() {
+            self.watch_lag_since = None;
         }
         for (_, token, requests) in ready {
-            if self.stale && self.loaded && token >= self.woke_token {
-                self.stale = false;
-                self.changed = true;
-                self.lookup_wanted = true;
+            if self.view_predates_resume
+                && self.has_listed
+                && token >= self.first_operation_since_resume
+            {
+                self.view_predates_resume = false;
+                self.state_changed = true;
+                self.pass_requested = true;
             }
             for request in requests {
-                self.proven(request);
+                self.serve_with_current_state(request);
             }
         }
     }
 
-    pub(crate) fn state_answer(&mut self, token: Token, answer: StateAnswer) {
-        let Some((purpose, txn)) = self.pending.remove(&token) else {
+    pub(crate) fn handle_state_response(&mut self, token: OperationId, answer: StateResponse) {
+        let Some((purpose, transaction)) = self.pending.remove(&token) else {
             return;
         };
         match &answer {
-            StateAnswer::Unavailable | StateAnswer::NoAnswer => {}
-            _ if token < self.woke_token => {}
-            _ => self.last_ok = Some(self.now),
+            StateResponse::Unavailable | StateResponse::NoAnswer => {}
+            _ if token < self.first_operation_since_resume => {}
+            _ => self.last_state_response_at = Some(self.now),
         }
-        let committed = matches!(answer, StateAnswer::Committed { .. });
-        // What the watch has passed is in the copy, as is all that became of it since: a record
+        let committed = matches!(answer, StateResponse::Committed { .. });
+        // What the watch has passed is in the cache, as is all that became of it since: a record
         // removed meanwhile would stand there again, for good.
-        if let (StateAnswer::Committed { epoch }, Some(txn)) = (&answer, &txn) {
-            let overtaken = *epoch <= self.cache.epoch;
-            for (key, record) in &txn.changes {
+        if let (StateResponse::Committed { revision }, Some(transaction)) = (&answer, &transaction)
+        {
+            let overtaken = *revision <= self.cache.revision;
+            for (key, record) in &transaction.changes {
                 if let (Key::Job(job), Some(Record::Job(r))) = (key, record) {
-                    if r.phase == Phase::Done {
+                    if r.phase == JobPhase::Done {
                         let ms = self.wall.saturating_sub(r.at);
                         tracing::info!(job, tasks = r.tasks, ms, "done");
                     }
                 }
             }
-            for (key, record) in txn.changes.iter().filter(|_| !overtaken) {
-                self.apply(key.clone(), *epoch, record.clone(), true);
+            for (key, record) in transaction.changes.iter().filter(|_| !overtaken) {
+                self.apply(key.clone(), *revision, record.clone(), true);
             }
         }
-        if let (StateAnswer::Refused, Some(txn)) = (&answer, &txn) {
-            self.refused(&purpose, txn);
+        if let (StateResponse::Refused, Some(transaction)) = (&answer, &transaction) {
+            self.refused(&purpose, transaction);
         }
-        if let (StateAnswer::Conflict { .. }, true) = (&answer, txn.is_some()) {
-            self.stats.conflicts += 1;
+        if let (StateResponse::Conflict { .. }, true) = (&answer, transaction.is_some()) {
+            self.metrics.conflicts += 1;
         }
-        if txn.is_some() && !committed {
+        if transaction.is_some() && !committed {
             tracing::debug!(?purpose, ?answer, "transaction lost");
         }
         match purpose {
-            Purpose::Proof => {
-                self.proof_busy = false;
-                let requests = std::mem::take(&mut self.proving);
-                let waiting = self.catching.len();
+            PendingOperation::ReadIndex => {
+                self.read_index_in_flight = false;
+                let requests = std::mem::take(&mut self.issued_reads);
+                let waiting = self.reads_behind_watch.len();
                 match answer {
-                    // Read before this node stood still: its view may have changed since.
-                    _ if token < self.woke_token => {}
-                    StateAnswer::Proof { epoch } => {
-                        if epoch > self.cache.epoch && self.trailing_since.is_none() {
-                            self.trailing_since = Some(self.now);
+                    // Read before this controller was paused: its view may have changed since.
+                    _ if token < self.first_operation_since_resume => {}
+                    StateResponse::ReadIndex { revision } => {
+                        if revision > self.cache.revision && self.watch_lag_since.is_none() {
+                            self.watch_lag_since = Some(self.now);
                         }
-                        match self.catching.last_mut() {
-                            Some(last) if last.0 == epoch || waiting >= PROOFS_KEPT => {
-                                (last.0, last.1) = (last.0.max(epoch), token);
+                        match self.reads_behind_watch.last_mut() {
+                            Some(last) if last.0 == revision || waiting >= PENDING_READS_MAX => {
+                                (last.0, last.1) = (last.0.max(revision), token);
                                 last.2.extend(requests);
                             }
-                            _ => self.catching.push((epoch, token, requests)),
+                            _ => self.reads_behind_watch.push((revision, token, requests)),
                         }
-                        self.caught_up();
+                        self.serve_caught_up_reads();
                     }
                     _ => {
                         for request in requests {
-                            self.unproved(request);
+                            self.retry_read(request);
                         }
                     }
                 }
             }
-            Purpose::Load { round } => {
-                if round == self.reading.round {
-                    self.loaded_page(answer);
+            PendingOperation::List { round } => {
+                if round == self.list_progress.round {
+                    self.take_list_page(answer);
                 }
             }
-            Purpose::Ask(request) if answer == StateAnswer::Refused => {
+            PendingOperation::UserRequest(request) if answer == StateResponse::Refused => {
                 let reply = self.later();
                 self.answer(request, reply);
             }
-            Purpose::Ask(request) => self.ask_committed(request, committed),
-            Purpose::Flush {
-                armed,
+            PendingOperation::UserRequest(request) => self.request_committed(request, committed),
+            PendingOperation::WriteResults {
+                reply_start,
                 returning,
                 released,
             } => {
-                self.written(token, &answer);
+                self.assignment_write_finished(token, &answer);
                 if committed {
                     self.count_runs(released);
                 }
-                self.flushed(armed, returning, committed);
+                self.results_written(reply_start, returning, committed);
             }
-            Purpose::Lookup(claimed) => {
-                self.written(token, &answer);
+            PendingOperation::Claim(claimed) => {
+                self.assignment_write_finished(token, &answer);
                 if committed {
                     for c in &claimed {
                         let (task, machine) = (&c.task, &c.machine);
-                        self.starts.answered(task, c.attempt);
+                        self.starts_in_flight.answered(task, c.attempt);
                         tracing::info!(%task, machine, "claimed");
                         let at = self.cache.job(&task.job).map_or(self.wall, |j| j.at);
                         let waited = self.wall.saturating_sub(at);
-                        self.stats.claimed(task, c.attempt, waited, self.now);
+                        self.metrics.claimed(task, c.attempt, waited, self.now);
                     }
-                    self.command_starts(&claimed);
-                    self.lookup_wanted = true;
+                    self.send_starts(&claimed);
+                    self.pass_requested = true;
                 } else {
-                    // Another node won, or the outcome is unknown: look again once the
+                    // Another controller won, or the outcome is unknown: look again once the
                     // watch has told what is true.
                     tracing::debug!(tasks = claimed.len(), "claim lost");
-                    self.lookup_wanted = true;
+                    self.pass_requested = true;
                 }
             }
-            Purpose::NewHires(hires) => {
-                self.hire_busy = false;
+            PendingOperation::CreateInstanceRequests(instance_requests) => {
+                self.request_creation_in_flight = false;
                 if committed {
                     // The copy may have shown it first.
-                    let asked = &self.hires_asked;
-                    let due: Vec<u64> = hires.into_iter().filter(|n| !asked.contains(n)).collect();
+                    let asked = &self.requests_in_flight;
+                    let due: Vec<u64> = instance_requests
+                        .into_iter()
+                        .filter(|n| !asked.contains(n))
+                        .collect();
                     for n in due {
-                        self.send_hire(n);
+                        self.send_instance_request(n);
                     }
                 } else {
-                    self.lookup_at = self.lookup_at.min(self.now + 200);
+                    self.next_pass_at = self.next_pass_at.min(self.now + 200);
                 }
             }
-            Purpose::Tidy(n) => {
-                self.tidying.remove(&n);
+            PendingOperation::RemoveInstanceRequest(n) => {
+                self.removing_requests.remove(&n);
             }
-            Purpose::HireDone(n) => {
+            PendingOperation::RecordProvisioned(n) => {
                 if committed {
                     // What was refused here is wanted elsewhere.
-                    self.lookup_wanted = true;
+                    self.pass_requested = true;
                 } else {
                     // The cloud answers the same name the same way: ask it again.
-                    // In its first seconds a node's time is less than that pause.
-                    let tried = (self.now + HIRE_AGAIN_MS).saturating_sub(HIRE_RETRY_MS);
-                    self.hire_tried.insert(n, tried);
+                    // In its first seconds a controller's time is less than that pause.
+                    let tried =
+                        (self.now + PROVISION_RETRY_SOON_MS).saturating_sub(PROVISION_RETRY_MS);
+                    self.request_tried_at.insert(n, tried);
                 }
             }
-            Purpose::Stop(stops) => {
-                self.written(token, &answer);
+            PendingOperation::Stop(stops) => {
+                self.assignment_write_finished(token, &answer);
                 for (id, task) in stops.iter().filter(|_| committed) {
-                    self.command_stop(id, task);
+                    self.send_stop(id, task);
                 }
             }
-            Purpose::Learn(class, batches) => self.runs_recorded(class, batches, &answer),
-            Purpose::Finish(id) => {
-                self.finishing.remove(&id);
+            PendingOperation::RecordRunTimes(class, batches) => {
+                self.run_times_recorded(class, batches, &answer)
+            }
+            PendingOperation::FinishJob(id) => {
+                self.finishing_jobs.remove(&id);
             }
-            Purpose::Cascade(jobs) => {
-                self.cascade_busy = false;
+            PendingOperation::CancelDependents(jobs) => {
+                self.dependents_cancellation_in_flight = false;
                 for id in jobs.iter().filter(|_| committed) {
                     tracing::info!(job = id, "cancelled with a job that it needs");
                 }
             }
-            Purpose::Format => self.upgrade.format_busy = false,
-            Purpose::Settle => self.upgrade.settle_busy = false,
-            Purpose::Configurable => self.upgrade.configurable_busy = false,
-            Purpose::Following => self.configuration.told(),
-            Purpose::Sweep => self.sweep_busy = false,
-            Purpose::Term => self.term_busy = false,
-            Purpose::Hire(_) | Purpose::Delete(_) | Purpose::Types | Purpose::Hosts => {}
+            PendingOperation::RecordFormat => self.upgrade.format_busy = false,
+            PendingOperation::ConfirmCancellations => self.upgrade.settle_busy = false,
+            PendingOperation::EnableConfiguration => self.upgrade.configurable_busy = false,
+            PendingOperation::RecordObservedVersion => self.configuration.told(),
+            PendingOperation::RemoveObsolete => self.removal_in_flight = false,
+            PendingOperation::Term => self.term_in_flight = false,
+            PendingOperation::Provision(_)
+            | PendingOperation::Deprovision(_)
+            | PendingOperation::MachineTypes
+            | PendingOperation::Instances => {}
         }
     }
 
     /// The state service took a transaction for malformed: a record has most likely outgrown its
     /// limit. The largest is named and left alone until somebody has changed it, so that the same
     /// transaction is not sent for ever and the others in it go ahead.
-    fn refused(&mut self, purpose: &Purpose, txn: &Txn) {
+    fn refused(&mut self, purpose: &PendingOperation, transaction: &CasTransaction) {
         let size = |record: &Option<Record>| {
             let record = record.as_ref();
-            record.map_or(0, |r| formats::stored_bytes(r, txn.format))
+            record.map_or(0, |r| formats::stored_bytes(r, transaction.format))
         };
-        let sized = txn.changes.iter().map(|(key, r)| (size(r), key));
+        let sized = transaction.changes.iter().map(|(key, r)| (size(r), key));
         let Some((bytes, key)) = sized.max_by_key(|(bytes, _)| *bytes) else {
             return;
         };
-        let (changes, path) = (txn.changes.len(), key.path());
+        let (changes, path) = (transaction.changes.len(), key.path());
         tracing::error!(?purpose, changes, key = path, bytes, "transaction refused");
         if matches!(key, Key::Chunk(..) | Key::Machine(_)) {
-            self.cache.bar(key.clone());
+            self.cache.fence_start(key.clone());
         }
     }
 
-    /// It may be carried out seconds later, and what waits does not wait for that: bookings are written
+    /// It may be carried out seconds later, and what waits does not wait for that: assignments are written
     /// anew, and a user's request is read and decided anew. Whatever is sent instead rests on the same
     /// revisions, so only one of them takes effect.
-    pub(crate) fn unanswered(&mut self, token: Token) {
+    pub(crate) fn handle_state_timeout(&mut self, token: OperationId) {
         if !self.settings.checks.unanswered {
             return;
         }
-        if let Some((Purpose::Ask(request), _)) = self.pending.get(&token) {
+        if let Some((PendingOperation::UserRequest(request), _)) = self.pending.get(&token) {
             let request = *request;
-            if self.asks.contains_key(&request) && !self.unproven.contains(&request) {
-                self.unproven.push(request);
+            if self.user_requests.contains_key(&request) && !self.unissued_reads.contains(&request)
+            {
+                self.unissued_reads.push(request);
             }
         }
-        if let Some((Purpose::Lookup(claimed), _)) = self.pending.get(&token) {
+        if let Some((PendingOperation::Claim(claimed), _)) = self.pending.get(&token) {
             for c in claimed {
-                self.starts.doubt(self.now, &c.task, c.attempt, &c.machine);
+                self.starts_in_flight
+                    .doubt(self.now, &c.task, c.attempt, &c.machine);
             }
         }
-        if self.writing == Some(token) {
-            self.writing = None;
+        if self.assignment_write == Some(token) {
+            self.assignment_write = None;
         }
     }
 
     /// When to try again what did not commit: once the watch has brought what stood in the
     /// way. Trying at once would only meet the same conflict, and conflicts cost budget.
-    fn written(&mut self, token: Token, answer: &StateAnswer) {
-        self.changed = true;
+    fn assignment_write_finished(&mut self, token: OperationId, answer: &StateResponse) {
+        self.state_changed = true;
         // It counted as unanswered, and held up nothing since.
-        if self.writing != Some(token) {
+        if self.assignment_write != Some(token) {
             return;
         }
-        self.writing = None;
-        self.write_retry = self.retry_after(answer);
+        self.assignment_write = None;
+        self.assignment_retry = self.retry_after(answer);
     }
 
-    /// Whether a transaction on bookings may be sent now.
+    /// Whether a transaction on assignments may be sent now.
     pub(crate) fn may_write(&self) -> bool {
-        self.writing.is_none()
+        self.assignment_write.is_none()
             && self
-                .write_retry
-                .is_none_or(|(epoch, at)| self.cache.epoch >= epoch || self.now >= at)
+                .assignment_retry
+                .is_none_or(|(revision, at)| self.cache.revision >= revision || self.now >= at)
     }
 
-    fn retry_after(&self, answer: &StateAnswer) -> Option<(u64, Millis)> {
+    fn retry_after(&self, answer: &StateResponse) -> Option<(u64, Millis)> {
         match answer {
-            StateAnswer::Committed { .. } => None,
-            StateAnswer::Conflict { epoch } => Some((*epoch, self.now + CONFLICT_PAUSE_MS)),
+            StateResponse::Committed { .. } => None,
+            StateResponse::Conflict { revision } => Some((*revision, self.now + CONFLICT_PAUSE_MS)),
             _ => Some((u64::MAX, self.now + CONFLICT_PAUSE_MS)),
         }
     }
--- a/crates/core/src/state/transaction.rs
+++ b/crates/core/src/state/transaction.rs
@@ -1,7 +1,8 @@
-//! Conditional transactions over a node's copy of the records.
+//! Conditional transactions over a controller's state cache.
 
 use super::{
-    Booking, Cache, ChunkRecord, FleetRecord, Key, MachineRecord, Phase, Record, TeamRecord,
+    Assignment, ChunkRecord, JobPhase, Key, MachineRecord, ProvisioningRecord, Record, StateCache,
+    TeamRecord,
 };
 use crate::constants::*;
 use crate::model::*;
@@ -12,7 +13,7 @@
 
 /// A transaction: all conditions must hold, then all changes take effect as one.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Txn {
+pub struct CasTransaction {
     pub conditions: Vec<(Key, u64)>,
     /// `None` removes the key.
     pub changes: Vec<(Key, Option<Record>)>,
@@ -20,11 +21,11 @@
     pub format: u32,
 }
 
-impl Txn {
+impl CasTransaction {
     /// As the state service takes it.
     pub fn text(&self) -> String {
         let conditions: Vec<Value> = (self.conditions.iter())
-            .map(|(key, stamp)| json!({"k": key.path(), "stamp": stamp}))
+            .map(|(key, mod_revision)| json!({"k": key.path(), "stamp": mod_revision}))
             .collect();
         let changes: Vec<Value> = (self.changes.iter())
             .map(|(key, record)| match record {
@@ -39,7 +40,7 @@
 /// Builds a transaction over the cached records. Whatever is read through it becomes a
 /// condition, so that the outcome rests on nothing that has changed meanwhile.
 pub struct TransactionBuilder<'a> {
-    pub cache: &'a Cache,
+    pub cache: &'a StateCache,
     conditions: BTreeMap<Key, u64>,
     changes: BTreeMap<Key, Option<Record>>,
     /// What the claims in it add to their teams' usage.
@@ -51,7 +52,7 @@
 }
 
 impl<'a> TransactionBuilder<'a> {
-    pub fn new(cache: &'a Cache) -> TransactionBuilder<'a> {
+    pub fn new(cache: &'a StateCache) -> TransactionBuilder<'a> {
         TransactionBuilder {
             cache,
             conditions: BTreeMap::new(),
@@ -62,7 +63,7 @@
         }
     }
     /// One that holds no more changes than can be sent at once.
-    pub fn limited(cache: &'a Cache, most: usize) -> TransactionBuilder<'a> {
+    pub fn limited(cache: &'a StateCache, most: usize) -> TransactionBuilder<'a> {
         TransactionBuilder {
             most,
             ..TransactionBuilder::new(cache)
@@ -70,12 +71,12 @@
     }
     /// The transaction takes effect only if this key has not changed.
     pub fn rests_on(&mut self, key: Key) {
-        let stamp = self.cache.stamp(&key);
-        self.conditions.entry(key).or_insert(stamp);
+        let mod_revision = self.cache.mod_revision(&key);
+        self.conditions.entry(key).or_insert(mod_revision);
     }
     /// The transaction takes effect only if this key is at a revision that was read earlier.
-    pub fn rests_on_revision(&mut self, key: Key, stamp: u64) {
-        self.conditions.entry(key).or_insert(stamp);
+    pub fn rests_on_revision(&mut self, key: Key, mod_revision: u64) {
+        self.conditions.entry(key).or_insert(mod_revision);
     }
     pub fn machine(&mut self, id: &str) -> Option<MachineRecord> {
         let key = Key::Machine(id.to_string());
@@ -86,10 +87,10 @@
             None => self.cache.machine(id).cloned(),
         }
     }
-    pub fn fleet(&mut self) -> FleetRecord {
-        self.rests_on(Key::Fleet);
-        match self.changes.get(&Key::Fleet) {
-            Some(Some(Record::Fleet(f))) => f.clone(),
+    pub fn fleet(&mut self) -> ProvisioningRecord {
+        self.rests_on(Key::Provisioning);
+        match self.changes.get(&Key::Provisioning) {
+            Some(Some(Record::Provisioning(f))) => f.clone(),
             _ => self.cache.fleet(),
         }
     }
@@ -106,9 +107,9 @@
         let fails = chunks.iter().any(|c| c.failed_on.len() >= FAULTY_MACHINES);
         let succeeds = self.cache.counts(job).done > 0 || chunks.iter().any(|c| c.done() > 0);
         match record.phase {
-            Phase::Done => false,
-            Phase::Cancelled => true,
-            Phase::Open => !succeeds && (fails || self.cache.suspect(job)),
+            JobPhase::Done => false,
+            JobPhase::Cancelled => true,
+            JobPhase::Open => !succeeds && (fails || self.cache.suspect(job)),
         }
     }
     /// A chunk as this draft sees it; none if it is neither on record nor drafted.
@@ -119,10 +120,10 @@
             None => self.cache.chunk(job, n),
         }
     }
-    /// A task's booking as this draft sees it.
-    pub fn booking(&self, task: &TaskId) -> Option<&Booking> {
+    /// A task's assignment as this draft sees it.
+    pub fn assignment(&self, task: &TaskId) -> Option<&Assignment> {
         let n = self.cache.job(&task.job)?.chunk_of(task.index);
-        self.chunk(&task.job, n)?.booking(task.index)
+        self.chunk(&task.job, n)?.assignment(task.index)
     }
     /// A chunk to be changed; `fresh` makes one that is not on record yet.
     pub fn chunk_mut(
@@ -132,7 +133,7 @@
         fresh: impl FnOnce() -> Option<ChunkRecord>,
     ) -> Option<&mut ChunkRecord> {
         let key = Key::Chunk(job.to_string(), n);
-        if self.cache.barred(&key) {
+        if self.cache.is_refused(&key) {
             return None;
         }
         if !self.changes.contains_key(&key) {
@@ -145,7 +146,7 @@
         }
     }
     pub fn put(&mut self, key: Key, record: Record) {
-        if matches!(key, Key::Machine(_)) && self.cache.barred(&key) {
+        if matches!(key, Key::Machine(_)) && self.cache.is_refused(&key) {
             return;
         }
         self.rests_on(key.clone());
@@ -169,10 +170,10 @@
         }
         usage
     }
-    pub fn use_more(&mut self, team: &str, need: &Room) {
+    pub fn use_more(&mut self, team: &str, resources: &Resources) {
         let claimed = self.claimed.entry(team.to_string()).or_default();
-        claimed.cpus = claimed.cpus.saturating_add(need.cpus);
-        claimed.gpus = claimed.gpus.saturating_add(need.gpus);
+        claimed.cpus = claimed.cpus.saturating_add(resources.cpus);
+        claimed.gpus = claimed.gpus.saturating_add(resources.gpus);
     }
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
@@ -192,8 +193,9 @@
         conditions: usize,
         bytes: usize,
     ) -> bool {
-        self.changes.len() + changes <= settings.txn_ops.min(self.most)
-            && self.conditions.len() + conditions <= settings.txn_ops * CONDITIONS_PER_OP
+        self.changes.len() + changes <= settings.max_transaction_changes.min(self.most)
+            && self.conditions.len() + conditions
+                <= settings.max_transaction_changes * CONDITIONS_PER_OP
             && self.bytes + self.conditions.len() * KEY_BYTES + bytes <= TXN_BYTES
     }
     /// A changed record became larger.
@@ -204,14 +206,14 @@
     /// A chunk that a version before format 2 stored beyond the smaller of two limits is written
     /// again in that format as long as it does not grow: the larger limit holds while such a
     /// version serves. All else in the transaction goes ahead.
-    pub fn drop_oversized(&mut self, value_bytes: u64) -> Vec<(Key, usize)> {
+    pub fn drop_oversized(&mut self, max_value_bytes: u64) -> Vec<(Key, usize)> {
         let format = self.cache.format();
         let mut large = Vec::new();
         for (key, change) in &self.changes {
             let (Key::Chunk(job, n), Some(Record::Chunk(c))) = (key, change) else {
                 continue;
             };
-            if c.size() as u64 <= value_bytes {
+            if c.size() as u64 <= max_value_bytes {
                 continue;
             }
             let bytes = |c: &ChunkRecord| {
@@ -223,7 +225,7 @@
                 formats::OLDEST => self.cache.chunk(job, *n).map_or(0, bytes),
                 _ => 0,
             };
-            if now > before.max(value_bytes as usize) {
+            if now > before.max(max_value_bytes as usize) {
                 large.push((key.clone(), now));
             }
         }
@@ -232,8 +234,8 @@
         }
         large
     }
-    pub fn finish(self) -> Txn {
-        Txn {
+    pub fn finish(self) -> CasTransaction {
+        CasTransaction {
             format: self.cache.format(),
             conditions: self.conditions.into_iter().collect(),
             changes: self.changes.into_iter().collect(),
--- a/crates/core/src/token_bucket.rs
+++ b/crates/core/src/token_bucket.rs
@@ -1,24 +1,24 @@
-//! A node's share of the state service's changes, as a bucket that fills steadily.
+//! A controller's share of the state service's changes, as a bucket that fills steadily.
 //!
 //! A transaction is only drafted when it can go at once. One that waited in line for its turn
 //! would meet records that have changed meanwhile, fail, and cost its changes all the same.
 
-use crate::constants::WRITES_LEAST;
+use crate::constants::MIN_CHANGES;
 use crate::model::Millis;
 
-pub struct Allowance {
+pub struct TokenBucket {
     per_ms: f64,
     most: f64,
     level: f64,
     at: Millis,
 }
 
-impl Allowance {
+impl TokenBucket {
     /// `burst_s`: seconds' worth that may go at once.
-    pub fn new(per_s: f64, burst_s: f64, now: Millis) -> Allowance {
+    pub fn new(per_s: f64, burst_s: f64, now: Millis) -> TokenBucket {
         // However low the rate, it fills far enough for the least that is drafted.
-        let most = (per_s * burst_s).max(2.0 * WRITES_LEAST as f64);
-        Allowance {
+        let most = (per_s * burst_s).max(2.0 * MIN_CHANGES as f64);
+        TokenBucket {
             per_ms: per_s / 1000.0,
             most,
             level: most,
@@ -31,7 +31,7 @@
         let part = per_s / 1000.0 / self.per_ms;
         if part < 1.0 {
             self.per_ms *= part;
-            self.most = (self.most * part).max(2.0 * WRITES_LEAST as f64);
+            self.most = (self.most * part).max(2.0 * MIN_CHANGES as f64);
             self.level = self.level.min(0.0);
         }
     }
