--- a/crates/core/src/tuning.rs
+++ b/crates/core/src/tuning.rs
@@ -8,12 +8,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
-    /// Milliseconds of silence, at the least, from which a sibling is taken to be away.
-    pub beats_missed_ms: Millis,
-    /// Whether the end of a sibling's link counts as a sign.
+    /// Milliseconds of silence, at the least, from which a peer is taken to be away.
+    #[serde(rename = "beats_missed_ms")]
+    pub heartbeats_missed_ms: Millis,
+    /// Whether the end of a peer's link counts as a sign.
     pub link_ends: bool,
-    /// Whether machines are asked for starts that a lost sibling claimed last.
-    pub carry_on: bool,
+    /// Whether machines are asked for starts that a lost peer claimed last.
+    #[serde(rename = "carry_on")]
+    pub recover_starts: bool,
     /// Whether jobs are put off when not all can be done in time.
     pub put_off: bool,
     /// How many times what there is must be asked for in time before any is put off, ...
@@ -21,7 +23,8 @@
     /// ... and the share of what there is that is planned with then.
     pub put_off_share: f64,
     /// Share of a service's tasks that one machine gets while others serve it as well; 1 is no bound.
-    pub crowd_share: f64,
+    #[serde(rename = "crowd_share")]
+    pub machine_share_of_service: f64,
     /// Whether services that need not keep to half a zone are spread evenly over zones, and moved back to
     /// that after one was lost. It costs fetches, and more changes when all leases end at once.
     pub even_spread: bool,
@@ -31,26 +34,27 @@
     pub zone_late_ms: Millis,
     /// Machines ended in one look at lost zones.
     pub zone_ends: usize,
-    /// Workers handed over between two beats.
-    pub handover_max: usize,
+    /// Workers handed over between two heartbeats.
+    #[serde(rename = "handover_max")]
+    pub handoff_max: usize,
 }
 
 impl Default for Tuning {
     fn default() -> Tuning {
         Tuning {
-            beats_missed_ms: BEATS_MISSED_MS,
+            heartbeats_missed_ms: HEARTBEATS_MISSED_MS,
             link_ends: true,
-            carry_on: true,
+            recover_starts: true,
             put_off: true,
-            put_off_from: PUT_OFF_FROM,
-            put_off_share: PUT_OFF_SHARE,
-            crowd_share: CROWD_SHARE,
+            put_off_from: DEFER_OVERLOAD_FACTOR,
+            put_off_share: DEFER_SHARE,
+            machine_share_of_service: MACHINE_SHARE_OF_SERVICE,
             even_spread: false,
             lost_zones: true,
-            zone_unseen_ms: ZONE_UNSEEN_MS,
+            zone_unseen_ms: ZONE_UNCONFIRMED_START_MS,
             zone_late_ms: ZONE_LATE_MS,
-            zone_ends: ZONE_ENDS,
-            handover_max: HANDOVER_MAX,
+            zone_ends: ZONE_TERMINATIONS_MAX,
+            handoff_max: HANDOFF_MAX,
         }
     }
 }
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -1,20 +1,20 @@
-//! What this node itself has noted of each machine, beside its check-ins: one entry a machine, since
+//! What this controller itself has noted of each machine, beside its heartbeats: one entry a machine, since
 //! it is looked at several times a second for every one of them.
 
-use crate::constants::DEAF_ASKED_MS;
-use crate::controller::{Heard, Node};
+use crate::constants::UNREACHABLE_PROBE_INTERVAL_MS;
+use crate::controller::{Controller, ReceivedHeartbeat};
 use crate::model::Millis;
-use crate::peers::tracker::Told;
+use crate::peers::tracker::PeerObservation;
 use foldhash::{HashMap, HashMapExt};
 
 /// Times at which something was noted of a machine, where it was.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct OfMachine {
+pub(crate) struct MachineObservation {
     /// It was first seen on record.
     pub known: Option<Millis>,
     /// It was first seen up here.
     pub up: Option<Millis>,
-    /// Nothing has been booked on it since.
+    /// Nothing has been assigned to it since.
     pub idle: Option<Millis>,
     /// It answered a direct command.
     pub answered: Option<Millis>,
@@ -22,94 +22,96 @@
     pub refused: Option<Millis>,
     /// It did not even answer one.
     pub unreached: Option<Millis>,
-    /// Its check-in was overdue, and it was asked directly.
+    /// Its heartbeat was overdue, and it was asked directly.
     pub asked: Option<Millis>,
 }
 
-impl OfMachine {
+impl MachineObservation {
     /// Since when it has answered no direct command, if the last one got no answer.
     pub fn silent_since(&self) -> Option<Millis> {
         self.unreached.filter(|at| self.answered < Some(*at))
     }
     /// Whether it was not asked just now.
     pub fn may_be_asked(&self, now: Millis) -> bool {
-        self.asked.is_none_or(|at| now >= at + DEAF_ASKED_MS)
+        self.asked
+            .is_none_or(|at| now >= at + UNREACHABLE_PROBE_INTERVAL_MS)
     }
 }
 
-/// All that is known of a machine's life, looked up once: lookups and judging ask for every part of
+/// All that is known of a machine's life, looked up once: scheduling passes and judging ask for every part of
 /// it, of every machine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Liveness<'a> {
-    pub own: Option<&'a Heard>,
-    pub told: Option<&'a Told>,
-    pub of: OfMachine,
+    pub own: Option<&'a ReceivedHeartbeat>,
+    pub told: Option<&'a PeerObservation>,
+    pub of: MachineObservation,
 }
 
 impl Liveness<'_> {
-    /// When any node last got a check-in of it, if ever.
-    pub fn check_in(&self) -> Option<Millis> {
+    /// When any controller last got a heartbeat of it, if ever.
+    pub fn last_heartbeat_at(&self) -> Option<Millis> {
         self.own.map(|h| h.at).max(self.told.map(|t| t.at))
     }
-    /// The latest sign of life that any node is known to have had, if any: a check-in or an answer to
+    /// The latest sign of life that any controller is known to have had, if any: a heartbeat or an answer to
     /// a direct command.
     pub fn latest(&self) -> Option<Millis> {
-        self.check_in().max(self.of.answered)
+        self.last_heartbeat_at().max(self.of.answered)
     }
-    /// Its latest session.
-    pub fn session(&self) -> Option<u64> {
-        let own = self.own.map(|h| h.session);
-        own.max(self.told.map(|t| t.session))
+    /// Its latest incarnation.
+    pub fn incarnation(&self) -> Option<u64> {
+        let own = self.own.map(|h| h.incarnation);
+        own.max(self.told.map(|t| t.incarnation))
     }
-    /// Whether some node has got this check-in of it already, or a later one.
+    /// Whether some controller has got this heartbeat of it already, or a later one.
     pub fn knows(&self, mark: (u64, u64)) -> bool {
-        let own = self.own.map(|h| (h.session, h.tally));
-        let told = self.told.map(|t| (t.session, t.tally));
+        let own = self.own.map(|h| (h.incarnation, h.sequence));
+        let told = self.told.map(|t| (t.incarnation, t.sequence));
         own.max(told).is_some_and(|known| mark <= known)
     }
-    /// Whether its latest check-in, as far as is known, came to this node.
+    /// Whether its latest heartbeat, as far as is known, came to this controller.
     pub fn reports_here(&self) -> bool {
         self.own.is_some_and(|h| !h.older_than(self.told))
     }
 }
 
-impl Node {
-    pub(crate) fn sight(&self, id: &str) -> Liveness<'_> {
+impl Controller {
+    pub(crate) fn liveness(&self, id: &str) -> Liveness<'_> {
         Liveness {
-            own: self.heard.get(id),
-            told: self.standby.told(id),
-            of: self.signs.of(id),
+            own: self.last_heartbeats.get(id),
+            told: self.peer_tracker.told(id),
+            of: self.observations.of(id),
         }
     }
 }
 
 #[derive(Debug)]
-pub(crate) struct Signs {
-    machines: HashMap<String, OfMachine>,
+pub(crate) struct MachineObservations {
+    machines: HashMap<String, MachineObservation>,
 }
 
-impl Signs {
-    pub fn new() -> Signs {
-        Signs {
+impl MachineObservations {
+    pub fn new() -> MachineObservations {
+        MachineObservations {
             machines: HashMap::new(),
         }
     }
 
-    pub fn of(&self, id: &str) -> OfMachine {
+    pub fn of(&self, id: &str) -> MachineObservation {
         self.machines.get(id).copied().unwrap_or_default()
     }
 
     /// To note something of a machine. What is not on record is forgotten soon (`forget`).
-    pub fn note(&mut self, id: &str) -> &mut OfMachine {
+    pub fn note(&mut self, id: &str) -> &mut MachineObservation {
         // Names are only copied for machines that are new.
         if !self.machines.contains_key(id) {
-            self.machines.insert(id.to_string(), OfMachine::default());
+            self.machines
+                .insert(id.to_string(), MachineObservation::default());
         }
         self.machines.get_mut(id).expect("just put there")
     }
 
-    /// After standing still: what gave reason to act on machines dates from before.
-    pub fn wake(&mut self) {
+    /// After a pause: what gave reason to act on machines dates from before.
+    pub fn reset_after_pause(&mut self) {
         for of in self.machines.values_mut() {
             (of.up, of.idle, of.asked, of.unreached) = (None, None, None, None);
         }
@@ -130,11 +132,11 @@
 
     #[test]
     fn a_wake_forgets_reasons_to_act_and_nothing_else() {
-        let mut signs = Signs::new();
+        let mut signs = MachineObservations::new();
         let of = signs.note("n-1");
         (of.known, of.up, of.asked) = (Some(1), Some(2), Some(3));
         (of.answered, of.unreached) = (Some(4), Some(5));
-        signs.wake();
+        signs.reset_after_pause();
         let of = signs.of("n-1");
         assert_eq!((of.known, of.answered), (Some(1), Some(4)));
         assert_eq!((of.up, of.asked, of.unreached), (None, None, None));
@@ -142,7 +144,7 @@
 
     #[test]
     fn machines_that_are_gone_leave_no_room_behind() {
-        let mut signs = Signs::new();
+        let mut signs = MachineObservations::new();
         for n in 0..4_000 {
             signs.note(&format!("n-{n}")).known = Some(n);
         }
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -1,10 +1,10 @@
-//! Whether workers reach this node, as far as it can tell by itself.
+//! Whether workers reach this controller, as far as it can tell by itself.
 
 use crate::constants::*;
 use crate::model::Millis;
 
 #[derive(Debug)]
-pub(crate) struct Hearing {
+pub(crate) struct WorkerReachability {
     /// Direct commands without an answer since workers were last heard from, in a row.
     unanswered: u32,
     /// When a worker last reported here, or answered.
@@ -15,9 +15,9 @@
     asked_at: Millis,
 }
 
-impl Hearing {
-    pub fn new(now: Millis) -> Hearing {
-        Hearing {
+impl WorkerReachability {
+    pub fn new(now: Millis) -> WorkerReachability {
+        WorkerReachability {
             unanswered: 0,
             heard_at: now,
             deaf_until: 0,
@@ -39,13 +39,13 @@
     }
 
     /// A direct command got no answer.
-    pub fn unanswered(&mut self) {
+    pub fn handle_state_timeout(&mut self) {
         self.unanswered = self.unanswered.saturating_add(1);
     }
 
     /// Too many in a row did.
     pub fn is_doubtful(&self) -> bool {
-        self.unanswered >= CUT_SILENT
+        self.unanswered >= PARTITION_UNANSWERED_COMMANDS
     }
 
     /// Whether a question that failed says nothing of its machine: no worker was heard since, or it was
@@ -56,15 +56,15 @@
 
     /// Whether to ask a machine now if it is heard again.
     pub fn asks(&mut self, now: Millis) -> bool {
-        let asks = self.is_doubtful() && now >= self.asked_at + CUT_PROBE_MS;
+        let asks = self.is_doubtful() && now >= self.asked_at + PARTITION_PROBE_INTERVAL_MS;
         if asks {
             self.asked_at = now;
         }
         asks
     }
 
-    /// After standing still the silence was its own.
-    pub fn wake(&mut self) {
+    /// After a pause the silence was its own.
+    pub fn reset_after_pause(&mut self) {
         self.unanswered = 0;
     }
 }
--- a/crates/core/src/workers/starts.rs
+++ b/crates/core/src/workers/starts.rs
@@ -1,5 +1,5 @@
 //! Starts on their way: claims on record, whoever made them, whose tasks no report has shown yet.
-//! These are what the standby of a lost node has to carry on besides its workers.
+//! These are what the standby of a lost controller has to carry on besides its workers.
 
 use crate::constants::*;
 use crate::model::*;
@@ -21,12 +21,12 @@
     followed: BTreeMap<Attempt, Start>,
     /// Since when a directly commanded start has been missing from its machine's reports.
     missing: HashMap<Attempt, Millis>,
-    /// When machines are asked for starts that a lost sibling may not have sent, and from when on
+    /// When machines are asked for starts that a lost peer may not have sent, and from when on
     /// these were claimed.
     ask: Option<(Millis, Millis)>,
     /// Machines that were asked.
     asked: BTreeSet<String>,
-    /// Machines whose token this node has asked to be raised.
+    /// Machines whose token this controller has asked to be raised.
     raising: BTreeSet<String>,
     /// Own claims whose transaction has no answer, and since when: they may have been carried out, or
     /// may yet be, and nobody has sent their starts.
@@ -35,7 +35,7 @@
 
 impl Starts {
     pub fn claimed(&mut self, now: Millis, task: &TaskId, attempt: u64, machine: &str) {
-        if self.followed.len() < STARTS_FOLLOWED {
+        if self.followed.len() < STARTS_TRACKED_MAX {
             let machine = machine.to_string();
             let start = Start { machine, at: now };
             self.followed.insert((task.clone(), attempt), start);
@@ -51,7 +51,7 @@
 
     /// An own claim's transaction got no answer.
     pub fn doubt(&mut self, now: Millis, task: &TaskId, attempt: u64, machine: &str) {
-        if self.doubtful.len() < STARTS_FOLLOWED {
+        if self.doubtful.len() < STARTS_TRACKED_MAX {
             let start = (task.clone(), attempt);
             let machine = machine.to_string();
             self.doubtful
@@ -71,22 +71,22 @@
         !self.doubtful.is_empty()
     }
 
-    /// Machines of doubtful starts that are booked by now, each start told once, with the tokens under which
-    /// these would go. `token`: that of a start's booking on a machine, if there is one.
-    pub fn found_booked(
+    /// Machines of doubtful starts that are assigned by now, each start told once, with the tokens under which
+    /// these would go. `token`: that of a start's assignment on a machine, if there is one.
+    pub fn found_assigned(
         &mut self,
         now: Millis,
         token: impl Fn(&Attempt, &str) -> Option<u64>,
     ) -> Vec<(String, u64)> {
         let mut found = Vec::new();
         self.doubtful.retain(|start, s| {
-            let ripe = now >= s.at + DOUBT_SPARE_MS;
+            let ripe = now >= s.at + UNCERTAIN_CLAIM_MARGIN_MS;
             match token(start, &s.machine).filter(|_| ripe) {
                 Some(token) => {
                     found.push((s.machine.clone(), token));
                     false
                 }
-                None => now < s.at + DOUBT_MS,
+                None => now < s.at + UNCERTAIN_CLAIM_MS,
             }
         });
         found
@@ -95,14 +95,14 @@
     /// A report lacks a start that went by a direct command. Whether that has lasted for so long
     /// that it is barred and sent anew: from its claim on where that was seen, else from the first
     /// report that lacked it.
-    pub fn lacks(&mut self, now: Millis, start: &Attempt, machine: &str) -> bool {
+    pub fn is_missing(&mut self, now: Millis, start: &Attempt, machine: &str) -> bool {
         let since = *self.missing.entry(start.clone()).or_insert(now);
         let patience = match self.asked.contains(machine) {
-            true => CARRY_ON_MS,
-            false => MISSING_MS + COMMAND_LIMIT_MS,
+            true => FAILOVER_START_CHECK_MS,
+            false => START_MISSING_MS + COMMAND_LIMIT_MS,
         };
         let claimed = self.followed.get(start).map(|s| s.at);
-        now >= since + MISSING_MS || claimed.is_some_and(|at| now >= at + patience)
+        now >= since + START_MISSING_MS || claimed.is_some_and(|at| now >= at + patience)
     }
 
     /// Whether a start is on its way to a machine: claimed after that was last heard.
@@ -110,12 +110,12 @@
         self.followed.get(start).is_some_and(|s| s.at >= last_sign)
     }
 
-    /// A sibling is lost that was last heard at some time: what it claimed last may never have been
+    /// A peer is lost that was last heard at some time: what it claimed last may never have been
     /// sent.
-    pub fn sibling_lost(&mut self, now: Millis, heard_at: Millis) {
-        let from = heard_at.saturating_sub(PEER_BEAT_MS);
+    pub fn peer_lost(&mut self, now: Millis, heard_at: Millis) {
+        let from = heard_at.saturating_sub(PEER_HEARTBEAT_MS);
         let from = self.ask.map_or(from, |(_, known)| known.min(from));
-        self.ask = Some((now + CARRY_ON_MS, from));
+        self.ask = Some((now + FAILOVER_START_CHECK_MS, from));
     }
 
     /// Machines to be asked now whether such starts have arrived.
@@ -126,31 +126,35 @@
         self.ask = None;
         let those = self.followed.values().filter(|s| s.at >= from);
         let machines: BTreeSet<String> = those.map(|s| s.machine.clone()).collect();
-        self.asked = machines.into_iter().take(CARRY_ON_ASK).collect();
+        self.asked = machines
+            .into_iter()
+            .take(FAILOVER_START_CHECKS_MAX)
+            .collect();
         self.asked.iter().cloned().collect()
     }
 
     /// A machine's token is to be raised so that a start is barred.
     pub fn raise(&mut self, machine: &str) {
-        if self.raising.len() < STARTS_FOLLOWED {
+        if self.raising.len() < STARTS_TRACKED_MAX {
             self.raising.insert(machine.to_string());
         }
     }
 
-    /// Its record shows the higher token: whether this node asked for it.
-    pub fn raised(&mut self, machine: &str) -> bool {
+    /// Its record shows the higher token: whether this controller asked for it.
+    pub fn token_offset(&mut self, machine: &str) -> bool {
         self.raising.remove(machine)
     }
 
     /// Forgets what is over, and what a report that came since must have shown.
-    pub fn forget(&mut self, booked: impl Fn(&Attempt) -> bool, sign: impl Fn(&str) -> Millis) {
-        self.followed
-            .retain(|start, s| booked(start) && sign(&s.machine) < s.at + STARTS_SHOWN_MS);
-        self.missing.retain(|start, _| booked(start));
+    pub fn forget(&mut self, assigned: impl Fn(&Attempt) -> bool, sign: impl Fn(&str) -> Millis) {
+        self.followed.retain(|start, s| {
+            assigned(start) && sign(&s.machine) < s.at + STARTS_REPORTED_WITHIN_MS
+        });
+        self.missing.retain(|start, _| assigned(start));
     }
 
-    /// After standing still nothing that was noted says anything of now.
-    pub fn wake(&mut self) {
+    /// After a pause nothing that was noted says anything of now.
+    pub fn reset_after_pause(&mut self) {
         *self = Starts::default();
     }
 }
@@ -170,15 +174,15 @@
         s.claimed(1_000, &start(0).0, 7, "m");
         assert!(s.unseen(&start(0), 900) && !s.unseen(&start(0), 1_100));
         assert!(
-            !s.lacks(1_500, &start(0), "m"),
+            !s.is_missing(1_500, &start(0), "m"),
             "its command may be on its way"
         );
-        assert!(s.lacks(1_000 + MISSING_MS + COMMAND_LIMIT_MS, &start(0), "m"));
+        assert!(s.is_missing(1_000 + START_MISSING_MS + COMMAND_LIMIT_MS, &start(0), "m"));
         // Of a claim that was not seen only the reports tell.
-        assert!(!s.lacks(9_000, &start(1), "m"));
-        assert!(s.lacks(9_000 + MISSING_MS, &start(1), "m"));
+        assert!(!s.is_missing(9_000, &start(1), "m"));
+        assert!(s.is_missing(9_000 + START_MISSING_MS, &start(1), "m"));
         s.shown(&start(1));
-        assert!(!s.lacks(20_000, &start(1), "m"));
+        assert!(!s.is_missing(20_000, &start(1), "m"));
     }
 
     #[test]
@@ -186,12 +190,12 @@
         let mut s = Starts::default();
         s.claimed(1_000, &start(0).0, 7, "old");
         s.claimed(9_000, &start(1).0, 7, "new");
-        s.sibling_lost(9_200, 9_100);
+        s.peer_lost(9_200, 9_100);
         assert!(s.due_to_ask(9_300).is_empty());
-        assert_eq!(s.due_to_ask(9_200 + CARRY_ON_MS), ["new"]);
+        assert_eq!(s.due_to_ask(9_200 + FAILOVER_START_CHECK_MS), ["new"]);
         assert!(s.due_to_ask(20_000).is_empty());
         assert!(
-            s.lacks(9_000 + CARRY_ON_MS, &start(1), "new"),
+            s.is_missing(9_000 + FAILOVER_START_CHECK_MS, &start(1), "new"),
             "and known to lack it sooner"
         );
         s.forget(|_| true, |_| 30_000);
--- a/crates/core/src/zones/failures.rs
+++ b/crates/core/src/zones/failures.rs
@@ -9,17 +9,17 @@
 use crate::constants::*;
 use crate::model::*;
 use crate::tuning::Tuning;
-use crate::zones::detector::ZoneSigns;
+use crate::zones::detector::ZoneObservation;
 use std::collections::BTreeMap;
 
-/// What a silent zone most likely is, as far as its nodes tell.
+/// What a silent zone most likely is, as far as its controllers tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A node of it is lost as well: it may renew the leases of what runs inside.
+    /// A controller of it is lost as well: it may renew the leases of what runs inside.
     Inside,
-    /// No node is in it: what runs there ends with its leases.
+    /// No controller is in it: what runs there ends with its leases.
     Alone,
-    /// All its nodes are heard, but none of its machines: these are what is gone.
+    /// All its controllers are heard, but none of its machines: these are what is gone.
     Dead,
 }
 
@@ -34,7 +34,7 @@
 /// What a machine of a lost zone holds: one task, or several alike.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holding {
-    pub rank: Rank,
+    pub priority: JobPriority,
     pub service: bool,
     /// Its start was on its way when the zone was lost: most likely nobody runs it.
     pub unseen: bool,
@@ -68,7 +68,7 @@
 }
 
 /// Whether a machine of a lost zone is to be ended, and why.
-pub fn verdict(
+pub fn evacuation_reason(
     lost: &Lost,
     holds: &[Holding],
     lease_ms: Millis,
@@ -78,15 +78,15 @@
     let movable = |h: &Holding| h.elsewhere;
     if !holds.iter().any(movable) {
         let gone = holds.is_empty() || lost.kind == Kind::Dead;
-        return (gone && lost.ms > ZONE_PATIENCE_MS).then_some(Why::Given);
+        return (gone && lost.ms > ZONE_EVACUATION_MAX_WAIT_MS).then_some(Why::Given);
     }
     if holds.iter().all(|h| h.unseen) && lost.ms >= tuning.zone_unseen_ms {
         return Some(Why::Unseen);
     }
     let dead = match lost.kind {
-        Kind::Alone => lost.ms > lease_ms + ZONE_LEASE_SPARE_MS,
+        Kind::Alone => lost.ms > lease_ms + ZONE_LEASE_MARGIN_MS,
         Kind::Dead => lost.ms > ZONE_DEAD_MS,
-        Kind::Inside => lost.ms > ZONE_GIVEN_UP_MS,
+        Kind::Inside => lost.ms > ZONE_GIVE_UP_MS,
     };
     if dead {
         return Some(Why::Dead);
@@ -103,7 +103,7 @@
         let takes = START_TAKES_MS + h.run_ms;
         let in_time = |g: &&WallMs| wall + takes <= **g;
         let first = match h.goals.iter().find(in_time) {
-            Some(goal) if back + ZONE_BACK_MS > *goal => Some(Why::Due),
+            Some(goal) if back + ZONE_RECOVERY_MARGIN_MS > *goal => Some(Why::Due),
             Some(_) => None,
             // It is late in any case: not for the sake of a moment.
             None => (lost.ms > tuning.zone_late_ms.max(2 * h.run_ms)).then_some(Why::Late),
@@ -119,7 +119,7 @@
 /// What is known of the site's zones.
 #[derive(Debug, Default)]
 pub(crate) struct Zones {
-    pub signs: BTreeMap<String, ZoneSigns>,
+    pub signs: BTreeMap<String, ZoneObservation>,
     /// Zones that are silent as a whole: when they were last heard, and since when that is known.
     quiet: BTreeMap<String, (Millis, Millis)>,
     /// When they were heard again.
@@ -140,7 +140,7 @@
         &mut self,
         now: Millis,
         zone: &str,
-        signs: &ZoneSigns,
+        signs: &ZoneObservation,
         quiet: bool,
     ) -> Option<Turn> {
         match (quiet, self.quiet.contains_key(zone)) {
@@ -158,24 +158,24 @@
     }
 
     /// Forgets zones without machines, and keeps the others' signs.
-    pub fn keep(&mut self, signs: BTreeMap<String, ZoneSigns>) {
+    pub fn keep(&mut self, signs: BTreeMap<String, ZoneObservation>) {
         self.quiet.retain(|zone, _| signs.contains_key(zone));
         self.signs = signs;
     }
 
     /// When a zone that is silent as a whole was last heard.
-    pub fn quiet_since(&self, zone: &str) -> Option<Millis> {
+    pub fn unreachable_since(&self, zone: &str) -> Option<Millis> {
         self.quiet.get(zone).map(|(heard, _)| *heard)
     }
 
-    /// The same, once it has been known for so long that siblings would have told otherwise: a node
+    /// The same, once it has been known for so long that peers would have told otherwise: a controller
     /// that was itself cut off takes what it reaches again for lost at first.
     pub fn lost_since(&self, now: Millis, zone: &str) -> Option<Millis> {
         let (heard, known) = *self.quiet.get(zone)?;
-        (now >= known + ZONE_SURE_MS).then_some(heard)
+        (now >= known + ZONE_CONFIRM_MS).then_some(heard)
     }
 
-    pub fn any_quiet(&self) -> bool {
+    pub fn has_unreachable(&self) -> bool {
         !self.quiet.is_empty()
     }
 
@@ -183,8 +183,8 @@
         self.back.get(zone).copied()
     }
 
-    /// After standing still the silence was this node's own.
-    pub fn wake(&mut self) {
+    /// After a pause the silence was this controller's own.
+    pub fn reset_after_pause(&mut self) {
         self.quiet.clear();
         self.back.clear();
     }
@@ -199,7 +199,7 @@
 
     fn batch(goals_s: &[u64]) -> Holding {
         Holding {
-            rank: Rank::Normal,
+            priority: JobPriority::Normal,
             service: false,
             unseen: false,
             elsewhere: true,
@@ -212,7 +212,7 @@
         Holding {
             service: true,
             goals: Vec::new(),
-            rank: Rank::Production,
+            priority: JobPriority::Production,
             ..batch(&[])
         }
     }
@@ -225,20 +225,20 @@
     }
 
     fn end(l: Lost, holds: &[Holding]) -> Option<Why> {
-        verdict(&l, holds, LEASE, &Tuning::default(), WALL)
+        evacuation_reason(&l, holds, LEASE, &Tuning::default(), WALL)
     }
 
     #[test]
     fn a_node_that_was_cut_off_itself_does_not_act_on_what_it_finds_silent() {
         let mut zones = Zones::default();
-        let signs = ZoneSigns {
+        let signs = ZoneObservation {
             latest: 1_000,
-            ..ZoneSigns::default()
+            ..ZoneObservation::default()
         };
         assert_eq!(zones.judged(20_000, "a", &signs, true), Some(Turn::Lost));
-        assert_eq!(zones.quiet_since("a"), Some(1_000));
+        assert_eq!(zones.unreachable_since("a"), Some(1_000));
         assert_eq!(zones.lost_since(20_500, "a"), None);
-        assert_eq!(zones.lost_since(20_000 + ZONE_SURE_MS, "a"), Some(1_000));
+        assert_eq!(zones.lost_since(20_000 + ZONE_CONFIRM_MS, "a"), Some(1_000));
         let back = Some(Turn::Back { ms: 29_000 });
         assert_eq!(zones.judged(30_000, "a", &signs, false), back);
         assert_eq!(zones.lost_since(40_000, "a"), None);
--- a/crates/core/tests/allocations.rs
+++ b/crates/core/tests/allocations.rs
@@ -1,4 +1,4 @@
-//! What a check-in allocates in the core: exact, and so bounded here, unlike its time.
+//! What a heartbeat allocates in the core: exact, and so bounded here, unlike its time.
 
 use glenmount_core::controller::*;
 use glenmount_core::model::*;
@@ -7,7 +7,7 @@
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
 
-/// Blocks that a check-in without news may take: what is reported by task, and the list of effects with
+/// Blocks that a heartbeat without news may take: what is reported by task, and the list of effects with
 /// its answer. Names that were copied into maps, and what a record lacks of a machine, made it 9.
 const BLOCKS: f64 = 4.0;
 /// Bytes, the same: most of them for the list of effects.
@@ -26,19 +26,19 @@
         (0..20).all(|i| w.running(&format!("j-{i}")) == 4)
     });
     w.run(20_000);
-    let mut reports: Vec<Report> = (w.workers.values())
-        .map(|m| Report {
+    let mut reports: Vec<WorkerHeartbeat> = (w.workers.values())
+        .map(|m| WorkerHeartbeat {
             machine: m.name.clone(),
             address: "10.0.0.9:9000".into(),
             type_name: m.type_name.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            session: m.session,
-            tally: m.tally + 100,
+            incarnation: m.incarnation,
+            sequence: m.sequence + 100,
             token: m.token,
             notice_s: None,
             tasks: (m.tasks.iter())
-                .map(|((task, attempt), t)| TaskReport {
+                .map(|((task, attempt), t)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     phase: t.phase,
@@ -49,21 +49,21 @@
     let tasks: usize = reports.iter().map(|r| r.tasks.len()).sum();
     assert!(tasks >= 80, "{tasks} tasks run");
     let (now, wall) = (w.now, WALL0 + w.now);
-    let node = w.nodes[0].node.as_mut().unwrap();
+    let controller = w.controllers[0].controller.as_mut().unwrap();
     // The first round has news: whatever it takes is not counted.
-    let mut events = |tally: u64| -> Vec<Event> {
+    let mut events = |sequence: u64| -> Vec<Event> {
         (reports.iter_mut())
             .enumerate()
             .map(|(i, report)| {
-                report.tally += tally;
+                report.sequence += sequence;
                 let report = Box::new(report.clone());
                 let request = 1_000_000 + i as u64;
-                Event::CheckIn { request, report }
+                Event::WorkerHeartbeat { request, report }
             })
             .collect()
     };
     for event in events(1) {
-        node.handle(now, wall, event);
+        controller.handle(now, wall, event);
     }
     let counted = events(1);
     let n = counted.len() as f64;
@@ -71,14 +71,14 @@
     let before = dhat::HeapStats::get();
     let mut answers = 0;
     for event in counted {
-        let effects = node.handle(now, wall, event);
+        let effects = controller.handle(now, wall, event);
         answers += effects
             .iter()
             .filter(|e| {
                 matches!(
                     e,
                     Effect::Worker {
-                        reply: WorkerReply::Orders { .. },
+                        reply: WorkerReply::Commands { .. },
                         ..
                     }
                 )
--- a/crates/core/tests/checks.rs
+++ b/crates/core/tests/checks.rs
@@ -1,4 +1,4 @@
-//! For each check before a node's first decision a short story that breaks a rule, or loses work or
+//! For each check before a controller's first decision a short scenario that breaks a rule, or loses work or
 //! time, when that one check is left out, and does not when all hold. See docs/design.md, "Before the
 //! first decision".
 
@@ -10,7 +10,7 @@
 use glenmount_simulation::*;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// What a story cost, or the rule that it broke.
+/// What a scenario cost, or the rule that it broke.
 type Cost = Result<u64, String>;
 
 fn told(checks: &Checks, story: impl Fn(&Checks) -> u64) -> Cost {
@@ -21,7 +21,7 @@
     })
 }
 
-/// With all checks the story costs at most so much; without the one it breaks a rule or costs more.
+/// With all checks the scenario costs at most so much; without the one it breaks a rule or costs more.
 fn needs(check: &str, most: u64, story: impl Fn(&Checks) -> u64) -> Cost {
     let with = told(&Checks::default(), &story);
     assert!(with.as_ref().is_ok_and(|c| *c <= most), "{check}: {with:?}");
@@ -40,14 +40,14 @@
     assert!(why.contains(rule), "{why}");
 }
 
-fn world(checks: &Checks, seed: u64, nodes: usize, machines: usize) -> World {
-    let mut w = World::new(seed, nodes, machines);
+fn world(checks: &Checks, seed: u64, controllers: usize, machines: usize) -> World {
+    let mut w = World::new(seed, controllers, machines);
     w.settings.checks = *checks;
     w.settings.idle_return_ms = 3_600_000;
     w
 }
 
-/// Accepted by one node, asked about at another a moment later, before the watch has told that one.
+/// Accepted by one controller, asked about at another a moment later, before the watch has told that one.
 #[test]
 fn without_a_proof_an_accepted_job_is_not_found() {
     let cost = needs("proof", 0, |checks| {
@@ -64,7 +64,7 @@
     broke(cost, "forgotten");
 }
 
-/// Asked about before a node stood still; meanwhile the job was accepted elsewhere. The read that it
+/// Asked about before a controller was paused; meanwhile the job was accepted elsewhere. The read that it
 /// had begun is old when its answer is taken up.
 #[test]
 fn without_the_gap_a_read_of_before_decides() {
@@ -85,7 +85,7 @@
     broke(cost, "forgotten");
 }
 
-/// Submitted to the first node of a site, 40 ms after its start.
+/// Submitted to the first controller of a site, 40 ms after its start.
 #[test]
 fn without_types_a_job_that_fits_is_refused_for_good() {
     let cost = needs("types", 0, |checks| {
@@ -94,14 +94,14 @@
             let mut w = world(checks, 940 + seed, 1, 2);
             w.run(45);
             let r = w.submit(0, job("j-1", 1));
-            refused += u64::from(matches!(w.answer(r), UserReply::Never(_)));
+            refused += u64::from(matches!(w.answer(r), UserReply::Rejected(_)));
         }
         refused
     });
     assert!(cost.is_ok_and(|refused| refused > 0));
 }
 
-/// One node of three has the new version: what it writes must be read by the others.
+/// One controller of three has the new version: what it writes must be read by the others.
 #[test]
 fn without_formats_on_record_old_nodes_can_not_read_what_is_written() {
     let cost = needs("format", 0, |checks| {
@@ -119,7 +119,7 @@
     broke(cost, "old shape");
 }
 
-/// All nodes come back at once: workers that find one should stay.
+/// All controllers come back at once: workers that find one should stay.
 #[test]
 fn without_waiting_for_the_view_workers_are_sent_round() {
     let cost = needs("view", 2, |checks| {
@@ -133,16 +133,16 @@
             w.crash(n, 2_000);
         }
         w.run(2_000);
-        let before: Vec<usize> = w.workers.values().map(|w| w.node).collect();
+        let before: Vec<usize> = w.workers.values().map(|w| w.controller).collect();
         w.run(1_500);
-        let after = w.workers.values().map(|w| w.node);
+        let after = w.workers.values().map(|w| w.controller);
         after.zip(before).filter(|(a, b)| a != b).count() as u64
     });
     assert!(cost.is_ok_and(|moved| moved > 2));
 }
 
-/// A node stands still for less than what counts as a gap; then a worker's report is read before the
-/// news that a sibling claimed what it runs.
+/// A controller is paused for less than what counts as a gap; then a worker's report is read before the
+/// news that a peer claimed what it runs.
 #[test]
 fn without_the_fate_of_an_attempt_running_tasks_are_stopped() {
     let cost = needs("fate", 0, |checks| {
@@ -152,7 +152,7 @@
             w.run_ms = 20_000;
             w.run(5_000);
             for worker in w.workers.values_mut() {
-                worker.node = 1;
+                worker.controller = 1;
             }
             w.run(3_000);
             w.freeze(1, 900);
@@ -166,7 +166,7 @@
     assert!(!cost.is_ok_and(|wasted| wasted == 0));
 }
 
-/// Half of the machines die while all nodes are away. Which, a node that comes back can't know.
+/// Half of the machines die while all controllers are away. Which, a controller that comes back can't know.
 #[test]
 fn without_being_heard_dead_machines_get_the_work() {
     let cost = needs("heard", 6_000, |checks| {
@@ -192,7 +192,7 @@
     assert!(cost.is_ok_and(|ms| ms > 6_000));
 }
 
-/// All nodes come back: most machines have not reported yet, and are there all the same.
+/// All controllers come back: most machines have not reported yet, and are there all the same.
 #[test]
 fn without_a_round_of_reports_what_is_there_is_rented_anew() {
     let cost = needs("round", 0, |checks| {
@@ -214,7 +214,7 @@
     assert!(cost.is_ok_and(|rented| rented > 0));
 }
 
-/// What has been rented takes its time to come up.
+/// What has been provisioned takes its time to come up.
 #[test]
 fn without_rentals_under_way_the_same_is_rented_over_and_over() {
     let cost = needs("hires", 8, |checks| {
@@ -252,27 +252,27 @@
 #[test]
 fn without_own_reach_of_workers_claims_go_nowhere() {
     let cost = needs("workers", 12, |checks| {
-        let mut raised = 0;
+        let mut token_offset = 0;
         for seed in 0..4 {
             let mut w = world(checks, 1_000 + seed, 3, 12);
             w.run(6_000);
-            w.nodes[0].cut_from_workers = true;
+            w.controllers[0].cut_from_workers = true;
             for i in 0..10 {
                 w.submit(0, job(&format!("j-{i}"), 2));
                 w.run(3_000);
             }
             let machines = w.store.values().filter_map(|(r, _)| match r {
-                Record::Machine(m) => Some(m.raised),
+                Record::Machine(m) => Some(m.token_offset),
                 _ => None,
             });
-            raised += machines.sum::<u64>();
+            token_offset += machines.sum::<u64>();
         }
-        raised
+        token_offset
     });
-    assert!(cost.is_ok_and(|raised| raised > 12));
+    assert!(cost.is_ok_and(|token_offset| token_offset > 12));
 }
 
-/// While the records are read page by page a sibling claims all that a team may have, after the page of
+/// While the records are read page by page a peer claims all that a team may have, after the page of
 /// the chunks and before that of the team; what is more urgent comes next.
 #[test]
 fn without_catching_up_a_team_exceeds_its_limit() {
@@ -292,14 +292,14 @@
             w.run(2_000);
             w.crash(1, 100);
             w.run(100 + seed % 20);
-            let blue = |id: &str, rank| JobSpec {
+            let blue = |id: &str, priority| JobSpec {
                 team: "blue".into(),
-                rank,
+                priority,
                 ..job(id, 6)
             };
-            w.submit(0, blue("j-0", Rank::Normal));
+            w.submit(0, blue("j-0", JobPriority::Normal));
             w.run(4 + seed / 5 % 20);
-            w.submit(0, blue("j-1", Rank::High));
+            w.submit(0, blue("j-1", JobPriority::High));
             w.run(3_000);
         }
         0
@@ -307,7 +307,7 @@
     broke(cost, "quota");
 }
 
-/// The state service refuses a node alone, a sibling confirms a cancellation, then it is down for all; the
+/// The state service refuses a controller alone, a peer confirms a cancellation, then it is down for all; the
 /// halts were lost, and the worker reports to the refused one. Both old and new versions serve.
 #[test]
 fn without_a_bound_what_an_old_version_cancelled_runs_on() {
@@ -324,12 +324,12 @@
         w.answer(r);
         w.until(20_000, "runs", |w| w.running("j-1") == 4);
         for worker in w.workers.values_mut() {
-            worker.node = 0;
+            worker.controller = 0;
         }
         w.run(3_000);
-        w.nodes[0].refused = true;
+        w.controllers[0].refused = true;
         for n in 1..3 {
-            w.nodes[n].cut_from_workers = true;
+            w.controllers[n].cut_from_workers = true;
         }
         w.run(100);
         let r = w.cancel(1, "j-1");
@@ -337,7 +337,7 @@
         w.state_down = true;
         for _ in 0..100 {
             for worker in w.workers.values_mut() {
-                worker.node = 0;
+                worker.controller = 0;
             }
             w.run(500);
         }
@@ -394,15 +394,23 @@
     assert!(cost.is_ok_and(|ms| ms > 12_000));
 }
 
-/// Milliseconds in which a node that is cut off alone goes on drawing users.
+/// Milliseconds in which a controller that is cut off alone goes on drawing users.
 #[test]
 fn without_knowing_that_it_is_alone_a_node_keeps_its_users() {
     let cost = needs("alone", 6_000, |checks| {
         let mut w = world(checks, 992, 3, 4);
         w.run(9_000);
-        (w.nodes[0].cut_from_state, w.nodes[0].cut_from_peers) = (true, true);
+        (
+            w.controllers[0].cut_from_state,
+            w.controllers[0].cut_from_peers,
+        ) = (true, true);
         let from = w.now;
-        while w.nodes[0].node.as_ref().is_some_and(Node::ready) && w.now < from + 90_000 {
+        while w.controllers[0]
+            .controller
+            .as_ref()
+            .is_some_and(Controller::ready)
+            && w.now < from + 90_000
+        {
             w.run(100);
         }
         w.now - from
@@ -485,7 +493,7 @@
     assert!(cost.as_ref().is_ok_and(|ms| *ms > 2_400), "{cost:?}");
 }
 
-/// Half of the machines reach no node for much longer than a lease, which are too many to be moved off.
+/// Half of the machines reach no controller for much longer than a lease, which are too many to be moved off.
 #[test]
 fn without_sessions_in_answers_what_a_lease_ended_stays_booked() {
     let cost = needs("session", 50_000, |checks| {
@@ -510,7 +518,7 @@
     assert!(cost.is_ok_and(|ms| ms >= 120_000));
 }
 
-/// Some machines reach no node. Milliseconds in which a service lacks a task.
+/// Some machines reach no controller. Milliseconds in which a service lacks a task.
 #[test]
 fn without_moves_off_mute_machines_services_end_with_their_leases() {
     let cost = needs("mute", 3_000, |checks| {
@@ -538,7 +546,7 @@
     assert!(cost.is_ok_and(|ms| ms > 3_000));
 }
 
-/// Reports of machines that died, and were deleted, reach nodes that have just started. Milliseconds until a
+/// Reports of machines that died, and were deleted, reach controllers that have just started. Milliseconds until a
 /// service is up that needs most of what there is.
 #[test]
 fn without_asking_strangers_work_goes_to_machines_that_are_gone() {
@@ -596,7 +604,7 @@
     broke(cost, "quota");
 }
 
-/// A node that goes on by its settings file refuses a new team's jobs for good.
+/// A controller that goes on by its settings file refuses a new team's jobs for good.
 #[test]
 fn without_following_a_new_team_is_unknown() {
     let cost = needs("configuration", 0, |checks| {
@@ -613,7 +621,7 @@
             ..job("j-1", 1)
         };
         let r = w.submit(0, spec);
-        u64::from(matches!(w.answer(r), UserReply::Never(_)))
+        u64::from(matches!(w.answer(r), UserReply::Rejected(_)))
     });
     assert_eq!(cost, Ok(1));
 }
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -1,8 +1,9 @@
-//! Configurations on record: in force at every node, by transactions, whatever else happens.
+//! Configurations on record: in force at every controller, by transactions, whatever else happens.
 
 use glenmount_core::configuration::{
-    self, ChangeLimits, ConfigurableRecord, FollowingRecord, ObjectiveSettings, PageRecord,
-    PolicySettings, TeamSettings, VersionRecord,
+    self, ChangeLimits, ConfigurationEnabledRecord, ConfigurationPageRecord,
+    ConfigurationVersionRecord, ObjectiveSettings, ObservedVersionRecord, PolicySettings,
+    TeamSettings,
 };
 use glenmount_core::controller::*;
 use glenmount_core::model::*;
@@ -13,12 +14,12 @@
 use rand::Rng;
 
 const LIMITS: ChangeLimits = ChangeLimits {
-    value_bytes: 2 * 1024,
+    max_value_bytes: 2 * 1024,
     changes: 16,
 };
 
-fn world(seed: u64, nodes: usize, machines: usize) -> World {
-    let mut w = World::new(seed, nodes, machines);
+fn world(seed: u64, controllers: usize, machines: usize) -> World {
+    let mut w = World::new(seed, controllers, machines);
     w.settings.idle_return_ms = 3_600_000;
     w.capacity = 0;
     w.run(6_000);
@@ -31,7 +32,7 @@
     let r = w.submit(0, blue(service("j-s", 2)));
     w.answer(r);
     let low = JobSpec {
-        rank: Rank::Low,
+        priority: JobPriority::Low,
         ..blue(job("j-low", 2))
     };
     let r = w.submit(1, low);
@@ -63,16 +64,16 @@
 {
     let mut w = world(1, 3, 8);
     assert!(!w.store.contains_key(&Key::Configuration));
-    assert!(w.store.contains_key(&Key::Configurable) && w.all_follow(0));
+    assert!(w.store.contains_key(&Key::ConfigurationEnabled) && w.all_follow(0));
     let settings = w.with_limit("blue", 4.0);
     assert_eq!(w.configure(&settings), Ok(1));
     w.until(1_000, "in force", |w| w.all_follow(1));
     w.until(1_000, "said on record", |w| {
-        let follows = |n: &String| match w.store.get(&Key::Following(n.clone())) {
-            Some((Record::Following(FollowingRecord { version }), _)) => *version == 1,
+        let follows = |n: &String| match w.store.get(&Key::ObservedVersion(n.clone())) {
+            Some((Record::ObservedVersion(ObservedVersionRecord { version }), _)) => *version == 1,
             _ => false,
         };
-        w.settings.nodes.iter().all(follows)
+        w.settings.controllers.iter().all(follows)
     });
     for n in 0..3 {
         w.submit(n, blue(job(&format!("j-{n}"), 4)));
@@ -105,7 +106,7 @@
     w.check_records();
 }
 
-/// With every team at its limit nodes end one after another while limits change.
+/// With every team at its limit controllers end one after another while limits change.
 #[test]
 fn changes_while_teams_are_at_their_limits_and_nodes_end() {
     for seed in 0..4 {
@@ -133,13 +134,13 @@
 fn a_change_that_is_repeated_or_late_takes_effect_once() {
     let mut w = world(3, 3, 6);
     let settings = w.with_limit("blue", 6.0);
-    let txn = w.draft_configuration(&settings).unwrap();
-    assert_eq!(w.commit_configuration(&txn), Ok(1));
-    assert_eq!(w.commit_configuration(&txn), Err(Refused::Conflict));
+    let transaction = w.draft_configuration(&settings).unwrap();
+    assert_eq!(w.commit_configuration(&transaction), Ok(1));
+    assert_eq!(w.commit_configuration(&transaction), Err(Refused::Conflict));
     let settings = w.with_limit("blue", 8.0);
     assert_eq!(w.configure(&settings), Ok(2));
     w.run(5_000);
-    assert_eq!(w.commit_configuration(&txn), Err(Refused::Conflict));
+    assert_eq!(w.commit_configuration(&transaction), Err(Refused::Conflict));
     assert!(w.all_follow(2) && w.limit("blue") == Some(8_000));
 }
 
@@ -162,8 +163,8 @@
         let mut w = world(30 + seed, 3, 8);
         w.run_ms = 3_600_000;
         match seed % 2 {
-            0 => w.nodes[1].cut_from_state = true,
-            _ => w.nodes[1].refused = true,
+            0 => w.controllers[1].cut_from_state = true,
+            _ => w.controllers[1].refused = true,
         }
         w.run(300);
         w.submit(0, blue(job("j-1", 9)));
@@ -270,17 +271,17 @@
         ..job(id, 2)
     };
     let r = w.submit(0, spec("j-0"));
-    assert!(matches!(w.answer(r), UserReply::Never(_)));
+    assert!(matches!(w.answer(r), UserReply::Rejected(_)));
     let before = w.policy_settings();
     let mut settings = before.clone();
     settings.teams.push(team("green", 6.0));
-    // A node that the watch tells nothing says when to come back, never that the team is unknown.
+    // A controller that the watch tells nothing says when to come back, never that the team is unknown.
     w.lag_watch(2, 3_000);
     w.configure(&settings).unwrap();
     w.run(50);
     let r = w.submit(2, spec("j-1"));
     let reply = w.answer(r);
-    assert!(!matches!(reply, UserReply::Never(_)), "{reply:?}");
+    assert!(!matches!(reply, UserReply::Rejected(_)), "{reply:?}");
     for n in 0..2 {
         assert!(accepts(&mut w, n, spec(&format!("j-{}", n + 2))));
     }
@@ -290,17 +291,17 @@
         "{refused:?}"
     );
     w.until(30_000, "done", |w| {
-        w.job_phase("j-2") == Some(Phase::Done) && w.job_phase("j-3") == Some(Phase::Done)
+        w.job_phase("j-2") == Some(JobPhase::Done) && w.job_phase("j-3") == Some(JobPhase::Done)
     });
     w.run(5_000);
     assert_eq!(w.configure(&before), Ok(2));
     w.run(1_000);
     let r = w.submit(1, spec("j-9"));
-    assert!(matches!(w.answer(r), UserReply::Never(_)));
+    assert!(matches!(w.answer(r), UserReply::Rejected(_)));
     w.check_records();
 }
 
-/// Three seconds behind, a node neither claims nor accepts by what it knows.
+/// Three seconds behind, a controller neither claims nor accepts by what it knows.
 #[test]
 fn a_watch_that_lags_by_seconds_decides_nothing_old() {
     let mut w = world(8, 3, 8);
@@ -338,14 +339,17 @@
             1 => record.pages = 3,
             _ => {
                 let page = Key::ConfigurationPage(record.version, 0);
-                w.put_record(page, Record::ConfigurationPage(PageRecord::default()));
+                w.put_record(
+                    page,
+                    Record::ConfigurationPage(ConfigurationPageRecord::default()),
+                );
             }
         }
         w.put_record(Key::Configuration, Record::Configuration(record));
         w.run(500);
         let r = w.submit(0, job("j-1", 2));
         let reply = w.answer(r);
-        assert!(matches!(reply, UserReply::Later { .. }), "{reply:?}");
+        assert!(matches!(reply, UserReply::RetryAfter { .. }), "{reply:?}");
         let r = w.submit(
             1,
             JobSpec {
@@ -353,7 +357,7 @@
                 ..job("j-2", 1)
             },
         );
-        assert!(matches!(w.answer(r), UserReply::Later { .. }));
+        assert!(matches!(w.answer(r), UserReply::RetryAfter { .. }));
         let starts = w.starts;
         w.run(5_000);
         assert_eq!(w.starts, starts);
@@ -361,11 +365,13 @@
         w.put_record(Key::Configuration, current);
         w.run(1_000);
         assert!(accepts(&mut w, 0, job("j-1", 2)));
-        w.until(20_000, "done", |w| w.job_phase("j-1") == Some(Phase::Done));
+        w.until(20_000, "done", |w| {
+            w.job_phase("j-1") == Some(JobPhase::Done)
+        });
     }
 }
 
-/// Until every node reads configurations none can be put on record, whoever comes back old meanwhile.
+/// Until every controller reads configurations none can be put on record, whoever comes back old meanwhile.
 #[test]
 fn an_older_version_that_serves_keeps_configurations_off_the_records() {
     let mut w = World::old(70, 3, 6);
@@ -382,7 +388,7 @@
         }
     }
     w.until(10_000, "configurable", |w| {
-        w.store.contains_key(&Key::Configurable)
+        w.store.contains_key(&Key::ConfigurationEnabled)
     });
     w.limits_fall();
     assert_eq!(w.configure(&settings), Ok(1));
@@ -399,10 +405,10 @@
         gpus: 0,
     });
     let key = Key::Team("blue".into());
-    let fenced = record.value(formats::CONFIGURABLE);
+    let fenced = record.value(formats::STORED_CONFIGURATION);
     assert_eq!(old::value(&key, fenced.clone()), None);
     assert_eq!(Record::read(&key, fenced), Some(record.clone()));
-    let plain = record.value(formats::SETTLED);
+    let plain = record.value(formats::CONFIRMED_CANCELLATION);
     assert_eq!(old::value(&key, plain.clone()), Some(plain.clone()));
     assert_eq!(Record::read(&key, plain), Some(record));
 }
@@ -423,19 +429,19 @@
     };
     for teams in [1, 350, 540] {
         let settings = settings(teams);
-        let txn = configuration::change(&settings, None, 9, LIMITS, 1, "first").unwrap();
-        assert!(txn.changes.len() <= 16);
-        let pages: Vec<PageRecord> = (txn.changes.iter())
+        let transaction = configuration::change(&settings, None, 9, LIMITS, 1, "first").unwrap();
+        assert!(transaction.changes.len() <= 16);
+        let pages: Vec<ConfigurationPageRecord> = (transaction.changes.iter())
             .filter_map(|(_, record)| match record {
                 Some(Record::ConfigurationPage(page)) => Some(page.clone()),
                 _ => None,
             })
             .collect();
         assert_eq!(configuration::settings_of(&pages), settings);
-        for (key, record) in &txn.changes {
+        for (key, record) in &transaction.changes {
             let record = record.as_ref().unwrap();
-            let value = record.value(formats::CONFIGURABLE);
-            assert!(value.to_string().len() <= LIMITS.value_bytes);
+            let value = record.value(formats::STORED_CONFIGURATION);
+            assert!(value.to_string().len() <= LIMITS.max_value_bytes);
             assert_eq!(Key::parse(&key.path()).as_ref(), Some(key));
             assert_eq!(
                 Record::read_text(key, &value.to_string()).as_ref(),
@@ -501,15 +507,15 @@
         teams: vec![team("a", 4.0)],
         ..PolicySettings::default()
     };
-    let mut current: Option<VersionRecord> = None;
+    let mut current: Option<ConfigurationVersionRecord> = None;
     for n in 0..100 {
         let before = current.as_ref().map(|record| (record, n));
         let large = ChangeLimits {
-            value_bytes: 16 * 1024,
+            max_value_bytes: 16 * 1024,
             ..LIMITS
         };
-        let txn = configuration::change(&settings, before, 1, large, n, "why").unwrap();
-        current = txn
+        let transaction = configuration::change(&settings, before, 1, large, n, "why").unwrap();
+        current = transaction
             .changes
             .into_iter()
             .find_map(|(_, record)| match record {
@@ -531,7 +537,7 @@
 /// Values that are truncated, foreign or huge are no records; nothing panics on them.
 #[test]
 fn damaged_records_are_passed_over() {
-    let record = Record::Configuration(VersionRecord {
+    let record = Record::Configuration(ConfigurationVersionRecord {
         form: 1,
         version: 7,
         pages: 2,
@@ -541,10 +547,10 @@
         note: "n".into(),
         kept: Vec::new(),
     });
-    let configurable = Record::Configurable(ConfigurableRecord { version: 4 });
+    let configurable = Record::ConfigurationEnabled(ConfigurationEnabledRecord { version: 4 });
     for (key, record) in [
         (Key::Configuration, record),
-        (Key::Configurable, configurable),
+        (Key::ConfigurationEnabled, configurable),
     ] {
         let text = record.value(formats::LATEST).to_string();
         for end in 0..text.len() {
@@ -566,7 +572,7 @@
     }
 }
 
-/// Random changes among random mishaps: the world checks the rules, and each claim against the limit in force.
+/// Random changes among random faults: the world checks the rules, and each claim against the limit in force.
 #[test]
 fn random_changes_among_mishaps_break_no_rule() {
     let more = std::env::var("MEETINGS").ok().and_then(|n| n.parse().ok());
@@ -600,7 +606,7 @@
                 }
                 9 => {
                     let n = w.rng.gen_range(0..3);
-                    w.nodes[n].cut_from_state = !w.nodes[n].cut_from_state;
+                    w.controllers[n].cut_from_state = !w.controllers[n].cut_from_state;
                 }
                 10 => {
                     let (n, ms) = (w.rng.gen_range(0..3), w.rng.gen_range(100..4_000));
--- a/crates/core/tests/learned.rs
+++ b/crates/core/tests/learned.rs
@@ -1,4 +1,4 @@
-//! Stories of learned run times: what nodes observe, that nothing counts twice, what they survive,
+//! Stories of learned run times: what controllers observe, that nothing counts twice, what they survive,
 //! and that nothing rests on them.
 
 use glenmount_core::model::*;
@@ -8,8 +8,8 @@
 use glenmount_runtime_estimates::history::History;
 use glenmount_simulation::*;
 
-fn learning(seed: u64, nodes: usize, machines: usize) -> World {
-    let mut w = World::new(seed, nodes, machines);
+fn learning(seed: u64, controllers: usize, machines: usize) -> World {
+    let mut w = World::new(seed, controllers, machines);
     w.settings.learned = every_use();
     w
 }
@@ -23,8 +23,8 @@
 
 /// What is on record of a class of team red.
 fn recorded(w: &World, class: &str) -> Option<History> {
-    match w.store.get(&Key::Runs(class_id("red", class))) {
-        Some((Record::Runs(r), _)) => History::unpack(&r.packed),
+    match w.store.get(&Key::RunTimes(class_id("red", class))) {
+        Some((Record::RunTimes(r), _)) => History::unpack(&r.packed),
         _ => None,
     }
 }
@@ -38,10 +38,10 @@
     for n in from..from + jobs {
         let id = format!("j-{n}");
         w.submit(
-            n as usize % w.settings.nodes.len(),
+            n as usize % w.settings.controllers.len(),
             of_class(&id, tasks, class),
         );
-        let done = |w: &World| w.job_phase(&id) == Some(Phase::Done);
+        let done = |w: &World| w.job_phase(&id) == Some(JobPhase::Done);
         w.until(120_000, "the job is done", done);
     }
 }
@@ -50,7 +50,7 @@
 fn three_nodes_that_hear_the_same_ends_record_each_run_once() {
     let mut w = learning(1, 3, 6);
     w.run(3_000);
-    // Late and doubled reports show every node the same ends.
+    // Late and doubled reports show every controller the same ends.
     w.mishaps.report_twice = 0.5;
     w.mishaps.answer_slow = 0.2;
     work(&mut w, 1, 12, 4, "batch");
@@ -99,9 +99,9 @@
     work(&mut w, 30, 6, 4, "batch");
     w.run(90_000);
     assert!(runs(&w, "batch") > before, "nothing after {before}");
-    for slot in &w.nodes {
-        let node = slot.node.as_ref().expect("up");
-        let known = node.class_history("red", "batch").expect("read");
+    for slot in &w.controllers {
+        let controller = slot.controller.as_ref().expect("up");
+        let known = controller.class_history("red", "batch").expect("read");
         assert!(known.runs >= runs(&w, "batch"));
     }
 }
@@ -131,8 +131,8 @@
         w.submit(n % 3, of_class(&format!("j-{}", n + 1), 2, &class));
         w.run(4_000);
         let stamps: Vec<u64> = (w.store.iter())
-            .filter(|(k, _)| matches!(k, Key::Runs(_)))
-            .map(|(_, (_, stamp))| *stamp)
+            .filter(|(k, _)| matches!(k, Key::RunTimes(_)))
+            .map(|(_, (_, mod_revision))| *mod_revision)
             .collect();
         puts += stamps.iter().filter(|s| !last.contains(*s)).count();
         last = stamps;
@@ -146,7 +146,10 @@
 #[test]
 fn smaller_values_hold_what_is_learned() {
     let mut w = learning(6, 2, 4);
-    (w.settings.value_bytes, w.settings.txn_ops) = (1_536, 3);
+    (
+        w.settings.max_value_bytes,
+        w.settings.max_transaction_changes,
+    ) = (1_536, 3);
     w.run(3_000);
     let class = "x".repeat(200);
     work(&mut w, 1, 30, 1, &class);
@@ -161,24 +164,32 @@
     w.run(3_000);
     work(&mut w, 1, 2, 2, "kept");
     w.run(10_000);
-    let Some((Record::Runs(like), _)) = w.store.get(&Key::Runs(class_id("red", "kept"))) else {
+    let Some((Record::RunTimes(like), _)) = w.store.get(&Key::RunTimes(class_id("red", "kept")))
+    else {
         panic!("not on record");
     };
     let like = like.clone();
     for n in 0..CLASSES_KEPT as u64 {
-        let old = RunsRecord {
+        let old = RunTimesRecord {
             at: like.at - 1_000_000 + n,
             class: format!("old{n}"),
             ..like.clone()
         };
-        w.put_record(Key::Runs(n), Record::Runs(old));
+        w.put_record(Key::RunTimes(n), Record::RunTimes(old));
     }
     w.run(2_000);
     work(&mut w, 10, 2, 2, "fresh");
     w.run(30_000);
-    let classes = w.store.keys().filter(|k| matches!(k, Key::Runs(_))).count();
+    let classes = w
+        .store
+        .keys()
+        .filter(|k| matches!(k, Key::RunTimes(_)))
+        .count();
     assert!(classes <= CLASSES_KEPT + 1, "{classes}");
-    assert!(!w.store.contains_key(&Key::Runs(0)), "the oldest is gone");
+    assert!(
+        !w.store.contains_key(&Key::RunTimes(0)),
+        "the oldest is gone"
+    );
     assert!(runs(&w, "kept") > 0 && runs(&w, "fresh") > 0);
 }
 
@@ -188,11 +199,11 @@
     w.run(3_000);
     work(&mut w, 1, 3, 2, "batch");
     w.run(30_000);
-    let key = Key::Runs(class_id("red", "batch"));
-    let Some((Record::Runs(record), _)) = w.store.get(&key) else {
+    let key = Key::RunTimes(class_id("red", "batch"));
+    let Some((Record::RunTimes(record), _)) = w.store.get(&key) else {
         panic!("not on record");
     };
-    let value = serde_json::to_string(&Record::Runs(record.clone()).value(3)).unwrap();
+    let value = serde_json::to_string(&Record::RunTimes(record.clone()).value(3)).unwrap();
     let broken = value.replacen("\"n\":", "\"n\":9", 1);
     let broken = Record::read(&key, serde_json::from_str(&broken).unwrap()).expect("its shape");
     w.put_record(key, broken);
@@ -209,14 +220,14 @@
     w.class_ms.insert("long".into(), 20_000);
     w.run(3_000);
     let long = JobSpec {
-        checkpoint_s: 1.0,
-        save_s: 0.1,
-        need: Room {
+        checkpoint_interval_s: 1.0,
+        checkpoint_duration_s: 0.1,
+        resources: Resources {
             cpus: 4_000,
             gpus: 0,
             ram: 1_000,
         },
-        rank: Rank::Low,
+        priority: JobPriority::Low,
         ..of_class("j-1", 1, "long")
     };
     w.capacity = 0;
@@ -224,15 +235,15 @@
     w.until(20_000, "it runs", |w| w.running("j-1") == 1);
     w.run(8_000);
     let urgent = JobSpec {
-        rank: Rank::High,
+        priority: JobPriority::High,
         ..of_class("j-2", 1, "urgent")
     };
     w.submit(0, urgent);
     w.until(60_000, "urgent work is done", |w| {
-        w.job_phase("j-2") == Some(Phase::Done)
+        w.job_phase("j-2") == Some(JobPhase::Done)
     });
     w.until(90_000, "the long one too", |w| {
-        w.job_phase("j-1") == Some(Phase::Done)
+        w.job_phase("j-1") == Some(JobPhase::Done)
     });
     w.run(20_000);
     let history = recorded(&w, "long").expect("on record");
@@ -265,8 +276,8 @@
     assert!(late[4].exp() < 6.2, "{}", late[4].exp());
 }
 
-/// Which node counts a run is a matter of chance: one seed alone, of which one in ten learns nothing
-/// while an old node serves, says little.
+/// Which controller counts a run is a matter of chance: one seed alone, of which one in ten learns nothing
+/// while an old controller serves, says little.
 #[test]
 fn through_a_rolling_upgrade_old_nodes_pass_over_what_is_learned() {
     let mut learned = 0;
@@ -281,7 +292,7 @@
             w.run(8_000);
             // Workers report to all three again.
             for (i, worker) in w.workers.values_mut().enumerate() {
-                worker.node = i % 3;
+                worker.controller = i % 3;
             }
             w.run(3_000);
             work(&mut w, 10 * (n as u32 + 1), 4, 3, "batch");
@@ -306,7 +317,7 @@
         for n in 1..40u32 {
             let class = format!("c{}", n % 3);
             let spec = JobSpec {
-                rank: [Rank::Low, Rank::High][n as usize % 2],
+                priority: [JobPriority::Low, JobPriority::High][n as usize % 2],
                 estimate_s: [0.1, 500.0][n as usize % 2],
                 ..of_class(&format!("j-{n}"), 3, &class)
             };
@@ -314,7 +325,7 @@
             w.run(2_500);
             if n % 7 == 0 {
                 let keys: Vec<Key> = (w.store.keys())
-                    .filter(|k| matches!(k, Key::Runs(_)))
+                    .filter(|k| matches!(k, Key::RunTimes(_)))
                     .cloned()
                     .collect();
                 keys.into_iter().for_each(|k| w.remove_record(k));
@@ -328,7 +339,7 @@
             let id = format!("j-{n}");
             if w.job_phase(&id).is_some() {
                 w.until(200_000, "all that was accepted is done", |w| {
-                    w.job_phase(&id) == Some(Phase::Done)
+                    w.job_phase(&id) == Some(JobPhase::Done)
                 });
             }
         }
@@ -342,8 +353,8 @@
     w.class_ms.insert("long".into(), 20_000);
     w.run(3_000);
     let long = |id: &str| JobSpec {
-        rank: Rank::Low,
-        need: Room {
+        priority: JobPriority::Low,
+        resources: Resources {
             cpus: 4_000,
             gpus: 0,
             ram: 1_000,
@@ -353,7 +364,7 @@
     for n in 11..30 {
         let id = format!("j-{n}");
         w.submit(0, long(&id));
-        w.until(90_000, "done", |w| w.job_phase(&id) == Some(Phase::Done));
+        w.until(90_000, "done", |w| w.job_phase(&id) == Some(JobPhase::Done));
     }
     // 19 s into the next, of 20, urgent work arrives: room comes by itself.
     w.submit(0, long("j-9"));
@@ -361,13 +372,13 @@
     w.run(19_000);
     let starts = w.starts;
     let urgent = JobSpec {
-        rank: Rank::High,
+        priority: JobPriority::High,
         ..of_class("j-10", 1, "urgent")
     };
     w.submit(0, urgent);
     w.until(20_000, "urgent work runs", |w| w.running("j-10") == 1);
     w.until(20_000, "the other is done", |w| {
-        w.job_phase("j-9") == Some(Phase::Done)
+        w.job_phase("j-9") == Some(JobPhase::Done)
     });
     assert_eq!(w.starts, starts + 1, "nothing was started anew");
 }
@@ -381,7 +392,7 @@
         w.class_ms.insert("long".into(), 30_000);
         w.run(3_000);
         let whole = |id: &str, class: &str, due: f64| JobSpec {
-            need: Room {
+            resources: Resources {
                 cpus: 4_000,
                 gpus: 0,
                 ram: 1_000,
@@ -393,7 +404,7 @@
             for (id, class) in [(n * 10, "long"), (n * 10 + 1, "short")] {
                 let id = format!("j-{id}");
                 w.submit(0, whole(&id, class, 300.0));
-                w.until(90_000, "done", |w| w.job_phase(&id) == Some(Phase::Done));
+                w.until(90_000, "done", |w| w.job_phase(&id) == Some(JobPhase::Done));
             }
         }
         // Both wait for a machine that is taken; the short one came first.
--- a/crates/core/tests/lost_zones.rs
+++ b/crates/core/tests/lost_zones.rs
@@ -1,17 +1,17 @@
-//! Short stories of zones that are lost and come back: what is left there, what goes elsewhere, and in
+//! Short scenarios of zones that are lost and come back: what is left there, what goes elsewhere, and in
 //! which order. The world checks every rule at each step.
 
 use glenmount_core::model::*;
-use glenmount_core::state::Phase;
+use glenmount_core::state::JobPhase;
 use glenmount_simulation::*;
 
-fn fleet(seed: u64, machines: usize, nodes_in: &[&str]) -> World {
+fn fleet(seed: u64, machines: usize, controllers_in: &[&str]) -> World {
     let mut w = World::new(seed, 3, 0);
     w.settings.idle_return_ms = 3_600_000;
     w.settings.report_ms = 5_000;
     w.settings.lease_ms = 26_500;
     w.settings.cancel_ms = 51_500;
-    w.nodes_in = nodes_in.iter().map(|z| z.to_string()).collect();
+    w.controllers_in = controllers_in.iter().map(|z| z.to_string()).collect();
     w.capacity = 0;
     for i in 0..machines {
         let zone = ["east", "west"][i % 2];
@@ -22,7 +22,7 @@
 }
 
 fn done(w: &World, id: &str) -> bool {
-    w.job_phase(id) == Some(Phase::Done)
+    w.job_phase(id) == Some(JobPhase::Done)
 }
 
 fn in_zone(w: &World, job: &str, zone: &str) -> usize {
@@ -72,7 +72,7 @@
     let mut w = fleet(10, 40, &["east", "west"]);
     w.settings.policy.goals.clear();
     let scattered = JobSpec {
-        scatter: true,
+        topology_spread: true,
         ..service("j-1", 12)
     };
     w.submit(0, scattered);
@@ -123,14 +123,14 @@
     w.check_records();
 }
 
-/// No node is inside: all ends with its leases. What may be elsewhere starts there; what may not is back
+/// No controller is inside: all ends with its leases. What may be elsewhere starts there; what may not is back
 /// when the zone is, on the machines that are still there.
 #[test]
 fn a_zone_without_a_node_loses_what_runs_there_and_no_more() {
     let mut w = fleet(30, 40, &["east"]);
     w.submit(0, service("j-1", 24));
     let scattered = JobSpec {
-        scatter: true,
+        topology_spread: true,
         ..service("j-2", 8)
     };
     w.submit(1, scattered);
@@ -150,7 +150,7 @@
     w.check_records();
 }
 
-/// What will be dead when its leases end is rented for before that: a boot takes as long.
+/// What will be dead when its leases end is provisioned for before that: a boot takes as long.
 #[test]
 fn room_is_rented_ahead_of_its_need() {
     let mut w = fleet(35, 40, &["east"]);
@@ -171,7 +171,7 @@
     w.check_records();
 }
 
-/// Usage stays booked until it is proven gone: a team at its limit would wait for the end of the cut.
+/// Usage stays assigned until it is proven gone: a team at its limit would wait for the end of the cut.
 #[test]
 fn a_team_at_its_limit_gets_its_room_back() {
     let mut w = fleet(40, 24, &["east"]);
@@ -207,7 +207,7 @@
     let mut w = fleet(50, 40, &["east", "west"]);
     w.run_ms = 15_000;
     let scattered = JobSpec {
-        scatter: true,
+        topology_spread: true,
         ..service("j-1", 20)
     };
     w.submit(0, scattered);
@@ -236,7 +236,7 @@
         let mut w = fleet(60 + seed, 40, &["east", "west"]);
         w.run_ms = 15_000;
         let scattered = JobSpec {
-            scatter: true,
+            topology_spread: true,
             ..service("j-1", 20)
         };
         w.submit(0, scattered);
--- a/crates/core/tests/meetings.rs
+++ b/crates/core/tests/meetings.rs
@@ -8,7 +8,7 @@
 use glenmount_simulation::service::Rate;
 use glenmount_simulation::*;
 
-/// Long tasks on machines that all report to node 0.
+/// Long tasks on machines that all report to controller 0.
 fn led(mut w: World, tasks: u32) -> World {
     w.run_ms = 600_000;
     w.capacity = 0;
@@ -17,13 +17,13 @@
     w.answer(r);
     w.until(20_000, "runs", |w| w.running("j-1") == tasks as usize);
     for worker in w.workers.values_mut() {
-        worker.node = 0;
+        worker.controller = 0;
     }
     w.run(3_000);
     w
 }
 
-/// Lets its user ask at a node until it is told, for as long as users repeat their request.
+/// Lets its user ask at a controller until it is told, for as long as users repeat their request.
 fn cancelled_at(w: &mut World, n: usize, id: &str, for_ms: u64) -> Option<u64> {
     let end = w.now + for_ms;
     while w.now < end {
@@ -40,20 +40,20 @@
 fn answered(w: &mut World, n: usize, id: &str) -> bool {
     let r = w.status(n, id);
     w.run(2_000);
-    matches!(w.answers.get(&r), Some(UserReply::State { .. }))
+    matches!(w.answers.get(&r), Some(UserReply::Status { .. }))
 }
 
-/// What else happens in the story below.
+/// What else happens in the scenario below.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Also {
     Nothing,
-    /// The node that confirmed ends right after.
+    /// The controller that confirmed ends right after.
     ConfirmingEnds,
     /// The refused one ends during the outage, and is back at once, without records.
     RefusedEnds,
     /// Machines hang for longer than a command is waited for, and go on.
     MachinesHang,
-    /// What the refused node sent last is carried out after the cancellation.
+    /// What the refused controller sent last is carried out after the cancellation.
     LateWrites,
 }
 const ALSO: [Also; 5] = [
@@ -64,7 +64,7 @@
     Also::LateWrites,
 ];
 
-/// The state service refuses the node that all workers report to; another confirms a cancellation;
+/// The state service refuses the controller that all workers report to; another confirms a cancellation;
 /// then it is down for all for longer than `cancel_s`, while workers go on reporting to the first.
 /// The world checks at every step that nothing of what was told to be cancelled is left in time.
 #[test]
@@ -95,17 +95,17 @@
             w.run(100);
             w.mishaps.txn_late = 0.0;
         }
-        w.nodes[0].refused = true;
-        w.nodes[0].cut_from_peers = !linked;
+        w.controllers[0].refused = true;
+        w.controllers[0].cut_from_peers = !linked;
         w.run(refused_before[i % 4]);
         for worker in w.workers.values_mut() {
-            worker.node = 0;
+            worker.controller = 0;
             worker.cut = also == Also::MachinesHang && i % 3 == 0;
         }
         // The halts that the other sends arrive, or none does, nor do workers reach the others.
         w.mishaps.command_lost = f64::from(u8::from(halts == 1));
         for n in 1..3 {
-            w.nodes[n].cut_from_workers = halts == 2;
+            w.controllers[n].cut_from_workers = halts == 2;
         }
         let at = cancelled_at(&mut w, 1, "j-1", [100, 2_000, 5_000][i % 3]);
         told += u32::from(at.is_some());
@@ -118,7 +118,7 @@
         for step in 0..w.settings.cancel_ms / 500 + 20 {
             // They stay with the old leader as far as it lets them.
             for worker in w.workers.values_mut() {
-                worker.node = 0;
+                worker.controller = 0;
                 worker.cut &= step < 6;
             }
             if step == 10 && also == Also::RefusedEnds {
@@ -148,7 +148,7 @@
         if !old {
             let r = w.status(1, "j-2");
             let state = JobState::Cancelled;
-            assert!(matches!(w.answer(r), UserReply::State { state: s, .. } if s == state));
+            assert!(matches!(w.answer(r), UserReply::Status { state: s, .. } if s == state));
         }
         w.check_records();
     }
@@ -156,7 +156,7 @@
     assert!(told >= 25, "most are told before the outage: {told}");
 }
 
-/// It is no solution to confirm hardly anything: with one node refused, and the machines reachable,
+/// It is no solution to confirm hardly anything: with one controller refused, and the machines reachable,
 /// cancellations are told as soon as without that.
 #[test]
 fn cancellations_are_told_as_soon_while_one_node_is_refused() {
@@ -171,8 +171,8 @@
             }
             let up = |w: &World| (0..20).all(|i| w.running(&format!("j-{i}")) == 1);
             w.until(60_000, "up", up);
-            w.nodes[0].refused = refused == 1;
-            w.nodes[0].cut_from_peers = refused == 1 && !linked;
+            w.controllers[0].refused = refused == 1;
+            w.controllers[0].cut_from_peers = refused == 1 && !linked;
             w.run(8_000);
             for i in 0..20 {
                 let at = w.now;
@@ -219,7 +219,9 @@
             w.upgrade(n, 500);
             w.run(3_000);
         }
-        w.until(10_000, "back", |w| w.nodes.iter().all(|n| n.node.is_some()));
+        w.until(10_000, "back", |w| {
+            w.controllers.iter().all(|n| n.controller.is_some())
+        });
         // What was accepted stays known: within 75 s each gets an answer, whoever is asked.
         let told: Vec<String> = jobs
             .iter()
@@ -234,14 +236,14 @@
             }
         }
         for id in &jobs {
-            if w.specs[id].shape == Shape::Service {
+            if w.specs[id].kind == JobKind::Service {
                 w.cancel(0, id);
             }
         }
         w.run(60_000);
         w.check_records();
         let open = |w: &World, id: &String| {
-            w.job_phase(id) == Some(Phase::Open) && w.specs[id].shape == Shape::Array
+            w.job_phase(id) == Some(JobPhase::Open) && w.specs[id].kind == JobKind::Array
         };
         let all = jobs.clone();
         w.until(400_000, "arrays end", |w| !all.iter().any(|id| open(w, id)));
@@ -298,7 +300,7 @@
     assert!(worst <= 12_000, "{worst} ms");
 }
 
-/// A node that loses the state service and its siblings, not its workers and users: it asks the
+/// A controller that loses the state service and its peers, not its workers and users: it asks the
 /// balancer to send users elsewhere, and its workers find the others, where what is cancelled ends and
 /// what is done is known. Both while it is cut off and after.
 #[test]
@@ -315,17 +317,22 @@
         w.submit(1, service("j-s", 6));
         w.until(20_000, "up", |w| up(w, "j-s"));
         for worker in w.workers.values_mut() {
-            worker.node = 0;
+            worker.controller = 0;
         }
         w.run(6_000);
-        let slot = &mut w.nodes[0];
+        let slot = &mut w.controllers[0];
         (slot.cut_from_state, slot.cut_from_peers) = (true, true);
-        let ready = |w: &World| w.nodes[0].node.as_ref().is_some_and(Node::ready);
+        let ready = |w: &World| {
+            w.controllers[0]
+                .controller
+                .as_ref()
+                .is_some_and(Controller::ready)
+        };
         let from = w.now;
         w.until(10_000, "users are sent elsewhere", |w| !ready(w));
         if long {
             w.until(10_000, "workers are", |w| {
-                w.workers.values().all(|w| w.node != 0)
+                w.workers.values().all(|w| w.controller != 0)
             });
             assert!(w.now < from + 15_000);
         }
@@ -334,8 +341,8 @@
         let told = cancelled_at(&mut w, 2, "j-s", 60_000);
         assert!(told.is_some(), "cancelled");
         w.until(90_000, "done", |w| {
-            (0..6).all(|i| w.job_phase(&format!("j-{i}")) == Some(Phase::Done))
-                && w.job_phase("j-n") == Some(Phase::Done)
+            (0..6).all(|i| w.job_phase(&format!("j-{i}")) == Some(JobPhase::Done))
+                && w.job_phase("j-n") == Some(JobPhase::Done)
         });
         w.run(60_000);
         w.heal();
@@ -364,7 +371,8 @@
             slow += u32::from(w.now > at + 1_000);
             w.run(200);
         }
-        let done = |w: &World| (0..30).all(|i| w.job_phase(&format!("j-{i}")) == Some(Phase::Done));
+        let done =
+            |w: &World| (0..30).all(|i| w.job_phase(&format!("j-{i}")) == Some(JobPhase::Done));
         w.until(120_000, "all done", done);
         took += w.now - from;
         w.mishaps = Mishaps::default();
@@ -379,7 +387,7 @@
 }
 
 /// Copies of old reports: of a machine that has died none is a sign of life, and none takes the place
-/// of a check-in that waits for its answer.
+/// of a heartbeat that waits for its answer.
 #[test]
 fn copies_of_reports_are_no_signs_of_life() {
     for seed in 0..4 {
@@ -389,13 +397,13 @@
         w.until(10_000, "up", |w| up(w, "j-1"));
         w.run(3_000);
         let id = w.machine_of("j-1").unwrap();
-        let (node, tally) = (w.workers[&id].node, w.workers[&id].tally);
+        let (controller, sequence) = (w.workers[&id].controller, w.workers[&id].sequence);
         w.kill_machine(&id);
         let from = w.now;
         while !up(&w, "j-1") {
             for n in 0..3 {
-                if w.workers.contains_key(&id) && (n == node || seed % 2 == 0) {
-                    w.old_report(n, &id, tally);
+                if w.workers.contains_key(&id) && (n == controller || seed % 2 == 0) {
+                    w.old_report(n, &id, sequence);
                 }
             }
             w.run(700);
@@ -405,7 +413,7 @@
     }
 }
 
-/// The state service answers slowly, refuses one node, then is down for all for longer than `cancel_s`;
+/// The state service answers slowly, refuses one controller, then is down for all for longer than `cancel_s`;
 /// meanwhile users cancel and ask. Once it is over each has an answer within 75 s.
 #[test]
 fn every_question_is_answered_once_an_outage_is_over() {
@@ -419,7 +427,7 @@
         w.run(6_000);
         w.mishaps.answer_slow = 1.0;
         w.run(5_000);
-        w.nodes[seed as usize].refused = true;
+        w.controllers[seed as usize].refused = true;
         for i in 0..3 {
             for n in 0..3 {
                 w.cancel(n, &format!("j-{i}"));
@@ -447,13 +455,14 @@
         for i in 0..5 {
             assert!(cancelled_at(&mut w, i % 3, &format!("j-{i}"), 60_000).is_some());
         }
-        let done = |w: &World| (5..8).all(|i| w.job_phase(&format!("j-{i}")) == Some(Phase::Done));
+        let done =
+            |w: &World| (5..8).all(|i| w.job_phase(&format!("j-{i}")) == Some(JobPhase::Done));
         w.until(200_000, "the rest is done", done);
         w.check_records();
     }
 }
 
-/// Jobs of two or three tasks that end far apart, while nodes hand over and back, all end, and one of
+/// Jobs of two or three tasks that end far apart, while controllers hand over and back, all end, and one of
 /// them is back within a second.
 #[test]
 fn tasks_that_end_far_apart_across_changes_of_nodes() {
@@ -479,7 +488,8 @@
         }
         w.run(1_500);
         w.crash(seed as usize % 3, 600);
-        let done = |w: &World| (0..6).all(|i| w.job_phase(&format!("j-{i}")) == Some(Phase::Done));
+        let done =
+            |w: &World| (0..6).all(|i| w.job_phase(&format!("j-{i}")) == Some(JobPhase::Done));
         w.until(120_000, "done", done);
         w.run(10_000);
         assert!((0..6).all(|i| answered(&mut w, i % 3, &format!("j-{i}"))));
@@ -514,14 +524,14 @@
             let waited = ran.map(|ran| ran - at);
             assert!(waited.is_some_and(|ms| ms <= 240_000), "{id}: {waited:?}");
         }
-        let small = (0..120).filter(|i| w.job_phase(&format!("j-1{i:03}")) == Some(Phase::Done));
+        let small = (0..120).filter(|i| w.job_phase(&format!("j-1{i:03}")) == Some(JobPhase::Done));
         let small = small.count();
         assert!((30..120).contains(&small), "{small} small ones are done");
     }
 }
 
-/// Reports of an earlier session and of an earlier attempt arrive again, long after newer ones, also at
-/// nodes that have just started and remember none: nothing is taken for running that is not, nothing
+/// Reports of an earlier incarnation and of an earlier attempt arrive again, long after newer ones, also at
+/// controllers that have just started and remember none: nothing is taken for running that is not, nothing
 /// that runs is stopped, and all is done once.
 #[test]
 fn reports_of_earlier_sessions_and_attempts_come_again() {
@@ -534,7 +544,7 @@
         w.until(20_000, "runs", |w| w.running("j-1") == 3);
         w.run(4_000);
         let names: Vec<String> = w.workers.keys().cloned().collect();
-        let mut old: Vec<Report> = names.iter().map(|id| w.report_of(id)).collect();
+        let mut old: Vec<WorkerHeartbeat> = names.iter().map(|id| w.report_of(id)).collect();
         // Their leases end, and what ran there begins anew.
         for name in &names[..2] {
             w.workers.get_mut(name).unwrap().cut = true;
@@ -556,14 +566,16 @@
             }
             w.run(1_500);
         }
-        w.until(120_000, "done", |w| w.job_phase("j-1") == Some(Phase::Done));
+        w.until(120_000, "done", |w| {
+            w.job_phase("j-1") == Some(JobPhase::Done)
+        });
         w.run(20_000);
         w.check_records();
         assert!(w.starts <= 3 + 6, "{} starts of 3 tasks", w.starts);
     }
 }
 
-/// The node that all machines report to ends while half of them can't be reached, or do not hear the
+/// The controller that all machines report to ends while half of them can't be reached, or do not hear the
 /// next one's answer, for less than their leases allow: nothing that runs there ends, or runs twice.
 #[test]
 fn a_node_ends_while_machines_with_long_tasks_hear_nothing() {
@@ -619,14 +631,15 @@
         }
         w.run(60_000);
         w.mishaps = Mishaps::default();
-        let over = |w: &World| (0..8).all(|i| w.job_phase(&format!("j-{i}")) != Some(Phase::Open));
+        let over =
+            |w: &World| (0..8).all(|i| w.job_phase(&format!("j-{i}")) != Some(JobPhase::Open));
         w.until(120_000, "over", over);
         w.run(60_000);
         w.check_records();
     }
 }
 
-/// Users repeat one cancellation thousands of times, through all nodes; cancel hundreds of jobs at once;
+/// Users repeat one cancellation thousands of times, through all controllers; cancel hundreds of jobs at once;
 /// and cancel what nobody submitted while the state service is down. All get an answer at once or are
 /// told when to come back, others are served meanwhile, and nothing is invented.
 #[test]
@@ -677,7 +690,7 @@
     w.run(4_000);
     for n in 0..3 {
         let r = w.cancel(n, "j-404");
-        assert!(matches!(w.answer(r), UserReply::Later { .. }));
+        assert!(matches!(w.answer(r), UserReply::RetryAfter { .. }));
     }
     w.heal();
     w.run(4_000);
--- a/crates/core/tests/page_meetings.rs
+++ b/crates/core/tests/page_meetings.rs
@@ -1,5 +1,5 @@
 //! Meetings of troubles that the users' page names, beyond those of their letters: machines that reach no
-//! node, ends that meet requests, zones that bind, nodes that are all away, more work than room.
+//! controller, ends that meet requests, zones that bind, controllers that are all away, more work than room.
 
 use glenmount_core::controller::*;
 use glenmount_core::model::*;
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 fn is_over(w: &World, id: &str) -> bool {
-    matches!(w.job_phase(id), Some(Phase::Done | Phase::Cancelled))
+    matches!(w.job_phase(id), Some(JobPhase::Done | JobPhase::Cancelled))
 }
 
 fn up(w: &World, id: &str) -> bool {
@@ -19,8 +19,8 @@
     let from = w.now;
     let mut n = 0;
     while w.now < from + 60_000 {
-        let nodes = w.nodes.len();
-        let r = w.cancel(n % nodes, id);
+        let controllers = w.controllers.len();
+        let r = w.cancel(n % controllers, id);
         w.run(2_500);
         if matches!(w.answers.get(&r), Some(UserReply::Cancelled { .. })) {
             return true;
@@ -77,7 +77,7 @@
     assert!(worst <= 8_000, "{worst} ms");
 }
 
-/// A whole part of the fleet, or all of it, reaches nobody for longer than a lease: what is rented meanwhile
+/// A whole part of the fleet, or all of it, reaches nobody for longer than a lease: what is provisioned meanwhile
 /// stays within what the lost work needs, and all is served after.
 #[test]
 fn mute_fleets_lead_to_no_renting_without_bound() {
@@ -146,7 +146,7 @@
                     let r = w.status(n, &id);
                     let reply = w.answer(r);
                     let ended = [JobState::Done, JobState::Cancelled];
-                    if matches!(&reply, UserReply::State { state, .. } if ended.contains(state)) {
+                    if matches!(&reply, UserReply::Status { state, .. } if ended.contains(state)) {
                         break;
                     }
                     assert!(w.now < from + 5_000, "{id}: {reply:?}");
@@ -192,7 +192,7 @@
         w.submit(
             2,
             JobSpec {
-                together: true,
+                zone_affinity: true,
                 ..service("j-t", 2)
             },
         );
@@ -221,7 +221,7 @@
     }
 }
 
-/// All nodes are away for longer than a lease: what ran has ended, and is run once more; nothing that was
+/// All controllers are away for longer than a lease: what ran has ended, and is run once more; nothing that was
 /// accepted is forgotten, nothing that was cancelled runs.
 #[test]
 fn all_nodes_are_away_for_longer_than_a_lease() {
@@ -252,13 +252,13 @@
         w.until(400_000, "over", over);
         for j in 0..5 {
             let r = w.status(j % 3, &format!("j-{j}"));
-            assert!(matches!(w.answer(r), UserReply::State { .. }));
+            assert!(matches!(w.answer(r), UserReply::Status { .. }));
         }
         w.check_records();
     }
 }
 
-/// Nodes end ten times in two minutes, one after another, also inside an outage, while jobs of two or three
+/// Controllers end ten times in two minutes, one after another, also inside an outage, while jobs of two or three
 /// tasks end far apart and some are called off.
 #[test]
 fn nodes_end_ten_times_in_two_minutes() {
@@ -371,9 +371,10 @@
                 0 => service(&id, 1 + tasks % 3),
                 _ => job(&id, tasks),
             };
-            spec.rank = [spec.rank, Rank::High, Rank::Low][w.rng.gen_range(0..3)];
-            if spec.shape == Shape::Service {
-                spec.rank = Rank::Production;
+            spec.priority =
+                [spec.priority, JobPriority::High, JobPriority::Low][w.rng.gen_range(0..3)];
+            if spec.kind == JobKind::Service {
+                spec.priority = JobPriority::Production;
             }
             if w.rng.gen_bool(0.4) {
                 spec = blue(spec);
@@ -410,7 +411,7 @@
         w.heal();
         w.slow_links_ms = 0;
         // Also those whose users were not told in time that they are accepted.
-        let of_all = w.specs.values().filter(|s| s.shape == Shape::Service);
+        let of_all = w.specs.values().filter(|s| s.kind == JobKind::Service);
         let services: Vec<String> = of_all.map(|s| s.id.clone()).collect();
         // In some the services stay, for which room is kept.
         let stay = seed % 3 == 0;
@@ -427,7 +428,7 @@
             waits.look(&w);
         }
         let ends = |id: &&String| !stay || w.specs[*id].team == "red";
-        let arrays = ids.iter().filter(|id| w.specs[*id].shape == Shape::Array);
+        let arrays = ids.iter().filter(|id| w.specs[*id].kind == JobKind::Array);
         let left: Vec<&String> = arrays.filter(ends).filter(|id| !is_over(&w, id)).collect();
         assert!(left.is_empty(), "seed {seed}: {left:?}");
         if waits.longest > 20_000 {
@@ -443,7 +444,7 @@
     );
 }
 
-/// Odd requests at every node: repeats of unfinished jobs say their state, cancelling what is done says done,
+/// Odd requests at every controller: repeats of unfinished jobs say their state, cancelling what is done says done,
 /// what can never run is refused and stays unknown, whatever else happens.
 #[test]
 fn odd_requests_get_the_answers_of_the_protocol() {
@@ -455,7 +456,9 @@
         w.answer(r);
         let r = w.submit(0, job("j-2", 1));
         w.answer(r);
-        w.until(20_000, "done", |w| w.job_phase("j-2") == Some(Phase::Done));
+        w.until(20_000, "done", |w| {
+            w.job_phase("j-2") == Some(JobPhase::Done)
+        });
         w.run(100);
         if seed % 2 == 1 {
             w.mishaps.txn_answer_lost = 0.3;
@@ -467,13 +470,13 @@
             let reply = w.answer(r);
             assert!(matches!(reply, UserReply::Cancelled { state, .. } if state == done));
             let r = w.submit(n, job("j-2", 1));
-            assert!(matches!(w.answer(r), UserReply::State { state, .. } if state == done));
+            assert!(matches!(w.answer(r), UserReply::Status { state, .. } if state == done));
             let nobody = JobSpec {
                 team: "green".into(),
                 ..job("j-90", 1)
             };
             let huge = JobSpec {
-                need: Room {
+                resources: Resources {
                     cpus: 64_000,
                     gpus: 0,
                     ram: 1_000,
@@ -481,7 +484,7 @@
                 ..job("j-91", 1)
             };
             let typeless = JobSpec {
-                types: Some(vec!["other".into()]),
+                machine_types: Some(vec!["other".into()]),
                 ..job("j-92", 1)
             };
             let elsewhere = JobSpec {
@@ -492,7 +495,7 @@
             for spec in [nobody, huge, typeless, elsewhere, beyond] {
                 let id = spec.id.clone();
                 let r = w.submit(n, spec);
-                assert!(matches!(w.answer(r), UserReply::Never(_)), "{id}");
+                assert!(matches!(w.answer(r), UserReply::Rejected(_)), "{id}");
                 let r = w.status(n, &id);
                 assert!(matches!(w.answer(r), UserReply::NotFound), "{id}");
                 let r = w.cancel(n, &id);
@@ -501,7 +504,7 @@
             // Within the limit, as far as that goes: an array by its single tasks.
             let r = w.submit(n, blue(job(&format!("j-95{n}"), 7)));
             let reply = w.answer(r);
-            let taken = matches!(reply, UserReply::Accepted { .. } | UserReply::State { .. });
+            let taken = matches!(reply, UserReply::Accepted { .. } | UserReply::Status { .. });
             assert!(taken, "{reply:?}");
         }
         w.until(120_000, "over", |w| {
@@ -521,7 +524,7 @@
         w.run(9_000);
         (w.capacity, w.run_ms) = (0, 120_000);
         let urgent = |id: &str, tasks| JobSpec {
-            rank: Rank::High,
+            priority: JobPriority::High,
             ..job(id, tasks)
         };
         // Sixteen processors, of which eight are guaranteed to either team.
@@ -554,7 +557,7 @@
         w.run(9_000);
         (w.capacity, w.run_ms) = (0, 20_000);
         let urgent = |id: String, tasks| JobSpec {
-            rank: Rank::High,
+            priority: JobPriority::High,
             ..job(&id, tasks)
         };
         let mut late = Vec::new();
--- a/crates/core/tests/pipelines.rs
+++ b/crates/core/tests/pipelines.rs
@@ -8,20 +8,20 @@
 use glenmount_core::state::*;
 use glenmount_simulation::*;
 
-fn settled(seed: u64, nodes: usize, machines: usize) -> World {
-    let mut w = World::new(seed, nodes, machines);
+fn settled(seed: u64, controllers: usize, machines: usize) -> World {
+    let mut w = World::new(seed, controllers, machines);
     w.run(4_000);
     w
 }
 
-fn phase(w: &World, id: &str, phase: Phase) -> bool {
+fn phase(w: &World, id: &str, phase: JobPhase) -> bool {
     w.job_phase(id) == Some(phase)
 }
 
 fn state(w: &mut World, n: usize, id: &str) -> JobState {
     let request = w.status(n, id);
     match w.answer(request) {
-        UserReply::State { state, .. } => state,
+        UserReply::Status { state, .. } => state,
         other => panic!("{id}: {other:?}"),
     }
 }
@@ -44,8 +44,8 @@
 fn a_diamond_is_done_in_order() {
     let mut w = settled(1, 3, 4);
     diamond(&mut w);
-    assert_eq!(state(&mut w, 1, "j-4"), JobState::Queued);
-    w.until(60_000, "done", |w| phase(w, "j-4", Phase::Done));
+    assert_eq!(state(&mut w, 1, "j-4"), JobState::Pending);
+    w.until(60_000, "done", |w| phase(w, "j-4", JobPhase::Done));
     let ends = |w: &World, id: &str| match &w.store[&Key::Job(id.into())] {
         (Record::Job(j), _) => j.ended,
         _ => 0,
@@ -58,7 +58,7 @@
 
 #[test]
 fn the_end_of_a_job_of_several_chunks_starts_what_awaits_it() {
-    // On a single node nothing else causes a lookup then: the next stage would wait for the poll.
+    // On a single controller nothing else causes a scheduling pass then: the next stage would wait for the poll.
     for seed in 0..5 {
         let mut w = World::new(30 + seed, 1, 4);
         w.settings.idle_return_ms = 3_600_000;
@@ -66,10 +66,10 @@
         w.run(4_000);
         w.run_ms = 300;
         let mut first = job("j-1", 250);
-        first.need.cpus = 100;
+        first.resources.cpus = 100;
         accept(&mut w, 0, first);
         accept(&mut w, 0, after("j-2", 1, &["j-1"]));
-        w.until(60_000, "done", |w| phase(w, "j-1", Phase::Done));
+        w.until(60_000, "done", |w| phase(w, "j-1", JobPhase::Done));
         // A fetch takes up to 0.9 s, the poll that it must not wait for 5.
         w.until(2_000, "the next runs", |w| w.running("j-2") == 1);
     }
@@ -77,13 +77,13 @@
 
 #[test]
 fn a_job_just_accepted_elsewhere_may_be_named() {
-    // The other node has not heard of it when it is asked: it must find out, not refuse.
+    // The other controller has not heard of it when it is asked: it must find out, not refuse.
     for seed in 0..10 {
         let mut w = settled(20 + seed, 2, 2);
         let first = w.submit(0, job("j-1", 1));
         w.answer(first);
         accept(&mut w, 1, after("j-2", 1, &["j-1"]));
-        w.until(30_000, "done", |w| phase(w, "j-2", Phase::Done));
+        w.until(30_000, "done", |w| phase(w, "j-2", JobPhase::Done));
     }
 }
 
@@ -91,7 +91,7 @@
 fn what_may_be_named_and_what_not() {
     let mut w = settled(2, 2, 2);
     accept(&mut w, 0, job("j-1", 1));
-    w.until(20_000, "done", |w| phase(w, "j-1", Phase::Done));
+    w.until(20_000, "done", |w| phase(w, "j-1", JobPhase::Done));
     accept(&mut w, 0, service("j-2", 1));
     let never = [
         after("j-8", 1, &["j-7"]),
@@ -101,17 +101,21 @@
     for spec in never {
         let request = w.submit(1, spec.clone());
         let reply = w.answer(request);
-        assert!(matches!(reply, UserReply::Never(_)), "{:?}", spec.awaits);
+        assert!(
+            matches!(reply, UserReply::Rejected(_)),
+            "{:?}",
+            spec.dependencies
+        );
     }
     accept(&mut w, 1, after("j-3", 1, &["j-1"]));
-    w.until(20_000, "done", |w| phase(w, "j-3", Phase::Done));
+    w.until(20_000, "done", |w| phase(w, "j-3", JobPhase::Done));
     // Asked once more it is known, whatever it names now.
     let request = w.submit(0, after("j-3", 1, &["j-7"]));
-    assert!(matches!(w.answer(request), UserReply::State { .. }));
+    assert!(matches!(w.answer(request), UserReply::Status { .. }));
     // Without a proof that a job was never accepted, nothing is said.
-    w.nodes[1].cut_from_state = true;
+    w.controllers[1].cut_from_state = true;
     let request = w.submit(1, after("j-4", 1, &["j-6"]));
-    assert!(matches!(w.answer(request), UserReply::Later { .. }));
+    assert!(matches!(w.answer(request), UserReply::RetryAfter { .. }));
 }
 
 #[test]
@@ -124,7 +128,9 @@
     assert_eq!(state(&mut w, 2, "j-2"), JobState::Cancelled);
     accept(&mut w, 2, after("j-3", 1, &["j-2"]));
     assert_eq!(state(&mut w, 0, "j-3"), JobState::Cancelled);
-    w.until(10_000, "on record", |w| phase(w, "j-3", Phase::Cancelled));
+    w.until(10_000, "on record", |w| {
+        phase(w, "j-3", JobPhase::Cancelled)
+    });
 }
 
 #[test]
@@ -142,9 +148,9 @@
         // Others say so before their own records do.
         assert_eq!(state(&mut w, 1, "j-4"), JobState::Cancelled);
         w.until(10_000, "cancelled on record", |w| {
-            phase(w, "j-3", Phase::Cancelled) && phase(w, "j-4", Phase::Cancelled)
+            phase(w, "j-3", JobPhase::Cancelled) && phase(w, "j-4", JobPhase::Cancelled)
         });
-        w.until(30_000, "others go on", |w| phase(w, "j-5", Phase::Done));
+        w.until(30_000, "others go on", |w| phase(w, "j-5", JobPhase::Done));
         w.check_records();
     }
 }
@@ -165,11 +171,13 @@
                 ..
             } => {
                 done += 1;
-                w.until(20_000, "done", |w| phase(w, "j-2", Phase::Done));
+                w.until(20_000, "done", |w| phase(w, "j-2", JobPhase::Done));
             }
             UserReply::Cancelled { .. } => {
                 cancelled += 1;
-                w.until(20_000, "cancelled", |w| phase(w, "j-2", Phase::Cancelled));
+                w.until(20_000, "cancelled", |w| {
+                    phase(w, "j-2", JobPhase::Cancelled)
+                });
             }
             other => panic!("{other:?}"),
         }
@@ -192,7 +200,7 @@
     w.until(4_000, "the limit is used", |w| {
         w.running("j-1") + w.running("j-3") == 6
     });
-    w.until(60_000, "done", |w| phase(w, "j-2", Phase::Done));
+    w.until(60_000, "done", |w| phase(w, "j-2", JobPhase::Done));
     w.check_records();
 }
 
@@ -203,23 +211,23 @@
         w.mishaps.txn_answer_lost = 0.2;
         w.mishaps.txn_late = 0.2;
         w.mishaps.answer_slow = 0.3;
-        for (i, awaits) in [&[][..], &["j-0"], &["j-0"], &["j-1", "j-2"], &["j-1"]]
+        for (i, dependencies) in [&[][..], &["j-0"], &["j-0"], &["j-1", "j-2"], &["j-1"]]
             .iter()
             .enumerate()
         {
-            let spec = after(&format!("j-{i}"), 2, awaits);
+            let spec = after(&format!("j-{i}"), 2, dependencies);
             loop {
                 let request = w.submit(i % 3, spec.clone());
                 match w.answer(request) {
-                    UserReply::Later { .. } => w.run(1_000),
-                    UserReply::Never(why) => panic!("{why}"),
+                    UserReply::RetryAfter { .. } => w.run(1_000),
+                    UserReply::Rejected(why) => panic!("{why}"),
                     _ => break,
                 }
             }
         }
         let request = w.cancel(seed as usize % 3, "j-4");
         w.answer(request);
-        w.until(120_000, "done", |w| phase(w, "j-3", Phase::Done));
+        w.until(120_000, "done", |w| phase(w, "j-3", JobPhase::Done));
         w.check_records();
     }
 }
@@ -247,7 +255,7 @@
         assert_eq!(state(&mut w, i % 3, &format!("j-{i}")), JobState::Cancelled);
     }
     w.until(10_000, "on record", |w| {
-        (10..40).all(|i| phase(w, &format!("j-{i}"), Phase::Cancelled))
+        (10..40).all(|i| phase(w, &format!("j-{i}"), JobPhase::Cancelled))
     });
     let spent = w.changes - changes;
     assert!(spent < 80, "{spent} changes for 31 jobs");
@@ -262,31 +270,31 @@
     w.submit(0, job("j-1", 2));
     w.until(10_000, "runs", |w| w.running("j-1") == 2);
     let low = |spec: JobSpec| JobSpec {
-        rank: Rank::Low,
+        priority: JobPriority::Low,
         ..spec
     };
     accept(&mut w, 0, job("j-2", 2));
     accept(&mut w, 0, low(job("j-3", 1)));
     accept(&mut w, 0, low(after("j-4", 1, &["j-3"])));
     let last = JobSpec {
-        rank: Rank::High,
+        priority: JobPriority::High,
         deadline_s: Some(60.0),
         ..after("j-5", 1, &["j-4"])
     };
     accept(&mut w, 0, last);
-    let first = |w: &World| phase(w, "j-3", Phase::Done) || phase(w, "j-2", Phase::Done);
+    let first = |w: &World| phase(w, "j-3", JobPhase::Done) || phase(w, "j-2", JobPhase::Done);
     w.until(40_000, "one of them", first);
-    assert!(phase(&w, "j-3", Phase::Done), "the pipeline goes first");
+    assert!(phase(&w, "j-3", JobPhase::Done), "the pipeline goes first");
     w.until(60_000, "all", |w| {
-        phase(w, "j-5", Phase::Done) && phase(w, "j-2", Phase::Done)
+        phase(w, "j-5", JobPhase::Done) && phase(w, "j-2", JobPhase::Done)
     });
 }
 
-fn copy_of(jobs: &[(JobSpec, u64)]) -> Cache {
-    let mut cache = Cache::default();
+fn copy_of(jobs: &[(JobSpec, u64)]) -> StateCache {
+    let mut cache = StateCache::default();
     for (i, (spec, at)) in jobs.iter().enumerate() {
         let record = JobRecord {
-            phase: Phase::Open,
+            phase: JobPhase::Open,
             tasks: spec.tasks,
             chunk: 10,
             at: *at,
@@ -301,7 +309,7 @@
 #[test]
 fn rank_and_deadline_are_passed_upstream_by_every_way() {
     let last = JobSpec {
-        rank: Rank::High,
+        priority: JobPriority::High,
         deadline_s: Some(100.0),
         ..after("j-4", 1, &["j-2", "j-3"])
     };
@@ -321,7 +329,7 @@
     let due = |id: &str| pulls[id].due.unwrap();
     assert_eq!((due("j-2"), due("j-3")), (100_000, 100_000));
     assert_eq!(due("j-1"), 70_000);
-    assert!(pulls.values().all(|p| p.rank == Rank::High));
+    assert!(pulls.values().all(|p| p.priority == JobPriority::High));
     assert!(!pulls.contains_key("j-4"), "nothing needs the last");
 }
 
@@ -336,9 +344,10 @@
     ]);
     assert!(cache.blocked("j-1") && cache.waiting_jobs().next().is_none());
     assert!(
-        !dependencies::pulls(&cache, &|_, spec| dependencies::least_run_ms(spec)).contains_key("j-2")
+        !dependencies::pulls(&cache, &|_, spec| dependencies::least_run_ms(spec))
+            .contains_key("j-2")
     );
-    let over = cache.job("j-1").unwrap().over(Phase::Cancelled, 9);
+    let over = cache.job("j-1").unwrap().over(JobPhase::Cancelled, 9);
     cache.put(Key::Job("j-1".into()), 9, Record::Job(over));
     assert!(cache.doomed("j-2") && cache.doomed("j-3") && cache.doomed("j-4"));
 }
--- a/crates/core/tests/quick_returns.rs
+++ b/crates/core/tests/quick_returns.rs
@@ -1,14 +1,14 @@
-//! Short stories of processes that end and are back within a fraction of a second, before anybody has
+//! Short scenarios of processes that end and are back within a fraction of a second, before anybody has
 //! missed them: old connections, late copies of old messages and repeats of what was carried out meet
 //! the new life. No start is given twice (the world checks every rule at each step), no worker is
 //! stranded, and nothing that was learned of the old life is held against the new one.
 
-use glenmount_core::peers::tracker::Sign;
-use glenmount_core::state::Phase;
+use glenmount_core::peers::tracker::PeerStatus;
+use glenmount_core::state::JobPhase;
 use glenmount_simulation::*;
 
 /// Milliseconds after which a process is back: from less than an end takes to be told to about as
-/// long as beats are missed.
+/// long as heartbeats are missed.
 const BACK: [u64; 6] = [20, 60, 150, 300, 500, 900];
 const SERVICES: usize = 6;
 
@@ -16,7 +16,7 @@
     format!("j-{i}")
 }
 
-/// Three nodes, machines that all have reported, and services that run.
+/// Three controllers, machines that all have reported, and services that run.
 fn busy(seed: u64) -> World {
     let mut w = World::new(seed, 3, 30);
     w.settings.idle_return_ms = 3_600_000;
@@ -37,7 +37,7 @@
     (0..SERVICES).all(|i| w.running(&name(i)) == 3)
 }
 
-/// All services ran on, every worker is heard within two reports and a move, siblings take each
+/// All services ran on, every worker is heard within two reports and a move, peers take each
 /// other for well, and an array goes through.
 fn unharmed(w: &mut World, what: &str) {
     w.run(9_000);
@@ -48,16 +48,16 @@
     assert_eq!(w.killed, 0, "{what}: tasks ended by their lease");
     assert!(w.deleted.is_empty(), "{what}: {:?}", w.deleted);
     for n in 0..3 {
-        let node = w.nodes[n].node.as_ref().expect("it is back");
-        assert!(node.ready(), "{what}: node {n}");
+        let controller = w.controllers[n].controller.as_ref().expect("it is back");
+        assert!(controller.ready(), "{what}: node {n}");
         for m in (0..3).filter(|m| *m != n) {
-            let sign = node.sign_of(&w.settings.nodes[m]);
-            assert_eq!(sign, Some(Sign::Well), "{what}: {m} to {n}");
+            let sign = controller.status_of(&w.settings.controllers[m]);
+            assert_eq!(sign, Some(PeerStatus::Well), "{what}: {m} to {n}");
         }
     }
     let id = format!("j-9{}", w.now);
     w.submit(0, job(&id, 6));
-    w.until(30_000, what, |w| w.job_phase(&id) == Some(Phase::Done));
+    w.until(30_000, what, |w| w.job_phase(&id) == Some(JobPhase::Done));
     w.check_records();
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// The node that takes over ends as well, and both are back before the takeover is done.
+/// The controller that takes over ends as well, and both are back before the failover is done.
 #[test]
 fn in_the_middle_of_a_takeover_and_of_a_reading() {
     for (seed, back) in BACK.into_iter().enumerate() {
@@ -108,14 +108,14 @@
     }
 }
 
-/// A worker that is sent to a node finds it gone, or in its next life.
+/// A worker that is sent to a controller finds it gone, or in its next life.
 #[test]
 fn while_workers_are_handed_over() {
     for (seed, back) in BACK.into_iter().enumerate() {
         let mut w = busy(260 + seed as u64);
         w.crash(2, 9_000);
         w.run(9_500);
-        // Its siblings have all its workers, and give some back from now on.
+        // Its peers have all its workers, and give some back from now on.
         for _ in 0..6 {
             w.run(700);
             w.crash(2, back);
@@ -144,13 +144,13 @@
         }
         w.run(2_000);
         w.mishaps = Mishaps::default();
-        // An acceptance that was lost with the node is asked again by its user.
+        // An acceptance that was lost with the controller is asked again by its user.
         for i in 0..6 {
             let id = format!("j-5{i}");
             w.submit((i + 1) % 3, job(&id, 8));
         }
         w.until(90_000, "all done", |w| {
-            (0..6).all(|i| w.job_phase(&format!("j-5{i}")) == Some(Phase::Done))
+            (0..6).all(|i| w.job_phase(&format!("j-5{i}")) == Some(JobPhase::Done))
         });
         let killed = w.killed;
         w.run(12_000);
@@ -159,7 +159,7 @@
     }
 }
 
-/// A machine's own process is back as a newer session: its tasks are gone, which that proves; they
+/// A machine's own process is back as a newer incarnation: its tasks are gone, which that proves; they
 /// are started anew, and nothing of the machine's silence is held against it.
 #[test]
 fn a_machine_is_back_as_a_newer_session() {
@@ -169,7 +169,7 @@
             let machine = w.machine_of(&name(round)).expect("it runs somewhere");
             w.restart_machine(&machine, back);
             w.run(30);
-            // A node ends in the same moment, in every second round.
+            // A controller ends in the same moment, in every second round.
             if round == 1 {
                 w.crash(0, back);
             }
--- a/crates/core/tests/seven_meetings.rs
+++ b/crates/core/tests/seven_meetings.rs
@@ -8,7 +8,7 @@
 use glenmount_simulation::*;
 
 fn is_over(w: &World, id: &str) -> bool {
-    matches!(w.job_phase(id), Some(Phase::Done | Phase::Cancelled))
+    matches!(w.job_phase(id), Some(JobPhase::Done | JobPhase::Cancelled))
 }
 
 /// The value below which so many in a hundred lie.
@@ -22,15 +22,15 @@
 fn told_cancelled(w: &mut World, n: usize, id: &str) -> Option<u64> {
     let from = w.now;
     while w.now < from + 60_000 {
-        let nodes = w.nodes.len();
-        let r = w.cancel(n % nodes, id);
+        let controllers = w.controllers.len();
+        let r = w.cancel(n % controllers, id);
         let sent = w.now;
         while !w.answers.contains_key(&r) && w.now < sent + 5_000 {
             w.run(5);
         }
         match w.answers.get(&r) {
             Some(UserReply::Cancelled { .. }) => return Some(w.now - from),
-            Some(UserReply::Later { after_s }) => w.run(u64::from(*after_s) * 1_000),
+            Some(UserReply::RetryAfter { after_s }) => w.run(u64::from(*after_s) * 1_000),
             _ => w.run(1_000),
         }
     }
@@ -49,9 +49,9 @@
     RefusedAlone,
 }
 
-/// Users ask at all nodes, again and again within milliseconds, and repeat the submission, right after a
+/// Users ask at all controllers, again and again within milliseconds, and repeat the submission, right after a
 /// job was accepted, ended or confirmed as cancelled; some cancel at once, or at the very end. The world
-/// holds each answer, at the moment it is given, against all that any node gave before.
+/// holds each answer, at the moment it is given, against all that any controller gave before.
 #[test]
 fn no_node_answers_something_older() {
     let all = [
@@ -80,7 +80,7 @@
                 w.submit(j % 3, job(&id, 1 + j as u32 % 3));
                 w.run(200);
                 if j % 5 == 4 {
-                    // All nodes are asked to cancel, and the submission is repeated at once.
+                    // All controllers are asked to cancel, and the submission is repeated at once.
                     for n in 0..3 {
                         w.cancel(n, &id);
                         w.submit(n, job(&id, 1 + j as u32 % 3));
@@ -89,8 +89,8 @@
                 match (beside, j % 10) {
                     (Beside::NodesEnd, 5) => w.crash(j / 10 % 3, 300),
                     (Beside::StandsStill, 5) => w.freeze(j / 10 % 3, 600 + 900 * (j as u64 / 10)),
-                    (Beside::RefusedAlone, 5) => w.nodes[j / 10 % 3].refused = true,
-                    (Beside::RefusedAlone, 9) => w.nodes[j / 10 % 3].refused = false,
+                    (Beside::RefusedAlone, 5) => w.controllers[j / 10 % 3].refused = true,
+                    (Beside::RefusedAlone, 9) => w.controllers[j / 10 % 3].refused = false,
                     _ => {}
                 }
                 w.run(200);
@@ -102,7 +102,7 @@
                 })
             });
             w.mishaps = Mishaps::default();
-            // Each is asked about once more, at all nodes.
+            // Each is asked about once more, at all controllers.
             for j in 0..40 {
                 for n in 0..3 {
                     w.status(n, &format!("j-{j}"));
@@ -127,7 +127,7 @@
     }
 }
 
-/// A transaction is carried out at once and only its answer is lost, while other nodes read what it wrote:
+/// A transaction is carried out at once and only its answer is lost, while other controllers read what it wrote:
 /// what waits for it goes on within the time that users allow.
 #[test]
 fn what_waits_for_a_lost_answer_goes_on() {
@@ -142,7 +142,7 @@
             let id = format!("j-{j}");
             let at = w.now;
             let r = w.submit(j % 3, job(&id, 1));
-            // Another node is asked about it at once, and goes on with what it finds.
+            // Another controller is asked about it at once, and goes on with what it finds.
             w.answer(r);
             accepted.push(w.now - at);
             let r = w.status((j + 1) % 3, &id);
@@ -159,7 +159,7 @@
             loop {
                 let r = w.status(j % 3, &id);
                 match w.answer(r) {
-                    UserReply::State { state, .. } if state == done => break,
+                    UserReply::Status { state, .. } if state == done => break,
                     _ => w.run(50),
                 }
             }
@@ -177,7 +177,7 @@
     assert!(of[3] <= 3_000, "done: {of:?}");
 }
 
-/// Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and nodes
+/// Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and controllers
 /// change. The world holds what runs against the limit at each start; once all is over nothing waits beside
 /// room for longer than a round of reports and a few seconds.
 #[test]
@@ -239,7 +239,7 @@
     }
 }
 
-/// Jobs are cancelled in the seconds in which one node's work changes hands: at every 50 ms from before its
+/// Jobs are cancelled in the seconds in which one controller's work changes hands: at every 50 ms from before its
 /// end to after its return, as it leaves in good order, ends, or is away for a moment.
 #[test]
 fn jobs_are_cancelled_while_work_changes_hands() {
@@ -254,7 +254,7 @@
         }
         w.until(30_000, "up", |w| ids.iter().all(|id| w.running(id) == 1));
         for worker in w.workers.values_mut() {
-            worker.node = 0;
+            worker.controller = 0;
         }
         w.run(2_000);
         let mut asked = Vec::new();
@@ -288,8 +288,8 @@
     eprintln!("the slowest took {slowest} ms beyond the hand-over");
 }
 
-/// New machines are up within two seconds and get work at once while writes lag, and the node that most
-/// report to ends: each is used or returned, nothing runs twice, and what is rented stays near what is asked.
+/// New machines are up within two seconds and get work at once while writes lag, and the controller that most
+/// report to ends: each is used or returned, nothing runs twice, and what is provisioned stays near what is asked.
 #[test]
 fn new_machines_are_up_within_two_seconds_while_writes_lag() {
     for seed in 0..8_u64 {
@@ -338,7 +338,7 @@
     }
 }
 
-/// An old report reaches every node just as a new one begins. Of a machine that has died since it is no sign
+/// An old report reaches every controller just as a new one begins. Of a machine that has died since it is no sign
 /// of life for long, of one that lives it ends and starts nothing.
 #[test]
 fn an_old_report_reaches_every_node_as_one_begins() {
@@ -494,7 +494,7 @@
             return;
         };
         match reply {
-            UserReply::Later { after_s } => {
+            UserReply::RetryAfter { after_s } => {
                 self.again_at = Some(w.now + u64::from(after_s) * 1_000);
             }
             UserReply::Cancelled { .. } => {
@@ -504,7 +504,7 @@
             reply => {
                 self.accepted.get_or_insert(w.now);
                 let done = JobState::Done;
-                self.over = matches!(reply, UserReply::State { state, .. } if state == done)
+                self.over = matches!(reply, UserReply::Status { state, .. } if state == done)
                     && self.cancel_at.is_none();
                 let next = w.now + 500;
                 self.again_at = Some(self.cancel_at.map_or(next, |at| at.max(w.now)));
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -1,4 +1,4 @@
-//! What a node does by the number of machines. A measurement, run by hand:
+//! What a controller does by the number of machines. A measurement, run by hand:
 //! `cargo test --release -p glenmount-core --test sizes -- --ignored --nocapture`
 
 use glenmount_simulation::*;
@@ -16,8 +16,8 @@
         w.settings.lease_ms = 26_500;
         w.settings.cancel_ms = 51_500;
         w.settings.write_rps = 60.0;
-        w.settings.txn_ops = 40;
-        w.settings.value_bytes = 16 * 1024;
+        w.settings.max_transaction_changes = 40;
+        w.settings.max_value_bytes = 16 * 1024;
         w.capacity = 0;
         w.run_ms = 40_000;
         w.run(40_000);
@@ -27,8 +27,8 @@
             w.submit(i % 3, service(&format!("j-{i}"), 10));
             w.run(100);
         }
-        let begun = (w.events, w.spent, w.txns, w.changes);
-        let beats = (w.beats, w.spent_on_beats);
+        let begun = (w.events, w.spent, w.transactions, w.changes);
+        let heartbeats = (w.heartbeats, w.spent_on_beats);
         let seconds = 30;
         for i in 0..seconds {
             let id = format!("j-9{i:03}");
@@ -42,10 +42,11 @@
             "{machines:8}  {:8.0}  {us:8.1}  {:9.2}%  {:6.1}  {:9.1}  {:7.1}  {:7.0}",
             events as f64 / seconds as f64,
             spent * 100.0 / seconds as f64 / 3.0,
-            f64::from(w.txns - begun.2) / seconds as f64,
+            f64::from(w.transactions - begun.2) / seconds as f64,
             f64::from(w.changes - begun.3) / seconds as f64,
             w.beat_bytes as f64 / 1024.0,
-            (w.spent_on_beats - beats.1).as_secs_f64() * 1e6 / (w.beats - beats.0) as f64,
+            (w.spent_on_beats - heartbeats.1).as_secs_f64() * 1e6
+                / (w.heartbeats - heartbeats.0) as f64,
         );
         per_event.push(us / machines as f64);
     }
--- a/crates/core/tests/standby.rs
+++ b/crates/core/tests/standby.rs
@@ -1,13 +1,13 @@
-//! Short stories of nodes that end, stand still and come back, one after another and while others take
+//! Short scenarios of controllers that end, stand still and come back, one after another and while others take
 //! over from them.
 
 use glenmount_core::controller::*;
-use glenmount_core::peers::tracker::Sign;
+use glenmount_core::peers::tracker::PeerStatus;
 use glenmount_simulation::*;
 
-/// So many nodes and machines, with the times of a large fleet.
-fn large(seed: u64, nodes: usize, machines: usize) -> World {
-    let mut w = World::new(seed, nodes, machines);
+/// So many controllers and machines, with the times of a large fleet.
+fn large(seed: u64, controllers: usize, machines: usize) -> World {
+    let mut w = World::new(seed, controllers, machines);
     w.settings.idle_return_ms = 3_600_000;
     w.settings.report_ms = 5_000;
     w.settings.lease_ms = 26_500;
@@ -17,23 +17,23 @@
 }
 
 /// The same once all have reported.
-fn fleet(seed: u64, nodes: usize, machines: usize) -> World {
-    let mut w = large(seed, nodes, machines);
+fn fleet(seed: u64, controllers: usize, machines: usize) -> World {
+    let mut w = large(seed, controllers, machines);
     w.run(9_000);
     w
 }
 
-fn sign(w: &World, by: usize, of: usize) -> Option<Sign> {
-    let name = &w.settings.nodes[of];
-    w.nodes[by].node.as_ref()?.sign_of(name)
+fn sign(w: &World, by: usize, of: usize) -> Option<PeerStatus> {
+    let name = &w.settings.controllers[of];
+    w.controllers[by].controller.as_ref()?.status_of(name)
 }
 
 fn duties(w: &World) -> usize {
-    let nodes = w.nodes.iter().filter_map(|s| s.node.as_ref());
-    nodes.filter(|n| n.does_duty()).count()
+    let controllers = w.controllers.iter().filter_map(|s| s.controller.as_ref());
+    controllers.filter(|n| n.is_on_duty()).count()
 }
 
-/// Jobs that run all the time, so that every story has work to lose.
+/// Jobs that run all the time, so that every scenario has work to lose.
 fn busy(w: &mut World) {
     for i in 0..6 {
         w.submit(i % 3, service(&format!("j-{i}"), 3));
@@ -53,10 +53,10 @@
     }
     assert_eq!((w.killed, w.deleted.len()), (0, 0), "{:?}", w.deleted);
     let id = format!("j-8{starts}");
-    let n = (0..w.nodes.len()).find(|n| w.nodes[*n].node.is_some());
+    let n = (0..w.controllers.len()).find(|n| w.controllers[*n].controller.is_some());
     w.submit(n.unwrap(), job(&id, 3));
     w.until(30_000, "work goes on", |w| {
-        w.job_phase(&id) == Some(glenmount_core::state::Phase::Done)
+        w.job_phase(&id) == Some(glenmount_core::state::JobPhase::Done)
     });
     w.check_records();
 }
@@ -69,13 +69,13 @@
     assert_eq!(duties(&w), 1);
     w.crash(0, 8_000);
     w.run(50);
-    assert_eq!((sign(&w, 1, 0), duties(&w)), (Some(Sign::Ended), 1));
+    assert_eq!((sign(&w, 1, 0), duties(&w)), (Some(PeerStatus::Exited), 1));
     let at = w.now;
     w.until(13_000, "its workers are heard", |w| {
         w.workers.values().all(|m| m.heard.0 > at)
     });
     unharmed(&mut w);
-    assert_eq!(sign(&w, 1, 0), Some(Sign::Well));
+    assert_eq!(sign(&w, 1, 0), Some(PeerStatus::Well));
 }
 
 /// What a claimant did not get to send used to wait for two reports and a raised token: some 15 s.
@@ -85,10 +85,10 @@
     for seed in 0..8 {
         let mut w = fleet(20 + seed, 3, 30);
         // Its commands get nowhere in its last moments.
-        w.nodes[0].mute = true;
+        w.controllers[0].mute = true;
         w.submit(0, service("j-1", 8));
         w.run(60);
-        w.nodes[0].mute = false;
+        w.controllers[0].mute = false;
         w.crash(0, 60_000);
         let at = w.now;
         w.until(20_000, "up", |w| w.running("j-1") == 8);
@@ -97,7 +97,7 @@
     assert!(late <= 1, "{late} of 8 took longer than 6 s");
 }
 
-/// The node that takes over ends as well, at every distance from the first.
+/// The controller that takes over ends as well, at every distance from the first.
 #[test]
 fn two_of_three_end_one_after_the_other() {
     for (seed, gap) in [30, 100, 300, 1_000, 3_000, 7_000, 12_000, 30_000]
@@ -125,8 +125,8 @@
         w.run(400);
         match trouble {
             0 => w.freeze(1, 6_000),
-            1 => w.nodes[1].cut_from_state = true,
-            _ => w.nodes[1].cut_from_workers = true,
+            1 => w.controllers[1].cut_from_state = true,
+            _ => w.controllers[1].cut_from_workers = true,
         }
         w.run(7_000);
         w.heal();
@@ -135,7 +135,7 @@
     }
 }
 
-/// One node carries the whole fleet for a minute.
+/// One controller carries the whole fleet for a minute.
 #[test]
 fn all_end_and_one_comes_back_long_before_the_others() {
     let mut w = fleet(70, 3, 60);
@@ -144,7 +144,10 @@
     w.crash(2, 65_000);
     w.crash(1, 5_000);
     w.run(20_000);
-    assert!(w.workers.values().all(|m| m.node == 1), "all report to it");
+    assert!(
+        w.workers.values().all(|m| m.controller == 1),
+        "all report to it"
+    );
     for i in 0..6 {
         assert_eq!(w.running(&format!("j-{i}")), 3);
     }
@@ -152,7 +155,7 @@
     assert!(matches!(w.answer(r), UserReply::Accepted { .. }));
     w.run(80_000);
     // It gives the others their workers back.
-    let most = (0..3).map(|n| w.workers.values().filter(|m| m.node == n).count());
+    let most = (0..3).map(|n| w.workers.values().filter(|m| m.controller == n).count());
     assert!(most.max() <= Some(30), "no node keeps more than half");
     unharmed(&mut w);
 }
@@ -168,7 +171,7 @@
         }
         for n in 0..3 {
             w.run(2_000);
-            if w.nodes[n].node.is_some() {
+            if w.controllers[n].controller.is_some() {
                 w.crash(n, 1_500);
             }
         }
@@ -189,7 +192,7 @@
     w.run(12_000);
     busy(&mut w);
     w.run(60_000);
-    let load = |w: &World, n| w.workers.values().filter(|m| m.node == n).count();
+    let load = |w: &World, n| w.workers.values().filter(|m| m.controller == n).count();
     assert!((0..5).all(|n| load(&w, n) >= 3), "all have workers");
     w.leave(3, 1_000_000);
     w.run(4_000);
@@ -199,7 +202,7 @@
     unharmed(&mut w);
 }
 
-/// Clocks off by all that they may be, and beats held for as long as they count.
+/// Clocks off by all that they may be, and heartbeats held for as long as they count.
 #[test]
 fn clocks_off_by_their_bound_change_nothing() {
     let mut w = fleet(100, 3, 30);
@@ -209,7 +212,7 @@
     busy(&mut w);
     for n in 0..3 {
         for m in (0..3).filter(|m| *m != n) {
-            assert_eq!(sign(&w, n, m), Some(Sign::Well));
+            assert_eq!(sign(&w, n, m), Some(PeerStatus::Well));
         }
     }
     w.crash(1, 5_000);
@@ -223,12 +226,12 @@
 fn two_nodes_that_suspect_each_other_do_no_harm() {
     let mut w = fleet(110, 3, 30);
     busy(&mut w);
-    w.nodes[0].cut_from_peers = true;
+    w.controllers[0].cut_from_peers = true;
     for _ in 0..20 {
         w.run(1_000);
         assert!(duties(&w) <= 2);
     }
-    assert_ne!(sign(&w, 1, 0), Some(Sign::Well));
+    assert_ne!(sign(&w, 1, 0), Some(PeerStatus::Well));
     let away = sign(&w, 1, 0).unwrap();
     assert!(away.is_away(), "{away:?}");
     w.submit(0, job("j-30", 4));
@@ -236,18 +239,18 @@
     w.run(15_000);
     w.heal();
     w.run(3_000);
-    assert_eq!((sign(&w, 1, 0), duties(&w)), (Some(Sign::Well), 1));
+    assert_eq!((sign(&w, 1, 0), duties(&w)), (Some(PeerStatus::Well), 1));
     unharmed(&mut w);
 }
 
-/// A node that is asked to end hands over its workers and answers what it holds: nobody waits for an
-/// answer that never comes, and no worker for its next node.
+/// A controller that is asked to end hands over its workers and answers what it holds: nobody waits for an
+/// answer that never comes, and no worker for its next controller.
 #[test]
 fn a_node_that_is_asked_to_end_leaves_nothing_behind() {
     let mut w = fleet(120, 3, 45);
     busy(&mut w);
     let there: Vec<String> = (w.workers.values())
-        .filter(|m| m.node == 0)
+        .filter(|m| m.controller == 0)
         .map(|m| m.name.clone())
         .collect();
     assert!(there.len() > 5);
@@ -255,12 +258,15 @@
     w.run(2);
     w.leave(0, 30_000);
     w.run(100);
-    assert!(!w.nodes[0].node.as_ref().is_some_and(Node::ready));
+    assert!(!w.controllers[0]
+        .controller
+        .as_ref()
+        .is_some_and(Controller::ready));
     assert!(matches!(w.answer(asked), UserReply::Accepted { .. }));
     let r = w.submit(0, job("j-41", 2));
-    assert!(matches!(w.answer(r), UserReply::Later { .. }));
-    w.until(10_000, "it ends", |w| w.nodes[0].node.is_none());
-    let left = w.workers.values().filter(|m| m.node == 0).count();
+    assert!(matches!(w.answer(r), UserReply::RetryAfter { .. }));
+    w.until(10_000, "it ends", |w| w.controllers[0].controller.is_none());
+    let left = w.workers.values().filter(|m| m.controller == 0).count();
     assert_eq!(left, 0, "workers that still have to find another node");
     w.run(6_000);
     let late = |m: &&Worker| w.now > m.heard.0 + 7_000;
@@ -268,25 +274,25 @@
     unharmed(&mut w);
 }
 
-/// Beats of strangers, of earlier lives, from the future, repeated and far too large.
+/// Heartbeats of strangers, of earlier lives, from the future, repeated and far too large.
 #[test]
 fn bad_beats_change_nothing() {
     let mut w = fleet(130, 3, 30);
     busy(&mut w);
     let now = WALL0 + w.now;
-    let forged = |node: &str, at| Heartbeat {
-        node: node.into(),
+    let forged = |controller: &str, at| PeerHeartbeat {
+        controller: controller.into(),
         at,
-        state_ok: false,
-        workers_ok: false,
-        ..Heartbeat::default()
+        has_current_state: false,
+        workers_reachable: false,
+        ..PeerHeartbeat::default()
     };
     let mut large = forged("node-0", now);
     large.heard = (0..1_000_000)
         .map(|i| (format!("x-{i}"), 9, 9, 0))
         .collect();
     let mut earlier = forged("node-0", now);
-    earlier.said = Some(Said::default());
+    earlier.status = Some(ControllerStatus::default());
     let bad = [
         forged("nobody", now),
         forged("node-1", now),
@@ -295,10 +301,10 @@
         earlier,
         large,
     ];
-    for beat in bad {
-        w.beat_to(1, beat);
+    for heartbeat in bad {
+        w.beat_to(1, heartbeat);
         w.run(20);
-        assert_eq!(sign(&w, 1, 0), Some(Sign::Well));
+        assert_eq!(sign(&w, 1, 0), Some(PeerStatus::Well));
     }
     assert_eq!(duties(&w), 1);
     unharmed(&mut w);
--- a/crates/core/tests/stories.rs
+++ b/crates/core/tests/stories.rs
@@ -1,5 +1,5 @@
-//! Short stories of what happens to jobs when things go wrong. The world checks every rule
-//! of the protocol at each step; each story says what must come out of it in the end.
+//! Short scenarios of what happens to jobs when things go wrong. The world checks every rule
+//! of the protocol at each step; each scenario says what must come out of it in the end.
 
 use glenmount_core::controller::*;
 use glenmount_core::model::*;
@@ -7,22 +7,22 @@
 use glenmount_simulation::*;
 use rand::Rng;
 
-fn settled(seed: u64, nodes: usize, machines: usize) -> World {
-    let mut w = World::new(seed, nodes, machines);
+fn settled(seed: u64, controllers: usize, machines: usize) -> World {
+    let mut w = World::new(seed, controllers, machines);
     w.run(4_000);
     w
 }
 
 /// The same, with machines that are never returned for having nothing to do.
-fn kept(seed: u64, nodes: usize, machines: usize) -> World {
-    let mut w = World::new(seed, nodes, machines);
+fn kept(seed: u64, controllers: usize, machines: usize) -> World {
+    let mut w = World::new(seed, controllers, machines);
     w.settings.idle_return_ms = 3_600_000;
     w.run(5_000);
     w
 }
 
 fn done(w: &World, id: &str) -> bool {
-    w.job_phase(id) == Some(Phase::Done)
+    w.job_phase(id) == Some(JobPhase::Done)
 }
 
 #[test]
@@ -36,7 +36,7 @@
         let r = w.status(n, "j-1");
         assert!(matches!(
             w.answer(r),
-            UserReply::State {
+            UserReply::Status {
                 state: JobState::Done,
                 done: 4,
                 ..
@@ -62,7 +62,7 @@
     let r = w.submit(1, job("j-1", 1));
     assert!(matches!(
         w.answer(r),
-        UserReply::State {
+        UserReply::Status {
             state: JobState::Done,
             ..
         }
@@ -76,12 +76,12 @@
     let mut unknown_team = job("j-1", 1);
     unknown_team.team = "green".into();
     let mut huge = job("j-2", 1);
-    huge.need.cpus = 99_000;
+    huge.resources.cpus = 99_000;
     let mut over = service("j-3", 7);
     over.team = "blue".into();
     for spec in [unknown_team, huge, over] {
         let r = w.submit(0, spec.clone());
-        assert!(matches!(w.answer(r), UserReply::Never(_)), "{}", spec.id);
+        assert!(matches!(w.answer(r), UserReply::Rejected(_)), "{}", spec.id);
     }
     let r = w.status(1, "j-9");
     assert_eq!(w.answer(r), UserReply::NotFound);
@@ -91,18 +91,18 @@
 
 #[test]
 fn a_status_is_never_older_than_what_another_node_said() {
-    // The watch of node 1 hangs while node 0 accepts and cancels: node 1 must not answer
+    // The watch of controller 1 hangs while controller 0 accepts and cancels: controller 1 must not answer
     // from its old copy, neither 404 nor running.
     let mut w = settled(4, 2, 2);
-    w.nodes[1].cut_from_state = true;
+    w.controllers[1].cut_from_state = true;
     let r = w.submit(0, job("j-1", 1));
     w.answer(r);
     let r = w.status(1, "j-1");
-    assert!(matches!(w.answer(r), UserReply::Later { .. }));
-    w.nodes[1].cut_from_state = false;
+    assert!(matches!(w.answer(r), UserReply::RetryAfter { .. }));
+    w.controllers[1].cut_from_state = false;
     w.run(3_000);
     let r = w.status(1, "j-1");
-    assert!(matches!(w.answer(r), UserReply::State { .. }));
+    assert!(matches!(w.answer(r), UserReply::Status { .. }));
 }
 
 #[test]
@@ -226,11 +226,11 @@
     w.submit(0, service("j-1", 1));
     w.until(10_000, "runs", |w| w.running("j-1") == 1);
     let name = w.machine_of("j-1").unwrap();
-    // The limit for silence lies below the lease: keep the cloud away to see the session.
+    // The limit for silence lies below the lease: keep the cloud away to see the incarnation.
     w.cloud_down = true;
     w.workers.get_mut(&name).unwrap().cut = true;
     w.run(14_000);
-    assert_eq!(w.workers[&name].session, 2);
+    assert_eq!(w.workers[&name].incarnation, 2);
     assert_eq!(w.running("j-1"), 0);
     w.workers.get_mut(&name).unwrap().cut = false;
     w.cloud_down = false;
@@ -265,7 +265,7 @@
     let mut w = settled(30, 3, 6);
     w.settings.idle_return_ms = 600_000;
     for worker in w.workers.values_mut() {
-        worker.node = 0;
+        worker.controller = 0;
     }
     w.submit(1, service("j-1", 1));
     w.until(10_000, "runs", |w| w.running("j-1") == 1);
@@ -278,7 +278,7 @@
 
 #[test]
 fn a_machine_that_dies_while_all_nodes_are_away_is_found() {
-    // None of them has heard of it since, so none knows its session.
+    // None of them has heard of it since, so none knows its incarnation.
     let mut w = kept(24, 3, 2);
     w.submit(0, job("j-1", 1));
     w.until(10_000, "runs", |w| w.running("j-1") == 1);
@@ -294,12 +294,12 @@
 
 #[test]
 fn a_node_that_restarts_makes_no_machine_seem_silent() {
-    // Its first beat has heard of nothing. Siblings must remember what it said before.
+    // Its first heartbeat has heard of nothing. Peers must remember what it said before.
     for seed in 0..6 {
         let mut w = settled(600 + seed, 3, 6);
         w.settings.idle_return_ms = 600_000;
         for worker in w.workers.values_mut() {
-            worker.node = 0;
+            worker.controller = 0;
         }
         w.submit(0, service("j-1", 6));
         w.run(30_000);
@@ -313,28 +313,28 @@
 
 #[test]
 fn a_node_cut_from_the_workers_deletes_none_of_them() {
-    // All machines fall silent to it at once and none can be asked: it is the node that is
-    // cut off. They turn to its siblings.
+    // All machines fall silent to it at once and none can be asked: it is the controller that is
+    // cut off. They turn to its peers.
     let mut w = settled(25, 3, 6);
     w.settings.idle_return_ms = 600_000;
     for worker in w.workers.values_mut() {
-        worker.node = 0;
+        worker.controller = 0;
     }
     w.submit(0, service("j-1", 6));
     w.until(10_000, "runs", |w| w.running("j-1") == 6);
-    w.nodes[0].cut_from_workers = true;
+    w.controllers[0].cut_from_workers = true;
     w.run(40_000);
     assert_eq!(w.starts, 6);
     assert!(w
         .workers
         .values()
         .filter(|w| !w.tasks.is_empty())
-        .all(|w| w.session == 1));
+        .all(|w| w.incarnation == 1));
 }
 
 #[test]
 fn siblings_that_cant_be_reached_cost_no_machine() {
-    // Each node hears a third of the machines and nothing of the others. It asks these, and
+    // Each controller hears a third of the machines and nothing of the others. It asks these, and
     // they answer. Found when 600 healthy machines were deleted within 30 s as silent.
     let mut w = settled(28, 3, 9);
     w.submit(0, service("j-1", 9));
@@ -344,7 +344,7 @@
         workers.map(|w| w.name.clone()).collect::<Vec<_>>()
     };
     let used = busy(&w);
-    for slot in &mut w.nodes {
+    for slot in &mut w.controllers {
         slot.cut_from_peers = true;
     }
     w.run(90_000);
@@ -364,9 +364,9 @@
     w.crash(1, 1_000);
     w.run(2_000);
     assert!(w
-        .nodes
+        .controllers
         .iter()
-        .all(|s| s.node.as_ref().is_some_and(|n| n.ready())));
+        .all(|s| s.controller.as_ref().is_some_and(|n| n.ready())));
     let r = w.submit(0, job("j-1", 1));
     assert_eq!(w.answer(r), UserReply::Accepted { job: "j-1".into() });
     w.until(20_000, "done", |w| done(w, "j-1"));
@@ -379,23 +379,29 @@
     w.until(20_000, "done", |w| done(w, "j-1"));
     w.crash(0, 1_000);
     w.run(6_000);
-    let node = w.nodes[0].node.as_ref().expect("it is back");
+    let controller = w.controllers[0].controller.as_ref().expect("it is back");
     let machines = w.workers.keys();
-    assert!(machines.into_iter().any(|m| node.cache.has_image(m, "img")));
+    assert!(machines
+        .into_iter()
+        .any(|m| controller.cache.has_image(m, "img")));
 }
 
 #[test]
 fn hundreds_of_machines_cost_few_changes_and_quiet_ones_none() {
-    // The state service takes 50 changes a second from all nodes together.
+    // The state service takes 50 changes a second from all controllers together.
     let mut w = settled(29, 3, 300);
     w.settings.idle_return_ms = 600_000;
     w.until(30_000, "all taken up", |w| {
         let up = w.store.keys().filter(|k| matches!(k, Key::Machine(_)));
         up.count() == 300
     });
-    let before = (w.txns, w.changes);
+    let before = (w.transactions, w.changes);
     w.run(20_000);
-    assert_eq!((w.txns, w.changes), before, "check-ins without news");
+    assert_eq!(
+        (w.transactions, w.changes),
+        before,
+        "check-ins without news"
+    );
     for i in 0..6 {
         w.submit(i % 3, job(&format!("j-{i}"), 90));
     }
@@ -441,7 +447,7 @@
         let r = w.status(2, "j-1");
         assert!(matches!(
             w.answer(r),
-            UserReply::State {
+            UserReply::Status {
                 state: JobState::Cancelled,
                 ..
             }
@@ -453,18 +459,18 @@
 
 #[test]
 fn a_cancelled_task_ends_in_time_though_its_node_is_cut_from_state() {
-    // With siblings reachable, workers are handed over; alone, the node stops renewing.
+    // With peers reachable, workers are handed over; alone, the controller stops renewing.
     for alone in [false, true] {
         let mut w = settled(11, 3, 2);
         w.submit(0, service("j-1", 3));
         w.until(10_000, "runs", |w| w.running("j-1") == 3);
         let n = 0;
         for worker in w.workers.values_mut() {
-            worker.node = n;
+            worker.controller = n;
         }
         w.run(3_000);
-        w.nodes[n].cut_from_state = true;
-        w.nodes[n].cut_from_peers = alone;
+        w.controllers[n].cut_from_state = true;
+        w.controllers[n].cut_from_peers = alone;
         w.run(3_000);
         // Told when to come back while its machines are not heard, the user repeats the request.
         let told = (0..10).any(|_| {
@@ -498,7 +504,7 @@
         panic!("the chunk has a record");
     };
     assert_eq!(
-        c.booking(0).map(|b| &b.machine),
+        c.assignment(0).map(|b| &b.machine),
         Some(&name),
         "the task still runs and still counts"
     );
@@ -511,7 +517,7 @@
     w.until(10_000, "runs", |w| w.running("j-1") == 1);
     let name = w.machine_of("j-1").unwrap();
     // Reports arrive, answers do not: the worker's lease would run out, but later.
-    for slot in &mut w.nodes {
+    for slot in &mut w.controllers {
         slot.cut_from_workers = true;
     }
     let r = w.cancel(0, "j-1");
@@ -543,9 +549,9 @@
         let mut w = settled(400 + seed, 3, 6);
         w.capacity = 0;
         let mut apart = service("j-1", 4);
-        apart.scatter = true;
+        apart.topology_spread = true;
         let mut joined = job("j-2", 5);
-        joined.together = true;
+        joined.zone_affinity = true;
         let mut zoned = job("j-3", 2);
         zoned.zone = Some("west".into());
         w.submit(0, apart);
@@ -568,7 +574,7 @@
     let dear = w.boot_machine("large", "east", false, 10);
     w.run(4_000);
     let mut small = service("j-1", 1);
-    small.need.cpus = 500;
+    small.resources.cpus = 500;
     w.submit(0, small);
     w.until(10_000, "runs", |w| {
         w.machine_of("j-1").as_deref() == Some(dear.as_str())
@@ -580,8 +586,8 @@
     w.run(3_000);
     for worker in 1..3 {
         let mut fill = service(&format!("j-{}", worker + 1), 1);
-        fill.need.cpus = 3_500;
-        fill.types = Some(vec!["small".into()]);
+        fill.resources.cpus = 3_500;
+        fill.machine_types = Some(vec!["small".into()]);
         w.submit(0, fill);
     }
     w.run(5_000);
@@ -601,12 +607,12 @@
     w.submit(0, job("j-1", 6));
     w.until(6_000, "all machines are full", |w| w.running("j-1") == 6);
     let mut urgent = job("j-2", 2);
-    urgent.rank = Rank::High;
+    urgent.priority = JobPriority::High;
     w.submit(1, urgent);
     w.until(4_000, "the urgent runs", |w| w.running("j-2") == 2);
     assert_eq!(w.running("j-1"), 4, "no more are stopped than needed");
     let mut equal = job("j-3", 2);
-    equal.rank = Rank::High;
+    equal.priority = JobPriority::High;
     w.submit(2, equal);
     w.run(4_000);
     assert_eq!(w.running("j-2"), 2, "equals are left alone");
@@ -639,7 +645,7 @@
     w.capacity = 0;
     w.run_ms = 40_000;
     let mut small = service("j-1", 2);
-    small.need.cpus = 1_000;
+    small.resources.cpus = 1_000;
     w.submit(0, small.clone());
     w.until(10_000, "runs", |w| w.running("j-1") == 2);
     w.submit(1, job("j-2", 40));
@@ -660,14 +666,14 @@
     w.capacity = 0;
     w.run_ms = 100_000;
     let mut small = service("j-1", 2);
-    small.need.cpus = 1_000;
+    small.resources.cpus = 1_000;
     w.submit(0, small.clone());
     w.until(10_000, "runs", |w| w.running("j-1") == 2);
     w.submit(1, job("j-2", 40));
     w.run(4_000);
     assert!(w.running("j-2") < 19, "some room is kept");
     let urgent = JobSpec {
-        rank: Rank::High,
+        priority: JobPriority::High,
         ..job("j-3", 2)
     };
     w.submit(2, urgent);
@@ -693,9 +699,9 @@
     w.run_ms = 100;
     w.settings.idle_return_ms = 600_000;
     let mut spec = job("j-1", 250);
-    spec.scatter = true;
-    spec.need.cpus = 500;
-    spec.need.ram = 100;
+    spec.topology_spread = true;
+    spec.resources.cpus = 500;
+    spec.resources.ram = 100;
     w.submit(0, spec);
     w.run(300);
     assert!(!w.store.contains_key(&Key::Chunk("j-1".into(), 2)));
@@ -705,7 +711,7 @@
     let left = w
         .store
         .keys()
-        .filter(|k| matches!(k, Key::Chunk(..) | Key::Place(_)));
+        .filter(|k| matches!(k, Key::Chunk(..) | Key::ZoneSpread(_)));
     assert_eq!(left.count(), 0, "swept");
 }
 
@@ -719,18 +725,18 @@
     assert_eq!(w.running("j-1"), 3);
     let r = w.submit(0, job("j-2", 1));
     assert!(
-        matches!(w.answer(r), UserReply::Later { .. }),
+        matches!(w.answer(r), UserReply::RetryAfter { .. }),
         "answered at once"
     );
     assert!(
-        w.nodes[0].node.as_ref().unwrap().ready(),
+        w.controllers[0].controller.as_ref().unwrap().ready(),
         "no node is better"
     );
     w.state_down = false;
     w.run(3_000);
     assert_eq!(w.running("j-1"), 3);
     assert_eq!(w.starts, 3);
-    assert!(w.workers.values().all(|w| w.session == 1));
+    assert!(w.workers.values().all(|w| w.incarnation == 1));
 }
 
 #[test]
@@ -747,7 +753,7 @@
         w.running("j-1") == 2 && done(w, "j-2")
     });
     assert!(
-        w.workers.values().all(|w| w.session == 1),
+        w.workers.values().all(|w| w.incarnation == 1),
         "no lease lapsed"
     );
     assert_eq!(w.starts, 6);
@@ -825,7 +831,7 @@
     let mut w = settled(32, 2, 2);
     w.run_ms = 20_000;
     let mut spec = job("j-1", 1);
-    (spec.checkpoint_s, spec.save_s) = (5.0, 1.0);
+    (spec.checkpoint_interval_s, spec.checkpoint_duration_s) = (5.0, 1.0);
     w.submit(0, spec);
     w.until(10_000, "runs", |w| w.running("j-1") == 1);
     let name = w.machine_of("j-1").unwrap();
@@ -846,20 +852,20 @@
     assert!(w.workers.get("n-000000").is_none_or(|w| w.tasks.is_empty()));
 }
 
-/// inc-619c: a check-in that should have carried more starts than a transaction has changes
+/// inc-619c: a heartbeat that should have carried more starts than a transaction has changes
 /// carried none, so a guest's array of tiny tasks never ended.
 #[test]
 fn a_machine_that_missed_many_starts_gets_them_with_its_check_ins() {
     let mut w = settled(61, 2, 1);
     w.capacity = 0;
     let mut spec = job("j-1", 40);
-    (spec.need.cpus, spec.need.ram) = (100, 100);
+    (spec.resources.cpus, spec.resources.ram) = (100, 100);
     w.mishaps.command_lost = 1.0;
     w.submit(0, spec);
     w.until(40_000, "done", |w| done(w, "j-1"));
 }
 
-/// A node that stands still wakes with check-ins, answers and beats from before in its queues. It
+/// A controller that is paused wakes with heartbeats, answers and heartbeats from before in its queues. It
 /// must neither delete machines that reported elsewhere meanwhile nor act on its old view.
 #[test]
 fn a_node_that_stood_still_acts_on_nothing_it_held() {
@@ -879,20 +885,20 @@
         let late = w.status(0, "j-2");
         let r = w.submit(0, job("j-4", 1));
         w.until(ms, "awake", |w| !w.frozen(0));
-        let sent = w.nodes[0].sent;
+        let sent = w.controllers[0].sent;
         w.run(1);
         assert_eq!(
-            w.nodes[0].sent, sent,
+            w.controllers[0].sent, sent,
             "nothing goes out before its view is current"
         );
         assert!(
-            matches!(w.answer(r), UserReply::Later { .. }),
+            matches!(w.answer(r), UserReply::RetryAfter { .. }),
             "told to come back"
         );
         assert!(matches!(
             w.answer(late),
-            UserReply::Later { .. }
-                | UserReply::State {
+            UserReply::RetryAfter { .. }
+                | UserReply::Status {
                     state: JobState::Cancelled,
                     ..
                 }
@@ -901,7 +907,10 @@
         w.run(20_000);
         assert!(w.deleted.is_empty(), "{:?} after {ms} ms", w.deleted);
         assert_eq!(w.running("j-1"), 3);
-        assert!(w.nodes[0].node.as_ref().unwrap().ready(), "it serves again");
+        assert!(
+            w.controllers[0].controller.as_ref().unwrap().ready(),
+            "it serves again"
+        );
         w.check_records();
     }
 }
@@ -924,7 +933,7 @@
     w.check_records();
 }
 
-/// While a node stands still its siblings carry on with all of it: workers, claims booked and
+/// While a controller is paused its peers carry on with all of it: workers, claims assigned and
 /// never commanded, the state service's changes.
 #[test]
 fn siblings_carry_on_the_claims_of_a_node_that_stands_still() {
@@ -940,20 +949,20 @@
     }
 }
 
-/// One-way or not, a node that workers do not reach claims nothing once it has noticed, deletes
+/// One-way or not, a controller that workers do not reach claims nothing once it has noticed, deletes
 /// nothing, and sends users elsewhere; it serves again when that is over.
 #[test]
 fn a_node_that_workers_do_not_reach_leaves_the_work_to_its_siblings() {
     for mute in [false, true] {
         let mut w = kept(65, 3, 6);
         w.capacity = 0;
-        w.nodes[0].cut_from_workers = !mute;
-        w.nodes[0].mute = mute;
+        w.controllers[0].cut_from_workers = !mute;
+        w.controllers[0].mute = mute;
         for i in 0..6 {
             w.submit(0, job(&format!("j-{i}"), 2));
             w.run(3_000);
         }
-        let ready = |w: &World| w.nodes[0].node.as_ref().unwrap().ready();
+        let ready = |w: &World| w.controllers[0].controller.as_ref().unwrap().ready();
         assert!(!ready(&w), "users are sent to others");
         w.until(20_000, "done", |w| {
             (0..6).all(|i| done(w, &format!("j-{i}")))
@@ -964,13 +973,13 @@
     }
 }
 
-/// After a cut or a freeze all workers sit at the nodes they turned to.
+/// After a cut or a freeze all workers sit at the controllers they turned to.
 #[test]
 fn workers_are_shared_out_again_after_a_node_was_away() {
     let mut w = kept(66, 3, 60);
     w.freeze(0, 12_000);
     w.run(14_000);
-    let at = |w: &World, n| w.workers.values().filter(|w| w.node == n).count();
+    let at = |w: &World, n| w.workers.values().filter(|w| w.controller == n).count();
     assert!(at(&w, 0) < 10, "they have turned to others");
     w.until(40_000, "shared out", |w| (0..3).all(|n| at(w, n) >= 12));
     w.run(10_000);
@@ -978,7 +987,7 @@
 }
 
 /// The watch may tell of a change, and of what became of it, before the answer to the transaction
-/// that made it arrives. Taken up then, it stood in the copy for good: every later transaction
+/// that made it arrives. Taken up then, it stood in the cache for good: every later transaction
 /// that rested on it was lost.
 #[test]
 fn an_answer_that_the_watch_has_overtaken_changes_nothing() {
@@ -1007,8 +1016,8 @@
     w.capacity = 0;
     w.run_ms = 40_000;
     w.settings.policy.teams.get_mut("red").unwrap().cpus = 0;
-    for slot in &mut w.nodes {
-        slot.node.as_mut().unwrap().settings.policy.teams = w.settings.policy.teams.clone();
+    for slot in &mut w.controllers {
+        slot.controller.as_mut().unwrap().settings.policy.teams = w.settings.policy.teams.clone();
     }
     w.submit(0, job("j-1", 8));
     w.until(8_000, "all machines are full", |w| w.running("j-1") == 8);
@@ -1032,7 +1041,7 @@
 }
 
 /// Jobs started twice on machines with many tasks: of two starts that a lapsed lease had ended, one
-/// was sent again in the answer to a check-in, under the same attempt, while the proof that it was
+/// was sent again in the answer to a heartbeat, under the same attempt, while the proof that it was
 /// gone still waited to be recorded; then the task was given to another machine as well.
 #[test]
 fn what_ended_with_its_lease_is_not_started_again_as_the_same_attempt() {
@@ -1098,7 +1107,7 @@
     w.submit(1, job("j-4", 12));
     w.until(20_000, "others run", |w| done(w, "j-4"));
     for id in ["j-1", "j-2", "j-3"] {
-        assert_eq!(w.job_phase(id), Some(Phase::Open));
+        assert_eq!(w.job_phase(id), Some(JobPhase::Open));
         let r = w.cancel(2, id);
         assert!(matches!(w.answer(r), UserReply::Cancelled { .. }));
     }
@@ -1110,7 +1119,7 @@
     w.check_records();
 }
 
-/// A rented machine that does not come up in time is not waited for, and given up later on.
+/// A provisioned machine that does not come up in time is not waited for, and given up later on.
 #[test]
 fn work_does_not_wait_for_a_boot_that_never_ends() {
     let mut w = settled(72, 3, 0);
@@ -1127,7 +1136,7 @@
 fn short_of_changes(seed: u64) -> World {
     let mut w = World::new(seed, 2, 20);
     w.settings.idle_return_ms = 3_600_000;
-    w.settings.txn_ops = 5;
+    w.settings.max_transaction_changes = 5;
     w.settings.write_rps = 4.0;
     w.capacity = 0;
     w.run(12_000);
@@ -1175,7 +1184,7 @@
     let (proofs, changes) = (w.proofs, w.changes);
     let asked: Vec<RequestId> = (0..900).map(|i| w.status(i % 3, "j-1")).collect();
     for request in asked {
-        assert!(matches!(w.answer(request), UserReply::State { .. }));
+        assert!(matches!(w.answer(request), UserReply::Status { .. }));
     }
     assert!(w.proofs <= proofs + 12, "{} reads", w.proofs - proofs);
     assert_eq!(w.changes, changes);
@@ -1188,7 +1197,7 @@
         let mut w = settled(1_000 + seed, 3, 4);
         w.capacity = 4;
         if seed % 2 == 1 {
-            // From its next start on each node uses learned run times, beside others that do not.
+            // From its next start on each controller uses learned run times, beside others that do not.
             w.settings.learned = every_use();
         }
         w.mishaps = Mishaps {
@@ -1217,8 +1226,8 @@
                     if w.rng.gen_bool(0.5) {
                         spec.team = "blue".into();
                     }
-                    spec.scatter = w.rng.gen_bool(0.3);
-                    spec.together = !spec.scatter && w.rng.gen_bool(0.2);
+                    spec.topology_spread = w.rng.gen_bool(0.3);
+                    spec.zone_affinity = !spec.topology_spread && w.rng.gen_bool(0.2);
                     spec.spot = w.rng.gen_bool(0.4);
                     w.submit(step % 3, spec);
                     jobs.push(id);
@@ -1233,17 +1242,17 @@
                 }
                 6 => {
                     let n = w.rng.gen_range(0..3);
-                    let slot = &mut w.nodes[n];
+                    let slot = &mut w.controllers[n];
                     slot.cut_from_state = !slot.cut_from_state;
                 }
                 7 => {
                     let n = w.rng.gen_range(0..3);
-                    let slot = &mut w.nodes[n];
+                    let slot = &mut w.controllers[n];
                     slot.cut_from_workers = !slot.cut_from_workers;
                 }
                 8 => {
                     let n = w.rng.gen_range(0..3);
-                    let slot = &mut w.nodes[n];
+                    let slot = &mut w.controllers[n];
                     slot.cut_from_peers = !slot.cut_from_peers;
                 }
                 9 => w.state_down = !w.state_down,
@@ -1270,7 +1279,7 @@
                 }
                 14 => {
                     let n = w.rng.gen_range(0..3);
-                    w.nodes[n].mute = !w.nodes[n].mute;
+                    w.controllers[n].mute = !w.controllers[n].mute;
                 }
                 15 => match w.rng.gen_range(0..4) {
                     0 => w.cut_zone("west", &[1]),
@@ -1306,7 +1315,7 @@
         // Services hold their team's limit for as long as they are wanted.
         for id in jobs
             .iter()
-            .filter(|id| w.specs[*id].shape == Shape::Service)
+            .filter(|id| w.specs[*id].kind == JobKind::Service)
             .cloned()
             .collect::<Vec<_>>()
         {
@@ -1315,7 +1324,7 @@
         w.run(45_000);
         w.check_records();
         let open = |w: &World, id: &String| {
-            w.job_phase(id) == Some(Phase::Open) && w.specs[id].shape == Shape::Array
+            w.job_phase(id) == Some(JobPhase::Open) && w.specs[id].kind == JobKind::Array
         };
         let jobs2 = jobs.clone();
         w.until(200_000, "arrays end", |w| {
@@ -1362,7 +1371,7 @@
     w.capacity = 0;
     w.class_ms.insert("long".into(), 40_000);
     w.run(5_000);
-    let need = |cpus: u64| Room {
+    let resources = |cpus: u64| Resources {
         cpus,
         gpus: 0,
         ram: 1_000,
@@ -1370,7 +1379,7 @@
     for n in 0..2 {
         let spec = JobSpec {
             class: "long".into(),
-            need: need(3_000),
+            resources: resources(3_000),
             ..job(&format!("j-{}", n + 1), 80)
         };
         w.submit(n, spec);
@@ -1380,7 +1389,7 @@
     });
     for n in 0..160 {
         let spec = JobSpec {
-            need: need(1_000),
+            resources: resources(1_000),
             ..service(&format!("j-{}", 100 + n), 1)
         };
         w.submit(n % 2, spec);
@@ -1392,7 +1401,7 @@
     };
     w.until(30_000, "each has a service", |w| up(w) == 160);
     w.until(60_000, "the rest is done", |w| {
-        w.job_phase("j-2") == Some(Phase::Done)
+        w.job_phase("j-2") == Some(JobPhase::Done)
     });
     w.run(75_000);
     let before = w.workers.len();
@@ -1423,7 +1432,7 @@
     }
     w.run(135_000);
     let urgent = JobSpec {
-        rank: Rank::High,
+        priority: JobPriority::High,
         ..job("j-2", 6)
     };
     let at = w.now;
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! Stories of a rolling upgrade: nodes of the version before format 2 beside new ones, on the same
-//! records, and the state service's limits falling afterwards. The world lets old nodes see and
+//! Stories of a rolling upgrade: controllers of the version before format 2 beside new ones, on the same
+//! records, and the state service's limits falling afterwards. The world lets old controllers see and
 //! write only the shapes they know, and checks that until all are new nothing else is written.
 
 use glenmount_core::constants::*;
@@ -12,18 +12,18 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-fn phase(w: &World, id: &str, phase: Phase) -> bool {
+fn phase(w: &World, id: &str, phase: JobPhase) -> bool {
     w.job_phase(id) == Some(phase)
 }
 
 fn upgraded(w: &World) -> bool {
     let formats = w.store.keys().filter(|k| matches!(k, Key::Format(_)));
-    formats.count() == w.nodes.len()
+    formats.count() == w.controllers.len()
 }
 
-/// Upgrades one node after another, `gap` milliseconds apart.
+/// Upgrades one controller after another, `gap` milliseconds apart.
 fn roll(w: &mut World, gap: u64) {
-    for n in 0..w.nodes.len() {
+    for n in 0..w.controllers.len() {
         w.upgrade(n, 2_000);
         w.run(gap);
     }
@@ -48,7 +48,7 @@
         w.run(9_000);
         let r = w.submit(0, after("j-8", 1, &["j-2"]));
         assert!(
-            matches!(w.answer(r), UserReply::Later { after_s } if after_s > 1),
+            matches!(w.answer(r), UserReply::RetryAfter { after_s } if after_s > 1),
             "an old node would start it at once"
         );
         w.upgrade(1, 2_000);
@@ -64,14 +64,14 @@
         assert!(matches!(w.answer(r), UserReply::Accepted { .. }));
         w.limits_fall();
         w.until(60_000, "done", |w| {
-            (2..9).all(|i| phase(w, &format!("j-{i}"), Phase::Done))
+            (2..9).all(|i| phase(w, &format!("j-{i}"), JobPhase::Done))
         });
         assert_eq!((w.starts, w.refused), (3 + 24 + 1, 0), "seed {seed}");
         w.check_records();
     }
 }
 
-/// A world in which old nodes have stored a chunk of 100 tasks with 80 bookings: twice the size
+/// A world in which old controllers have stored a chunk of 100 tasks with 80 assignments: twice the size
 /// that a value may have later.
 fn with_a_large_chunk(seed: u64) -> World {
     let mut w = World::old(seed, 3, 40);
@@ -93,7 +93,7 @@
         let mut w = with_a_large_chunk(seed);
         roll(&mut w, 9_000);
         w.limits_fall();
-        w.until(90_000, "done", |w| phase(w, "j-1", Phase::Done));
+        w.until(90_000, "done", |w| phase(w, "j-1", JobPhase::Done));
         assert_eq!((w.starts, w.refused), (100, 0));
         w.check_records();
     }
@@ -106,10 +106,10 @@
     w.run(9_000);
     w.upgrade(1, 2_000);
     w.run(9_000);
-    // The last old node stays away: its siblings record what ends meanwhile.
+    // The last old controller stays away: its peers record what ends meanwhile.
     w.crash(2, 60_000);
     w.until(40_000, "all have started", |w| w.starts == 100);
-    w.until(45_000, "done", |w| phase(w, "j-1", Phase::Done));
+    w.until(45_000, "done", |w| phase(w, "j-1", JobPhase::Done));
     assert!(!upgraded(&w));
     assert_eq!(w.refused, 0);
     w.check_records();
@@ -123,7 +123,7 @@
     w.limits_fall();
     // First some are stopped for work of higher rank, each with a reason on record.
     let urgent = JobSpec {
-        rank: Rank::High,
+        priority: JobPriority::High,
         ..job("j-2", 10)
     };
     w.submit(1, urgent);
@@ -153,34 +153,36 @@
     w.upgrade(2, 2_000);
     w.until(10_000, "upgraded", upgraded);
     w.limits_fall();
-    w.until(120_000, "done", |w| phase(w, "j-1", Phase::Done));
+    w.until(120_000, "done", |w| phase(w, "j-1", JobPhase::Done));
     assert_eq!(w.refused, 0);
     w.check_records();
 }
 
 #[test]
 fn a_record_that_the_state_service_refuses_holds_up_no_other() {
-    // Its limits are smaller than announced: so many bookings at once don't fit.
+    // Its limits are smaller than announced: so many assignments at once don't fit.
     let mut w = World::new(7, 2, 82);
     w.settings.idle_return_ms = 3_600_000;
-    w.settings.value_bytes = 2 * 1024;
+    w.settings.max_value_bytes = 2 * 1024;
     w.capacity = 0;
     w.run(4_000);
     w.limits = Some((420, 16));
     let mut spec = job("j-1", 80);
-    spec.need.cpus = 4_000;
+    spec.resources.cpus = 4_000;
     let r = w.submit(0, spec);
     w.answer(r);
     w.run(1_000);
     let r = w.submit(1, job("j-2", 1));
     w.answer(r);
     w.until(20_000, "the other is done", |w| {
-        phase(w, "j-2", Phase::Done)
+        phase(w, "j-2", JobPhase::Done)
     });
     w.run(60_000);
     assert!((1..20).contains(&w.refused), "{} tries", w.refused);
     w.limits = None;
-    w.until(90_000, "done after all", |w| phase(w, "j-1", Phase::Done));
+    w.until(90_000, "done after all", |w| {
+        phase(w, "j-1", JobPhase::Done)
+    });
 }
 
 /// As the version before format 2 writes them.
@@ -239,9 +241,9 @@
     // Reasons for waiting until all are new: it drops whom a job awaits, and can't read a compact
     // chunk. A key of a kind it does not know it passes over.
     let mut spec = after("j-000414", 1, &["j-000412"]);
-    spec.awaits.push("j-000413".into());
+    spec.dependencies.push("j-000413".into());
     let record = Record::Job(JobRecord {
-        phase: Phase::Open,
+        phase: JobPhase::Open,
         tasks: 1,
         chunk: 1,
         at: 0,
@@ -276,16 +278,16 @@
             let some = rng.gen_bool(0.5);
             some.then(|| (rng.gen_range(0..most), rng.gen_range(0..u64::MAX)))
         };
-        let (armed, direct) = (pair(3), pair(u64::MAX));
+        let (reply_start, direct_start) = (pair(3), pair(u64::MAX));
         let tasks = (0..rng.gen_range(0..30))
             .map(|_| match rng.gen_range(0..4) {
-                0 => TaskState::Waiting,
+                0 => TaskState::Pending,
                 1 => TaskState::Done,
-                n => TaskState::Booked(Booking {
+                n => TaskState::Assigned(Assignment {
                     machine: names[rng.gen_range(0..names.len())].into(),
                     attempt: [5, 5, 77, u64::MAX][rng.gen_range(0..4)],
-                    armed: armed.filter(|_| n == 2),
-                    direct,
+                    reply_start: reply_start.filter(|_| n == 2),
+                    direct_start,
                     stop: rng.gen_bool(0.2).then(|| "preempted".to_string()),
                 }),
             })
@@ -328,11 +330,11 @@
         class: long(200),
         team: long(200),
         image: long(200),
-        awaits: (0..36).map(|i| format!("j-{i:018}")).collect(),
+        dependencies: (0..36).map(|i| format!("j-{i:018}")).collect(),
         ..job("j-123456789012345678", 100_000)
     };
     let job = |spec| JobRecord {
-        phase: Phase::Open,
+        phase: JobPhase::Open,
         tasks: 100_000,
         chunk: 100,
         at: WALL0,
@@ -341,42 +343,45 @@
     };
     fits("a job with the longest names", Record::Job(job(spec)));
     let mut usual = after("j-000001", 100, &[]);
-    usual.awaits = (0..130).map(|i| format!("j-{i:06}")).collect();
+    usual.dependencies = (0..130).map(|i| format!("j-{i:06}")).collect();
     fits("a job that awaits 130 others", Record::Job(job(usual)));
     let mut machine = MachineRecord::new(&long(200), &long(200), true, MachinePhase::Up, WALL0);
     machine.address = long(100);
     machine.faults = vec!["j-123456789012345678".into(); FAULTS_KEPT];
     fits("a machine", Record::Machine(machine));
-    let hosts = (0..HIRE_MAX).map(|i| format!("n-{:06}", 999_000 + i));
-    let hire = HireRecord {
+    let instances = (0..PROVISION_MAX_INSTANCES).map(|i| format!("n-{:06}", 999_000 + i));
+    let instance_request = InstanceRequestRecord {
         type_name: long(200),
         zone: long(200),
         spot: true,
-        count: HIRE_MAX,
-        node: long(60),
+        count: PROVISION_MAX_INSTANCES,
+        controller: long(60),
         at: WALL0,
-        hosts: Some(hosts.collect()),
+        instances: Some(instances.collect()),
     };
-    fits("a rental", Record::Hire(hire));
+    fits("a rental", Record::InstanceRequest(instance_request));
     let zones = (0..60).map(|i| (format!("zone-{i:04}"), 100_000));
-    let zones = PlaceRecord {
+    let zones = ZoneSpreadRecord {
         zones: zones.collect(),
     };
-    fits("places in 60 zones", Record::Place(zones));
+    fits("places in 60 zones", Record::ZoneSpread(zones));
     let refused: BTreeMap<_, _> = (0..40)
         .map(|i| (offer_key(&format!("type-{i:04}"), "capital", true), WALL0))
         .collect();
-    fits("the fleet", Record::Fleet(FleetRecord { next: 9, refused }));
+    fits(
+        "the fleet",
+        Record::Provisioning(ProvisioningRecord { next: 9, refused }),
+    );
     let tasks = |n: u32| {
-        let booking = |i: u32| Booking {
+        let assignment = |i: u32| Assignment {
             machine: format!("n-{:06}", 1_000 + i * 37),
             attempt: 100_000 + i as u64 * 531,
-            armed: Some((1 + i as u64 % 3, 1_000 + i as u64)),
-            direct: None,
+            reply_start: Some((1 + i as u64 % 3, 1_000 + i as u64)),
+            direct_start: None,
             stop: Some("preempted".into()),
         };
-        let booked = (0..n).map(|i| TaskState::Booked(booking(i)));
-        booked.collect::<Vec<_>>()
+        let assigned = (0..n).map(|i| TaskState::Assigned(assignment(i)));
+        assigned.collect::<Vec<_>>()
     };
     let chunk = |n: u32| ChunkRecord {
         tasks: tasks(n),
@@ -399,38 +404,38 @@
     let limit = 2 * 1024;
     for format in [formats::OLDEST, formats::LATEST] {
         let mut chunk = ChunkRecord {
-            tasks: vec![TaskState::Waiting; 100],
+            tasks: vec![TaskState::Pending; 100],
             team: "blue".into(),
             ..ChunkRecord::default()
         };
-        let mut booked = 0;
+        let mut assigned = 0;
         for i in 0..100usize {
             let machine = format!("{}{}", (b'a' + (i % 26) as u8) as char, "y".repeat(i % 30));
             if !formats::takes_one_more(&chunk, &machine, format, limit) {
                 break;
             }
-            chunk.tasks[i] = TaskState::Booked(Booking {
+            chunk.tasks[i] = TaskState::Assigned(Assignment {
                 machine,
                 attempt: 1_000_000 - i as u64 * 7_919,
-                armed: None,
-                direct: Some((1, 1)),
+                reply_start: None,
+                direct_start: Some((1, 1)),
                 stop: None,
             });
-            booked += 1;
+            assigned += 1;
         }
         // Then each is armed anew, and is to be stopped.
         for task in &mut chunk.tasks {
-            if let TaskState::Booked(b) = task {
-                (b.armed, b.direct) = (Some((2, 1_234)), None);
+            if let TaskState::Assigned(b) = task {
+                (b.reply_start, b.direct_start) = (Some((2, 1_234)), None);
                 b.stop = Some("preempted".into());
             }
         }
         let bytes = formats::stored_bytes(&Record::Chunk(chunk), format) as u64;
         assert!(
             bytes <= limit,
-            "format {format}: {booked} make {bytes} bytes"
+            "format {format}: {assigned} make {bytes} bytes"
         );
-        assert!(booked > 15, "format {format}: {booked}");
+        assert!(assigned > 15, "format {format}: {assigned}");
     }
 }
 
@@ -461,14 +466,14 @@
                     let mut spec = job(&format!("j-{step}"), w.rng.gen_range(1..6));
                     for _ in 0..w.rng.gen_range(0..3) {
                         if !jobs.is_empty() && upgraded(&w) {
-                            spec.awaits
+                            spec.dependencies
                                 .push(jobs[w.rng.gen_range(0..jobs.len())].clone());
                         }
                     }
-                    spec.awaits.sort();
-                    spec.awaits.dedup();
+                    spec.dependencies.sort();
+                    spec.dependencies.dedup();
                     spec.spot = w.rng.gen_bool(0.5);
-                    spec.scatter = w.rng.gen_bool(0.2);
+                    spec.topology_spread = w.rng.gen_bool(0.2);
                     if w.rng.gen_bool(0.4) {
                         spec.team = "blue".into();
                     }
@@ -485,7 +490,7 @@
                     w.cancel(n, &id);
                 }
                 5 => w.crash(n, 4_000),
-                6 => w.nodes[n].cut_from_state = !w.nodes[n].cut_from_state,
+                6 => w.controllers[n].cut_from_state = !w.controllers[n].cut_from_state,
                 7 => w.state_down = !w.state_down,
                 8 => w.freeze(n, 5_000),
                 9 if turn < 3 && step > 20 => {
@@ -516,7 +521,7 @@
         }
         w.until(30_000, "upgraded", upgraded);
         w.limits_fall();
-        let over = |w: &World| jobs.iter().all(|id| !phase(w, id, Phase::Open));
+        let over = |w: &World| jobs.iter().all(|id| !phase(w, id, JobPhase::Open));
         w.until(400_000, "all end", over);
         w.run(3_000);
         w.check_records();
--- a/crates/core/tests/zones.rs
+++ b/crates/core/tests/zones.rs
@@ -1,13 +1,13 @@
-//! Short stories of zones that are cut off from everything, with a node inside.
+//! Short scenarios of zones that are cut off from everything, with a controller inside.
 
-use glenmount_core::constants::SETTLED_TERM;
+use glenmount_core::constants::CONFIRMED_CANCELLATION_TERM;
 use glenmount_core::controller::*;
 use glenmount_core::model::*;
 use glenmount_core::state::*;
 use glenmount_simulation::*;
 
-/// No machine is returned for having nothing to do, none is rented, and leases are long enough to find
-/// another node.
+/// No machine is returned for having nothing to do, none is provisioned, and leases are long enough to find
+/// another controller.
 fn long_leases(w: &mut World) {
     w.settings.idle_return_ms = 3_600_000;
     w.settings.report_ms = 5_000;
@@ -26,7 +26,7 @@
 
 fn scattered(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
-        scatter: true,
+        topology_spread: true,
         ..service(id, tasks)
     }
 }
@@ -70,7 +70,7 @@
     assert!(w.deleted.contains(&name));
 }
 
-/// A zone that is dead, not cut off: its node is heard, none of its machines is. What ran there starts
+/// A zone that is dead, not cut off: its controller is heard, none of its machines is. What ran there starts
 /// elsewhere, and in the end all its machines are given up. It used to wait for four minutes.
 #[test]
 fn what_ran_in_a_zone_that_is_dead_starts_elsewhere() {
@@ -92,7 +92,7 @@
     });
 }
 
-/// Nothing new is put where it can't be started, or rented where it would come up unheard.
+/// Nothing new is put where it can't be started, or provisioned where it would come up unheard.
 #[test]
 fn nothing_is_placed_or_rented_in_a_silent_zone() {
     let mut w = fleet(712, 24);
@@ -118,7 +118,7 @@
     w.running(id) == tasks
 }
 
-/// The node inside used to stop renewing after `cancel_s - lease_s - 5 s`, since a job might have been
+/// The controller inside used to stop renewing after `cancel_s - lease_s - 5 s`, since a job might have been
 /// cancelled outside, so everything in the zone died though nothing was wrong with it.
 #[test]
 fn a_zone_rides_out_a_cut_that_lasts_longer_than_a_cancellation_may() {
@@ -132,7 +132,7 @@
         w.join_zone();
         w.run(30_000);
         assert_eq!((w.starts, up(&w, "j-1", 20)), (20, true));
-        assert!(w.workers.values().all(|w| w.session == 1) && w.deleted.is_empty());
+        assert!(w.workers.values().all(|w| w.incarnation == 1) && w.deleted.is_empty());
         w.check_records();
     }
 }
@@ -156,7 +156,7 @@
     let mut w = fleet(731, 24);
     w.run_ms = 600_000;
     let long = JobSpec {
-        scatter: true,
+        topology_spread: true,
         ..job("j-1", 4)
     };
     let r = w.submit(0, long);
@@ -174,7 +174,7 @@
     w.run(7_000);
     let at = w.now;
     let r = w.cancel(0, "j-1");
-    assert!(matches!(w.answer(r), UserReply::Later { .. }));
+    assert!(matches!(w.answer(r), UserReply::RetryAfter { .. }));
     assert!(w.now < at + 1_500, "told at once when to come back");
     w.run(3_000);
     assert_eq!(w.running("j-1"), 2, "those outside are stopped");
@@ -184,7 +184,7 @@
         assert!(
             matches!(
                 state,
-                UserReply::State {
+                UserReply::Status {
                     state: JobState::Running,
                     ..
                 }
@@ -195,14 +195,14 @@
         let state = w.answer(r);
         assert!(matches!(
             state,
-            UserReply::State {
-                state: JobState::Queued,
+            UserReply::Status {
+                state: JobState::Pending,
                 ..
             }
         ));
     }
     let r = w.cancel(2, "j-1");
-    assert!(matches!(w.answer(r), UserReply::Later { .. }));
+    assert!(matches!(w.answer(r), UserReply::RetryAfter { .. }));
     w.until(50_000, "nothing is left", |w| w.running("j-1") == 0);
     assert_eq!(
         w.running("j-3"),
@@ -216,7 +216,7 @@
     let r = w.status(0, "j-2");
     assert!(matches!(
         w.answer(r),
-        UserReply::State {
+        UserReply::Status {
             state: JobState::Cancelled,
             ..
         }
@@ -290,7 +290,7 @@
     }
 }
 
-/// rutazona-central-fleet's zone day: the node that all of the zone reports to is the busiest, and the
+/// rutazona-central-fleet's zone day: the controller that all of the zone reports to is the busiest, and the
 /// one that crashes. It comes back without records, but its workers' tokens prove that renewing is
 /// safe, so it starts nothing and loses nothing.
 #[test]
@@ -350,18 +350,18 @@
         Some((Record::Term(t), _)) => t.term,
         _ => 0,
     };
-    assert!(w.store.contains_key(&Key::Settled));
+    assert!(w.store.contains_key(&Key::CancellationConfirmation));
     assert_eq!(term(&w), 1);
     w.heal();
-    w.until(30_000, "raised", |w| term(w) >= SETTLED_TERM);
+    w.until(30_000, "raised", |w| term(w) >= CONFIRMED_CANCELLATION_TERM);
     w.submit(0, job("j-2", 6));
     w.until(30_000, "work goes on", |w| {
-        w.job_phase("j-2") == Some(Phase::Done)
+        w.job_phase("j-2") == Some(JobPhase::Done)
     });
     w.check_records();
 }
 
-/// Cut off from state service and siblings alone, a node must not keep workers that its siblings
+/// Cut off from state service and peers alone, a controller must not keep workers that its peers
 /// would serve, however long it lasts.
 #[test]
 fn a_node_cut_off_alone_sends_its_workers_to_others() {
@@ -378,19 +378,22 @@
         w.submit(1, service("j-1", 6));
         w.until(20_000, "up", |w| up(w, "j-1", 6));
         for worker in w.workers.values_mut() {
-            worker.node = 0;
+            worker.controller = 0;
         }
         w.run(7_000);
-        w.nodes[0].cut_from_state = true;
-        w.nodes[0].cut_from_peers = true;
+        w.controllers[0].cut_from_state = true;
+        w.controllers[0].cut_from_peers = true;
         w.run(45_000);
-        assert!(w.workers.values().all(|w| w.node != 0), "{zones} zones");
+        assert!(
+            w.workers.values().all(|w| w.controller != 0),
+            "{zones} zones"
+        );
         assert_eq!((w.starts, up(&w, "j-1", 6)), (6, true));
     }
 }
 
 /// The same with a zone that is cut off where all are in one zone: those sent away find no other
-/// node in time to lose nothing.
+/// controller in time to lose nothing.
 #[test]
 fn workers_that_find_no_other_node_are_kept() {
     let mut w = World::new(791, 3, 12);
@@ -402,13 +405,13 @@
     w.run(9_000);
     w.submit(1, service("j-1", 6));
     w.until(20_000, "up", |w| up(w, "j-1", 6));
-    // Node 0 and all machines on one side, the others with everything else.
+    // Controller 0 and all machines on one side, the others with everything else.
     w.cut_zone("east", &[0]);
     w.run(100_000);
     w.join_zone();
     w.run(20_000);
     assert_eq!((w.starts, up(&w, "j-1", 6)), (6, true));
-    assert!(w.workers.values().all(|w| w.session == 1));
+    assert!(w.workers.values().all(|w| w.incarnation == 1));
 }
 
 /// One cancelled task on a machine with sixty others: the user waits for the end of the cut.
@@ -418,7 +421,7 @@
     let zoned = |id: &str| {
         let mut spec = service(id, 8);
         spec.zone = Some("west".into());
-        spec.need.cpus = 1_300;
+        spec.resources.cpus = 1_300;
         spec
     };
     w.submit(0, zoned("j-1"));
@@ -432,7 +435,7 @@
     w.cut_zone("west", &[1]);
     w.run(5_000);
     let r = w.cancel(0, "j-2");
-    assert!(matches!(w.answer(r), UserReply::Later { .. }));
+    assert!(matches!(w.answer(r), UserReply::RetryAfter { .. }));
     w.run(90_000);
     assert!(up(&w, "j-1", 8));
     w.join_zone();
--- a/crates/ctl/src/config/file.rs
+++ b/crates/ctl/src/config/file.rs
@@ -34,7 +34,8 @@
 #[derive(Deserialize)]
 struct StateLimits {
     value_kb: Option<f64>,
-    txn_ops: Option<usize>,
+    #[serde(rename = "txn_ops")]
+    max_transaction_changes: Option<usize>,
     next: Option<Box<StateLimits>>,
 }
 
@@ -42,14 +43,14 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FileLimits {
     pub value_kb: f64,
-    pub txn_ops: usize,
+    pub max_transaction_changes: usize,
 }
 
 impl Default for FileLimits {
     fn default() -> FileLimits {
         FileLimits {
             value_kb: VALUE_KB,
-            txn_ops: TXN_OPS,
+            max_transaction_changes: TXN_OPS,
         }
     }
 }
@@ -57,8 +58,8 @@
 impl FileLimits {
     pub fn change_limits(self) -> ChangeLimits {
         ChangeLimits {
-            value_bytes: (self.value_kb * BYTES_PER_KB) as usize,
-            changes: self.txn_ops,
+            max_value_bytes: (self.value_kb * BYTES_PER_KB) as usize,
+            changes: self.max_transaction_changes,
         }
     }
 
@@ -66,14 +67,19 @@
         let usual = FileLimits::default();
         let now = FileLimits {
             value_kb: limits.value_kb.unwrap_or(usual.value_kb),
-            txn_ops: limits.txn_ops.unwrap_or(usual.txn_ops),
+            max_transaction_changes: limits
+                .max_transaction_changes
+                .unwrap_or(usual.max_transaction_changes),
         };
         let Some(next) = &limits.next else {
             return now;
         };
         FileLimits {
             value_kb: now.value_kb.min(next.value_kb.unwrap_or(now.value_kb)),
-            txn_ops: now.txn_ops.min(next.txn_ops.unwrap_or(now.txn_ops)),
+            max_transaction_changes: now.max_transaction_changes.min(
+                next.max_transaction_changes
+                    .unwrap_or(now.max_transaction_changes),
+            ),
         }
     }
 }
@@ -104,7 +110,7 @@
         if !VALUE_KB_RANGE.contains(&limits.value_kb) {
             return Err("settings.state.value_kb: must be between 1.5 and 1024".into());
         }
-        if !TXN_OPS_RANGE.contains(&limits.txn_ops) {
+        if !TXN_OPS_RANGE.contains(&limits.max_transaction_changes) {
             return Err("settings.state.txn_ops: must be between 3 and 1000".into());
         }
         Ok(ConfigurationFile {
--- a/crates/ctl/src/config/mod.rs
+++ b/crates/ctl/src/config/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::state::Committed;
 use glenmount_core::configuration::{
-    self, ConfigurationError, Policy, PolicySettings, TeamSettings, VersionRecord,
+    self, ConfigurationError, ConfigurationVersionRecord, Policy, PolicySettings, TeamSettings,
 };
 use glenmount_core::scheduling::quota_enforcement;
 use serde::Serialize;
@@ -29,7 +29,7 @@
     Refused(String),
     /// Another change came first. Exit status 3.
     Conflict(String),
-    /// Not all nodes follow the version in time. Exit status 4.
+    /// Not all controllers follow the version in time. Exit status 4.
     Late(String),
 }
 
@@ -141,7 +141,7 @@
 /// What a configuration would stop, team by team.
 pub fn effects(records: &Records, settings: &PolicySettings) -> Result<Vec<Effect>, ConfigFailure> {
     let policy = settings.policy()?;
-    let cache = records.bookings()?;
+    let cache = records.assignments()?;
     let mut effects: BTreeMap<String, Effect> = BTreeMap::new();
     for (_, task, _) in quota_enforcement::over_limits(&cache, &policy) {
         let Some(spec) = cache.open_job(&task.job) else {
@@ -231,16 +231,17 @@
         let why = "not every controller reads configurations yet: a rolling upgrade is under way";
         ConfigFailure::Refused(why.into())
     })?;
-    let record = current.map(|current| (&current.record, current.stamp));
+    let record = current.map(|current| (&current.record, current.mod_revision));
     let limits = change.limits.change_limits();
     let (settings, note) = (change.settings, change.note);
-    let txn = configuration::change(settings, record, configurable, limits, now_ms(), note)?;
+    let transaction =
+        configuration::change(settings, record, configurable, limits, now_ms(), note)?;
     let applied = Applied {
         version: version + 1,
-        pages: txn.changes.len() - 1,
+        pages: transaction.changes.len() - 1,
     };
     for _ in 0..UNANSWERED_TRIES {
-        let conflict = match records.commit(&txn)? {
+        let conflict = match records.commit(&transaction)? {
             Committed::Yes => return Ok(applied),
             Committed::Conflict => true,
             Committed::Unknown => false,
@@ -355,7 +356,7 @@
 }
 
 /// The versions that can be gone back to, latest first, with the one in force before them.
-pub fn history(record: &VersionRecord) -> Vec<(u64, u64, String)> {
+pub fn history(record: &ConfigurationVersionRecord) -> Vec<(u64, u64, String)> {
     let first = (record.version, record.at, record.note.clone());
     let kept = record.kept.iter();
     let kept = kept.map(|kept| (kept.version, kept.at, kept.note.clone()));
--- a/crates/ctl/src/config/records.rs
+++ b/crates/ctl/src/config/records.rs
@@ -3,11 +3,11 @@
 use super::{ConfigFailure, Followers};
 use crate::state::{Committed, StateService, Stored};
 use glenmount_core::configuration::{
-    self, PageRecord, PolicySettings, VersionRecord, CONFIGURATION_FORM,
+    self, ConfigurationPageRecord, ConfigurationVersionRecord, PolicySettings, CONFIGURATION_FORM,
 };
 use glenmount_core::model::JobSpec;
 use glenmount_core::state::formats;
-use glenmount_core::state::{Cache, Key, Record, Txn};
+use glenmount_core::state::{CasTransaction, Key, Record, StateCache};
 use std::collections::BTreeMap;
 
 /// Records read at most: many times what a site of two years has.
@@ -18,9 +18,9 @@
 /// The configuration on record.
 #[derive(Debug, Clone)]
 pub struct Current {
-    pub record: VersionRecord,
+    pub record: ConfigurationVersionRecord,
     /// Its revision.
-    pub stamp: u64,
+    pub mod_revision: u64,
     pub settings: PolicySettings,
 }
 
@@ -36,8 +36,8 @@
         }
     }
 
-    pub(super) fn commit(&self, txn: &Txn) -> Result<Committed, ConfigFailure> {
-        Ok(self.service.commit(txn)?)
+    pub(super) fn commit(&self, transaction: &CasTransaction) -> Result<Committed, ConfigFailure> {
+        Ok(self.service.commit(transaction)?)
     }
 
     /// The configuration on record, if there is one; one that can't be read is an error.
@@ -45,7 +45,7 @@
         let Some(stored) = self.service.value(&Key::Configuration)? else {
             return Ok(None);
         };
-        let stamp = stored.stamp;
+        let mod_revision = stored.mod_revision;
         let Some((_, Record::Configuration(record))) = stored.record() else {
             let why = "the configuration on record can't be read";
             return Err(ConfigFailure::Failed(why.into()));
@@ -59,7 +59,7 @@
         })?;
         Ok(Some(Current {
             record,
-            stamp,
+            mod_revision,
             settings,
         }))
     }
@@ -67,7 +67,7 @@
     /// The settings of a version that is in force or kept.
     pub fn version(
         &self,
-        record: &VersionRecord,
+        record: &ConfigurationVersionRecord,
         version: u64,
     ) -> Result<Option<PolicySettings>, ConfigFailure> {
         let kept = record.kept.iter().find(|kept| kept.version == version);
@@ -80,7 +80,7 @@
     }
 
     fn pages(&self, version: u64, count: u32) -> Result<Option<PolicySettings>, ConfigFailure> {
-        let mut pages: Vec<PageRecord> = Vec::new();
+        let mut pages: Vec<ConfigurationPageRecord> = Vec::new();
         for n in 0..count {
             let stored = self.service.value(&Key::ConfigurationPage(version, n))?;
             match stored.and_then(Stored::record) {
@@ -91,10 +91,10 @@
         Ok(Some(configuration::settings_of(&pages)))
     }
 
-    /// The revision of the record that says that every node reads configurations.
+    /// The revision of the record that says that every controller reads configurations.
     pub(super) fn configurable(&self) -> Result<Option<u64>, ConfigFailure> {
-        let stored = self.service.value(&Key::Configurable)?;
-        Ok(stored.map(|stored| stored.stamp))
+        let stored = self.service.value(&Key::ConfigurationEnabled)?;
+        Ok(stored.map(|stored| stored.mod_revision))
     }
 
     /// Jobs that were accepted and are not over.
@@ -109,14 +109,14 @@
         Ok(open.collect())
     }
 
-    /// Jobs and what is booked of them, as a node's copy would have them.
-    pub(super) fn bookings(&self) -> Result<Cache, ConfigFailure> {
-        let mut cache = Cache::default();
+    /// Jobs and what is assigned of them, as a controller's copy would have them.
+    pub(super) fn assignments(&self) -> Result<StateCache, ConfigFailure> {
+        let mut cache = StateCache::default();
         for under in ["g/job/", "g/chunk/"] {
             for stored in self.service.list(under, MOST_RECORDS)? {
-                let stamp = stored.stamp;
+                let mod_revision = stored.mod_revision;
                 if let Some((key, record)) = stored.record() {
-                    cache.put(key, stamp, record);
+                    cache.put(key, mod_revision, record);
                 }
             }
         }
@@ -127,18 +127,25 @@
     pub fn followers(&self, version: u64) -> Result<Followers, ConfigFailure> {
         let mut versions: BTreeMap<String, u64> = BTreeMap::new();
         for stored in self.service.list("g/format/", MOST_RECORDS)? {
-            if let Some(Key::Format(node)) = Key::parse(&stored.key) {
-                versions.insert(node, 0);
+            if let Some(Key::Format(controller)) = Key::parse(&stored.key) {
+                versions.insert(controller, 0);
             }
         }
         for stored in self.service.list("g/following/", MOST_RECORDS)? {
-            if let Some((Key::Following(node), Record::Following(record))) = stored.record() {
-                versions.insert(node, record.version);
+            if let Some((Key::ObservedVersion(controller), Record::ObservedVersion(record))) =
+                stored.record()
+            {
+                versions.insert(controller, record.version);
             }
         }
         let (follow, others): (Vec<_>, Vec<_>) =
             versions.into_iter().partition(|(_, has)| *has >= version);
-        let names = |nodes: Vec<(String, u64)>| nodes.into_iter().map(|(node, _)| node).collect();
+        let names = |controllers: Vec<(String, u64)>| {
+            controllers
+                .into_iter()
+                .map(|(controller, _)| controller)
+                .collect()
+        };
         Ok(Followers {
             follow: names(follow),
             others: names(others),
@@ -160,12 +167,12 @@
         let pages: Vec<(u64, u32)> = pages.collect();
         let outdated = configuration::outdated_pages(&current.record, pages.iter());
         for keys in outdated.chunks(REMOVED_AT_ONCE) {
-            let txn = Txn {
-                conditions: vec![(Key::Configuration, current.stamp)],
+            let transaction = CasTransaction {
+                conditions: vec![(Key::Configuration, current.mod_revision)],
                 changes: keys.iter().map(|key| (key.clone(), None)).collect(),
-                format: formats::CONFIGURABLE,
+                format: formats::STORED_CONFIGURATION,
             };
-            if !matches!(self.service.commit(&txn), Ok(Committed::Yes)) {
+            if !matches!(self.service.commit(&transaction), Ok(Committed::Yes)) {
                 return;
             }
         }
--- a/crates/ctl/src/config_command.rs
+++ b/crates/ctl/src/config_command.rs
@@ -63,8 +63,8 @@
         /// KiB of a value, and changes of a transaction, that the state service takes
         #[arg(long, default_value_t = FileLimits::default().value_kb)]
         value_kb: f64,
-        #[arg(long, default_value_t = FileLimits::default().txn_ops)]
-        txn_ops: usize,
+        #[arg(long, default_value_t = FileLimits::default().max_transaction_changes)]
+        max_transaction_changes: usize,
     },
     /// Waits until every controller follows a version
     Wait {
@@ -183,11 +183,11 @@
         ConfigCommand::Rollback {
             version,
             value_kb,
-            txn_ops,
+            max_transaction_changes,
         } => {
             let limits = FileLimits {
                 value_kb: *value_kb,
-                txn_ops: *txn_ops,
+                max_transaction_changes: *max_transaction_changes,
             };
             let applied = config::rollback(&records, *version, limits)?;
             let text = format!("version {} is as version {version} was", applied.version);
@@ -195,11 +195,11 @@
         }
         ConfigCommand::Wait { version, within } => {
             let followers = config::wait(&records, *version, *within)?;
-            let nodes = followers.follow.join(" ");
+            let controllers = followers.follow.join(" ");
             print(
                 json,
                 &followers,
-                &format!("version {version} is followed by {nodes}"),
+                &format!("version {version} is followed by {controllers}"),
             )
         }
     }
--- a/crates/ctl/src/learned.rs
+++ b/crates/ctl/src/learned.rs
@@ -3,22 +3,22 @@
 use crate::run::Row;
 use crate::state::StateService;
 use crate::Failure;
-use glenmount_core::state::{Record, RunsRecord};
+use glenmount_core::state::{Record, RunTimesRecord};
 use glenmount_runtime_estimates::history::History;
 use glenmount_runtime_estimates::mixture::Mixture;
 use serde::Serialize;
 
-/// Records read at most: many times what nodes keep.
+/// Records read at most: many times what controllers keep.
 const MOST_RECORDS: usize = 100_000;
 
 /// All records, and how many were damaged.
-pub fn read(address: &str) -> Result<(Vec<(RunsRecord, History)>, usize), Failure> {
+pub fn read(address: &str) -> Result<(Vec<(RunTimesRecord, History)>, usize), Failure> {
     let stored = StateService::new(address).list("g/runs/", MOST_RECORDS)?;
     let (mut found, mut damaged) = (Vec::new(), 0);
     for item in stored {
-        let history = |r: &RunsRecord| History::unpack(&r.packed);
+        let history = |r: &RunTimesRecord| History::unpack(&r.packed);
         match item.record() {
-            Some((_, Record::Runs(r))) => match history(&r) {
+            Some((_, Record::RunTimes(r))) => match history(&r) {
                 Some(h) => found.push((r, h)),
                 None => damaged += 1,
             },
@@ -46,7 +46,7 @@
     pub at: u64,
 }
 
-pub fn shown(record: &RunsRecord, history: &History) -> Shown {
+pub fn shown(record: &RunTimesRecord, history: &History) -> Shown {
     let prior = Mixture::new(Vec::new());
     let (jobs, within) = history.mixture(None, 0, &prior);
     let e = jobs.wider(within).estimate();
@@ -66,7 +66,7 @@
 }
 
 /// The jobs that a record remembers, as rows: of their starts only the order is known.
-pub fn rows(record: &RunsRecord, history: &History) -> Vec<Row> {
+pub fn rows(record: &RunTimesRecord, history: &History) -> Vec<Row> {
     let count = history.jobs().len() as i64;
     let jobs = history.jobs().iter().enumerate();
     jobs.map(|(i, j)| Row {
--- a/crates/ctl/src/replay.rs
+++ b/crates/ctl/src/replay.rs
@@ -68,7 +68,7 @@
             mean: Errors::new(),
         }
     }
-    fn note(&mut self, said: &Said, secs: f64) {
+    fn note(&mut self, said: &ControllerStatus, secs: f64) {
         self.runs += 1;
         self.within += u64::from((said.low_s..=said.high_s).contains(&secs));
         self.learned.note(secs, said.median_s);
@@ -100,7 +100,7 @@
 }
 
 /// What was said of a run when it began.
-struct Said {
+struct ControllerStatus {
     median_s: f64,
     low_s: f64,
     high_s: f64,
@@ -132,7 +132,7 @@
 }
 
 #[derive(Debug, PartialEq, Serialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     pub rows: u64,
     /// Of these, runs that did not complete: learned from, not scored.
     pub cut_short: u64,
@@ -157,7 +157,7 @@
     cut_short: u64,
     last_start: i64,
     running: BinaryHeap<Running>,
-    rows_running: HashMap<u64, (Row, Said)>,
+    rows_running: HashMap<u64, (Row, ControllerStatus)>,
     past: BTreeMap<(String, String), Past>,
     scores: BTreeMap<(String, String), Score>,
     all: Score,
@@ -198,7 +198,7 @@
         let class = (row.team.clone(), row.class.clone());
         let past = self.past.get(&class);
         let known = |p: &&Past| p.runs > 0;
-        let said = Said {
+        let said = ControllerStatus {
             median_s: estimate.median_s,
             low_s: estimate.low_s,
             high_s: estimate.high_s,
@@ -224,12 +224,12 @@
         }
     }
 
-    fn ended(&mut self, row: &Row, said: &Said) {
+    fn ended(&mut self, row: &Row, said: &ControllerStatus) {
         let run = row.run();
         for _ in 0..row.runs.min(250) {
             self.book.ran(&run);
         }
-        // Stands for what nodes record from time to time, so that old jobs leave what is fresh.
+        // Stands for what controllers record from time to time, so that old jobs leave what is fresh.
         for id in self.book.unrecorded() {
             if let Some((team, class, history, batches)) = self.book.to_record(id) {
                 if batches.len() >= 8 {
@@ -257,13 +257,13 @@
         }
     }
 
-    pub fn report(mut self) -> Report {
+    pub fn report(mut self) -> WorkerHeartbeat {
         self.end_until(i64::MAX);
         let jobs = |class| self.past.get(class).map_or(0, |p| p.jobs.len() as u64);
         let classes = self.scores.iter();
         let classes = classes.map(|(c, s)| s.told(&c.0, &c.1, jobs(c))).collect();
         let sum = self.past.values().map(|p| p.jobs.len() as u64).sum();
-        Report {
+        WorkerHeartbeat {
             rows: self.rows,
             cut_short: self.cut_short,
             classes,
@@ -272,7 +272,7 @@
     }
 }
 
-impl Report {
+impl WorkerHeartbeat {
     /// As a table: errors as median/p90 of |ln(actual / estimate)|.
     pub fn table(&self) -> String {
         let pair = |e: &Option<ErrorReport>| {
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Milliseconds since 1970 at which the run began, by the time of day of the node that heard it.
+    /// Milliseconds since 1970 at which the run began, by the time of day of the controller that heard it.
     pub start_ms: i64,
     /// Run time in seconds, without the fetch of the image.
     pub secs: f64,
--- a/crates/ctl/src/state.rs
+++ b/crates/ctl/src/state.rs
@@ -1,7 +1,7 @@
 //! A client of the state service, by its published protocol.
 
 use crate::Failure;
-use glenmount_core::state::{Key, Record, Txn};
+use glenmount_core::state::{CasTransaction, Key, Record};
 use serde::Deserialize;
 use std::io::Read;
 use std::time::Duration;
@@ -29,7 +29,8 @@
     #[serde(rename = "v")]
     pub value: serde_json::Value,
     #[serde(default)]
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 impl Stored {
@@ -96,8 +97,8 @@
     }
 
     /// Sends a transaction; what is certainly not executed is sent again.
-    pub fn commit(&self, txn: &Txn) -> Result<Committed, Failure> {
-        let (address, text) = (&self.address, txn.text());
+    pub fn commit(&self, transaction: &CasTransaction) -> Result<Committed, Failure> {
+        let (address, text) = (&self.address, transaction.text());
         let mut refused = String::new();
         for n in 0..TRIES {
             if n > 0 {
