--- a/crates/ctl/tests/config.rs
+++ b/crates/ctl/tests/config.rs
@@ -1,9 +1,11 @@
 //! `glenmountctl config` against a state service in memory: changes, refusals, conflicts, lost answers.
 
-use glenmount_core::configuration::{ConfigurableRecord, FollowingRecord, PolicySettings};
-use glenmount_core::model::{JobSpec, Rank, Room, Shape};
+use glenmount_core::configuration::{
+    ConfigurationEnabledRecord, ObservedVersionRecord, PolicySettings,
+};
+use glenmount_core::model::{JobKind, JobPriority, JobSpec, Resources};
 use glenmount_core::state::formats::{FormatRecord, LATEST};
-use glenmount_core::state::{Booking, ChunkRecord, JobRecord, Key, Phase, Record, TaskState};
+use glenmount_core::state::{Assignment, ChunkRecord, JobPhase, JobRecord, Key, Record, TaskState};
 use glenmountctl::config::{self, Change, ConfigFailure, ConfigurationFile, FileLimits, Records};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -15,7 +17,7 @@
 /// Keys with their values and revisions, and what goes wrong with the next transactions.
 #[derive(Default)]
 struct Store {
-    epoch: u64,
+    revision: u64,
     items: BTreeMap<String, (Value, u64)>,
     /// So many transactions take effect without an answer.
     unanswered: u32,
@@ -26,8 +28,8 @@
 
 impl Store {
     fn put(&mut self, key: &str, value: Value) {
-        self.epoch += 1;
-        self.items.insert(key.to_string(), (value, self.epoch));
+        self.revision += 1;
+        self.items.insert(key.to_string(), (value, self.revision));
     }
 
     fn transact(&mut self, body: &Value) -> (u16, Value) {
@@ -35,22 +37,22 @@
         for (key, value) in std::mem::take(&mut self.meanwhile) {
             self.put(&key, value);
         }
-        let stamp = |key: &Value| {
+        let mod_revision = |key: &Value| {
             let item = self.items.get(key.as_str().unwrap());
-            item.map_or(0, |(_, stamp)| *stamp)
+            item.map_or(0, |(_, mod_revision)| *mod_revision)
         };
         let conditions = body["if"].as_array().unwrap();
         if conditions
             .iter()
-            .any(|c| stamp(&c["k"]) != c["stamp"].as_u64().unwrap())
+            .any(|c| mod_revision(&c["k"]) != c["stamp"].as_u64().unwrap())
         {
-            return (409, json!({"failed": [], "epoch": self.epoch}));
+            return (409, json!({"failed": [], "epoch": self.revision}));
         }
-        self.epoch += 1;
+        self.revision += 1;
         for change in body["apply"].as_array().unwrap() {
             match change["put"].as_str() {
                 Some(key) => {
-                    let row = (change["v"].clone(), self.epoch);
+                    let row = (change["v"].clone(), self.revision);
                     self.items.insert(key.to_string(), row);
                 }
                 None => {
@@ -58,24 +60,24 @@
                 }
             }
         }
-        (200, json!({"epoch": self.epoch}))
+        (200, json!({"epoch": self.revision}))
     }
 
     fn get(&self, path: &str) -> (u16, Value) {
-        let item = |(key, (value, stamp)): (&String, &(Value, u64))| json!({"k": key, "v": value, "stamp": stamp});
+        let item = |(key, (value, mod_revision)): (&String, &(Value, u64))| json!({"k": key, "v": value, "stamp": mod_revision});
         if let Some(words) = path.strip_prefix("/keys?under=") {
             let under = words.split('&').next().unwrap();
             let under = self.items.iter().filter(|(key, _)| key.starts_with(under));
             let items: Vec<Value> = under.map(item).collect();
             return (
                 200,
-                json!({"items": items, "more": false, "epoch": self.epoch}),
+                json!({"items": items, "more": false, "epoch": self.revision}),
             );
         }
         let key = path.trim_start_matches("/keys/").to_string();
         match self.items.get_key_value(&key) {
             Some(found) => (200, item(found)),
-            None => (404, json!({"epoch": self.epoch})),
+            None => (404, json!({"epoch": self.revision})),
         }
     }
 }
@@ -119,12 +121,12 @@
 /// A state service of a site whose two controllers read configurations.
 fn service() -> (Records, Arc<Mutex<Store>>) {
     let store = Arc::new(Mutex::new(Store::default()));
-    for node in ["a-0", "a-1"] {
+    for controller in ["a-0", "a-1"] {
         let record = Record::Format(FormatRecord { version: LATEST });
-        put(&store, &Key::Format(node.into()), &record);
+        put(&store, &Key::Format(controller.into()), &record);
     }
-    let record = Record::Configurable(ConfigurableRecord { version: LATEST });
-    put(&store, &Key::Configurable, &record);
+    let record = Record::ConfigurationEnabled(ConfigurationEnabledRecord { version: LATEST });
+    put(&store, &Key::ConfigurationEnabled, &record);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let records = Records::new(&listener.local_addr().unwrap().to_string());
     let served = store.clone();
@@ -176,37 +178,37 @@
     config::apply(records, &change).map(|applied| applied.version)
 }
 
-fn job(id: &str, team: &str, shape: Shape, tasks: u32) -> JobSpec {
+fn job(id: &str, team: &str, kind: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
         class: "c".into(),
         team: team.into(),
-        shape,
-        rank: Rank::Normal,
+        kind,
+        priority: JobPriority::Normal,
         tasks,
-        need: Room {
+        resources: Resources {
             cpus: 2_000,
             gpus: 0,
             ram: 1_000,
         },
         image: "i".into(),
         image_gb: 1.0,
-        types: None,
+        machine_types: None,
         zone: None,
-        together: false,
-        scatter: false,
+        zone_affinity: false,
+        topology_spread: false,
         spot: false,
         estimate_s: 1.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
 fn accepted(spec: &JobSpec) -> Record {
     Record::Job(JobRecord {
-        phase: Phase::Open,
+        phase: JobPhase::Open,
         tasks: spec.tasks,
         chunk: 100,
         at: 1,
@@ -271,7 +273,7 @@
 fn jobs_that_were_accepted_keep_their_teams_and_their_room() {
     let (records, store) = service();
     assert_eq!(apply(&records, &file(FIRST)), Ok(1));
-    let spec = job("j-1", "red", Shape::Service, 3);
+    let spec = job("j-1", "red", JobKind::Service, 3);
     put(&store, &Key::Job("j-1".into()), &accepted(&spec));
     let lower = file(&FIRST.replace("cpus_max = 8.0", "cpus_max = 4.0"));
     let refused = apply(&records, &lower).unwrap_err();
@@ -287,7 +289,7 @@
     let refused = apply(&records, &without).unwrap_err();
     assert!(refused.message().contains("j-1"), "{refused:?}");
     // Accepted between the look and the change: its team is put back.
-    let late = job("j-2", "blue", Shape::Array, 1);
+    let late = job("j-2", "blue", JobKind::Array, 1);
     let row = (Key::Job("j-2".into()).path(), accepted(&late).value(LATEST));
     store.lock().unwrap().meanwhile.push(row);
     let mut without = file(FIRST);
@@ -307,21 +309,21 @@
 fn a_dry_run_names_what_would_be_stopped() {
     let (records, store) = service();
     assert_eq!(apply(&records, &file(FIRST)), Ok(1));
-    let spec = job("j-1", "red", Shape::Array, 3);
+    let spec = job("j-1", "red", JobKind::Array, 3);
     put(&store, &Key::Job("j-1".into()), &accepted(&spec));
-    let booked = |attempt| {
-        TaskState::Booked(Booking {
+    let assigned = |attempt| {
+        TaskState::Assigned(Assignment {
             machine: "n-1".into(),
             attempt,
-            armed: None,
-            direct: None,
+            reply_start: None,
+            direct_start: None,
             stop: None,
         })
     };
     let chunk = ChunkRecord {
-        tasks: vec![booked(5), booked(6), booked(7)],
+        tasks: vec![assigned(5), assigned(6), assigned(7)],
         team: "red".into(),
-        need: spec.need,
+        resources: spec.resources,
         ..ChunkRecord::default()
     };
     put(&store, &Key::Chunk("j-1".into(), 0), &Record::Chunk(chunk));
@@ -339,12 +341,12 @@
 fn waiting_names_those_that_do_not_follow() {
     let (records, store) = service();
     assert_eq!(apply(&records, &file(FIRST)), Ok(1));
-    let follows = Record::Following(FollowingRecord { version: 1 });
-    put(&store, &Key::Following("a-0".into()), &follows);
+    let follows = Record::ObservedVersion(ObservedVersionRecord { version: 1 });
+    put(&store, &Key::ObservedVersion("a-0".into()), &follows);
     let late = config::wait(&records, 1, Duration::from_millis(150)).unwrap_err();
     assert_eq!(late.status(), 4);
     assert!(late.message().ends_with("by: a-1"), "{late:?}");
-    put(&store, &Key::Following("a-1".into()), &follows);
+    put(&store, &Key::ObservedVersion("a-1".into()), &follows);
     let followers = config::wait(&records, 1, Duration::from_secs(5)).unwrap();
     assert_eq!(followers.follow, ["a-0", "a-1"]);
 }
@@ -356,7 +358,7 @@
         .lock()
         .unwrap()
         .items
-        .remove(&Key::Configurable.path());
+        .remove(&Key::ConfigurationEnabled.path());
     let refused = apply(&records, &file(FIRST)).unwrap_err();
     assert_eq!(refused.status(), 2);
     assert!(refused.message().contains("upgrade"), "{refused:?}");
@@ -393,5 +395,5 @@
     let next = "[settings]\nteams = []\n[settings.state]\nvalue_kb = 16.0\ntxn_ops = 40\n\
                 next = { value_kb = 2.0, txn_ops = 5 }";
     let limits = ConfigurationFile::parse(next).unwrap().limits;
-    assert_eq!((limits.value_kb, limits.txn_ops), (2.0, 5));
+    assert_eq!((limits.value_kb, limits.max_transaction_changes), (2.0, 5));
 }
--- a/crates/ctl/tests/state.rs
+++ b/crates/ctl/tests/state.rs
@@ -1,6 +1,6 @@
 //! What is read from a state service: pages, refusals, damage, and what is none.
 
-use glenmount_core::state::{Key, Record, RunsRecord};
+use glenmount_core::state::{Key, Record, RunTimesRecord};
 use glenmount_runtime_estimates::book::class_id;
 use glenmount_runtime_estimates::history::{Batch, History};
 use glenmount_runtime_estimates::{End, Run};
@@ -42,14 +42,14 @@
         };
         history.take(&Batch::of(&run));
     }
-    let record = RunsRecord {
+    let record = RunTimesRecord {
         team: "red".into(),
         class: class.into(),
         at: 1_700_000_000_000,
         packed: history.pack(),
     };
-    let key = Key::Runs(class_id("red", class)).path();
-    serde_json::json!({"k": key, "v": Record::Runs(record).value(3), "stamp": 4})
+    let key = Key::RunTimes(class_id("red", class)).path();
+    serde_json::json!({"k": key, "v": Record::RunTimes(record).value(3), "stamp": 4})
 }
 
 #[test]
@@ -66,7 +66,7 @@
     let (records, damaged) = learned::read(&address).unwrap();
     assert_eq!((records.len(), damaged), (2, 1));
     let asked = served.join().unwrap();
-    let last = Key::Runs(class_id("red", "c")).path();
+    let last = Key::RunTimes(class_id("red", "c")).path();
     assert!(asked[1].contains(&format!("since={last}")), "{asked:?}");
     let shown = learned::shown(&records[0].0, &records[0].1);
     assert!(
--- a/crates/glenmount/src/budget.rs
+++ b/crates/glenmount/src/budget.rs
@@ -1,4 +1,4 @@
-//! A node's share of a service's rate, as a bucket that fills steadily.
+//! A controller's share of a service's rate, as a bucket that fills steadily.
 
 use tokio::time::{Duration, Instant};
 
--- a/crates/glenmount/src/cloud.rs
+++ b/crates/glenmount/src/cloud.rs
@@ -1,10 +1,10 @@
-//! The cloud client: one actor that owns the node's share of the cloud's rate.
+//! The cloud client: one actor that owns the controller's share of the cloud's rate.
 
 use crate::budget::Budget;
 use crate::http::Http;
 use crate::wire;
 use glenmount_core::constants::*;
-use glenmount_core::controller::{CloudAnswer, CloudOp, Event, Token};
+use glenmount_core::controller::{CloudOperation, CloudResponse, Event, OperationId};
 use hyper::Method;
 use serde_json::json;
 use tokio::sync::mpsc;
@@ -18,18 +18,18 @@
 /// Operations that may wait in line.
 const LINE: usize = 200;
 
-async fn execute(http: &Http, op: &CloudOp) -> CloudAnswer {
+async fn execute(http: &Http, op: &CloudOperation) -> CloudResponse {
     let call = |method, path: String, body| async move {
         http.call(method, &path, body, TIMEOUT, ANSWER_BYTES).await
     };
     match op {
-        CloudOp::Types => match call(Method::GET, "/catalog".into(), None).await {
+        CloudOperation::Types => match call(Method::GET, "/catalog".into(), None).await {
             Some((200, body)) => {
-                wire::catalog(&body).map_or(CloudAnswer::Failed, CloudAnswer::Types)
+                wire::catalog(&body).map_or(CloudResponse::Failed, CloudResponse::Types)
             }
-            _ => CloudAnswer::Failed,
+            _ => CloudResponse::Failed,
         },
-        CloudOp::Hire {
+        CloudOperation::Provision {
             name,
             type_name,
             zone,
@@ -37,7 +37,7 @@
             count,
         } => {
             let body = serde_json::to_string(&wire::Hire {
-                hire: name,
+                instance_request: name,
                 flavour: type_name,
                 yard: zone,
                 reclaimable: *spot,
@@ -45,43 +45,47 @@
             });
             match call(Method::POST, "/hosts".into(), body.ok()).await {
                 Some((200, body)) => {
-                    wire::hired(&body).map_or(CloudAnswer::Failed, CloudAnswer::Hired)
+                    wire::hired(&body).map_or(CloudResponse::Failed, CloudResponse::Provisioned)
                 }
                 Some((503, body)) if String::from_utf8_lossy(&body).contains("no capacity") => {
-                    CloudAnswer::NoCapacity
+                    CloudResponse::NoCapacity
                 }
                 Some((400, body)) => {
                     tracing::error!(body = %String::from_utf8_lossy(&body), "rental malformed");
-                    CloudAnswer::NoCapacity
+                    CloudResponse::NoCapacity
                 }
-                _ => CloudAnswer::Failed,
+                _ => CloudResponse::Failed,
             }
         }
-        CloudOp::Delete { machines } => {
+        CloudOperation::Delete { machines } => {
             let body = json!({"hosts": machines}).to_string();
             match call(Method::POST, "/hosts/delete".into(), Some(body)).await {
-                Some((200, _)) => CloudAnswer::Deleted,
-                _ => CloudAnswer::Failed,
+                Some((200, _)) => CloudResponse::Deleted,
+                _ => CloudResponse::Failed,
             }
         }
-        CloudOp::List { after } => {
+        CloudOperation::List { after } => {
             let since = after
                 .as_ref()
                 .map_or(String::new(), |a| format!("since={a}&"));
-            let path = format!("/hosts?{since}most={LIST_PAGE}");
+            let path = format!("/hosts?{since}most={INSTANCE_LIST_PAGE}");
             match call(Method::GET, path, None).await {
-                Some((200, body)) => match wire::hosts(&body) {
-                    Some((hosts, more)) => CloudAnswer::Hosts { hosts, more },
-                    None => CloudAnswer::Failed,
+                Some((200, body)) => match wire::instances(&body) {
+                    Some((instances, more)) => CloudResponse::Instances { instances, more },
+                    None => CloudResponse::Failed,
                 },
-                _ => CloudAnswer::Failed,
+                _ => CloudResponse::Failed,
             }
         }
     }
 }
 
-pub fn client(http: Http, rps: f64, core: mpsc::Sender<Event>) -> mpsc::Sender<(Token, CloudOp)> {
-    let (jobs_in, mut jobs) = mpsc::channel::<(Token, CloudOp)>(LINE);
+pub fn client(
+    http: Http,
+    rps: f64,
+    core: mpsc::Sender<Event>,
+) -> mpsc::Sender<(OperationId, CloudOperation)> {
+    let (jobs_in, mut jobs) = mpsc::channel::<(OperationId, CloudOperation)>(LINE);
     tokio::spawn(async move {
         let mut budget = Budget::new(rps, 2.0);
         while let Some((token, op)) = jobs.recv().await {
@@ -93,10 +97,10 @@
             let (http, core) = (http.clone(), core.clone());
             tokio::spawn(async move {
                 let answer = execute(&http, &op).await;
-                if answer == CloudAnswer::Failed {
+                if answer == CloudResponse::Failed {
                     tracing::debug!(?op, "the cloud did not do it");
                     // Spaces the tries; the core asks again when it still wants this.
-                    sleep(Duration::from_millis(CATALOG_RETRY_MS)).await;
+                    sleep(Duration::from_millis(MACHINE_TYPES_RETRY_MS)).await;
                 }
                 let _ = core.send(Event::Cloud { token, answer }).await;
             });
--- a/crates/glenmount/src/connections.rs
+++ b/crates/glenmount/src/connections.rs
@@ -1,7 +1,7 @@
 //! Connections from users, workers and health checks: how many of each are held, and which are
 //! closed when there are too many.
 //!
-//! A node has so many sockets (`settings.quota.sockets`), and one that finds none free refuses
+//! A controller has so many sockets (`settings.quota.sockets`), and one that finds none free refuses
 //! everybody alike. So users and workers have bounds of their own, and what has been idle longest
 //! is closed before anything is refused: whoever it was connects again with the next request.
 
@@ -16,13 +16,13 @@
 use warp::http::{Request, Response};
 use warp::hyper::Body;
 
-/// Sockets left to what this node opens itself: commands, the state service, the cloud, siblings.
+/// Sockets left to what this controller opens itself: commands, the state service, the cloud, peers.
 const OUTGOING: usize = 128;
 /// Sockets left free beside these, one in so many: closing takes a moment.
 const SPARE_PART: usize = 20;
 /// Shares that users and workers may have of the rest, in tenths: neither can take all of it.
 const USERS_TENTHS: usize = 6;
-/// See there. When siblings are away all workers turn to this node.
+/// See there. When peers are away all workers turn to this controller.
 const WORKERS_TENTHS: usize = 8;
 /// Milliseconds after which a connection is closed on which nothing was ever asked.
 const SILENT_MS: u64 = 10_000;
@@ -131,7 +131,7 @@
     }
 
     /// Closes the connection that has been idle longest, of one kind or of any. Health checks are
-    /// left alone: a node that they can't reach gets no users at all.
+    /// left alone: a controller that they can't reach gets no users at all.
     fn close_idlest(&mut self, kind: Option<Kind>) -> bool {
         let fits = |e: &Entry| match kind {
             Some(kind) => e.kind() == kind,
--- a/crates/glenmount/src/costs.rs
+++ b/crates/glenmount/src/costs.rs
@@ -18,20 +18,20 @@
 fn kind(event: &Event) -> usize {
     match event {
         Event::Tick => 0,
-        Event::CheckIn { .. } => 1,
+        Event::WorkerHeartbeat { .. } => 1,
         Event::Status { .. } => 2,
         Event::Submit { .. } => 3,
         Event::Cancel { .. } => 4,
         Event::State { .. } => 5,
-        Event::Watched { .. } => 6,
-        Event::Heartbeat(_) => 7,
-        Event::Commanded { .. } => 8,
+        Event::WatchUpdate { .. } => 6,
+        Event::PeerHeartbeat(_) => 7,
+        Event::CommandResult { .. } => 8,
         Event::Throttled
-        | Event::Unanswered { .. }
+        | Event::StateTimeout { .. }
         | Event::WatchGap
         | Event::Cloud { .. }
         | Event::LinkEnded { .. }
-        | Event::Leave => 9,
+        | Event::Shutdown => 9,
     }
 }
 
@@ -71,7 +71,7 @@
 pub static WRITTEN: Outside = Outside::new();
 /// Answers of the state service read into records, and the watch's changes.
 pub static RECORDS: Outside = Outside::new();
-/// Beats read and written.
+/// Heartbeats read and written.
 pub static FRAMES: Outside = Outside::new();
 
 #[derive(Clone, Copy, Default)]
--- a/crates/glenmount/src/main.rs
+++ b/crates/glenmount/src/main.rs
@@ -1,4 +1,4 @@
-//! glenmount: a cluster scheduler. One process per controller node; see README.md.
+//! glenmount: a cluster scheduler. One process per controller; see README.md.
 
 mod budget;
 mod cloud;
@@ -13,7 +13,7 @@
 mod workers;
 
 use clap::Parser;
-use glenmount_core::controller::{Effect, Event, Heartbeat, Node};
+use glenmount_core::controller::{Controller, Effect, Event, PeerHeartbeat};
 use server::{Call, Door, Reached};
 use settings::Config;
 use std::collections::hash_map::RandomState;
@@ -29,7 +29,7 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Period of the core's clock: held check-ins are answered with this precision.
+/// Period of the core's clock: held heartbeats are answered with this precision.
 const TICK: Duration = Duration::from_millis(50);
 /// Messages that may wait for the core's actor.
 const MAILBOX: usize = 4_096;
@@ -154,9 +154,9 @@
     };
     let cluster = listen("cluster_listen", config.cluster_listen).await?;
     peer::listen(cluster, events_in.clone());
-    let (beat_in, beats) = watch::channel(Heartbeat::default());
-    for (_, addr) in &config.siblings {
-        peer::tell(*addr, beats.clone());
+    let (beat_in, heartbeats) = watch::channel(PeerHeartbeat::default());
+    for (_, addr) in &config.peers {
+        peer::tell(*addr, heartbeats.clone());
     }
 
     let door = Door {
@@ -194,17 +194,17 @@
 
     let begun = Instant::now();
     let seed = RandomState::new().build_hasher().finish();
-    let node_name = config.core.node.clone();
+    let node_name = config.core.controller.clone();
     for (field, value, needs) in &config.scarce {
         tracing::info!(field, value, needs, "scarce: what there is is served");
     }
-    let mut node = Node::new(config.core, seed, 0, wall_ms());
+    let mut controller = Controller::new(config.core, seed, 0, wall_ms());
     let mut answers: HashMap<u64, oneshot::Sender<Reached>> = HashMap::new();
     let mut costs = costs::Costs::new();
     let mut tick = interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     tracing::info!(
-        node = node_name,
+        controller = node_name,
         version = env!("CARGO_PKG_VERSION"),
         "started"
     );
@@ -214,7 +214,7 @@
         let mut ending = Ending::new();
         loop {
             ending.asked().await;
-            if leave.send(Event::Leave).await.is_err() {
+            if leave.send(Event::Shutdown).await.is_err() {
                 return;
             }
         }
@@ -230,7 +230,7 @@
         };
         let now = begun.elapsed().as_millis() as u64;
         let cost = costs.begin(&event);
-        let effects = node.handle(now, wall_ms(), event);
+        let effects = controller.handle(now, wall_ms(), event);
         let (handled, count) = (std::time::Instant::now(), effects.len());
         for effect in effects {
             match effect {
@@ -247,22 +247,22 @@
                 Effect::State {
                     token,
                     op,
-                    priority,
+                    request_class,
                 } => {
                     let job = state::Job {
                         token,
                         op,
-                        priority,
+                        request_class,
                         since: Instant::now(),
                     };
                     if state.try_send(job).is_err() {
-                        let answer = glenmount_core::controller::StateAnswer::Unavailable;
+                        let answer = glenmount_core::controller::StateResponse::Unavailable;
                         let _ = events_in.try_send(Event::State { token, answer });
                     }
                 }
                 Effect::Cloud { token, op } => {
                     if cloud.try_send((token, op)).is_err() {
-                        let answer = glenmount_core::controller::CloudAnswer::Failed;
+                        let answer = glenmount_core::controller::CloudResponse::Failed;
                         let _ = events_in.try_send(Event::Cloud { token, answer });
                     }
                 }
@@ -272,25 +272,25 @@
                 Effect::Command {
                     machine,
                     address,
-                    session,
+                    incarnation,
                     token,
-                    orders,
+                    commands,
                 } => {
-                    let what = workers::What::of(&orders);
-                    let body = wire::command(session, token, &orders);
+                    let what = workers::What::of(&commands);
+                    let body = wire::command(incarnation, token, &commands);
                     workers.send(machine, &address, body, what);
                 }
-                Effect::Heartbeat(beat) => {
-                    let _ = beat_in.send(beat);
+                Effect::PeerHeartbeat(heartbeat) => {
+                    let _ = beat_in.send(heartbeat);
                 }
-                Effect::End => {
+                Effect::Exit => {
                     // What was answered last gets out.
                     tokio::time::sleep(TICK).await;
                     return Ok(());
                 }
             }
         }
-        ready.store(node.ready(), Ordering::Relaxed);
+        ready.store(controller.ready(), Ordering::Relaxed);
         costs.end(cost, handled, count);
     }
 }
--- a/crates/glenmount/src/peer.rs
+++ b/crates/glenmount/src/peer.rs
@@ -1,9 +1,9 @@
-//! The link between controller nodes: length-prefixed MessagePack frames, one way per
-//! connection. Each node tells its siblings what it hears; nothing is answered.
+//! The link between controller controllers: length-prefixed MessagePack frames, one way per
+//! connection. Each controller tells its peers what it hears; nothing is answered.
 
 use crate::costs::FRAMES;
-use glenmount_core::constants::PEER_BEAT_MS;
-use glenmount_core::controller::{Event, Heartbeat, Said};
+use glenmount_core::constants::PEER_HEARTBEAT_MS;
+use glenmount_core::controller::{ControllerStatus, Event, PeerHeartbeat};
 use serde::de::{Error, IgnoredAny, SeqAccess, Visitor};
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -16,50 +16,50 @@
 
 /// Bytes of a frame at most: about 1,000 machines with 64 images each.
 const FRAME_BYTES: u32 = 2 * 1024 * 1024;
-/// A sibling that sends nothing for so long has to connect again.
-const QUIET: Duration = Duration::from_millis(PEER_BEAT_MS * 20);
+/// A peer that sends nothing for so long has to connect again.
+const QUIET: Duration = Duration::from_millis(PEER_HEARTBEAT_MS * 20);
 /// Time to connect or to send before the connection is given up.
-const PATIENCE: Duration = Duration::from_millis(PEER_BEAT_MS * 4);
-/// Nesting of a frame at most: a beat has four levels.
+const PATIENCE: Duration = Duration::from_millis(PEER_HEARTBEAT_MS * 4);
+/// Nesting of a frame at most: a heartbeat has four levels.
 const FRAME_DEPTH: usize = 16;
-/// Connections from siblings held at once.
+/// Connections from peers held at once.
 const CONNECTIONS: usize = 64;
 
-/// Links by which each sibling tells its beats: its end shows when the last of them ends.
+/// Links by which each peer tells its heartbeats: its end shows when the last of them ends.
 #[derive(Clone, Default)]
 struct Links(Arc<Mutex<HashMap<String, usize>>>);
 
-/// One link, from the first beat on that named its sibling.
+/// One link, from the first heartbeat on that named its peer.
 struct Link {
     links: Links,
-    node: String,
+    controller: String,
 }
 
 impl Links {
     fn all(&self) -> MutexGuard<'_, HashMap<String, usize>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    fn begins(&self, node: &str) -> Link {
-        *self.all().entry(node.to_string()).or_default() += 1;
+    fn begins(&self, controller: &str) -> Link {
+        *self.all().entry(controller.to_string()).or_default() += 1;
         Link {
             links: self.clone(),
-            node: node.to_string(),
+            controller: controller.to_string(),
         }
     }
 }
 
 impl Link {
-    /// The sibling, if this was its last link.
+    /// The peer, if this was its last link.
     fn ends(self) -> Option<String> {
         let mut links = self.links.all();
-        let left = links.get_mut(&self.node)?;
+        let left = links.get_mut(&self.controller)?;
         *left -= 1;
         if *left > 0 {
             return None;
         }
-        links.remove(&self.node);
+        links.remove(&self.controller);
         drop(links);
-        Some(self.node)
+        Some(self.controller)
     }
 }
 
@@ -82,17 +82,17 @@
                 if let Err(error) = receive(stream, &core, &links, &mut link).await {
                     tracing::debug!(%error, "a sibling's connection ended");
                 }
-                if let Some(node) = link.and_then(Link::ends) {
-                    let _ = core.send(Event::LinkEnded { node }).await;
+                if let Some(controller) = link.and_then(Link::ends) {
+                    let _ = core.send(Event::LinkEnded { controller }).await;
                 }
             });
         }
     });
 }
 
-/// What a node says of itself, as far as this version knows it; what a later one says in its place
+/// What a controller says of itself, as far as this version knows it; what a later one says in its place
 /// is passed over.
-struct Heeded(Option<Said>);
+struct Heeded(Option<ControllerStatus>);
 
 impl<'de> Deserialize<'de> for Heeded {
     fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Heeded, D::Error> {
@@ -114,15 +114,15 @@
                         }
                     };
                 }
-                let said = Said {
+                let said = ControllerStatus {
                     life: next!(),
                     count: next!(),
                     revision: next!(),
                     term: next!(),
                     under_way: next!(),
-                    late_ms: next!(),
+                    tick_delay_ms: next!(),
                     reports: next!(),
-                    hears: next!(),
+                    heard_peers: next!(),
                     // Versions before format 4 do not say it.
                     configuration: seq.next_element()?.unwrap_or(0),
                 };
@@ -134,34 +134,34 @@
     }
 }
 
-/// A frame's beat. Frames are arrays: versions before format 2 refuse one with an element more, so
-/// a beat gets new ones only once every node has that format; whatever follows those that are known
+/// A frame's heartbeat. Frames are arrays: versions before format 2 refuse one with an element more, so
+/// a heartbeat gets new ones only once every controller has that format; whatever follows those that are known
 /// here is passed over.
-fn read(frame: &[u8]) -> Option<Heartbeat> {
+fn read(frame: &[u8]) -> Option<PeerHeartbeat> {
     struct Elements;
     impl<'de> Visitor<'de> for Elements {
-        type Value = Heartbeat;
+        type Value = PeerHeartbeat;
         fn expecting(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
             f.write_str("the elements of a beat")
         }
-        fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Heartbeat, A::Error> {
+        fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<PeerHeartbeat, A::Error> {
             macro_rules! next {
                 ($at:literal) => {
                     (seq.next_element()?).ok_or_else(|| Error::invalid_length($at, &self))?
                 };
             }
-            let beat = Heartbeat {
-                node: next!(0),
+            let heartbeat = PeerHeartbeat {
+                controller: next!(0),
                 at: next!(1),
-                state_ok: next!(2),
-                workers_ok: next!(3),
+                has_current_state: next!(2),
+                workers_reachable: next!(3),
                 heard: next!(4),
-                young: next!(5),
+                just_started: next!(5),
                 images: next!(6),
-                said: seq.next_element::<Heeded>()?.and_then(|said| said.0),
+                status: seq.next_element::<Heeded>()?.and_then(|said| said.0),
             };
             while seq.next_element::<IgnoredAny>()?.is_some() {}
-            Ok(beat)
+            Ok(heartbeat)
         }
     }
     let mut bytes = rmp_serde::Deserializer::from_read_ref(frame);
@@ -182,34 +182,35 @@
         }
         let mut frame = vec![0; len as usize];
         timeout(QUIET, stream.read_exact(&mut frame)).await??;
-        let beat = FRAMES
+        let heartbeat = FRAMES
             .time(|| read(&frame))
             .ok_or(std::io::ErrorKind::InvalidData)?;
         if link.is_none() {
-            *link = Some(links.begins(&beat.node));
+            *link = Some(links.begins(&heartbeat.controller));
         }
-        if core.send(Event::Heartbeat(beat)).await.is_err() {
+        if core.send(Event::PeerHeartbeat(heartbeat)).await.is_err() {
             return Ok(());
         }
     }
 }
 
-/// Keeps sending the latest beat to a sibling. Beats that could not be sent are skipped.
-pub fn tell(addr: SocketAddr, mut beats: watch::Receiver<Heartbeat>) {
+/// Keeps sending the latest heartbeat to a peer. Heartbeats that could not be sent are skipped.
+pub fn tell(addr: SocketAddr, mut heartbeats: watch::Receiver<PeerHeartbeat>) {
     tokio::spawn(async move {
         loop {
             let connected = timeout(PATIENCE, TcpStream::connect(addr)).await;
             if let Ok(Ok(mut stream)) = connected {
                 let _ = stream.set_nodelay(true);
-                while beats.changed().await.is_ok() {
-                    let written = FRAMES.time(|| rmp_serde::to_vec(&*beats.borrow_and_update()));
+                while heartbeats.changed().await.is_ok() {
+                    let written =
+                        FRAMES.time(|| rmp_serde::to_vec(&*heartbeats.borrow_and_update()));
                     let Ok(frame) = written else {
                         continue;
                     };
-                    // A sibling that heard nothing for long, as after this process stood still,
+                    // A peer that heard nothing for long, as after this process was paused,
                     // has closed the connection: what is written to it may vanish unnoticed.
                     if stream.try_read(&mut [0]).is_ok() {
-                        beats.mark_changed();
+                        heartbeats.mark_changed();
                         break;
                     }
                     let send = async {
@@ -221,7 +222,7 @@
                     }
                 }
             }
-            sleep(Duration::from_millis(PEER_BEAT_MS)).await;
+            sleep(Duration::from_millis(PEER_HEARTBEAT_MS)).await;
         }
     });
 }
@@ -230,10 +231,10 @@
 mod tests {
     use super::*;
 
-    fn beat(node: &str) -> Heartbeat {
-        Heartbeat {
-            node: node.into(),
-            ..Heartbeat::default()
+    fn heartbeat(controller: &str) -> PeerHeartbeat {
+        PeerHeartbeat {
+            controller: controller.into(),
+            ..PeerHeartbeat::default()
         }
     }
 
@@ -248,11 +249,11 @@
         let frame: Vec<u8> = digits.map(byte).collect();
         let sample = read(&frame).unwrap();
         assert_eq!(
-            (sample.node.as_str(), sample.at),
+            (sample.controller.as_str(), sample.at),
             ("bothy-1", 1_700_000_000_000)
         );
         assert_eq!(sample.heard, [("n-000231".to_string(), 1, 88, 120)]);
-        assert!(sample.state_ok && sample.workers_ok && sample.young);
+        assert!(sample.has_current_state && sample.workers_reachable && sample.just_started);
         assert_eq!(sample.images[0].1, [("img-07".to_string(), 1.5)]);
         assert_eq!(rmp_serde::to_vec(&sample).unwrap(), frame);
         // A later version's, with two elements more.
@@ -260,16 +261,16 @@
         longer[0] += 2;
         longer.extend([0xc3, 0x92, 0x01, 0xc0]);
         assert_eq!(read(&longer), Some(sample.clone()));
-        assert!(rmp_serde::from_slice::<Heartbeat>(&longer).is_err());
+        assert!(rmp_serde::from_slice::<PeerHeartbeat>(&longer).is_err());
         // This version's, and one that says more of itself.
-        let said = Said {
+        let said = ControllerStatus {
             life: 7,
             count: 3,
-            hears: vec!["bothy-2".into()],
-            ..Said::default()
+            heard_peers: vec!["bothy-2".into()],
+            ..ControllerStatus::default()
         };
-        let said = Heartbeat {
-            said: Some(said),
+        let said = PeerHeartbeat {
+            status: Some(said),
             ..sample
         };
         let frame = rmp_serde::to_vec(&said).unwrap();
@@ -284,16 +285,16 @@
         }
     }
 
-    /// A sibling that stood still was not heard again by those that had closed its connections.
+    /// A peer that was paused was not heard again by those that had closed its connections.
     #[tokio::test(flavor = "current_thread")]
     async fn a_beat_follows_the_sibling_to_a_new_connection() {
         let story = async {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            let (beat_in, beats) = watch::channel(Heartbeat::default());
-            tell(listener.local_addr().unwrap(), beats);
+            let (beat_in, heartbeats) = watch::channel(PeerHeartbeat::default());
+            tell(listener.local_addr().unwrap(), heartbeats);
             let (first, _) = listener.accept().await.unwrap();
             let (core, mut events) = mpsc::channel(8);
-            beat_in.send(beat("a")).unwrap();
+            beat_in.send(heartbeat("a")).unwrap();
             tokio::spawn(async move {
                 let mut first = first;
                 let len = first.read_u32().await.unwrap();
@@ -301,16 +302,16 @@
             });
             sleep(Duration::from_millis(50)).await;
             listen(listener, core);
-            beat_in.send(beat("b")).unwrap();
+            beat_in.send(heartbeat("b")).unwrap();
             let heard = events.recv().await;
-            assert!(matches!(heard, Some(Event::Heartbeat(b)) if b.node == "b"));
+            assert!(matches!(heard, Some(Event::PeerHeartbeat(b)) if b.controller == "b"));
         };
         timeout(Duration::from_secs(5), story)
             .await
             .expect("the beat arrives");
     }
 
-    /// A sibling that ends is known to have ended at once, not when its beats are missed; one that
+    /// A peer that ends is known to have ended at once, not when its heartbeats are missed; one that
     /// only connects anew is not.
     #[tokio::test(flavor = "current_thread")]
     async fn the_end_of_a_siblings_last_link_is_told() {
@@ -320,12 +321,12 @@
             let (core, mut events) = mpsc::channel(8);
             listen(listener, core);
             let mut links = Vec::new();
-            let frame = rmp_serde::to_vec(&beat("a")).unwrap();
+            let frame = rmp_serde::to_vec(&heartbeat("a")).unwrap();
             for _ in 0..2 {
                 let mut link = TcpStream::connect(addr).await.unwrap();
                 link.write_u32(frame.len() as u32).await.unwrap();
                 link.write_all(&frame).await.unwrap();
-                assert!(matches!(events.recv().await, Some(Event::Heartbeat(_))));
+                assert!(matches!(events.recv().await, Some(Event::PeerHeartbeat(_))));
                 links.push(link);
             }
             // A stranger's link names nobody.
@@ -336,7 +337,7 @@
                 .is_err());
             drop(links.pop());
             let ended = events.recv().await;
-            assert!(matches!(ended, Some(Event::LinkEnded { node }) if node == "a"));
+            assert!(matches!(ended, Some(Event::LinkEnded { controller }) if controller == "a"));
         };
         timeout(Duration::from_secs(5), story)
             .await
--- a/crates/glenmount/src/server.rs
+++ b/crates/glenmount/src/server.rs
@@ -145,7 +145,7 @@
                 match READ.time(|| wire::report(&body)) {
                     Ok(report) => {
                         let report = Box::new(report);
-                        self.call(|request| Event::CheckIn { request, report })
+                        self.call(|request| Event::WorkerHeartbeat { request, report })
                             .await
                     }
                     Err(why) => {
--- a/crates/glenmount/src/settings.rs
+++ b/crates/glenmount/src/settings.rs
@@ -16,7 +16,8 @@
     client_listen: SocketAddr,
     cluster_listen: SocketAddr,
     #[serde(default)]
-    siblings: Vec<SiblingFile>,
+    #[serde(rename = "siblings")]
+    peers: Vec<SiblingFile>,
     outside: Outside,
     settings: Params,
 }
@@ -60,7 +61,8 @@
     rps: f64,
     write_rps: f64,
     value_kb: f64,
-    txn_ops: u32,
+    #[serde(rename = "txn_ops")]
+    max_transaction_changes: u32,
     /// Limits announced for some moment after an upgrade.
     next: Option<NextLimits>,
 }
@@ -69,7 +71,8 @@
 struct NextLimits {
     write_rps: Option<f64>,
     value_kb: Option<f64>,
-    txn_ops: Option<u32>,
+    #[serde(rename = "txn_ops")]
+    max_transaction_changes: Option<u32>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -87,7 +90,7 @@
 
 /// Cores and MB beyond which a quota is a mistake.
 const QUOTA_MOST: f64 = 1e6;
-/// MB that a node takes with its records and some hundred machines, and share of a core that so few
+/// MB that a controller takes with its records and some hundred machines, and share of a core that so few
 /// take: with less it serves what it can, and says so.
 const RAM_SCARCE_MB: f64 = 16.0;
 const CPU_SCARCE: f64 = 0.01;
@@ -110,7 +113,7 @@
         Ok(())
     }
 
-    /// Fields by which this node is smaller than it needs to be, each with what it needs.
+    /// Fields by which this controller is smaller than it needs to be, each with what it needs.
     fn scarce(&self) -> Vec<(&'static str, f64, f64)> {
         let parts = [
             ("settings.quota.cpu_share", self.cpu_share, CPU_SCARCE),
@@ -143,15 +146,17 @@
     put_off: Option<bool>,
     /// The share of a service's tasks that one machine gets while others serve it as well.
     #[serde(rename = "service-share-per-machine")]
-    crowd_share: Option<f64>,
+    machine_share_of_service: Option<f64>,
 }
 
 /// The newer parts' switches; the rest of what experiments vary stays as it is.
 fn tuning(operator: &Operator) -> Result<Tuning, String> {
     let usual = Tuning::default();
-    let crowd_share = operator.crowd_share.unwrap_or(usual.crowd_share);
+    let machine_share_of_service = operator
+        .machine_share_of_service
+        .unwrap_or(usual.machine_share_of_service);
     check(
-        crowd_share > 0.0 && crowd_share <= 1.0,
+        machine_share_of_service > 0.0 && machine_share_of_service <= 1.0,
         "operator-settings.service-share-per-machine",
         "must be above 0 and at most 1",
     )?;
@@ -159,7 +164,7 @@
         lost_zones: operator.lost_zones.unwrap_or(usual.lost_zones),
         put_off: operator.put_off.unwrap_or(usual.put_off),
         even_spread: operator.even_spread.unwrap_or(usual.even_spread),
-        crowd_share,
+        machine_share_of_service,
         ..usual
     })
 }
@@ -199,16 +204,16 @@
     pub core: Settings,
     pub client_listen: SocketAddr,
     pub cluster_listen: SocketAddr,
-    /// Other nodes' names and addresses.
-    pub siblings: Vec<(String, SocketAddr)>,
+    /// Other controllers' names and addresses.
+    pub peers: Vec<(String, SocketAddr)>,
     pub cloud: SocketAddr,
     pub state: SocketAddr,
-    /// This node's shares of the services' budgets, per second.
+    /// This controller's shares of the services' budgets, per second.
     pub state_rps: f64,
     pub state_write_rps: f64,
     pub cloud_rps: f64,
     pub sockets: u32,
-    /// Fields by which this node is smaller than it needs to be: value and need of each.
+    /// Fields by which this controller is smaller than it needs to be: value and need of each.
     pub scarce: Vec<(&'static str, f64, f64)>,
 }
 
@@ -252,17 +257,17 @@
         "must be between 1 and 64",
     )?;
     check(!p.zones.is_empty(), "settings.zones", "must name a zone")?;
-    let mut nodes: Vec<String> = file.siblings.iter().map(|s| s.member.clone()).collect();
+    let mut controllers: Vec<String> = file.peers.iter().map(|s| s.member.clone()).collect();
     check(
-        !nodes.contains(&file.member),
+        !controllers.contains(&file.member),
         "siblings.member",
         "must not name this node itself",
     )?;
-    nodes.push(file.member.clone());
-    nodes.sort();
-    nodes.dedup();
+    controllers.push(file.member.clone());
+    controllers.sort();
+    controllers.dedup();
     check(
-        nodes.len() == p.count as usize,
+        controllers.len() == p.count as usize,
         "siblings",
         "must name settings.count - 1 different nodes",
     )?;
@@ -295,14 +300,15 @@
         check(ok, field, &rule)
     };
     let now = &p.state;
-    ops("settings.state.txn_ops", now.txn_ops)?;
+    ops("settings.state.txn_ops", now.max_transaction_changes)?;
     kib("settings.state.value_kb", now.value_kb)?;
     let write_rps = rate("settings.state.write_rps", now.write_rps)?;
-    let (mut txn_ops, mut value_kb, mut next_rps) = (now.txn_ops, now.value_kb, write_rps);
+    let (mut max_transaction_changes, mut value_kb, mut next_rps) =
+        (now.max_transaction_changes, now.value_kb, write_rps);
     if let Some(next) = &now.next {
-        if let Some(n) = next.txn_ops {
+        if let Some(n) = next.max_transaction_changes {
             ops("settings.state.next.txn_ops", n)?;
-            txn_ops = txn_ops.min(n);
+            max_transaction_changes = max_transaction_changes.min(n);
         }
         if let Some(kb) = next.value_kb {
             kib("settings.state.next.value_kb", kb)?;
@@ -327,24 +333,24 @@
         .location
         .iter()
         .map(|z| (file.member.clone(), z.clone()));
-    let there = file.siblings.iter();
+    let there = file.peers.iter();
     let there = there.filter_map(|s| Some((s.member.clone(), s.location.clone()?)));
-    let node_zones = here.chain(there).collect();
+    let controller_zones = here.chain(there).collect();
     Ok(Config {
         core: Settings {
             checks: Checks::default(),
             tuning: tuning(operator)?,
-            node: file.member,
-            nodes,
+            controller: file.member,
+            controllers,
             zones: p.zones.clone(),
             zone: file.location.unwrap_or_default(),
-            node_zones,
+            controller_zones,
             policy,
             report_ms,
             lease_ms,
             cancel_ms,
-            value_bytes: (value_kb * 1024.0) as u64,
-            txn_ops: txn_ops as usize,
+            max_value_bytes: (value_kb * 1024.0) as u64,
+            max_transaction_changes: max_transaction_changes as usize,
             write_rps: write_rps * share,
             next_write_rps: next_rps * share,
             clock_off_ms: p.clock_off_ms as u64,
@@ -354,17 +360,17 @@
         },
         client_listen: file.client_listen,
         cluster_listen: file.cluster_listen,
-        siblings: file
-            .siblings
+        peers: file
+            .peers
             .into_iter()
             .map(|s| (s.member, s.peer_addr))
             .collect(),
         cloud: file.outside.cloud,
         state: file.outside.state,
         state_rps: rate("settings.state.rps", p.state.rps)? * share,
-        // The core keeps its share, and takes that of siblings that can't use theirs.
+        // The core keeps its share, and takes that of peers that can't use theirs.
         state_write_rps: write_rps,
-        // Mostly a single node deals with the cloud; when several do, a refusal is asked again.
+        // Mostly a single controller deals with the cloud; when several do, a refusal is asked again.
         cloud_rps: rate("settings.cloud.rps", p.cloud.rps)? * share.max(CLOUD_SHARE),
         sockets: p.quota.sockets,
         scarce: p.quota.scarce(),
@@ -416,7 +422,7 @@
     #[test]
     fn reads_settings_and_ignores_unknown_fields() {
         let c = config(SAMPLE, &Operator::default()).unwrap();
-        assert_eq!(c.core.nodes, ["a-0", "a-1"]);
+        assert_eq!(c.core.controllers, ["a-0", "a-1"]);
         assert_eq!(c.core.policy.teams["t"].cpus_max, 4000);
         assert_eq!(c.state_rps, 50.0);
     }
@@ -497,7 +503,10 @@
             &Operator::default(),
         )
         .unwrap();
-        assert_eq!((c.core.value_bytes, c.core.txn_ops), (2_048, 16));
+        assert_eq!(
+            (c.core.max_value_bytes, c.core.max_transaction_changes),
+            (2_048, 16)
+        );
         assert_eq!((c.core.write_rps, c.core.next_write_rps), (20.0, 15.0));
     }
 
@@ -533,7 +542,7 @@
         let file = include_str!("../../../deploy/even-spread.xml");
         let c = config(SAMPLE, &operator(file).unwrap()).unwrap();
         assert!(c.core.tuning.even_spread && c.core.tuning.put_off);
-        assert!(!t.lost_zones && !t.put_off && t.crowd_share == 1.0);
+        assert!(!t.lost_zones && !t.put_off && t.machine_share_of_service == 1.0);
         let error = config(SAMPLE, &operator(&shown.replace(">0.5<", ">0<")).unwrap());
         assert!(error.unwrap_err().contains("service-share-per-machine"));
         let xml = "<operator-settings><idle-return-s>-1</idle-return-s></operator-settings>";
--- a/crates/glenmount/src/state.rs
+++ b/crates/glenmount/src/state.rs
@@ -1,11 +1,11 @@
-//! The state-service client: one actor that owns the node's share of the service's rates and
+//! The state-service client: one actor that owns the controller's share of the service's rates and
 //! ranks its work, and one that follows the watch.
 
 use crate::budget::Budget;
 use crate::costs::RECORDS;
 use crate::http::Http;
 use glenmount_core::constants::*;
-use glenmount_core::controller::{Event, Priority, StateAnswer, StateOp, Token};
+use glenmount_core::controller::{Event, OperationId, RequestClass, StateOperation, StateResponse};
 use glenmount_core::state::{Key, Record, PREFIX};
 use hyper::Method;
 use serde::Deserialize;
@@ -34,16 +34,16 @@
 const TOO_MANY_PAUSE: Duration = Duration::from_millis(150);
 /// Pause between two tries to open the watch.
 const WATCH_PAUSE: Duration = Duration::from_millis(250);
-/// What has waited in line for longer is not sent: after this process stood still, or a long
+/// What has waited in line for longer is not sent: after this process was paused, or a long
 /// time at the limit of the rate, it rests on what has changed since.
 const OLD: Duration = Duration::from_millis(1_500);
 /// Requests that may wait in line; more get `Unavailable` at once.
 const LINE: usize = 4_000;
 
 pub struct Job {
-    pub token: Token,
-    pub op: StateOp,
-    pub priority: Priority,
+    pub token: OperationId,
+    pub op: StateOperation,
+    pub request_class: RequestClass,
     pub since: Instant,
 }
 
@@ -57,7 +57,8 @@
 
 #[derive(Deserialize)]
 struct EpochBody {
-    epoch: u64,
+    #[serde(rename = "epoch")]
+    revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -66,7 +67,8 @@
     items: Vec<Item<'a>>,
     #[serde(default)]
     more: bool,
-    epoch: u64,
+    #[serde(rename = "epoch")]
+    revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -74,34 +76,35 @@
     k: String,
     #[serde(borrow)]
     v: &'a RawValue,
-    stamp: u64,
+    #[serde(rename = "stamp")]
+    mod_revision: u64,
 }
 
-fn epoch(body: &[u8]) -> Option<u64> {
+fn revision(body: &[u8]) -> Option<u64> {
     serde_json::from_slice::<EpochBody>(body)
         .ok()
-        .map(|b| b.epoch)
+        .map(|b| b.revision)
 }
 
 /// `None` stands for 429: not executed, to be sent again.
-async fn execute(http: &Http, op: &StateOp) -> Option<StateAnswer> {
+async fn execute(http: &Http, op: &StateOperation) -> Option<StateResponse> {
     let answer = match op {
-        StateOp::Txn(txn) => {
+        StateOperation::Transaction(transaction) => {
             http.call(
                 Method::POST,
                 "/txn",
-                Some(txn.text()),
+                Some(transaction.text()),
                 TIMEOUT,
                 ANSWER_BYTES,
             )
             .await
         }
-        StateOp::Proof => {
+        StateOperation::ReadIndex => {
             // A key that never exists: its 404 tells the revision.
             http.call(Method::GET, "/keys/g/none", None, TIMEOUT, ANSWER_BYTES)
                 .await
         }
-        StateOp::List { after } => {
+        StateOperation::List { after } => {
             let since = after
                 .as_ref()
                 .map_or(String::new(), |a| format!("&since={a}"));
@@ -111,18 +114,22 @@
         }
     };
     let Some((status, body)) = answer else {
-        return Some(StateAnswer::NoAnswer);
+        return Some(StateResponse::NoAnswer);
     };
     let parsed = match (op, status) {
         (_, 429) => return None,
-        (_, 503) => return Some(StateAnswer::Unavailable),
-        (StateOp::Txn(_), 200) => epoch(&body).map(|epoch| StateAnswer::Committed { epoch }),
-        (StateOp::Txn(_), 409) => {
+        (_, 503) => return Some(StateResponse::Unavailable),
+        (StateOperation::Transaction(_), 200) => {
+            revision(&body).map(|revision| StateResponse::Committed { revision })
+        }
+        (StateOperation::Transaction(_), 409) => {
             tracing::debug!(answer = %String::from_utf8_lossy(&body[..body.len().min(300)]), "conflict");
-            epoch(&body).map(|epoch| StateAnswer::Conflict { epoch })
+            revision(&body).map(|revision| StateResponse::Conflict { revision })
+        }
+        (StateOperation::ReadIndex, 404) => {
+            revision(&body).map(|revision| StateResponse::ReadIndex { revision })
         }
-        (StateOp::Proof, 404) => epoch(&body).map(|epoch| StateAnswer::Proof { epoch }),
-        (StateOp::List { .. }, 200) => RECORDS.time(|| {
+        (StateOperation::List { .. }, 200) => RECORDS.time(|| {
             serde_json::from_slice::<ListBody>(&body).ok().map(|list| {
                 let last = list.items.last().map(|i| i.k.clone());
                 let items = list
@@ -131,30 +138,30 @@
                     .filter_map(|i| {
                         let key = Key::parse(&i.k)?;
                         let record = Record::read_text(&key, i.v.get())?;
-                        Some((key, i.stamp, record))
+                        Some((key, i.mod_revision, record))
                     })
                     .collect();
-                StateAnswer::Listed {
+                StateResponse::Listed {
                     items,
                     last,
                     more: list.more,
-                    epoch: list.epoch,
+                    revision: list.revision,
                 }
             })
         }),
-        (_, 400) => Some(StateAnswer::Refused),
+        (_, 400) => Some(StateResponse::Refused),
         _ => None,
     };
-    if parsed.is_none() || parsed == Some(StateAnswer::Refused) {
+    if parsed.is_none() || parsed == Some(StateResponse::Refused) {
         tracing::error!(status, body = %String::from_utf8_lossy(&body[..body.len().min(200)]),
             "unexpected answer of the state service");
     }
-    Some(parsed.unwrap_or(StateAnswer::NoAnswer))
+    Some(parsed.unwrap_or(StateResponse::NoAnswer))
 }
 
-fn cost(op: &StateOp) -> f64 {
+fn cost(op: &StateOperation) -> f64 {
     match op {
-        StateOp::Txn(txn) => txn.changes.len() as f64,
+        StateOperation::Transaction(transaction) => transaction.changes.len() as f64,
         _ => 0.0,
     }
 }
@@ -163,7 +170,7 @@
 fn unavailable(job: &Job) -> Event {
     Event::State {
         token: job.token,
-        answer: StateAnswer::Unavailable,
+        answer: StateResponse::Unavailable,
     }
 }
 
@@ -205,7 +212,7 @@
                 None => return,
                 Some(Message::Wake) => {}
                 Some(Message::Do(job)) => {
-                    let line = &mut lines[job.priority as usize];
+                    let line = &mut lines[job.request_class as usize];
                     if line.len() >= LINE {
                         let _ = core.send(unavailable(&job)).await;
                     } else {
@@ -221,7 +228,7 @@
                     requests.drain();
                     writes.drain();
                     let _ = core.send(Event::Throttled).await;
-                    lines[job.priority as usize].push_front(job);
+                    lines[job.request_class as usize].push_front(job);
                 }
             }
             wait = Duration::ZERO;
@@ -246,7 +253,7 @@
                 writes.take(puts);
                 in_flight += 1;
                 let (http, core, inner_in) = (http.clone(), core.clone(), inner_in.clone());
-                let patience = (takes_ms * UNANSWERED_TIMES).max(UNANSWERED_LEAST_MS as f64);
+                let patience = (takes_ms * UNANSWERED_TIMES).max(STATE_TIMEOUT_MS as f64);
                 let patience = Duration::from_secs_f64(patience / 1e3).min(TIMEOUT);
                 tokio::spawn(async move {
                     let (token, begun) = (job.token, Instant::now());
@@ -255,8 +262,8 @@
                         match timeout(patience, &mut call).await {
                             Ok(answer) => answer,
                             Err(_) => {
-                                if matches!(job.op, StateOp::Txn(_)) {
-                                    let _ = core.send(Event::Unanswered { token }).await;
+                                if matches!(job.op, StateOperation::Transaction(_)) {
+                                    let _ = core.send(Event::StateTimeout { token }).await;
                                 }
                                 call.await
                             }
@@ -265,7 +272,7 @@
                     match answer {
                         Some(answer) => {
                             let took = begun.elapsed().as_secs_f64() * 1e3;
-                            let took = Some(took).filter(|_| answer != StateAnswer::NoAnswer);
+                            let took = Some(took).filter(|_| answer != StateResponse::NoAnswer);
                             let _ = core.send(Event::State { token, answer }).await;
                             let _ = inner_in.send(Message::Finished(took));
                         }
@@ -283,7 +290,8 @@
 
 #[derive(Deserialize)]
 struct WatchBody<'a> {
-    epoch: u64,
+    #[serde(rename = "epoch")]
+    revision: u64,
     #[serde(default, borrow)]
     news: Vec<News<'a>>,
 }
@@ -294,7 +302,8 @@
     remove: Option<String>,
     #[serde(borrow)]
     v: Option<&'a RawValue>,
-    stamp: u64,
+    #[serde(rename = "stamp")]
+    mod_revision: u64,
 }
 
 /// Follows all changes; a revision sent to the returned channel opens the watch anew.
@@ -312,7 +321,7 @@
                 answer = call => answer,
                 new = restart.recv() => {
                     match new {
-                        Some(epoch) => since = epoch,
+                        Some(revision) => since = revision,
                         None => return,
                     }
                     continue;
@@ -320,9 +329,9 @@
             };
             match answer {
                 Some((200, body)) => match RECORDS.time(|| watched(&body)) {
-                    Ok((epoch, changes)) => {
-                        since = since.max(epoch);
-                        let event = Event::Watched { epoch, changes };
+                    Ok((revision, changes)) => {
+                        since = since.max(revision);
+                        let event = Event::WatchUpdate { revision, changes };
                         if core.send(event).await.is_err() {
                             return;
                         }
@@ -335,7 +344,7 @@
                 Some((410, _)) => {
                     let _ = core.send(Event::WatchGap).await;
                     match restart.recv().await {
-                        Some(epoch) => since = epoch,
+                        Some(revision) => since = revision,
                         None => return,
                     }
                 }
@@ -351,16 +360,16 @@
 fn watched(body: &[u8]) -> serde_json::Result<(u64, Changes)> {
     let body: WatchBody = serde_json::from_slice(body)?;
     let changes = body.news.into_iter().filter_map(change).collect();
-    Ok((body.epoch, changes))
+    Ok((body.revision, changes))
 }
 
 fn change(news: News) -> Option<(Key, u64, Option<Record>)> {
     if let Some(path) = news.put {
         let key = Key::parse(&path)?;
         let record = Record::read_text(&key, news.v?.get())?;
-        Some((key, news.stamp, Some(record)))
+        Some((key, news.mod_revision, Some(record)))
     } else {
-        Some((Key::parse(&news.remove?)?, news.stamp, None))
+        Some((Key::parse(&news.remove?)?, news.mod_revision, None))
     }
 }
 
--- a/crates/glenmount/src/wire.rs
+++ b/crates/glenmount/src/wire.rs
@@ -19,8 +19,10 @@
     id: String,
     jobclass: String,
     owner: String,
-    shape: String,
-    rank: String,
+    #[serde(rename = "shape")]
+    kind: String,
+    #[serde(rename = "rank")]
+    priority: String,
     drops: Value,
     vcpus: f64,
     accelerators: f64,
@@ -33,8 +35,10 @@
     flavours: Option<Vec<String>>,
     #[serde(default, deserialize_with = "present")]
     yard: Option<String>,
-    together: bool,
-    scatter: bool,
+    #[serde(rename = "together")]
+    zone_affinity: bool,
+    #[serde(rename = "scatter")]
+    topology_spread: bool,
     reclaimable: bool,
     #[serde(rename = "expectS")]
     expect_s: f64,
@@ -45,7 +49,8 @@
     #[serde(rename = "dueS", default, deserialize_with = "present")]
     due_s: Option<f64>,
     #[serde(default, deserialize_with = "present")]
-    awaits: Option<Vec<String>>,
+    #[serde(rename = "awaits")]
+    dependencies: Option<Vec<String>>,
 }
 
 pub fn job_id(s: &str) -> bool {
@@ -85,42 +90,42 @@
     if s.flavours.as_ref().is_some_and(|f| f.len() > 100) {
         return Err("flavours is too long".into());
     }
-    let awaits: BTreeSet<String> = s.awaits.into_iter().flatten().collect();
-    if !awaits.iter().all(|id| job_id(id)) {
+    let dependencies: BTreeSet<String> = s.dependencies.into_iter().flatten().collect();
+    if !dependencies.iter().all(|id| job_id(id)) {
         return Err("awaits holds a malformed id".into());
     }
     Ok(JobSpec {
-        awaits: awaits.into_iter().collect(),
+        dependencies: dependencies.into_iter().collect(),
         class: text("jobclass", &s.jobclass)?,
         team: text("owner", &s.owner)?,
-        shape: match s.shape.as_str() {
-            "array" => Shape::Array,
-            "daemon" => Shape::Service,
+        kind: match s.kind.as_str() {
+            "array" => JobKind::Array,
+            "daemon" => JobKind::Service,
             _ => return Err("shape is unknown".into()),
         },
-        rank: match s.rank.as_str() {
-            "critical" => Rank::Production,
-            "high" => Rank::High,
-            "standard" => Rank::Normal,
-            "low" => Rank::Low,
+        priority: match s.priority.as_str() {
+            "critical" => JobPriority::Production,
+            "high" => JobPriority::High,
+            "standard" => JobPriority::Normal,
+            "low" => JobPriority::Low,
             _ => return Err("rank is unknown".into()),
         },
         tasks,
-        need: Room {
+        resources: Resources {
             cpus: need_milli(amount("vcpus", s.vcpus, 0.0)?),
             gpus: need_milli(amount("accelerators", s.accelerators, -1.0)?),
             ram: need_milli(amount("ramGb", s.ram_gb, 0.0)?),
         },
         image: text("bundle", &s.bundle)?,
         image_gb: amount("pullGb", s.pull_gb, -1.0)?,
-        types: s.flavours,
+        machine_types: s.flavours,
         zone: s.yard,
-        together: s.together,
-        scatter: s.scatter,
+        zone_affinity: s.zone_affinity,
+        topology_spread: s.topology_spread,
         spot: s.reclaimable,
         estimate_s: amount("expectS", s.expect_s, -1.0)?,
-        checkpoint_s: amount("snapshotS", s.snapshot_s, -1.0)?,
-        save_s: amount("flushS", s.flush_s, -1.0)?,
+        checkpoint_interval_s: amount("snapshotS", s.snapshot_s, -1.0)?,
+        checkpoint_duration_s: amount("flushS", s.flush_s, -1.0)?,
         deadline_s: match s.due_s {
             Some(d) => Some(amount("dueS", d, -1.0)?),
             None => None,
@@ -131,7 +136,7 @@
 
 fn state_name(state: JobState) -> &'static str {
     match state {
-        JobState::Queued => "pending",
+        JobState::Pending => "pending",
         JobState::Running => "running",
         JobState::Done => "done",
         JobState::Cancelled => "aborted",
@@ -171,7 +176,7 @@
     };
     let (status, told, after_s) = match reply {
         UserReply::Accepted { job } => (201, standing(job, "pending"), None),
-        UserReply::State {
+        UserReply::Status {
             job,
             state,
             done,
@@ -194,8 +199,8 @@
             },
             None,
         ),
-        UserReply::Never(why) => (422, Told::Error { error: why }, None),
-        UserReply::Later { after_s } => (
+        UserReply::Rejected(why) => (422, Told::Error { error: why }, None),
+        UserReply::RetryAfter { after_s } => (
             503,
             Told::Error {
                 error: "can't decide now",
@@ -208,13 +213,15 @@
 
 #[derive(Deserialize)]
 struct CheckIn<'a> {
-    host: String,
+    #[serde(rename = "host")]
+    instance: String,
     address: String,
     flavour: String,
     yard: String,
     reclaimable: bool,
     tenure: u64,
-    tally: u64,
+    #[serde(rename = "tally")]
+    sequence: u64,
     #[serde(default)]
     fence: u64,
     #[serde(rename = "warningS", default)]
@@ -235,54 +242,54 @@
     cause: Option<String>,
 }
 
-pub fn report(body: &[u8]) -> Result<Report, String> {
+pub fn report(body: &[u8]) -> Result<WorkerHeartbeat, String> {
     let c: CheckIn = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    if c.host.is_empty() || c.host.len() > 100 || c.address.len() > 100 {
+    if c.instance.is_empty() || c.instance.len() > 100 || c.address.len() > 100 {
         return Err("host or address is empty or too long".into());
     }
     // One that counted wrongly would make all that come after it look old.
-    if c.tenure == 0 || c.tenure > SESSIONS_MOST {
+    if c.tenure == 0 || c.tenure > MAX_INCARNATION {
         return Err(format!("tenure: {} is absurd", c.tenure));
     }
-    if c.tally > TALLIES_MOST {
-        return Err(format!("tally: {} is absurd", c.tally));
+    if c.sequence > MAX_SEQUENCE {
+        return Err(format!("tally: {} is absurd", c.sequence));
     }
     // They stand in the machine's record.
     if c.flavour.len() > 200 || c.yard.len() > 200 {
         return Err("flavour or yard is too long".into());
     }
-    if c.drops.len() > REPORT_TASKS {
+    if c.drops.len() > HEARTBEAT_MAX_TASKS {
         return Err("too many drops".into());
     }
     let mut tasks = Vec::with_capacity(c.drops.len());
     for d in c.drops {
-        tasks.push(TaskReport {
+        tasks.push(TaskStatus {
             task: TaskId::parse(&d.drop).ok_or("a drop is malformed")?,
             attempt: d.attempt,
             phase: match d.standing.as_ref() {
                 "fetching" => TaskPhase::Fetching,
-                "flushing" => TaskPhase::Saving,
+                "flushing" => TaskPhase::Checkpointing,
                 "exited" => TaskPhase::Exited(match d.cause.as_deref() {
-                    Some("done") => Cause::Done,
-                    Some("stopped") => Cause::Stopped,
-                    Some("error") => Cause::Error,
-                    Some("no_room") => Cause::NoRoom,
-                    Some("in_use") => Cause::Busy,
-                    Some("no_such") => Cause::Unknown,
-                    _ => Cause::Other,
+                    Some("done") => ExitCause::Done,
+                    Some("stopped") => ExitCause::Stopped,
+                    Some("error") => ExitCause::Error,
+                    Some("no_room") => ExitCause::NoResources,
+                    Some("in_use") => ExitCause::Busy,
+                    Some("no_such") => ExitCause::Unknown,
+                    _ => ExitCause::Other,
                 }),
                 _ => TaskPhase::Running,
             },
         });
     }
-    Ok(Report {
-        machine: c.host,
+    Ok(WorkerHeartbeat {
+        machine: c.instance,
         address: c.address,
         type_name: c.flavour,
         zone: c.yard,
         spot: c.reclaimable,
-        session: c.tenure,
-        tally: c.tally,
+        incarnation: c.tenure,
+        sequence: c.sequence,
         token: c.fence,
         notice_s: c.warning_s,
         tasks,
@@ -304,15 +311,15 @@
     leeway_s: Option<f64>,
 }
 
-fn order(o: &Order) -> Verb<'_> {
+fn order(o: &WorkerCommand) -> Verb<'_> {
     let (verb, drop, attempt, leeway_s) = match o {
-        Order::Start { task, attempt } => ("start", task, *attempt, None),
-        Order::Stop {
+        WorkerCommand::Start { task, attempt } => ("start", task, *attempt, None),
+        WorkerCommand::Stop {
             task,
             attempt,
             grace_s,
         } => ("halt", task, *attempt, Some(*grace_s)),
-        Order::Forget { task, attempt } => ("forget", task, *attempt, None),
+        WorkerCommand::Forget { task, attempt } => ("forget", task, *attempt, None),
     };
     Verb {
         verb,
@@ -322,25 +329,26 @@
     }
 }
 
-/// What a worker is told to do: in a command with its session, in an answer without.
+/// What a worker is told to do: in a command with its incarnation, in an answer without.
 #[derive(Serialize)]
 struct Orders<'a> {
     fence: u64,
     #[serde(skip_serializing_if = "Option::is_none")]
     tenure: Option<u64>,
-    orders: Vec<Verb<'a>>,
+    #[serde(rename = "orders")]
+    commands: Vec<Verb<'a>>,
 }
 
-fn orders(token: u64, session: Option<u64>, orders: &[Order]) -> String {
+fn command_body(token: u64, incarnation: Option<u64>, commands: &[WorkerCommand]) -> String {
     text(&Orders {
         fence: token,
-        tenure: session,
-        orders: orders.iter().map(order).collect(),
+        tenure: incarnation,
+        commands: commands.iter().map(order).collect(),
     })
 }
 
-pub fn command(session: u64, token: u64, commands: &[Order]) -> String {
-    orders(token, Some(session), commands)
+pub fn command(incarnation: u64, token: u64, commands: &[WorkerCommand]) -> String {
+    command_body(token, Some(incarnation), commands)
 }
 
 #[derive(Serialize)]
@@ -351,15 +359,15 @@
 
 pub fn worker_reply(reply: &WorkerReply) -> (u16, String) {
     match reply {
-        WorkerReply::Orders {
+        WorkerReply::Commands {
             token,
-            orders: told,
-        } => (200, orders(*token, None, told)),
-        WorkerReply::Elsewhere { node } => {
-            let steward = node.as_deref();
+            commands: told,
+        } => (200, command_body(*token, None, told)),
+        WorkerReply::Redirect { controller } => {
+            let steward = controller.as_deref();
             (421, text(&Elsewhere { steward }))
         }
-        WorkerReply::NotNow => (503, text(&Told::Error { error: "not now" })),
+        WorkerReply::Unavailable => (503, text(&Told::Error { error: "not now" })),
     }
 }
 
@@ -397,7 +405,7 @@
             .into_iter()
             .map(|f| MachineType {
                 name: f.name,
-                room: Room {
+                room: Resources {
                     cpus: have_milli(f.vcpus),
                     gpus: have_milli(f.accelerators),
                     ram: have_milli(f.ram_gb),
@@ -415,7 +423,8 @@
 
 #[derive(Serialize)]
 pub struct Hire<'a> {
-    pub hire: &'a str,
+    #[serde(rename = "hire")]
+    pub instance_request: &'a str,
     pub flavour: &'a str,
     pub yard: &'a str,
     pub reclaimable: bool,
@@ -424,16 +433,20 @@
 
 #[derive(Deserialize)]
 struct Names {
-    hosts: Vec<String>,
+    #[serde(rename = "hosts")]
+    instances: Vec<String>,
 }
 
 pub fn hired(body: &[u8]) -> Option<Vec<String>> {
-    serde_json::from_slice::<Names>(body).ok().map(|n| n.hosts)
+    serde_json::from_slice::<Names>(body)
+        .ok()
+        .map(|n| n.instances)
 }
 
 #[derive(Deserialize)]
 struct HostList {
-    hosts: Vec<HostItem>,
+    #[serde(rename = "hosts")]
+    instances: Vec<HostItem>,
     #[serde(default)]
     more: bool,
 }
@@ -452,26 +465,26 @@
     age_s: f64,
 }
 
-pub fn hosts(body: &[u8]) -> Option<(Vec<Host>, bool)> {
+pub fn instances(body: &[u8]) -> Option<(Vec<CloudInstance>, bool)> {
     let list: HostList = serde_json::from_slice(body).ok()?;
-    let hosts = list
-        .hosts
+    let instances = list
+        .instances
         .into_iter()
-        .map(|h| Host {
+        .map(|h| CloudInstance {
             name: h.name,
             address: h.address.unwrap_or_default(),
             type_name: h.flavour,
             zone: h.yard,
             spot: h.reclaimable,
             state: match h.standing.as_str() {
-                "starting" => HostState::Booting,
-                "failed" => HostState::Failed,
-                _ => HostState::Running,
+                "starting" => CloudInstanceState::Booting,
+                "failed" => CloudInstanceState::Failed,
+                _ => CloudInstanceState::Running,
             },
             age_s: h.age_s,
         })
         .collect();
-    Some((hosts, list.more))
+    Some((instances, list.more))
 }
 
 #[cfg(test)]
@@ -491,8 +504,8 @@
     fn a_submission_is_read_and_each_fault_is_found() {
         let spec = submission(good().to_string().as_bytes()).unwrap();
         assert_eq!(
-            (spec.tasks, spec.need.cpus, spec.rank),
-            (16, 8000, Rank::High)
+            (spec.tasks, spec.resources.cpus, spec.priority),
+            (16, 8000, JobPriority::High)
         );
         let faults = [
             ("nameId", json!("x-1")),
@@ -530,14 +543,16 @@
             body[field] = json!(0);
             assert!(submission(body.to_string().as_bytes()).is_ok(), "{field}");
         }
-        let awaits = |value: Value| {
+        let dependencies = |value: Value| {
             let mut body = good();
             body["awaits"] = value;
-            submission(body.to_string().as_bytes()).unwrap().awaits
+            submission(body.to_string().as_bytes())
+                .unwrap()
+                .dependencies
         };
-        assert!(spec.awaits.is_empty() && awaits(Value::Null).is_empty());
-        assert!(awaits(json!([])).is_empty());
-        assert_eq!(awaits(json!(["j-2", "j-1", "j-2"])), ["j-1", "j-2"]);
+        assert!(spec.dependencies.is_empty() && dependencies(Value::Null).is_empty());
+        assert!(dependencies(json!([])).is_empty());
+        assert_eq!(dependencies(json!(["j-2", "j-1", "j-2"])), ["j-1", "j-2"]);
         for field in ["nameId", "drops", "scatter", "flushS"] {
             let mut body = good();
             body.as_object_mut().unwrap().remove(field);
@@ -551,16 +566,16 @@
         let task = TaskId::parse("j-000412/4").unwrap();
         let attempt = 2;
         let told = [
-            Order::Start {
+            WorkerCommand::Start {
                 task: task.clone(),
                 attempt,
             },
-            Order::Stop {
+            WorkerCommand::Stop {
                 task: task.clone(),
                 attempt,
                 grace_s: 10.0,
             },
-            Order::Forget { task, attempt },
+            WorkerCommand::Forget { task, attempt },
         ];
         let verbs = json!([{"verb":"start","drop":"j-000412/4","try":2},
             {"verb":"halt","drop":"j-000412/4","try":2,"leewayS":10.0},
@@ -573,23 +588,23 @@
             let (status, body) = worker_reply(&r);
             (status, read(&body))
         };
-        let orders = WorkerReply::Orders {
+        let commands = WorkerReply::Commands {
             token: 41,
-            orders: told.to_vec(),
+            commands: told.to_vec(),
         };
-        assert_eq!(reply(orders), (200, json!({"fence":41,"orders":verbs})));
-        let away = |node: Option<&str>| WorkerReply::Elsewhere {
-            node: node.map(Into::into),
+        assert_eq!(reply(commands), (200, json!({"fence":41,"orders":verbs})));
+        let away = |controller: Option<&str>| WorkerReply::Redirect {
+            controller: controller.map(Into::into),
         };
         assert_eq!(reply(away(Some("b-2"))), (421, json!({"steward":"b-2"})));
         assert_eq!(reply(away(None)), (421, json!({})));
-        assert_eq!(reply(WorkerReply::NotNow).0, 503);
+        assert_eq!(reply(WorkerReply::Unavailable).0, 503);
         let user = |r| {
             let (status, body, after) = user_reply(&r);
             (status, read(&body), after)
         };
         let job = || "j-000412".to_string();
-        let state = UserReply::State {
+        let state = UserReply::Status {
             job: job(),
             state: JobState::Running,
             done: 3,
@@ -616,9 +631,9 @@
             user(cancelled),
             (200, json!({"nameId":"j-000412","standing":"aborted"}), None)
         );
-        let never = UserReply::Never("no \"team\"".into());
+        let never = UserReply::Rejected("no \"team\"".into());
         assert_eq!(user(never), (422, json!({"error":"no \"team\""}), None));
-        assert_eq!(user(UserReply::Later { after_s: 5 }).2, Some(5));
+        assert_eq!(user(UserReply::RetryAfter { after_s: 5 }).2, Some(5));
     }
 
     #[test]
@@ -629,7 +644,7 @@
                      {"drop":"j-000398/0","try":1,"standing":"exited","cause":"no_room"}]});
         let r = report(body.to_string().as_bytes()).unwrap();
         assert_eq!(r.tasks[0].task.index, 3);
-        assert_eq!(r.tasks[1].phase, TaskPhase::Exited(Cause::NoRoom));
+        assert_eq!(r.tasks[1].phase, TaskPhase::Exited(ExitCause::NoResources));
         assert!(report(b"{}").is_err());
         // Nothing is learned from a machine that counts wrongly: what comes after would look old.
         for (field, value) in [("tenure", 0), ("tenure", u64::MAX), ("tally", u64::MAX)] {
--- a/crates/glenmount/src/workers.rs
+++ b/crates/glenmount/src/workers.rs
@@ -1,10 +1,10 @@
-//! Direct commands to workers. Each is sent once; what becomes of it shows in check-ins.
+//! Direct commands to workers. Each is sent once; what becomes of it shows in heartbeats.
 
 use crate::http::Http;
 use crate::wire;
 use glenmount_core::constants::COMMAND_LIMIT_MS;
-use glenmount_core::controller::{Event, Reach};
-use glenmount_core::model::Order;
+use glenmount_core::controller::{CommandOutcome, Event};
+use glenmount_core::model::WorkerCommand;
 use hyper::Method;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -31,11 +31,11 @@
 }
 
 impl What {
-    pub fn of(orders: &[Order]) -> What {
-        let stop = |o: &Order| matches!(o, Order::Stop { .. });
-        match orders.iter().any(stop) {
+    pub fn of(commands: &[WorkerCommand]) -> What {
+        let stop = |o: &WorkerCommand| matches!(o, WorkerCommand::Stop { .. });
+        match commands.iter().any(stop) {
             true => What::Stops,
-            false if orders.is_empty() => What::Probe,
+            false if commands.is_empty() => What::Probe,
             false => What::Starts,
         }
     }
@@ -71,7 +71,7 @@
             // Machines that don't answer hold their slots for a while; a command that finds
             // none free says nothing of its own machine.
             let slot = timeout(TIMEOUT, slots.acquire_owned()).await;
-            // Nor is one sent that this process stood still over: it would arrive late.
+            // Nor is one sent that this process was paused over: it would arrive late.
             let late = since.elapsed() > TIMEOUT;
             let mut report = None;
             let reach = match (target, slot) {
@@ -85,20 +85,20 @@
                             if what != What::Starts {
                                 report = wire::report(&body).ok().map(Box::new);
                             }
-                            Reach::Took
+                            CommandOutcome::Accepted
                         }
                         Some((409, body)) => {
-                            // Its session may be a newer one, which ends all that was before.
+                            // Its incarnation may be a newer one, which ends all that was before.
                             report = wire::report(&body).ok().map(Box::new);
-                            Reach::Refused
+                            CommandOutcome::Refused
                         }
-                        Some(_) => Reach::Refused,
-                        None => Reach::Silent,
+                        Some(_) => CommandOutcome::Refused,
+                        None => CommandOutcome::NoAnswer,
                     }
                 }
-                _ => Reach::NotSent,
+                _ => CommandOutcome::NotSent,
             };
-            let event = Event::Commanded {
+            let event = Event::CommandResult {
                 machine,
                 reach,
                 report,
--- a/crates/glenmount/tests/ending.rs
+++ b/crates/glenmount/tests/ending.rs
@@ -10,7 +10,7 @@
     listener.local_addr().unwrap().port()
 }
 
-/// A node that reaches nobody, so that nothing holds it up.
+/// A controller that reaches nobody, so that nothing holds it up.
 fn settings() -> String {
     let (client, cluster, nobody) = (free_port(), free_port(), free_port());
     format!(
@@ -60,29 +60,29 @@
     std::fs::create_dir_all(&dir).unwrap();
     let file = dir.join("settings.toml");
     std::fs::write(&file, settings()).unwrap();
-    let mut node = Command::new(env!("CARGO_BIN_EXE_glenmount"))
+    let mut controller = Command::new(env!("CARGO_BIN_EXE_glenmount"))
         .arg("--config")
         .arg(&file)
         .env("LOG_LEVEL", "info")
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let log = BufReader::new(node.stderr.take().unwrap());
+    let log = BufReader::new(controller.stderr.take().unwrap());
     let mut lines = log.lines().map_while(Result::ok);
     assert!(lines.any(|l| l.contains("started")), "it starts");
     let signal = Command::new("kill")
-        .args(["-TERM", &node.id().to_string()])
+        .args(["-TERM", &controller.id().to_string()])
         .status();
     assert!(signal.unwrap().success());
     let asked = Instant::now();
     assert!(lines.any(|l| l.contains("asked to end")));
     assert!(lines.any(|l| l.contains("ends ")));
     let status = loop {
-        if let Some(status) = node.try_wait().unwrap() {
+        if let Some(status) = controller.try_wait().unwrap() {
             break status;
         }
         if asked.elapsed() > Duration::from_secs(20) {
-            node.kill().unwrap();
+            controller.kill().unwrap();
             panic!("it does not end");
         }
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/loadtest/src/operator.rs
+++ b/crates/loadtest/src/operator.rs
@@ -38,7 +38,7 @@
     let gap_ms = (SECONDS_PER_MINUTE / plan.configuration_changes_per_minute * 1_000.0) as u64;
     let limits = FileLimits {
         value_kb: plan.state.value_kb,
-        txn_ops: plan.state.txn_ops as usize,
+        max_transaction_changes: plan.state.txn_ops as usize,
     };
     let usual = settings(plan);
     while !change(&world, state, usual.clone(), limits).await {
--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/state_service.rs
@@ -7,7 +7,7 @@
 use crate::store::{kind_of, Outcome, Sizes, Store, Transaction};
 use crate::world::World;
 use glenmount_core::state::formats::LATEST;
-use glenmount_core::state::{JobRecord, Key, Phase, Record};
+use glenmount_core::state::{JobPhase, JobRecord, Key, Record};
 use hyper::Method;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -361,7 +361,7 @@
 fn ended_job(n: u32) -> (String, crate::store::Value) {
     let id = format!("j-8{n:07}");
     let record = Record::Job(JobRecord {
-        phase: Phase::Done,
+        phase: JobPhase::Done,
         tasks: 1 + n % 700,
         chunk: 100,
         at: ENDED_AT_MS + u64::from(n),
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -28,7 +28,8 @@
     #[serde(default)]
     pub machines: Option<usize>,
     #[serde(default)]
-    pub nodes: Option<usize>,
+    #[serde(rename = "nodes")]
+    pub controllers: Option<usize>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -42,11 +43,13 @@
     /// Machines that the cloud has beyond these.
     #[serde(default)]
     pub capacity: u32,
-    pub nodes: usize,
+    #[serde(rename = "nodes")]
+    pub controllers: usize,
     pub zones: Vec<String>,
-    /// Zones that have nodes, in turn; all of them if not said.
+    /// Zones that have controllers, in turn; all of them if not said.
     #[serde(default)]
-    pub nodes_in: Vec<String>,
+    #[serde(rename = "nodes_in")]
+    pub controllers_in: Vec<String>,
     pub limits: Limits,
     pub workers: Workers,
     #[serde(rename = "team")]
@@ -66,8 +69,9 @@
     pub cloud_rps: f64,
     pub list_lag_s: f64,
     pub value_kb: f64,
-    pub txn_ops: usize,
-    /// Workers' connections that a node holds at most.
+    #[serde(rename = "txn_ops")]
+    pub max_transaction_changes: usize,
+    /// Workers' connections that a controller holds at most.
     pub sockets: usize,
 }
 
@@ -97,7 +101,8 @@
     #[serde(default)]
     pub service: bool,
     /// `low`, `standard`, `high` or `critical`.
-    pub rank: String,
+    #[serde(rename = "rank")]
+    pub priority: String,
     pub tasks: f64,
     #[serde(default)]
     pub tasks_max: Option<u32>,
@@ -116,7 +121,8 @@
     #[serde(default)]
     pub spot: bool,
     #[serde(default)]
-    pub scatter: bool,
+    #[serde(rename = "scatter")]
+    pub topology_spread: bool,
     #[serde(default)]
     pub images: Option<u32>,
     /// Share of its jobs that are cancelled half way.
@@ -139,12 +145,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum What {
-    /// The busiest nodes end, and are back after some time.
+    /// The busiest controllers end, and are back after some time.
     End {
         count: usize,
         back_s: f64,
     },
-    /// The busiest node is asked to end.
+    /// The busiest controller is asked to end.
     Leave {
         back_s: f64,
     },
@@ -176,11 +182,11 @@
         count: usize,
         for_s: f64,
     },
-    /// The busiest node loses the state service and its siblings, not its workers or users.
+    /// The busiest controller loses the state service and its peers, not its workers or users.
     CutAlone {
         for_s: f64,
     },
-    /// The state service answers the busiest node alone with 503.
+    /// The state service answers the busiest controller alone with 503.
     RefuseState {
         for_s: f64,
     },
@@ -212,22 +218,22 @@
         "proof" => &mut checks.proof,
         "gap" => &mut checks.gap,
         "caught_up" => &mut checks.caught_up,
-        "types" => &mut checks.types,
+        "types" => &mut checks.machine_types,
         "format" => &mut checks.format,
         "view" => &mut checks.view,
         "fate" => &mut checks.fate,
         "heard" => &mut checks.heard,
         "round" => &mut checks.round,
-        "hires" => &mut checks.hires,
+        "hires" => &mut checks.instance_requests,
         "zones" => &mut checks.zones,
         "workers" => &mut checks.workers,
         "copies" => &mut checks.copies,
-        "hears" => &mut checks.hears,
+        "hears" => &mut checks.heard_peers,
         "alone" => &mut checks.alone,
         "bounded" => &mut checks.bounded,
         "unanswered" => &mut checks.unanswered,
         "doubt" => &mut checks.doubt,
-        "session" => &mut checks.session,
+        "session" => &mut checks.incarnation,
         "mute" => &mut checks.mute,
         "strangers" => &mut checks.strangers,
         "begins" => &mut checks.begins,
@@ -271,7 +277,7 @@
             fits.then_some(()).ok_or(why)
         };
         within("machines", self.machines, 1, 10_000)?;
-        within("nodes", self.nodes, 1, 7)?;
+        within("nodes", self.controllers, 1, 7)?;
         within("zones", self.zones.len(), 1, 4)?;
         within("seconds", self.seconds as usize, 1, 7_200)?;
         for class in &self.classes {
@@ -281,7 +287,7 @@
                     .then_some(())
                     .ok_or_else(|| format!("class {:?}: unknown team {team:?}", class.name))?;
             }
-            if rank(&class.rank).is_none() {
+            if priority(&class.priority).is_none() {
                 return Err(format!("class {:?}: rank: unknown", class.name));
             }
             let fits = class.cpus > 0.0 && class.cpus <= 8.0 && class.tasks >= 1.0;
@@ -309,13 +315,13 @@
     }
 }
 
-pub fn rank(name: &str) -> Option<glenmount_core::model::Rank> {
-    use glenmount_core::model::Rank;
+pub fn priority(name: &str) -> Option<glenmount_core::model::JobPriority> {
+    use glenmount_core::model::JobPriority;
     Some(match name {
-        "low" => Rank::Low,
-        "standard" => Rank::Normal,
-        "high" => Rank::High,
-        "critical" => Rank::Production,
+        "low" => JobPriority::Low,
+        "standard" => JobPriority::Normal,
+        "high" => JobPriority::High,
+        "critical" => JobPriority::Production,
         _ => return None,
     })
 }
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -78,11 +78,11 @@
             Effect::State {
                 token,
                 op,
-                priority,
+                request_class,
             } => {
                 self.number(3);
                 self.number(*token);
-                self.number(*priority as u64);
+                self.number(*request_class as u64);
                 self.state_operation(op);
             }
             Effect::Cloud { token, op } => {
@@ -94,31 +94,31 @@
                 self.number(5);
                 self.number(*since);
             }
-            Effect::Heartbeat(beat) => {
+            Effect::PeerHeartbeat(heartbeat) => {
                 self.number(6);
-                self.heartbeat(beat);
+                self.heartbeat(heartbeat);
             }
             Effect::Command {
                 machine,
                 address,
-                session,
+                incarnation,
                 token,
-                orders,
+                commands,
             } => {
                 self.number(7);
                 self.text(machine);
                 self.text(address);
-                self.number(*session);
+                self.number(*incarnation);
                 self.number(*token);
-                self.orders(orders);
+                self.commands(commands);
             }
-            Effect::End => self.number(8),
+            Effect::Exit => self.number(8),
         }
     }
 
     fn job_state(&mut self, state: JobState) {
         self.number(match state {
-            JobState::Queued => 1,
+            JobState::Pending => 1,
             JobState::Running => 2,
             JobState::Done => 3,
             JobState::Cancelled => 4,
@@ -131,7 +131,7 @@
                 self.number(1);
                 self.text(job);
             }
-            UserReply::State {
+            UserReply::Status {
                 job,
                 state,
                 done,
@@ -149,11 +149,11 @@
                 self.job_state(*state);
             }
             UserReply::NotFound => self.number(4),
-            UserReply::Never(why) => {
+            UserReply::Rejected(why) => {
                 self.number(5);
                 self.text(&why.to_string());
             }
-            UserReply::Later { after_s } => {
+            UserReply::RetryAfter { after_s } => {
                 self.number(6);
                 self.number(u64::from(*after_s));
             }
@@ -162,30 +162,30 @@
 
     fn worker_reply(&mut self, reply: &WorkerReply) {
         match reply {
-            WorkerReply::Orders { token, orders } => {
+            WorkerReply::Commands { token, commands } => {
                 self.number(1);
                 self.number(*token);
-                self.orders(orders);
+                self.commands(commands);
             }
-            WorkerReply::Elsewhere { node } => {
+            WorkerReply::Redirect { controller } => {
                 self.number(2);
-                self.optional(node.as_deref());
+                self.optional(controller.as_deref());
             }
-            WorkerReply::NotNow => self.number(3),
+            WorkerReply::Unavailable => self.number(3),
         }
     }
 
-    fn orders(&mut self, orders: &[Order]) {
-        self.number(orders.len() as u64);
-        for order in orders {
+    fn commands(&mut self, commands: &[WorkerCommand]) {
+        self.number(commands.len() as u64);
+        for order in commands {
             let (kind, task, attempt, grace_s) = match order {
-                Order::Start { task, attempt } => (1, task, attempt, 0.0),
-                Order::Stop {
+                WorkerCommand::Start { task, attempt } => (1, task, attempt, 0.0),
+                WorkerCommand::Stop {
                     task,
                     attempt,
                     grace_s,
                 } => (2, task, attempt, *grace_s),
-                Order::Forget { task, attempt } => (3, task, attempt, 0.0),
+                WorkerCommand::Forget { task, attempt } => (3, task, attempt, 0.0),
             };
             self.number(kind);
             self.text(&task.to_string());
@@ -194,25 +194,25 @@
         }
     }
 
-    fn state_operation(&mut self, operation: &StateOp) {
+    fn state_operation(&mut self, operation: &StateOperation) {
         match operation {
-            StateOp::Txn(transaction) => {
+            StateOperation::Transaction(transaction) => {
                 self.number(1);
                 self.number(u64::from(transaction.format));
                 self.text(&transaction.text());
             }
-            StateOp::Proof => self.number(2),
-            StateOp::List { after } => {
+            StateOperation::ReadIndex => self.number(2),
+            StateOperation::List { after } => {
                 self.number(3);
                 self.optional(after.as_deref());
             }
         }
     }
 
-    fn cloud_operation(&mut self, operation: &CloudOp) {
+    fn cloud_operation(&mut self, operation: &CloudOperation) {
         match operation {
-            CloudOp::Types => self.number(1),
-            CloudOp::Hire {
+            CloudOperation::Types => self.number(1),
+            CloudOperation::Provision {
                 name,
                 type_name,
                 zone,
@@ -226,34 +226,34 @@
                 self.number(u64::from(*spot));
                 self.number(u64::from(*count));
             }
-            CloudOp::Delete { machines } => {
+            CloudOperation::Delete { machines } => {
                 self.number(3);
                 for machine in machines {
                     self.text(machine);
                 }
             }
-            CloudOp::List { after } => {
+            CloudOperation::List { after } => {
                 self.number(4);
                 self.optional(after.as_deref());
             }
         }
     }
 
-    fn heartbeat(&mut self, beat: &Heartbeat) {
-        self.text(&beat.node);
-        self.number(beat.at);
-        self.number(u64::from(beat.state_ok));
-        self.number(u64::from(beat.workers_ok));
-        self.number(u64::from(beat.young));
-        let mut heard = beat.heard.clone();
+    fn heartbeat(&mut self, heartbeat: &PeerHeartbeat) {
+        self.text(&heartbeat.controller);
+        self.number(heartbeat.at);
+        self.number(u64::from(heartbeat.has_current_state));
+        self.number(u64::from(heartbeat.workers_reachable));
+        self.number(u64::from(heartbeat.just_started));
+        let mut heard = heartbeat.heard.clone();
         heard.sort();
-        for (machine, session, tally, age_ms) in &heard {
+        for (machine, incarnation, sequence, age_ms) in &heard {
             self.text(machine);
-            self.number(*session);
-            self.number(*tally);
+            self.number(*incarnation);
+            self.number(*sequence);
             self.number(*age_ms);
         }
-        let mut images = beat.images.clone();
+        let mut images = heartbeat.images.clone();
         images.sort_by(|a, b| a.0.cmp(&b.0));
         for (machine, images) in &images {
             self.text(machine);
@@ -262,18 +262,18 @@
                 self.real(*gigabytes);
             }
         }
-        self.number(u64::from(beat.said.is_some()));
-        if let Some(said) = &beat.said {
+        self.number(u64::from(heartbeat.status.is_some()));
+        if let Some(said) = &heartbeat.status {
             self.number(said.life);
             self.number(said.count);
             self.number(said.revision);
             self.number(said.term);
             self.number(u64::from(said.under_way));
-            self.number(u64::from(said.late_ms));
+            self.number(u64::from(said.tick_delay_ms));
             self.number(u64::from(said.reports));
             self.number(said.configuration);
-            for node in &said.hears {
-                self.text(node);
+            for controller in &said.heard_peers {
+                self.text(controller);
             }
         }
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,4 +1,4 @@
-//! A world in memory for stories and measurements: nodes, state service, cloud, workers and users
+//! A world in memory for scenarios and measurements: controllers, state service, cloud, workers and users
 //! in simulated time, with seeded chance. It checks the rules of the protocol at every step, and
 //! plays fleets of thousands of machines in seconds.
 
@@ -15,7 +15,7 @@
 pub mod users;
 
 use glenmount_core::configuration::Policy;
-use glenmount_core::constants::UNANSWERED_LEAST_MS;
+use glenmount_core::constants::STATE_TIMEOUT_MS;
 use glenmount_core::controller::*;
 use glenmount_core::model::*;
 use glenmount_core::safety_checks::Checks;
@@ -37,21 +37,21 @@
 #[derive(Clone, Debug)]
 enum Act {
     Tick(usize, u32),
-    Node(usize, u32, Event),
-    State(usize, u32, Token, StateOp, Fate),
+    Controller(usize, u32, Event),
+    State(usize, u32, OperationId, StateOperation, Fate),
     Watch(usize, u32),
     Report(String),
-    Arrive(usize, Report, u64),
+    Arrive(usize, WorkerHeartbeat, u64),
     Reply(String, u64, u64, WorkerReply),
     GaveUp(String, u64),
     Lease(String),
     Phase(String, TaskId, u64, TaskPhase),
-    Cloud(usize, u32, Token, CloudOp, bool),
+    Cloud(usize, u32, OperationId, CloudOperation, bool),
     Boot(String),
-    Command(usize, u32, String, u64, u64, Vec<Order>, bool),
+    Command(usize, u32, String, u64, u64, Vec<WorkerCommand>, bool),
     Restart(usize),
     Thaw(usize, u32),
-    /// A node that was asked to end has nothing left to do.
+    /// A controller that was asked to end has nothing left to do.
     End(usize, u32, u64),
     /// A machine that hung goes on.
     GoesOn(String),
@@ -64,12 +64,12 @@
     Normal,
     /// Executed, but the answer is lost.
     AnswerLost,
-    /// Given up by the node, executed later.
+    /// Given up by the controller, executed later.
     Late(u64),
 }
 
-pub struct NodeSlot {
-    pub node: Option<Node>,
+pub struct ControllerSlot {
+    pub controller: Option<Controller>,
     pub life: u32,
     /// From this life on it has the new version; before, one that knows only format 1.
     new_from: u32,
@@ -78,12 +78,12 @@
     pub refused: bool,
     pub cut_from_workers: bool,
     pub cut_from_peers: bool,
-    /// What the node sends does not get through, to workers and siblings; what it gets does.
+    /// What the controller sends does not get through, to workers and peers; what it gets does.
     pub mute: bool,
     watching: Option<u64>,
     /// Until when its watch tells nothing.
     watch_lags_until: u64,
-    /// Until when it stands still, and what comes in meanwhile.
+    /// Until when it is paused, and what comes in meanwhile.
     frozen_until: u64,
     backlog: Vec<Event>,
     /// Commands and transactions that it has sent.
@@ -106,8 +106,8 @@
     pub type_name: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
-    pub tally: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
     pub token: u64,
     /// When it last told a higher token.
     token_said: Option<u64>,
@@ -116,16 +116,16 @@
     in_flight: Option<u64>,
     sent_at: u64,
     serial: u64,
-    pub node: usize,
+    pub controller: usize,
     pub alive: bool,
-    /// When a node last got a check-in of it, and which.
+    /// When a controller last got a heartbeat of it, and which.
     pub heard: (u64, usize),
     /// When it was last told to start something.
     pub told_start: u64,
     pub cut: bool,
     /// Its reports arrive; answers and commands to it are lost.
     pub deaf: bool,
-    /// Its reports reach no node; commands to it arrive, and so do their answers.
+    /// Its reports reach no controller; commands to it arrive, and so do their answers.
     pub mute: bool,
     /// Until when it hangs, and what comes to it meanwhile.
     hangs_until: u64,
@@ -153,7 +153,7 @@
     pub asked_cancel: bool,
 }
 
-/// Answers that were older than another which a node gave while they were on their way: asked before it,
+/// Answers that were older than another which a controller gave while they were on their way: asked before it,
 /// given after it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Overlaps {
@@ -162,7 +162,7 @@
     pub longest: u64,
 }
 
-/// Chances of mishaps per message, between 0 and 1.
+/// Chances of faults per message, between 0 and 1.
 #[derive(Default, Clone)]
 pub struct Mishaps {
     pub txn_answer_lost: f64,
@@ -172,7 +172,7 @@
     pub report_lost: f64,
     pub report_late: f64,
     pub report_twice: f64,
-    /// A copy is kept for the next node that begins: all nodes get it then.
+    /// A copy is kept for the next controller that begins: all controllers get it then.
     pub report_kept: f64,
     pub reply_lost: f64,
     pub cloud_lost: f64,
@@ -185,39 +185,39 @@
     pub rng: SmallRng,
     queue: BTreeMap<(u64, u64), Act>,
     sequence: u64,
-    pub nodes: Vec<NodeSlot>,
+    pub controllers: Vec<ControllerSlot>,
     pub settings: Settings,
-    /// The zones that have nodes, in turn; empty for all.
-    pub nodes_in: Vec<String>,
-    pub types: Vec<MachineType>,
+    /// The zones that have controllers, in turn; empty for all.
+    pub controllers_in: Vec<String>,
+    pub machine_types: Vec<MachineType>,
     // State service
     pub store: BTreeMap<Key, (Record, u64)>,
     log: Vec<(u64, Key, Option<Record>)>,
-    pub epoch: u64,
+    pub revision: u64,
     pub state_down: bool,
     pub conflicts: u32,
-    /// What the state service takes now, if not what the nodes keep to: bytes of a value and changes
+    /// What the state service takes now, if not what the controllers keep to: bytes of a value and changes
     /// of a transaction.
     pub limits: Option<(u64, usize)>,
-    /// What nodes of the old version keep to.
+    /// What controllers of the old version keep to.
     pub old_limits: (u64, usize),
     /// Transactions that were larger.
     pub refused: u32,
     /// Transactions, and changes in them, whether they took effect or not.
-    pub txns: u32,
+    pub transactions: u32,
     pub changes: u32,
     // Cloud
-    pub hires: HashMap<String, Vec<String>>,
+    pub instance_requests: HashMap<String, Vec<String>>,
     pub rented: u32,
     pub capacity: u32,
-    /// So many of the next machines rented never come up.
+    /// So many of the next machines provisioned never come up.
     pub stuck_boots: u32,
-    /// Milliseconds in which rented machines come up.
+    /// Milliseconds in which provisioned machines come up.
     pub boot_ms: std::ops::Range<u64>,
     /// Reads that proved a revision.
     pub proofs: u32,
     pub cloud_down: bool,
-    /// A zone that nothing gets into or out of, and the nodes inside; what is sent across waits for
+    /// A zone that nothing gets into or out of, and the controllers inside; what is sent across waits for
     /// the end of the cut.
     zone_cut: Option<(String, BTreeSet<usize>)>,
     held_back: Vec<Act>,
@@ -234,7 +234,7 @@
     pub job_ms: HashMap<String, u64>,
     /// Of classes whose tasks take another time.
     pub class_ms: BTreeMap<String, u64>,
-    /// By how many milliseconds each node's time of day is ahead.
+    /// By how many milliseconds each controller's time of day is ahead.
     pub clock_ahead: Vec<u64>,
     /// Machines that take three times as long.
     pub slow: BTreeSet<String>,
@@ -251,13 +251,13 @@
     pub starts: u32,
     /// For measurements: the rules are not checked, which takes longer than all else.
     pub unchecked: bool,
-    /// Events that nodes handled, and the time this took.
+    /// Events that controllers handled, and the time this took.
     pub events: u64,
     pub spent: std::time::Duration,
-    /// Of these, beats.
-    pub beats: u64,
+    /// Of these, heartbeats.
+    pub heartbeats: u64,
     pub spent_on_beats: std::time::Duration,
-    /// Bytes, about, of the last beat.
+    /// Bytes, about, of the last heartbeat.
     pub beat_bytes: usize,
     /// Replies with starts that workers never saw.
     pub lost_starts: u32,
@@ -276,19 +276,19 @@
     pub limited: Limited,
     /// What requests that overlapped were told.
     pub overlaps: Overlaps,
-    /// When each node was ended last.
+    /// When each controller was ended last.
     pub ended_at: Vec<u64>,
-    /// Milliseconds at most that a message between nodes and workers takes longer.
+    /// Milliseconds at most that a message between controllers and workers takes longer.
     pub slow_links_ms: u64,
     /// The lease of a machine that hangs ends in time; else it holds its tasks until it goes on, which is
     /// more than the protocol says of it, and nothing that is told may rest on the former.
     pub hung_leases_end: bool,
-    /// Users ask at all nodes within milliseconds whenever a job was accepted, cancelled or done.
+    /// Users ask at all controllers within milliseconds whenever a job was accepted, cancelled or done.
     pub close_looks: bool,
     /// Of jobs whose last task ends, those that are called off at that moment.
     pub cancelled_at_end: f64,
-    /// Copies of reports for the next node that begins.
-    kept_reports: Vec<Report>,
+    /// Copies of reports for the next controller that begins.
+    kept_reports: Vec<WorkerHeartbeat>,
     /// What operators have put on record.
     pub configured: operator::Configured,
     /// Hashes what controllers do, if wanted.
@@ -306,7 +306,7 @@
     }
 }
 
-pub fn settings(node: &str, count: usize) -> Settings {
+pub fn settings(controller: &str, count: usize) -> Settings {
     let mut teams = BTreeMap::new();
     for (name, max) in [("blue", 12_000), ("red", 0)] {
         teams.insert(
@@ -321,11 +321,11 @@
         );
     }
     Settings {
-        node: node.into(),
-        nodes: (0..count).map(|i| format!("node-{i}")).collect(),
+        controller: controller.into(),
+        controllers: (0..count).map(|i| format!("node-{i}")).collect(),
         zones: vec!["east".into(), "west".into()],
         zone: "east".into(),
-        node_zones: BTreeMap::new(),
+        controller_zones: BTreeMap::new(),
         policy: Policy {
             teams,
             goals: BTreeMap::from([("quick".to_string(), vec![60_000])]),
@@ -334,8 +334,8 @@
         report_ms: 1_500,
         lease_ms: 10_000,
         cancel_ms: 35_000,
-        value_bytes: 8 * 1024,
-        txn_ops: 16,
+        max_value_bytes: 8 * 1024,
+        max_transaction_changes: 16,
         write_rps: 50.0 / count as f64,
         next_write_rps: 35.0 / count as f64,
         clock_off_ms: 1_000,
@@ -352,41 +352,41 @@
         id: id.into(),
         class: "batch".into(),
         team: "red".into(),
-        shape: Shape::Array,
-        rank: Rank::Normal,
+        kind: JobKind::Array,
+        priority: JobPriority::Normal,
         tasks,
-        need: Room {
+        resources: Resources {
             cpus: 2_000,
             gpus: 0,
             ram: 1_000,
         },
         image: "img".into(),
         image_gb: 1.0,
-        types: None,
+        machine_types: None,
         zone: None,
-        together: false,
-        scatter: false,
+        zone_affinity: false,
+        topology_spread: false,
         spot: false,
         estimate_s: 5.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
 /// A job that awaits others.
-pub fn after(id: &str, tasks: u32, awaits: &[&str]) -> JobSpec {
+pub fn after(id: &str, tasks: u32, dependencies: &[&str]) -> JobSpec {
     JobSpec {
-        awaits: awaits.iter().map(|a| a.to_string()).collect(),
+        dependencies: dependencies.iter().map(|a| a.to_string()).collect(),
         ..job(id, tasks)
     }
 }
 
 pub fn service(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
-        shape: Shape::Service,
-        rank: Rank::Production,
+        kind: JobKind::Service,
+        priority: JobPriority::Production,
         ..job(id, tasks)
     }
 }
@@ -408,7 +408,7 @@
 fn kind(name: &str, cpus: u64) -> MachineType {
     MachineType {
         name: name.into(),
-        room: Room {
+        room: Resources {
             cpus: cpus * 1_000,
             gpus: 0,
             ram: cpus * 4_000,
@@ -422,48 +422,48 @@
     }
 }
 
-fn slot_cut(slot: &NodeSlot) -> bool {
+fn slot_cut(slot: &ControllerSlot) -> bool {
     slot.cut_from_workers || slot.mute
 }
 
-fn no_answer(machine: String, reach: Reach) -> Event {
-    Event::Commanded {
+fn no_answer(machine: String, reach: CommandOutcome) -> Event {
+    Event::CommandResult {
         machine,
         reach,
         report: None,
     }
 }
 
-/// What a node of the old version makes of records.
+/// What a controller of the old version makes of records.
 fn seen_by_old(event: Event) -> Event {
     match event {
-        Event::Watched { epoch, changes } => {
-            let seen = |(key, stamp, record): (Key, u64, Option<Record>)| match record {
-                Some(r) => Some((key.clone(), stamp, Some(old::record(&key, &r)?))),
-                None => Some((key, stamp, None)),
+        Event::WatchUpdate { revision, changes } => {
+            let seen = |(key, mod_revision, record): (Key, u64, Option<Record>)| match record {
+                Some(r) => Some((key.clone(), mod_revision, Some(old::record(&key, &r)?))),
+                None => Some((key, mod_revision, None)),
             };
             let changes = changes.into_iter().filter_map(seen).collect();
-            Event::Watched { epoch, changes }
+            Event::WatchUpdate { revision, changes }
         }
         Event::State {
             token,
             answer:
-                StateAnswer::Listed {
+                StateResponse::Listed {
                     items,
                     last,
                     more,
-                    epoch,
+                    revision,
                 },
         } => {
-            let seen = |(key, stamp, r): (Key, u64, Record)| {
+            let seen = |(key, mod_revision, r): (Key, u64, Record)| {
                 let record = old::record(&key, &r)?;
-                Some((key, stamp, record))
+                Some((key, mod_revision, record))
             };
-            let answer = StateAnswer::Listed {
+            let answer = StateResponse::Listed {
                 items: items.into_iter().filter_map(seen).collect(),
                 last,
                 more,
-                epoch,
+                revision,
             };
             Event::State { token, answer }
         }
@@ -471,47 +471,49 @@
     }
 }
 
-/// What a node of the old version sends: nothing of formats, and records in their old shape.
-fn sent_by_old(op: StateOp) -> Option<StateOp> {
-    let StateOp::Txn(mut txn) = op else {
+/// What a controller of the old version sends: nothing of formats, and records in their old shape.
+fn sent_by_old(op: StateOperation) -> Option<StateOperation> {
+    let StateOperation::Transaction(mut transaction) = op else {
         return Some(op);
     };
     let format = |(key, _): &(Key, Option<Record>)| matches!(key, Key::Format(_));
-    if txn.changes.iter().any(format) {
+    if transaction.changes.iter().any(format) {
         return None;
     }
-    txn.conditions.retain(|(key, _)| *key != Key::Settled);
-    txn.format = OLDEST;
-    for (key, record) in &mut txn.changes {
+    transaction
+        .conditions
+        .retain(|(key, _)| *key != Key::CancellationConfirmation);
+    transaction.format = OLDEST;
+    for (key, record) in &mut transaction.changes {
         if let Some(r) = record {
             *r = old::record(key, r).expect("what it writes is in its shape");
         }
     }
-    Some(StateOp::Txn(txn))
+    Some(StateOperation::Transaction(transaction))
 }
 
 impl World {
-    pub fn new(seed: u64, nodes: usize, machines: usize) -> World {
+    pub fn new(seed: u64, controllers: usize, machines: usize) -> World {
         let mut w = World {
             now: 0,
             rng: SmallRng::seed_from_u64(seed),
             queue: BTreeMap::new(),
             sequence: 0,
-            nodes: Vec::new(),
-            settings: settings("", nodes),
-            nodes_in: Vec::new(),
-            types: vec![kind("small", 4), kind("large", 8)],
+            controllers: Vec::new(),
+            settings: settings("", controllers),
+            controllers_in: Vec::new(),
+            machine_types: vec![kind("small", 4), kind("large", 8)],
             store: BTreeMap::new(),
             log: Vec::new(),
-            epoch: 0,
+            revision: 0,
             state_down: false,
             conflicts: 0,
             limits: None,
             old_limits: (8 * 1024, 16),
             refused: 0,
-            txns: 0,
+            transactions: 0,
             changes: 0,
-            hires: HashMap::new(),
+            instance_requests: HashMap::new(),
             rented: 0,
             capacity: 6,
             stuck_boots: 0,
@@ -529,7 +531,7 @@
             run_ms: 5_000,
             job_ms: HashMap::new(),
             class_ms: BTreeMap::new(),
-            clock_ahead: vec![0; nodes],
+            clock_ahead: vec![0; controllers],
             slow: BTreeSet::new(),
             progress: HashMap::new(),
             mistaken: BTreeSet::new(),
@@ -542,7 +544,7 @@
             unchecked: false,
             events: 0,
             spent: std::time::Duration::ZERO,
-            beats: 0,
+            heartbeats: 0,
             spent_on_beats: std::time::Duration::ZERO,
             beat_bytes: 0,
             lost_starts: 0,
@@ -554,7 +556,7 @@
             page: 40,
             lists: 0,
             limited: Limited::default(),
-            ended_at: vec![0; nodes],
+            ended_at: vec![0; controllers],
             slow_links_ms: 0,
             overlaps: Overlaps::default(),
             hung_leases_end: false,
@@ -564,9 +566,9 @@
             configured: operator::Configured::default(),
             digest: None,
         };
-        for i in 0..nodes {
-            w.nodes.push(NodeSlot {
-                node: None,
+        for i in 0..controllers {
+            w.controllers.push(ControllerSlot {
+                controller: None,
                 life: 0,
                 new_from: 0,
                 cut_from_state: false,
@@ -594,16 +596,19 @@
         w
     }
 
-    /// One whose nodes all have the old version, on limits that will fall after an upgrade.
-    pub fn old(seed: u64, nodes: usize, machines: usize) -> World {
-        let mut w = World::new(seed, nodes, machines);
-        for slot in &mut w.nodes {
+    /// One whose controllers all have the old version, on limits that will fall after an upgrade.
+    pub fn old(seed: u64, controllers: usize, machines: usize) -> World {
+        let mut w = World::new(seed, controllers, machines);
+        for slot in &mut w.controllers {
             slot.new_from = u32::MAX;
         }
         // Cancellations that the old version tells at their commit rest on leases.
         w.hung_leases_end = true;
         w.limits = Some(w.old_limits);
-        (w.settings.value_bytes, w.settings.txn_ops) = (2 * 1024, 5);
+        (
+            w.settings.max_value_bytes,
+            w.settings.max_transaction_changes,
+        ) = (2 * 1024, 5);
         w
     }
 
@@ -617,27 +622,27 @@
     }
 
     fn change(&mut self, key: Key, record: Option<Record>) {
-        self.epoch += 1;
+        self.revision += 1;
         match &record {
-            Some(r) => self.store.insert(key.clone(), (r.clone(), self.epoch)),
+            Some(r) => self.store.insert(key.clone(), (r.clone(), self.revision)),
             None => self.store.remove(&key),
         };
-        self.log.push((self.epoch, key, record));
-        for n in 0..self.nodes.len() {
-            let life = self.nodes[n].life;
+        self.log.push((self.revision, key, record));
+        for n in 0..self.controllers.len() {
+            let life = self.controllers[n].life;
             self.at(3, Act::Watch(n, life));
         }
     }
 
-    /// Whether a node has the old version in that life.
+    /// Whether a controller has the old version in that life.
     fn is_old(&self, n: usize, life: u32) -> bool {
-        life < self.nodes[n].new_from
+        life < self.controllers[n].new_from
     }
 
-    /// Ends a node, which comes back with the new version.
+    /// Ends a controller, which comes back with the new version.
     pub fn upgrade(&mut self, n: usize, back_after: u64) {
         self.crash(n, back_after);
-        self.nodes[n].new_from = self.nodes[n].life.min(self.nodes[n].new_from);
+        self.controllers[n].new_from = self.controllers[n].life.min(self.controllers[n].new_from);
     }
 
     /// The limits of the state service fall to those announced.
@@ -657,7 +662,7 @@
     pub fn boot_machine(&mut self, type_name: &str, zone: &str, spot: bool, delay: u64) -> String {
         let name = format!("n-{:06}", self.rented);
         self.rented += 1;
-        let node = self.rng.gen_range(0..self.settings.nodes.len());
+        let controller = self.rng.gen_range(0..self.settings.controllers.len());
         self.workers.insert(
             name.clone(),
             Worker {
@@ -665,8 +670,8 @@
                 type_name: type_name.into(),
                 zone: zone.into(),
                 spot,
-                session: 1,
-                tally: 0,
+                incarnation: 1,
+                sequence: 0,
                 token: 0,
                 token_said: None,
                 lease_from: self.now + delay,
@@ -674,7 +679,7 @@
                 in_flight: None,
                 sent_at: 0,
                 serial: 0,
-                node,
+                controller,
                 alive: false,
                 heard: (0, 0),
                 told_start: 0,
@@ -692,8 +697,8 @@
     }
 
     pub fn crash(&mut self, n: usize, back_after: u64) {
-        let slot = &mut self.nodes[n];
-        slot.node = None;
+        let slot = &mut self.controllers[n];
+        slot.controller = None;
         slot.life += 1;
         slot.watching = None;
         slot.frozen_until = 0;
@@ -701,57 +706,64 @@
         self.ended_at[n] = self.now;
         self.at(back_after, Act::Restart(n));
         // Its connections end with it.
-        let cut = slot_cut(&self.nodes[n]);
+        let cut = slot_cut(&self.controllers[n]);
         let waiting: Vec<_> = (self.workers.values())
-            .filter(|w| w.node == n && !w.cut && !cut && self.reaches(n, &w.name))
+            .filter(|w| w.controller == n && !w.cut && !cut && self.reaches(n, &w.name))
             .filter_map(|w| Some((w.name.clone(), w.in_flight?)))
             .collect();
         for (name, serial) in waiting {
             let delay = self.rng.gen_range(1..4);
             self.at(delay, Act::GaveUp(name, serial));
         }
-        for m in (0..self.nodes.len()).filter(|m| *m != n) {
+        for m in (0..self.controllers.len()).filter(|m| *m != n) {
             if self.linked(n, m) {
-                let life = self.nodes[m].life;
-                let node = self.settings.nodes[n].clone();
+                let life = self.controllers[m].life;
+                let controller = self.settings.controllers[n].clone();
                 let delay = self.rng.gen_range(1..4);
-                self.at(delay, Act::Node(m, life, Event::LinkEnded { node }));
+                self.at(
+                    delay,
+                    Act::Controller(m, life, Event::LinkEnded { controller }),
+                );
             }
         }
     }
 
-    /// Asks a node to end in good order; it is back so long after it has.
+    /// Asks a controller to end in good order; it is back so long after it has.
     pub fn leave(&mut self, n: usize, back_after: u64) {
-        self.nodes[n].back_after = back_after;
-        let life = self.nodes[n].life;
-        self.at(1, Act::Node(n, life, Event::Leave));
+        self.controllers[n].back_after = back_after;
+        let life = self.controllers[n].life;
+        self.at(1, Act::Controller(n, life, Event::Shutdown));
     }
 
-    /// Lets a beat arrive at a node, whoever made it.
-    pub fn beat_to(&mut self, n: usize, beat: Heartbeat) {
-        let life = self.nodes[n].life;
-        self.at(1, Act::Node(n, life, Event::Heartbeat(beat)));
+    /// Lets a heartbeat arrive at a controller, whoever made it.
+    pub fn beat_to(&mut self, n: usize, heartbeat: PeerHeartbeat) {
+        let life = self.controllers[n].life;
+        self.at(1, Act::Controller(n, life, Event::PeerHeartbeat(heartbeat)));
     }
 
-    /// Whether what a node sends to a sibling gets there.
+    /// Whether what a controller sends to a peer gets there.
     fn linked(&self, n: usize, m: usize) -> bool {
-        let cut = |n: usize| self.nodes[n].cut_from_peers;
-        m != n && !cut(n) && !cut(m) && !self.nodes[n].mute && self.inside(n) == self.inside(m)
+        let cut = |n: usize| self.controllers[n].cut_from_peers;
+        m != n
+            && !cut(n)
+            && !cut(m)
+            && !self.controllers[n].mute
+            && self.inside(n) == self.inside(m)
     }
 
-    /// The node stands still, its clocks running on; what comes in waits for it.
+    /// The controller is paused, its clocks running on; what comes in waits for it.
     pub fn freeze(&mut self, n: usize, ms: u64) {
-        let slot = &mut self.nodes[n];
+        let slot = &mut self.controllers[n];
         slot.frozen_until = slot.frozen_until.max(self.now + ms);
         let life = slot.life;
         self.at(ms, Act::Thaw(n, life));
     }
 
     pub fn frozen(&self, n: usize) -> bool {
-        self.now < self.nodes[n].frozen_until
+        self.now < self.controllers[n].frozen_until
     }
 
-    /// Cuts a zone off with these nodes inside.
+    /// Cuts a zone off with these controllers inside.
     pub fn cut_zone(&mut self, zone: &str, inside: &[usize]) {
         self.zone_cut = Some((zone.into(), inside.iter().copied().collect()));
     }
@@ -765,24 +777,24 @@
         }
     }
 
-    /// Where a node stands: in the zones in turn, unless said otherwise.
-    pub fn zone_of_node(&self, n: usize) -> String {
-        let zones = match self.nodes_in.is_empty() {
+    /// Where a controller stands: in the zones in turn, unless said otherwise.
+    pub fn zone_of_controller(&self, n: usize) -> String {
+        let zones = match self.controllers_in.is_empty() {
             true => &self.settings.zones,
-            false => &self.nodes_in,
+            false => &self.controllers_in,
         };
         zones[n % zones.len()].clone()
     }
 
-    /// Whether a node is cut off, with its zone, from all that belongs to the region.
+    /// Whether a controller is cut off, with its zone, from all that belongs to the region.
     fn inside(&self, n: usize) -> bool {
         let cut = self.zone_cut.as_ref();
         cut.is_some_and(|(_, inside)| inside.contains(&n))
     }
 
-    /// Whether users do not reach a node.
+    /// Whether users do not reach a controller.
     pub fn unreachable(&self, n: usize) -> bool {
-        self.inside(n) || self.nodes[n].mute
+        self.inside(n) || self.controllers[n].mute
     }
 
     fn reaches(&self, n: usize, machine: &str) -> bool {
@@ -797,7 +809,7 @@
     pub fn heal(&mut self) {
         self.join_zone();
         (self.state_down, self.cloud_down) = (false, false);
-        for slot in &mut self.nodes {
+        for slot in &mut self.controllers {
             slot.cut_from_state = false;
             slot.refused = false;
             slot.cut_from_workers = false;
@@ -809,11 +821,11 @@
         }
     }
 
-    /// A machine's process ends, with all its tasks, and is back so long after, as a newer session.
+    /// A machine's process ends, with all its tasks, and is back so long after, as a newer incarnation.
     pub fn restart_machine(&mut self, name: &str, back_after: u64) {
         self.all_off(name);
         if let Some(w) = self.workers.get_mut(name) {
-            w.session += 1;
+            w.incarnation += 1;
             w.tasks.clear();
             w.in_flight = None;
             w.lease_from = self.now + back_after;
@@ -835,9 +847,9 @@
         let request = self.next_request;
         self.next_request += 1;
         self.asked.insert(request, (n, id.to_string(), self.now));
-        let life = self.nodes[n].life;
+        let life = self.controllers[n].life;
         if !self.inside(n) {
-            self.at(2, Act::Node(n, life, event(request)));
+            self.at(2, Act::Controller(n, life, event(request)));
         }
         request
     }
@@ -878,9 +890,9 @@
         let mut found = BTreeSet::new();
         let mut next = vec![id.to_string()];
         while let Some(id) = next.pop() {
-            for awaited in self.specs.get(&id).iter().flat_map(|s| &s.awaits) {
-                if found.insert(awaited.clone()) {
-                    next.push(awaited.clone());
+            for dependency in self.specs.get(&id).iter().flat_map(|s| &s.dependencies) {
+                if found.insert(dependency.clone()) {
+                    next.push(dependency.clone());
                 }
             }
         }
@@ -901,7 +913,7 @@
         let before = (told.accepted, told.cancelled_at.is_some(), told.done);
         match &reply {
             UserReply::Accepted { .. } => {}
-            UserReply::State { state, .. } | UserReply::Cancelled { state, .. } => {
+            UserReply::Status { state, .. } | UserReply::Cancelled { state, .. } => {
                 assert!(self.specs.contains_key(&id), "invented: {id}");
                 if *state == JobState::Done {
                     assert!(all_done, "not_done: {id} called done");
@@ -930,17 +942,17 @@
                     assert!(!orphaned, "orphaned: {id} is called {state:?}");
                 }
             }
-            UserReply::NotFound | UserReply::Never(_) => {
+            UserReply::NotFound | UserReply::Rejected(_) => {
                 if let Some(at) = told.accepted_at {
                     let why = format!("forgotten: {id}: {reply:?}");
                     self.overlaps.older(asked_at, at, now, &why);
                 }
             }
-            UserReply::Later { .. } => {}
+            UserReply::RetryAfter { .. } => {}
         }
         let known = matches!(
             reply,
-            UserReply::Accepted { .. } | UserReply::State { .. } | UserReply::Cancelled { .. }
+            UserReply::Accepted { .. } | UserReply::Status { .. } | UserReply::Cancelled { .. }
         );
         if known {
             told.accepted = true;
@@ -961,13 +973,13 @@
         if let Some(other) = self.rules.place(task) {
             assert_eq!(other, machine, "ran_twice: {task} on {machine} and {other}");
         }
-        for awaited in &spec.awaits {
-            let tasks = self.specs.get(awaited).map_or(0, |s| s.tasks);
+        for dependency in &spec.dependencies {
+            let tasks = self.specs.get(dependency).map_or(0, |s| s.tasks);
             let done = (0..tasks).all(|index| {
-                let job = awaited.clone();
+                let job = dependency.clone();
                 self.done_tasks.contains(&TaskId { job, index })
             });
-            assert!(tasks > 0 && done, "too_early: {task} before {awaited}");
+            assert!(tasks > 0 && done, "too_early: {task} before {dependency}");
         }
         assert!(
             spec.allows(&w.type_name, &w.zone, w.spot),
@@ -980,14 +992,14 @@
                 .filter(|(_, m)| self.workers[*m].zone == zone)
                 .count() as u32
         };
-        if spec.scatter {
+        if spec.topology_spread {
             assert!(
                 in_zone(&w.zone) < spec.tasks.div_ceil(2),
                 "wrong_place: {task} crowds {}",
                 w.zone
             );
         }
-        if spec.together {
+        if spec.zone_affinity {
             for zone in &self.settings.zones {
                 assert!(
                     *zone == w.zone || in_zone(zone) == 0,
@@ -1039,7 +1051,7 @@
                 c.first + c.tasks.len() as u32 <= j.tasks,
                 "{id}: too many tasks"
             );
-            for (index, b) in c.booked() {
+            for (index, b) in c.assigned() {
                 assert!(
                     self.store.contains_key(&Key::Machine(b.machine.clone())),
                     "{id}/{index} is booked on {}, which is not on record",
@@ -1047,10 +1059,18 @@
                 );
             }
         }
-        for slot in self.nodes.iter().filter_map(|s| s.node.as_ref()) {
-            if slot.cache.epoch == self.epoch && slot.state_ok() {
-                for (key, (_, stamp)) in &self.store {
-                    assert_eq!(slot.cache.stamp(key), *stamp, "copy of {key:?}");
+        for slot in self
+            .controllers
+            .iter()
+            .filter_map(|s| s.controller.as_ref())
+        {
+            if slot.cache.revision == self.revision && slot.has_current_state() {
+                for (key, (_, mod_revision)) in &self.store {
+                    assert_eq!(
+                        slot.cache.mod_revision(key),
+                        *mod_revision,
+                        "copy of {key:?}"
+                    );
                 }
                 assert_eq!(
                     slot.cache.len(),
@@ -1058,22 +1078,23 @@
                     "what is gone is not in a copy"
                 );
             }
-            for (team, used) in &self.booked_cpus() {
-                if slot.cache.epoch == self.epoch {
+            for (team, used) in &self.assigned_cpus() {
+                if slot.cache.revision == self.revision {
                     assert_eq!(slot.cache.usage(team).cpus, *used, "usage of {team}");
                 }
             }
         }
     }
 
-    fn booked_cpus(&self) -> BTreeMap<String, u64> {
+    fn assigned_cpus(&self) -> BTreeMap<String, u64> {
         let mut used: BTreeMap<String, u64> = BTreeMap::new();
         for team in self.settings.policy.teams.keys() {
             used.insert(team.clone(), 0);
         }
         for (record, _) in self.store.values() {
             if let Record::Chunk(c) = record {
-                *used.entry(c.team.clone()).or_default() += c.booked().count() as u64 * c.need.cpus;
+                *used.entry(c.team.clone()).or_default() +=
+                    c.assigned().count() as u64 * c.resources.cpus;
             }
         }
         used
@@ -1121,43 +1142,43 @@
             .map(|w| w.name.clone())
     }
 
-    pub fn job_phase(&self, id: &str) -> Option<Phase> {
+    pub fn job_phase(&self, id: &str) -> Option<JobPhase> {
         match self.store.get(&Key::Job(id.into())) {
             Some((Record::Job(j), _)) => Some(j.phase),
             _ => None,
         }
     }
 
-    fn node(&mut self, n: usize, event: Event) {
+    fn controller(&mut self, n: usize, event: Event) {
         let (now, wall) = (self.now, WALL0 + self.now + self.clock_ahead[n]);
         if self.frozen(n) {
-            self.nodes[n].backlog.push(event);
+            self.controllers[n].backlog.push(event);
             return;
         }
-        let slot = &mut self.nodes[n];
+        let slot = &mut self.controllers[n];
         let (life, old) = (slot.life, slot.life < slot.new_from);
-        let Some(node) = slot.node.as_mut() else {
+        let Some(controller) = slot.controller.as_mut() else {
             return;
         };
         let event = match old {
             true => seen_by_old(event),
             false => event,
         };
-        let beat = matches!(event, Event::Heartbeat(_));
+        let heartbeat = matches!(event, Event::PeerHeartbeat(_));
         let begun = std::time::Instant::now();
-        let effects = node.handle(now, wall, event);
+        let effects = controller.handle(now, wall, event);
         let took = begun.elapsed();
         self.spent += took;
-        if beat {
-            self.beats += 1;
+        if heartbeat {
+            self.heartbeats += 1;
             self.spent_on_beats += took;
         }
         self.events += 1;
-        if slot.first_ready.is_none() && node.ready() {
+        if slot.first_ready.is_none() && controller.ready() {
             slot.first_ready = Some(now);
         }
         if let Some(digest) = &mut self.digest {
-            let ready = node.ready();
+            let ready = controller.ready();
             for effect in &effects {
                 digest.add(n, now, effect, ready);
             }
@@ -1166,61 +1187,62 @@
             match effect {
                 Effect::User { request, reply } => {
                     if matches!(reply, UserReply::Accepted { .. }) {
-                        self.nodes[n].first_accepted.get_or_insert(now);
+                        self.controllers[n].first_accepted.get_or_insert(now);
                     }
                     self.user_told(request, reply);
                 }
                 Effect::Worker { request, reply } => {
                     let key = (n, life, request);
-                    if let Some((w, session, serial)) = self.checkins.remove(&key) {
+                    if let Some((w, incarnation, serial)) = self.checkins.remove(&key) {
                         let lost = self.mishaps.reply_lost;
-                        let slot = &self.nodes[n];
+                        let slot = &self.controllers[n];
                         let deaf = self.workers.get(&w).is_some_and(|w| w.deaf);
                         let cut =
                             slot.cut_from_workers || slot.mute || deaf || !self.reaches(n, &w);
                         if cut || self.chance(lost) {
-                            if matches!(&reply, WorkerReply::Orders { orders, .. }
-                                if orders.iter().any(|o| matches!(o, Order::Start { .. })))
+                            if matches!(&reply, WorkerReply::Commands { commands, .. }
+                                if commands.iter().any(|o| matches!(o, WorkerCommand::Start { .. })))
                             {
                                 self.lost_starts += 1;
                             }
                             continue;
                         }
                         let delay = self.rng.gen_range(1..6) + self.link_ms();
-                        self.at(delay, Act::Reply(w, session, serial, reply));
+                        self.at(delay, Act::Reply(w, incarnation, serial, reply));
                     }
                 }
                 Effect::State { token, op, .. } => {
                     let Some(op) = (if old { sent_by_old(op) } else { Some(op) }) else {
-                        let answer = StateAnswer::Unavailable;
-                        self.at(5, Act::Node(n, life, Event::State { token, answer }));
+                        let answer = StateResponse::Unavailable;
+                        self.at(5, Act::Controller(n, life, Event::State { token, answer }));
                         continue;
                     };
-                    if self.nodes[n].refused {
-                        let answer = StateAnswer::Unavailable;
-                        self.at(5, Act::Node(n, life, Event::State { token, answer }));
+                    if self.controllers[n].refused {
+                        let answer = StateResponse::Unavailable;
+                        self.at(5, Act::Controller(n, life, Event::State { token, answer }));
                         continue;
                     }
-                    self.nodes[n].sent += u32::from(matches!(op, StateOp::Txn(_)));
-                    let txn = matches!(op, StateOp::Txn(_));
-                    if self.nodes[n].cut_from_state || self.inside(n) {
-                        if self.inside(n) && txn {
+                    self.controllers[n].sent +=
+                        u32::from(matches!(op, StateOperation::Transaction(_)));
+                    let transaction = matches!(op, StateOperation::Transaction(_));
+                    if self.controllers[n].cut_from_state || self.inside(n) {
+                        if self.inside(n) && transaction {
                             let late = Act::State(n, life, token, op, Fate::Late(0));
                             self.held_back.push(late);
                         }
-                        if txn {
-                            let event = Event::Unanswered { token };
-                            self.at(UNANSWERED_LEAST_MS, Act::Node(n, life, event));
+                        if transaction {
+                            let event = Event::StateTimeout { token };
+                            self.at(STATE_TIMEOUT_MS, Act::Controller(n, life, event));
                         }
                         let event = Event::State {
                             token,
-                            answer: StateAnswer::NoAnswer,
+                            answer: StateResponse::NoAnswer,
                         };
-                        self.at(1_200, Act::Node(n, life, event));
+                        self.at(1_200, Act::Controller(n, life, event));
                         continue;
                     }
                     let mut fate = Fate::Normal;
-                    if txn {
+                    if transaction {
                         let (lost, late) = (self.mishaps.txn_answer_lost, self.mishaps.txn_late);
                         if self.chance(lost) {
                             fate = Fate::AnswerLost;
@@ -1234,43 +1256,56 @@
                     let lost = self.mishaps.cloud_lost;
                     let lost = self.chance(lost);
                     if self.inside(n) {
-                        let answer = CloudAnswer::Failed;
-                        self.at(1_500, Act::Node(n, life, Event::Cloud { token, answer }));
+                        let answer = CloudResponse::Failed;
+                        self.at(
+                            1_500,
+                            Act::Controller(n, life, Event::Cloud { token, answer }),
+                        );
                         continue;
                     }
                     let delay = self.rng.gen_range(30..200);
                     self.at(delay, Act::Cloud(n, life, token, op, lost));
                 }
                 Effect::Watch { since } => {
-                    self.nodes[n].watching = Some(since);
+                    self.controllers[n].watching = Some(since);
                     self.at(3, Act::Watch(n, life));
                 }
                 Effect::Command {
                     machine,
-                    session,
+                    incarnation,
                     token,
-                    orders,
+                    commands,
                     ..
                 } => {
                     let (lost, late) = (self.mishaps.command_lost, self.mishaps.command_late);
-                    let slot = &mut self.nodes[n];
-                    slot.sent += u32::from(!orders.is_empty());
-                    if orders.iter().any(|o| matches!(o, Order::Start { .. })) {
+                    let slot = &mut self.controllers[n];
+                    slot.sent += u32::from(!commands.is_empty());
+                    if commands
+                        .iter()
+                        .any(|o| matches!(o, WorkerCommand::Start { .. }))
+                    {
                         slot.first_start.get_or_insert(now);
                     }
                     if !self.reaches(n, &machine) {
-                        let act =
-                            Act::Command(n, life, machine.clone(), session, token, orders, true);
+                        let act = Act::Command(
+                            n,
+                            life,
+                            machine.clone(),
+                            incarnation,
+                            token,
+                            commands,
+                            true,
+                        );
                         self.held_back.push(act);
-                        let event = no_answer(machine, Reach::Silent);
-                        self.at(1_200, Act::Node(n, life, event));
+                        let event = no_answer(machine, CommandOutcome::NoAnswer);
+                        self.at(1_200, Act::Controller(n, life, event));
                         continue;
                     }
-                    let slot = &self.nodes[n];
+                    let slot = &self.controllers[n];
                     let deaf = self.workers.get(&machine).is_some_and(|w| w.deaf);
                     if slot.cut_from_workers || slot.mute || deaf || self.chance(lost) {
-                        let event = no_answer(machine, Reach::Silent);
-                        self.at(2_000, Act::Node(n, life, event));
+                        let event = no_answer(machine, CommandOutcome::NoAnswer);
+                        self.at(2_000, Act::Controller(n, life, event));
                         continue;
                     }
                     let is_late = self.chance(late);
@@ -1279,22 +1314,25 @@
                         false => self.rng.gen_range(1..5) + self.link_ms(),
                     };
                     if is_late {
-                        let event = no_answer(machine.clone(), Reach::Silent);
-                        self.at(2_000, Act::Node(n, life, event));
+                        let event = no_answer(machine.clone(), CommandOutcome::NoAnswer);
+                        self.at(2_000, Act::Controller(n, life, event));
                     }
-                    let act = Act::Command(n, life, machine, session, token, orders, is_late);
+                    let act = Act::Command(n, life, machine, incarnation, token, commands, is_late);
                     self.at(delay, act);
                 }
-                Effect::End => {
-                    let back_after = self.nodes[n].back_after;
+                Effect::Exit => {
+                    let back_after = self.controllers[n].back_after;
                     self.at(2, Act::End(n, life, back_after));
                 }
-                Effect::Heartbeat(beat) => {
-                    self.beat_bytes = beat.heard.iter().map(|h| h.0.len() + 12).sum();
-                    for m in 0..self.nodes.len() {
+                Effect::PeerHeartbeat(heartbeat) => {
+                    self.beat_bytes = heartbeat.heard.iter().map(|h| h.0.len() + 12).sum();
+                    for m in 0..self.controllers.len() {
                         if self.linked(n, m) {
-                            let life = self.nodes[m].life;
-                            self.at(3, Act::Node(m, life, Event::Heartbeat(beat.clone())));
+                            let life = self.controllers[m].life;
+                            self.at(
+                                3,
+                                Act::Controller(m, life, Event::PeerHeartbeat(heartbeat.clone())),
+                            );
                         }
                     }
                 }
@@ -1302,121 +1340,150 @@
         }
     }
 
-    pub fn state_request(&mut self, n: usize, life: u32, token: Token, op: StateOp, fate: Fate) {
+    pub fn state_request(
+        &mut self,
+        n: usize,
+        life: u32,
+        token: OperationId,
+        op: StateOperation,
+        fate: Fate,
+    ) {
         let delay = match fate {
             Fate::Late(ms) => ms,
             _ => self.rng.gen_range(2..10),
         };
         if fate != Fate::Normal {
             self.at(
-                UNANSWERED_LEAST_MS,
-                Act::Node(n, life, Event::Unanswered { token }),
+                STATE_TIMEOUT_MS,
+                Act::Controller(n, life, Event::StateTimeout { token }),
             );
             let event = Event::State {
                 token,
-                answer: StateAnswer::NoAnswer,
+                answer: StateResponse::NoAnswer,
             };
-            self.at(1_200, Act::Node(n, life, event));
+            self.at(1_200, Act::Controller(n, life, event));
         }
         self.at(delay, Act::State(n, life, token, op, fate));
     }
 
-    fn execute(&mut self, op: StateOp, old: bool) -> StateAnswer {
+    fn execute(&mut self, op: StateOperation, old: bool) -> StateResponse {
         match op {
-            StateOp::Proof => {
+            StateOperation::ReadIndex => {
                 self.proofs += 1;
-                StateAnswer::Proof { epoch: self.epoch }
+                StateResponse::ReadIndex {
+                    revision: self.revision,
+                }
             }
-            StateOp::List { after } => {
+            StateOperation::List { after } => {
                 self.lists += 1;
-                if self.listing.0 != self.epoch {
+                if self.listing.0 != self.revision {
                     let mut keys: Vec<_> =
                         self.store.keys().map(|k| (k.path(), k.clone())).collect();
                     keys.sort();
-                    self.listing = (self.epoch, keys);
+                    self.listing = (self.revision, keys);
                 }
                 let keys = &self.listing.1;
                 let from = keys.partition_point(|(path, _)| Some(path) <= after.as_ref());
                 let page = &keys[from..keys.len().min(from + self.page)];
                 let items = page.iter().map(|(_, k)| {
-                    let (r, stamp) = &self.store[k];
-                    (k.clone(), *stamp, r.clone())
+                    let (r, mod_revision) = &self.store[k];
+                    (k.clone(), *mod_revision, r.clone())
                 });
-                StateAnswer::Listed {
+                StateResponse::Listed {
                     items: items.collect(),
                     last: page.last().map(|(path, _)| path.clone()),
                     more: from + page.len() < keys.len(),
-                    epoch: self.epoch,
+                    revision: self.revision,
                 }
             }
-            StateOp::Txn(txn) => {
-                self.txns += 1;
-                self.changes += txn.changes.len() as u32;
-                let (value_bytes, txn_ops) = match old {
+            StateOperation::Transaction(transaction) => {
+                self.transactions += 1;
+                self.changes += transaction.changes.len() as u32;
+                let (max_value_bytes, max_transaction_changes) = match old {
                     true => self.old_limits,
-                    false => (self.settings.value_bytes, self.settings.txn_ops),
+                    false => (
+                        self.settings.max_value_bytes,
+                        self.settings.max_transaction_changes,
+                    ),
                 };
-                assert!(txn.changes.len() <= txn_ops, "too many changes");
-                assert!(txn.conditions.len() <= txn_ops * 4, "too many conditions");
-                let all_new = !(0..self.nodes.len()).any(|n| self.is_old(n, self.nodes[n].life));
-                let (most, most_ops) = self.limits.unwrap_or((value_bytes, txn_ops));
-                let mut refused = txn.changes.len() > most_ops;
-                for (key, record) in &txn.changes {
+                assert!(
+                    transaction.changes.len() <= max_transaction_changes,
+                    "too many changes"
+                );
+                assert!(
+                    transaction.conditions.len() <= max_transaction_changes * 4,
+                    "too many conditions"
+                );
+                let all_new =
+                    !(0..self.controllers.len()).any(|n| self.is_old(n, self.controllers[n].life));
+                let (most, most_ops) = self
+                    .limits
+                    .unwrap_or((max_value_bytes, max_transaction_changes));
+                let mut refused = transaction.changes.len() > most_ops;
+                for (key, record) in &transaction.changes {
                     let Some(record) = record else { continue };
-                    let value = record.value(txn.format);
+                    let value = record.value(transaction.format);
                     let size = value.to_string().len() as u64;
                     let before = self
                         .store
                         .get(key)
                         .map_or(0, |(r, _)| r.value(OLDEST).to_string().len() as u64);
                     // A chunk of the old version's may be written as large as it is.
-                    let shrinks = txn.format == OLDEST && size <= before;
+                    let shrinks = transaction.format == OLDEST && size <= before;
                     assert!(
-                        size <= value_bytes || shrinks,
+                        size <= max_value_bytes || shrinks,
                         "{key:?} has {size} bytes, had {before}"
                     );
                     refused |= size > most;
                     let plain = old::value(key, value.clone()) == Some(value);
-                    let kept = plain || matches!(key, Key::Format(_) | Key::Settled | Key::Runs(_));
+                    let kept = plain
+                        || matches!(
+                            key,
+                            Key::Format(_) | Key::CancellationConfirmation | Key::RunTimes(_)
+                        );
                     assert!(all_new || kept, "{key:?} is not in the old shape");
                 }
                 if refused {
                     self.refused += 1;
-                    return StateAnswer::Refused;
+                    return StateResponse::Refused;
                 }
-                let holds = txn
-                    .conditions
-                    .iter()
-                    .all(|(k, stamp)| self.store.get(k).map_or(0, |(_, stamp)| *stamp) == *stamp);
+                let holds = transaction.conditions.iter().all(|(k, mod_revision)| {
+                    self.store
+                        .get(k)
+                        .map_or(0, |(_, mod_revision)| *mod_revision)
+                        == *mod_revision
+                });
                 if !holds {
                     self.conflicts += 1;
-                    return StateAnswer::Conflict { epoch: self.epoch };
+                    return StateResponse::Conflict {
+                        revision: self.revision,
+                    };
                 }
-                self.check_claims(&txn);
-                self.epoch += 1;
-                let epoch = self.epoch;
-                for (key, record) in txn.changes {
+                self.check_claims(&transaction);
+                self.revision += 1;
+                let revision = self.revision;
+                for (key, record) in transaction.changes {
                     // Through JSON, as on the wire.
                     if let Some(r) = &record {
-                        let back = Record::read(&key, r.value(txn.format));
+                        let back = Record::read(&key, r.value(transaction.format));
                         assert_eq!(back.as_ref(), Some(r), "a record reads back");
                     }
                     match &record {
                         Some(r) => {
-                            self.store.insert(key.clone(), (r.clone(), epoch));
+                            self.store.insert(key.clone(), (r.clone(), revision));
                         }
                         None => {
                             self.store.remove(&key);
                         }
                     }
-                    self.log.push((epoch, key, record));
+                    self.log.push((revision, key, record));
                 }
-                for n in 0..self.nodes.len() {
-                    let life = self.nodes[n].life;
+                for n in 0..self.controllers.len() {
+                    let life = self.controllers[n].life;
                     let delay = self.rng.gen_range(2..8);
                     self.at(delay, Act::Watch(n, life));
                 }
-                StateAnswer::Committed { epoch }
+                StateResponse::Committed { revision }
             }
         }
     }
@@ -1431,78 +1498,83 @@
             Act::Restart(n) => {
                 self.send_kept_reports();
                 let mut settings = self.settings.clone();
-                settings.node = self.settings.nodes[n].clone();
-                settings.zone = self.zone_of_node(n);
-                let zone = |n: usize| (self.settings.nodes[n].clone(), self.zone_of_node(n));
-                settings.node_zones = (0..self.nodes.len()).map(zone).collect();
-                if self.is_old(n, self.nodes[n].life) {
-                    (settings.value_bytes, settings.txn_ops) = self.old_limits;
+                settings.controller = self.settings.controllers[n].clone();
+                settings.zone = self.zone_of_controller(n);
+                let zone = |n: usize| {
+                    (
+                        self.settings.controllers[n].clone(),
+                        self.zone_of_controller(n),
+                    )
+                };
+                settings.controller_zones = (0..self.controllers.len()).map(zone).collect();
+                if self.is_old(n, self.controllers[n].life) {
+                    (settings.max_value_bytes, settings.max_transaction_changes) = self.old_limits;
                     settings.learned = LearnedUse::default();
                 }
                 let seed = self.rng.gen();
-                let node = Node::new(
+                let controller = Controller::new(
                     settings,
                     seed,
                     self.now,
                     WALL0 + self.now + self.clock_ahead[n],
                 );
-                let slot = &mut self.nodes[n];
-                slot.node = Some(node);
+                let slot = &mut self.controllers[n];
+                slot.controller = Some(controller);
                 slot.began = self.now;
                 (slot.first_ready, slot.first_accepted, slot.first_start) = (None, None, None);
                 let life = slot.life;
                 self.at(1, Act::Tick(n, life));
             }
             Act::Tick(n, life) => {
-                if self.nodes[n].life == life && self.nodes[n].node.is_some() {
-                    // A clock that stood still ticks once for all it missed.
+                if self.controllers[n].life == life && self.controllers[n].controller.is_some() {
+                    // A clock that was paused ticks once for all it missed.
                     if !self.frozen(n) {
-                        self.node(n, Event::Tick);
+                        self.controller(n, Event::Tick);
                     }
                     self.at(50, Act::Tick(n, life));
                 }
             }
             Act::End(n, life, back_after) => {
-                if self.nodes[n].life == life {
+                if self.controllers[n].life == life {
                     self.crash(n, back_after);
                 }
             }
             Act::Thaw(n, life) => {
-                if self.nodes[n].life == life && !self.frozen(n) {
+                if self.controllers[n].life == life && !self.frozen(n) {
                     // Each of its connections is read in order, but any of them first.
-                    let mut backlog = std::mem::take(&mut self.nodes[n].backlog);
+                    let mut backlog = std::mem::take(&mut self.controllers[n].backlog);
                     let start = self.rng.gen_range(0..8);
                     let turn = |e: &Event| match e {
-                        Event::Watched { .. } | Event::WatchGap => 0,
+                        Event::WatchUpdate { .. } | Event::WatchGap => 0,
                         Event::State { .. } => 3,
-                        Event::Heartbeat(_) => 5,
-                        Event::CheckIn { .. } => 6,
+                        Event::PeerHeartbeat(_) => 5,
+                        Event::WorkerHeartbeat { .. } => 6,
                         _ => 7,
                     };
                     backlog.sort_by_key(|e| (turn(e) + start) % 8);
                     for event in backlog {
-                        self.node(n, event);
+                        self.controller(n, event);
                     }
                 }
             }
-            Act::Node(n, life, event) => {
-                if self.nodes[n].life == life {
-                    self.node(n, event);
+            Act::Controller(n, life, event) => {
+                if self.controllers[n].life == life {
+                    self.controller(n, event);
                 }
             }
             Act::State(n, life, token, op, fate) => {
                 let down = self.state_down;
                 let changes = match &op {
-                    StateOp::Txn(txn) => txn.changes.len(),
+                    StateOperation::Transaction(transaction) => transaction.changes.len(),
                     _ => 0,
                 };
                 if !down && !self.limited.state_takes(self.now, changes) {
-                    self.at(3, Act::Node(n, life, Event::Throttled));
+                    self.at(3, Act::Controller(n, life, Event::Throttled));
                     self.at(TOO_MANY_PAUSE_MS, Act::State(n, life, token, op, fate));
                     return;
                 }
                 let answer = match down {
-                    true => StateAnswer::Unavailable,
+                    true => StateResponse::Unavailable,
                     false => self.execute(op, self.is_old(n, life)),
                 };
                 if fate == Fate::Normal {
@@ -1512,15 +1584,15 @@
                         true => self.rng.gen_range(3..1_000),
                         false => 3,
                     };
-                    if delay > UNANSWERED_LEAST_MS && changes > 0 {
-                        let event = Event::Unanswered { token };
-                        self.at(UNANSWERED_LEAST_MS, Act::Node(n, life, event));
+                    if delay > STATE_TIMEOUT_MS && changes > 0 {
+                        let event = Event::StateTimeout { token };
+                        self.at(STATE_TIMEOUT_MS, Act::Controller(n, life, event));
                     }
-                    self.at(delay, Act::Node(n, life, event));
+                    self.at(delay, Act::Controller(n, life, event));
                 }
             }
             Act::Watch(n, life) => {
-                let slot = &self.nodes[n];
+                let slot = &self.controllers[n];
                 let Some(since) = slot.watching.filter(|_| slot.life == life) else {
                     return;
                 };
@@ -1536,9 +1608,9 @@
                     .map(|(e, k, r)| (k.clone(), *e, r.clone()))
                     .collect();
                 if !changes.is_empty() {
-                    let epoch = self.epoch;
-                    self.nodes[n].watching = Some(epoch);
-                    self.node(n, Event::Watched { epoch, changes });
+                    let revision = self.revision;
+                    self.controllers[n].watching = Some(revision);
+                    self.controller(n, Event::WatchUpdate { revision, changes });
                 }
             }
             Act::Boot(name) => {
@@ -1561,7 +1633,7 @@
                     self.killed += w.live().count() as u32;
                     self.all_off(&name);
                     let w = self.workers.get_mut(&name).unwrap();
-                    w.session += 1;
+                    w.incarnation += 1;
                     w.tasks.clear();
                     w.lease_from = now;
                     w.in_flight = None;
@@ -1573,15 +1645,15 @@
             }
             Act::Report(name) => self.send_report(&name),
             Act::Arrive(n, report, serial) => {
-                let slot = &self.nodes[n];
+                let slot = &self.controllers[n];
                 if slot.cut_from_workers {
                     return;
                 }
-                let here = |w: &&Worker| w.alive && w.node == n;
+                let here = |w: &&Worker| w.alive && w.controller == n;
                 let full = (self.limited.sockets)
                     .is_some_and(|most| self.workers.values().filter(here).count() > most);
                 self.limited.no_socket += u32::from(full);
-                if slot.node.is_none() || full {
+                if slot.controller.is_none() || full {
                     // Its host refuses the connection.
                     self.at(1, Act::GaveUp(report.machine, serial));
                     return;
@@ -1592,22 +1664,22 @@
                 }
                 let request = self.next_request;
                 self.next_request += 1;
-                let mark = (report.machine.clone(), report.session, serial);
+                let mark = (report.machine.clone(), report.incarnation, serial);
                 self.checkins.insert((n, slot.life, request), mark);
                 let report = Box::new(report);
-                self.node(n, Event::CheckIn { request, report });
+                self.controller(n, Event::WorkerHeartbeat { request, report });
             }
-            Act::Reply(name, session, serial, reply) => {
-                self.reply(&name, session, serial, reply);
+            Act::Reply(name, incarnation, serial, reply) => {
+                self.reply(&name, incarnation, serial, reply);
             }
             Act::GaveUp(name, serial) => {
-                let count = self.nodes.len();
+                let count = self.controllers.len();
                 let Some(w) = self.workers.get_mut(&name) else {
                     return;
                 };
                 if w.in_flight == Some(serial) {
                     w.in_flight = None;
-                    w.node = (w.node + 1) % count;
+                    w.controller = (w.controller + 1) % count;
                     self.at(1_000, Act::Report(name));
                 }
             }
@@ -1635,7 +1707,7 @@
                 if matches!(phase, TaskPhase::Exited(_)) {
                     self.goes_off(&name, &task);
                 }
-                if phase == TaskPhase::Exited(Cause::Done) {
+                if phase == TaskPhase::Exited(ExitCause::Done) {
                     self.done_tasks.insert(task.clone());
                     self.ends(&task.job);
                 }
@@ -1645,39 +1717,39 @@
                     self.ran_since.insert((task.clone(), attempt), now);
                     let spec = &self.specs[&task.job];
                     if fails {
-                        let exit = TaskPhase::Exited(Cause::Error);
+                        let exit = TaskPhase::Exited(ExitCause::Error);
                         self.at(300, Act::Phase(name.clone(), task, attempt, exit));
-                    } else if spec.shape == Shape::Array {
-                        if spec.checkpoint_s > 0.0 {
+                    } else if spec.kind == JobKind::Array {
+                        if spec.checkpoint_interval_s > 0.0 {
                             let now = self.now;
                             let done = self.progress.entry(task.clone()).or_insert((0, now));
                             done.1 = now;
                             run_ms = run_ms.saturating_sub(done.0);
                         }
-                        let exit = TaskPhase::Exited(Cause::Done);
+                        let exit = TaskPhase::Exited(ExitCause::Done);
                         self.at(run_ms, Act::Phase(name.clone(), task, attempt, exit));
                     }
                 }
                 self.at(5, Act::Report(name));
             }
-            Act::Command(n, life, machine, session, token, orders, late) => {
+            Act::Command(n, life, machine, incarnation, token, commands, late) => {
                 let w = self.workers.get_mut(&machine);
                 let Some(w) = w.filter(|w| w.alive && (late || !w.cut)) else {
-                    let event = no_answer(machine, Reach::Silent);
-                    self.at(2_000, Act::Node(n, life, event));
+                    let event = no_answer(machine, CommandOutcome::NoAnswer);
+                    self.at(2_000, Act::Controller(n, life, event));
                     return;
                 };
-                if token < w.token || session != w.session {
+                if token < w.token || incarnation != w.incarnation {
                     if late {
                         return; // nobody waits for its answer any more
                     }
-                    w.tally += 1;
-                    let event = Event::Commanded {
+                    w.sequence += 1;
+                    let event = Event::CommandResult {
                         report: Some(Box::new(self.report_of(&machine))),
                         machine,
-                        reach: Reach::Refused,
+                        reach: CommandOutcome::Refused,
                     };
-                    self.at(2, Act::Node(n, life, event));
+                    self.at(2, Act::Controller(n, life, event));
                     return;
                 }
                 let pause = self.settings.lease_ms / 2;
@@ -1689,53 +1761,55 @@
                 }
                 let w = self.workers.get_mut(&machine).unwrap();
                 w.token = token;
-                let probe = orders.is_empty();
-                let stops = orders.iter().any(|o| matches!(o, Order::Stop { .. }));
-                for order in orders {
+                let probe = commands.is_empty();
+                let stops = commands
+                    .iter()
+                    .any(|o| matches!(o, WorkerCommand::Stop { .. }));
+                for order in commands {
                     self.order(&machine, order);
                 }
                 if !late {
-                    self.workers.get_mut(&machine).unwrap().tally += 1;
+                    self.workers.get_mut(&machine).unwrap().sequence += 1;
                     let report = (stops || probe).then(|| Box::new(self.report_of(&machine)));
-                    let event = Event::Commanded {
+                    let event = Event::CommandResult {
                         machine,
-                        reach: Reach::Took,
+                        reach: CommandOutcome::Accepted,
                         report,
                     };
-                    self.at(2, Act::Node(n, life, event));
+                    self.at(2, Act::Controller(n, life, event));
                 }
             }
             Act::Cloud(n, life, token, op, lost) => {
                 let answer = match self.limited.cloud_takes(self.now) {
                     true => self.cloud(op),
-                    false => CloudAnswer::Failed,
+                    false => CloudResponse::Failed,
                 };
                 let event = Event::Cloud {
                     token,
-                    answer: if lost { CloudAnswer::Failed } else { answer },
+                    answer: if lost { CloudResponse::Failed } else { answer },
                 };
-                self.at(20, Act::Node(n, life, event));
+                self.at(20, Act::Controller(n, life, event));
             }
         }
     }
 
     /// What a machine would report now.
-    pub fn report_of(&self, machine: &str) -> Report {
+    pub fn report_of(&self, machine: &str) -> WorkerHeartbeat {
         let w = &self.workers[machine];
-        Report {
+        WorkerHeartbeat {
             machine: w.name.clone(),
             address: "10.0.0.9:9000".into(),
             type_name: w.type_name.clone(),
             zone: w.zone.clone(),
             spot: w.spot,
-            session: w.session,
-            tally: w.tally,
+            incarnation: w.incarnation,
+            sequence: w.sequence,
             token: w.token,
             notice_s: w.notice_s,
             tasks: w
                 .tasks
                 .iter()
-                .map(|((task, attempt), t)| TaskReport {
+                .map(|((task, attempt), t)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     phase: t.phase,
@@ -1744,10 +1818,10 @@
         }
     }
 
-    /// Lets an old report of a machine, without tasks, arrive at a node now.
-    pub fn old_report(&mut self, n: usize, machine: &str, tally: u64) {
-        let report = Report {
-            tally,
+    /// Lets an old report of a machine, without tasks, arrive at a controller now.
+    pub fn old_report(&mut self, n: usize, machine: &str, sequence: u64) {
+        let report = WorkerHeartbeat {
+            sequence,
             notice_s: None,
             tasks: Vec::new(),
             ..self.report_of(machine)
@@ -1755,8 +1829,8 @@
         self.report_again(n, &report);
     }
 
-    /// Lets a report arrive at a node once more, as it was.
-    pub fn report_again(&mut self, n: usize, report: &Report) {
+    /// Lets a report arrive at a controller once more, as it was.
+    pub fn report_again(&mut self, n: usize, report: &WorkerHeartbeat) {
         self.at(1, Act::Arrive(n, report.clone(), 0));
     }
 
@@ -1772,12 +1846,12 @@
             w.hung.push(Act::Report(name.to_string()));
             return;
         }
-        w.tally += 1;
+        w.sequence += 1;
         w.serial += 1;
         let serial = w.serial;
         w.in_flight = Some(serial);
         w.sent_at = self.now;
-        let (n, cut) = (w.node, w.cut || w.mute);
+        let (n, cut) = (w.controller, w.cut || w.mute);
         let report = self.report_of(name);
         self.at(4_000, Act::GaveUp(name.to_string(), serial));
         if !self.reaches(n, name) {
@@ -1801,47 +1875,49 @@
         self.at(delay, Act::Arrive(n, report, serial));
     }
 
-    fn reply(&mut self, name: &str, session: u64, serial: u64, reply: WorkerReply) {
-        let names = self.settings.nodes.clone();
+    fn reply(&mut self, name: &str, incarnation: u64, serial: u64, reply: WorkerReply) {
+        let names = self.settings.controllers.clone();
         let report_ms = self.settings.report_ms;
         let Some(w) = self.workers.get_mut(name) else {
             return;
         };
-        // The worker drops what comes after it gave up, or from an earlier session.
-        if !w.alive || w.cut || w.in_flight != Some(serial) || w.session != session {
+        // The worker drops what comes after it gave up, or from an earlier incarnation.
+        if !w.alive || w.cut || w.in_flight != Some(serial) || w.incarnation != incarnation {
             return;
         }
         w.in_flight = None;
         match reply {
-            WorkerReply::Orders { token, orders } => {
+            WorkerReply::Commands { token, commands } => {
                 if token < w.token {
                     return;
                 }
                 w.token = token;
                 // The lease counts from when the answered report was sent.
                 w.lease_from = w.sent_at;
-                for order in orders {
+                for order in commands {
                     self.order(name, order);
                 }
                 let wait = self.rng.gen_range(report_ms * 3 / 4..report_ms * 5 / 4);
                 self.at(wait, Act::Report(name.to_string()));
             }
-            WorkerReply::Elsewhere { node: Some(node) } => {
-                if let Some(i) = names.iter().position(|n| *n == node) {
-                    w.node = i;
+            WorkerReply::Redirect {
+                controller: Some(controller),
+            } => {
+                if let Some(i) = names.iter().position(|n| *n == controller) {
+                    w.controller = i;
                 }
                 self.at(100, Act::Report(name.to_string()));
             }
             _ => {
-                w.node = (w.node + 1) % names.len();
+                w.controller = (w.controller + 1) % names.len();
                 self.at(1_000, Act::Report(name.to_string()));
             }
         }
     }
 
-    fn order(&mut self, name: &str, order: Order) {
+    fn order(&mut self, name: &str, order: WorkerCommand) {
         match order {
-            Order::Start { task, attempt } => {
+            WorkerCommand::Start { task, attempt } => {
                 let key = (task.clone(), attempt);
                 if self.workers[name].tasks.contains_key(&key) {
                     return;
@@ -1855,14 +1931,18 @@
                     );
                 }
                 let w = &self.workers[name];
-                let kind = self.types.iter().find(|t| t.name == w.type_name).unwrap();
-                let used = w.live().fold(Room::default(), |sum, (t, _)| {
-                    sum.plus(&self.specs[&t.job].need)
+                let kind = self
+                    .machine_types
+                    .iter()
+                    .find(|t| t.name == w.type_name)
+                    .unwrap();
+                let used = w.live().fold(Resources::default(), |sum, (t, _)| {
+                    sum.plus(&self.specs[&t.job].resources)
                 });
                 let phase = if w.tasks.keys().any(|(t, _)| *t == task) {
-                    TaskPhase::Exited(Cause::Busy)
-                } else if !kind.room.less(&used).fits(&spec.need) {
-                    TaskPhase::Exited(Cause::NoRoom)
+                    TaskPhase::Exited(ExitCause::Busy)
+                } else if !kind.room.less(&used).fits(&spec.resources) {
+                    TaskPhase::Exited(ExitCause::NoResources)
                 } else {
                     self.check_start(name, &task);
                     self.starts += 1;
@@ -1880,7 +1960,7 @@
                 }
                 self.at(500, Act::Report(name.to_string()));
             }
-            Order::Stop { task, attempt, .. } => {
+            WorkerCommand::Stop { task, attempt, .. } => {
                 let now = self.now;
                 let w = self.workers.get_mut(name).unwrap();
                 let key = (task.clone(), attempt);
@@ -1891,14 +1971,14 @@
                         }
                     }
                     if !matches!(t.phase, TaskPhase::Exited(_)) {
-                        t.phase = TaskPhase::Exited(Cause::Stopped);
+                        t.phase = TaskPhase::Exited(ExitCause::Stopped);
                         self.goes_off(name, &task);
                         self.stopped(&task, attempt);
                     }
                 }
                 self.at(500, Act::Report(name.to_string()));
             }
-            Order::Forget { task, attempt } => {
+            WorkerCommand::Forget { task, attempt } => {
                 let w = self.workers.get_mut(name).unwrap();
                 let key = (task, attempt);
                 if let Some(t) = w.tasks.get(&key) {
@@ -1921,8 +2001,8 @@
             .store
             .get(&Key::Chunk(task.job.clone(), job.chunk_of(task.index)))
         {
-            _ if job.phase == Phase::Cancelled => Some("cancelled"),
-            Some((Record::Chunk(c), _)) => c.booking(task.index).and_then(|b| b.stop.as_deref()),
+            _ if job.phase == JobPhase::Cancelled => Some("cancelled"),
+            Some((Record::Chunk(c), _)) => c.assignment(task.index).and_then(|b| b.stop.as_deref()),
             _ => None,
         };
         let (count, ms) = self
@@ -1932,28 +2012,28 @@
         (*count, *ms) = (*count + 1, *ms + ran);
     }
 
-    fn cloud(&mut self, op: CloudOp) -> CloudAnswer {
+    fn cloud(&mut self, op: CloudOperation) -> CloudResponse {
         if self.cloud_down {
-            return CloudAnswer::Failed;
+            return CloudResponse::Failed;
         }
         match op {
-            CloudOp::Types => CloudAnswer::Types(self.types.clone()),
-            CloudOp::Hire {
+            CloudOperation::Types => CloudResponse::Types(self.machine_types.clone()),
+            CloudOperation::Provision {
                 name,
                 type_name,
                 zone,
                 spot,
                 count,
             } => {
-                if let Some(hosts) = self.hires.get(&name) {
-                    return CloudAnswer::Hired(hosts.clone());
+                if let Some(instances) = self.instance_requests.get(&name) {
+                    return CloudResponse::Provisioned(instances.clone());
                 }
                 let count = count.min(self.capacity);
                 if count == 0 {
-                    return CloudAnswer::NoCapacity;
+                    return CloudResponse::NoCapacity;
                 }
                 self.capacity -= count;
-                let hosts: Vec<String> = (0..count)
+                let instances: Vec<String> = (0..count)
                     .map(|_| {
                         let mut boot = self.rng.gen_range(self.boot_ms.clone());
                         if self.stuck_boots > 0 {
@@ -1963,10 +2043,10 @@
                         self.boot_machine(&type_name, &zone, spot, boot)
                     })
                     .collect();
-                self.hires.insert(name, hosts.clone());
-                CloudAnswer::Hired(hosts)
+                self.instance_requests.insert(name, instances.clone());
+                CloudResponse::Provisioned(instances)
             }
-            CloudOp::Delete { machines } => {
+            CloudOperation::Delete { machines } => {
                 for name in machines {
                     self.all_off(&name);
                     if self.workers.remove(&name).is_some() {
@@ -1974,24 +2054,24 @@
                     }
                     self.deleted.insert(name);
                 }
-                CloudAnswer::Deleted
+                CloudResponse::Deleted
             }
-            CloudOp::List { .. } => {
-                let hosts = self
+            CloudOperation::List { .. } => {
+                let instances = self
                     .workers
                     .values()
-                    .map(|w| Host {
+                    .map(|w| CloudInstance {
                         name: w.name.clone(),
                         address: String::new(),
                         type_name: w.type_name.clone(),
                         zone: w.zone.clone(),
                         spot: w.spot,
-                        state: HostState::Running,
+                        state: CloudInstanceState::Running,
                         age_s: 100.0,
                     })
                     .collect();
-                CloudAnswer::Hosts {
-                    hosts: self.limited.list(self.now, hosts),
+                CloudResponse::Instances {
+                    instances: self.limited.list(self.now, instances),
                     more: false,
                 }
             }
--- a/crates/simulation/src/measure.rs
+++ b/crates/simulation/src/measure.rs
@@ -1,5 +1,5 @@
 //! What a played day is measured by: what was served per class and team, services' replicas, and
-//! how long each takeover and each start took.
+//! how long each failover and each start took.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -107,9 +107,9 @@
     pub submissions: u32,
     pub unanswered: u32,
     pub told_later: u32,
-    /// Milliseconds in which the balancer had no healthy node.
+    /// Milliseconds in which the balancer had no healthy controller.
     pub blind_ms: u64,
-    // From a node's end
+    // From a controller's end
     pub noticed: Times,
     pub heard: Times,
     pub first_claim: Times,
@@ -130,7 +130,7 @@
     pub conflicts: u32,
     pub throttled: u32,
     pub no_socket: u32,
-    /// Most workers that one node had, of all.
+    /// Most workers that one controller had, of all.
     pub crowded: f64,
     pub us_per_event: f64,
     pub beat_kb: f64,
--- a/crates/simulation/src/old.rs
+++ b/crates/simulation/src/old.rs
@@ -196,22 +196,22 @@
 pub fn value(key: &Key, value: Value) -> Option<Value> {
     match key {
         Key::Term => through::<Term>(value),
-        Key::Types => through::<Types>(value),
-        Key::Fleet => through::<Fleet>(value),
+        Key::MachineTypes => through::<Types>(value),
+        Key::Provisioning => through::<Fleet>(value),
         Key::Job(_) => through::<Job>(value),
         Key::Chunk(..) => through::<Chunk>(value),
-        Key::Place(_) => through::<Place>(value),
+        Key::ZoneSpread(_) => through::<Place>(value),
         Key::Machine(_) => through::<Machine>(value),
         Key::Team(_) => through::<Team>(value),
-        Key::Hire(_) => through::<Hire>(value),
+        Key::InstanceRequest(_) => through::<Hire>(value),
         // A kind of key that it does not know is none of its records.
         Key::Format(_)
-        | Key::Settled
-        | Key::Runs(_)
+        | Key::CancellationConfirmation
+        | Key::RunTimes(_)
         | Key::Configuration
         | Key::ConfigurationPage(..)
-        | Key::Configurable
-        | Key::Following(_) => None,
+        | Key::ConfigurationEnabled
+        | Key::ObservedVersion(_) => None,
     }
 }
 
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: they put configurations on record while the nodes run, by the transaction that
+//! Operators: they put configurations on record while the controllers run, by the transaction that
 //! `glenmountctl config` sends. The rule `quota` follows the limits in force.
 //!
 //! From a change's commit on no claim may exceed a lowered limit. What was claimed before counts as in use
@@ -6,9 +6,10 @@
 
 use crate::World;
 use glenmount_core::configuration::{
-    self, ChangeLimits, ConfigurationError, PageRecord, Policy, PolicySettings, TeamSettings,
+    self, ChangeLimits, ConfigurationError, ConfigurationPageRecord, Policy, PolicySettings,
+    TeamSettings,
 };
-use glenmount_core::controller::{Event, StateAnswer, StateOp};
+use glenmount_core::controller::{Event, StateOperation, StateResponse};
 use glenmount_core::model::JobSpec;
 use glenmount_core::state::*;
 use std::collections::BTreeMap;
@@ -26,7 +27,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Refused {
     Absurd(ConfigurationError),
-    /// Not every node reads configurations yet.
+    /// Not every controller reads configurations yet.
     NotConfigurable,
     /// Another operator was first.
     Conflict,
@@ -51,14 +52,15 @@
     }
 
     /// A transaction is about to take effect: if it claims for a team, that is within the limit in force.
-    pub(crate) fn check_claims(&mut self, txn: &Txn) {
+    pub(crate) fn check_claims(&mut self, transaction: &CasTransaction) {
         if self.configured.policy.is_none() {
             return;
         }
         self.forget_what_is_gone();
         let mut more: BTreeMap<String, i64> = BTreeMap::new();
-        for (key, record) in &txn.changes {
-            let cpus = |chunk: &ChunkRecord| chunk.booked().count() as i64 * chunk.need.cpus as i64;
+        for (key, record) in &transaction.changes {
+            let cpus =
+                |chunk: &ChunkRecord| chunk.assigned().count() as i64 * chunk.resources.cpus as i64;
             if let Some((Record::Chunk(old), _)) = self.store.get(key) {
                 *more.entry(old.team.clone()).or_default() -= cpus(old);
             }
@@ -70,9 +72,9 @@
         if more.is_empty() {
             return;
         }
-        let booked = self.booked_cpus();
+        let assigned = self.assigned_cpus();
         for (team, cpus) in more {
-            let after = booked.get(&team).copied().unwrap_or(0) as i64 + cpus;
+            let after = assigned.get(&team).copied().unwrap_or(0) as i64 + cpus;
             let limit = self.limit(&team).unwrap_or(0) as i64;
             assert!(
                 limit == 0 || after <= limit,
@@ -86,10 +88,10 @@
         if self.configured.claimed_before.is_empty() {
             return;
         }
-        let booked = self.booked_cpus();
+        let assigned = self.assigned_cpus();
         let mut before = std::mem::take(&mut self.configured.claimed_before);
         before.retain(|team, claimed| {
-            *claimed = (*claimed).min(booked.get(team).copied().unwrap_or(0));
+            *claimed = (*claimed).min(assigned.get(team).copied().unwrap_or(0));
             *claimed > self.limit(team).unwrap_or(0)
         });
         self.configured.claimed_before = before;
@@ -127,8 +129,14 @@
     }
 
     /// The transaction that an operator sends, by what is on record now.
-    pub fn draft_configuration(&self, settings: &PolicySettings) -> Result<Txn, Refused> {
-        let configurable = self.store.get(&Key::Configurable).map(|(_, stamp)| *stamp);
+    pub fn draft_configuration(
+        &self,
+        settings: &PolicySettings,
+    ) -> Result<CasTransaction, Refused> {
+        let configurable = self
+            .store
+            .get(&Key::ConfigurationEnabled)
+            .map(|(_, mod_revision)| *mod_revision);
         let configurable = configurable.ok_or(Refused::NotConfigurable)?;
         let policy = settings.policy().map_err(Refused::Absurd)?;
         let open = self.store.values().filter_map(|(record, _)| match record {
@@ -138,12 +146,12 @@
         let open: Vec<&JobSpec> = open.collect();
         configuration::review(&policy, open.into_iter()).map_err(Refused::Absurd)?;
         let current = match self.store.get(&Key::Configuration) {
-            Some((Record::Configuration(record), stamp)) => Some((record, *stamp)),
+            Some((Record::Configuration(record), mod_revision)) => Some((record, *mod_revision)),
             _ => None,
         };
         let limits = ChangeLimits {
-            value_bytes: self.settings.value_bytes as usize,
-            changes: self.settings.txn_ops,
+            max_value_bytes: self.settings.max_value_bytes as usize,
+            changes: self.settings.max_transaction_changes,
         };
         let at = crate::WALL0 + self.now;
         configuration::change(settings, current, configurable, limits, at, "")
@@ -151,21 +159,21 @@
     }
 
     /// An operator's transaction arrives at the state service.
-    pub fn commit_configuration(&mut self, txn: &Txn) -> Result<u64, Refused> {
+    pub fn commit_configuration(&mut self, transaction: &CasTransaction) -> Result<u64, Refused> {
         if self.state_down {
             return Err(Refused::Unavailable);
         }
-        match self.execute(StateOp::Txn(txn.clone()), false) {
-            StateAnswer::Committed { .. } => Ok(self.take_configuration()),
-            StateAnswer::Conflict { .. } => Err(Refused::Conflict),
+        match self.execute(StateOperation::Transaction(transaction.clone()), false) {
+            StateResponse::Committed { .. } => Ok(self.take_configuration()),
+            StateResponse::Conflict { .. } => Err(Refused::Conflict),
             other => panic!("{other:?}"),
         }
     }
 
     /// Puts a configuration on record; returns its version.
     pub fn configure(&mut self, settings: &PolicySettings) -> Result<u64, Refused> {
-        let txn = self.draft_configuration(settings)?;
-        self.commit_configuration(&txn)
+        let transaction = self.draft_configuration(settings)?;
+        self.commit_configuration(&transaction)
     }
 
     /// Another configuration is in force: what was claimed above its limits may stay until it is gone.
@@ -174,7 +182,7 @@
             panic!("a configuration is on record");
         };
         let version = record.version;
-        let pages: Vec<PageRecord> = (0..record.pages)
+        let pages: Vec<ConfigurationPageRecord> = (0..record.pages)
             .filter_map(
                 |n| match self.store.get(&Key::ConfigurationPage(version, n)) {
                     Some((Record::ConfigurationPage(page), _)) => Some(page.clone()),
@@ -184,7 +192,7 @@
             .collect();
         let settings = configuration::settings_of(&pages);
         self.configured.policy = settings.policy().ok();
-        for (team, claimed) in self.booked_cpus() {
+        for (team, claimed) in self.assigned_cpus() {
             let limit = self.limit(&team).unwrap_or(0);
             if limit > 0 && claimed > limit {
                 let before = self.configured.claimed_before.entry(team).or_default();
@@ -194,20 +202,23 @@
         version
     }
 
-    /// Whether all nodes that run follow a version.
+    /// Whether all controllers that run follow a version.
     pub fn all_follow(&self, version: u64) -> bool {
-        let mut nodes = self.nodes.iter().filter_map(|slot| slot.node.as_ref());
-        nodes.all(|node| node.settings.policy.version == version)
+        let mut controllers = self
+            .controllers
+            .iter()
+            .filter_map(|slot| slot.controller.as_ref());
+        controllers.all(|controller| controller.settings.policy.version == version)
     }
 
-    /// A node's watch tells nothing for so long.
+    /// A controller's watch tells nothing for so long.
     pub fn lag_watch(&mut self, n: usize, ms: u64) {
-        self.nodes[n].watch_lags_until = self.now + ms;
+        self.controllers[n].watch_lags_until = self.now + ms;
     }
 
-    /// A node's watch can't go on: it reads all records again.
+    /// A controller's watch can't go on: it reads all records again.
     pub fn watch_gap(&mut self, n: usize) {
-        let life = self.nodes[n].life;
-        self.at(1, crate::Act::Node(n, life, Event::WatchGap));
+        let life = self.controllers[n].life;
+        self.at(1, crate::Act::Controller(n, life, Event::WatchGap));
     }
 }
