--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -7,7 +7,7 @@
 use crate::users::{Users, STEP_MS};
 use crate::World;
 use glenmount_core::model::*;
-use glenmount_core::peers::tracker::Sign;
+use glenmount_core::peers::tracker::PeerStatus;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
@@ -37,9 +37,9 @@
     Burst(usize, f64),
 }
 
-/// A node's end that is followed until its work is taken over.
+/// A controller's end that is followed until its work is taken over.
 struct Followed {
-    node: usize,
+    controller: usize,
     at: u64,
     machines: BTreeSet<String>,
     all: usize,
@@ -77,7 +77,7 @@
 ) -> Result<(Outcome, Option<EffectDigest>), String> {
     let mut day = day.clone();
     day.machines = variant.machines.unwrap_or(day.machines);
-    day.nodes = variant.nodes.unwrap_or(day.nodes);
+    day.controllers = variant.controllers.unwrap_or(day.controllers);
     let mut play = Play::new(&day, variant, seed)?;
     play.w.digest = digest;
     play.run();
@@ -90,7 +90,7 @@
 
 impl Play<'_> {
     fn new<'a>(day: &'a Day, variant: &Variant, seed: u64) -> Result<Play<'a>, String> {
-        let mut w = World::new(seed, day.nodes, 0);
+        let mut w = World::new(seed, day.controllers, 0);
         let s = &mut w.settings;
         for name in &variant.without {
             day::leave_out(&mut s.checks, name)?;
@@ -100,9 +100,9 @@
         s.report_ms = ms(day.workers.report_s);
         s.lease_ms = ms(day.workers.lease_s);
         s.cancel_ms = ms(day.workers.cancel_s);
-        s.value_bytes = ms(day.limits.value_kb * 1.024);
-        s.txn_ops = day.limits.txn_ops;
-        s.write_rps = day.limits.write_rps / day.nodes as f64;
+        s.max_value_bytes = ms(day.limits.value_kb * 1.024);
+        s.max_transaction_changes = day.limits.max_transaction_changes;
+        s.write_rps = day.limits.write_rps / day.controllers as f64;
         s.next_write_rps = s.write_rps;
         s.list_lag_ms = ms(day.limits.list_lag_s);
         s.idle_return_ms = 45_000;
@@ -122,7 +122,7 @@
         let goals = day.classes.iter().filter(|c| !c.within_s.is_empty());
         let goals = goals.map(|c| (c.name.clone(), c.within_s.iter().map(|s| ms(*s)).collect()));
         s.policy.goals = goals.collect();
-        w.nodes_in = day.nodes_in.clone();
+        w.controllers_in = day.controllers_in.clone();
         w.capacity = day.capacity;
         w.page = 1_000;
         w.limited.requests = Some(Rate::new(day.limits.state_rps, 1.0));
@@ -130,7 +130,7 @@
         w.limited.cloud = Some(Rate::new(day.limits.cloud_rps, 2.0));
         w.limited.sockets = Some(day.limits.sockets);
         w.limited.list_lag_ms = ms(day.limits.list_lag_s);
-        for kind in &mut w.types {
+        for kind in &mut w.machine_types {
             kind.zones = day.zones.clone();
         }
         for i in 0..day.machines {
@@ -144,7 +144,7 @@
             );
         }
         Ok(Play {
-            users: Users::new(day.nodes),
+            users: Users::new(day.controllers),
             rng: SmallRng::seed_from_u64(seed ^ 0x5eed),
             next_job: 0,
             next_at: vec![0.0; day.classes.len()],
@@ -156,7 +156,7 @@
             },
             ends: Vec::new(),
             up: Vec::new(),
-            began: vec![0; day.nodes],
+            began: vec![0; day.controllers],
             day,
             w,
         })
@@ -197,7 +197,7 @@
 
     fn all_ended(&self) -> bool {
         let open = |(id, u): (&String, &crate::users::User)| {
-            let service = self.w.specs[id].shape == Shape::Service;
+            let service = self.w.specs[id].kind == JobKind::Service;
             !(service || u.gave_up || u.cancelled || u.done_at.is_some())
         };
         !self.users.users.iter().any(open)
@@ -255,30 +255,30 @@
             id: id.clone(),
             class: class.name.clone(),
             team,
-            shape: if class.service {
-                Shape::Service
+            kind: if class.service {
+                JobKind::Service
             } else {
-                Shape::Array
+                JobKind::Array
             },
-            rank: day::rank(&class.rank).unwrap_or(Rank::Normal),
+            priority: day::priority(&class.priority).unwrap_or(JobPriority::Normal),
             tasks,
-            need: Room {
+            resources: Resources {
                 cpus: (class.cpus * 1e3) as u64,
                 gpus: 0,
                 ram: (class.cpus * 2e3) as u64,
             },
             image,
             image_gb: 1.2,
-            types: None,
+            machine_types: None,
             zone: None,
-            together: false,
-            scatter: class.scatter,
+            zone_affinity: false,
+            topology_spread: class.topology_spread,
             spot: class.spot,
             estimate_s,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            checkpoint_interval_s: 0.0,
+            checkpoint_duration_s: 0.0,
             deadline_s: class.deadline.map(|f| f * estimate_s + 10.0),
-            awaits: Vec::new(),
+            dependencies: Vec::new(),
         };
         self.w.job_ms.insert(id, ms(run_s));
         self.users.wants(&mut self.w, at, spec, cancel_at);
@@ -286,16 +286,16 @@
 
     // ---- Troubles -----------------------------------------------------------------------
 
-    /// Nodes that live, the one with the most workers first.
+    /// Controllers that live, the one with the most workers first.
     fn busiest(&self) -> Vec<usize> {
         let mut load: BTreeMap<usize, usize> = BTreeMap::new();
         for worker in self.w.workers.values().filter(|w| w.alive) {
-            *load.entry(worker.node).or_default() += 1;
+            *load.entry(worker.controller).or_default() += 1;
         }
-        let lives = |n: &usize| self.w.nodes[*n].node.is_some() && !self.w.frozen(*n);
-        let mut nodes: Vec<usize> = (0..self.day.nodes).filter(lives).collect();
-        nodes.sort_by_key(|n| std::cmp::Reverse(load.get(n).copied().unwrap_or(0)));
-        nodes
+        let lives = |n: &usize| self.w.controllers[*n].controller.is_some() && !self.w.frozen(*n);
+        let mut controllers: Vec<usize> = (0..self.day.controllers).filter(lives).collect();
+        controllers.sort_by_key(|n| std::cmp::Reverse(load.get(n).copied().unwrap_or(0)));
+        controllers
     }
 
     fn some_machines(&mut self, count: usize) -> Vec<String> {
@@ -326,15 +326,15 @@
                 }
             }
             (What::CutState { for_s }, Some(n)) => {
-                self.w.nodes[n].cut_from_state = true;
+                self.w.controllers[n].cut_from_state = true;
                 until(for_s, Ends::CutState(n));
             }
             (What::CutWorkers { for_s }, Some(n)) => {
-                self.w.nodes[n].cut_from_workers = true;
+                self.w.controllers[n].cut_from_workers = true;
                 until(for_s, Ends::CutWorkers(n));
             }
             (What::CutPeers { for_s }, Some(n)) => {
-                self.w.nodes[n].cut_from_peers = true;
+                self.w.controllers[n].cut_from_peers = true;
                 until(for_s, Ends::CutPeers(n));
             }
             (What::StateOutage { for_s }, _) => {
@@ -343,8 +343,8 @@
             }
             (What::ZoneCut { zone, for_s }, _) => {
                 until(for_s, Ends::Zone);
-                let there = |n: &usize| self.w.zone_of_node(*n) == zone;
-                let inside: Vec<usize> = (0..self.day.nodes).filter(there).collect();
+                let there = |n: &usize| self.w.zone_of_controller(*n) == zone;
+                let inside: Vec<usize> = (0..self.day.controllers).filter(there).collect();
                 self.w.cut_zone(&zone, &inside);
             }
             (What::MachinesDie { count }, _) => {
@@ -360,12 +360,12 @@
                 self.ends.push((now + ms(for_s), Ends::Machines(names)));
             }
             (What::CutAlone { for_s }, Some(n)) => {
-                let slot = &mut self.w.nodes[n];
+                let slot = &mut self.w.controllers[n];
                 (slot.cut_from_state, slot.cut_from_peers) = (true, true);
                 until(for_s, Ends::Alone(n));
             }
             (What::RefuseState { for_s }, Some(n)) => {
-                self.w.nodes[n].refused = true;
+                self.w.controllers[n].refused = true;
                 until(for_s, Ends::Refused(n));
             }
             (What::Deaf { count, for_s }, _) => {
@@ -410,16 +410,16 @@
         for (_, ends) in over {
             match ends {
                 Ends::Freeze => {}
-                Ends::CutState(n) => self.w.nodes[n].cut_from_state = false,
-                Ends::CutWorkers(n) => self.w.nodes[n].cut_from_workers = false,
-                Ends::CutPeers(n) => self.w.nodes[n].cut_from_peers = false,
+                Ends::CutState(n) => self.w.controllers[n].cut_from_state = false,
+                Ends::CutWorkers(n) => self.w.controllers[n].cut_from_workers = false,
+                Ends::CutPeers(n) => self.w.controllers[n].cut_from_peers = false,
                 Ends::Outage => self.w.state_down = false,
                 Ends::Zone => self.w.join_zone(),
                 Ends::Alone(n) => {
-                    let slot = &mut self.w.nodes[n];
+                    let slot = &mut self.w.controllers[n];
                     (slot.cut_from_state, slot.cut_from_peers) = (false, false);
                 }
-                Ends::Refused(n) => self.w.nodes[n].refused = false,
+                Ends::Refused(n) => self.w.controllers[n].refused = false,
                 Ends::LateWrites => self.w.mishaps.txn_late = 0.0,
                 Ends::LateReports => self.w.mishaps.report_twice = 0.0,
                 Ends::Machines(names) => {
@@ -448,10 +448,14 @@
     }
 
     fn follow_end(&mut self, n: usize) {
-        let there = self.w.workers.values().filter(|w| w.alive && w.node == n);
+        let there = self
+            .w
+            .workers
+            .values()
+            .filter(|w| w.alive && w.controller == n);
         let machines: BTreeSet<String> = there.map(|w| w.name.clone()).collect();
         self.followed.push(Followed {
-            node: n,
+            controller: n,
             at: self.w.now,
             all: machines.len(),
             machines,
@@ -463,22 +467,27 @@
 
     fn follow(&mut self) {
         let (w, out) = (&self.w, &mut self.out);
-        let lives = |n: usize| w.nodes[n].node.as_ref().filter(|_| !w.frozen(n));
+        let lives = |n: usize| {
+            w.controllers[n]
+                .controller
+                .as_ref()
+                .filter(|_| !w.frozen(n))
+        };
         for f in &mut self.followed {
             let took = w.now - f.at;
-            let name = &w.settings.nodes[f.node];
-            let others: Vec<_> = (0..w.nodes.len())
-                .filter(|n| *n != f.node)
+            let name = &w.settings.controllers[f.controller];
+            let others: Vec<_> = (0..w.controllers.len())
+                .filter(|n| *n != f.controller)
                 .filter_map(lives)
                 .collect();
             if !f.noticed && !others.is_empty() {
-                let away = |s: Sign| s.is_away();
-                if others.iter().any(|o| o.sign_of(name).is_some_and(away)) {
+                let away = |s: PeerStatus| s.is_away();
+                if others.iter().any(|o| o.status_of(name).is_some_and(away)) {
                     f.noticed = true;
                     out.noticed.note(took);
                 }
             }
-            if !f.duty && f.noticed && others.iter().any(|o| o.does_duty()) {
+            if !f.duty && f.noticed && others.iter().any(|o| o.is_on_duty()) {
                 f.duty = true;
                 out.duty.note(took);
             }
@@ -518,8 +527,8 @@
         self.followed.retain(|f| {
             now < f.at + 60_000 && !(f.machines.is_empty() && f.noticed && f.claimed && f.duty)
         });
-        for n in 0..w.nodes.len() {
-            let slot = &w.nodes[n];
+        for n in 0..w.controllers.len() {
+            let slot = &w.controllers[n];
             if slot.began > self.began[n] && now >= slot.began + 20_000 {
                 self.began[n] = slot.began;
                 for (at, times) in [
@@ -538,9 +547,9 @@
     /// Once a second: replicas that run, of those that should.
     fn sample(&mut self, day: bool) {
         let mut running: HashMap<&str, u64> = HashMap::new();
-        let mut load = vec![0usize; self.day.nodes];
+        let mut load = vec![0usize; self.day.controllers];
         for worker in self.w.workers.values() {
-            load[worker.node] += usize::from(worker.alive);
+            load[worker.controller] += usize::from(worker.alive);
             for ((task, _), state) in &worker.tasks {
                 if state.phase == TaskPhase::Running {
                     *running.entry(task.job.as_str()).or_default() += 1;
@@ -560,7 +569,7 @@
                 .accepted_at
                 .is_some_and(|at| self.w.now > at + UP_AFTER_MS);
             let asked = self.w.told.get(id).is_some_and(|t| t.asked_cancel);
-            if spec.shape == Shape::Service && due && !asked && !user.cancelled {
+            if spec.kind == JobKind::Service && due && !asked && !user.cancelled {
                 wanted += u64::from(spec.tasks);
                 up += running.get(id.as_str()).copied().unwrap_or(0);
             }
@@ -580,7 +589,7 @@
                 continue;
             }
             let spec = &self.w.specs[id];
-            let service = spec.shape == Shape::Service;
+            let service = spec.kind == JobKind::Service;
             let class = &self.day.classes[user.class];
             out.submissions += 1;
             out.unanswered += user.unanswered;
@@ -653,6 +662,6 @@
 impl crate::users::User {
     /// Cancelled before it could be done: counts for nothing.
     fn cancel_at_early(&self, spec: &JobSpec) -> bool {
-        spec.shape == Shape::Array && self.cancels()
+        spec.kind == JobKind::Array && self.cancels()
     }
 }
--- a/crates/simulation/src/random_faults.rs
+++ b/crates/simulation/src/random_faults.rs
@@ -57,8 +57,8 @@
                 if w.rng.gen_bool(0.5) {
                     spec.team = "blue".into();
                 }
-                spec.scatter = w.rng.gen_bool(0.3);
-                spec.together = !spec.scatter && w.rng.gen_bool(0.2);
+                spec.topology_spread = w.rng.gen_bool(0.3);
+                spec.zone_affinity = !spec.topology_spread && w.rng.gen_bool(0.2);
                 let ms = [2_000, 15_000, 70_000][w.rng.gen_range(0..3)];
                 w.job_ms.insert(id.clone(), ms);
                 w.submit(step % 3, spec);
@@ -80,12 +80,12 @@
             }
             8 => {
                 let n = w.rng.gen_range(0..3);
-                let slot = &mut w.nodes[n];
+                let slot = &mut w.controllers[n];
                 (slot.cut_from_state, slot.cut_from_peers) = (true, true);
             }
             9 => {
                 let n = w.rng.gen_range(0..3);
-                w.nodes[n].refused = !w.nodes[n].refused;
+                w.controllers[n].refused = !w.controllers[n].refused;
             }
             10 => w.state_down = !w.state_down,
             11 | 12 => {
--- a/crates/simulation/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -29,13 +29,13 @@
     pub fn goes_on(&mut self, machine: &str, task: &TaskId, spec: &JobSpec) {
         let places = self.live.entry(task.job.clone()).or_default();
         places.insert(task.index, machine.to_string());
-        *self.used.entry(spec.team.clone()).or_default() += spec.need.cpus;
+        *self.used.entry(spec.team.clone()).or_default() += spec.resources.cpus;
     }
     pub fn goes_off(&mut self, machine: &str, task: &TaskId, spec: &JobSpec) {
         let places = self.live.get_mut(&task.job);
         let gone = places.and_then(|p| p.remove(&task.index));
         assert_eq!(gone.as_deref(), Some(machine), "{task} was not there");
-        *self.used.get_mut(&spec.team).expect("it ran") -= spec.need.cpus;
+        *self.used.get_mut(&spec.team).expect("it ran") -= spec.resources.cpus;
     }
     pub fn is_cancelled(&mut self, job: &str, ends: u64) {
         self.ends.insert((ends, job.to_string()));
--- a/crates/simulation/src/service.rs
+++ b/crates/simulation/src/service.rs
@@ -1,6 +1,6 @@
 //! What the outside services take: requests and changes a second, calls, how late lists are.
 
-use glenmount_core::model::Host;
+use glenmount_core::model::CloudInstance;
 use std::collections::VecDeque;
 
 /// A bucket that holds one second's worth, as the services allow.
@@ -39,15 +39,15 @@
     pub requests: Option<Rate>,
     pub changes: Option<Rate>,
     pub cloud: Option<Rate>,
-    /// Workers' connections that a node holds.
+    /// Workers' connections that a controller holds.
     pub sockets: Option<usize>,
     /// Milliseconds by which the cloud's list lags.
     pub list_lag_ms: u64,
     /// Requests that were refused for being too many.
     pub refused: u32,
-    /// Check-ins that found no free socket.
+    /// Heartbeats that found no free socket.
     pub no_socket: u32,
-    lists: VecDeque<(u64, Vec<Host>)>,
+    lists: VecDeque<(u64, Vec<CloudInstance>)>,
 }
 
 impl Limited {
@@ -65,11 +65,11 @@
         takes
     }
     /// The list as it was some time ago.
-    pub(crate) fn list(&mut self, now: u64, hosts: Vec<Host>) -> Vec<Host> {
+    pub(crate) fn list(&mut self, now: u64, instances: Vec<CloudInstance>) -> Vec<CloudInstance> {
         if self.list_lag_ms == 0 {
-            return hosts;
+            return instances;
         }
-        self.lists.push_back((now, hosts));
+        self.lists.push_back((now, instances));
         let old = now.saturating_sub(self.list_lag_ms);
         while self.lists.get(1).is_some_and(|(at, _)| *at <= old) {
             self.lists.pop_front();
--- a/crates/simulation/src/troubles.rs
+++ b/crates/simulation/src/troubles.rs
@@ -1,8 +1,8 @@
 //! Troubles that the users named beyond cuts, ends and lost messages: machines that hang, close looks at
-//! jobs that have just changed, old reports for the next node, cancellations at the moment of an end.
+//! jobs that have just changed, old reports for the next controller, cancellations at the moment of an end.
 
 use crate::{no_answer, Act, Overlaps, World};
-use glenmount_core::controller::Reach;
+use glenmount_core::controller::CommandOutcome;
 use glenmount_core::model::*;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,13 +17,13 @@
 
 /// Milliseconds within which users look again at what has just changed.
 const LOOKS_WITHIN_MS: u64 = 12;
-/// Milliseconds for which an answer may be on its way: nodes give up on polls after as many.
+/// Milliseconds for which an answer may be on its way: controllers give up on polls after as many.
 const OVERLAP_MOST_MS: u64 = 1_500;
-/// Looks at each node.
+/// Looks at each controller.
 const LOOKS: usize = 4;
 /// One job in so many is called off at once after its acceptance.
 const CALLED_OFF_PART: u32 = 8;
-/// Milliseconds within which old reports come once a node begins.
+/// Milliseconds within which old reports come once a controller begins.
 const KEPT_WITHIN_MS: u64 = 3_000;
 /// Reports that are kept.
 const KEPT_MOST: usize = 400;
@@ -40,7 +40,7 @@
 
 impl Overlaps {
     /// An answer says less than one that was given before. It may only if it was asked for before that:
-    /// the two were on their way together, and no node can know what another is just about to say.
+    /// the two were on their way together, and no controller can know what another is just about to say.
     pub(crate) fn older(&mut self, asked_at: u64, told_at: u64, now: u64, why: &str) {
         assert!(
             asked_at < told_at,
@@ -80,12 +80,12 @@
         };
         for (id, spec) in self.specs.iter().filter(|(id, _)| open(id)) {
             let (on, done) = (self.rules.places(id).count(), self.done_of(id));
-            let used = self.rules.used(&spec.team) + spec.need.cpus;
+            let used = self.rules.used(&spec.team) + spec.resources.cpus;
             let under = self
                 .limit(&spec.team)
                 .is_some_and(|limit| limit == 0 || used <= limit);
-            let ready = spec.awaits.iter().all(|a| self.all_done(a));
-            let plain = !spec.together && !spec.scatter;
+            let ready = spec.dependencies.iter().all(|a| self.all_done(a));
+            let plain = !spec.zone_affinity && !spec.topology_spread;
             if on + done >= spec.tasks as usize || !under || !ready || !plain {
                 continue;
             }
@@ -105,13 +105,13 @@
 
     fn has_room(&self, m: &crate::Worker, spec: &JobSpec) -> bool {
         let well = m.alive && !m.cut && !m.deaf && !m.mute && m.hangs_until == 0 && !m.fails_all;
-        let kind = self.types.iter().find(|t| t.name == m.type_name);
-        let used = m.live().fold(Room::default(), |sum, (t, _)| {
-            sum.plus(&self.specs[&t.job].need)
+        let kind = self.machine_types.iter().find(|t| t.name == m.type_name);
+        let used = m.live().fold(Resources::default(), |sum, (t, _)| {
+            sum.plus(&self.specs[&t.job].resources)
         });
         well && m.notice_s.is_none()
             && spec.allows(&m.type_name, &m.zone, m.spot)
-            && kind.is_some_and(|k| k.room.less(&used).fits(&spec.need))
+            && kind.is_some_and(|k| k.room.less(&used).fits(&spec.resources))
     }
 
     /// Lets a machine hang: it executes nothing, reports nothing, and goes on later. What comes to it
@@ -159,8 +159,8 @@
         let mut act = act;
         if let Act::Command(n, life, _, _, _, _, late) = &mut act {
             if !std::mem::replace(late, true) {
-                let event = no_answer(name.clone(), Reach::Silent);
-                self.at(1_200, Act::Node(*n, *life, event));
+                let event = no_answer(name.clone(), CommandOutcome::NoAnswer);
+                self.at(1_200, Act::Controller(*n, *life, event));
             }
         }
         if let Some(w) = self.workers.get_mut(&name) {
@@ -199,9 +199,9 @@
         }
     }
 
-    /// Users ask at all nodes, repeat the submission, and some call the job off.
+    /// Users ask at all controllers, repeat the submission, and some call the job off.
     pub(crate) fn look_closely(&mut self, id: &str, accepted: bool) {
-        for n in 0..self.nodes.len() {
+        for n in 0..self.controllers.len() {
             for _ in 0..LOOKS {
                 let delay = self.rng.gen_range(0..LOOKS_WITHIN_MS);
                 self.at(delay, Act::Look(n, id.to_string(), Look::Ask));
@@ -211,7 +211,7 @@
         }
         let over = self.told.get(id).is_some_and(|t| t.done);
         if over || accepted && self.rng.gen_ratio(1, CALLED_OFF_PART) {
-            let n = self.rng.gen_range(0..self.nodes.len());
+            let n = self.rng.gen_range(0..self.controllers.len());
             let delay = self.rng.gen_range(0..LOOKS_WITHIN_MS);
             self.at(delay, Act::Look(n, id.to_string(), Look::Cancel));
         }
@@ -237,18 +237,18 @@
     pub(crate) fn ends(&mut self, job: &str) {
         let share = self.cancelled_at_end;
         if share > 0.0 && self.all_done(job) && self.chance(share) {
-            for n in 0..self.nodes.len() {
+            for n in 0..self.controllers.len() {
                 let delay = self.rng.gen_range(0..600);
                 self.at(delay, Act::Look(n, job.to_string(), Look::Cancel));
             }
         }
     }
 
-    /// Old reports reach every node just as one begins.
+    /// Old reports reach every controller just as one begins.
     pub(crate) fn send_kept_reports(&mut self) {
         let kept = std::mem::take(&mut self.kept_reports);
         for report in kept.into_iter().rev().take(KEPT_MOST) {
-            for n in 0..self.nodes.len() {
+            for n in 0..self.controllers.len() {
                 let delay = self.rng.gen_range(0..KEPT_WITHIN_MS);
                 self.at(delay, Act::Arrive(n, report.clone(), 0));
             }
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -1,5 +1,5 @@
-//! Users of a played day, and the balancer between them and the nodes, by the protocol: probes once
-//! a second, a pause that doubles for a node that was removed, retries, and polls every 5 s.
+//! Users of a played day, and the balancer between them and the controllers, by the protocol: probes once
+//! a second, a pause that doubles for a controller that was removed, retries, and polls every 5 s.
 
 use crate::World;
 use glenmount_core::controller::*;
@@ -9,13 +9,13 @@
 /// Milliseconds between two steps of users and balancer.
 pub const STEP_MS: u64 = 20;
 const PROBE_MS: u64 = 1_000;
-const POLL_MS: u64 = 5_000;
+const PASS_INTERVAL_MS: u64 = 5_000;
 const SUBMIT_WAITS_MS: u64 = 5_000;
 const POLL_WAITS_MS: u64 = 2_000;
 /// A submission is repeated for so long.
 const GIVES_UP_MS: u64 = 60_000;
 
-/// One node, as the balancer sees it.
+/// One controller, as the balancer sees it.
 #[derive(Clone, Debug, Default)]
 struct Seen {
     healthy: bool,
@@ -27,29 +27,29 @@
 }
 
 pub struct Balancer {
-    nodes: Vec<Seen>,
+    controllers: Vec<Seen>,
     next_probe: Vec<u64>,
     open: Vec<usize>,
 }
 
 impl Balancer {
-    fn new(nodes: usize) -> Balancer {
+    fn new(controllers: usize) -> Balancer {
         Balancer {
-            nodes: vec![Seen::default(); nodes],
-            next_probe: (0..nodes as u64).map(|n| n * 300).collect(),
-            open: vec![0; nodes],
+            controllers: vec![Seen::default(); controllers],
+            next_probe: (0..controllers as u64).map(|n| n * 300).collect(),
+            open: vec![0; controllers],
         }
     }
 
     fn probe(&mut self, w: &World) {
-        for n in 0..self.nodes.len() {
+        for n in 0..self.controllers.len() {
             if w.now < self.next_probe[n] {
                 continue;
             }
             self.next_probe[n] = w.now + PROBE_MS;
-            let node = w.nodes[n].node.as_ref();
-            let ok = !w.frozen(n) && node.is_some_and(Node::ready) && !w.unreachable(n);
-            let seen = &mut self.nodes[n];
+            let controller = w.controllers[n].controller.as_ref();
+            let ok = !w.frozen(n) && controller.is_some_and(Controller::ready) && !w.unreachable(n);
+            let seen = &mut self.controllers[n];
             if ok {
                 seen.failures = 0;
                 seen.successes += 1;
@@ -73,22 +73,22 @@
         }
     }
 
-    /// A healthy node that takes the connection.
+    /// A healthy controller that takes the connection.
     fn pick(&mut self, w: &World) -> Option<usize> {
-        let mut those: Vec<usize> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].healthy)
+        let mut those: Vec<usize> = (0..self.controllers.len())
+            .filter(|n| self.controllers[*n].healthy)
             .collect();
         those.sort_by_key(|n| self.open[*n]);
         let n = *those
             .iter()
             .take(3)
-            .find(|n| w.nodes[**n].node.is_some() && !w.unreachable(**n))?;
+            .find(|n| w.controllers[**n].controller.is_some() && !w.unreachable(**n))?;
         self.open[n] += 1;
         Some(n)
     }
 
     pub fn any_healthy(&self) -> bool {
-        self.nodes.iter().any(|s| s.healthy)
+        self.controllers.iter().any(|s| s.healthy)
     }
 }
 
@@ -115,7 +115,7 @@
     pub balancer: Balancer,
     pub users: BTreeMap<String, User>,
     open: Vec<String>,
-    /// Steps in which no node was healthy.
+    /// Steps in which no controller was healthy.
     pub blind_ms: u64,
 }
 
@@ -127,9 +127,9 @@
 }
 
 impl Users {
-    pub fn new(nodes: usize) -> Users {
+    pub fn new(controllers: usize) -> Users {
         Users {
-            balancer: Balancer::new(nodes),
+            balancer: Balancer::new(controllers),
             users: BTreeMap::new(),
             open: Vec::new(),
             blind_ms: 0,
@@ -157,7 +157,7 @@
         self.open.push(id);
     }
 
-    /// Whether there was a healthy node since a time: what nobody could have taken is counted apart.
+    /// Whether there was a healthy controller since a time: what nobody could have taken is counted apart.
     pub fn step(&mut self, w: &mut World) {
         self.balancer.probe(w);
         self.blind_ms += STEP_MS * u64::from(!self.balancer.any_healthy());
@@ -178,7 +178,7 @@
             Some(_) => POLL_WAITS_MS,
         };
         let reply = w.answers.remove(&request);
-        let ended = w.nodes[n].node.is_none() || w.ended_at[n] > sent;
+        let ended = w.controllers[n].controller.is_none() || w.ended_at[n] > sent;
         if reply.is_none() && !ended && w.now < sent + patience {
             return;
         }
@@ -188,22 +188,22 @@
         match reply {
             Some(UserReply::Accepted { .. }) => {
                 user.accepted_at.get_or_insert(w.now);
-                user.next_at = w.now + POLL_MS;
+                user.next_at = w.now + PASS_INTERVAL_MS;
             }
-            Some(UserReply::State { state, .. } | UserReply::Cancelled { state, .. }) => {
+            Some(UserReply::Status { state, .. } | UserReply::Cancelled { state, .. }) => {
                 user.accepted_at.get_or_insert(w.now);
-                user.next_at = w.now + POLL_MS;
+                user.next_at = w.now + PASS_INTERVAL_MS;
                 match state {
                     JobState::Done => user.done_at = Some(w.now),
                     JobState::Cancelled => user.cancelled = true,
                     _ => {}
                 }
             }
-            Some(UserReply::Later { after_s }) => {
+            Some(UserReply::RetryAfter { after_s }) => {
                 user.told_later += u32::from(user.accepted_at.is_none());
                 user.next_at = w.now + 1_000 * u64::from(after_s.max(1));
             }
-            Some(UserReply::NotFound | UserReply::Never(_)) => user.gave_up = true,
+            Some(UserReply::NotFound | UserReply::Rejected(_)) => user.gave_up = true,
             None => user.unanswered += u32::from(user.accepted_at.is_none()),
         }
         return;
--- a/crates/xtask/src/experiment.rs
+++ b/crates/xtask/src/experiment.rs
@@ -1,5 +1,5 @@
 //! Plays described days in the project's own world: days by seeds by variants, several at once, and
-//! writes down what was served and how long takeovers took. All figures are simulated.
+//! writes down what was served and how long failovers took. All figures are simulated.
 
 use glenmount_simulation::day::{Day, Experiment, Variant};
 use glenmount_simulation::measure::{Outcome, Times};
