--- a/crates/core/src/configuration/rollout.rs
+++ b/crates/core/src/configuration/rollout.rs
@@ -2,16 +2,16 @@
 //! lets operators put configurations on record once every controller reads them.
 
 use crate::configuration::{ConfigurationEnabledRecord, ObservedVersionRecord, Taken};
-use crate::controller::*;
+use crate::controller::{Controller, PendingOperation, RequestClass};
 use crate::scheduling::placement::CachedQueueOrder;
 use crate::state::formats;
-use crate::state::*;
+use crate::state::{Key, Record, TransactionBuilder};
 
 impl Controller {
     /// Takes up the configuration that the cache shows; before anything is decided by a copy that changed.
     /// While the records are read page by page the cache may show a part of one.
     pub(crate) fn apply_stored_configuration(&mut self) {
-        if !self.has_listed || !self.settings.checks.configuration {
+        if !self.sync.has_listed || !self.settings.checks.configuration {
             return;
         }
         match self.configuration.take(&self.cache) {
@@ -26,8 +26,8 @@
                     );
                 }
                 self.settings.policy = policy;
-                self.queue_order = CachedQueueOrder::default();
-                self.pass_requested = true;
+                self.scheduling.queue_order = CachedQueueOrder::default();
+                self.scheduling.pass_requested = true;
             }
             Taken::Unreadable(error) => {
                 let error = error.to_string();
--- /dev/null
+++ b/crates/core/src/controller/lifecycle.rs
@@ -0,0 +1,40 @@
+//! The life of this process: its start, pauses, ticks, and its end.
+
+use crate::controller::OperationId;
+use crate::model::Millis;
+use std::collections::BTreeMap;
+
+/// The life of this process: its start, pauses, ticks, and its end.
+pub(crate) struct Lifecycle {
+    /// When the process began.
+    pub(crate) started_at: Millis,
+    /// When it last went on after a pause; its start, if it never did.
+    pub(crate) resumed_at: Millis,
+    /// Its view dates from before that: no proof has been asked for and reached since.
+    pub(crate) view_predates_resume: bool,
+    /// Operations with lower tokens began before that: their answers say nothing of now.
+    pub(crate) first_operation_since_resume: OperationId,
+    /// Since when it has been asked to end.
+    pub(crate) shutting_down_since: Option<Millis>,
+    /// Why this controller was not ready, and since when; and the same of cuts: for the log.
+    pub(crate) ongoing_problems: BTreeMap<&'static str, Millis>,
+    /// When a tick last did all of its work.
+    pub(crate) last_housekeeping_at: Option<Millis>,
+    /// When the clock last ticked.
+    pub(crate) last_tick_at: Millis,
+}
+
+impl Lifecycle {
+    pub(crate) fn new(now: Millis) -> Lifecycle {
+        Lifecycle {
+            started_at: now,
+            resumed_at: now,
+            view_predates_resume: false,
+            first_operation_since_resume: 0,
+            shutting_down_since: None,
+            ongoing_problems: BTreeMap::new(),
+            last_housekeeping_at: None,
+            last_tick_at: now,
+        }
+    }
+}
--- a/crates/core/src/jobs/admission.rs
+++ b/crates/core/src/jobs/admission.rs
@@ -5,7 +5,9 @@
 //! have a share of this controller's changes, saved up over some seconds; while that is short, teams that
 //! ask get equal parts of it. Whoever is told to come back is told at once.
 
-use crate::constants::*;
+use crate::constants::{
+    ADMIT_BURST_S, ADMIT_FADES_MS, ADMIT_LEAST, ADMIT_RETRY_MOST_S, ADMIT_SHARE, RETRY_AFTER_S,
+};
 use crate::model::Millis;
 use std::collections::BTreeMap;
 
--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -13,12 +13,20 @@
 //! which of the two holds for a cancellation is the order of the two revisions, and each
 //! cancellation is conditional on the key as it was known. See docs/design.md.
 
-use crate::constants::*;
-use crate::controller::*;
+use crate::constants::{
+    CANCEL_MARGIN_MS, CANCEL_PATIENCE_MS, CANCEL_RETRY_AFTER_S, CONFIRMED_CANCELLATION_TERM,
+    REPLY_MAX_COMMANDS, SILENCE_MARGIN_MS, WORKER_FAILOVER_MS,
+};
+use crate::controller::{
+    Controller, PendingOperation, RequestClass, RequestId, UserReply, WorkerReply,
+};
 use crate::jobs::requests::{RequestKind, UserRequest};
-use crate::model::*;
+use crate::model::{JobState, TaskId, TaskPhase, TaskStatus, WorkerCommand, WorkerHeartbeat};
 use crate::state::formats;
-use crate::state::*;
+use crate::state::{
+    Assignment, CancellationConfirmationRecord, Counts, JobPhase, Key, MachinePhase, Placed,
+    Record, TermRecord, TransactionBuilder,
+};
 
 impl Controller {
     /// Writes, once all controllers have the format, from when on cancellations are told when all is gone;
@@ -68,7 +76,7 @@
     /// user waits a moment, as most tasks are gone within half a second. One whose machines can't
     /// be reached now is told at once when to come back.
     pub(crate) fn await_cancellation(&mut self, request: RequestId) {
-        let Some(job) = self.user_requests.get(&request).map(|a| a.job.clone()) else {
+        let Some(job) = self.requests.open.get(&request).map(|a| a.job.clone()) else {
             return;
         };
         let unreached = |b: &Assignment| match self.cache.machine(&b.machine) {
@@ -85,32 +93,34 @@
             return;
         }
         let until = self.now + CANCEL_PATIENCE_MS;
-        if let Some(ask) = self.user_requests.get_mut(&request) {
+        if let Some(ask) = self.requests.open.get_mut(&request) {
             ask.until = ask.until.min(until);
-            self.requests_awaiting_cancellation.insert(request);
+            self.requests.awaiting_cancellation.insert(request);
         }
     }
 
     /// Tells those who wait for it that their job is cancelled, now that nothing is left of it.
     pub(crate) fn confirm_cancellations(&mut self) {
-        if self.requests_awaiting_cancellation.is_empty() || !self.has_listed {
+        if self.requests.awaiting_cancellation.is_empty() || !self.sync.has_listed {
             return;
         }
-        let asks = &self.user_requests;
-        self.requests_awaiting_cancellation
+        let asks = &self.requests.open;
+        self.requests
+            .awaiting_cancellation
             .retain(|request| asks.contains_key(request));
         let gone = |request: &RequestId| {
-            let ask: &UserRequest = self.user_requests.get(request)?;
+            let ask: &UserRequest = self.requests.open.get(request)?;
             let told = matches!(ask.want, RequestKind::Cancel) && !self.cache.ending(&ask.job);
             told.then(|| (*request, ask.job.clone()))
         };
         let over: Vec<(RequestId, String)> = self
-            .requests_awaiting_cancellation
+            .requests
+            .awaiting_cancellation
             .iter()
             .filter_map(gone)
             .collect();
         for (request, job) in over {
-            self.requests_awaiting_cancellation.remove(&request);
+            self.requests.awaiting_cancellation.remove(&request);
             let state = JobState::Cancelled;
             self.answer(request, UserReply::Cancelled { job, state });
         }
@@ -134,7 +144,7 @@
     fn renewing_is_safe(&self, report: &WorkerHeartbeat) -> bool {
         let settled = self.cache.mod_revision(&Key::CancellationConfirmation);
         report.token >= CONFIRMED_CANCELLATION_TERM
-            || self.has_listed && settled > 0 && self.cache.revision >= settled
+            || self.sync.has_listed && settled > 0 && self.cache.revision >= settled
     }
 
     /// Cut off from the state service: hand workers to a peer that reaches it, or keep their
@@ -187,7 +197,7 @@
             .settings
             .cancel_ms
             .saturating_sub(self.settings.lease_ms + CANCEL_MARGIN_MS);
-        self.has_listed && self.state_age() < limit
+        self.sync.has_listed && self.state_age() < limit
     }
 
     /// Whether a worker is kept, rather than sent to look for another controller. A controller that is cut off
@@ -197,13 +207,13 @@
     /// that is back found no other.
     fn keeps_worker(&mut self, id: &str) -> bool {
         let common = self.fresh_peers().count() + 1 == self.settings.controllers.len();
-        if self.has_listed && common {
+        if self.sync.has_listed && common {
             return true;
         }
         let several = self.settings.zones.len() > 1;
         let recent = 2 * self.settings.report_ms;
         let here = self.settings.zone.as_str();
-        let mut zones = self.zones_heard_at.iter();
+        let mut zones = self.workers.zones_heard_at.iter();
         let foreign = zones.any(|(zone, at)| zone != here && self.now < at + recent);
         if several && !foreign {
             return true;
@@ -216,13 +226,13 @@
             return self.lost_state_recently();
         }
         // Those that come back to a controller that was away have looked already.
-        let sent = self.redirected_at.get(id).copied();
-        if self.now < self.resumed_at + lease_ms
+        let sent = self.workers.redirected_at.get(id).copied();
+        if self.now < self.lifecycle.resumed_at + lease_ms
             || sent.is_some_and(|at| self.now < at + 2 * lease_ms)
         {
             return true;
         }
-        self.redirected_at.insert(id.to_string(), self.now);
+        self.workers.redirected_at.insert(id.to_string(), self.now);
         false
     }
 }
--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -1,9 +1,9 @@
 //! Ending jobs of several chunks, and clearing what nothing needs any more.
 
-use crate::constants::*;
-use crate::controller::*;
-use crate::model::*;
-use crate::state::*;
+use crate::constants::{CASCADE_PATIENCE_MS, CONTROLLER_STAGGER_MS, SMALL_RECORD_BYTES};
+use crate::controller::{Controller, PendingOperation, RequestClass};
+use crate::model::Millis;
+use crate::state::{JobPhase, Key, Record, TransactionBuilder};
 use crate::workers::starts::Attempt;
 
 impl Controller {
@@ -14,7 +14,8 @@
             let Some(job) = self.cache.job(id).filter(|j| j.phase == JobPhase::Open) else {
                 continue;
             };
-            if job.chunks() > 1 && counts.done == job.tasks && !self.finishing_jobs.contains(id) {
+            if job.chunks() > 1 && counts.done == job.tasks && !self.cleanup.finishing.contains(id)
+            {
                 due.push((id.to_string(), job.over(JobPhase::Done, self.wall)));
             }
         }
@@ -22,7 +23,7 @@
             let mut draft = TransactionBuilder::new(&self.cache);
             draft.put(Key::Job(id.clone()), Record::Job(over));
             let transaction = draft.finish();
-            self.finishing_jobs.insert(id.clone());
+            self.cleanup.finishing.insert(id.clone());
             self.commit(
                 transaction,
                 PendingOperation::FinishJob(id),
@@ -36,17 +37,20 @@
     /// same, so nothing depends on how soon that is.
     pub(crate) fn cancel_overdue_dependents(&mut self) {
         let doomed = self.cache.dependents().doomed();
-        self.cancelled_dependency_since
+        self.cleanup
+            .cancelled_dependency_since
             .retain(|id, _| doomed.contains(id));
         for id in doomed {
-            if !self.cancelled_dependency_since.contains_key(id) {
-                self.cancelled_dependency_since.insert(id.clone(), self.now);
+            if !self.cleanup.cancelled_dependency_since.contains_key(id) {
+                self.cleanup
+                    .cancelled_dependency_since
+                    .insert(id.clone(), self.now);
             }
         }
         let patience =
             CASCADE_PATIENCE_MS + self.settings.controller_index() * CONTROLLER_STAGGER_MS;
         let late = |since: &Millis| self.now >= since + patience;
-        if self.cancelled_dependency_since.values().any(late) {
+        if self.cleanup.cancelled_dependency_since.values().any(late) {
             self.cancel_dependents();
         }
     }
@@ -55,7 +59,8 @@
         let most = self
             .changes_left()
             .min(self.settings.max_transaction_changes);
-        if self.dependents_cancellation_in_flight || most == 0 || !self.has_current_state() {
+        if self.cleanup.dependents_cancellation_in_flight || most == 0 || !self.has_current_state()
+        {
             return;
         }
         let mut draft = TransactionBuilder::limited(&self.cache, most);
@@ -73,7 +78,7 @@
         }
         if !jobs.is_empty() {
             let transaction = draft.finish();
-            self.dependents_cancellation_in_flight = true;
+            self.cleanup.dependents_cancellation_in_flight = true;
             self.commit(
                 transaction,
                 PendingOperation::CancelDependents(jobs),
@@ -84,7 +89,7 @@
 
     /// Removes chunks and places of jobs that are over.
     pub(crate) fn remove_obsolete_records(&mut self) {
-        if self.removal_in_flight {
+        if self.cleanup.removal_in_flight {
             return;
         }
         let mut draft = TransactionBuilder::new(&self.cache);
@@ -114,7 +119,7 @@
         }
         if !draft.is_empty() {
             let transaction = draft.finish();
-            self.removal_in_flight = true;
+            self.cleanup.removal_in_flight = true;
             self.commit(
                 transaction,
                 PendingOperation::RemoveObsolete,
@@ -126,20 +131,28 @@
     /// Forgets what belongs to machines that are gone.
     pub(crate) fn forget_deleted_machines(&mut self) {
         let cache = &self.cache;
-        self.observations.forget(|id| cache.machine(id).is_some());
-        self.last_assigned_at
+        self.workers
+            .observations
+            .forget(|id| cache.machine(id).is_some());
+        self.workers
+            .last_assigned_at
             .retain(|id, _| cache.machine(id).is_some());
-        self.last_heartbeats
+        self.workers
+            .last_heartbeats
             .retain(|id, h| cache.machine(id).is_some() || self.now.saturating_sub(h.at) < 60_000);
-        self.peer_tracker.forget(|id| cache.machine(id).is_some());
-        self.fetching_until.retain(|_, until| *until > self.now);
-        self.redirected_at
+        self.peers.forget(|id| cache.machine(id).is_some());
+        self.workers
+            .fetching_until
+            .retain(|_, until| *until > self.now);
+        self.workers
+            .redirected_at
             .retain(|id, _| cache.machine(id).is_some());
-        self.deletion_tried_at
+        self.provisioning
+            .deletion_tried_at
             .retain(|id, _| cache.machine(id).is_some());
-        let mut starts = std::mem::take(&mut self.starts_in_flight);
+        let mut starts = std::mem::take(&mut self.workers.starts);
         let assigned = |(task, at): &Attempt| self.cache.attempt(task, *at).is_some();
         starts.forget(assigned, |id| self.last_worker_heartbeat(id).unwrap_or(0));
-        self.starts_in_flight = starts;
+        self.workers.starts = starts;
     }
 }
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -4,9 +4,9 @@
 //! A user names only accepted jobs, so there are no cycles; nothing here recurses, and one would
 //! merely not be served.
 
-use crate::constants::*;
-use crate::model::*;
-use crate::state::*;
+use crate::constants::FEASIBLE_SHARE;
+use crate::model::{JobPriority, JobSpec, WallMs};
+use crate::state::{JobRecord, StateCache};
 use foldhash::{HashMap, HashMapExt};
 
 /// What jobs downstream make of a job: the highest rank among them, and the time of day by which
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -3,5 +3,7 @@
 pub(crate) mod admission;
 mod cancellation;
 mod cleanup;
+pub(crate) mod cleanup_state;
 pub mod dependencies;
+pub(crate) mod request_table;
 pub(crate) mod requests;
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -1,11 +1,14 @@
 //! Users' requests: submit, status, cancel. Nothing is answered from records that might be
 //! old, except what can never change.
 
-use crate::constants::*;
-use crate::controller::*;
-use crate::model::*;
+use crate::constants::{
+    OUTAGE_RETRY_AFTER_S, RETRY_AFTER_S, STATUS_PATIENCE_MS, SUBMIT_PATIENCE_MS,
+    UPGRADE_RETRY_AFTER_S, WAITING_REQUESTS,
+};
+use crate::controller::{Controller, Effect, PendingOperation, RequestClass, RequestId, UserReply};
+use crate::model::{JobKind, JobSpec, JobState, Millis};
 use crate::state::formats;
-use crate::state::*;
+use crate::state::{JobPhase, JobRecord, Key, Record, TransactionBuilder};
 
 #[derive(Clone, Debug)]
 pub(crate) enum RequestKind {
@@ -61,8 +64,8 @@
             return;
         }
         if !self.has_current_state()
-            || self.shutting_down_since.is_some()
-            || self.user_requests.len() >= WAITING_REQUESTS
+            || self.lifecycle.shutting_down_since.is_some()
+            || self.requests.open.len() >= WAITING_REQUESTS
         {
             let reply = self.later();
             self.emit(Effect::User { request, reply });
@@ -73,7 +76,12 @@
         let valid = matches!(&ask.want, RequestKind::Submit(spec)
             if self.refusal(spec).is_none());
         if let (true, RequestKind::Submit(spec)) = (new && valid, &ask.want) {
-            if let Err(after_s) = self.admission.submissions.takes(self.now, &spec.team) {
+            if let Err(after_s) = self
+                .requests
+                .admission
+                .submissions
+                .takes(self.now, &spec.team)
+            {
                 let reply = UserReply::RetryAfter { after_s };
                 self.emit(Effect::User { request, reply });
                 return;
@@ -82,17 +90,22 @@
         let at_once = new && valid && !self.machine_types.is_empty();
         if let (RequestKind::Cancel, Some(spec)) = (&ask.want, self.cache.open_job(&ask.job)) {
             // A flood of these would leave no changes for results, by which what is cancelled is told.
-            if let Err(after_s) = self.admission.cancellations.takes(self.now, &spec.team) {
+            if let Err(after_s) = self
+                .requests
+                .admission
+                .cancellations
+                .takes(self.now, &spec.team)
+            {
                 let reply = UserReply::RetryAfter { after_s };
                 self.emit(Effect::User { request, reply });
                 return;
             }
         }
-        self.user_requests.insert(request, ask);
+        self.requests.open.insert(request, ask);
         if at_once || !self.settings.checks.proof {
             self.serve_with_current_state(request);
         } else {
-            self.unissued_reads.push(request);
+            self.reads.unissued.push(request);
         }
     }
 
@@ -105,14 +118,14 @@
     }
 
     pub(crate) fn answer(&mut self, request: RequestId, reply: UserReply) {
-        if self.user_requests.remove(&request).is_some() {
+        if self.requests.open.remove(&request).is_some() {
             self.emit(Effect::User { request, reply });
         }
     }
 
     /// The records are at least as new as the request.
     pub(crate) fn serve_with_current_state(&mut self, request: RequestId) {
-        let Some(ask) = self.user_requests.get(&request).cloned() else {
+        let Some(ask) = self.requests.open.get(&request).cloned() else {
             return;
         };
         if let Some(job) = self.cache.job(&ask.job).cloned() {
@@ -187,8 +200,8 @@
 
     /// The state service gave no proof this time.
     pub(crate) fn retry_read(&mut self, request: RequestId) {
-        if self.has_current_state() && self.user_requests.contains_key(&request) {
-            self.unissued_reads.push(request);
+        if self.has_current_state() && self.requests.open.contains_key(&request) {
+            self.reads.unissued.push(request);
         } else {
             let reply = self.later();
             self.answer(request, reply);
@@ -196,7 +209,7 @@
     }
 
     pub(crate) fn request_committed(&mut self, request: RequestId, committed: bool) {
-        let Some(ask) = self.user_requests.get(&request).cloned() else {
+        let Some(ask) = self.requests.open.get(&request).cloned() else {
             return;
         };
         if !committed {
@@ -216,7 +229,7 @@
                     "accepted"
                 );
                 // The watch may have brought the record first, as if a peer had made it.
-                self.pass_requested = true;
+                self.scheduling.pass_requested = true;
                 self.metrics.accepted(self.now - ask.since);
                 self.answer(request, UserReply::Accepted { job: ask.job });
             }
@@ -242,7 +255,8 @@
 
     pub(crate) fn expire_user_requests(&mut self) {
         let late: Vec<RequestId> = self
-            .user_requests
+            .requests
+            .open
             .iter()
             .filter(|(_, a)| self.now >= a.until)
             .map(|(r, _)| *r)
@@ -252,12 +266,12 @@
             self.answer(request, reply);
         }
         if !self.has_current_state() {
-            let waiting: Vec<RequestId> = self.user_requests.keys().copied().collect();
+            let waiting: Vec<RequestId> = self.requests.open.keys().copied().collect();
             for request in waiting {
                 let reply = self.later();
                 self.answer(request, reply);
             }
-            self.unissued_reads.clear();
+            self.reads.unissued.clear();
         }
     }
 
@@ -267,7 +281,7 @@
             JobPhase::Open => self.cache.doomed(id),
             JobPhase::Done => true,
             // While the records are read page by page the cache may lack what is assigned.
-            JobPhase::Cancelled => self.has_listed && !self.cache.ending(id),
+            JobPhase::Cancelled => self.sync.has_listed && !self.cache.ending(id),
         }
     }
 
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -1,8 +1,8 @@
 //! What this controller spends and how long things take, logged every so often.
 
-use crate::constants::*;
+use crate::constants::{STATS_MAX_MS, STATS_MS, STATS_STARTS};
 use crate::controller::PendingOperation;
-use crate::model::*;
+use crate::model::{Millis, TaskId};
 use crate::state::{CasTransaction, Key};
 use foldhash::{HashMap, HashMapExt};
 use hdrhistogram::Histogram;
--- a/crates/core/src/peers/tracker.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -7,11 +7,18 @@
 //! what has become of one that falls silent; the controller acts on that (see `takeover`). Suspicion is a
 //! guess: what rests on it may waste work, and nothing else.
 
-use crate::constants::*;
-use crate::controller::{ControllerStatus, PeerHeartbeat, ReceivedHeartbeat};
-use crate::model::*;
-use crate::settings::*;
+use crate::constants::{
+    CLOCK_MS, FAILOVER_MISSING_PART, FAILOVER_MOVES_MAX, FAILOVER_WORKERS_MIN,
+    FAILOVER_WORKERS_PART, HANDOFF_PROBE_MS, HEARTBEATS_MISSED_MS, HEARTBEAT_INTERVAL_DEVIATIONS,
+    HEARTBEAT_INTERVAL_WEIGHT, HEARTBEAT_MAX_AGE_MS, HEARTBEAT_MAX_MACHINES, HEARTBEAT_SLOW_FACTOR,
+    LOAD_SHARE, LOAD_SPARE, PAUSE_MS, PEER_HEARTBEAT_MS, PEER_LOST_MS, PEER_OPINION_MARGIN_MS,
+    SLOW_PART, STATS_MS, TICK_DELAY_SLOW_MS, WORKER_FAILOVER_MS,
+};
+use crate::controller::{ControllerStatus, PeerHeartbeat};
+use crate::model::{Millis, WallMs};
+use crate::settings::Settings;
 use crate::tuning::Tuning;
+use crate::workers::registry::ReceivedHeartbeat;
 use foldhash::{HashMap, HashMapExt};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -1,33 +1,41 @@
 //! Dealings with the cloud: its types and lists, instance requests and deletions under way.
 
-use crate::constants::*;
-use crate::controller::*;
-use crate::model::*;
+use crate::constants::{
+    CONTROLLER_STAGGER_MS, DELETE_MAX, DELETE_RETRY_MS, INSTANCE_LIST_INTERVAL_MS,
+    OFFER_UNAVAILABLE_MS, PROVISION_RETRY_MS, PROVISION_RETRY_SOON_MS,
+};
+use crate::controller::{
+    CloudOperation, CloudResponse, Controller, OperationId, PendingOperation, RequestClass,
+};
+use crate::model::{CloudInstance, CloudInstanceState, MachineType};
 use crate::state::formats;
-use crate::state::*;
+use crate::state::{
+    InstanceRequestRecord, Key, MachinePhase, MachineRecord, MachineTypesRecord, Record,
+    TransactionBuilder,
+};
 use std::collections::BTreeSet;
 
 impl Controller {
     pub(crate) fn handle_cloud_response(&mut self, token: OperationId, answer: CloudResponse) {
-        let Some((purpose, _)) = self.pending.remove(&token) else {
+        let Some((purpose, _)) = self.operations.outstanding.remove(&token) else {
             return;
         };
         match (purpose, answer) {
             (PendingOperation::MachineTypes, answer) => {
-                self.machine_types_in_flight = false;
+                self.provisioning.machine_types_in_flight = false;
                 if let CloudResponse::Types(machine_types) = answer {
-                    self.machine_types_read_at = Some(self.now);
+                    self.provisioning.machine_types_read_at = Some(self.now);
                     self.use_machine_types(&machine_types);
                     self.store_machine_types(machine_types);
                 }
             }
             (PendingOperation::Instances, answer) => {
-                self.instance_list_in_flight = false;
+                self.provisioning.instance_list_in_flight = false;
                 if let CloudResponse::Instances { instances, more } = answer {
                     let last = instances.last().map(|h| h.name.clone());
                     self.take_instance_list(instances);
                     if more {
-                        self.instance_list_in_flight = true;
+                        self.provisioning.instance_list_in_flight = true;
                         self.cloud(
                             CloudOperation::List { after: last },
                             PendingOperation::Instances,
@@ -36,8 +44,8 @@
                 }
             }
             (PendingOperation::Provision(n), answer) => {
-                self.request_tried_at.insert(n, self.now);
-                self.requests_in_flight.remove(&n);
+                self.provisioning.request_tried_at.insert(n, self.now);
+                self.provisioning.requests_in_flight.remove(&n);
                 match answer {
                     CloudResponse::Provisioned(instances) => self.record_provisioned(n, instances),
                     CloudResponse::NoCapacity => self.record_provisioned(n, Vec::new()),
@@ -45,11 +53,11 @@
                 }
             }
             (PendingOperation::Deprovision(machines), answer) => {
-                self.deletion_in_flight = false;
+                self.provisioning.deletion_in_flight = false;
                 if answer == CloudResponse::Deleted {
                     for id in machines {
                         tracing::info!(machine = id, "deleted");
-                        self.deletion_confirmed.insert(id);
+                        self.provisioning.deletion_confirmed.insert(id);
                     }
                 }
             }
@@ -62,7 +70,7 @@
         self.machine_types = machine_types.iter().map(named).collect();
         let room = |t: &MachineType| (t.name.clone(), t.cache_gb);
         self.cache.cache_gb = machine_types.iter().map(room).collect();
-        self.pass_requested = true;
+        self.scheduling.pass_requested = true;
     }
 
     /// Records the types for controllers that start while the cloud is down. Prices that move are
@@ -102,8 +110,8 @@
         let Some(h) = self.cache.instance_request(&n).cloned() else {
             return;
         };
-        self.request_tried_at.insert(n, self.now);
-        self.requests_in_flight.insert(n);
+        self.provisioning.request_tried_at.insert(n, self.now);
+        self.provisioning.requests_in_flight.insert(n);
         self.cloud(
             CloudOperation::Provision {
                 name: format!("g-{n}"),
@@ -184,7 +192,7 @@
 
     /// Whether a machine that a instance request brought is still to come.
     pub(crate) fn on_its_way(&self, id: &str) -> bool {
-        self.cache.machine(id).is_none() && !self.recently_deleted.contains(id)
+        self.cache.machine(id).is_none() && !self.workers.recently_deleted.contains(id)
     }
 
     /// Removes records of instance requests all of whose machines have come, or gone again.
@@ -196,7 +204,7 @@
                 h.instances
                     .as_ref()
                     .is_some_and(|instances| !instances.iter().any(|id| self.on_its_way(id)))
-                    && !self.removing_requests.contains(n)
+                    && !self.provisioning.removing_requests.contains(n)
                     && (h.controller == self.settings.controller || self.on_duty())
             })
             .map(|(n, _, _)| *n)
@@ -205,7 +213,7 @@
             let mut draft = TransactionBuilder::new(&self.cache);
             draft.remove(Key::InstanceRequest(n));
             let transaction = draft.finish();
-            self.removing_requests.insert(n);
+            self.provisioning.removing_requests.insert(n);
             self.commit(
                 transaction,
                 PendingOperation::RemoveInstanceRequest(n),
@@ -218,7 +226,7 @@
     pub(crate) fn send_deletions(&mut self) {
         // One request at a time, for all that are due: the cloud takes few, and what waits in
         // line for them must not hold up instance requests.
-        if self.deletion_in_flight {
+        if self.provisioning.deletion_in_flight {
             return;
         }
         let now = self.now;
@@ -227,8 +235,9 @@
             .machines()
             .filter(|(id, m, _)| {
                 m.phase == MachinePhase::Deprovisioning
-                    && !self.deletion_confirmed.contains(*id)
+                    && !self.provisioning.deletion_confirmed.contains(*id)
                     && self
+                        .provisioning
                         .deletion_tried_at
                         .get(*id)
                         .is_none_or(|at| now >= at + DELETE_RETRY_MS)
@@ -240,9 +249,9 @@
             return;
         }
         for id in &due {
-            self.deletion_tried_at.insert(id.clone(), now);
+            self.provisioning.deletion_tried_at.insert(id.clone(), now);
         }
-        self.deletion_in_flight = true;
+        self.provisioning.deletion_in_flight = true;
         let purpose = PendingOperation::Deprovision(due.clone());
         self.cloud(CloudOperation::Delete { machines: due }, purpose);
     }
@@ -252,7 +261,9 @@
         // just started does not know that they are.
         let lag = self.settings.list_lag_ms * 2 + INSTANCE_LIST_INTERVAL_MS;
         let now = self.now;
-        self.unmanaged.retain(|_, at| now < *at + 4 * lag);
+        self.provisioning
+            .unmanaged
+            .retain(|_, at| now < *at + 4 * lag);
         for instance in instances {
             match self.cache.machine(&instance.name) {
                 None => {
@@ -265,13 +276,17 @@
                                 Some(instances) => instances.contains(&instance.name),
                                 None => true,
                             });
-                    if rented || self.recently_deleted.contains(&instance.name) {
-                        self.unmanaged.remove(&instance.name);
+                    if rented || self.workers.recently_deleted.contains(&instance.name) {
+                        self.provisioning.unmanaged.remove(&instance.name);
                         continue;
                     }
-                    let since = *self.unmanaged.entry(instance.name.clone()).or_insert(now);
+                    let since = *self
+                        .provisioning
+                        .unmanaged
+                        .entry(instance.name.clone())
+                        .or_insert(now);
                     if now >= since + lag {
-                        self.unmanaged.remove(&instance.name);
+                        self.provisioning.unmanaged.remove(&instance.name);
                         let mut draft = TransactionBuilder::new(&self.cache);
                         draft.put(
                             Key::Machine(instance.name.clone()),
@@ -307,15 +322,20 @@
         let now = self.now;
         let mut due = Vec::new();
         let live: BTreeSet<u64> = self.cache.instance_requests().map(|(n, _, _)| *n).collect();
-        self.request_tried_at.retain(|n, _| live.contains(n));
-        self.request_known_since.retain(|n, _| live.contains(n));
+        self.provisioning
+            .request_tried_at
+            .retain(|n, _| live.contains(n));
+        self.provisioning
+            .request_known_since
+            .retain(|n, _| live.contains(n));
         for (n, h, _) in self.cache.instance_requests() {
-            let patience = if self.peer_tracker.is_away(&h.controller) {
+            let patience = if self.peers.is_away(&h.controller) {
                 // By the same name, so it does no harm should it only be silent.
                 PROVISION_RETRY_SOON_MS + self.settings.controller_index() * CONTROLLER_STAGGER_MS
             } else if h.controller == self.settings.controller {
                 // Never asked: the transaction that recorded it got no answer.
-                let tried = self.request_tried_at.contains_key(n) || !self.settings.checks.doubt;
+                let tried = self.provisioning.request_tried_at.contains_key(n)
+                    || !self.settings.checks.doubt;
                 if tried {
                     PROVISION_RETRY_MS
                 } else {
@@ -324,9 +344,18 @@
             } else {
                 PROVISION_RETRY_MS * 2 + self.settings.controller_index() * CONTROLLER_STAGGER_MS
             };
-            let since = *self.request_known_since.entry(*n).or_insert(now);
-            let last = self.request_tried_at.get(n).copied().unwrap_or(since);
-            let asked = self.requests_in_flight.contains(n);
+            let since = *self
+                .provisioning
+                .request_known_since
+                .entry(*n)
+                .or_insert(now);
+            let last = self
+                .provisioning
+                .request_tried_at
+                .get(n)
+                .copied()
+                .unwrap_or(since);
+            let asked = self.provisioning.requests_in_flight.contains(n);
             if h.instances.is_none() && !asked && now >= last + patience {
                 due.push(*n);
             }
--- a/crates/core/src/provisioning/demand.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -1,10 +1,15 @@
 //! Renting and returning machines.
 
-use crate::constants::*;
-use crate::model::*;
+use crate::constants::{
+    BOOT_LATE, BOOT_LATE_SPARE_MS, LATE_FEW, LATE_PART, PROVISION_MAX_INSTANCES,
+    PROVISION_REQUESTS_AT_ONCE, RESERVE_SERVICES, SCALE_IN_PRICE_FACTOR,
+};
+use crate::model::{JobKind, JobSpec, MachineType, Resources, WallMs};
 use crate::scheduling::claims::zone_room;
 use crate::scheduling::placement::PendingWork;
-use crate::state::*;
+use crate::state::{
+    offer_key, MachinePhase, MachineRecord, ProvisioningRecord, StateCache, ZoneSpreadRecord,
+};
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/src/provisioning/mod.rs
+++ b/crates/core/src/provisioning/mod.rs
@@ -2,3 +2,4 @@
 
 mod cloud;
 pub mod demand;
+pub(crate) mod tracker;
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -6,11 +6,15 @@
 //! to; should its outcome never be known, these runs are not sent again. Nothing rests on what is
 //! learned: no rule, no proof, no claim's condition.
 
-use crate::constants::*;
-use crate::controller::*;
-use crate::model::*;
+use crate::constants::{
+    ATTEMPTS_FOLLOWED, BACKLOG_RESULTS, EARLY_CHANCE, ESTIMATES_AT_ONCE, ESTIMATES_KEPT,
+    ESTIMATE_MS, FEASIBLE_CHANCE, LEARN_SHARE, MOST_CHANCE, SILENCE_MARGIN_MS, START_TAKES_MS,
+    THROTTLED_MS,
+};
+use crate::controller::{Controller, PendingOperation, RequestClass, StateResponse};
+use crate::model::{JobKind, JobSpec, Millis, TaskId, WallMs, WorkerHeartbeat};
 use crate::scheduling::claims::AttemptOutcome;
-use crate::state::*;
+use crate::state::{ChunkRecord, Key, Record, RunTimesRecord, TaskState, TransactionBuilder};
 use foldhash::HashMap;
 use glenmount_runtime_estimates::book::{class_id, About, Book, ClassId};
 use glenmount_runtime_estimates::constants::{CLASSES_KEPT, NAME_BYTES};
@@ -304,9 +308,12 @@
         if !self.learns() || self.run_times.busy || self.now < self.run_times.record_at {
             return;
         }
-        let plenty = self.changes_left() * 2 >= self.write_budget.most();
+        let plenty = self.changes_left() * 2 >= self.writes.budget.most();
         let quiet = |at: Millis| self.now >= at + THROTTLED_MS;
-        if !plenty || self.results.len() > BACKLOG_RESULTS || !self.throttled_at.is_none_or(quiet) {
+        if !plenty
+            || self.write_back.results.len() > BACKLOG_RESULTS
+            || !self.writes.throttled_at.is_none_or(quiet)
+        {
             return;
         }
         let Some(class) = self.run_times.book.unrecorded().first().copied() else {
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -5,11 +5,17 @@
 //! chunk, the machine's record, and for teams with a limit on the team's, which every such
 //! claim writes: what is in use is then known exactly, since no other claim came between.
 
-use crate::constants::*;
-use crate::model::*;
-use crate::settings::*;
+use crate::constants::{
+    ASSIGNMENT_BYTES, CHUNK_BASE_BYTES, FAIL_PAUSE_MAX_MS, FAIL_PAUSE_MS, FAULTS_KEPT,
+    FAULTY_MACHINES, SICK_JOBS, SMALL_RECORD_BYTES,
+};
+use crate::model::{JobKind, JobSpec, Resources, TaskId, Team, WallMs};
+use crate::settings::Settings;
 use crate::state::formats;
-use crate::state::*;
+use crate::state::{
+    Assignment, ChunkRecord, JobPhase, JobRecord, Key, MachinePhase, Record, TaskState, TeamRecord,
+    TransactionBuilder, ZoneSpreadRecord,
+};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
--- a/crates/core/src/scheduling/mod.rs
+++ b/crates/core/src/scheduling/mod.rs
@@ -7,3 +7,4 @@
 pub mod queue_order;
 pub mod quota_enforcement;
 pub mod rescheduling;
+pub(crate) mod schedule;
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -1,15 +1,23 @@
 //! When and for what a controller looks up work: claims, stops for what waits, instance requests, moves.
 
-use crate::constants::*;
-use crate::controller::*;
+use crate::constants::{
+    FIRST_PASS_MS, MACHINE_NAME_BYTES, MOVES_MOST, MOVES_PART, MOVES_REST_MS, MOVE_COST_S,
+    MOVE_GAP_MS, PASS_INTERVAL_MS, PREEMPT_AFTER_MS, PREEMPT_GAP_MS, PREEMPT_LATER_MS,
+    PROVISION_MAX_INSTANCES, PROVISION_REQUESTS_AT_ONCE, SCALE_IN_AFTER_MS, SMALL_RECORD_BYTES,
+    SPARED_CHANCE, SPARED_MS, TICK_MS, WARM_IMAGE_MIN_FETCH_MS, WARM_IMAGE_WAIT_MS,
+};
+use crate::controller::{ClaimedTask, Controller, PendingOperation, RequestClass};
 use crate::jobs::dependencies::{self, InheritedPriority};
-use crate::model::*;
+use crate::model::{JobKind, JobPriority, JobSpec, Millis, Resources, TaskId};
 use crate::provisioning::demand;
 use crate::scheduling::claims;
 use crate::scheduling::placement::{self, Candidate, RunTimes};
 use crate::scheduling::preemption;
 use crate::scheduling::rescheduling::{self, Reason, Wish};
-use crate::state::*;
+use crate::state::{
+    Assignment, InstanceRequestRecord, Key, MachinePhase, MachineRecord, Placed, Record,
+    TransactionBuilder,
+};
 use foldhash::HashMap;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,11 +25,11 @@
 impl Controller {
     /// Whether a scheduling pass is wanted and nothing but a turn to write is lacking for it.
     pub(crate) fn is_pass_due(&self) -> bool {
-        (self.pass_requested || self.now >= self.next_pass_at)
+        (self.scheduling.pass_requested || self.now >= self.scheduling.next_pass_at)
             && self.has_synced()
             && self.has_current_state()
             && self.workers_reachable()
-            && self.shutting_down_since.is_none()
+            && self.lifecycle.shutting_down_since.is_none()
             && self.configuration.is_readable()
             && !self.machine_types.is_empty()
     }
@@ -34,13 +42,13 @@
         if left < self.min_changes() {
             return;
         }
-        self.pass_goes_first = false;
+        self.writes.pass_goes_first = false;
         self.metrics.lookups += 1;
-        self.pass_requested = false;
+        self.scheduling.pass_requested = false;
         let jitter = self.rng.gen_range(0..PASS_INTERVAL_MS / 4);
-        self.next_pass_at = self.now + PASS_INTERVAL_MS + jitter;
+        self.scheduling.next_pass_at = self.now + PASS_INTERVAL_MS + jitter;
         self.look_at_run_times();
-        let mut turns = std::mem::take(&mut self.queue_order);
+        let mut turns = std::mem::take(&mut self.scheduling.queue_order);
         let least = |job: &str, spec: &JobSpec| self.least_run_ms(job, spec);
         let pulls = dependencies::pulls(&self.cache, &least);
         let runs = RunTimes {
@@ -56,8 +64,8 @@
             &mut turns,
             self.wall,
         );
-        self.queue_order = turns;
-        self.has_pending_work = !work.is_empty();
+        self.scheduling.queue_order = turns;
+        self.scheduling.has_pending_work = !work.is_empty();
         if work.is_empty() {
             return;
         }
@@ -71,7 +79,7 @@
             if room.cpus == 0
                 || room.ram == 0
                 || m.phase != MachinePhase::Up
-                || self.marked_for_termination.contains_key(id)
+                || self.workers.marked_for_termination.contains_key(id)
             {
                 continue;
             }
@@ -94,10 +102,11 @@
                 record: m,
                 images: self.cache.images_of(id),
                 room,
-                used_at: self.last_assigned_at.get(id).copied().unwrap_or(0),
+                used_at: self.workers.last_assigned_at.get(id).copied().unwrap_or(0),
                 own: sight.reports_here(),
                 busy: self.cache.assigned_tasks(id) > 0,
                 fetch_ms: self
+                    .workers
                     .fetching_until
                     .get(id)
                     .map_or(0, |until| until.saturating_sub(self.now)),
@@ -107,13 +116,17 @@
         let settled = self.has_heard_full_round();
         if !settled {
             // Machines go on being heard for the first time: they are filled as they come.
-            self.next_pass_at = self.next_pass_at.min(self.now + FIRST_PASS_MS);
+            self.scheduling.next_pass_at =
+                self.scheduling.next_pass_at.min(self.now + FIRST_PASS_MS);
         }
         let hold = match settled {
             true => self.hold_for_images(&mut work, &pulls),
             false => Millis::MAX,
         };
-        self.next_pass_at = self.next_pass_at.min(self.now.saturating_add(hold));
+        self.scheduling.next_pass_at = self
+            .scheduling
+            .next_pass_at
+            .min(self.now.saturating_add(hold));
         let plan = placement::plan(
             &self.cache,
             &self.settings,
@@ -125,7 +138,7 @@
         );
         let full = plan.full;
         for (id, ms) in plan.fetches {
-            self.fetching_until.insert(id, self.now + ms);
+            self.workers.fetching_until.insert(id, self.now + ms);
         }
         if !plan.claimed.is_empty() {
             let claimed = plan.claimed.into_iter().map(|(task, machine)| {
@@ -202,7 +215,8 @@
     /// Whether a machine may be counted on for what waits.
     fn usable(&self, id: &str) -> bool {
         let zone = self.cache.machine(id).map(|m| &m.zone);
-        zone.is_some_and(|z| self.reachable(id, z)) && !self.marked_for_termination.contains_key(id)
+        zone.is_some_and(|z| self.reachable(id, z))
+            && !self.workers.marked_for_termination.contains_key(id)
     }
 
     /// Stops work of lower rank for what found no room.
@@ -213,7 +227,7 @@
     ) {
         if work.is_empty()
             || !self.may_write()
-            || self.now < self.last_preemption_at + PREEMPT_GAP_MS
+            || self.now < self.scheduling.last_preemption_at + PREEMPT_GAP_MS
         {
             return;
         }
@@ -237,13 +251,19 @@
         }
         if ripe.is_empty() {
             // What is too fresh is looked at again soon.
-            self.next_pass_at = self.next_pass_at.min(self.now.saturating_add(next));
+            self.scheduling.next_pass_at = self
+                .scheduling
+                .next_pass_at
+                .min(self.now.saturating_add(next));
             return;
         }
         let now = self.now;
         let age = |attempt: u64| {
-            let at = self.revision_times.partition_point(|(e, _)| *e <= attempt);
-            match self.revision_times.get(at) {
+            let at = self
+                .sync
+                .revision_times
+                .partition_point(|(e, _)| *e <= attempt);
+            match self.sync.revision_times.get(at) {
                 _ if at == 0 => Millis::MAX,
                 Some((_, t)) => now - t,
                 None => 0,
@@ -289,7 +309,7 @@
         if chosen.is_empty() {
             return;
         }
-        self.last_preemption_at = self.now;
+        self.scheduling.last_preemption_at = self.now;
         let large = draft.drop_oversized(self.settings.max_value_bytes);
         if !draft.is_empty() {
             let transaction = draft.finish();
@@ -305,7 +325,9 @@
     pub(crate) fn scale_out(&mut self, work: &[placement::PendingWork]) {
         // What is wanted while requests are under way goes into the next ones together: the
         // cloud takes few calls, and a call brings up to 50 machines.
-        if work.is_empty() || self.request_creation_in_flight || !self.requests_in_flight.is_empty()
+        if work.is_empty()
+            || self.provisioning.request_creation_in_flight
+            || !self.provisioning.requests_in_flight.is_empty()
         {
             return;
         }
@@ -353,7 +375,7 @@
         }
         draft.put(Key::Provisioning, Record::Provisioning(fleet));
         let transaction = draft.finish();
-        self.request_creation_in_flight = true;
+        self.provisioning.request_creation_in_flight = true;
         self.commit(
             transaction,
             PendingOperation::CreateInstanceRequests(instance_requests),
@@ -364,22 +386,22 @@
     /// Empties dear machines whose services fit elsewhere, one task at a time, and takes the
     /// services off machines that are being drained.
     pub(crate) fn move_services(&mut self) {
-        if self.has_pending_work || self.cache.instance_requests().next().is_some() {
-            self.idle_since = self.now;
+        if self.scheduling.has_pending_work || self.cache.instance_requests().next().is_some() {
+            self.scheduling.idle_since = self.now;
         }
         if self.in_trouble() {
             // What it upset is placed first: moves rest, and pick up after.
-            self.moves.at = self.now + MOVES_REST_MS - MOVE_GAP_MS;
+            self.scheduling.moves.at = self.now + MOVES_REST_MS - MOVE_GAP_MS;
         }
-        if !self.may_write() || self.now < self.moves.at + MOVE_GAP_MS {
+        if !self.may_write() || self.now < self.scheduling.moves.at + MOVE_GAP_MS {
             return;
         }
         // These can't wait until nothing else does. As often as machines are judged, which finds them.
-        let mute = match self.failures_detected_at == self.now {
+        let mute = match self.workers.failures_detected_at == self.now {
             true => self.services_on_mute_workers(),
             false => Vec::new(),
         };
-        if self.has_pending_work && mute.is_empty() {
+        if self.scheduling.has_pending_work && mute.is_empty() {
             return;
         }
         // As many at a time as the site is large: one by one a fleet of hundreds would stay for as
@@ -405,7 +427,7 @@
         if left == 0 {
             return;
         }
-        self.moves.at = self.now;
+        self.scheduling.moves.at = self.now;
         let wishes = match mute.is_empty() {
             true => self.wished_moves(),
             false => {
@@ -417,7 +439,10 @@
                 mute
             }
         };
-        let leaving = self.moves.chosen(self.now, wishes, left, &moving);
+        let leaving = self
+            .scheduling
+            .moves
+            .chosen(self.now, wishes, left, &moving);
         let mut draft = TransactionBuilder::new(&self.cache);
         if !leaving.is_empty() {
             let mut stops = Vec::new();
@@ -440,10 +465,10 @@
                 );
             }
             self.log_oversized(large);
-        } else if under_way == 0 && self.now >= self.idle_since + SCALE_IN_AFTER_MS {
+        } else if under_way == 0 && self.now >= self.scheduling.idle_since + SCALE_IN_AFTER_MS {
             let now = self.now;
             let old = |id: &str| {
-                let up = self.observations.of(id).up;
+                let up = self.workers.observations.of(id).up;
                 up.is_some_and(|at| now >= at + SCALE_IN_AFTER_MS)
             };
             for id in demand::scale_in_candidates(&self.cache, &self.machine_types, old, most) {
@@ -560,10 +585,11 @@
     /// Whether something is upset just now: a zone is lost, a controller is taken over from, or the state
     /// service says that too much is asked.
     fn in_trouble(&self) -> bool {
-        let throttled = self.throttled_at.is_some_and(|at| self.now < at + TICK_MS);
-        self.zone_detector.has_unreachable()
-            || self.peer_tracker.has_failover_in_progress()
-            || throttled
+        let throttled = self
+            .writes
+            .throttled_at
+            .is_some_and(|at| self.now < at + TICK_MS);
+        self.zones.has_unreachable() || self.peers.has_failover_in_progress() || throttled
     }
 
     fn movable(&self, task: &TaskId, b: &Assignment) -> bool {
--- a/crates/core/src/scheduling/placement.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -4,13 +4,20 @@
 //! As in the paper (section 5): each free machine names the set it serves best, per set the
 //! machine idle longest wins, and one conditional transaction allocates it.
 
-use crate::constants::*;
+use crate::constants::{
+    BEGIN_LATE_MS, BEGIN_PART, CHANGES_PER_TASK, FETCH_MAX_MS, FRESH_MS, NO_GOAL_MS,
+    PASS_MAX_CHUNKS, PASS_MAX_JOBS, QUEUE_ORDER_CACHE_MS, RESERVE_PART, RESERVE_PATIENCE_MS,
+    RESERVE_SERVICES,
+};
 use crate::jobs::dependencies::{self, InheritedPriority};
-use crate::model::*;
+use crate::model::{JobKind, JobPriority, JobSpec, MachineType, Millis, Resources, TaskId, WallMs};
 use crate::scheduling::claims::{self, within_limit, zone_room};
 use crate::scheduling::queue_order;
-use crate::settings::*;
-use crate::state::*;
+use crate::settings::Settings;
+use crate::state::{
+    CasTransaction, JobRecord, MachineRecord, StateCache, TaskState, TeamRecord,
+    TransactionBuilder, ZoneSpreadRecord,
+};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/core/src/scheduling/preemption.rs
+++ b/crates/core/src/scheduling/preemption.rs
@@ -1,12 +1,12 @@
 //! Preemption: which tasks to stop so that waiting work gets room: those of lower rank, and, for
 //! work within its team's guarantee, what other teams run beyond theirs.
 
-use crate::constants::*;
-use crate::model::*;
+use crate::constants::{PREEMPT_TASKS, PREEMPT_WASTE_MS};
+use crate::model::{JobKind, JobPriority, JobSpec, MachineType, Millis, Resources, TaskId};
 use crate::scheduling::claims::zone_room;
 use crate::scheduling::placement::PendingWork;
-use crate::settings::*;
-use crate::state::*;
+use crate::settings::Settings;
+use crate::state::{MachinePhase, MachineRecord, StateCache};
 use foldhash::HashMap;
 use std::collections::BTreeMap;
 
--- a/crates/core/src/scheduling/quota_enforcement.rs
+++ b/crates/core/src/scheduling/quota_enforcement.rs
@@ -3,9 +3,9 @@
 //! ends what was claimed before.
 
 use crate::configuration::Policy;
-use crate::controller::*;
-use crate::model::*;
-use crate::state::*;
+use crate::controller::{Controller, PendingOperation, RequestClass};
+use crate::model::{JobKind, JobPriority, Resources, TaskId, Team};
+use crate::state::{Key, StateCache, TransactionBuilder};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
--- a/crates/core/src/scheduling/rescheduling.rs
+++ b/crates/core/src/scheduling/rescheduling.rs
@@ -5,8 +5,8 @@
 //! loses two tasks at a time, nor one while another is missing, and no task moves twice within a
 //! stated time. What a move is made of, a stop on record and a claim, survives the end of any controller.
 
-use crate::constants::*;
-use crate::model::*;
+use crate::constants::{MOVES_REMEMBERED, MOVE_AGAIN_MS, MOVE_WORTH, SPREAD_GAIN_S};
+use crate::model::{Millis, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Why a task is moved, the most urgent first.
--- a/crates/core/src/state/cache.rs
+++ b/crates/core/src/state/cache.rs
@@ -10,8 +10,8 @@
     ConfigurationEnabledRecord, ConfigurationPageRecord, ConfigurationVersionRecord,
     ObservedVersionRecord,
 };
-use crate::constants::*;
-use crate::model::*;
+use crate::constants::{FAULTY_MACHINES, IMAGES_KNOWN, MACHINE_IMAGES, REFUSED_RECORDS_KEPT};
+use crate::model::{JobSpec, Resources, TaskId, WallMs};
 use crate::state::formats::{self, FormatRecord};
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/core/src/state/formats.rs
+++ b/crates/core/src/state/formats.rs
@@ -20,9 +20,12 @@
 //! direct command. STOP is the number of a reason, and N repeats the word for tasks that follow.
 //! A task takes some 8 bytes so instead of some 45, and a hundred of them fit into 2 KiB.
 
-use crate::constants::*;
-use crate::model::*;
-use crate::state::*;
+use crate::constants::{
+    ASSIGNMENT_BYTES, ASSIGNMENT_EDIT_BYTES, CHUNK_BASE_BYTES, CHUNK_TASKS, CHUNK_TASK_BYTES,
+    COMPACT_ASSIGNMENT_BYTES, COMPACT_TASK_BYTES, JOB_TASKS, VALUE_SPARE_BYTES,
+};
+use crate::model::{Resources, WallMs};
+use crate::state::{escape, unescape, Assignment, ChunkRecord, Record, TaskState};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -7,9 +7,12 @@
 mod dependents;
 pub mod formats;
 mod key;
+pub(crate) mod list_watch;
+pub(crate) mod reads;
 mod records;
 pub(crate) mod sync;
 mod transaction;
+pub(crate) mod write_control;
 
 pub use cache::*;
 pub use dependents::Dependents;
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -5,8 +5,8 @@
     ConfigurationEnabledRecord, ConfigurationPageRecord, ConfigurationVersionRecord,
     ObservedVersionRecord,
 };
-use crate::constants::*;
-use crate::model::*;
+use crate::constants::{ASSIGNMENT_BYTES, CHUNK_BASE_BYTES};
+use crate::model::{JobSpec, MachineType, Resources, WallMs};
 use crate::state::formats::{self, CompactChunk, FormatRecord};
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/state/sync.rs
+++ b/crates/core/src/state/sync.rs
@@ -1,11 +1,16 @@
 //! What the state service tells: the first reading, the watch, proofs of freshness, and the
 //! outcomes of transactions.
 
-use crate::constants::*;
-use crate::controller::*;
-use crate::model::*;
+use crate::constants::{
+    CONFLICT_PAUSE_MS, PEER_CHANGE_PASS_DELAY_MS, PENDING_READS_MAX, PROVISION_RETRY_MS,
+    PROVISION_RETRY_SOON_MS, READ_INDEX_INTERVAL_MS, REVISION_TIMES_KEPT, STATE_PROBE_INTERVAL_MS,
+};
+use crate::controller::{
+    Controller, Effect, OperationId, PendingOperation, RequestClass, StateOperation, StateResponse,
+};
+use crate::model::{Millis, TaskId};
 use crate::state::formats;
-use crate::state::*;
+use crate::state::{CasTransaction, JobPhase, Key, Record};
 use std::collections::BTreeSet;
 
 /// The reading of all records, page by page.
@@ -23,20 +28,20 @@
 
 impl Controller {
     pub(crate) fn issue_read_index(&mut self) {
-        let wanted = !self.unissued_reads.is_empty()
-            || (self.has_listed
-                && self.now >= self.last_read_requested_at + STATE_PROBE_INTERVAL_MS);
+        let wanted = !self.reads.unissued.is_empty()
+            || (self.sync.has_listed
+                && self.now >= self.reads.last_requested_at + STATE_PROBE_INTERVAL_MS);
         if !wanted
-            || self.read_index_in_flight
-            || !self.has_listed
-            || self.now < self.last_read_index_at + READ_INDEX_INTERVAL_MS
+            || self.reads.in_flight
+            || !self.sync.has_listed
+            || self.now < self.reads.last_issued_at + READ_INDEX_INTERVAL_MS
         {
             return;
         }
-        self.read_index_in_flight = true;
-        self.last_read_index_at = self.now;
-        self.last_read_requested_at = self.now;
-        self.issued_reads = std::mem::take(&mut self.unissued_reads);
+        self.reads.in_flight = true;
+        self.reads.last_issued_at = self.now;
+        self.reads.last_requested_at = self.now;
+        self.reads.issued = std::mem::take(&mut self.reads.unissued);
         let token = self.token(PendingOperation::ReadIndex, None);
         self.emit(Effect::State {
             token,
@@ -46,18 +51,18 @@
     }
 
     pub(crate) fn start_list(&mut self) {
-        self.has_listed = false;
-        self.list_progress.round += 1;
-        self.list_progress.listed.clear();
-        self.list_progress.revision = 0;
+        self.sync.has_listed = false;
+        self.sync.list.round += 1;
+        self.sync.list.listed.clear();
+        self.sync.list.revision = 0;
         self.request_list_page(None);
     }
 
     fn request_list_page(&mut self, after: Option<String>) {
-        self.list_progress.busy = true;
+        self.sync.list.busy = true;
         let token = self.token(
             PendingOperation::List {
-                round: self.list_progress.round,
+                round: self.sync.list.round,
             },
             None,
         );
@@ -69,7 +74,7 @@
     }
 
     fn take_list_page(&mut self, answer: StateResponse) {
-        self.list_progress.busy = false;
+        self.sync.list.busy = false;
         let StateResponse::Listed {
             items,
             last,
@@ -79,13 +84,13 @@
         else {
             return; // the tick tries again
         };
-        if self.list_progress.revision == 0 {
+        if self.sync.list.revision == 0 {
             // The first page's revision: whatever changed since is in the watch.
-            self.list_progress.revision = revision;
+            self.sync.list.revision = revision;
         }
         for (key, mod_revision, record) in items {
-            self.list_progress.high = self.list_progress.high.max(mod_revision);
-            self.list_progress.listed.insert(key.clone());
+            self.sync.list.high = self.sync.list.high.max(mod_revision);
+            self.sync.list.listed.insert(key.clone());
             self.cache.put(key, mod_revision, record);
         }
         if more && last.is_some() {
@@ -100,22 +105,21 @@
         {
             self.use_machine_types(&record.machine_types);
         }
-        let listed = std::mem::take(&mut self.list_progress.listed);
-        self.cache
-            .retain_listed(&listed, self.list_progress.revision);
-        self.cache.revision = self.list_progress.revision;
+        let listed = std::mem::take(&mut self.sync.list.listed);
+        self.cache.retain_listed(&listed, self.sync.list.revision);
+        self.cache.revision = self.sync.list.revision;
         self.run_times_listed();
-        self.has_listed = true;
+        self.sync.has_listed = true;
         self.apply_stored_configuration();
         self.state_changed = true;
-        self.pass_requested = true;
+        self.scheduling.pass_requested = true;
         tracing::info!(
             records = self.cache.len(),
-            revision = self.list_progress.revision,
+            revision = self.sync.list.revision,
             "records read"
         );
         self.emit(Effect::Watch {
-            since: self.list_progress.revision,
+            since: self.sync.list.revision,
         });
     }
 
@@ -131,10 +135,11 @@
             self.apply(key, mod_revision, record, false);
         }
         self.cache.revision = self.cache.revision.max(revision);
-        self.revision_times
+        self.sync
+            .revision_times
             .push_back((self.cache.revision, self.now));
-        if self.revision_times.len() > REVISION_TIMES_KEPT {
-            self.revision_times.pop_front();
+        if self.sync.revision_times.len() > REVISION_TIMES_KEPT {
+            self.sync.revision_times.pop_front();
         }
         self.state_changed = true;
         self.apply_stored_configuration();
@@ -160,9 +165,12 @@
                         if b.attempt == before {
                             let job = job.clone();
                             let task = TaskId { job, index };
-                            self.starts_in_flight
+                            self.workers
+                                .starts
                                 .claimed(self.now, &task, before, &b.machine);
-                            self.last_assigned_at.insert(b.machine.clone(), self.now);
+                            self.workers
+                                .last_assigned_at
+                                .insert(b.machine.clone(), self.now);
                         }
                     }
                     self.assignments_changed(job, *n, chunk);
@@ -175,7 +183,7 @@
                     (Key::Machine(id), Record::Machine(m)) => {
                         let before = self.cache.machine(id).map_or(0, |m| m.token_offset);
                         let token_offset =
-                            m.token_offset > before && self.starts_in_flight.token_offset(id);
+                            m.token_offset > before && self.workers.starts.token_offset(id);
                         token_offset.then(|| id.clone())
                     }
                     _ => None,
@@ -192,7 +200,7 @@
             None => {
                 if let Key::Machine(id) = &key {
                     if self.cache.mod_revision(&key) < mod_revision {
-                        self.recently_deleted.push(id.clone());
+                        self.workers.recently_deleted.push(id.clone());
                     }
                 }
                 self.cache.remove(&key, mod_revision);
@@ -208,30 +216,30 @@
     /// controller that made it looks first.
     fn request_pass(&mut self, own: bool) {
         if own {
-            self.pass_requested = true;
+            self.scheduling.pass_requested = true;
         } else {
             let at = self.now + PEER_CHANGE_PASS_DELAY_MS + self.settings.controller_index() * 100;
-            self.next_pass_at = self.next_pass_at.min(at);
+            self.scheduling.next_pass_at = self.scheduling.next_pass_at.min(at);
         }
     }
 
     fn serve_caught_up_reads(&mut self) {
         let revision = self.cache.revision;
-        let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.reads_behind_watch)
+        let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.reads.behind_watch)
             .into_iter()
             .partition(|(e, ..)| *e <= revision);
-        self.reads_behind_watch = waiting;
-        if self.reads_behind_watch.is_empty() {
-            self.watch_lag_since = None;
+        self.reads.behind_watch = waiting;
+        if self.reads.behind_watch.is_empty() {
+            self.sync.watch_lag_since = None;
         }
         for (_, token, requests) in ready {
-            if self.view_predates_resume
-                && self.has_listed
-                && token >= self.first_operation_since_resume
+            if self.lifecycle.view_predates_resume
+                && self.sync.has_listed
+                && token >= self.lifecycle.first_operation_since_resume
             {
-                self.view_predates_resume = false;
+                self.lifecycle.view_predates_resume = false;
                 self.state_changed = true;
-                self.pass_requested = true;
+                self.scheduling.pass_requested = true;
             }
             for request in requests {
                 self.serve_with_current_state(request);
@@ -240,13 +248,13 @@
     }
 
     pub(crate) fn handle_state_response(&mut self, token: OperationId, answer: StateResponse) {
-        let Some((purpose, transaction)) = self.pending.remove(&token) else {
+        let Some((purpose, transaction)) = self.operations.outstanding.remove(&token) else {
             return;
         };
         match &answer {
             StateResponse::Unavailable | StateResponse::NoAnswer => {}
-            _ if token < self.first_operation_since_resume => {}
-            _ => self.last_state_response_at = Some(self.now),
+            _ if token < self.lifecycle.first_operation_since_resume => {}
+            _ => self.sync.last_response_at = Some(self.now),
         }
         let committed = matches!(answer, StateResponse::Committed { .. });
         // What the watch has passed is in the cache, as is all that became of it since: a record
@@ -277,22 +285,22 @@
         }
         match purpose {
             PendingOperation::ReadIndex => {
-                self.read_index_in_flight = false;
-                let requests = std::mem::take(&mut self.issued_reads);
-                let waiting = self.reads_behind_watch.len();
+                self.reads.in_flight = false;
+                let requests = std::mem::take(&mut self.reads.issued);
+                let waiting = self.reads.behind_watch.len();
                 match answer {
                     // Read before this controller was paused: its view may have changed since.
-                    _ if token < self.first_operation_since_resume => {}
+                    _ if token < self.lifecycle.first_operation_since_resume => {}
                     StateResponse::ReadIndex { revision } => {
-                        if revision > self.cache.revision && self.watch_lag_since.is_none() {
-                            self.watch_lag_since = Some(self.now);
+                        if revision > self.cache.revision && self.sync.watch_lag_since.is_none() {
+                            self.sync.watch_lag_since = Some(self.now);
                         }
-                        match self.reads_behind_watch.last_mut() {
+                        match self.reads.behind_watch.last_mut() {
                             Some(last) if last.0 == revision || waiting >= PENDING_READS_MAX => {
                                 (last.0, last.1) = (last.0.max(revision), token);
                                 last.2.extend(requests);
                             }
-                            _ => self.reads_behind_watch.push((revision, token, requests)),
+                            _ => self.reads.behind_watch.push((revision, token, requests)),
                         }
                         self.serve_caught_up_reads();
                     }
@@ -304,7 +312,7 @@
                 }
             }
             PendingOperation::List { round } => {
-                if round == self.list_progress.round {
+                if round == self.sync.list.round {
                     self.take_list_page(answer);
                 }
             }
@@ -329,26 +337,26 @@
                 if committed {
                     for c in &claimed {
                         let (task, machine) = (&c.task, &c.machine);
-                        self.starts_in_flight.answered(task, c.attempt);
+                        self.workers.starts.answered(task, c.attempt);
                         tracing::info!(%task, machine, "claimed");
                         let at = self.cache.job(&task.job).map_or(self.wall, |j| j.at);
                         let waited = self.wall.saturating_sub(at);
                         self.metrics.claimed(task, c.attempt, waited, self.now);
                     }
                     self.send_starts(&claimed);
-                    self.pass_requested = true;
+                    self.scheduling.pass_requested = true;
                 } else {
                     // Another controller won, or the outcome is unknown: look again once the
                     // watch has told what is true.
                     tracing::debug!(tasks = claimed.len(), "claim lost");
-                    self.pass_requested = true;
+                    self.scheduling.pass_requested = true;
                 }
             }
             PendingOperation::CreateInstanceRequests(instance_requests) => {
-                self.request_creation_in_flight = false;
+                self.provisioning.request_creation_in_flight = false;
                 if committed {
                     // The copy may have shown it first.
-                    let asked = &self.requests_in_flight;
+                    let asked = &self.provisioning.requests_in_flight;
                     let due: Vec<u64> = instance_requests
                         .into_iter()
                         .filter(|n| !asked.contains(n))
@@ -357,22 +365,22 @@
                         self.send_instance_request(n);
                     }
                 } else {
-                    self.next_pass_at = self.next_pass_at.min(self.now + 200);
+                    self.scheduling.next_pass_at = self.scheduling.next_pass_at.min(self.now + 200);
                 }
             }
             PendingOperation::RemoveInstanceRequest(n) => {
-                self.removing_requests.remove(&n);
+                self.provisioning.removing_requests.remove(&n);
             }
             PendingOperation::RecordProvisioned(n) => {
                 if committed {
                     // What was refused here is wanted elsewhere.
-                    self.pass_requested = true;
+                    self.scheduling.pass_requested = true;
                 } else {
                     // The cloud answers the same name the same way: ask it again.
                     // In its first seconds a controller's time is less than that pause.
                     let tried =
                         (self.now + PROVISION_RETRY_SOON_MS).saturating_sub(PROVISION_RETRY_MS);
-                    self.request_tried_at.insert(n, tried);
+                    self.provisioning.request_tried_at.insert(n, tried);
                 }
             }
             PendingOperation::Stop(stops) => {
@@ -385,10 +393,10 @@
                 self.run_times_recorded(class, batches, &answer)
             }
             PendingOperation::FinishJob(id) => {
-                self.finishing_jobs.remove(&id);
+                self.cleanup.finishing.remove(&id);
             }
             PendingOperation::CancelDependents(jobs) => {
-                self.dependents_cancellation_in_flight = false;
+                self.cleanup.dependents_cancellation_in_flight = false;
                 for id in jobs.iter().filter(|_| committed) {
                     tracing::info!(job = id, "cancelled with a job that it needs");
                 }
@@ -397,8 +405,8 @@
             PendingOperation::ConfirmCancellations => self.upgrade.settle_busy = false,
             PendingOperation::EnableConfiguration => self.upgrade.configurable_busy = false,
             PendingOperation::RecordObservedVersion => self.configuration.told(),
-            PendingOperation::RemoveObsolete => self.removal_in_flight = false,
-            PendingOperation::Term => self.term_in_flight = false,
+            PendingOperation::RemoveObsolete => self.cleanup.removal_in_flight = false,
+            PendingOperation::Term => self.upgrade.term_in_flight = false,
             PendingOperation::Provision(_)
             | PendingOperation::Deprovision(_)
             | PendingOperation::MachineTypes
@@ -432,21 +440,25 @@
         if !self.settings.checks.unanswered {
             return;
         }
-        if let Some((PendingOperation::UserRequest(request), _)) = self.pending.get(&token) {
+        if let Some((PendingOperation::UserRequest(request), _)) =
+            self.operations.outstanding.get(&token)
+        {
             let request = *request;
-            if self.user_requests.contains_key(&request) && !self.unissued_reads.contains(&request)
+            if self.requests.open.contains_key(&request) && !self.reads.unissued.contains(&request)
             {
-                self.unissued_reads.push(request);
+                self.reads.unissued.push(request);
             }
         }
-        if let Some((PendingOperation::Claim(claimed), _)) = self.pending.get(&token) {
+        if let Some((PendingOperation::Claim(claimed), _)) = self.operations.outstanding.get(&token)
+        {
             for c in claimed {
-                self.starts_in_flight
+                self.workers
+                    .starts
                     .doubt(self.now, &c.task, c.attempt, &c.machine);
             }
         }
-        if self.assignment_write == Some(token) {
-            self.assignment_write = None;
+        if self.writes.assignment_write == Some(token) {
+            self.writes.assignment_write = None;
         }
     }
 
@@ -455,17 +467,18 @@
     fn assignment_write_finished(&mut self, token: OperationId, answer: &StateResponse) {
         self.state_changed = true;
         // It counted as unanswered, and held up nothing since.
-        if self.assignment_write != Some(token) {
+        if self.writes.assignment_write != Some(token) {
             return;
         }
-        self.assignment_write = None;
-        self.assignment_retry = self.retry_after(answer);
+        self.writes.assignment_write = None;
+        self.writes.assignment_retry = self.retry_after(answer);
     }
 
     /// Whether a transaction on assignments may be sent now.
     pub(crate) fn may_write(&self) -> bool {
-        self.assignment_write.is_none()
+        self.writes.assignment_write.is_none()
             && self
+                .writes
                 .assignment_retry
                 .is_none_or(|(revision, at)| self.cache.revision >= revision || self.now >= at)
     }
--- a/crates/core/src/state/transaction.rs
+++ b/crates/core/src/state/transaction.rs
@@ -4,9 +4,11 @@
     Assignment, ChunkRecord, JobPhase, Key, MachineRecord, ProvisioningRecord, Record, StateCache,
     TeamRecord,
 };
-use crate::constants::*;
-use crate::model::*;
-use crate::settings::*;
+use crate::constants::{
+    CONDITIONS_PER_OP, FAULTY_MACHINES, KEY_BYTES, SMALL_RECORD_BYTES, TXN_BYTES,
+};
+use crate::model::{Resources, TaskId};
+use crate::settings::Settings;
 use crate::state::formats;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
--- a/crates/core/src/tuning.rs
+++ b/crates/core/src/tuning.rs
@@ -1,7 +1,10 @@
 //! Constants of the newer parts that measurements vary. The service runs with the defaults, which
 //! stand with their reasons in `constants`; only the world's experiments have others.
 
-use crate::constants::*;
+use crate::constants::{
+    DEFER_OVERLOAD_FACTOR, DEFER_SHARE, HANDOFF_MAX, HEARTBEATS_MISSED_MS,
+    MACHINE_SHARE_OF_SERVICE, ZONE_LATE_MS, ZONE_TERMINATIONS_MAX, ZONE_UNCONFIRMED_START_MS,
+};
 use crate::model::Millis;
 use serde::Deserialize;
 
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -3,13 +3,24 @@
 //! A start travels by one direct command, or in the answer to the heartbeat recorded in its
 //! assignment. `reconcile` says what proves that it will never arrive.
 
-use crate::constants::*;
-use crate::controller::*;
-use crate::model::*;
+use crate::constants::{
+    BOOT_GIVE_UP, BOOT_SPARE_MS, CANCEL_DELETE_SHARE, CANCEL_UNCONFIRMED_MS, COMMAND_PAUSE_MS,
+    CONTROLLER_STAGGER_MS, HEARTBEAT_HOLD_MS, INBOUND_GAP_MS, LIKELY_CHANCE, MASS_SILENCE_FACTOR,
+    NOTICE_SPARE_MS, NO_INCARNATION, PROBE_AFTER_MS, PROBE_FRESH_MS, REPLY_MAX_COMMANDS,
+    SILENCE_MARGIN_MS, UNREACHABLE_PROBES_MAX, WORKER_FAILOVER_MS, WORKER_HANDOFF_MS,
+    ZONE_MISSED_HEARTBEATS, ZONE_PROBES_MAX,
+};
+use crate::controller::{ClaimedTask, CommandOutcome, Controller, Effect, RequestId, WorkerReply};
+use crate::model::{
+    ExitCause, Millis, TaskId, TaskPhase, TaskStatus, WorkerCommand, WorkerHeartbeat,
+};
 use crate::peers::tracker::Peer;
 use crate::scheduling::claims::{AttemptOutcome, Carrier};
-use crate::state::*;
+use crate::state::{
+    Assignment, InstanceRequestRecord, JobPhase, MachinePhase, MachineRecord, Placed,
+};
 use crate::workers::observations::{Liveness, MachineObservation};
+use crate::workers::registry::ReceivedHeartbeat;
 use crate::workers::results::{EndedAttempt, StartDelivery};
 use crate::zones::detector::MachineSurvey;
 use foldhash::HashMap;
@@ -68,7 +79,7 @@
             return;
         }
         self.note_reachability(&report);
-        match self.last_heartbeats.get_mut(&report.machine) {
+        match self.workers.last_heartbeats.get_mut(&report.machine) {
             Some(heard) => {
                 (heard.at, heard.incarnation, heard.sequence) = (at, incarnation, sequence)
             }
@@ -78,15 +89,19 @@
                     incarnation,
                     sequence,
                 };
-                self.last_heartbeats.insert(report.machine.clone(), heard);
+                self.workers
+                    .last_heartbeats
+                    .insert(report.machine.clone(), heard);
             }
         }
-        self.peer_tracker.note_failover_of(&report.machine);
+        self.peers.note_failover_of(&report.machine);
         self.heard_worker();
-        match self.zones_heard_at.get_mut(&report.zone) {
+        match self.workers.zones_heard_at.get_mut(&report.zone) {
             Some(at) => *at = self.now,
             None if self.settings.zones.contains(&report.zone) => {
-                self.zones_heard_at.insert(report.zone.clone(), self.now);
+                self.workers
+                    .zones_heard_at
+                    .insert(report.zone.clone(), self.now);
             }
             None => {}
         }
@@ -155,15 +170,15 @@
             .incarnation()
             .is_some_and(|known| known < report.incarnation)
         {
-            self.observations.note(id).unreached = Some(self.now);
+            self.workers.observations.note(id).unreached = Some(self.now);
             return;
         }
         // It waited in vain for a controller that is well; one that was handed over comes at once.
         let waited = |at: Millis| self.now + WORKER_HANDOFF_MS >= at + WORKER_FAILOVER_MS;
         let by = sight.told.filter(|t| !sight.reports_here() && waited(t.at));
-        let left = by.is_some_and(|t| self.peer_tracker.is_well(self.now, t.by()));
+        let left = by.is_some_and(|t| self.peers.is_well(self.now, t.by()));
         if left && sight.of.may_be_asked(self.now) {
-            self.observations.note(id).asked = Some(self.now);
+            self.workers.observations.note(id).asked = Some(self.now);
             self.send_command(id.clone(), Vec::new());
         }
     }
@@ -184,7 +199,7 @@
             .take(UNREACHABLE_PROBES_MAX)
             .collect();
         for id in ids {
-            self.observations.note(&id).asked = Some(self.now);
+            self.workers.observations.note(&id).asked = Some(self.now);
             self.send_command(id, Vec::new());
         }
     }
@@ -194,15 +209,16 @@
         if !self.settings.checks.view {
             return false;
         }
-        !self.has_listed && self.state_age() < HEARTBEAT_HOLD_MS
-            || self.view_predates_resume && self.now < self.resumed_at + HEARTBEAT_HOLD_MS
+        !self.sync.has_listed && self.state_age() < HEARTBEAT_HOLD_MS
+            || self.lifecycle.view_predates_resume
+                && self.now < self.lifecycle.resumed_at + HEARTBEAT_HOLD_MS
     }
 
     fn hold_heartbeat(&mut self, request: RequestId, report: WorkerHeartbeat, early: bool) {
         let id = report.machine.clone();
-        if let Some(old) = self.held_heartbeats.remove(&id) {
+        if let Some(old) = self.workers.held_heartbeats.remove(&id) {
             if old.mark() > mark(&report) {
-                self.held_heartbeats.insert(id, old);
+                self.workers.held_heartbeats.insert(id, old);
                 self.worker(request, WorkerReply::Unavailable);
                 return;
             }
@@ -210,7 +226,7 @@
             self.worker(old.request, WorkerReply::Unavailable);
         }
         let since = self.now;
-        self.held_heartbeats.insert(
+        self.workers.held_heartbeats.insert(
             id,
             HeldHeartbeat {
                 request,
@@ -227,13 +243,14 @@
             return;
         }
         let early: Vec<String> = self
+            .workers
             .held_heartbeats
             .iter()
             .filter(|(_, h)| h.early)
             .map(|(id, _)| id.clone())
             .collect();
         for id in early {
-            if let Some(held) = self.held_heartbeats.remove(&id) {
+            if let Some(held) = self.workers.held_heartbeats.remove(&id) {
                 self.process_worker_heartbeat(held.request, held.report);
             }
         }
@@ -278,10 +295,10 @@
             let key = (task.clone(), b.attempt);
             let lacks = match (b.direct_start, phase) {
                 (_, Some(_)) => {
-                    self.starts_in_flight.shown(&key);
+                    self.workers.starts.shown(&key);
                     false
                 }
-                (Some(_), None) => self.starts_in_flight.is_missing(self.now, &key, id),
+                (Some(_), None) => self.workers.starts.is_missing(self.now, &key, id),
                 (None, None) => false,
             };
             if let Some(outcome) = outcome {
@@ -313,7 +330,7 @@
             let ms = ((notice_s * 1e3) as Millis).saturating_sub(NOTICE_SPARE_MS);
             saves.retain(|(task, attempt)| !self.about_to_end(task, *attempt, ms, LIKELY_CHANCE));
         }
-        self.checkpoints_due.extend(saves);
+        self.write_back.checkpoints_due.extend(saves);
         self.noted_report(report);
         self.note_machine_update(report, above);
         arm
@@ -328,7 +345,7 @@
             let ours = assigned.is_some_and(|p| p.assignment.attempt == t.attempt);
             if ours {
                 let key = (t.task.clone(), t.attempt);
-                self.starts_in_flight.shown(&key);
+                self.workers.starts.shown(&key);
                 shown.insert(key);
             }
             if let (true, TaskPhase::Exited(cause)) = (ours, t.phase) {
@@ -361,7 +378,8 @@
             };
             if incarnation == report.incarnation
                 && self
-                    .starts_in_flight
+                    .workers
+                    .starts
                     .is_missing(self.now, &key, &report.machine)
             {
                 above = above.max(Some(token));
@@ -392,9 +410,11 @@
         };
         if self.updated_record(&report.machine, &seen).is_some() {
             if above.is_some() {
-                self.starts_in_flight.raise(&report.machine);
+                self.workers.starts.raise(&report.machine);
             }
-            self.machine_updates.insert(report.machine.clone(), seen);
+            self.write_back
+                .machine_updates
+                .insert(report.machine.clone(), seen);
         }
     }
 
@@ -411,12 +431,12 @@
         {
             return true;
         }
-        let of = self.observations.of(id);
+        let of = self.workers.observations.of(id);
         if of.answered.is_some() {
             return true;
         }
         if let (Some(token), true) = (self.fencing_token(id), of.may_be_asked(self.now)) {
-            self.observations.note(id).asked = Some(self.now);
+            self.workers.observations.note(id).asked = Some(self.now);
             tracing::info!(
                 machine = id,
                 "nobody is known to have rented it: asked first"
@@ -438,6 +458,7 @@
             return;
         };
         let seen = self
+            .write_back
             .machine_updates
             .entry(id.to_string())
             .or_insert(MachineUpdate {
@@ -449,7 +470,7 @@
                 above: None,
             });
         seen.above = seen.above.max(Some(token));
-        self.starts_in_flight.raise(id);
+        self.workers.starts.raise(id);
     }
 
     /// Keeps a proof until it is recorded.
@@ -462,14 +483,14 @@
     ) {
         self.run_ended(&task, attempt, outcome);
         let key = (task, attempt);
-        self.metrics.results += u64::from(!self.results.contains_key(&key));
+        self.metrics.results += u64::from(!self.write_back.results.contains_key(&key));
         let at = self.now;
         let fresh = EndedAttempt {
             outcome,
             at,
             rests_on,
         };
-        let known = self.results.entry(key).or_insert(fresh);
+        let known = self.write_back.results.entry(key).or_insert(fresh);
         if known.rests_on.is_some() {
             (known.outcome, known.rests_on) = (outcome, rests_on);
         }
@@ -478,7 +499,7 @@
     /// A machine's record with what a report says of it, if that changes it.
     pub(crate) fn updated_record(&self, id: &str, seen: &MachineUpdate) -> Option<MachineRecord> {
         let Some(record) = self.cache.machine(id) else {
-            return (!self.recently_deleted.contains(id)).then(|| MachineRecord {
+            return (!self.workers.recently_deleted.contains(id)).then(|| MachineRecord {
                 address: seen.address.clone(),
                 ..MachineRecord::new(
                     &seen.type_name,
@@ -753,7 +774,7 @@
         let Some(token) = self.fencing_token(id) else {
             return;
         };
-        let Some(held) = self.held_heartbeats.remove(id) else {
+        let Some(held) = self.workers.held_heartbeats.remove(id) else {
             return;
         };
         let commands = self.commands(&held.report);
@@ -784,18 +805,19 @@
     }
 
     pub(crate) fn reply_to_held_heartbeats(&mut self) {
-        let ids: Vec<String> = self.held_heartbeats.keys().cloned().collect();
+        let ids: Vec<String> = self.workers.held_heartbeats.keys().cloned().collect();
         let has_current_state = self.has_current_state();
         for id in ids {
-            let Some(held) = self.held_heartbeats.get(&id) else {
+            let Some(held) = self.workers.held_heartbeats.get(&id) else {
                 continue;
             };
             if held.early && self.awaits_current_view() {
                 continue;
             }
-            if !has_current_state && (self.has_listed || self.now >= held.since + HEARTBEAT_HOLD_MS)
+            if !has_current_state
+                && (self.sync.has_listed || self.now >= held.since + HEARTBEAT_HOLD_MS)
             {
-                if let Some(held) = self.held_heartbeats.remove(&id) {
+                if let Some(held) = self.workers.held_heartbeats.remove(&id) {
                     let reply = self.reply_without_state(&held.report);
                     self.worker(held.request, reply);
                 }
@@ -814,7 +836,7 @@
     /// claim work whose starts never arrive, and draw users away from controllers that serve them.
     pub(crate) fn workers_reachable(&self) -> bool {
         let heard_peers = |s: &Peer| s.heartbeat.workers_reachable && !s.heartbeat.heard.is_empty();
-        !self.worker_reachability.is_doubtful()
+        !self.workers.reachability.is_doubtful()
             || !self.settings.checks.workers
             || !self.fresh_peers().any(heard_peers)
     }
@@ -831,23 +853,23 @@
                 .map(|(.., age)| self.now - (age + since).min(self.now));
             heard.max().is_some_and(|at| at > asked)
         });
-        !self.workers_reachable() || self.worker_reachability.failed_alone(asked) && elsewhere
+        !self.workers_reachable() || self.workers.reachability.failed_alone(asked) && elsewhere
     }
 
     /// A worker has reported here, or answered.
     fn heard_worker(&mut self) {
         let mut longest = INBOUND_GAP_MS;
-        if self.worker_reachability.gap(self.now) > INBOUND_GAP_MS {
+        if self.workers.reachability.gap(self.now) > INBOUND_GAP_MS {
             let many =
                 self.settings.report_ms * ZONE_MISSED_HEARTBEATS / (self.load() as u64).max(1);
             longest = longest.max(many.min(self.settings.report_due_ms()));
         }
-        self.worker_reachability.heard(self.now, longest);
+        self.workers.reachability.heard(self.now, longest);
     }
 
     /// Cut off from the workers, a controller asks one of them now and then whether it is heard again.
     pub(crate) fn probe_partition(&mut self) {
-        if !self.worker_reachability.asks(self.now) {
+        if !self.workers.reachability.asks(self.now) {
             return;
         }
         let heard: Vec<&str> = (self.cache.machines())
@@ -863,21 +885,19 @@
     pub(crate) fn load(&self) -> usize {
         let fresh = self.now.saturating_sub(2 * self.settings.report_ms).max(1);
         let here = |(id, h): &(&String, &ReceivedHeartbeat)| {
-            h.at >= fresh && !h.older_than(self.peer_tracker.told(id))
+            h.at >= fresh && !h.older_than(self.peers.told(id))
         };
-        self.last_heartbeats.iter().filter(here).count()
+        self.workers.last_heartbeats.iter().filter(here).count()
     }
 
     pub(crate) fn plan_handoff(&mut self) {
         let recent = 2 * self.settings.report_ms;
         match self.has_current_state()
             && self.has_heard_full_round()
-            && self.shutting_down_since.is_none()
+            && self.lifecycle.shutting_down_since.is_none()
         {
-            true => self
-                .peer_tracker
-                .plan_handoff(self.now, self.load(), recent),
-            false => self.peer_tracker.cancel_handoff(),
+            true => self.peers.plan_handoff(self.now, self.load(), recent),
+            false => self.peers.cancel_handoff(),
         }
     }
 
@@ -888,7 +908,7 @@
         if report.notice_s.is_some() || report.tasks.iter().any(exited) {
             return None;
         }
-        self.peer_tracker.next_handoff()
+        self.peers.next_handoff()
     }
 
     // ---- Machines that fall silent, or idle --------------------------------------------
@@ -897,24 +917,29 @@
         match reach {
             CommandOutcome::Accepted | CommandOutcome::Refused => {
                 self.heard_worker();
-                self.observations.note(&machine).answered = Some(self.now);
+                self.workers.observations.note(&machine).answered = Some(self.now);
             }
             CommandOutcome::NoAnswer => {
                 let zone = self.cache.machine(&machine).map(|m| &m.zone);
                 // One that was not reached before says nothing of this controller's own reach.
-                let again = self.observations.of(&machine).silent_since().is_some();
+                let again = self
+                    .workers
+                    .observations
+                    .of(&machine)
+                    .silent_since()
+                    .is_some();
                 if !again && !zone.is_some_and(|z| self.is_zone_unreachable(z)) {
-                    self.worker_reachability.handle_state_timeout();
+                    self.workers.reachability.handle_state_timeout();
                 }
-                self.observations.note(&machine).unreached = Some(self.now);
+                self.workers.observations.note(&machine).unreached = Some(self.now);
             }
             CommandOutcome::NotSent => {
-                self.observations.note(&machine).asked = None;
+                self.workers.observations.note(&machine).asked = None;
             }
         }
         if reach != CommandOutcome::Accepted {
             tracing::debug!(machine, ?reach, "direct command failed");
-            self.observations.note(&machine).refused = Some(self.now);
+            self.workers.observations.note(&machine).refused = Some(self.now);
         }
     }
 
@@ -963,7 +988,7 @@
     fn overdue(&self, survey: MachineSurvey) -> BTreeMap<String, bool> {
         let mut overdue = BTreeMap::new();
         let limit = self.unheard_limit_ms();
-        if self.now - self.resumed_at >= limit + self.settings.report_ms {
+        if self.now - self.lifecycle.resumed_at >= limit + self.settings.report_ms {
             let patience = match survey.unheard.len() * 3 <= survey.up {
                 true => limit,
                 false => limit.max(self.settings.lease_ms) * MASS_SILENCE_FACTOR,
@@ -1005,7 +1030,7 @@
             let zone = zone.to_string();
             let MachineObservation {
                 asked, unreached, ..
-            } = self.observations.of(&id);
+            } = self.workers.observations.of(&id);
             let heard = self.now - self.silence(&id);
             let failed = unreached
                 .is_some_and(|at| at > heard + overdue_ms && self.now < at + PROBE_FRESH_MS);
@@ -1023,7 +1048,7 @@
                     }
                     *asked += 1;
                 }
-                self.observations.note(&id).asked = Some(self.now);
+                self.workers.observations.note(&id).asked = Some(self.now);
                 // No orders: only whether it answers.
                 self.send_command(id, Vec::new());
             }
@@ -1048,7 +1073,7 @@
             }
         }
         for (id, m, _) in self.cache.machines() {
-            let of = self.observations.note(id);
+            let of = self.workers.observations.note(id);
             let since = *of.known.get_or_insert(self.now);
             if m.is_up() {
                 of.up.get_or_insert(self.now);
@@ -1076,7 +1101,12 @@
             }
         }
         for (n, h, _) in self.cache.instance_requests() {
-            let since = self.request_known_since.get(n).copied().unwrap_or(self.now);
+            let since = self
+                .provisioning
+                .request_known_since
+                .get(n)
+                .copied()
+                .unwrap_or(self.now);
             if self.now - since > self.boot_patience(&h.type_name) {
                 let instances = h.instances.iter().flatten();
                 let missing = |id: &&String| self.on_its_way(id) && !self.recently_reported(id);
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -2,9 +2,10 @@
 //! it is looked at several times a second for every one of them.
 
 use crate::constants::UNREACHABLE_PROBE_INTERVAL_MS;
-use crate::controller::{Controller, ReceivedHeartbeat};
+use crate::controller::Controller;
 use crate::model::Millis;
 use crate::peers::tracker::PeerObservation;
+use crate::workers::registry::ReceivedHeartbeat;
 use foldhash::{HashMap, HashMapExt};
 
 /// Times at which something was noted of a machine, where it was.
@@ -77,9 +78,9 @@
 impl Controller {
     pub(crate) fn liveness(&self, id: &str) -> Liveness<'_> {
         Liveness {
-            own: self.last_heartbeats.get(id),
-            told: self.peer_tracker.told(id),
-            of: self.observations.of(id),
+            own: self.workers.last_heartbeats.get(id),
+            told: self.peers.told(id),
+            of: self.workers.observations.of(id),
         }
     }
 }
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -1,6 +1,8 @@
 //! Whether workers reach this controller, as far as it can tell by itself.
 
-use crate::constants::*;
+use crate::constants::{
+    COMMAND_LIMIT_MS, PARTITION_PROBE_INTERVAL_MS, PARTITION_UNANSWERED_COMMANDS,
+};
 use crate::model::Millis;
 
 #[derive(Debug)]
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -4,11 +4,14 @@
 //! A heartbeat is answered before that. Its worker repeats what it reports until it is told to
 //! forget it, which follows the commit, so a controller that ends in between loses nothing.
 
-use crate::constants::*;
-use crate::controller::*;
-use crate::model::*;
+use crate::constants::{
+    BACKLOG_RESULTS, MIN_CHANGES, MIN_CHANGES_BACKLOG, RESULTS_WRITE_INTERVAL_MS,
+    RESULT_PATIENCE_MS, SMALL_RECORD_BYTES,
+};
+use crate::controller::{Controller, PendingOperation, RequestClass};
+use crate::model::{JobKind, Millis, TaskId};
 use crate::scheduling::claims::{self, AttemptOutcome};
-use crate::state::*;
+use crate::state::{Assignment, Key, MachinePhase, MachineRecord, Record, TransactionBuilder};
 use std::collections::BTreeMap;
 
 /// How a assignment's start travels: what it is armed for, or the direct command.
@@ -28,31 +31,31 @@
     /// Records what is waiting for it, in order of what others wait for most: results, starts
     /// that a held heartbeat's answer shall carry, machines.
     pub(crate) fn write_results(&mut self) {
-        if !self.has_listed
+        if !self.sync.has_listed
             || !self.has_current_state()
             || self.cache.term().is_none()
             || !self.may_write()
-            || self.now < self.results_written_at + RESULTS_WRITE_INTERVAL_MS
+            || self.now < self.write_back.written_at + RESULTS_WRITE_INTERVAL_MS
         {
             return;
         }
         let left = self.changes_left();
-        if left < self.min_changes() || self.pass_goes_first && self.is_pass_due() {
+        if left < self.min_changes() || self.writes.pass_goes_first && self.is_pass_due() {
             return;
         }
         // Most events leave nothing to record: none of the below would draft anything.
-        if self.results.is_empty()
-            && self.checkpoints_due.is_empty()
-            && self.machine_updates.is_empty()
-            && self.marked_for_termination.is_empty()
-            && self.held_heartbeats.is_empty()
-            && self.deletion_confirmed.is_empty()
+        if self.write_back.results.is_empty()
+            && self.write_back.checkpoints_due.is_empty()
+            && self.write_back.machine_updates.is_empty()
+            && self.workers.marked_for_termination.is_empty()
+            && self.workers.held_heartbeats.is_empty()
+            && self.provisioning.deletion_confirmed.is_empty()
         {
             return;
         }
         self.record_deleted();
         let cache = &self.cache;
-        self.results.retain(|(task, at), ended| {
+        self.write_back.results.retain(|(task, at), ended| {
             let assignment = cache.attempt(task, *at);
             assignment.is_some_and(|b| {
                 ended
@@ -60,18 +63,18 @@
                     .is_none_or(|t| t == (b.reply_start, b.direct_start))
             })
         });
-        self.checkpoints_due.retain(|(task, at)| {
+        self.write_back.checkpoints_due.retain(|(task, at)| {
             let assignment = cache.attempt(task, *at);
             assignment.is_some_and(|b| b.stop.is_none())
         });
-        let mut seen = std::mem::take(&mut self.machine_updates);
+        let mut seen = std::mem::take(&mut self.write_back.machine_updates);
         seen.retain(|id, seen| self.updated_record(id, seen).is_some());
-        self.machine_updates = seen;
+        self.write_back.machine_updates = seen;
 
         // What waits for room must not wait for a long transaction as well.
-        let most = match self.has_pending_work {
-            true => left.min(self.max_result_changes / 2),
-            false => left.min(self.max_result_changes),
+        let most = match self.scheduling.has_pending_work {
+            true => left.min(self.writes.max_result_changes / 2),
+            false => left.min(self.writes.max_result_changes),
         };
         let most = most.max(MIN_CHANGES);
         let mut draft = TransactionBuilder::limited(&self.cache, most);
@@ -86,14 +89,14 @@
         // up would never be recorded then, nor used, and be given up as never heard of; what ran on
         // dead ones would not start anew, and cancelled tasks would outlive their time on others.
         // Up to half of the changes are left to these.
-        let (lost, idle): (Vec<_>, Vec<_>) = (self.marked_for_termination.iter())
+        let (lost, idle): (Vec<_>, Vec<_>) = (self.workers.marked_for_termination.iter())
             .filter(|(id, _)| {
                 let phase = self.cache.machine(id).map(|m| m.phase);
                 phase != Some(MachinePhase::Deprovisioning)
             })
             .partition(|(id, _)| self.cache.assigned_tasks(id) > 0);
         let ops = most.min(settings.max_transaction_changes);
-        let share = (lost.len() + self.machine_updates.len()).min(ops / 2);
+        let share = (lost.len() + self.write_back.machine_updates.len()).min(ops / 2);
         for (task, attempt, outcome) in self.results_in_turn() {
             let left = if draft.is_empty() { 0 } else { share };
             if !room(
@@ -107,7 +110,7 @@
             released.push((task.clone(), attempt));
         }
         let mut reply_start = Vec::new();
-        for (id, held) in &self.held_heartbeats {
+        for (id, held) in &self.workers.held_heartbeats {
             // As many as there is room for: a machine may lack hundreds of starts, which share
             // the puts of a few chunks. What is left goes with its next heartbeat.
             let mark = held.mark();
@@ -129,7 +132,7 @@
                 reply_start.push(id.clone());
             }
         }
-        for (task, attempt) in &self.checkpoints_due {
+        for (task, attempt) in &self.write_back.checkpoints_due {
             if room(&draft, 1 + share) {
                 self.edit_assignment(&mut draft, task, *attempt, |b| {
                     b.stop = Some("notice".into());
@@ -137,7 +140,7 @@
             }
         }
         let mut returning = false;
-        let some_seen = usize::from(!self.machine_updates.is_empty());
+        let some_seen = usize::from(!self.write_back.machine_updates.is_empty());
         for (id, why) in lost {
             if !room(&draft, 1 + some_seen) {
                 full = true;
@@ -145,7 +148,7 @@
             }
             returning |= self.draft_deletion(&mut draft, id, why);
         }
-        for (id, seen) in &self.machine_updates {
+        for (id, seen) in &self.write_back.machine_updates {
             if !room(&draft, 1) {
                 full = true;
                 break;
@@ -163,7 +166,7 @@
             }
             returning |= self.draft_deletion(&mut draft, id, why);
         }
-        for id in &self.deletion_confirmed {
+        for id in &self.provisioning.deletion_confirmed {
             // No claim can follow: each rests on the record as it was while the machine was up.
             if self.cache.assigned_tasks(id) == 0 && room(&draft, 1) {
                 draft.remove(Key::Machine(id.clone()));
@@ -174,8 +177,8 @@
             self.log_oversized(large);
             return;
         }
-        self.pass_goes_first = true;
-        self.results_written_at = if full { 0 } else { self.now };
+        self.writes.pass_goes_first = true;
+        self.write_back.written_at = if full { 0 } else { self.now };
         let transaction = draft.finish();
         let purpose = PendingOperation::WriteResults {
             reply_start,
@@ -204,10 +207,10 @@
     /// Changes that must be left for the next transaction: more while much waits to be recorded.
     /// Results that share a chunk, and claims that share a team's record, then share their puts.
     pub(crate) fn min_changes(&self) -> usize {
-        match self.results.len() > BACKLOG_RESULTS {
+        match self.write_back.results.len() > BACKLOG_RESULTS {
             true => MIN_CHANGES_BACKLOG
-                .min(self.max_result_changes)
-                .min(self.write_budget.most()),
+                .min(self.writes.max_result_changes)
+                .min(self.writes.budget.most()),
             false => MIN_CHANGES,
         }
     }
@@ -221,14 +224,14 @@
             job.map_or(task.index, |j| j.chunk_of(task.index))
         };
         let mut chunks: BTreeMap<(&str, u32), (usize, Millis)> = BTreeMap::new();
-        for ((task, _), EndedAttempt { at, .. }) in &self.results {
+        for ((task, _), EndedAttempt { at, .. }) in &self.write_back.results {
             let (count, first) = chunks
                 .entry((&task.job, chunk_of(task)))
                 .or_insert((0, *at));
             *count += 1;
             *first = (*first).min(*at);
         }
-        let mut turn: Vec<_> = (self.results.iter())
+        let mut turn: Vec<_> = (self.write_back.results.iter())
             .map(|((task, attempt), EndedAttempt { outcome, .. })| {
                 let chunk = (task.job.as_str(), chunk_of(task));
                 let (count, first) = chunks[&chunk];
@@ -257,15 +260,15 @@
         committed: bool,
     ) {
         if !committed {
-            self.max_result_changes = (self.max_result_changes / 2).max(MIN_CHANGES);
-            self.pass_goes_first = false;
+            self.writes.max_result_changes = (self.writes.max_result_changes / 2).max(MIN_CHANGES);
+            self.writes.pass_goes_first = false;
             return;
         }
-        self.max_result_changes =
-            (self.max_result_changes * 2).min(self.settings.max_transaction_changes);
-        self.pass_requested = true;
+        self.writes.max_result_changes =
+            (self.writes.max_result_changes * 2).min(self.settings.max_transaction_changes);
+        self.scheduling.pass_requested = true;
         let cache = &self.cache;
-        self.marked_for_termination.retain(|id, _| {
+        self.workers.marked_for_termination.retain(|id, _| {
             let phase = cache.machine(id).map(|m| m.phase);
             phase.is_some_and(|p| p != MachinePhase::Deprovisioning)
         });
@@ -280,9 +283,10 @@
     /// The cloud's 200 to a deletion proves that everything on the machine is gone.
     fn record_deleted(&mut self) {
         let cache = &self.cache;
-        self.deletion_confirmed
+        self.provisioning
+            .deletion_confirmed
             .retain(|id| cache.machine(id).is_some());
-        for id in &self.deletion_confirmed {
+        for id in &self.provisioning.deletion_confirmed {
             for (task, p) in self.cache.assignments(id) {
                 let key = (task.clone(), p.assignment.attempt);
                 // Stronger than what may wait there: it holds however the start travels.
@@ -291,7 +295,7 @@
                     at: self.now,
                     rests_on: None,
                 };
-                let known = self.results.entry(key).or_insert(ended);
+                let known = self.write_back.results.entry(key).or_insert(ended);
                 known.rests_on = None;
             }
         }
@@ -330,7 +334,8 @@
     pub(crate) fn mark_for_termination(&mut self, id: &str, why: &'static str) {
         let phase = self.cache.machine(id).map(|m| m.phase);
         if phase != Some(MachinePhase::Deprovisioning) {
-            self.marked_for_termination
+            self.workers
+                .marked_for_termination
                 .entry(id.to_string())
                 .or_insert(why);
         }
@@ -342,7 +347,7 @@
             .cache
             .instance_requests()
             .find(|(_, h, _)| h.instances.iter().flatten().any(|instance| instance == id))?;
-        (!self.recently_deleted.contains(id)).then(|| {
+        (!self.workers.recently_deleted.contains(id)).then(|| {
             MachineRecord::new(
                 &instance_request.type_name,
                 &instance_request.zone,
--- a/crates/core/src/workers/starts.rs
+++ b/crates/core/src/workers/starts.rs
@@ -1,8 +1,12 @@
 //! Starts on their way: claims on record, whoever made them, whose tasks no report has shown yet.
 //! These are what the standby of a lost controller has to carry on besides its workers.
 
-use crate::constants::*;
-use crate::model::*;
+use crate::constants::{
+    COMMAND_LIMIT_MS, FAILOVER_START_CHECKS_MAX, FAILOVER_START_CHECK_MS, PEER_HEARTBEAT_MS,
+    STARTS_REPORTED_WITHIN_MS, STARTS_TRACKED_MAX, START_MISSING_MS, UNCERTAIN_CLAIM_MARGIN_MS,
+    UNCERTAIN_CLAIM_MS,
+};
+use crate::model::{Millis, TaskId};
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/src/zones/detector.rs
+++ b/crates/core/src/zones/detector.rs
@@ -2,9 +2,12 @@
 //! zone between two of their reports: then it is cut off, its machines run on, and a controller inside
 //! goes on answering them. To delete them would end what the cut leaves alone.
 
-use crate::constants::*;
-use crate::controller::*;
-use crate::model::*;
+use crate::constants::{
+    PEER_HEARTBEAT_MS, PROBE_AFTER_MS, PROBE_FRESH_MS, ZONE_EVACUATION_MAX_WAIT_MS,
+    ZONE_LATE_LEAST, ZONE_LATE_PART, ZONE_MIN_MACHINES, ZONE_MISSED_HEARTBEATS,
+};
+use crate::controller::Controller;
+use crate::model::Millis;
 use crate::scheduling::rescheduling::Wish;
 use crate::workers::observations::Liveness;
 use crate::zones::failures::{Kind, Turn, Why};
@@ -89,7 +92,7 @@
             if silence > limit {
                 survey.unheard.push((id.to_string(), silence));
             }
-            let here = sight.own.filter(|h| h.at >= self.resumed_at);
+            let here = sight.own.filter(|h| h.at >= self.lifecycle.resumed_at);
             if let Some(h) = here.filter(|_| sight.reports_here()) {
                 survey.here += 1;
                 if self.now - h.at > quick {
@@ -107,10 +110,10 @@
             // found silent stays so, however few of its machines are left, until it is heard.
             let begins =
                 s.tells() && s.late() && self.now > s.latest + s.patience(self.settings.report_ms);
-            let since = self.zone_detector.unreachable_since(zone);
+            let since = self.zones.unreachable_since(zone);
             let lasts = since.is_some_and(|heard| s.latest <= heard);
             let quiet = self.has_heard_full_round() && (begins || lasts);
-            match self.zone_detector.judged(self.now, zone, s, quiet) {
+            match self.zones.judged(self.now, zone, s, quiet) {
                 Some(Turn::Lost) => {
                     let (machines, kind) = (s.machines, self.failure_kind(zone));
                     tracing::info!(zone, machines, ?kind, "silent as a whole: cut off");
@@ -122,7 +125,7 @@
                 None => {}
             }
         }
-        self.zone_detector.keep(signs);
+        self.zones.keep(signs);
     }
 
     /// What a silent zone most likely is: told by whether its controllers are heard.
@@ -137,9 +140,8 @@
             return Kind::Alone;
         }
         let me = &self.settings.controller;
-        let heard = |controller: &String| {
-            controller == me || self.peer_tracker.serves(self.now, controller)
-        };
+        let heard =
+            |controller: &String| controller == me || self.peers.serves(self.now, controller);
         match there.all(|(controller, _)| heard(controller)) {
             true => Kind::Dead,
             false => Kind::Inside,
@@ -150,7 +152,7 @@
     /// record, is left.
     fn spare_recovered(&mut self, zone: &str) {
         let cache = &self.cache;
-        self.marked_for_termination.retain(|id, why| {
+        self.workers.marked_for_termination.retain(|id, why| {
             let there = cache.machine(id).is_some_and(|m| m.zone == zone);
             !(there && ZONE_REASONS.iter().any(|w| w.name() == *why))
         });
@@ -165,10 +167,10 @@
             // See `lost`: it is decided by what it holds.
             return false;
         }
-        let Some(signs) = (self.zone_detector.signs.get(zone)).filter(|s| s.tells()) else {
+        let Some(signs) = (self.zones.signs.get(zone)).filter(|s| s.tells()) else {
             return true;
         };
-        let back = self.zone_detector.back_at(zone);
+        let back = self.zones.back_at(zone);
         if back.is_some_and(|at| self.now < at + self.worker_failover_ms()) {
             return false;
         }
@@ -176,7 +178,7 @@
     }
 
     pub(crate) fn is_zone_unreachable(&self, zone: &str) -> bool {
-        self.settings.checks.zones && self.zone_detector.unreachable_since(zone).is_some()
+        self.settings.checks.zones && self.zones.unreachable_since(zone).is_some()
     }
 
     /// Whether a machine has answered a direct command after its heartbeat was overdue: its reports reach no
@@ -191,7 +193,7 @@
     /// Whether a machine has answered a direct command lately: a halt reaches it, and its answer shows what has
     /// ended, also where its reports reach nobody.
     pub(crate) fn answers(&self, id: &str) -> bool {
-        let of = self.observations.of(id);
+        let of = self.workers.observations.of(id);
         let lately = of
             .answered
             .is_some_and(|at| self.now < at + 2 * PROBE_FRESH_MS);
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -1,13 +1,17 @@
 //! Looks at the machines of lost zones: which of them are ended so that their work is placed
 //! elsewhere, in which order. The decision for each is `failures::verdict`.
 
-use crate::constants::*;
-use crate::controller::*;
+use crate::constants::{
+    ZONE_EVACUATION_INTERVAL_MS, ZONE_GIVE_UP_MS, ZONE_LATE_MS, ZONE_PROVISION_AHEAD_MS,
+};
+use crate::controller::Controller;
 use crate::jobs::dependencies;
-use crate::model::*;
+use crate::model::{JobKind, JobPriority, JobSpec, Resources, TaskId, WallMs};
 use crate::scheduling::claims;
 use crate::scheduling::placement::PendingWork;
-use crate::state::*;
+use crate::state::{
+    Assignment, MachinePhase, MachineRecord, Placed, TransactionBuilder, ZoneSpreadRecord,
+};
 use crate::zones::failures::{self, Holding, Kind, Lost, Why};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::{BTreeMap, BTreeSet};
@@ -71,20 +75,20 @@
     pub(crate) fn evacuate_failed_zones(&mut self) {
         let off = !self.settings.tuning.lost_zones;
         if off
-            || !self.zone_detector.has_unreachable()
-            || self.now < self.zone_detector.judged_at + ZONE_EVACUATION_INTERVAL_MS
+            || !self.zones.has_unreachable()
+            || self.now < self.zones.judged_at + ZONE_EVACUATION_INTERVAL_MS
         {
             return;
         }
-        self.zone_detector.judged_at = self.now;
+        self.zones.judged_at = self.now;
         if !self.has_heard_full_round() || !self.workers_reachable() {
             return;
         }
         let (lease_ms, tuning) = (self.settings.lease_ms, self.settings.tuning);
         let mut outside = self.outside();
-        let lost: BTreeMap<String, Lost> = (self.zone_detector.signs.keys())
+        let lost: BTreeMap<String, Lost> = (self.zones.signs.keys())
             .filter_map(|zone| {
-                let ms = self.now - self.zone_detector.lost_since(self.now, zone)?;
+                let ms = self.now - self.zones.lost_since(self.now, zone)?;
                 let kind = self.failure_kind(zone);
                 Some((zone.clone(), Lost { kind, ms }))
             })
@@ -97,7 +101,7 @@
             let Some(lost) = lost.get(&m.zone).filter(|_| m.is_up()) else {
                 continue;
             };
-            if self.marked_for_termination.contains_key(id) {
+            if self.workers.marked_for_termination.contains_key(id) {
                 waiting += 1;
                 continue;
             }
@@ -260,7 +264,8 @@
     /// Whether a task's start was on its way when its machine was last heard.
     fn unseen(&self, id: &str, task: &TaskId, b: &Assignment) -> bool {
         let last_sign = self.last_sign(id).unwrap_or(0);
-        self.starts_in_flight
+        self.workers
+            .starts
             .unseen(&(task.clone(), b.attempt), last_sign)
     }
 
@@ -272,7 +277,7 @@
                 continue;
             };
             let room = kind.room.less(&self.cache.used(id));
-            if room.cpus > 0 && !self.marked_for_termination.contains_key(id) {
+            if room.cpus > 0 && !self.workers.marked_for_termination.contains_key(id) {
                 let place = Place {
                     kind: m.type_name.clone(),
                     zone: m.zone.clone(),
--- a/crates/core/src/zones/failures.rs
+++ b/crates/core/src/zones/failures.rs
@@ -6,8 +6,11 @@
 //! decided by what the machine holds, by how long the loss has lasted and may last, and by what room
 //! there is elsewhere. A wrong guess costs work, never a rule: nothing is placed before the proof.
 
-use crate::constants::*;
-use crate::model::*;
+use crate::constants::{
+    START_TAKES_MS, ZONE_CONFIRM_MS, ZONE_DEAD_MS, ZONE_EVACUATION_MAX_WAIT_MS, ZONE_GIVE_UP_MS,
+    ZONE_LEASE_MARGIN_MS, ZONE_RECOVERY_MARGIN_MS,
+};
+use crate::model::{JobPriority, Millis, WallMs};
 use crate::tuning::Tuning;
 use crate::zones::detector::ZoneObservation;
 use std::collections::BTreeMap;
