--- /dev/null
+++ b/crates/core/src/peers/tracker/tests.rs
@@ -0,0 +1,194 @@
+//! Tests of `tracker`.
+
+use super::*;
+
+const WALL: WallMs = 1_700_000_000_000;
+
+fn standby() -> PeerTracker {
+    let members = ["a", "b", "c"].map(String::from).to_vec();
+    PeerTracker::of("a".into(), members, 1_000, 11_250, Tuning::default(), WALL)
+}
+
+fn heartbeat(controller: &str, at: Millis, count: u64, heard_peers: &[&str]) -> PeerHeartbeat {
+    let heard = (0..20).map(|i| (format!("{controller}-{i}"), 1, 1 + at / 5_000, 100));
+    PeerHeartbeat {
+        controller: controller.into(),
+        at: WALL + at,
+        has_current_state: true,
+        workers_reachable: true,
+        heard: heard.collect(),
+        status: Some(ControllerStatus {
+            life: WALL,
+            count,
+            heard_peers: heard_peers.iter().map(|n| n.to_string()).collect(),
+            ..ControllerStatus::default()
+        }),
+        ..PeerHeartbeat::default()
+    }
+}
+
+/// Both peers heartbeat regularly for so long.
+fn followed(s: &mut PeerTracker, until: Millis) {
+    for i in 0..until / 500 {
+        let at = i * 500;
+        for (controller, other) in [("b", "c"), ("c", "b")] {
+            let heeded = s.receive_heartbeat(
+                at,
+                WALL + at,
+                heartbeat(controller, at, i, &[other, "a"]),
+                &HashMap::new(),
+            );
+            assert!(heeded == HeartbeatOutcome::Accepted, "{heeded:?}");
+        }
+        s.judge(at);
+    }
+}
+
+fn sign(s: &mut PeerTracker, now: Millis, controller: &str) -> PeerStatus {
+    s.judge(now);
+    s.peer(controller).unwrap().sign
+}
+
+#[test]
+fn an_end_shows_at_once_and_silence_only_when_beats_are_missed() {
+    let mut s = standby();
+    followed(&mut s, 10_000);
+    assert_eq!(sign(&mut s, 10_300, "b"), PeerStatus::Well);
+    s.link_ended("b");
+    assert_eq!(sign(&mut s, 10_301, "b"), PeerStatus::Exited);
+    assert!(!s.fresh(10_301).any(|x| x.heartbeat.controller == "b"));
+    // Its next life is heard: all is forgiven.
+    let mut again = heartbeat("b", 10_400, 0, &[]);
+    again.status.as_mut().unwrap().life += 10_400;
+    s.receive_heartbeat(10_400, WALL + 10_400, again, &HashMap::new());
+    assert_eq!(sign(&mut s, 10_400, "b"), PeerStatus::Well);
+    // c has been silent since 9,500.
+    assert_eq!(sign(&mut s, 10_500, "c"), PeerStatus::Well);
+    assert_eq!(sign(&mut s, 10_900, "c"), PeerStatus::Silent);
+}
+
+#[test]
+fn what_its_workers_do_tells_a_frozen_node_from_a_broken_link() {
+    let mut s = standby();
+    followed(&mut s, 10_000);
+    let go_on = |s: &mut PeerTracker, at, heard_peers: &[&str]| {
+        s.receive_heartbeat(
+            at,
+            WALL + at,
+            heartbeat("c", at, at / 500, heard_peers),
+            &HashMap::new(),
+        );
+    };
+    go_on(&mut s, 11_500, &["a"]);
+    assert_eq!(sign(&mut s, 11_500, "b"), PeerStatus::Silent);
+    // Its workers turn up here.
+    for i in 0..6 {
+        s.note_failover_of(&format!("b-{i}"));
+    }
+    assert_eq!(sign(&mut s, 11_600, "b"), PeerStatus::Lost);
+    // The other way round: they stay away for longer than they would need.
+    let mut s = standby();
+    followed(&mut s, 10_000);
+    go_on(&mut s, 21_000, &["a"]);
+    assert_eq!(sign(&mut s, 21_000, "b"), PeerStatus::Apart);
+    // Or a peer says that it hears it.
+    let mut s = standby();
+    followed(&mut s, 10_000);
+    go_on(&mut s, 12_000, &["a", "b"]);
+    assert_eq!(sign(&mut s, 12_000, "b"), PeerStatus::Unlinked);
+    assert_eq!(s.serving(12_000), 2);
+}
+
+#[test]
+fn a_takeover_is_over_when_its_machines_are_heard() {
+    let mut s = standby();
+    followed(&mut s, 10_000);
+    s.link_ended("b");
+    let (judged, over) = s.judge(10_100);
+    assert_eq!((judged.len(), judged[0].machines, over.len()), (1, 20, 0));
+    for i in 0..12 {
+        s.note_failover_of(&format!("b-{i}"));
+    }
+    // The others have turned to c.
+    let mut both = heartbeat("c", 13_000, 30, &["a"]);
+    both.heard
+        .extend((12..20).map(|i| (format!("b-{i}"), 1, 9, 50)));
+    s.receive_heartbeat(13_000, WALL + 13_000, both, &HashMap::new());
+    let (_, over) = s.judge(13_000);
+    let over = &over[0];
+    assert_eq!((over.machines, over.missing, over.ms), (20, 0, 3_500));
+    assert_eq!(s.peer("c").unwrap().carries.len(), 28);
+}
+
+#[test]
+fn bad_beats_teach_nothing() {
+    let mut s = standby();
+    followed(&mut s, 10_000);
+    let now = 10_100;
+    let mut cases = vec![
+        (heartbeat("x", now, 99, &[]), RejectedHeartbeat::Stranger),
+        (heartbeat("a", now, 99, &[]), RejectedHeartbeat::Stranger),
+        (heartbeat("b", now, 19, &[]), RejectedHeartbeat::Repeated),
+        (heartbeat("b", now, 3, &[]), RejectedHeartbeat::Repeated),
+        (
+            heartbeat("b", now + 60_000, 99, &[]),
+            RejectedHeartbeat::Ahead,
+        ),
+        (heartbeat("b", 0, 99, &[]), RejectedHeartbeat::Old),
+        (heartbeat("b", now, 99, &[]), RejectedHeartbeat::EarlierLife),
+        (heartbeat("b", now, 99, &[]), RejectedHeartbeat::TooLarge),
+    ];
+    cases[6].0.status.as_mut().unwrap().life -= 1;
+    cases[7].0.heard = (0..=HEARTBEAT_MAX_MACHINES)
+        .map(|i| (format!("z-{i}"), 1, 1, 1))
+        .collect();
+    for (mut bad, why) in cases {
+        bad.heard.push(("forged".into(), 9, 9, 0));
+        let heeded = s.receive_heartbeat(now, WALL + now, bad, &HashMap::new());
+        assert_eq!(heeded, HeartbeatOutcome::Rejected(why));
+        assert!(s.told("forged").is_none());
+    }
+    assert_eq!(s.dropped(STATS_MS).iter().map(|(_, n)| n).sum::<u64>(), 8);
+    assert!(s.dropped(STATS_MS).is_empty());
+}
+
+/// It would never have been heard again.
+#[test]
+fn a_life_that_seems_earlier_counts_once_the_other_has_ended() {
+    let mut s = standby();
+    followed(&mut s, 10_000);
+    let mut next = heartbeat("b", 10_200, 0, &[]);
+    next.status.as_mut().unwrap().life -= 300;
+    let heed = |s: &mut PeerTracker, at, heartbeat: &PeerHeartbeat| {
+        s.receive_heartbeat(at, WALL + at, heartbeat.clone(), &HashMap::new())
+    };
+    let dropped = HeartbeatOutcome::Rejected(RejectedHeartbeat::EarlierLife);
+    assert_eq!(heed(&mut s, 10_200, &next), dropped);
+    s.link_ended("b");
+    assert_eq!(heed(&mut s, 10_300, &next), HeartbeatOutcome::Accepted);
+    assert_eq!(sign(&mut s, 10_300, "b"), PeerStatus::Well);
+    let late = heartbeat("b", 10_400, 90, &[]);
+    assert_eq!(
+        heed(&mut s, 10_400, &late),
+        HeartbeatOutcome::Accepted,
+        "a later one is its next"
+    );
+}
+
+#[test]
+fn irregular_beats_are_given_more_time() {
+    let mut regular = HeartbeatIntervals::new();
+    let mut wild = HeartbeatIntervals::new();
+    for i in 0..40 {
+        regular.note(500 + i % 3 * 20);
+        wild.note([300, 1_100][i as usize % 2]);
+    }
+    assert_eq!(regular.patience(HEARTBEATS_MISSED_MS), HEARTBEATS_MISSED_MS);
+    let patience = wild.patience(HEARTBEATS_MISSED_MS);
+    assert!(patience > 2_000 && patience <= PEER_LOST_MS);
+    assert!(!regular.is_slow());
+    for _ in 0..40 {
+        wild.note(1_400);
+    }
+    assert!(wild.is_slow());
+}
--- /dev/null
+++ b/crates/core/src/scheduling/rescheduling/tests.rs
@@ -0,0 +1,71 @@
+//! Tests of `rescheduling`.
+
+use super::*;
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+
+fn wish(job: &str, index: u32, reason: Reason, gain_s: f64, cost_s: f64) -> Wish {
+    let job = job.to_string();
+    Wish {
+        task: TaskId { job, index },
+        attempt: 1,
+        machine: format!("n-{index}"),
+        reason,
+        gain_s,
+        cost_s,
+    }
+}
+
+fn names(chosen: &[Wish]) -> Vec<String> {
+    chosen.iter().map(|w| w.task.to_string()).collect()
+}
+
+#[test]
+fn leaving_goes_first_and_little_gain_is_no_reason() {
+    let mut moves = Moves::default();
+    let wishes = vec![
+        wish("a", 0, Reason::Spread, 20.0, 2.0),
+        wish("b", 0, Reason::Spread, 20.0, 15.0),
+        wish("c", 0, Reason::Leaving, 0.0, 5.0),
+    ];
+    let chosen = moves.chosen(1_000, wishes, 9, &BTreeSet::new());
+    assert_eq!(names(&chosen), ["c/0", "a/0"]);
+}
+
+/// Whatever is wished, however often.
+#[test]
+fn a_service_never_loses_two_and_no_task_moves_twice_soon() {
+    let mut rng = SmallRng::seed_from_u64(5);
+    let mut moves = Moves::default();
+    let mut last: BTreeMap<TaskId, Millis> = BTreeMap::new();
+    for round in 0..400 {
+        let now = round * 10_000;
+        let wishes: Vec<Wish> = (0..30)
+            .map(|_| {
+                let job = ["a", "b", "c", "d"][rng.gen_range(0..4)];
+                let gain = rng.gen_range(0.0..30.0);
+                wish(job, rng.gen_range(0..6), Reason::Spread, gain, 4.0)
+            })
+            .collect();
+        let missing = BTreeSet::from(["d".to_string()]);
+        let most = rng.gen_range(0..4);
+        let chosen = moves.chosen(now, wishes, most, &missing);
+        assert!(chosen.len() <= most);
+        let services: BTreeSet<&str> = chosen.iter().map(|w| w.task.job.as_str()).collect();
+        assert_eq!(services.len(), chosen.len(), "one of a service at a time");
+        for w in chosen {
+            assert!(w.task.job != "d" && w.gain_s >= MOVE_WORTH * w.cost_s);
+            let before = last.insert(w.task.clone(), now);
+            assert!(before.is_none_or(|at| now >= at + MOVE_AGAIN_MS));
+        }
+    }
+}
+
+#[test]
+fn evening_out_gains_only_beyond_a_zones_share() {
+    assert_eq!(spread_gain_s(4, 2, 2), 0.0);
+    assert_eq!(spread_gain_s(4, 3, 2), SPREAD_GAIN_S);
+    assert_eq!(spread_gain_s(5, 3, 2), 0.0);
+    assert_eq!(spread_gain_s(1, 1, 3), 0.0);
+    assert_eq!(spread_gain_s(3, 3, 1), 0.0);
+}
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -128,34 +128,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_wake_forgets_reasons_to_act_and_nothing_else() {
-        let mut signs = MachineObservations::new();
-        let of = signs.note("n-1");
-        (of.known, of.up, of.asked) = (Some(1), Some(2), Some(3));
-        (of.answered, of.unreached) = (Some(4), Some(5));
-        signs.reset_after_pause();
-        let of = signs.of("n-1");
-        assert_eq!((of.known, of.answered), (Some(1), Some(4)));
-        assert_eq!((of.up, of.asked, of.unreached), (None, None, None));
-    }
-
-    #[test]
-    fn machines_that_are_gone_leave_no_room_behind() {
-        let mut signs = MachineObservations::new();
-        for n in 0..4_000 {
-            signs.note(&format!("n-{n}")).known = Some(n);
-        }
-        signs.forget(|id| id == "n-7");
-        assert_eq!(signs.of("n-7").known, Some(7));
-        assert_eq!(signs.of("n-8").known, None);
-        assert!(
-            signs.machines.capacity() < 200,
-            "{}",
-            signs.machines.capacity()
-        );
-    }
-}
+mod tests;
