--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -24,10 +24,10 @@
 
 /// Tasks per chunk record at most. A claim or a release writes the whole chunk.
 pub const CHUNK_TASKS: u32 = 100;
-/// Bytes reserved per task of a chunk when the value limit sets the chunk's size: a assignment
+/// Bytes reserved per task of a chunk when the value limit sets the chunk's size: an assignment
 /// takes about 60.
 pub const CHUNK_TASK_BYTES: u64 = 76;
-/// Bytes of a assignment apart from its machine's name and a stop's reason.
+/// Bytes of an assignment apart from its machine's name and a stop's reason.
 pub const ASSIGNMENT_BYTES: usize = 60;
 /// Bytes of a chunk's record apart from its tasks and names.
 pub const CHUNK_BASE_BYTES: usize = 120;
@@ -37,7 +37,7 @@
 /// Bytes of a compact assignment apart from its machine's name: its attempt, its start, and what
 /// other names grow by when it shortens what all have in common is left to the spare bytes.
 pub const COMPACT_ASSIGNMENT_BYTES: usize = 24;
-/// Bytes by which a assignment grows when it is armed anew and gets a reason to stop, beyond what is
+/// Bytes by which an assignment grows when it is armed anew and gets a reason to stop, beyond what is
 /// reserved for it otherwise.
 pub const ASSIGNMENT_EDIT_BYTES: usize = 10;
 /// Bytes added to a value's length as written here, should the state service count some spaces.
@@ -46,7 +46,7 @@
 pub const REFUSED_RECORDS_KEPT: usize = 1_000;
 /// Milliseconds after which they are tried once more.
 pub const REFUSED_RECORDS_RETRY_MS: u64 = 30_000;
-/// Bytes of a machine's name, as far as a instance request's record allows for it: known ones take 8.
+/// Bytes of a machine's name, as far as an instance request's record allows for it: known ones take 8.
 pub const MACHINE_NAME_BYTES: u64 = 24;
 /// Bytes of any other record in a transaction, its key included.
 pub const SMALL_RECORD_BYTES: usize = 900;
@@ -326,7 +326,7 @@
 /// Milliseconds, beyond those after which a transaction counts as unanswered, after which the start of such
 /// a claim is barred and sent anew: an answer that is merely slow comes sooner.
 pub const UNCERTAIN_CLAIM_MARGIN_MS: u64 = 200;
-/// A incarnation that no worker has, since they count from 1: a command for it is refused, which is an
+/// An incarnation that no worker has, since they count from 1: a command for it is refused, which is an
 /// answer.
 pub const NO_INCARNATION: u64 = 0;
 /// Milliseconds that starts go by heartbeats after a direct command failed.
@@ -354,9 +354,9 @@
 pub const OFFER_UNAVAILABLE_MS: u64 = 15_000;
 /// Share of the cloud's rate that a controller may use at least.
 pub const CLOUD_SHARE: f64 = 0.5;
-/// Milliseconds after which a instance request without an outcome is asked again by any controller.
+/// Milliseconds after which an instance request without an outcome is asked again by any controller.
 pub const PROVISION_RETRY_MS: u64 = 4_000;
-/// Milliseconds after which a instance request whose outcome could not be recorded is asked again.
+/// Milliseconds after which an instance request whose outcome could not be recorded is asked again.
 pub const PROVISION_RETRY_SOON_MS: u64 = 300;
 /// Rental requests made in one step: a burst may need several types and zones.
 pub const PROVISION_REQUESTS_AT_ONCE: usize = 4;
--- a/crates/core/src/controller/messages.rs
+++ b/crates/core/src/controller/messages.rs
@@ -1,7 +1,8 @@
 //! What a controller is told, and what it asks for: events go in, effects come out.
 
 use crate::model::{
-    CloudInstance, JobSpec, JobState, MachineType, WallMs, WorkerCommand, WorkerHeartbeat,
+    CloudInstance, HeartbeatPosition, JobSpec, JobState, MachineType, Millis, WallMs,
+    WorkerCommand, WorkerHeartbeat,
 };
 use crate::state::{CasTransaction, Key, Record};
 use serde::{Deserialize, Serialize};
@@ -99,8 +100,9 @@
     /// Whether workers reach it, as far as it knows.
     #[serde(rename = "workers_ok")]
     pub workers_reachable: bool,
-    /// Machines it heard of: name, incarnation, sequence number, milliseconds ago.
-    pub heard: Vec<(String, u64, u64, u64)>,
+    /// Workers whose heartbeats it got lately.
+    #[serde(rename = "heard")]
+    pub workers: Vec<HeardWorker>,
     /// It has just started: peers tell it, once, what they remember of images.
     #[serde(rename = "young")]
     pub just_started: bool,
@@ -110,6 +112,37 @@
     pub status: Option<ControllerStatus>,
 }
 
+/// A worker that a controller got a heartbeat of: the latest one, and how long ago. Four elements on the wire.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(from = "(String, u64, u64, u64)")]
+pub struct HeardWorker {
+    pub machine: String,
+    pub incarnation: u64,
+    pub sequence: u64,
+    pub age_ms: Millis,
+}
+
+impl From<(String, u64, u64, u64)> for HeardWorker {
+    fn from((machine, incarnation, sequence, age_ms): (String, u64, u64, u64)) -> HeardWorker {
+        HeardWorker {
+            machine,
+            incarnation,
+            sequence,
+            age_ms,
+        }
+    }
+}
+
+impl HeardWorker {
+    /// Where the heartbeat stands among its worker's.
+    pub fn position(&self) -> HeartbeatPosition {
+        HeartbeatPosition {
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+        }
+    }
+}
+
 /// What a controller says of itself beyond that.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControllerStatus {
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -191,6 +191,54 @@
     pub phase: TaskPhase,
 }
 
+/// Where a heartbeat stands among all of its worker's: by incarnation, then by sequence number. Stored as a pair.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(from = "(u64, u64)", into = "(u64, u64)")]
+pub struct HeartbeatPosition {
+    /// Counts the lives of the worker's process.
+    pub incarnation: u64,
+    /// Counts the heartbeats, and the answers to commands, of one incarnation.
+    pub sequence: u64,
+}
+
+impl From<(u64, u64)> for HeartbeatPosition {
+    fn from((incarnation, sequence): (u64, u64)) -> HeartbeatPosition {
+        HeartbeatPosition {
+            incarnation,
+            sequence,
+        }
+    }
+}
+
+impl From<HeartbeatPosition> for (u64, u64) {
+    fn from(position: HeartbeatPosition) -> (u64, u64) {
+        (position.incarnation, position.sequence)
+    }
+}
+
+/// A start that goes by a direct command: to which incarnation of the worker, under which fencing token. Stored as a
+/// pair.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(from = "(u64, u64)", into = "(u64, u64)")]
+pub struct DirectStart {
+    /// The worker refuses the command in any other incarnation.
+    pub incarnation: u64,
+    /// The worker refuses the command once it has seen a higher token.
+    pub token: u64,
+}
+
+impl From<(u64, u64)> for DirectStart {
+    fn from((incarnation, token): (u64, u64)) -> DirectStart {
+        DirectStart { incarnation, token }
+    }
+}
+
+impl From<DirectStart> for (u64, u64) {
+    fn from(start: DirectStart) -> (u64, u64) {
+        (start.incarnation, start.token)
+    }
+}
+
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerHeartbeat {
     pub machine: String,
@@ -205,6 +253,16 @@
     pub tasks: Vec<TaskStatus>,
 }
 
+impl WorkerHeartbeat {
+    /// Where it stands among its worker's heartbeats.
+    pub fn position(&self) -> HeartbeatPosition {
+        HeartbeatPosition {
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+        }
+    }
+}
+
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerCommand {
     Start {
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -7,6 +7,7 @@
 use crate::constants::{
     FAILOVER_STAGGER_MS, JUST_STARTED_MS, SHUTDOWN_MARGIN_MS, STATE_PROBE_INTERVAL_MS,
 };
+use crate::controller::HeardWorker;
 use crate::controller::{Controller, ControllerStatus, Effect, PeerHeartbeat};
 use crate::peers::tracker::{HeartbeatOutcome, PeerStatus, PeerStatusChange};
 use crate::workers::starts::Attempt;
@@ -97,7 +98,7 @@
         let token = |(task, attempt): &Attempt, machine: &str| {
             let placed = cache.assignment(machine, task)?;
             let assignment = Some(&placed.assignment).filter(|b| b.attempt == *attempt)?;
-            assignment.direct_start.map(|(_, token)| token)
+            assignment.direct_start.map(|start| start.token)
         };
         for (machine, token) in self.workers.starts.found_assigned(self.now, token) {
             tracing::info!(
@@ -114,12 +115,17 @@
             return;
         };
         self.plan_handoff();
-        let heard = self
+        let workers = self
             .workers
             .last_heartbeats
             .iter()
             .filter(|(_, h)| self.now - h.at < self.settings.lease_ms * 2)
-            .map(|(id, h)| (id.clone(), h.incarnation, h.sequence, self.now - h.at))
+            .map(|(id, h)| HeardWorker {
+                machine: id.clone(),
+                incarnation: h.position.incarnation,
+                sequence: h.position.sequence,
+                age_ms: self.now - h.at,
+            })
             .collect();
         let status = ControllerStatus {
             revision: self.cache.revision,
@@ -138,7 +144,7 @@
             has_current_state: self.has_current_state(),
             workers_reachable: self.workers_reachable()
                 && self.lifecycle.shutting_down_since.is_none(),
-            heard,
+            workers,
             just_started: self.now - self.lifecycle.started_at < JUST_STARTED_MS,
             images: match images {
                 true => self.cache.image_hints(),
--- a/crates/core/src/peers/tracker.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -15,7 +15,7 @@
     SLOW_PART, STATS_MS, TICK_DELAY_SLOW_MS, WORKER_FAILOVER_MS,
 };
 use crate::controller::{ControllerStatus, PeerHeartbeat};
-use crate::model::{Millis, WallMs};
+use crate::model::{HeartbeatPosition, Millis, WallMs};
 use crate::settings::Settings;
 use crate::tuning::Tuning;
 use crate::workers::registry::ReceivedHeartbeat;
@@ -116,8 +116,8 @@
 impl Peer {
     /// Workers that report to it.
     pub fn load(&self, recent: Millis) -> usize {
-        let heard = self.heartbeat.heard.iter();
-        heard.filter(|(.., age)| *age < recent).count()
+        let heard = self.heartbeat.workers.iter();
+        heard.filter(|worker| worker.age_ms < recent).count()
     }
 }
 
@@ -125,8 +125,7 @@
 #[derive(Debug)]
 pub(crate) struct PeerObservation {
     pub at: Millis,
-    pub incarnation: u64,
-    pub sequence: u64,
+    pub position: HeartbeatPosition,
     by: String,
 }
 
@@ -140,7 +139,7 @@
 impl ReceivedHeartbeat {
     /// Whether a peer is known to have got a later heartbeat.
     pub fn older_than(&self, told: Option<&PeerObservation>) -> bool {
-        told.is_some_and(|t| (t.incarnation, t.sequence) > (self.incarnation, self.sequence))
+        told.is_some_and(|t| t.position > self.position)
     }
 }
 
@@ -592,7 +591,7 @@
             return Some(RejectedHeartbeat::Stranger);
         }
         let heard_peers = heartbeat.status.as_ref().map_or(0, |s| s.heard_peers.len());
-        if heartbeat.heard.len() > HEARTBEAT_MAX_MACHINES || heard_peers > self.members.len() {
+        if heartbeat.workers.len() > HEARTBEAT_MAX_MACHINES || heard_peers > self.members.len() {
             return Some(RejectedHeartbeat::TooLarge);
         }
         if wall > heartbeat.at.saturating_add(HEARTBEAT_MAX_AGE_MS + off) {
@@ -676,31 +675,24 @@
         heartbeat: &PeerHeartbeat,
         own: &HashMap<String, ReceivedHeartbeat>,
     ) {
-        for (id, incarnation, sequence, age) in &heartbeat.heard {
-            let at = now.saturating_sub(*age);
-            let mark = (*incarnation, *sequence);
+        for worker in &heartbeat.workers {
+            let id = &worker.machine;
+            let at = now.saturating_sub(worker.age_ms);
+            let position = worker.position();
             let Some(told) = self.told.get_mut(id) else {
                 let by = heartbeat.controller.clone();
                 self.carry(&by, id);
-                let (incarnation, sequence) = mark;
-                let told = PeerObservation {
-                    at,
-                    incarnation,
-                    sequence,
-                    by,
-                };
+                let told = PeerObservation { at, position, by };
                 self.told.insert(id.clone(), told);
                 continue;
             };
-            let newer = mark > (told.incarnation, told.sequence);
+            let newer = position > told.position;
             told.at = told.at.max(at);
             if !newer {
                 continue;
             }
-            (told.incarnation, told.sequence) = mark;
-            let came = own
-                .get(id)
-                .is_some_and(|h| (h.incarnation, h.sequence) >= mark);
+            told.position = position;
+            let came = own.get(id).is_some_and(|h| h.position >= position);
             let moved = told.by != heartbeat.controller;
             let from = moved.then(|| std::mem::replace(&mut told.by, heartbeat.controller.clone()));
             if let Some(from) = from.and_then(|from| self.peers.get_mut(&from)) {
--- a/crates/core/src/peers/tracker/tests.rs
+++ b/crates/core/src/peers/tracker/tests.rs
@@ -1,22 +1,32 @@
 //! Tests of `tracker`.
 
 use super::*;
+use crate::controller::HeardWorker;
 
 const WALL: WallMs = 1_700_000_000_000;
 
+fn heard_worker(machine: &str, incarnation: u64, sequence: u64, age_ms: Millis) -> HeardWorker {
+    HeardWorker {
+        machine: machine.into(),
+        incarnation,
+        sequence,
+        age_ms,
+    }
+}
+
 fn standby() -> PeerTracker {
     let members = ["a", "b", "c"].map(String::from).to_vec();
     PeerTracker::of("a".into(), members, 1_000, 11_250, Tuning::default(), WALL)
 }
 
 fn heartbeat(controller: &str, at: Millis, count: u64, heard_peers: &[&str]) -> PeerHeartbeat {
-    let heard = (0..20).map(|i| (format!("{controller}-{i}"), 1, 1 + at / 5_000, 100));
+    let heard = (0..20).map(|i| heard_worker(&format!("{controller}-{i}"), 1, 1 + at / 5_000, 100));
     PeerHeartbeat {
         controller: controller.into(),
         at: WALL + at,
         has_current_state: true,
         workers_reachable: true,
-        heard: heard.collect(),
+        workers: heard.collect(),
         status: Some(ControllerStatus {
             life: WALL,
             count,
@@ -111,8 +121,8 @@
     }
     // The others have turned to c.
     let mut both = heartbeat("c", 13_000, 30, &["a"]);
-    both.heard
-        .extend((12..20).map(|i| (format!("b-{i}"), 1, 9, 50)));
+    both.workers
+        .extend((12..20).map(|i| heard_worker(&format!("b-{i}"), 1, 9, 50)));
     s.receive_heartbeat(13_000, WALL + 13_000, both, &HashMap::new());
     let (_, over) = s.judge(13_000);
     let over = &over[0];
@@ -139,11 +149,11 @@
         (heartbeat("b", now, 99, &[]), RejectedHeartbeat::TooLarge),
     ];
     cases[6].0.status.as_mut().unwrap().life -= 1;
-    cases[7].0.heard = (0..=HEARTBEAT_MAX_MACHINES)
-        .map(|i| (format!("z-{i}"), 1, 1, 1))
+    cases[7].0.workers = (0..=HEARTBEAT_MAX_MACHINES)
+        .map(|i| heard_worker(&format!("z-{i}"), 1, 1, 1))
         .collect();
     for (mut bad, why) in cases {
-        bad.heard.push(("forged".into(), 9, 9, 0));
+        bad.workers.push(heard_worker("forged", 9, 9, 0));
         let heeded = s.receive_heartbeat(now, WALL + now, bad, &HashMap::new());
         assert_eq!(heeded, HeartbeatOutcome::Rejected(why));
         assert!(s.told("forged").is_none());
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -124,7 +124,7 @@
         );
     }
 
-    /// Records what a instance request brought; an empty or partial answer bars the offer for a while.
+    /// Records what an instance request brought; an empty or partial answer bars the offer for a while.
     fn record_provisioned(&mut self, n: u64, instances: Vec<String>) {
         let Some(instance_request) = self
             .cache
@@ -190,7 +190,7 @@
         );
     }
 
-    /// Whether a machine that a instance request brought is still to come.
+    /// Whether a machine that an instance request brought is still to come.
     pub(crate) fn on_its_way(&self, id: &str) -> bool {
         self.cache.machine(id).is_none() && !self.workers.recently_deleted.contains(id)
     }
--- a/crates/core/src/provisioning/demand.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -32,7 +32,7 @@
 
 /// What to rent for work that no machine, present or on its way, can take: per set the
 /// cheapest way to serve it, offers refused lately passed over. `pending` tells whether a
-/// machine that a instance request brought is still on its way, `quiet` whether a zone is cut off: what is
+/// machine that an instance request brought is still on its way, `quiet` whether a zone is cut off: what is
 /// provisioned there would come up unheard.
 pub fn provisioning_demand(
     cache: &StateCache,
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -1,7 +1,7 @@
 //! Run times: what this controller hears of them, what it records, and what it makes of them.
 //!
 //! A run is observed by the controller that hears how its task begins and ends, and counted by the one
-//! whose transaction records that end: a assignment is released once, so no run counts twice. What is
+//! whose transaction records that end: an assignment is released once, so no run counts twice. What is
 //! counted goes to the class's record (`g/runs/CLASS`) in a transaction conditional on what it adds
 //! to; should its outcome never be known, these runs are not sent again. Nothing rests on what is
 //! learned: no rule, no proof, no claim's condition.
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A assignment that this controller has not seen before.
+    /// An assignment that this controller has not seen before.
     fn claim_seen(&mut self, task: TaskId, attempt: u64) {
         if self.run_times.begun.len() < ATTEMPTS_FOLLOWED {
             let at = self.now;
--- a/crates/core/src/safety_checks.rs
+++ b/crates/core/src/safety_checks.rs
@@ -18,7 +18,7 @@
     pub format: bool,
     /// Heartbeats wait for records that are current.
     pub view: bool,
-    /// What a report shows without a assignment is stopped, or forgotten, only if the cache has reached
+    /// What a report shows without an assignment is stopped, or forgotten, only if the cache has reached
     /// what its attempt rests on.
     pub fate: bool,
     /// Claims go to machines that were heard since the start.
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -9,7 +9,7 @@
     ASSIGNMENT_BYTES, CHUNK_BASE_BYTES, FAIL_PAUSE_MAX_MS, FAIL_PAUSE_MS, FAULTS_KEPT,
     FAULTY_MACHINES, SICK_JOBS, SMALL_RECORD_BYTES,
 };
-use crate::model::{JobKind, JobSpec, Resources, TaskId, Team, WallMs};
+use crate::model::{DirectStart, JobKind, JobSpec, Resources, TaskId, Team, WallMs};
 use crate::settings::Settings;
 use crate::state::formats;
 use crate::state::{
@@ -38,11 +38,11 @@
 pub enum Carrier {
     /// The answer to the next heartbeat that any controller gets.
     Answer,
-    /// One direct command for a incarnation, under the machine's token.
+    /// One direct command for an incarnation, under the machine's token.
     Command { incarnation: u64, token: u64 },
 }
 
-/// Why a assignment ends, once it is proven that its attempt is gone (or never began).
+/// Why an assignment ends, once it is proven that its attempt is gone (or never began).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     Done,
@@ -202,7 +202,7 @@
         reply_start: None,
         direct_start: match carrier {
             Carrier::Answer => None,
-            Carrier::Command { incarnation, token } => Some((incarnation, token)),
+            Carrier::Command { incarnation, token } => Some(DirectStart { incarnation, token }),
         },
         stop: None,
     });
--- a/crates/core/src/state/formats.rs
+++ b/crates/core/src/state/formats.rs
@@ -13,7 +13,7 @@
 //! | 3 | cancellations are told when all tasks are gone (`g/settled`); records as in 2 | |
 //! | 4 | configurations on record (`g/configurable`); teams in a form that earlier versions can't read | |
 //!
-//! A compact chunk writes its tasks as words: `=N` tasks wait, `+N` are done, and a assignment is
+//! A compact chunk writes its tasks as words: `=N` tasks wait, `+N` are done, and an assignment is
 //! `MACHINE:ATTEMPT[:START][!STOP][*N]`. The machine's name lacks what all have in common, the
 //! attempt is counted from the lowest, in base 36. START is left out if it is the usual one of
 //! the chunk, `n` for none, `sSESSION.TALLY` for a heartbeat's answer, `dSESSION.TOKEN` for a
@@ -25,6 +25,7 @@
     COMPACT_ASSIGNMENT_BYTES, COMPACT_TASK_BYTES, JOB_TASKS, VALUE_SPARE_BYTES,
 };
 use crate::model::{Resources, WallMs};
+use crate::state::StartDelivery;
 use crate::state::{escape, unescape, Assignment, ChunkRecord, Record, TaskState};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,13 +49,6 @@
     pub version: u32,
 }
 
-/// How a start travels: what it is armed for, or the direct command.
-type Start = (Option<(u64, u64)>, Option<(u64, u64)>);
-
-fn start_of(b: &Assignment) -> Start {
-    (b.reply_start, b.direct_start)
-}
-
 /// A chunk's record in format 2.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct CompactChunk {
@@ -84,33 +78,35 @@
     pause_until: WallMs,
 }
 
-fn start_word(start: Start) -> String {
+/// A start's delivery as a word: `n`, or `s` and the heartbeat's position, then `d` and the direct command's pair.
+fn delivery_word(delivery: StartDelivery) -> String {
     let part = |kind: char, pair: Option<(u64, u64)>| {
         pair.map_or(String::new(), |(a, b)| format!("{kind}{a}.{b}"))
     };
-    match start {
+    match (delivery.reply, delivery.direct) {
         (None, None) => "n".into(),
-        (reply_start, direct_start) => part('s', reply_start) + &part('d', direct_start),
+        (reply, direct) => part('s', reply.map(Into::into)) + &part('d', direct.map(Into::into)),
     }
 }
 
-fn read_start(word: &str) -> Option<Start> {
+fn read_delivery(word: &str) -> Option<StartDelivery> {
     if word == "n" {
-        return Some((None, None));
+        return Some(StartDelivery::default());
     }
-    let pair = |s: &str| {
+    let pair = |s: &str| -> Option<(u64, u64)> {
         let (a, b) = s.split_once('.')?;
         Some((a.parse().ok()?, b.parse().ok()?))
     };
-    let (reply_start, direct_start) = match word.split_once('d') {
-        Some((reply_start, direct_start)) => (reply_start, Some(pair(direct_start)?)),
+    let (reply, direct) = match word.split_once('d') {
+        Some((reply, direct)) => (reply, Some(pair(direct)?.into())),
         None => (word, None),
     };
-    match reply_start.strip_prefix('s') {
-        Some(reply_start) => Some((Some(pair(reply_start)?), direct_start)),
-        None if reply_start.is_empty() && direct_start.is_some() => Some((None, direct_start)),
-        None => None,
-    }
+    let reply = match reply.strip_prefix('s') {
+        Some(reply) => Some(pair(reply)?.into()),
+        None if reply.is_empty() && direct.is_some() => None,
+        None => return None,
+    };
+    Some(StartDelivery { reply, direct })
 }
 
 fn base36(mut n: u64) -> String {
@@ -146,9 +142,9 @@
         // Escaped names are plain ASCII: any byte is a place to cut.
         let prefix = common_prefix(names.values().map(String::as_str));
         let attempt = assigned().map(|b| b.attempt).min().unwrap_or(0);
-        let mut starts: BTreeMap<Start, usize> = BTreeMap::new();
+        let mut starts: BTreeMap<StartDelivery, usize> = BTreeMap::new();
         for b in assigned() {
-            *starts.entry(start_of(b)).or_default() += 1;
+            *starts.entry(b.delivery()).or_default() += 1;
         }
         let usual = starts.iter().max_by_key(|(_, n)| **n).map(|(s, _)| *s);
         let stops: BTreeSet<&String> = assigned().filter_map(|b| b.stop.as_ref()).collect();
@@ -169,8 +165,8 @@
                         name.get(prefix.len()..).unwrap_or(""),
                         base36(b.attempt - attempt)
                     );
-                    if Some(start_of(b)) != usual {
-                        word += &format!(":{}", start_word(start_of(b)));
+                    if Some(b.delivery()) != usual {
+                        word += &format!(":{}", delivery_word(b.delivery()));
                     }
                     if let Some(at) = b
                         .stop
@@ -191,7 +187,7 @@
             tasks: words,
             prefix: prefix.to_string(),
             attempt,
-            start: usual.map_or(String::new(), start_word),
+            start: usual.map_or(String::new(), delivery_word),
             stops,
             team: chunk.team.clone(),
             resources: chunk.resources,
@@ -213,12 +209,12 @@
         let mut parts = word.split(':');
         let machine = unescape(&format!("{}{}", self.prefix, parts.next()?))?;
         let attempt = u64::from_str_radix(parts.next()?, 36).ok()?;
-        let (reply_start, direct_start) = read_start(parts.next().unwrap_or(&self.start))?;
+        let delivery = read_delivery(parts.next().unwrap_or(&self.start))?;
         let assignment = Assignment {
             machine,
             attempt: self.attempt.checked_add(attempt)?,
-            reply_start,
-            direct_start,
+            reply_start: delivery.reply,
+            direct_start: delivery.direct,
             stop: stop.cloned(),
         };
         Some((assignment, n))
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -6,7 +6,7 @@
     ObservedVersionRecord,
 };
 use crate::constants::{ASSIGNMENT_BYTES, CHUNK_BASE_BYTES};
-use crate::model::{JobSpec, MachineType, Resources, WallMs};
+use crate::model::{DirectStart, HeartbeatPosition, JobSpec, MachineType, Resources, WallMs};
 use crate::state::formats::{self, CompactChunk, FormatRecord};
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
@@ -67,17 +67,36 @@
     pub machine: String,
     #[serde(rename = "a")]
     pub attempt: u64,
-    /// (incarnation, sequence number) of the heartbeat whose answer carries the start.
+    /// The heartbeat whose answer carries the start.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
-    pub reply_start: Option<(u64, u64)>,
-    /// (incarnation, token) of the direct command that carries the start. One is sent at most.
+    pub reply_start: Option<HeartbeatPosition>,
+    /// The direct command that carries the start. One is sent at most.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
-    pub direct_start: Option<(u64, u64)>,
+    pub direct_start: Option<DirectStart>,
     /// To be stopped, with this reason.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub stop: Option<String>,
 }
 
+/// How an assignment's start gets to its worker.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct StartDelivery {
+    /// In the answer to this heartbeat.
+    pub reply: Option<HeartbeatPosition>,
+    /// By this direct command.
+    pub direct: Option<DirectStart>,
+}
+
+impl Assignment {
+    /// How its start gets to its worker.
+    pub fn delivery(&self) -> StartDelivery {
+        StartDelivery {
+            reply: self.reply_start,
+            direct: self.direct_start,
+        }
+    }
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
     #[serde(rename = "w")]
@@ -265,7 +284,7 @@
     }
 }
 
-/// A instance request request under way: committed before its name is used.
+/// An instance request request under way: committed before its name is used.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstanceRequestRecord {
     #[serde(rename = "type")]
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -12,16 +12,18 @@
 };
 use crate::controller::{ClaimedTask, CommandOutcome, Controller, Effect, RequestId, WorkerReply};
 use crate::model::{
-    ExitCause, Millis, TaskId, TaskPhase, TaskStatus, WorkerCommand, WorkerHeartbeat,
+    DirectStart, ExitCause, HeartbeatPosition, Millis, TaskId, TaskPhase, TaskStatus,
+    WorkerCommand, WorkerHeartbeat,
 };
 use crate::peers::tracker::Peer;
 use crate::scheduling::claims::{AttemptOutcome, Carrier};
+use crate::state::StartDelivery;
 use crate::state::{
     Assignment, InstanceRequestRecord, JobPhase, MachinePhase, MachineRecord, Placed,
 };
 use crate::workers::observations::{Liveness, MachineObservation};
 use crate::workers::registry::ReceivedHeartbeat;
-use crate::workers::results::{EndedAttempt, StartDelivery};
+use crate::workers::results::EndedAttempt;
 use crate::zones::detector::MachineSurvey;
 use foldhash::HashMap;
 use rand::seq::SliceRandom;
@@ -38,8 +40,8 @@
 }
 
 impl HeldHeartbeat {
-    pub fn mark(&self) -> (u64, u64) {
-        mark(&self.report)
+    pub fn position(&self) -> HeartbeatPosition {
+        self.report.position()
     }
     /// Whether its answer can still carry a start.
     pub fn carries(&self, now: Millis) -> bool {
@@ -47,10 +49,6 @@
     }
 }
 
-fn mark(report: &WorkerHeartbeat) -> (u64, u64) {
-    (report.incarnation, report.sequence)
-}
-
 /// What a report says of the machine itself, as far as its record lacks it.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct MachineUpdate {
@@ -66,13 +64,9 @@
 impl Controller {
     pub(crate) fn receive_worker_heartbeat(&mut self, request: RequestId, report: WorkerHeartbeat) {
         self.metrics.check_ins += 1;
-        let (incarnation, sequence) = mark(&report);
+        let position = report.position();
         let at = self.now;
-        if self.settings.checks.copies
-            && self
-                .liveness(&report.machine)
-                .knows((incarnation, sequence))
-        {
+        if self.settings.checks.copies && self.liveness(&report.machine).knows(position) {
             // A copy, or one that a newer overtook: its worker waits for no answer, and it is no sign of
             // life. What it shows the newer one showed as well.
             self.worker(request, WorkerReply::Unavailable);
@@ -80,15 +74,9 @@
         }
         self.note_reachability(&report);
         match self.workers.last_heartbeats.get_mut(&report.machine) {
-            Some(heard) => {
-                (heard.at, heard.incarnation, heard.sequence) = (at, incarnation, sequence)
-            }
+            Some(heard) => (heard.at, heard.position) = (at, position),
             None => {
-                let heard = ReceivedHeartbeat {
-                    at,
-                    incarnation,
-                    sequence,
-                };
+                let heard = ReceivedHeartbeat { at, position };
                 self.workers
                     .last_heartbeats
                     .insert(report.machine.clone(), heard);
@@ -217,7 +205,7 @@
     fn hold_heartbeat(&mut self, request: RequestId, report: WorkerHeartbeat, early: bool) {
         let id = report.machine.clone();
         if let Some(old) = self.workers.held_heartbeats.remove(&id) {
-            if old.mark() > mark(&report) {
+            if old.position() > report.position() {
                 self.workers.held_heartbeats.insert(id, old);
                 self.worker(request, WorkerReply::Unavailable);
                 return;
@@ -264,7 +252,7 @@
     /// has to go into its answer. Whatever it proves holds however old the report is.
     fn reconcile(&mut self, report: &WorkerHeartbeat) -> bool {
         let id = &report.machine;
-        let mark = mark(report);
+        let position = report.position();
         let reported: HashMap<(&TaskId, u64), TaskPhase> = (report.tasks.iter())
             .map(|t| ((&t.task, t.attempt), t.phase))
             .collect();
@@ -279,8 +267,8 @@
             let spec = self.cache.open_job(&task.job);
             let wanted = b.stop.is_none() && spec.is_some();
             let phase = reported.get(&(task, b.attempt)).copied();
-            let barred = is_start_fenced(b, mark, report.token);
-            let newer_session = outlived(b, mark);
+            let barred = is_start_fenced(b, position, report.token);
+            let newer_session = outlived(b, position);
             let outcome = match phase {
                 Some(TaskPhase::Exited(cause)) => Some(outcome_of(cause)),
                 None if newer_session || barred && !wanted => Some(AttemptOutcome::Terminated),
@@ -302,7 +290,7 @@
                 (None, None) => false,
             };
             if let Some(outcome) = outcome {
-                let rests_on = phase.is_none().then_some((b.reply_start, b.direct_start));
+                let rests_on = phase.is_none().then_some(b.delivery());
                 ended.push((key, outcome, rests_on));
             } else if phase == Some(TaskPhase::Running)
                 && report.notice_s.is_some()
@@ -316,7 +304,7 @@
             } else if lacks {
                 // A direct command without a trace: raise the token so that it can't come
                 // late. Once the worker reports the new token, the start is barred.
-                above = above.max(b.direct_start.map(|(_, token)| token));
+                above = above.max(b.direct_start.map(|start| start.token));
             }
         }
         for (task, attempt) in running {
@@ -356,12 +344,12 @@
             // A newer incarnation is a proof in an answer as well: its worker has killed and forgotten all that
             // was before, and no start of an earlier one arrives any more. Machines whose reports reach
             // nobody show it in no other way.
-            let mark = mark(report);
+            let position = report.position();
             let over: Vec<(TaskId, u64, StartDelivery)> = (self.cache.assignments(&report.machine))
-                .filter(|(_, p)| outlived(&p.assignment, mark))
+                .filter(|(_, p)| outlived(&p.assignment, position))
                 .map(|(task, p)| (task.clone(), &p.assignment))
                 .filter(|(task, b)| !shown.contains(&(task.clone(), b.attempt)))
-                .map(|(task, b)| (task, b.attempt, (b.reply_start, b.direct_start)))
+                .map(|(task, b)| (task, b.attempt, b.delivery()))
                 .collect();
             for (task, attempt, travel) in over {
                 self.note_attempt_ended(task, attempt, AttemptOutcome::Terminated, Some(travel));
@@ -372,17 +360,16 @@
         for (task, placed) in self.cache.assignments(&report.machine) {
             let b = &placed.assignment;
             let key = (task.clone(), b.attempt);
-            let Some((incarnation, token)) = b.direct_start.filter(|_| !shown.contains(&key))
-            else {
+            let Some(start) = b.direct_start.filter(|_| !shown.contains(&key)) else {
                 continue;
             };
-            if incarnation == report.incarnation
+            if start.incarnation == report.incarnation
                 && self
                     .workers
                     .starts
                     .is_missing(self.now, &key, &report.machine)
             {
-                above = above.max(Some(token));
+                above = above.max(Some(start.token));
             }
         }
         if above.is_some() || self.cache.machine(&report.machine).is_none() {
@@ -544,7 +531,7 @@
         if held.early || !held.carries(self.now) {
             return Vec::new();
         }
-        let mark = held.mark();
+        let position = held.position();
         let shown = |task: &TaskId, attempt: u64| {
             let mut tasks = held.report.tasks.iter();
             tasks.any(|t| t.attempt == attempt && t.task == *task)
@@ -553,14 +540,14 @@
             .assignments(&held.report.machine)
             .filter(|(task, p)| {
                 let b = &p.assignment;
-                b.reply_start != Some(mark)
+                b.reply_start != Some(position)
                     && b.stop.is_none()
                     && self.cache.open_job(&task.job).is_some()
                     && !shown(task, b.attempt)
                     // What was started in an earlier incarnation is gone, and on its way to be
                     // recorded as such: it must not be started once more under that attempt.
-                    && !outlived(b, mark)
-                    && is_start_fenced(b, mark, held.report.token)
+                    && !outlived(b, position)
+                    && is_start_fenced(b, position, held.report.token)
             })
             .map(|(task, p)| (task.clone(), p.assignment.attempt))
             .collect()
@@ -590,7 +577,7 @@
     /// Sends the starts of a committed claim. Each is sent once: were it sent again, a late
     /// copy could start the task after its result was taken and forgotten.
     pub(crate) fn send_starts(&mut self, claimed: &[ClaimedTask]) {
-        let mut by_machine: BTreeMap<String, (u64, u64, Vec<WorkerCommand>)> = BTreeMap::new();
+        let mut by_machine: BTreeMap<String, (DirectStart, Vec<WorkerCommand>)> = BTreeMap::new();
         for c in claimed {
             let assignment = self
                 .cache
@@ -599,18 +586,16 @@
             // An answer that comes late may find another attempt assigned there, whose start has gone.
             let assignment = assignment.filter(|b| b.attempt == c.attempt);
             let open = self.cache.open_job(&c.task.job).is_some();
-            if let Some((incarnation, token)) =
-                assignment.and_then(|b| b.direct_start).filter(|_| open)
-            {
+            if let Some(start) = assignment.and_then(|b| b.direct_start).filter(|_| open) {
                 let entry = by_machine.entry(c.machine.clone());
-                let (_, _, commands) = entry.or_insert((incarnation, token, Vec::new()));
+                let (_, commands) = entry.or_insert((start, Vec::new()));
                 let (task, attempt) = (c.task.clone(), c.attempt);
                 tracing::info!(%task, attempt, machine = c.machine, "start sent");
                 commands.push(WorkerCommand::Start { task, attempt });
             }
         }
-        for (id, (incarnation, token, commands)) in by_machine {
-            self.command(id, incarnation, token, commands);
+        for (id, (start, commands)) in by_machine {
+            self.command(id, start.incarnation, start.token, commands);
         }
     }
 
@@ -633,7 +618,7 @@
     }
 
     /// A command under the machine's current token and incarnation; none if they are not known. Whether
-    /// it answers can be asked without a incarnation: a machine that died while all controllers were away was
+    /// it answers can be asked without an incarnation: a machine that died while all controllers were away was
     /// heard by none of them since, and would otherwise never be found silent.
     pub(crate) fn send_command(&mut self, id: String, commands: Vec<WorkerCommand>) {
         let none = commands.is_empty().then_some(NO_INCARNATION);
@@ -706,7 +691,7 @@
     /// What the worker is told, from records that are committed.
     fn commands(&self, report: &WorkerHeartbeat) -> Vec<WorkerCommand> {
         let id = &report.machine;
-        let mark = mark(report);
+        let position = report.position();
         let mut commands = Vec::new();
         for t in &report.tasks {
             let assignment = self.cache.assignment(id, &t.task).map(|p| &p.assignment);
@@ -743,7 +728,7 @@
         }
         for (task, p) in self.cache.assignments(id) {
             let b = &p.assignment;
-            if b.reply_start == Some(mark)
+            if b.reply_start == Some(position)
                 && b.stop.is_none()
                 && !(report.tasks.iter()).any(|t| t.attempt == b.attempt && t.task == *task)
                 && self.cache.open_job(&task.job).is_some()
@@ -760,8 +745,8 @@
     /// Whether starts that its answer shall carry are on record, though this controller may have had no answer
     /// to its transaction: nobody else has this heartbeat.
     fn starts_recorded_for(&self, held: &HeldHeartbeat) -> bool {
-        let mark = held.mark();
-        let reply_start = |(_, p): (&TaskId, &Placed)| p.assignment.reply_start == Some(mark);
+        let position = held.position();
+        let reply_start = |(_, p): (&TaskId, &Placed)| p.assignment.reply_start == Some(position);
         self.settings.checks.doubt
             && !held.early
             && self
@@ -835,7 +820,8 @@
     /// Whether workers reach this controller, as far as can be told: cut off from them alone, it would
     /// claim work whose starts never arrive, and draw users away from controllers that serve them.
     pub(crate) fn workers_reachable(&self) -> bool {
-        let heard_peers = |s: &Peer| s.heartbeat.workers_reachable && !s.heartbeat.heard.is_empty();
+        let heard_peers =
+            |s: &Peer| s.heartbeat.workers_reachable && !s.heartbeat.workers.is_empty();
         !self.workers.reachability.is_doubtful()
             || !self.settings.checks.workers
             || !self.fresh_peers().any(heard_peers)
@@ -848,9 +834,9 @@
             let since = self.now - s.at;
             let heard = s
                 .heartbeat
-                .heard
+                .workers
                 .iter()
-                .map(|(.., age)| self.now - (age + since).min(self.now));
+                .map(|worker| self.now - (worker.age_ms + since).min(self.now));
             heard.max().is_some_and(|at| at > asked)
         });
         !self.workers_reachable() || self.workers.reachability.failed_alone(asked) && elsewhere
@@ -1142,22 +1128,20 @@
 }
 
 /// A heartbeat of a newer incarnation than the one that the assignment's start was for.
-fn outlived(b: &Assignment, mark: (u64, u64)) -> bool {
-    let incarnation = b
-        .reply_start
-        .or(b.direct_start)
-        .map(|(incarnation, _)| incarnation);
-    incarnation.is_some_and(|incarnation| incarnation < mark.0)
+fn outlived(b: &Assignment, position: HeartbeatPosition) -> bool {
+    let in_reply = b.reply_start.map(|position| position.incarnation);
+    let incarnation = in_reply.or(b.direct_start.map(|start| start.incarnation));
+    incarnation.is_some_and(|incarnation| incarnation < position.incarnation)
 }
 
-/// The start of a assignment can't arrive any more, if it is not there already. Of a newer
+/// The start of an assignment can't arrive any more, if it is not there already. Of a newer
 /// incarnation the worker has killed and forgotten everything older; a heartbeat after the one
 /// whose answer carried the start shows that the answer brought nothing; a token above the
 /// direct command's makes the worker refuse that one, however late.
-fn is_start_fenced(b: &Assignment, mark: (u64, u64), token: u64) -> bool {
+fn is_start_fenced(b: &Assignment, position: HeartbeatPosition, token: u64) -> bool {
     match (b.reply_start, b.direct_start) {
-        (_, Some((incarnation, sent))) => incarnation < mark.0 || sent < token,
-        (Some(reply_start), None) => reply_start < mark,
+        (_, Some(start)) => start.incarnation < position.incarnation || start.token < token,
+        (Some(reply_start), None) => reply_start < position,
         (None, None) => true,
     }
 }
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -3,7 +3,7 @@
 
 use crate::constants::UNREACHABLE_PROBE_INTERVAL_MS;
 use crate::controller::Controller;
-use crate::model::Millis;
+use crate::model::{HeartbeatPosition, Millis};
 use crate::peers::tracker::PeerObservation;
 use crate::workers::registry::ReceivedHeartbeat;
 use foldhash::{HashMap, HashMapExt};
@@ -60,14 +60,14 @@
     }
     /// Its latest incarnation.
     pub fn incarnation(&self) -> Option<u64> {
-        let own = self.own.map(|h| h.incarnation);
-        own.max(self.told.map(|t| t.incarnation))
+        let own = self.own.map(|h| h.position.incarnation);
+        own.max(self.told.map(|t| t.position.incarnation))
     }
     /// Whether some controller has got this heartbeat of it already, or a later one.
-    pub fn knows(&self, mark: (u64, u64)) -> bool {
-        let own = self.own.map(|h| (h.incarnation, h.sequence));
-        let told = self.told.map(|t| (t.incarnation, t.sequence));
-        own.max(told).is_some_and(|known| mark <= known)
+    pub fn knows(&self, position: HeartbeatPosition) -> bool {
+        let own = self.own.map(|h| h.position);
+        let told = self.told.map(|t| t.position);
+        own.max(told).is_some_and(|known| position <= known)
     }
     /// Whether its latest heartbeat, as far as is known, came to this controller.
     pub fn reports_here(&self) -> bool {
--- a/crates/core/src/workers/registry.rs
+++ b/crates/core/src/workers/registry.rs
@@ -1,7 +1,7 @@
 //! What this controller knows of workers beyond their records.
 
 use crate::constants::DELETED_MACHINES_KEPT;
-use crate::model::Millis;
+use crate::model::{HeartbeatPosition, Millis};
 use crate::workers::heartbeats::HeldHeartbeat;
 use crate::workers::observations::MachineObservations;
 use crate::workers::reachability::WorkerReachability;
@@ -13,8 +13,7 @@
 #[derive(Debug)]
 pub(crate) struct ReceivedHeartbeat {
     pub at: Millis,
-    pub incarnation: u64,
-    pub sequence: u64,
+    pub position: HeartbeatPosition,
 }
 
 /// Machines that were deleted lately, so that a late report does not bring them back.
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -11,12 +11,10 @@
 use crate::controller::{Controller, PendingOperation, RequestClass};
 use crate::model::{JobKind, Millis, TaskId};
 use crate::scheduling::claims::{self, AttemptOutcome};
+use crate::state::StartDelivery;
 use crate::state::{Assignment, Key, MachinePhase, MachineRecord, Record, TransactionBuilder};
 use std::collections::BTreeMap;
 
-/// How a assignment's start travels: what it is armed for, or the direct command.
-pub(crate) type StartDelivery = (Option<(u64, u64)>, Option<(u64, u64)>);
-
 /// What became of an attempt, until that is recorded.
 #[derive(Clone, Debug)]
 pub(crate) struct EndedAttempt {
@@ -60,7 +58,7 @@
             assignment.is_some_and(|b| {
                 ended
                     .rests_on
-                    .is_none_or(|t| t == (b.reply_start, b.direct_start))
+                    .is_none_or(|delivery| delivery == b.delivery())
             })
         });
         self.write_back.checkpoints_due.retain(|(task, at)| {
@@ -113,7 +111,7 @@
         for (id, held) in &self.workers.held_heartbeats {
             // As many as there is room for: a machine may lack hundreds of starts, which share
             // the puts of a few chunks. What is left goes with its next heartbeat.
-            let mark = held.mark();
+            let position = held.position();
             let mut any = false;
             for (task, attempt) in self.starts_for_reply(held) {
                 let known = self.chunk_key(&task).is_some_and(|key| draft.touches(&key));
@@ -124,7 +122,7 @@
                 }
                 self.edit_assignment(&mut draft, &task, attempt, |b| {
                     b.direct_start = None;
-                    b.reply_start = Some(mark);
+                    b.reply_start = Some(position);
                 });
                 any = true;
             }
@@ -341,7 +339,7 @@
         }
     }
 
-    /// The record of a machine that a instance request brought and that was never heard of.
+    /// The record of a machine that an instance request brought and that was never heard of.
     fn record_of_provisioned(&self, id: &str) -> Option<MachineRecord> {
         let (_, instance_request, _) = self
             .cache
--- a/crates/core/tests/standby.rs
+++ b/crates/core/tests/standby.rs
@@ -288,8 +288,8 @@
         ..PeerHeartbeat::default()
     };
     let mut large = forged("node-0", now);
-    large.heard = (0..1_000_000)
-        .map(|i| (format!("x-{i}"), 9, 9, 0))
+    large.workers = (0..1_000_000)
+        .map(|i| (format!("x-{i}"), 9, 9, 0).into())
         .collect();
     let mut earlier = forged("node-0", now);
     earlier.status = Some(ControllerStatus::default());
--- a/crates/glenmount/src/peer.rs
+++ b/crates/glenmount/src/peer.rs
@@ -155,7 +155,7 @@
                 at: next!(1),
                 has_current_state: next!(2),
                 workers_reachable: next!(3),
-                heard: next!(4),
+                workers: next!(4),
                 just_started: next!(5),
                 images: next!(6),
                 status: seq.next_element::<Heeded>()?.and_then(|said| said.0),
@@ -252,7 +252,10 @@
             (sample.controller.as_str(), sample.at),
             ("bothy-1", 1_700_000_000_000)
         );
-        assert_eq!(sample.heard, [("n-000231".to_string(), 1, 88, 120)]);
+        assert_eq!(
+            sample.workers,
+            [("n-000231".to_string(), 1, 88, 120).into()]
+        );
         assert!(sample.has_current_state && sample.workers_reachable && sample.just_started);
         assert_eq!(sample.images[0].1, [("img-07".to_string(), 1.5)]);
         assert_eq!(rmp_serde::to_vec(&sample).unwrap(), frame);
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -245,13 +245,13 @@
         self.number(u64::from(heartbeat.has_current_state));
         self.number(u64::from(heartbeat.workers_reachable));
         self.number(u64::from(heartbeat.just_started));
-        let mut heard = heartbeat.heard.clone();
+        let mut heard = heartbeat.workers.clone();
         heard.sort();
-        for (machine, incarnation, sequence, age_ms) in &heard {
-            self.text(machine);
-            self.number(*incarnation);
-            self.number(*sequence);
-            self.number(*age_ms);
+        for worker in &heard {
+            self.text(&worker.machine);
+            self.number(worker.incarnation);
+            self.number(worker.sequence);
+            self.number(worker.age_ms);
         }
         let mut images = heartbeat.images.clone();
         images.sort_by(|a, b| a.0.cmp(&b.0));
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1325,7 +1325,11 @@
                     self.at(2, Act::End(n, life, back_after));
                 }
                 Effect::PeerHeartbeat(heartbeat) => {
-                    self.beat_bytes = heartbeat.heard.iter().map(|h| h.0.len() + 12).sum();
+                    self.beat_bytes = heartbeat
+                        .workers
+                        .iter()
+                        .map(|worker| worker.machine.len() + 12)
+                        .sum();
                     for m in 0..self.controllers.len() {
                         if self.linked(n, m) {
                             let life = self.controllers[m].life;
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -58,7 +58,7 @@
     assert_eq!(sum.noticed.spread().count, 2);
 }
 
-/// A instance request whose outcome could not be recorded in a controller's first seconds was asked again at a time
+/// An instance request whose outcome could not be recorded in a controller's first seconds was asked again at a time
 /// before its start, which the subtraction did not allow for.
 #[test]
 fn a_day_of_which_less_than_half_is_served_fails() {
