--- a/crates/glenmount/src/main.rs
+++ b/crates/glenmount/src/main.rs
@@ -9,6 +9,8 @@
 mod server;
 mod settings;
 mod state;
+#[cfg(test)]
+mod tests;
 mod wire;
 mod workers;
 
--- /dev/null
+++ b/crates/glenmount/src/tests/settings_forms.rs
@@ -0,0 +1,123 @@
+//! The platform's settings file and the operators' own.
+
+use super::check_lines;
+use crate::settings::{self, Config, Operator};
+
+const ALL: &str = include_str!("../../tests/samples/settings_all.toml");
+const LEAST: &str = include_str!("../../tests/samples/settings_least.toml");
+
+/// All that is read of the settings, a line each.
+fn show(config: &Config) -> String {
+    let core = &config.core;
+    let (learned, tuning, policy) = (&core.learned, &core.tuning, &core.policy);
+    let mut lines = vec![
+        format!("member: {:?}", core.controller),
+        format!("members: {:?}", core.controllers),
+        format!("zone: {:?}", core.zone),
+        format!("zones: {:?}", core.zones),
+        format!("zones of members: {:?}", core.controller_zones),
+        format!("listens to clients at: {}", config.client_listen),
+        format!("listens to siblings at: {}", config.cluster_listen),
+        format!("siblings: {:?}", config.peers),
+        format!("cloud: {}", config.cloud),
+        format!("state service: {}", config.state),
+        format!("requests to the state service: {:?}/s", config.state_rps),
+        format!(
+            "changes to the state service: {:?}/s",
+            config.state_write_rps
+        ),
+        format!("requests to the cloud: {:?}/s", config.cloud_rps),
+        format!("sockets: {}", config.sockets),
+        format!("scarce: {:?}", config.scarce),
+        format!("report: {} ms", core.report_ms),
+        format!("lease: {} ms", core.lease_ms),
+        format!("cancel: {} ms", core.cancel_ms),
+        format!("value: {} bytes", core.max_value_bytes),
+        format!("changes of a transaction: {}", core.max_transaction_changes),
+        format!("own changes: {:?}/s", core.write_rps),
+        format!("own changes later: {:?}/s", core.next_write_rps),
+        format!("clocks off by: {} ms", core.clock_off_ms),
+        format!("idle return: {} ms", core.idle_return_ms),
+        format!("lag of the cloud's list: {} ms", core.list_lag_ms),
+        format!("run times learned: {}", learned.learn),
+        format!("run times used for order: {}", learned.order),
+        format!("run times used for due: {}", learned.due),
+        format!("run times used for stops: {}", learned.stops),
+        format!("run times used for notice: {}", learned.notice),
+        format!("machines of lost zones ended: {}", tuning.lost_zones),
+        format!("services spread evenly: {}", tuning.even_spread),
+        format!("jobs put off: {}", tuning.put_off),
+        format!(
+            "service's share per machine: {:?}",
+            tuning.machine_share_of_service
+        ),
+        format!("configuration's version: {}", policy.version),
+        format!("finished within: {:?}", policy.goals),
+        format!("started within: {:?}", policy.starts),
+        format!("configured idle return: {:?}", policy.idle_return_ms),
+    ];
+    for (name, team) in &policy.teams {
+        let cpus = (team.cpus, team.cpus_max);
+        let gpus = (team.gpus, team.gpus_max);
+        lines.push(format!("team {name:?}: cpus {cpus:?}, gpus {gpus:?}"));
+    }
+    lines.join("\n") + "\n"
+}
+
+#[test]
+fn settings_files_are_read_with_all_their_fields() {
+    for (text, expected) in [
+        (ALL, include_str!("../../tests/samples/settings_all.txt")),
+        (
+            LEAST,
+            include_str!("../../tests/samples/settings_least.txt"),
+        ),
+    ] {
+        let config = settings::config(text, &Operator::default()).expect("settings");
+        assert_eq!(show(&config), expected);
+    }
+}
+
+#[tokio::test]
+async fn faulty_settings_files_are_refused_with_their_fault() {
+    let sample = include_str!("../../tests/samples/refused_settings.tsv");
+    check_lines("refused_settings.tsv", sample, |columns| async move {
+        assert!(ALL.contains(columns[0]), "{}", columns[0]);
+        let text = ALL.replacen(columns[0], &columns[1].replace("\\n", "\n"), 1);
+        match settings::config(&text, &Operator::default()) {
+            Ok(_) => "read".to_string(),
+            Err(error) => error,
+        }
+    })
+    .await;
+}
+
+fn deployed(file: &'static str) -> &'static str {
+    match file {
+        "deploy/even-spread.xml" => include_str!("../../../../deploy/even-spread.xml"),
+        "deploy/learned-run-times.xml" => include_str!("../../../../deploy/learned-run-times.xml"),
+        "deploy/operator-settings.xml" => include_str!("../../../../deploy/operator-settings.xml"),
+        xml => xml,
+    }
+}
+
+/// What operators' settings change, or why they are refused.
+#[tokio::test]
+async fn operators_settings_are_read_or_refused_with_their_fault() {
+    let sample = include_str!("../../tests/samples/operator_settings.tsv");
+    check_lines("operator_settings.tsv", sample, |columns| async move {
+        let usual = settings::config(LEAST, &Operator::default()).expect("settings");
+        let read = settings::operator(deployed(columns[0]));
+        match read.and_then(|operator| settings::config(LEAST, &operator)) {
+            Ok(config) => {
+                let (usual, shown) = (show(&usual), show(&config));
+                let pairs = usual.lines().zip(shown.lines());
+                let changes = pairs.filter(|(before, after)| before != after);
+                let changes: Vec<&str> = changes.map(|(_, after)| after).collect();
+                format!("read; {}", changes.join("; "))
+            }
+            Err(error) => error.replace('\n', "\\n"),
+        }
+    })
+    .await;
+}
--- /dev/null
+++ b/crates/glenmount/src/tests/state_forms.rs
@@ -0,0 +1,151 @@
+//! Requests to the state service and its answers; the text of transactions is pinned with the core.
+
+use super::{answer_once, check_lines, in_time, listener};
+use crate::state;
+use glenmount_core::controller::{Event, RequestClass, StateOperation, StateResponse};
+use glenmount_core::state::formats::LATEST;
+use glenmount_core::state::{CasTransaction, Key, Record};
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+fn key(path: &str) -> Key {
+    Key::parse(path).expect("a key")
+}
+
+fn operation(name: &str) -> StateOperation {
+    match name {
+        "transaction" => {
+            let record = Record::read_text(&key("g/term"), "{\"term\":3}");
+            StateOperation::Transaction(CasTransaction {
+                conditions: vec![(key("g/term"), 17), (key("g/settled"), 0)],
+                changes: vec![
+                    (key("g/term"), Some(record.expect("a record"))),
+                    (key("g/place/j-1"), None),
+                ],
+                format: LATEST,
+            })
+        }
+        "read of the revision" => StateOperation::ReadIndex,
+        "list" => StateOperation::List { after: None },
+        "rest of a list" => StateOperation::List {
+            after: Some("g/machine/n-1".into()),
+        },
+        other => panic!("no such operation: {other}"),
+    }
+}
+
+fn show_item(key: &Key, mod_revision: u64, record: Option<&Record>) -> String {
+    let value = record.map_or("removed".to_string(), |r| r.value(LATEST).to_string());
+    format!("[{} {mod_revision} {value}]", key.path())
+}
+
+fn show(answer: &StateResponse) -> String {
+    match answer {
+        StateResponse::Committed { revision } => format!("committed at {revision}"),
+        StateResponse::Conflict { revision } => format!("conflict at {revision}"),
+        StateResponse::ReadIndex { revision } => format!("revision {revision}"),
+        StateResponse::Refused => "refused as malformed".to_string(),
+        StateResponse::Unavailable => "not executed".to_string(),
+        StateResponse::NoAnswer => "no answer".to_string(),
+        StateResponse::Listed {
+            items,
+            last,
+            more,
+            revision,
+        } => {
+            let items = items
+                .iter()
+                .map(|(k, mod_revision, r)| show_item(k, *mod_revision, Some(r)));
+            let items: String = items.collect();
+            format!("listed {items}, last {last:?}, more {more}, revision {revision}")
+        }
+    }
+}
+
+async fn asked(name: &str, status: &str, body: &str) -> (String, String) {
+    let listener = listener().await;
+    let connection = state::connection(listener.local_addr().expect("an address"));
+    let (core, mut events) = mpsc::channel(1);
+    let jobs = state::client(connection, 1_000.0, 1_000.0, core);
+    let job = state::Job {
+        token: 17,
+        op: operation(name),
+        request_class: RequestClass::User,
+        since: Instant::now(),
+    };
+    assert!(jobs.send(job).await.is_ok());
+    let request = in_time(answer_once(&listener, status, body)).await;
+    let outcome = loop {
+        match in_time(events.recv()).await {
+            // As may come on a busy machine: the answer follows.
+            Some(Event::StateTimeout { token: 17 }) => {}
+            Some(Event::State { token: 17, answer }) => break show(&answer),
+            Some(Event::Throttled) => break "throttled, to be sent again".to_string(),
+            other => panic!("not an answer: {other:?}"),
+        }
+    };
+    (request, outcome)
+}
+
+#[tokio::test]
+async fn the_state_service_is_asked_as_published() {
+    let sample = include_str!("../../tests/samples/state_requests.tsv");
+    check_lines("state_requests.tsv", sample, |columns| async move {
+        asked(columns[0], "503", "").await.0
+    })
+    .await;
+}
+
+#[tokio::test]
+async fn answers_of_the_state_service_are_read_by_status_and_request() {
+    let sample = include_str!("../../tests/samples/state_answers.tsv");
+    check_lines("state_answers.tsv", sample, |columns| async move {
+        asked(columns[0], columns[1], columns[2]).await.1
+    })
+    .await;
+}
+
+/// The request for changes, and what comes of its answer; of one that is unreadable nothing.
+async fn watched(status: &str, body: &str) -> (String, String) {
+    let listener = listener().await;
+    let connection = state::connection(listener.local_addr().expect("an address"));
+    let (core, mut events) = mpsc::channel(1);
+    let restarts = state::watch(connection, core);
+    restarts.send(41).await.expect("a watch");
+    let request = in_time(answer_once(&listener, status, body)).await;
+    // What is of use is told before the next request, and of nothing else anything is told.
+    let event = tokio::select! {
+        biased;
+        event = in_time(events.recv()) => event,
+        _ = listener.accept() => return (request, "passed over".to_string()),
+    };
+    let outcome = match event {
+        Some(Event::WatchGap) => "records to be listed anew".to_string(),
+        Some(Event::WatchUpdate { revision, changes }) => {
+            let changes = changes
+                .iter()
+                .map(|(k, mod_revision, r)| show_item(k, *mod_revision, r.as_ref()));
+            format!("up to {revision} {}", changes.collect::<String>())
+        }
+        other => panic!("not of the watch: {other:?}"),
+    };
+    (request, outcome)
+}
+
+#[tokio::test]
+async fn changes_are_watched_as_published() {
+    let request = watched("410", "").await.0;
+    assert_eq!(
+        request,
+        "GET /watch?under=g/&since=41&holdMs=10000 HTTP/1.1|"
+    );
+}
+
+#[tokio::test]
+async fn answers_to_watches_are_read_or_passed_over() {
+    let sample = include_str!("../../tests/samples/watch_answers.tsv");
+    check_lines("watch_answers.tsv", sample, |columns| async move {
+        watched(columns[0], columns[1]).await.1
+    })
+    .await;
+}
