--- /dev/null
+++ b/crates/ctl/tests/programs.rs
@@ -0,0 +1,183 @@
+//! What `glenmountctl` prints for programs, and its exit statuses, byte for byte.
+//!
+//! Operators' scripts read them, so the samples under `samples/` are never made anew. Each line of
+//! `command_lines.tsv` is a command line, its exit status, and what it prints on standard output and on
+//! standard error. They run in turn against one state service in memory, which begins with `records.tsv`.
+
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::path::Path;
+use std::process::Command;
+
+const COMMAND_LINES: &str = include_str!("samples/command_lines.tsv");
+const RECORDS: &str = include_str!("samples/records.tsv");
+/// Files that the command lines name.
+const FILES: [(&str, &str); 4] = [
+    ("first.toml", include_str!("samples/first.toml")),
+    ("lower.toml", include_str!("samples/lower.toml")),
+    ("faulty.toml", "[settings]\nteams = [{ cpus = 1.0 }]\n"),
+    ("runs.log", include_str!("samples/runs.log")),
+];
+
+/// Keys with their values and revisions.
+struct Store {
+    revision: u64,
+    items: BTreeMap<String, (Value, u64)>,
+}
+
+impl Store {
+    fn new(records: &str) -> Store {
+        let mut store = Store {
+            revision: 0,
+            items: BTreeMap::new(),
+        };
+        for line in records.lines() {
+            let (key, value) = line.split_once('\t').expect("a key and a value");
+            store.put(key, serde_json::from_str(value).expect("JSON"));
+        }
+        store
+    }
+
+    fn put(&mut self, key: &str, value: Value) {
+        self.revision += 1;
+        self.items.insert(key.into(), (value, self.revision));
+    }
+
+    fn transact(&mut self, body: &Value) -> (u16, Value) {
+        let revision = |key: &Value| {
+            let item = self.items.get(key.as_str().expect("a key"));
+            item.map_or(0, |(_, revision)| *revision)
+        };
+        let mut conditions = body["if"].as_array().expect("conditions").iter();
+        if !conditions.all(|c| c["stamp"] == revision(&c["k"])) {
+            return (409, json!({"failed": [], "epoch": self.revision}));
+        }
+        for change in body["apply"].as_array().expect("changes") {
+            match change["put"].as_str() {
+                Some(key) => self.put(key, change["v"].clone()),
+                None => {
+                    self.items.remove(change["remove"].as_str().expect("a key"));
+                }
+            }
+        }
+        (200, json!({"epoch": self.revision}))
+    }
+
+    fn get(&self, path: &str) -> (u16, Value) {
+        let item = |(key, (value, revision)): (&String, &(Value, u64))| json!({"k": key, "v": value, "stamp": revision});
+        if let Some(query) = path.strip_prefix("/keys?under=") {
+            let prefix = query.split('&').next().expect("a prefix");
+            let under = self.items.iter().filter(|(key, _)| key.starts_with(prefix));
+            let items: Vec<Value> = under.map(item).collect();
+            let list = json!({"items": items, "more": false, "epoch": self.revision});
+            return (200, list);
+        }
+        match self.items.get_key_value(path.trim_start_matches("/keys/")) {
+            Some(found) => (200, item(found)),
+            None => (404, json!({"epoch": self.revision})),
+        }
+    }
+
+    fn answer(&mut self, mut stream: TcpStream) {
+        let mut lines = BufReader::new(&mut stream);
+        let mut first = String::new();
+        lines.read_line(&mut first).expect("a request");
+        let mut length = 0;
+        loop {
+            let mut line = String::new();
+            lines.read_line(&mut line).expect("a header");
+            if let Some(bytes) = line.to_ascii_lowercase().strip_prefix("content-length:") {
+                length = bytes.trim().parse().expect("a length");
+            }
+            if line.trim().is_empty() {
+                break;
+            }
+        }
+        let mut body = vec![0; length];
+        lines.read_exact(&mut body).expect("a body");
+        let (status, body) = match first.split(' ').nth(1).expect("a path") {
+            "/txn" => self.transact(&serde_json::from_slice(&body).expect("JSON")),
+            path => self.get(path),
+        };
+        let body = body.to_string();
+        let head = format!("HTTP/1.1 {status} X\r\nconnection: close\r\n");
+        let _ = write!(stream, "{head}content-length: {}\r\n\r\n{body}", body.len());
+    }
+}
+
+/// Where nothing listens.
+fn closed_address() -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    listener.local_addr().expect("an address").to_string()
+}
+
+/// On one line, without what differs from run to run: times of the day have 13 digits.
+fn plain(output: &[u8], addresses: &[(&str, &str)]) -> String {
+    let mut text = String::from_utf8(output.to_vec()).expect("text");
+    for (name, address) in addresses {
+        text = text.replace(address, name);
+    }
+    let mut out = String::new();
+    let mut digits = String::new();
+    for c in text.chars().chain(['\0']) {
+        if c.is_ascii_digit() {
+            digits.push(c);
+            continue;
+        }
+        out += match digits.len() {
+            13 => "TIME",
+            _ => &digits,
+        };
+        digits.clear();
+        out.push(c);
+    }
+    out.trim_end_matches('\0').replace('\n', "\\n")
+}
+
+/// Exit status and outputs of a command line, parted by tabs.
+fn run(line: &str, folder: &Path, addresses: &[(&str, &str)]) -> String {
+    let words = line.split(' ').map(|word| {
+        let address = addresses.iter().find(|(name, _)| *name == word);
+        address.map_or(word, |(_, address)| address)
+    });
+    let done = Command::new(env!("CARGO_BIN_EXE_glenmountctl"))
+        .args(words.filter(|word| !word.is_empty()))
+        .current_dir(folder)
+        .output()
+        .expect("it runs");
+    let status = done.status.code().expect("a status");
+    let (out, err) = (
+        plain(&done.stdout, addresses),
+        plain(&done.stderr, addresses),
+    );
+    format!("{status}\t{out}\t{err}")
+}
+
+#[test]
+fn what_programs_read_and_exit_statuses_are_as_published() {
+    let folder = tempfile::tempdir().expect("a folder");
+    for (name, text) in FILES {
+        std::fs::write(folder.path().join(name), text).expect("written");
+    }
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let state = listener.local_addr().expect("an address").to_string();
+    std::thread::spawn(move || {
+        let mut store = Store::new(RECORDS);
+        for stream in listener.incoming().flatten() {
+            store.answer(stream);
+        }
+    });
+    let nobody = closed_address();
+    let addresses = [("STATE", state.as_str()), ("NOBODY", nobody.as_str())];
+    let mut differences = Vec::new();
+    for line in COMMAND_LINES.lines() {
+        let (command, expected) = line.split_once('\t').expect("columns");
+        let found = run(command, folder.path(), &addresses);
+        if found != expected {
+            differences.push(format!("{line}\nbecame\n{command}\t{found}\n"));
+        }
+    }
+    assert!(differences.is_empty(), "{}", differences.join("\n"));
+}
