--- a/crates/ctl/tests/programs.rs
+++ b/crates/ctl/tests/programs.rs
@@ -126,8 +126,9 @@
             digits.push(c);
             continue;
         }
+        let is_fraction = out.ends_with('.');
         out += match digits.len() {
-            13 => "TIME",
+            13 if !is_fraction => "TIME",
             _ => &digits,
         };
         digits.clear();
