--- /dev/null
+++ b/crates/core/src/controller/housekeeping.rs
@@ -0,0 +1,135 @@
+//! What a controller does as time passes, in this order, several times a second.
+
+use crate::constants::{
+    FAILURE_DETECTION_INTERVAL_MS, FORGET_MS, INSTANCE_LIST_INTERVAL_MS, MACHINE_TYPES_INTERVAL_MS,
+    REFUSED_RECORDS_RETRY_MS, STATS_MS, TICK_MS, WATCH_TRAIL_MS,
+};
+use crate::controller::{CloudOperation, Controller, Effect, PendingOperation};
+
+impl Controller {
+    /// The clock ticked. Waiting users and workers are looked after with every tick, all else every `TICK_MS`.
+    pub(super) fn tick(&mut self) {
+        self.peers.ticked(self.now - self.lifecycle.last_tick_at);
+        self.lifecycle.last_tick_at = self.now;
+        self.expire_user_requests();
+        self.reply_to_held_heartbeats();
+        // The first tick does all: users wait for the records to be read.
+        let last = self.lifecycle.last_housekeeping_at;
+        if last.is_some_and(|at| self.now < at + TICK_MS) {
+            return;
+        }
+        self.lifecycle.last_housekeeping_at = Some(self.now);
+        self.keep_in_touch();
+        if !self.has_current_state() {
+            return;
+        }
+        self.record_first_term();
+        self.record_format();
+        self.record_cancellation_confirmation();
+        self.record_observed_version();
+        self.retry_refused_records();
+        self.clean_up();
+        self.detect_failures();
+        self.check_starts_of_lost_peers();
+        self.fence_uncertain_claims();
+        self.record_run_times();
+        self.retry_instance_requests();
+        self.remove_completed_requests();
+        if self.on_duty() {
+            self.do_duties();
+        }
+    }
+
+    /// What is done without current state as well.
+    fn keep_in_touch(&mut self) {
+        self.log_problems();
+        self.probe_partition();
+        self.judge_peers();
+        self.send_heartbeat();
+        self.exit_if_drained();
+        if !self.sync.has_listed && !self.sync.list.busy {
+            self.start_list();
+        }
+        self.read_machine_types();
+        self.reopen_lagging_watch();
+    }
+
+    /// The client answers a failed request after a pause of its own, so tries are spaced there.
+    fn read_machine_types(&mut self) {
+        let last = self.provisioning.machine_types_read_at;
+        let is_due = last.is_none_or(|at| self.now >= at + MACHINE_TYPES_INTERVAL_MS);
+        if is_due && !self.provisioning.machine_types_in_flight {
+            self.provisioning.machine_types_in_flight = true;
+            self.send_to_cloud(CloudOperation::Types, PendingOperation::MachineTypes);
+        }
+    }
+
+    fn reopen_lagging_watch(&mut self) {
+        let Some(lagging_since) = self.sync.watch_lag_since else {
+            return;
+        };
+        let since = lagging_since.max(self.sync.watch_opened_at);
+        if !self.sync.has_listed || self.now < since + WATCH_TRAIL_MS {
+            return;
+        }
+        let revision = self.cache.revision;
+        tracing::info!(revision, "watch lagging, reopened");
+        self.sync.watch_opened_at = self.now;
+        self.emit(Effect::Watch { since: revision });
+    }
+
+    fn retry_refused_records(&mut self) {
+        if self.now >= self.writes.refused_records_retried_at + REFUSED_RECORDS_RETRY_MS {
+            self.writes.refused_records_retried_at = self.now;
+            self.cache.retry_refused();
+        }
+    }
+
+    /// Forgets what belongs to machines that are gone, and logs what was counted.
+    fn clean_up(&mut self) {
+        if self.now < self.cleanup.last_cleanup_at + FORGET_MS {
+            return;
+        }
+        self.cleanup.last_cleanup_at = self.now;
+        if self.now >= self.lifecycle.started_at + STATS_MS {
+            let (records, held) = (self.cache.len(), self.workers.held_heartbeats.len());
+            self.metrics.report(self.now, records, held);
+        }
+        self.forget_deleted_machines();
+        self.forget_old_runs();
+        for (reason, count) in self.peers.take_rejected(self.now) {
+            tracing::info!(?reason, count, "peer heartbeats rejected");
+        }
+    }
+
+    fn detect_failures(&mut self) {
+        if self.now < self.workers.failures_detected_at + FAILURE_DETECTION_INTERVAL_MS {
+            return;
+        }
+        self.workers.failures_detected_at = self.now;
+        self.detect_machine_failures();
+        self.finish_jobs();
+        self.cancel_overdue_dependents();
+        if self.on_duty() {
+            self.remove_obsolete_records();
+        }
+    }
+
+    /// What one controller does for all.
+    fn do_duties(&mut self) {
+        self.evict_over_limits();
+        self.send_deletions();
+        self.list_instances();
+        self.move_services();
+    }
+
+    fn list_instances(&mut self) {
+        let is_due = self.now >= self.provisioning.next_instance_list_at;
+        if is_due && !self.provisioning.instance_list_in_flight {
+            self.provisioning.next_instance_list_at = self.now + INSTANCE_LIST_INTERVAL_MS;
+            self.provisioning.instance_list_in_flight = true;
+            let list = CloudOperation::List { after: None };
+            self.send_to_cloud(list, PendingOperation::Instances);
+        }
+    }
+}
--- a/crates/core/src/controller/lifecycle.rs
+++ b/crates/core/src/controller/lifecycle.rs
@@ -1,5 +1,6 @@
 //! The life of this process: its start, pauses, ticks, and its end.
 
+use crate::controller::readiness::Problem;
 use crate::controller::OperationId;
 use crate::model::Millis;
 use std::collections::BTreeMap;
@@ -10,14 +11,14 @@
     pub(crate) started_at: Millis,
     /// When it last went on after a pause; its start, if it never did.
     pub(crate) resumed_at: Millis,
-    /// Its view dates from before that: no proof has been asked for and reached since.
+    /// The cache dates from before that: no read issued since has been reached.
     pub(crate) view_predates_resume: bool,
-    /// Operations with lower tokens began before that: their answers say nothing of now.
+    /// Operations with lower ids began before that: their answers say nothing of now.
     pub(crate) first_operation_since_resume: OperationId,
     /// Since when it has been asked to end.
     pub(crate) shutting_down_since: Option<Millis>,
-    /// Why this controller was not ready, and since when; and the same of cuts: for the log.
-    pub(crate) ongoing_problems: BTreeMap<&'static str, Millis>,
+    /// Problems that were logged as begun, and since when.
+    pub(crate) ongoing_problems: BTreeMap<Problem, Millis>,
     /// When a tick last did all of its work.
     pub(crate) last_housekeeping_at: Option<Millis>,
     /// When the clock last ticked.
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -1,72 +1,77 @@
-//! What a controller does when a peer is lost, comes back, or when it is itself asked to end.
+//! What a controller does when a peer is lost or comes back, and the heartbeats between controllers.
 //!
 //! Workers turn to another controller by themselves; this one expects them, and goes on with what the
 //! lost one had claimed, accepted, provisioned or deleted. Every step rests on records, so it does no
 //! harm that two do it, or that the peer lives.
 
-use crate::constants::{
-    FAILOVER_STAGGER_MS, JUST_STARTED_MS, SHUTDOWN_MARGIN_MS, STATE_PROBE_INTERVAL_MS,
-};
-use crate::controller::HeardWorker;
-use crate::controller::{Controller, ControllerStatus, Effect, PeerHeartbeat};
-use crate::peers::tracker::{HeartbeatOutcome, PeerStatus, PeerStatusChange};
+use crate::constants::{FAILOVER_STAGGER_MS, JUST_STARTED_MS, STATE_PROBE_INTERVAL_MS};
+use crate::controller::{Controller, ControllerStatus, Effect, HeardWorker, PeerHeartbeat};
+use crate::peers::status::{HeartbeatOutcome, PeerStatus, PeerStatusChange};
+use crate::state::formats;
 use crate::workers::starts::Attempt;
 
 impl Controller {
-    pub(crate) fn receive_heartbeat(&mut self, heartbeat: PeerHeartbeat) {
+    /// Takes a peer's heartbeat in.
+    pub(crate) fn receive_peer_heartbeat(&mut self, heartbeat: PeerHeartbeat) {
         let images = heartbeat.images.clone();
-        let before = self.peers.peer(&heartbeat.controller);
-        // What a peer had half a second ago, and this copy still lacks.
-        let said = before.and_then(|s| s.heartbeat.status.as_ref());
-        let ahead = said.is_some_and(|s| s.revision > self.cache.revision);
-        if self.peers.receive_heartbeat(
-            self.now,
-            self.wall,
-            heartbeat,
-            &self.workers.last_heartbeats,
-        ) != HeartbeatOutcome::Accepted
-        {
+        let is_behind = self.is_behind(&heartbeat.controller);
+        let (now, wall) = (self.now, self.wall);
+        let own = &self.workers.last_heartbeats;
+        let outcome = self.peers.receive_heartbeat(now, wall, heartbeat, own);
+        if outcome != HeartbeatOutcome::Accepted {
             return;
         }
         self.cache.take_hints(&images);
-        if ahead && self.sync.has_listed {
-            // A proof of freshness tells whether the watch trails.
-            self.reads.last_requested_at = self
-                .reads
-                .last_requested_at
-                .min(self.now.saturating_sub(STATE_PROBE_INTERVAL_MS));
+        if is_behind && self.sync.has_listed {
+            // A linearizable read tells whether the watch lags.
+            let at = self.now.saturating_sub(STATE_PROBE_INTERVAL_MS);
+            self.reads.last_requested_at = self.reads.last_requested_at.min(at);
         }
         self.judge_peers();
     }
 
-    pub(crate) fn known_term(&self) -> u64 {
-        self.cache.term().unwrap_or(0)
+    /// Whether this cache still lacks what a peer had at its heartbeat before, half a second ago.
+    fn is_behind(&self, controller: &str) -> bool {
+        let peer = self.peers.peer(controller);
+        let status = peer.and_then(|peer| peer.heartbeat.status.as_ref());
+        status.is_some_and(|status| status.revision > self.cache.revision)
     }
 
-    pub(crate) fn link_ended(&mut self, controller: &str) {
+    /// The connection by which a peer sent its heartbeats has ended, and it has no other.
+    pub(crate) fn peer_link_ended(&mut self, controller: &str) {
         self.peers.link_ended(controller);
         self.judge_peers();
     }
 
     /// Judges peers anew, and takes over from those that are newly lost.
     pub(crate) fn judge_peers(&mut self) {
-        let (judged, over) = self.peers.judge(self.now);
-        for j in judged {
-            let (controller, was, is) = (j.controller.as_str(), j.was.name(), j.is.name());
-            let (machines, silent_ms) = (j.machines, j.silent_ms);
-            tracing::info!(controller, was, is, machines, silent_ms, "sibling judged");
-            if j.is.is_away() && !j.was.is_away() {
-                self.fail_over_from(&j);
+        let (changes, completed) = self.peers.judge(self.now);
+        for change in changes {
+            tracing::info!(
+                controller = change.controller,
+                previous = %change.previous,
+                status = %change.status,
+                workers = change.workers,
+                silent_ms = change.silent_ms,
+                "peer status changed"
+            );
+            if change.status.is_away() && !change.previous.is_away() {
+                self.fail_over_from(&change);
             }
         }
-        for t in over {
-            let (controller, machines, missing, ms) = (t.controller, t.machines, t.missing, t.ms);
-            tracing::info!(controller, machines, missing, ms, "taken over");
+        for failover in completed {
+            tracing::info!(
+                controller = failover.controller,
+                workers = failover.workers,
+                missing = failover.missing,
+                duration_ms = failover.duration_ms,
+                "failover completed"
+            );
         }
     }
 
     fn fail_over_from(&mut self, lost: &PeerStatusChange) {
-        // What it accepted and had no time to place is looked up now, by one controller after another.
+        // What it accepted and had no time to place is placed now, by one controller after another.
         let turn = self.now + self.settings.controller_index() * FAILOVER_STAGGER_MS;
         self.scheduling.next_pass_at = self.scheduling.next_pass_at.min(turn);
         if self.settings.tuning.recover_starts {
@@ -88,7 +93,7 @@
 
     /// Own claims of which it is not known whether they were carried out, but which the cache shows by now.
     /// Nobody has sent their starts; nor may this controller, since a peer may have made the very same claim:
-    /// they are barred at once, and go with the next answer to a heartbeat, rather than once a report has
+    /// they are fenced at once, and go with the next answer to a heartbeat, rather than once a heartbeat has
     /// lacked them.
     pub(crate) fn fence_uncertain_claims(&mut self) {
         if !self.workers.starts.has_doubts() {
@@ -103,15 +108,15 @@
         for (machine, token) in self.workers.starts.found_assigned(self.now, token) {
             tracing::info!(
                 machine,
-                "a claim without an answer is on record: barred, sent anew"
+                "uncertain claim found on record: start fenced, to be resent"
             );
             self.fence_start(&machine, token);
         }
     }
 
-    /// What this controller says to its peers, when that is due.
+    /// Sends a heartbeat to all peers, when one is due.
     pub(crate) fn send_heartbeat(&mut self) {
-        let Some((images, status)) = self.peers.beat_due(self.now) else {
+        let Some((images, status)) = self.peers.heartbeat_due(self.now) else {
             return;
         };
         self.plan_handoff();
@@ -129,15 +134,14 @@
             .collect();
         let status = ControllerStatus {
             revision: self.cache.revision,
-            term: self.known_term(),
+            term: self.cache.term().unwrap_or(0),
             under_way: self.operations.outstanding.len() as u32,
             reports: self.load() as u32,
             configuration: self.settings.policy.version,
             ..status
         };
         // Versions before format 2 refuse a heartbeat with an element more.
-        let longer =
-            self.sync.has_listed && self.cache.format() >= crate::state::formats::PIPELINES;
+        let longer = self.sync.has_listed && self.cache.format() >= formats::PIPELINES;
         self.emit(Effect::PeerHeartbeat(PeerHeartbeat {
             controller: self.settings.controller.clone(),
             at: self.wall,
@@ -156,55 +160,6 @@
 
     /// What this controller takes a peer to be, if it has ever heard it.
     pub fn status_of(&self, controller: &str) -> Option<PeerStatus> {
-        Some(self.peers.peer(controller)?.sign)
-    }
-
-    /// Whether it does what falls to the first controller that can: lists, deletions, sweeps, moves.
-    pub fn is_on_duty(&self) -> bool {
-        self.on_duty()
-    }
-
-    // ---- Ending in good order ---------------------------------------------------------------
-
-    /// The process was asked to end: users are sent elsewhere from now on, workers are handed over
-    /// as they report, and what is under way is finished.
-    pub(crate) fn begin_shutdown(&mut self) {
-        if self.lifecycle.shutting_down_since.is_none() {
-            tracing::info!(
-                workers = self.load(),
-                asks = self.requests.open.len(),
-                "asked to end"
-            );
-            self.lifecycle.shutting_down_since = Some(self.now);
-            // Peers hear of it now, not with the next heartbeat.
-            self.peers.send_heartbeat_now();
-            self.send_heartbeat();
-        }
-    }
-
-    /// Where a worker is sent by a controller that is about to end.
-    pub(crate) fn shutdown_redirect(&mut self) -> Option<String> {
-        self.lifecycle.shutting_down_since?;
-        let turn = self.operations.next_id;
-        self.operations.next_id += 1;
-        self.peers.shutdown_target(self.now, turn)
-    }
-
-    /// Ends once nothing is under way and every worker has been sent to a peer, or can't be.
-    pub(crate) fn exit_if_drained(&mut self) {
-        let Some(since) = self.lifecycle.shutting_down_since else {
-            return;
-        };
-        let round = self.settings.report_due_ms();
-        let busy = !self.requests.open.is_empty()
-            || !self.workers.held_heartbeats.is_empty()
-            || self.writes.assignment_write.is_some();
-        let workers = self.now < since + round && self.load() > 0;
-        let alone = self.peers.shutdown_target(self.now, 0).is_none();
-        if !busy && (!workers || alone) || self.now >= since + round + SHUTDOWN_MARGIN_MS {
-            let (ms, workers) = (self.now - since, self.load());
-            tracing::info!(ms, workers, "ends");
-            self.emit(Effect::Exit);
-        }
+        Some(self.peers.peer(controller)?.status())
     }
 }
--- a/crates/core/src/peers/tracker/tests.rs
+++ b/crates/core/src/peers/tracker/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of `tracker`.
 
 use super::*;
+use crate::constants::HEARTBEATS_MISSED_MS;
 use crate::controller::HeardWorker;
 
 const WALL: WallMs = 1_700_000_000_000;
@@ -14,9 +15,16 @@
     }
 }
 
-fn standby() -> PeerTracker {
+fn tracker() -> PeerTracker {
     let members = ["a", "b", "c"].map(String::from).to_vec();
-    PeerTracker::of("a".into(), members, 1_000, 11_250, Tuning::default(), WALL)
+    let membership = Membership {
+        own_name: "a".into(),
+        members,
+        clock_off_ms: 1_000,
+        worker_failover_ms: 11_250,
+        tuning: Tuning::default(),
+    };
+    PeerTracker::of(membership, WALL)
 }
 
 fn heartbeat(controller: &str, at: Millis, count: u64, heard_peers: &[&str]) -> PeerHeartbeat {
@@ -42,44 +50,44 @@
     for i in 0..until / 500 {
         let at = i * 500;
         for (controller, other) in [("b", "c"), ("c", "b")] {
-            let heeded = s.receive_heartbeat(
+            let outcome = s.receive_heartbeat(
                 at,
                 WALL + at,
                 heartbeat(controller, at, i, &[other, "a"]),
                 &HashMap::new(),
             );
-            assert!(heeded == HeartbeatOutcome::Accepted, "{heeded:?}");
+            assert!(outcome == HeartbeatOutcome::Accepted, "{outcome:?}");
         }
         s.judge(at);
     }
 }
 
-fn sign(s: &mut PeerTracker, now: Millis, controller: &str) -> PeerStatus {
+fn status(s: &mut PeerTracker, now: Millis, controller: &str) -> PeerStatus {
     s.judge(now);
-    s.peer(controller).unwrap().sign
+    s.peer(controller).unwrap().status()
 }
 
 #[test]
 fn an_end_shows_at_once_and_silence_only_when_beats_are_missed() {
-    let mut s = standby();
+    let mut s = tracker();
     followed(&mut s, 10_000);
-    assert_eq!(sign(&mut s, 10_300, "b"), PeerStatus::Well);
+    assert_eq!(status(&mut s, 10_300, "b"), PeerStatus::Healthy);
     s.link_ended("b");
-    assert_eq!(sign(&mut s, 10_301, "b"), PeerStatus::Exited);
+    assert_eq!(status(&mut s, 10_301, "b"), PeerStatus::Exited);
     assert!(!s.fresh(10_301).any(|x| x.heartbeat.controller == "b"));
     // Its next life is heard: all is forgiven.
     let mut again = heartbeat("b", 10_400, 0, &[]);
     again.status.as_mut().unwrap().life += 10_400;
     s.receive_heartbeat(10_400, WALL + 10_400, again, &HashMap::new());
-    assert_eq!(sign(&mut s, 10_400, "b"), PeerStatus::Well);
+    assert_eq!(status(&mut s, 10_400, "b"), PeerStatus::Healthy);
     // c has been silent since 9,500.
-    assert_eq!(sign(&mut s, 10_500, "c"), PeerStatus::Well);
-    assert_eq!(sign(&mut s, 10_900, "c"), PeerStatus::Silent);
+    assert_eq!(status(&mut s, 10_500, "c"), PeerStatus::Healthy);
+    assert_eq!(status(&mut s, 10_900, "c"), PeerStatus::Silent);
 }
 
 #[test]
 fn what_its_workers_do_tells_a_frozen_node_from_a_broken_link() {
-    let mut s = standby();
+    let mut s = tracker();
     followed(&mut s, 10_000);
     let go_on = |s: &mut PeerTracker, at, heard_peers: &[&str]| {
         s.receive_heartbeat(
@@ -90,32 +98,32 @@
         );
     };
     go_on(&mut s, 11_500, &["a"]);
-    assert_eq!(sign(&mut s, 11_500, "b"), PeerStatus::Silent);
+    assert_eq!(status(&mut s, 11_500, "b"), PeerStatus::Silent);
     // Its workers turn up here.
     for i in 0..6 {
         s.note_failover_of(&format!("b-{i}"));
     }
-    assert_eq!(sign(&mut s, 11_600, "b"), PeerStatus::Lost);
+    assert_eq!(status(&mut s, 11_600, "b"), PeerStatus::WorkersFailingOver);
     // The other way round: they stay away for longer than they would need.
-    let mut s = standby();
+    let mut s = tracker();
     followed(&mut s, 10_000);
     go_on(&mut s, 21_000, &["a"]);
-    assert_eq!(sign(&mut s, 21_000, "b"), PeerStatus::Apart);
+    assert_eq!(status(&mut s, 21_000, "b"), PeerStatus::CutOffWithWorkers);
     // Or a peer says that it hears it.
-    let mut s = standby();
+    let mut s = tracker();
     followed(&mut s, 10_000);
     go_on(&mut s, 12_000, &["a", "b"]);
-    assert_eq!(sign(&mut s, 12_000, "b"), PeerStatus::Unlinked);
+    assert_eq!(status(&mut s, 12_000, "b"), PeerStatus::LinkLost);
     assert_eq!(s.serving(12_000), 2);
 }
 
 #[test]
 fn a_takeover_is_over_when_its_machines_are_heard() {
-    let mut s = standby();
+    let mut s = tracker();
     followed(&mut s, 10_000);
     s.link_ended("b");
     let (judged, over) = s.judge(10_100);
-    assert_eq!((judged.len(), judged[0].machines, over.len()), (1, 20, 0));
+    assert_eq!((judged.len(), judged[0].workers, over.len()), (1, 20, 0));
     for i in 0..12 {
         s.note_failover_of(&format!("b-{i}"));
     }
@@ -126,26 +134,38 @@
     s.receive_heartbeat(13_000, WALL + 13_000, both, &HashMap::new());
     let (_, over) = s.judge(13_000);
     let over = &over[0];
-    assert_eq!((over.machines, over.missing, over.ms), (20, 0, 3_500));
-    assert_eq!(s.peer("c").unwrap().carries.len(), 28);
+    assert_eq!(
+        (over.workers, over.missing, over.duration_ms),
+        (20, 0, 3_500)
+    );
+    assert_eq!(s.peer("c").unwrap().workers.len(), 28);
 }
 
 #[test]
 fn bad_beats_teach_nothing() {
-    let mut s = standby();
+    let mut s = tracker();
     followed(&mut s, 10_000);
     let now = 10_100;
     let mut cases = vec![
-        (heartbeat("x", now, 99, &[]), RejectedHeartbeat::Stranger),
-        (heartbeat("a", now, 99, &[]), RejectedHeartbeat::Stranger),
-        (heartbeat("b", now, 19, &[]), RejectedHeartbeat::Repeated),
-        (heartbeat("b", now, 3, &[]), RejectedHeartbeat::Repeated),
+        (
+            heartbeat("x", now, 99, &[]),
+            RejectedHeartbeat::UnknownController,
+        ),
+        (
+            heartbeat("a", now, 99, &[]),
+            RejectedHeartbeat::UnknownController,
+        ),
+        (heartbeat("b", now, 19, &[]), RejectedHeartbeat::Duplicate),
+        (heartbeat("b", now, 3, &[]), RejectedHeartbeat::Duplicate),
         (
             heartbeat("b", now + 60_000, 99, &[]),
-            RejectedHeartbeat::Ahead,
+            RejectedHeartbeat::FromTheFuture,
+        ),
+        (heartbeat("b", 0, 99, &[]), RejectedHeartbeat::TooOld),
+        (
+            heartbeat("b", now, 99, &[]),
+            RejectedHeartbeat::EarlierProcess,
         ),
-        (heartbeat("b", 0, 99, &[]), RejectedHeartbeat::Old),
-        (heartbeat("b", now, 99, &[]), RejectedHeartbeat::EarlierLife),
         (heartbeat("b", now, 99, &[]), RejectedHeartbeat::TooLarge),
     ];
     cases[6].0.status.as_mut().unwrap().life -= 1;
@@ -154,29 +174,35 @@
         .collect();
     for (mut bad, why) in cases {
         bad.workers.push(heard_worker("forged", 9, 9, 0));
-        let heeded = s.receive_heartbeat(now, WALL + now, bad, &HashMap::new());
-        assert_eq!(heeded, HeartbeatOutcome::Rejected(why));
-        assert!(s.told("forged").is_none());
+        let outcome = s.receive_heartbeat(now, WALL + now, bad, &HashMap::new());
+        assert_eq!(outcome, HeartbeatOutcome::Rejected(why));
+        assert!(s.observation("forged").is_none());
     }
-    assert_eq!(s.dropped(STATS_MS).iter().map(|(_, n)| n).sum::<u64>(), 8);
-    assert!(s.dropped(STATS_MS).is_empty());
+    assert_eq!(
+        s.take_rejected(STATS_MS)
+            .iter()
+            .map(|(_, n)| n)
+            .sum::<u64>(),
+        8
+    );
+    assert!(s.take_rejected(STATS_MS).is_empty());
 }
 
 /// It would never have been heard again.
 #[test]
 fn a_life_that_seems_earlier_counts_once_the_other_has_ended() {
-    let mut s = standby();
+    let mut s = tracker();
     followed(&mut s, 10_000);
     let mut next = heartbeat("b", 10_200, 0, &[]);
     next.status.as_mut().unwrap().life -= 300;
     let heed = |s: &mut PeerTracker, at, heartbeat: &PeerHeartbeat| {
         s.receive_heartbeat(at, WALL + at, heartbeat.clone(), &HashMap::new())
     };
-    let dropped = HeartbeatOutcome::Rejected(RejectedHeartbeat::EarlierLife);
+    let dropped = HeartbeatOutcome::Rejected(RejectedHeartbeat::EarlierProcess);
     assert_eq!(heed(&mut s, 10_200, &next), dropped);
     s.link_ended("b");
     assert_eq!(heed(&mut s, 10_300, &next), HeartbeatOutcome::Accepted);
-    assert_eq!(sign(&mut s, 10_300, "b"), PeerStatus::Well);
+    assert_eq!(status(&mut s, 10_300, "b"), PeerStatus::Healthy);
     let late = heartbeat("b", 10_400, 90, &[]);
     assert_eq!(
         heed(&mut s, 10_400, &late),
@@ -190,15 +216,18 @@
     let mut regular = HeartbeatIntervals::new();
     let mut wild = HeartbeatIntervals::new();
     for i in 0..40 {
-        regular.note(500 + i % 3 * 20);
-        wild.note([300, 1_100][i as usize % 2]);
+        regular.observe(500 + i % 3 * 20);
+        wild.observe([300, 1_100][i as usize % 2]);
     }
-    assert_eq!(regular.patience(HEARTBEATS_MISSED_MS), HEARTBEATS_MISSED_MS);
-    let patience = wild.patience(HEARTBEATS_MISSED_MS);
+    assert_eq!(
+        regular.timeout_ms(HEARTBEATS_MISSED_MS),
+        HEARTBEATS_MISSED_MS
+    );
+    let patience = wild.timeout_ms(HEARTBEATS_MISSED_MS);
     assert!(patience > 2_000 && patience <= PEER_LOST_MS);
     assert!(!regular.is_slow());
     for _ in 0..40 {
-        wild.note(1_400);
+        wild.observe(1_400);
     }
     assert!(wild.is_slow());
 }
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -36,7 +36,7 @@
                     self.take_instance_list(instances);
                     if more {
                         self.provisioning.instance_list_in_flight = true;
-                        self.cloud(
+                        self.send_to_cloud(
                             CloudOperation::List { after: last },
                             PendingOperation::Instances,
                         );
@@ -112,7 +112,7 @@
         };
         self.provisioning.request_tried_at.insert(n, self.now);
         self.provisioning.requests_in_flight.insert(n);
-        self.cloud(
+        self.send_to_cloud(
             CloudOperation::Provision {
                 name: format!("g-{n}"),
                 type_name: h.type_name,
@@ -253,7 +253,7 @@
         }
         self.provisioning.deletion_in_flight = true;
         let purpose = PendingOperation::Deprovision(due.clone());
-        self.cloud(CloudOperation::Delete { machines: due }, purpose);
+        self.send_to_cloud(CloudOperation::Delete { machines: due }, purpose);
     }
 
     fn take_instance_list(&mut self, instances: Vec<CloudInstance>) {
--- a/crates/core/src/state/sync.rs
+++ b/crates/core/src/state/sync.rs
@@ -42,7 +42,7 @@
         self.reads.last_issued_at = self.now;
         self.reads.last_requested_at = self.now;
         self.reads.issued = std::mem::take(&mut self.reads.unissued);
-        let token = self.token(PendingOperation::ReadIndex, None);
+        let token = self.track_operation(PendingOperation::ReadIndex, None);
         self.emit(Effect::State {
             token,
             op: StateOperation::ReadIndex,
@@ -60,7 +60,7 @@
 
     fn request_list_page(&mut self, after: Option<String>) {
         self.sync.list.busy = true;
-        let token = self.token(
+        let token = self.track_operation(
             PendingOperation::List {
                 round: self.sync.list.round,
             },
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -15,7 +15,7 @@
     DirectStart, ExitCause, HeartbeatPosition, Millis, TaskId, TaskPhase, TaskStatus,
     WorkerCommand, WorkerHeartbeat,
 };
-use crate::peers::tracker::Peer;
+use crate::peers::Peer;
 use crate::scheduling::claims::{AttemptOutcome, Carrier};
 use crate::state::StartDelivery;
 use crate::state::{
@@ -164,7 +164,7 @@
         // It waited in vain for a controller that is well; one that was handed over comes at once.
         let waited = |at: Millis| self.now + WORKER_HANDOFF_MS >= at + WORKER_FAILOVER_MS;
         let by = sight.told.filter(|t| !sight.reports_here() && waited(t.at));
-        let left = by.is_some_and(|t| self.peers.is_well(self.now, t.by()));
+        let left = by.is_some_and(|t| self.peers.is_healthy(self.now, t.peer()));
         if left && sight.of.may_be_asked(self.now) {
             self.workers.observations.note(id).asked = Some(self.now);
             self.send_command(id.clone(), Vec::new());
@@ -871,7 +871,7 @@
     pub(crate) fn load(&self) -> usize {
         let fresh = self.now.saturating_sub(2 * self.settings.report_ms).max(1);
         let here = |(id, h): &(&String, &ReceivedHeartbeat)| {
-            h.at >= fresh && !h.older_than(self.peers.told(id))
+            h.at >= fresh && !h.older_than(self.peers.observation(id))
         };
         self.workers.last_heartbeats.iter().filter(here).count()
     }
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -4,7 +4,7 @@
 use crate::constants::UNREACHABLE_PROBE_INTERVAL_MS;
 use crate::controller::Controller;
 use crate::model::{HeartbeatPosition, Millis};
-use crate::peers::tracker::PeerObservation;
+use crate::peers::PeerObservation;
 use crate::workers::registry::ReceivedHeartbeat;
 use foldhash::{HashMap, HashMapExt};
 
@@ -79,7 +79,7 @@
     pub(crate) fn liveness(&self, id: &str) -> Liveness<'_> {
         Liveness {
             own: self.workers.last_heartbeats.get(id),
-            told: self.peers.told(id),
+            told: self.peers.observation(id),
             of: self.workers.observations.of(id),
         }
     }
--- a/crates/core/tests/quick_returns.rs
+++ b/crates/core/tests/quick_returns.rs
@@ -3,7 +3,7 @@
 //! the new life. No start is given twice (the world checks every rule at each step), no worker is
 //! stranded, and nothing that was learned of the old life is held against the new one.
 
-use glenmount_core::peers::tracker::PeerStatus;
+use glenmount_core::peers::PeerStatus;
 use glenmount_core::state::JobPhase;
 use glenmount_simulation::*;
 
@@ -52,7 +52,7 @@
         assert!(controller.ready(), "{what}: node {n}");
         for m in (0..3).filter(|m| *m != n) {
             let sign = controller.status_of(&w.settings.controllers[m]);
-            assert_eq!(sign, Some(PeerStatus::Well), "{what}: {m} to {n}");
+            assert_eq!(sign, Some(PeerStatus::Healthy), "{what}: {m} to {n}");
         }
     }
     let id = format!("j-9{}", w.now);
--- a/crates/core/tests/standby.rs
+++ b/crates/core/tests/standby.rs
@@ -2,7 +2,7 @@
 //! over from them.
 
 use glenmount_core::controller::*;
-use glenmount_core::peers::tracker::PeerStatus;
+use glenmount_core::peers::PeerStatus;
 use glenmount_simulation::*;
 
 /// So many controllers and machines, with the times of a large fleet.
@@ -75,7 +75,7 @@
         w.workers.values().all(|m| m.heard.0 > at)
     });
     unharmed(&mut w);
-    assert_eq!(sign(&w, 1, 0), Some(PeerStatus::Well));
+    assert_eq!(sign(&w, 1, 0), Some(PeerStatus::Healthy));
 }
 
 /// What a claimant did not get to send used to wait for two reports and a raised token: some 15 s.
@@ -212,7 +212,7 @@
     busy(&mut w);
     for n in 0..3 {
         for m in (0..3).filter(|m| *m != n) {
-            assert_eq!(sign(&w, n, m), Some(PeerStatus::Well));
+            assert_eq!(sign(&w, n, m), Some(PeerStatus::Healthy));
         }
     }
     w.crash(1, 5_000);
@@ -231,7 +231,7 @@
         w.run(1_000);
         assert!(duties(&w) <= 2);
     }
-    assert_ne!(sign(&w, 1, 0), Some(PeerStatus::Well));
+    assert_ne!(sign(&w, 1, 0), Some(PeerStatus::Healthy));
     let away = sign(&w, 1, 0).unwrap();
     assert!(away.is_away(), "{away:?}");
     w.submit(0, job("j-30", 4));
@@ -239,7 +239,7 @@
     w.run(15_000);
     w.heal();
     w.run(3_000);
-    assert_eq!((sign(&w, 1, 0), duties(&w)), (Some(PeerStatus::Well), 1));
+    assert_eq!((sign(&w, 1, 0), duties(&w)), (Some(PeerStatus::Healthy), 1));
     unharmed(&mut w);
 }
 
@@ -304,7 +304,7 @@
     for heartbeat in bad {
         w.beat_to(1, heartbeat);
         w.run(20);
-        assert_eq!(sign(&w, 1, 0), Some(PeerStatus::Well));
+        assert_eq!(sign(&w, 1, 0), Some(PeerStatus::Healthy));
     }
     assert_eq!(duties(&w), 1);
     unharmed(&mut w);
--- a/crates/glenmount/tests/ending.rs
+++ b/crates/glenmount/tests/ending.rs
@@ -75,7 +75,7 @@
         .status();
     assert!(signal.unwrap().success());
     let asked = Instant::now();
-    assert!(lines.any(|l| l.contains("asked to end")));
+    assert!(lines.any(|l| l.contains("shutdown requested")));
     assert!(lines.any(|l| l.contains("ends ")));
     let status = loop {
         if let Some(status) = controller.try_wait().unwrap() {
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -7,7 +7,7 @@
 use crate::users::{Users, STEP_MS};
 use crate::World;
 use glenmount_core::model::*;
-use glenmount_core::peers::tracker::PeerStatus;
+use glenmount_core::peers::PeerStatus;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
