--- a/crates/glenmount/tests/small_plan.rs
+++ b/crates/glenmount/tests/small_plan.rs
@@ -1,7 +1,7 @@
 //! The scale run's small plan: all troubles within some twenty seconds, real processes on loopback. No
 //! timings: only that no rule is broken, nobody ends by itself, and work is done.
 
-use glenmount_loadtest::counters::Timed;
+use glenmount_loadtest::measurement::counters::Timed;
 use glenmount_loadtest::plan::Plan;
 use glenmount_loadtest::run::{run_alone, Options};
 use std::path::PathBuf;
--- a/crates/loadtest/src/world.rs
+++ b/crates/loadtest/src/environment.rs
@@ -1,11 +1,11 @@
 //! What all stand-ins share: clock, network, jobs, rules and counters.
 
-use crate::counters::{NamedCounters, PerSecond, Timed, Times, TrafficCounters};
-use crate::jobs::{Jobs, StartOf};
-use crate::machine::Change;
-use crate::network::{lock, Network};
+use crate::invariants::{Place, Rules};
+use crate::measurement::counters::{NamedCounters, PerSecond, Timed, Times, TrafficCounters};
+use crate::network::partitions::{lock, Network};
 use crate::plan::Plan;
-use crate::rules::{Place, Rules};
+use crate::stand_ins::hollow_worker::Change;
+use crate::users::job_registry::{Jobs, StartOf};
 use rand::distributions::uniform::{SampleRange, SampleUniform};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/loadtest/src/troubles.rs
+++ b/crates/loadtest/src/faults.rs
@@ -1,12 +1,12 @@
 //! A plan's troubles, each played at its time.
 
-use crate::cloud::Cloud;
-use crate::controllers::Controllers;
-use crate::fleet::{Fleet, Host};
-use crate::network::Cut;
+use crate::environment::World;
+use crate::network::partitions::Cut;
 use crate::plan::{Trouble, TroubleKind, ZoneIndex};
-use crate::state_service::StateService;
-use crate::world::World;
+use crate::processes::controllers::Controllers;
+use crate::stand_ins::cloud::Cloud;
+use crate::stand_ins::state_store::server::StateService;
+use crate::stand_ins::worker_fleet::{Fleet, Host};
 use rand::seq::SliceRandom;
 use std::collections::BTreeSet;
 use std::sync::Arc;
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,10 +1,10 @@
 //! Plays a plan against real controller processes on loopback, and measures what these spend.
 
 use clap::{Args, Parser, Subcommand};
+use glenmount_loadtest::measurement::result::{Earlier, Figures, RunResult};
+use glenmount_loadtest::measurement::{comparison, scaling};
 use glenmount_loadtest::plan::Plan;
-use glenmount_loadtest::result::{Earlier, Figures, RunResult};
 use glenmount_loadtest::run::{run_alone, Options, RunError};
-use glenmount_loadtest::{compare, slopes};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -176,7 +176,7 @@
     let result = run_alone(plan, &options)?;
     print!("{}", result.figures.table());
     if let Some(earlier) = earlier {
-        print!("{}", compare::table(&earlier.figures, &result.figures));
+        print!("{}", comparison::table(&earlier.figures, &result.figures));
     }
     print_faults(&result);
     if let Some(out) = out {
@@ -228,7 +228,7 @@
         .unwrap_or_default();
     for (n, (name, _)) in figures.into_iter().enumerate() {
         let points: Vec<(f64, f64)> = runs.iter().map(|(x, f)| (*x, f.main()[n].1)).collect();
-        text += &slopes::row(name, &points);
+        text += &scaling::row(name, &points);
         text.push('\n');
     }
     print!("{text}");
@@ -254,7 +254,7 @@
             figures.push(result.figures);
         }
         println!("pair {}", pair + 1);
-        print!("{}", compare::table(&figures[0], &figures[1]));
+        print!("{}", comparison::table(&figures[0], &figures[1]));
     }
     Ok(good)
 }
--- a/crates/loadtest/src/compare.rs
+++ b/crates/loadtest/src/measurement/comparison.rs
@@ -1,6 +1,6 @@
 //! Ratios of two results, figure by figure.
 
-use crate::result::Figures;
+use crate::measurement::result::Figures;
 use std::fmt::Write;
 
 /// A table of all main figures: before, now, and the ratio where there is one.
--- a/crates/loadtest/src/counters.rs
+++ b/crates/loadtest/src/measurement/counters.rs
@@ -1,6 +1,6 @@
 //! What passes between the controllers and everybody else, counted by kind, and how long things take.
 
-use crate::network::lock;
+use crate::network::partitions::lock;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/loadtest/src/result.rs
+++ b/crates/loadtest/src/measurement/result.rs
@@ -1,8 +1,8 @@
 //! What a run found: written as JSON, printed as a table.
 
-use crate::counters::{Kind, Quantiles, Timed, Traffic};
+use crate::invariants::Breach;
+use crate::measurement::counters::{Kind, Quantiles, Timed, Traffic};
 use crate::plan::Plan;
-use crate::rules::Breach;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- /dev/null
+++ b/crates/loadtest/src/network/mod.rs
@@ -0,0 +1,5 @@
+//! The loopback network between all parts of a run: HTTP, links between controllers, and partitions.
+
+pub mod http;
+pub mod partitions;
+pub mod peer_links;
--- a/crates/loadtest/src/link.rs
+++ b/crates/loadtest/src/network/peer_links.rs
@@ -1,10 +1,10 @@
 //! The links between controllers: each pair's connections pass through here, where they are counted and
 //! where a cut holds them up.
 
-use crate::counters::Kind;
-use crate::network::Site;
+use crate::environment::World;
+use crate::measurement::counters::Kind;
+use crate::network::partitions::Site;
 use crate::plan::ZoneIndex;
-use crate::world::World;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/loadtest/src/controllers.rs
+++ b/crates/loadtest/src/processes/controllers.rs
@@ -1,10 +1,10 @@
 //! The real controller processes: their settings, their starts and ends.
 
-use crate::link::Links;
-use crate::network::lock;
+use crate::environment::World;
+use crate::network::partitions::lock;
+use crate::network::peer_links::Links;
 use crate::plan::{Plan, ZoneIndex};
-use crate::processes;
-use crate::world::World;
+use crate::processes::usage;
 use std::fmt::Write;
 use std::fs::File;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -234,7 +234,7 @@
     pub fn at(&self, peer: SocketAddr) -> Option<usize> {
         let pids = self.pids();
         let running: Vec<u32> = pids.iter().flatten().copied().collect();
-        let owner = processes::owner(peer, &running)?;
+        let owner = usage::owner(peer, &running)?;
         pids.iter().position(|pid| *pid == Some(owner))
     }
 
--- /dev/null
+++ b/crates/loadtest/src/processes/mod.rs
@@ -0,0 +1,4 @@
+//! The real controller processes, and what the kernel tells about processes.
+
+pub mod controllers;
+pub mod usage;
--- a/crates/loadtest/src/run.rs
+++ b/crates/loadtest/src/run/mod.rs
@@ -1,20 +1,20 @@
 //! One run: everything is started, troubles are played, figures are taken, and all of it is ended.
 
-use crate::balancer::Balancer;
-use crate::cloud::Cloud;
-use crate::controllers::{free_addresses, Addresses, Controllers, Launch};
-use crate::counters::{Kind, Traffic};
-use crate::fleet::Fleet;
-use crate::link::Links;
-use crate::network::{lock, Site};
-use crate::operator;
+use crate::environment::World;
+use crate::faults::{self, Struck};
+use crate::measurement::counters::{Kind, Traffic};
+use crate::measurement::result::{ControllerUse, Figures, Records, RunResult, Starts, WorkerBytes};
+use crate::network::partitions::{lock, Site};
+use crate::network::peer_links::Links;
 use crate::plan::{Plan, ZoneIndex};
-use crate::processes::{machine_memory_mb, usage, Usage};
-use crate::result::{ControllerUse, Figures, Records, RunResult, Starts, WorkerBytes};
-use crate::state_service::{StateService, OPERATORS};
-use crate::troubles::{self, Struck};
+use crate::processes::controllers::{free_addresses, Addresses, Controllers, Launch};
+use crate::processes::usage::{machine_memory_mb, usage, Usage};
+use crate::stand_ins::cloud::Cloud;
+use crate::stand_ins::state_store::server::{StateService, OPERATORS};
+use crate::stand_ins::worker_fleet::Fleet;
+use crate::users::load_balancer::Balancer;
+use crate::users::operator;
 use crate::users::Users;
-use crate::world::World;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -143,7 +143,7 @@
         let address = state.listen(OPERATORS, Site::Outside).await?;
         tokio::spawn(operator::play(world.clone(), address));
     }
-    troubles::play(&Struck {
+    faults::play(&Struck {
         world: world.clone(),
         fleet: fleet.clone(),
         cloud: cloud.clone(),
--- a/crates/loadtest/src/cloud.rs
+++ b/crates/loadtest/src/stand_ins/cloud.rs
@@ -1,13 +1,13 @@
 //! A stand-in of the cloud: one type of machine, rentals by name, lists that lag, a limit of calls.
 
-use crate::counters::Kind;
-use crate::fleet::{Fleet, MACHINE_TYPE};
-use crate::http::{serve, Answer, Incoming};
-use crate::limits::RateLimit;
-use crate::network::{lock, Site};
+use crate::environment::World;
+use crate::measurement::counters::Kind;
+use crate::network::http::{serve, Answer, Incoming};
+use crate::network::partitions::{lock, Site};
 use crate::plan::ZoneIndex;
 use crate::protocol::{DeleteRequest, ListedMachine, MachineStanding, RentRequest};
-use crate::world::World;
+use crate::stand_ins::token_bucket::RateLimit;
+use crate::stand_ins::worker_fleet::{Fleet, MACHINE_TYPE};
 use hyper::Method;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/stand_ins/state_store/server.rs
@@ -1,11 +1,11 @@
 //! A stand-in of the state service: the store behind HTTP, with limits, latency, outages and refusals.
 
-use crate::counters::{Kind, Timed};
-use crate::http::{serve, Answer, Incoming};
-use crate::limits::RateLimit;
-use crate::network::{lock, Site};
-use crate::store::{kind_of, Outcome, Sizes, Store, Transaction};
-use crate::world::World;
+use crate::environment::World;
+use crate::measurement::counters::{Kind, Timed};
+use crate::network::http::{serve, Answer, Incoming};
+use crate::network::partitions::{lock, Site};
+use crate::stand_ins::state_store::key_value_store::{kind_of, Outcome, Sizes, Store, Transaction};
+use crate::stand_ins::token_bucket::RateLimit;
 use glenmount_core::state::formats::LATEST;
 use glenmount_core::state::{JobPhase, JobRecord, Key, Record};
 use hyper::Method;
@@ -53,7 +53,7 @@
 #[derive(Serialize)]
 struct WatchAnswer {
     epoch: u64,
-    news: Vec<crate::store::News>,
+    news: Vec<crate::stand_ins::state_store::key_value_store::News>,
 }
 
 #[derive(Deserialize)]
@@ -358,7 +358,12 @@
 }
 
 /// The record of a job that ended long ago, as controllers write it.
-fn ended_job(n: u32) -> (String, crate::store::Value) {
+fn ended_job(
+    n: u32,
+) -> (
+    String,
+    crate::stand_ins::state_store::key_value_store::Value,
+) {
     let id = format!("j-8{n:07}");
     let record = Record::Job(JobRecord {
         phase: JobPhase::Done,
--- a/crates/loadtest/src/fleet.rs
+++ b/crates/loadtest/src/stand_ins/worker_fleet.rs
@@ -1,15 +1,15 @@
 //! All hollow workers: each reports to a controller, takes commands at an address of its own, and keeps
 //! its lease, as the protocol asks.
 
-use crate::controllers::{number, Controllers};
-use crate::counters::Kind;
-use crate::http::{serve, Answer, Client, Incoming};
-use crate::machine::{Accepted, Capacity, Identity, Machine};
-use crate::network::{lock, Site};
+use crate::environment::World;
+use crate::invariants::Place;
+use crate::measurement::counters::Kind;
+use crate::network::http::{serve, Answer, Client, Incoming};
+use crate::network::partitions::{lock, Site};
 use crate::plan::ZoneIndex;
+use crate::processes::controllers::{number, Controllers};
 use crate::protocol::{CheckinAnswer, DirectCommand};
-use crate::rules::Place;
-use crate::world::World;
+use crate::stand_ins::hollow_worker::{Accepted, Capacity, Identity, Machine};
 use hyper::Method;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
--- a/crates/loadtest/src/jobs.rs
+++ b/crates/loadtest/src/users/job_registry.rs
@@ -1,8 +1,8 @@
 //! All jobs that users have submitted: what workers and measurements look up by a job's id.
 
-use crate::machine::{Described, Descriptions};
-use crate::network::lock;
+use crate::network::partitions::lock;
 use crate::protocol::Submission;
+use crate::stand_ins::hollow_worker::{Described, Descriptions};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
--- a/crates/loadtest/src/balancer.rs
+++ b/crates/loadtest/src/users/load_balancer.rs
@@ -1,10 +1,10 @@
 //! The users' load balancer: probes controllers and picks one for each new connection.
 
-use crate::controllers::Controllers;
-use crate::counters::{Kind, Timed};
-use crate::http::Client;
-use crate::network::{lock, Site};
-use crate::world::World;
+use crate::environment::World;
+use crate::measurement::counters::{Kind, Timed};
+use crate::network::http::Client;
+use crate::network::partitions::{lock, Site};
+use crate::processes::controllers::Controllers;
 use hyper::Method;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/loadtest/src/users.rs
+++ b/crates/loadtest/src/users/mod.rs
@@ -1,14 +1,18 @@
 //! Users: submit jobs, ask how they stand, call some off, and check what they are told.
 
-use crate::balancer::{Balancer, Place};
-use crate::controllers::{team_name, Controllers};
-use crate::counters::{Kind, Timed};
-use crate::http::{Client, Reply};
-use crate::jobs::Job;
-use crate::network::{lock, Site};
+pub mod job_registry;
+pub mod load_balancer;
+pub mod operator;
+
+use crate::environment::World;
+use crate::measurement::counters::{Kind, Timed};
+use crate::network::http::{Client, Reply};
+use crate::network::partitions::{lock, Site};
 use crate::plan::JobClass;
+use crate::processes::controllers::{team_name, Controllers};
 use crate::protocol::{JobAnswer, Standing, Submission};
-use crate::world::World;
+use crate::users::job_registry::Job;
+use crate::users::load_balancer::{Balancer, Place};
 use hyper::Method;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/loadtest/src/operator.rs
+++ b/crates/loadtest/src/users/operator.rs
@@ -1,10 +1,10 @@
 //! An operator who changes the configuration on record while the run goes on, as `glenmountctl config` does.
 
-use crate::controllers::team_name;
-use crate::counters::Timed;
-use crate::network::lock;
+use crate::environment::World;
+use crate::measurement::counters::Timed;
+use crate::network::partitions::lock;
 use crate::plan::Plan;
-use crate::world::World;
+use crate::processes::controllers::team_name;
 use glenmount_core::configuration::{PolicySettings, TeamSettings};
 use glenmountctl::config::{apply, Change, ConfigFailure, FileLimits, Records};
 use std::net::SocketAddr;
--- a/crates/loadtest/tests/plans.rs
+++ b/crates/loadtest/tests/plans.rs
@@ -1,8 +1,8 @@
 //! Plans, results and slopes: good ones are taken, bad ones are named in one line.
 
+use glenmount_loadtest::measurement::result::Earlier;
+use glenmount_loadtest::measurement::scaling::fit;
 use glenmount_loadtest::plan::Plan;
-use glenmount_loadtest::result::Earlier;
-use glenmount_loadtest::slopes::fit;
 
 const TARGET: &str = include_str!("../plans/target.toml");
 
--- a/crates/loadtest/tests/rules.rs
+++ b/crates/loadtest/tests/rules.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use glenmount_loadtest::invariants::{Place, Rule, Rules};
 use glenmount_loadtest::protocol::{Standing, Submission, TaskId};
-use glenmount_loadtest::rules::{Place, Rule, Rules};
 use std::sync::Arc;
 
 const CANCEL_S: f64 = 20.0;
--- a/crates/loadtest/tests/stand_ins.rs
+++ b/crates/loadtest/tests/stand_ins.rs
@@ -2,12 +2,14 @@
 
 mod common;
 
-use glenmount_loadtest::limits::RateLimit;
-use glenmount_loadtest::machine::{
+use glenmount_loadtest::protocol::{Order, TaskId, Verb};
+use glenmount_loadtest::stand_ins::hollow_worker::{
     Accepted, Capacity, Change, Described, Descriptions, Identity, Machine,
 };
-use glenmount_loadtest::protocol::{Order, TaskId, Verb};
-use glenmount_loadtest::store::{Outcome, Sizes, Store, Transaction};
+use glenmount_loadtest::stand_ins::state_store::key_value_store::{
+    Outcome, Sizes, Store, Transaction,
+};
+use glenmount_loadtest::stand_ins::token_bucket::RateLimit;
 use std::sync::Arc;
 
 const SIZES: Sizes = Sizes {
