--- a/crates/glenmount/tests/small_plan.rs
+++ b/crates/glenmount/tests/small_plan.rs
@@ -1,7 +1,7 @@
 //! The scale run's small plan: all troubles within some twenty seconds, real processes on loopback. No
 //! timings: only that no rule is broken, nobody ends by itself, and work is done.
 
-use glenmount_loadtest::measurement::counters::Timed;
+use glenmount_loadtest::measurement::counters::LatencyKind;
 use glenmount_loadtest::plan::Plan;
 use glenmount_loadtest::run::{run_alone, Options};
 use std::path::PathBuf;
@@ -23,12 +23,12 @@
     let plan = Plan::parse(PLAN, &[]).unwrap();
     let options = options("small");
     let result = run_alone(plan, &options).unwrap();
-    assert!(result.breaches.is_empty(), "{:?}", result.breaches);
+    assert!(result.violations.is_empty(), "{:?}", result.violations);
     assert!(result.ended.is_empty(), "{:?}", result.ended);
     assert!(result.is_good());
-    let done = result.figures.times[&Timed::DoneTold].count;
+    let done = result.figures.times[&LatencyKind::CompletionReported].count;
     assert!(done > 0, "{}", result.figures.table());
-    let in_force = result.figures.times[&Timed::InForce].count;
+    let in_force = result.figures.times[&LatencyKind::ConfigurationInForce].count;
     assert!(in_force > 0, "{}", result.figures.table());
     std::fs::remove_dir_all(&options.folder).unwrap();
 }
@@ -48,7 +48,7 @@
     for _ in 0..2 {
         let plan = Plan::parse(PLAN, &changes).unwrap();
         let result = run_alone(plan, &options).unwrap();
-        assert!(result.is_good(), "{:?}", result.breaches);
+        assert!(result.is_good(), "{:?}", result.violations);
     }
     std::fs::remove_dir_all(&options.folder).unwrap();
 }
--- a/crates/loadtest/src/invariants.rs
+++ b/crates/loadtest/src/invariants.rs
@@ -1,9 +1,10 @@
 //! The protocol's rules, checked from the outside by what machines do and what users are told.
 
-use crate::plan::Shape;
-use crate::protocol::{Standing, Submission, TaskId};
+use crate::plan::JobShape;
+use crate::protocol::{JobStatus, Submission, TaskId};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::fmt;
 use std::sync::Arc;
 
 /// A job whose polls all fail for so long, while others get answers, counts as forgotten.
@@ -14,32 +15,58 @@
 /// never will.
 const LOWERED_GRACE_MS: u64 = 10_000;
 /// Breaches kept; one is enough to fail a run.
-const MOST_BREACHES: usize = 1_000;
+const MAX_VIOLATIONS: usize = 1_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Rule {
-    RanTwice,
-    Quota,
-    WrongPlace,
-    RanCancelled,
-    Forgotten,
-    Invented,
-    NotDone,
-    WentBack,
+pub enum Invariant {
+    #[serde(rename = "ran_twice")]
+    DuplicateExecution,
+    #[serde(rename = "quota")]
+    QuotaExceeded,
+    #[serde(rename = "wrong_place")]
+    PlacementConstraint,
+    #[serde(rename = "ran_cancelled")]
+    RunAfterCancellation,
+    #[serde(rename = "forgotten")]
+    JobLost,
+    #[serde(rename = "invented")]
+    UnknownJob,
+    #[serde(rename = "not_done")]
+    IncompleteJobDone,
+    #[serde(rename = "went_back")]
+    FinalStatusChanged,
+}
+
+/// The name that runs print.
+impl fmt::Display for Invariant {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Invariant::DuplicateExecution => "RanTwice",
+            Invariant::QuotaExceeded => "Quota",
+            Invariant::PlacementConstraint => "WrongPlace",
+            Invariant::RunAfterCancellation => "RanCancelled",
+            Invariant::JobLost => "Forgotten",
+            Invariant::UnknownJob => "Invented",
+            Invariant::IncompleteJobDone => "NotDone",
+            Invariant::FinalStatusChanged => "WentBack",
+        })
+    }
 }
 
 /// A rule that was broken, by what and when.
 #[derive(Debug, Clone, Serialize)]
-pub struct Breach {
-    pub rule: Rule,
-    pub what: String,
+pub struct Violation {
+    #[serde(rename = "rule")]
+    pub invariant: Invariant,
+    #[serde(rename = "what")]
+    pub detail: String,
     pub at_ms: u64,
 }
 
 /// The machine that a task starts on.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Placement {
     pub machine: String,
     pub machine_type: String,
     pub zone: String,
@@ -51,7 +78,7 @@
     accepted_ms: Option<u64>,
     cancel_asked: bool,
     /// The final answer told, and when.
-    told: Option<(Standing, u64)>,
+    told: Option<(JobStatus, u64)>,
     last_answer_ms: u64,
     done: BTreeSet<u32>,
     /// Tasks on machines now: machine and zone.
@@ -66,7 +93,7 @@
 }
 
 /// What is known of all jobs and tasks, and the breaches seen so far.
-pub struct Rules {
+pub struct InvariantChecker {
     cancel_ms: u64,
     /// Thousandths of processors that a team may use; 0: no limit.
     limit: u64,
@@ -78,16 +105,16 @@
     cancelled: BTreeSet<Arc<str>>,
     polls: u64,
     polls_answered: u64,
-    breaches: Vec<Breach>,
+    violations: Vec<Violation>,
 }
 
 fn thousandths(cpus: f64) -> u64 {
     (cpus * 1_000.0).round() as u64
 }
 
-impl Rules {
-    pub fn new(cancel_s: f64, cpus_max: f64) -> Rules {
-        Rules {
+impl InvariantChecker {
+    pub fn new(cancel_s: f64, cpus_max: f64) -> InvariantChecker {
+        InvariantChecker {
             cancel_ms: (cancel_s * 1_000.0) as u64,
             limit: thousandths(cpus_max),
             limits: HashMap::new(),
@@ -96,20 +123,20 @@
             cancelled: BTreeSet::new(),
             polls: 0,
             polls_answered: 0,
-            breaches: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    pub fn breaches(&self) -> &[Breach] {
-        &self.breaches
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
     }
 
     /// Tasks that are on machines now.
-    pub fn running(&self) -> usize {
+    pub fn running_tasks(&self) -> usize {
         self.jobs.values().map(|job| job.live.len()).sum()
     }
 
-    pub fn submitted(&mut self, submission: Arc<Submission>, now_ms: u64) {
+    pub fn job_submitted(&mut self, submission: Arc<Submission>, now_ms: u64) {
         let job = Job {
             accepted_ms: None,
             cancel_asked: false,
@@ -122,7 +149,7 @@
         self.jobs.entry(submission.id.clone()).or_insert(job);
     }
 
-    pub fn accepted(&mut self, id: &str, now_ms: u64) {
+    pub fn job_accepted(&mut self, id: &str, now_ms: u64) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.accepted_ms.get_or_insert(now_ms);
             job.last_answer_ms = now_ms;
@@ -130,17 +157,21 @@
     }
 
     /// A submission was answered 400 or 422.
-    pub fn refused(&mut self, id: &str, now_ms: u64) {
+    pub fn job_rejected(&mut self, id: &str, now_ms: u64) {
         let known = self.jobs.get(id).is_some_and(|j| j.accepted_ms.is_some());
         if known {
-            self.breach(Rule::Forgotten, format!("{id}: submission refused"), now_ms);
+            self.report_violation(
+                Invariant::JobLost,
+                format!("{id}: submission refused"),
+                now_ms,
+            );
         }
     }
 
     /// A task has its image and runs on a machine.
-    pub fn started(&mut self, task: &TaskId, place: &Place, now_ms: u64) {
+    pub fn task_started(&mut self, task: &TaskId, place: &Placement, now_ms: u64) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.breach(Rule::Invented, format!("{task} runs"), now_ms);
+            return self.report_violation(Invariant::UnknownJob, format!("{task} runs"), now_ms);
         };
         let submission = job.submission.clone();
         let elsewhere = job
@@ -153,14 +184,18 @@
         job.live.insert(task.index, home);
         if let Some(machine) = elsewhere {
             let what = format!("{task} on {} and {machine}", place.machine);
-            return self.breach(Rule::RanTwice, what, now_ms);
+            return self.report_violation(Invariant::DuplicateExecution, what, now_ms);
         }
         if wrong {
             let what = format!("{task} on {} in {}", place.machine, place.zone);
-            self.breach(Rule::WrongPlace, what, now_ms);
+            self.report_violation(Invariant::PlacementConstraint, what, now_ms);
         }
         if late {
-            self.breach(Rule::RanCancelled, format!("{task} starts"), now_ms);
+            self.report_violation(
+                Invariant::RunAfterCancellation,
+                format!("{task} starts"),
+                now_ms,
+            );
         }
         let used = self.used.entry(submission.team.clone()).or_default();
         *used += thousandths(submission.vcpus);
@@ -168,12 +203,12 @@
         let limit = self.limit_of(&submission.team, now_ms);
         if limit > 0 && used > limit {
             let what = format!("{} uses {used} of {limit}", submission.team);
-            self.breach(Rule::Quota, what, now_ms);
+            self.report_violation(Invariant::QuotaExceeded, what, now_ms);
         }
     }
 
     /// A task is no longer on a machine.
-    pub fn ended(&mut self, task: &TaskId, machine: &str, completed: bool) {
+    pub fn task_ended(&mut self, task: &TaskId, machine: &str, completed: bool) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -195,7 +230,7 @@
     }
 
     /// Another limit of a team has come into force.
-    pub fn limit_changed(&mut self, team: &str, cpus_max: f64, now_ms: u64) {
+    pub fn quota_limit_changed(&mut self, team: &str, cpus_max: f64, now_ms: u64) {
         let before = self.limits.get(team).map_or(self.limit, |limit| limit.now);
         let changed = ChangedLimit {
             now: thousandths(cpus_max),
@@ -215,53 +250,57 @@
         }
     }
 
-    pub fn cancel_asked(&mut self, id: &str) {
+    pub fn cancellation_requested(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.cancel_asked = true;
         }
     }
 
     /// A user was told how a job stands, by a question or a cancellation sent at `asked_ms`.
-    pub fn told(&mut self, id: &str, standing: Standing, asked_ms: u64, now_ms: u64) {
+    pub fn job_status_answered(&mut self, id: &str, status: JobStatus, asked_ms: u64, now_ms: u64) {
         self.polls += 1;
         self.polls_answered += 1;
         let Some(job) = self.jobs.get_mut(id) else {
-            return self.breach(Rule::Invented, format!("{id}: {standing:?}"), now_ms);
+            return self.report_violation(
+                Invariant::UnknownJob,
+                format!("{id}: {status:?}"),
+                now_ms,
+            );
         };
         job.last_answer_ms = now_ms;
         let before = job.told.filter(|(_, at)| *at <= asked_ms);
-        let changed = before.is_some_and(|(told, _)| told != standing);
-        let uncalled = standing == Standing::Aborted && !job.cancel_asked;
-        let early = standing == Standing::Done && !job.is_complete();
-        let is_final = matches!(standing, Standing::Done | Standing::Aborted);
+        let changed = before.is_some_and(|(told, _)| told != status);
+        let uncalled = status == JobStatus::Aborted && !job.cancel_asked;
+        let early = status == JobStatus::Done && !job.is_complete();
+        let is_final = matches!(status, JobStatus::Done | JobStatus::Aborted);
         if is_final && job.told.is_none() {
-            job.told = Some((standing, now_ms));
+            job.told = Some((status, now_ms));
         }
-        if standing == Standing::Aborted && !job.live.is_empty() {
+        if status == JobStatus::Aborted && !job.live.is_empty() {
             let id = job.submission.id.clone();
             self.cancelled.insert(id);
         }
         if changed || uncalled {
-            let what = format!("{id}: {standing:?} after {before:?}");
-            self.breach(Rule::WentBack, what, now_ms);
+            let what = format!("{id}: {status:?} after {before:?}");
+            self.report_violation(Invariant::FinalStatusChanged, what, now_ms);
         }
         if early {
-            self.breach(Rule::NotDone, id.to_string(), now_ms);
+            self.report_violation(Invariant::IncompleteJobDone, id.to_string(), now_ms);
         }
     }
 
     /// A question sent at `asked_ms` was answered 404.
-    pub fn unknown(&mut self, id: &str, asked_ms: u64, now_ms: u64) {
+    pub fn job_not_found(&mut self, id: &str, asked_ms: u64, now_ms: u64) {
         self.polls += 1;
         self.polls_answered += 1;
         let accepted = self.jobs.get(id).and_then(|j| j.accepted_ms);
         if accepted.is_some_and(|at| at <= asked_ms) {
-            self.breach(Rule::Forgotten, format!("{id}: 404"), now_ms);
+            self.report_violation(Invariant::JobLost, format!("{id}: 404"), now_ms);
         }
     }
 
     /// A question got no answer, or one that says nothing.
-    pub fn unanswered(&mut self, id: &str, now_ms: u64) {
+    pub fn poll_unanswered(&mut self, id: &str, now_ms: u64) {
         self.polls += 1;
         let most = self.polls_answered as f64 > MOST_ANSWERED * self.polls as f64;
         let Some(job) = self.jobs.get_mut(id) else {
@@ -270,12 +309,12 @@
         let silent = job.accepted_ms.is_some() && job.last_answer_ms + SILENT_MS < now_ms;
         if silent && most {
             job.last_answer_ms = now_ms;
-            self.breach(Rule::Forgotten, format!("{id}: no answer"), now_ms);
+            self.report_violation(Invariant::JobLost, format!("{id}: no answer"), now_ms);
         }
     }
 
     /// Looks for tasks that are left of cancelled jobs after their time.
-    pub fn sweep(&mut self, now_ms: u64) {
+    pub fn check_cancelled_jobs(&mut self, now_ms: u64) {
         let mut late = Vec::new();
         let (jobs, cancel_ms) = (&self.jobs, self.cancel_ms);
         self.cancelled.retain(|id| {
@@ -293,32 +332,36 @@
             !job.live.is_empty()
         });
         for what in late {
-            self.breach(Rule::RanCancelled, what, now_ms);
+            self.report_violation(Invariant::RunAfterCancellation, what, now_ms);
         }
     }
 
-    fn breach(&mut self, rule: Rule, what: String, at_ms: u64) {
-        if self.breaches.len() < MOST_BREACHES {
-            self.breaches.push(Breach { rule, what, at_ms });
+    fn report_violation(&mut self, invariant: Invariant, detail: String, at_ms: u64) {
+        if self.violations.len() < MAX_VIOLATIONS {
+            self.violations.push(Violation {
+                invariant,
+                detail,
+                at_ms,
+            });
         }
     }
 }
 
 impl Job {
     fn is_complete(&self) -> bool {
-        let tasks = self.submission.tasks as usize;
-        self.submission.shape == Shape::Array && self.done.len() == tasks
+        let tasks = self.submission.task_count as usize;
+        self.submission.shape == JobShape::Array && self.done.len() == tasks
     }
 
     /// Whether all its tasks had to be gone before now.
     fn ended_before(&self, now_ms: u64, cancel_ms: u64) -> bool {
         let told = self
             .told
-            .filter(|(standing, _)| *standing == Standing::Aborted);
+            .filter(|(status, _)| *status == JobStatus::Aborted);
         told.is_some_and(|(_, at)| at + cancel_ms < now_ms)
     }
 
-    fn wrong_place(&self, index: u32, place: &Place) -> bool {
+    fn wrong_place(&self, index: u32, place: &Placement) -> bool {
         let submission = &self.submission;
         let types = submission.machine_types.as_ref();
         let zone = submission.zone.as_ref();
@@ -329,11 +372,11 @@
                 .map(|(_, (_, z))| z)
         };
         let in_zone = zones().filter(|z| **z == place.zone).count() + 1;
-        let half = submission.tasks.div_ceil(2) as usize;
+        let half = submission.task_count.div_ceil(2) as usize;
         types.is_some_and(|types| !types.contains(&place.machine_type))
             || zone.is_some_and(|zone| *zone != place.zone)
             || (place.spot && !submission.spot)
-            || (submission.together && zones().any(|z| *z != place.zone))
-            || (submission.scatter && in_zone > half)
+            || (submission.zone_affinity && zones().any(|z| *z != place.zone))
+            || (submission.topology_spread && in_zone > half)
     }
 }
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays a plan against real controller processes on loopback, and measures what these spend.
 
 use clap::{Args, Parser, Subcommand};
-use glenmount_loadtest::measurement::result::{Earlier, Figures, RunResult};
+use glenmount_loadtest::measurement::result::{EarlierResult, Figures, RunResult};
 use glenmount_loadtest::measurement::{comparison, scaling};
 use glenmount_loadtest::plan::Plan;
 use glenmount_loadtest::run::{run_alone, Options, RunError};
@@ -148,10 +148,10 @@
 }
 
 fn print_faults(result: &RunResult) {
-    for breach in &result.breaches {
+    for violation in &result.violations {
         println!(
-            "BROKEN {:?} at {} ms: {}",
-            breach.rule, breach.at_ms, breach.what
+            "BROKEN {} at {} ms: {}",
+            violation.invariant, violation.at_ms, violation.detail
         );
     }
     for controller in &result.ended {
@@ -166,7 +166,10 @@
     earlier: Option<&Path>,
 ) -> Result<bool, Failure> {
     let plan = Plan::read(&common.plan, &common.changes).map_err(unusable)?;
-    let earlier = earlier.map(Earlier::read).transpose().map_err(unusable)?;
+    let earlier = earlier
+        .map(EarlierResult::read)
+        .transpose()
+        .map_err(unusable)?;
     let times = plan.stands_for_s / plan.seconds;
     println!(
         "{}: troubles of {times:.0} times the time played",
--- a/crates/loadtest/src/measurement/counters.rs
+++ b/crates/loadtest/src/measurement/counters.rs
@@ -4,13 +4,14 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Mutex;
 
 /// Kinds of exchanges; all but the last four are begun by controllers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum ExchangeKind {
     StateTransaction,
     StateRead,
     StateList,
@@ -18,36 +19,51 @@
     StateLease,
     CloudCatalog,
     CloudList,
-    CloudRent,
+    #[serde(rename = "cloud_rent")]
+    CloudProvision,
     CloudDelete,
     WorkerCommand,
     WorkerStatus,
-    Sibling,
-    WorkerReport,
+    #[serde(rename = "sibling")]
+    Peer,
+    #[serde(rename = "worker_report")]
+    WorkerHeartbeat,
     UserSubmit,
     UserPoll,
     UserCancel,
     UserReady,
 }
 
-pub const KINDS: [Kind; 17] = [
-    Kind::StateTransaction,
-    Kind::StateRead,
-    Kind::StateList,
-    Kind::StateWatch,
-    Kind::StateLease,
-    Kind::CloudCatalog,
-    Kind::CloudList,
-    Kind::CloudRent,
-    Kind::CloudDelete,
-    Kind::WorkerCommand,
-    Kind::WorkerStatus,
-    Kind::Sibling,
-    Kind::WorkerReport,
-    Kind::UserSubmit,
-    Kind::UserPoll,
-    Kind::UserCancel,
-    Kind::UserReady,
+/// The name that tables print.
+impl fmt::Display for ExchangeKind {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            ExchangeKind::Peer => f.write_str("Sibling"),
+            ExchangeKind::WorkerHeartbeat => f.write_str("WorkerReport"),
+            ExchangeKind::CloudProvision => f.write_str("CloudRent"),
+            kind => fmt::Debug::fmt(kind, f),
+        }
+    }
+}
+
+pub const EXCHANGE_KINDS: [ExchangeKind; 17] = [
+    ExchangeKind::StateTransaction,
+    ExchangeKind::StateRead,
+    ExchangeKind::StateList,
+    ExchangeKind::StateWatch,
+    ExchangeKind::StateLease,
+    ExchangeKind::CloudCatalog,
+    ExchangeKind::CloudList,
+    ExchangeKind::CloudProvision,
+    ExchangeKind::CloudDelete,
+    ExchangeKind::WorkerCommand,
+    ExchangeKind::WorkerStatus,
+    ExchangeKind::Peer,
+    ExchangeKind::WorkerHeartbeat,
+    ExchangeKind::UserSubmit,
+    ExchangeKind::UserPoll,
+    ExchangeKind::UserCancel,
+    ExchangeKind::UserReady,
 ];
 
 /// Exchanges of one kind. Bytes are those of HTTP heads and bodies, or of the siblings' frames, without
@@ -90,18 +106,18 @@
 
 /// Exchanges of each kind since the start.
 #[derive(Default)]
-pub struct TrafficCounters([Counter; KINDS.len()]);
+pub struct TrafficCounters([Counter; EXCHANGE_KINDS.len()]);
 
 impl TrafficCounters {
-    pub fn count(&self, kind: Kind, request_bytes: u64, answer_bytes: u64) {
+    pub fn count(&self, kind: ExchangeKind, request_bytes: u64, answer_bytes: u64) {
         let counter = &self.0[kind as usize];
         counter.exchanges.fetch_add(1, Relaxed);
         counter.request_bytes.fetch_add(request_bytes, Relaxed);
         counter.answer_bytes.fetch_add(answer_bytes, Relaxed);
     }
 
-    pub fn now(&self) -> BTreeMap<Kind, Traffic> {
-        let each = KINDS.iter().zip(&self.0);
+    pub fn now(&self) -> BTreeMap<ExchangeKind, Traffic> {
+        let each = EXCHANGE_KINDS.iter().zip(&self.0);
         each.map(|(kind, counter)| {
             let traffic = Traffic {
                 exchanges: counter.exchanges.load(Relaxed) as f64,
@@ -137,7 +153,7 @@
 /// What has a time of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Timed {
+pub enum LatencyKind {
     /// From a user's first try to the acceptance.
     Acceptance,
     /// From a job's submission to a task of it on a machine, critical and high ranks.
@@ -149,28 +165,43 @@
     /// From a task's end to the command that its worker may forget it.
     ResultRecorded,
     /// From a job's last end to the answer that it is done.
-    DoneTold,
-    CancellationTold,
+    #[serde(rename = "done_told")]
+    CompletionReported,
+    #[serde(rename = "cancellation_told")]
+    CancellationReported,
     /// From a configuration's commit to a controller's word, on record, that it follows that version.
-    InForce,
+    #[serde(rename = "in_force")]
+    ConfigurationInForce,
     /// From an operator's command to its end.
     ConfigurationChange,
     /// From the start of a controller's process to its readiness; also before the measured time.
     ControllerReady,
 }
 
-pub const TIMED: [Timed; 11] = [
-    Timed::Acceptance,
-    Timed::UrgentStart,
-    Timed::StandardStart,
-    Timed::UrgentRestart,
-    Timed::StandardRestart,
-    Timed::ResultRecorded,
-    Timed::DoneTold,
-    Timed::CancellationTold,
-    Timed::InForce,
-    Timed::ConfigurationChange,
-    Timed::ControllerReady,
+/// The name that tables print.
+impl fmt::Display for LatencyKind {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            LatencyKind::CompletionReported => f.write_str("DoneTold"),
+            LatencyKind::CancellationReported => f.write_str("CancellationTold"),
+            LatencyKind::ConfigurationInForce => f.write_str("InForce"),
+            kind => fmt::Debug::fmt(kind, f),
+        }
+    }
+}
+
+pub const LATENCY_KINDS: [LatencyKind; 11] = [
+    LatencyKind::Acceptance,
+    LatencyKind::UrgentStart,
+    LatencyKind::StandardStart,
+    LatencyKind::UrgentRestart,
+    LatencyKind::StandardRestart,
+    LatencyKind::ResultRecorded,
+    LatencyKind::CompletionReported,
+    LatencyKind::CancellationReported,
+    LatencyKind::ConfigurationInForce,
+    LatencyKind::ConfigurationChange,
+    LatencyKind::ControllerReady,
 ];
 
 /// Longest time that is told apart, in milliseconds.
@@ -178,12 +209,12 @@
 const DIGITS: u8 = 3;
 
 /// Milliseconds that things took.
-pub struct Times([Mutex<Histogram<u32>>; TIMED.len()]);
+pub struct Latencies([Mutex<Histogram<u32>>; LATENCY_KINDS.len()]);
 
-impl Default for Times {
-    fn default() -> Times {
+impl Default for Latencies {
+    fn default() -> Latencies {
         let new = || Histogram::new_with_bounds(1, LONGEST_MS, DIGITS);
-        Times(std::array::from_fn(|_| {
+        Latencies(std::array::from_fn(|_| {
             Mutex::new(new().unwrap_or_else(|_| unreachable!("bounds are constants")))
         }))
     }
@@ -198,22 +229,22 @@
     pub max_ms: u64,
 }
 
-impl Times {
-    pub fn record(&self, what: Timed, took_ms: u64) {
+impl Latencies {
+    pub fn record(&self, what: LatencyKind, took_ms: u64) {
         lock(&self.0[what as usize]).saturating_record(took_ms.max(1));
     }
 
     /// Begins anew, but for what is timed at the start of processes.
     pub fn clear(&self) {
-        for (what, histogram) in TIMED.iter().zip(&self.0) {
-            if *what != Timed::ControllerReady {
+        for (what, histogram) in LATENCY_KINDS.iter().zip(&self.0) {
+            if *what != LatencyKind::ControllerReady {
                 lock(histogram).reset();
             }
         }
     }
 
-    pub fn now(&self) -> BTreeMap<Timed, Quantiles> {
-        let each = TIMED.iter().zip(&self.0);
+    pub fn now(&self) -> BTreeMap<LatencyKind, Quantiles> {
+        let each = LATENCY_KINDS.iter().zip(&self.0);
         each.map(|(what, histogram)| {
             let histogram = lock(histogram);
             let quantiles = Quantiles {
@@ -229,11 +260,11 @@
 }
 
 /// Something counted in each second of a run.
-pub struct PerSecond(Vec<AtomicU64>);
+pub struct PerSecondCounter(Vec<AtomicU64>);
 
-impl PerSecond {
-    pub fn new(seconds: usize) -> PerSecond {
-        PerSecond((0..seconds).map(|_| AtomicU64::new(0)).collect())
+impl PerSecondCounter {
+    pub fn new(seconds: usize) -> PerSecondCounter {
+        PerSecondCounter((0..seconds).map(|_| AtomicU64::new(0)).collect())
     }
 
     pub fn add(&self, at_ms: u64, amount: u64) {
--- a/crates/loadtest/src/measurement/result.rs
+++ b/crates/loadtest/src/measurement/result.rs
@@ -1,7 +1,7 @@
 //! What a run found: written as JSON, printed as a table.
 
-use crate::invariants::Breach;
-use crate::measurement::counters::{Kind, Quantiles, Timed, Traffic};
+use crate::invariants::Violation;
+use crate::measurement::counters::{ExchangeKind, LatencyKind, Quantiles, Traffic};
 use crate::plan::Plan;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 
 /// What one controller spent while it was measured.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub struct ControllerUse {
+pub struct ProcessUsage {
     /// Share of a core.
     pub cpu: f64,
     /// Highest share of a core in a second.
@@ -42,7 +42,7 @@
 
 /// Keys of one kind and their bytes.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub struct Records {
+pub struct RecordUsage {
     pub count: usize,
     pub bytes: usize,
 }
@@ -54,16 +54,16 @@
     pub workers: usize,
     pub running: f64,
     pub running_most: usize,
-    pub controllers: Vec<ControllerUse>,
+    pub controllers: Vec<ProcessUsage>,
     /// Of the process that plays all the rest.
-    pub stand_ins: ControllerUse,
-    pub traffic: BTreeMap<Kind, Traffic>,
+    pub stand_ins: ProcessUsage,
+    pub traffic: BTreeMap<ExchangeKind, Traffic>,
     /// State changes a second by kind of record, and transactions by the records that they change.
     pub changes: BTreeMap<String, f64>,
     pub transactions: BTreeMap<String, f64>,
-    pub records: BTreeMap<String, Records>,
+    pub records: BTreeMap<String, RecordUsage>,
     pub starts: Starts,
-    pub times: BTreeMap<Timed, Quantiles>,
+    pub times: BTreeMap<LatencyKind, Quantiles>,
     pub worker_bytes: WorkerBytes,
     /// Answers to users other than 200 and 201.
     pub user_answers: BTreeMap<String, u64>,
@@ -74,7 +74,8 @@
 pub struct RunResult {
     pub plan: Plan,
     pub figures: Figures,
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
     /// Controllers that ended by themselves.
     pub ended: Vec<usize>,
     pub finished: bool,
@@ -82,13 +83,13 @@
 
 /// The part of a result file that a comparison reads.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Earlier {
+pub struct EarlierResult {
     pub figures: Figures,
 }
 
-impl Earlier {
+impl EarlierResult {
     /// Reads a result; the error names the file and what is wrong with it.
-    pub fn read(path: &Path) -> Result<Earlier, String> {
+    pub fn read(path: &Path) -> Result<EarlierResult, String> {
         let name = path.display();
         let size = std::fs::metadata(path).map_err(|e| format!("{name}: {e}"))?;
         if size.len() > RESULT_BYTES {
@@ -101,7 +102,7 @@
 
 impl RunResult {
     pub fn is_good(&self) -> bool {
-        self.finished && self.breaches.is_empty() && self.ended.is_empty()
+        self.finished && self.violations.is_empty() && self.ended.is_empty()
     }
 
     pub fn write(&self, path: &Path) -> std::io::Result<()> {
@@ -142,11 +143,11 @@
     /// Requests of the controllers to the state service.
     pub fn state_requests(&self) -> f64 {
         let kinds = [
-            Kind::StateTransaction,
-            Kind::StateRead,
-            Kind::StateList,
-            Kind::StateWatch,
-            Kind::StateLease,
+            ExchangeKind::StateTransaction,
+            ExchangeKind::StateRead,
+            ExchangeKind::StateList,
+            ExchangeKind::StateWatch,
+            ExchangeKind::StateLease,
         ];
         let each = kinds.iter().filter_map(|kind| self.traffic.get(kind));
         each.map(|traffic| traffic.exchanges).sum()
@@ -161,19 +162,19 @@
     }
 
     /// Bytes a second of one kind of exchange.
-    pub fn bytes(&self, kind: Kind) -> f64 {
+    pub fn bytes(&self, kind: ExchangeKind) -> f64 {
         self.traffic
             .get(&kind)
             .map_or(0.0, |traffic| traffic.bytes())
     }
 
-    pub fn exchanges(&self, kind: Kind) -> f64 {
+    pub fn exchanges(&self, kind: ExchangeKind) -> f64 {
         self.traffic
             .get(&kind)
             .map_or(0.0, |traffic| traffic.exchanges)
     }
 
-    fn time(&self, what: Timed) -> Quantiles {
+    fn time(&self, what: LatencyKind) -> Quantiles {
         self.times.get(&what).copied().unwrap_or_default()
     }
 
@@ -190,66 +191,84 @@
             ("state changes per start", self.changes_per_start()),
             (
                 "state transactions/s",
-                self.exchanges(Kind::StateTransaction),
+                self.exchanges(ExchangeKind::StateTransaction),
             ),
-            ("state reads/s", self.exchanges(Kind::StateRead)),
-            ("state watches/s", self.exchanges(Kind::StateWatch)),
-            ("state watch bytes/s", self.bytes(Kind::StateWatch)),
+            ("state reads/s", self.exchanges(ExchangeKind::StateRead)),
+            ("state watches/s", self.exchanges(ExchangeKind::StateWatch)),
+            ("state watch bytes/s", self.bytes(ExchangeKind::StateWatch)),
             (
                 "state transaction bytes/s",
-                self.bytes(Kind::StateTransaction),
+                self.bytes(ExchangeKind::StateTransaction),
+            ),
+            ("sibling bytes/s", self.bytes(ExchangeKind::Peer)),
+            (
+                "worker reports/s",
+                self.exchanges(ExchangeKind::WorkerHeartbeat),
+            ),
+            (
+                "worker report bytes/s",
+                self.bytes(ExchangeKind::WorkerHeartbeat),
+            ),
+            (
+                "worker commands/s",
+                self.exchanges(ExchangeKind::WorkerCommand),
             ),
-            ("sibling bytes/s", self.bytes(Kind::Sibling)),
-            ("worker reports/s", self.exchanges(Kind::WorkerReport)),
-            ("worker report bytes/s", self.bytes(Kind::WorkerReport)),
-            ("worker commands/s", self.exchanges(Kind::WorkerCommand)),
             ("worker control bytes/s, mean", self.worker_bytes.mean),
             ("worker control bytes/s, most", self.worker_bytes.max),
             ("starts/s", self.starts.reached),
             ("starts/s, best 10 s", self.starts.reached_best_10s),
             ("tasks running, mean", self.running),
-            ("acceptance p50 (ms)", ms(Timed::Acceptance, |q| q.p50_ms)),
-            ("acceptance p99 (ms)", ms(Timed::Acceptance, |q| q.p99_ms)),
+            (
+                "acceptance p50 (ms)",
+                ms(LatencyKind::Acceptance, |q| q.p50_ms),
+            ),
+            (
+                "acceptance p99 (ms)",
+                ms(LatencyKind::Acceptance, |q| q.p99_ms),
+            ),
             (
                 "urgent start p50 (ms)",
-                ms(Timed::UrgentStart, |q| q.p50_ms),
+                ms(LatencyKind::UrgentStart, |q| q.p50_ms),
             ),
             (
                 "urgent start p99 (ms)",
-                ms(Timed::UrgentStart, |q| q.p99_ms),
+                ms(LatencyKind::UrgentStart, |q| q.p99_ms),
             ),
             (
                 "standard start p50 (ms)",
-                ms(Timed::StandardStart, |q| q.p50_ms),
+                ms(LatencyKind::StandardStart, |q| q.p50_ms),
             ),
             (
                 "standard start p99 (ms)",
-                ms(Timed::StandardStart, |q| q.p99_ms),
+                ms(LatencyKind::StandardStart, |q| q.p99_ms),
             ),
             (
                 "urgent restart p99 (ms)",
-                ms(Timed::UrgentRestart, |q| q.p99_ms),
+                ms(LatencyKind::UrgentRestart, |q| q.p99_ms),
             ),
             (
                 "result recorded p50 (ms)",
-                ms(Timed::ResultRecorded, |q| q.p50_ms),
+                ms(LatencyKind::ResultRecorded, |q| q.p50_ms),
             ),
             (
                 "result recorded p99 (ms)",
-                ms(Timed::ResultRecorded, |q| q.p99_ms),
+                ms(LatencyKind::ResultRecorded, |q| q.p99_ms),
+            ),
+            (
+                "done told p99 (ms)",
+                ms(LatencyKind::CompletionReported, |q| q.p99_ms),
             ),
-            ("done told p99 (ms)", ms(Timed::DoneTold, |q| q.p99_ms)),
             (
                 "cancellation told p99 (ms)",
-                ms(Timed::CancellationTold, |q| q.p99_ms),
+                ms(LatencyKind::CancellationReported, |q| q.p99_ms),
             ),
             (
                 "configuration in force p99 (ms)",
-                ms(Timed::InForce, |q| q.p99_ms),
+                ms(LatencyKind::ConfigurationInForce, |q| q.p99_ms),
             ),
             (
                 "controller ready p50 (ms)",
-                ms(Timed::ControllerReady, |q| q.p50_ms),
+                ms(LatencyKind::ControllerReady, |q| q.p50_ms),
             ),
         ]
     }
@@ -277,7 +296,7 @@
             let _ = writeln!(
                 text,
                 "{:18} {:9.1}/s {:11.0} B/s asked {:11.0} B/s answered",
-                format!("{kind:?}"),
+                kind.to_string(),
                 traffic.exchanges,
                 traffic.request_bytes,
                 traffic.answer_bytes
@@ -290,7 +309,7 @@
             let _ = writeln!(text, "changes {name}: {rate:.1}/s");
         }
         for (name, records) in &self.records {
-            let Records { count, bytes } = records;
+            let RecordUsage { count, bytes } = records;
             let _ = writeln!(text, "records {name}: {count}, {bytes} bytes");
         }
         for (name, count) in &self.user_answers {
@@ -300,7 +319,7 @@
             let _ = writeln!(
                 text,
                 "{:18} p50 {:7} ms  p99 {:7} ms  max {:7} ms  of {}",
-                format!("{what:?}"),
+                what.to_string(),
                 q.p50_ms,
                 q.p99_ms,
                 q.max_ms,
--- a/crates/loadtest/src/measurement/scaling.rs
+++ b/crates/loadtest/src/measurement/scaling.rs
@@ -8,7 +8,7 @@
 
 /// A least-squares line `base + slope * size`.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct Line {
+pub struct LinearFit {
     pub base: f64,
     pub slope: f64,
     /// Root of the mean squared distance from the line, as a part of the figure's mean.
@@ -17,7 +17,7 @@
     pub power: Option<f64>,
 }
 
-impl Line {
+impl LinearFit {
     pub fn fits(&self) -> bool {
         self.residual <= RESIDUAL_OF_A_LINE
     }
@@ -44,7 +44,7 @@
 }
 
 /// Fits a line to figures by size; none with fewer than two sizes.
-pub fn fit(points: &[(f64, f64)]) -> Option<Line> {
+pub fn fit(points: &[(f64, f64)]) -> Option<LinearFit> {
     if points.len() < 2 {
         return None;
     }
@@ -58,7 +58,7 @@
     };
     let positive = points.iter().all(|(x, y)| *x > 0.0 && *y > 0.0);
     let logarithms: Vec<(f64, f64)> = points.iter().map(|(x, y)| (x.ln(), y.ln())).collect();
-    Some(Line {
+    Some(LinearFit {
         base,
         slope,
         residual,
--- a/crates/loadtest/src/network/partitions.rs
+++ b/crates/loadtest/src/network/partitions.rs
@@ -14,13 +14,13 @@
 
 /// Sites that reach only one another.
 #[derive(Debug, Clone)]
-pub struct Cut {
+pub struct Partition {
     pub zones: BTreeSet<ZoneIndex>,
     /// Whether state service, cloud and users are among them.
     pub outside: bool,
 }
 
-impl Cut {
+impl Partition {
     fn contains(&self, site: Site) -> bool {
         match site {
             Site::Outside => self.outside,
@@ -31,53 +31,53 @@
 
 /// Names a cut, to end it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CutId(u64);
+pub struct PartitionId(u64);
 
 #[derive(Default)]
-struct Cuts {
+struct Partitions {
     next: u64,
-    active: Vec<(CutId, Cut)>,
+    active: Vec<(PartitionId, Partition)>,
 }
 
 /// All cuts that are on.
 pub struct Network {
-    cuts: Mutex<Cuts>,
+    partitions: Mutex<Partitions>,
     changed: watch::Sender<u64>,
 }
 
 impl Default for Network {
     fn default() -> Network {
         Network {
-            cuts: Mutex::default(),
+            partitions: Mutex::default(),
             changed: watch::channel(0).0,
         }
     }
 }
 
 impl Network {
-    pub fn begin(&self, cut: Cut) -> CutId {
-        let mut cuts = lock(&self.cuts);
-        cuts.next += 1;
-        let id = CutId(cuts.next);
-        cuts.active.push((id, cut));
+    pub fn begin(&self, partition: Partition) -> PartitionId {
+        let mut partitions = lock(&self.partitions);
+        partitions.next += 1;
+        let id = PartitionId(partitions.next);
+        partitions.active.push((id, partition));
         self.changed.send_modify(|n| *n += 1);
         id
     }
 
-    pub fn end(&self, id: CutId) {
-        let mut cuts = lock(&self.cuts);
-        cuts.active.retain(|(other, _)| *other != id);
+    pub fn end(&self, id: PartitionId) {
+        let mut partitions = lock(&self.partitions);
+        partitions.active.retain(|(other, _)| *other != id);
         self.changed.send_modify(|n| *n += 1);
     }
 
     pub fn is_whole(&self) -> bool {
-        lock(&self.cuts).active.is_empty()
+        lock(&self.partitions).active.is_empty()
     }
 
     pub fn reaches(&self, from: Site, to: Site) -> bool {
-        let cuts = lock(&self.cuts);
-        let mut active = cuts.active.iter();
-        active.all(|(_, cut)| cut.contains(from) == cut.contains(to))
+        let partitions = lock(&self.partitions);
+        let mut active = partitions.active.iter();
+        active.all(|(_, partition)| partition.contains(from) == partition.contains(to))
     }
 
     /// Holds a message until it can pass.
--- a/crates/loadtest/src/network/peer_links.rs
+++ b/crates/loadtest/src/network/peer_links.rs
@@ -1,8 +1,8 @@
 //! The links between controllers: each pair's connections pass through here, where they are counted and
 //! where a cut holds them up.
 
-use crate::environment::World;
-use crate::measurement::counters::Kind;
+use crate::environment::Environment;
+use crate::measurement::counters::ExchangeKind;
 use crate::network::partitions::Site;
 use crate::plan::ZoneIndex;
 use std::net::SocketAddr;
@@ -14,23 +14,23 @@
 const BUFFER_BYTES: usize = 64 * 1024;
 
 /// Addresses by which each controller reaches each other.
-pub struct Links(Vec<Vec<SocketAddr>>);
+pub struct PeerLinks(Vec<Vec<SocketAddr>>);
 
-impl Links {
+impl PeerLinks {
     /// Opens a link for each ordered pair of controllers.
     pub async fn open(
-        world: &Arc<World>,
+        environment: &Arc<Environment>,
         targets: &[SocketAddr],
         zones: &[ZoneIndex],
-    ) -> std::io::Result<Links> {
+    ) -> std::io::Result<PeerLinks> {
         let mut all = Vec::new();
         for from in 0..targets.len() {
             let mut row = Vec::new();
             for to in 0..targets.len() {
                 let listener = TcpListener::bind("127.0.0.1:0").await?;
                 row.push(listener.local_addr()?);
-                let link = Link {
-                    world: world.clone(),
+                let link = PeerLink {
+                    environment: environment.clone(),
                     target: targets[to],
                     from: Site::Zone(zones[from]),
                     to: Site::Zone(zones[to]),
@@ -41,7 +41,7 @@
             }
             all.push(row);
         }
-        Ok(Links(all))
+        Ok(PeerLinks(all))
     }
 
     pub fn address(&self, from: usize, to: usize) -> SocketAddr {
@@ -50,8 +50,8 @@
 }
 
 #[derive(Clone)]
-struct Link {
-    world: Arc<World>,
+struct PeerLink {
+    environment: Arc<Environment>,
     target: SocketAddr,
     from: Site,
     to: Site,
@@ -64,7 +64,7 @@
     Back,
 }
 
-impl Link {
+impl PeerLink {
     async fn serve(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(self.clone().connect(stream));
@@ -72,7 +72,7 @@
     }
 
     async fn connect(self, stream: TcpStream) {
-        let network = &self.world.network;
+        let network = &self.environment.network;
         network.until_reached(self.from, self.to).await;
         // A refused connection ends the caller's as well.
         let Ok(target) = TcpStream::connect(self.target).await else {
@@ -91,17 +91,17 @@
         let mut buffer = vec![0; BUFFER_BYTES];
         loop {
             let read = from.read(&mut buffer).await.unwrap_or(0);
-            let network = &self.world.network;
+            let network = &self.environment.network;
             network.until_reached(self.from, self.to).await;
             if read == 0 {
                 let _ = to.shutdown().await;
                 return;
             }
             let bytes = read as u64;
-            let traffic = &self.world.traffic;
+            let traffic = &self.environment.traffic;
             match direction {
-                Direction::Forth => traffic.count(Kind::Sibling, bytes, 0),
-                Direction::Back => traffic.count(Kind::Sibling, 0, bytes),
+                Direction::Forth => traffic.count(ExchangeKind::Peer, bytes, 0),
+                Direction::Back => traffic.count(ExchangeKind::Peer, 0, bytes),
             }
             if to.write_all(&buffer[..read]).await.is_err() {
                 return;
--- a/crates/loadtest/src/plan/mod.rs
+++ b/crates/loadtest/src/plan/mod.rs
@@ -64,7 +64,7 @@
     pub regions: Vec<Region>,
     pub controllers: Controllers,
     pub workers: Workers,
-    pub state: StateLimits,
+    pub state: StateStoreLimits,
     pub cloud: CloudLimits,
     pub teams: Teams,
     /// Changes of the configuration on record, evenly over the run; the first one adopts the settings.
@@ -78,8 +78,8 @@
     pub ended_jobs: u32,
     #[serde(default)]
     pub jobs: Vec<JobClass>,
-    #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    #[serde(default, rename = "troubles")]
+    pub faults: Vec<Fault>,
 }
 
 /// Zones that share a network; the first region holds the state service, the cloud and the users.
@@ -113,8 +113,8 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct StateLimits {
+#[serde(deny_unknown_fields, rename = "StateLimits")]
+pub struct StateStoreLimits {
     pub rps: f64,
     pub write_rps: f64,
     pub value_kb: f64,
@@ -146,8 +146,9 @@
 #[serde(deny_unknown_fields)]
 pub struct JobClass {
     pub class: String,
-    pub shape: Shape,
-    pub rank: Rank,
+    pub shape: JobShape,
+    #[serde(rename = "rank")]
+    pub priority: JobPriority,
     /// Least and most tasks; sizes between are spread evenly by their logarithm.
     pub tasks: [u32; 2],
     pub cpus: f64,
@@ -172,34 +173,34 @@
     /// Share bound to one zone.
     #[serde(default)]
     pub zone_bound: f64,
-    #[serde(default)]
-    pub scatter: bool,
+    #[serde(default, rename = "scatter")]
+    pub topology_spread: bool,
     #[serde(default)]
     pub spot: bool,
-    #[serde(default)]
-    pub due_s: Option<f64>,
+    #[serde(default, rename = "due_s")]
+    pub deadline_s: Option<f64>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Shape {
+#[serde(rename_all = "lowercase", rename = "Shape")]
+pub enum JobShape {
     Array,
     Daemon,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Rank {
+#[serde(rename_all = "lowercase", rename = "Rank")]
+pub enum JobPriority {
     Critical,
     High,
     Standard,
     Low,
 }
 
-impl Rank {
+impl JobPriority {
     /// Whether its starts are held against the bound for urgent work.
     pub fn is_urgent(self) -> bool {
-        matches!(self, Rank::Critical | Rank::High)
+        matches!(self, JobPriority::Critical | JobPriority::High)
     }
 }
 
@@ -209,19 +210,19 @@
 
 /// Something that goes wrong `at_s` seconds into what is measured.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Trouble {
+#[serde(deny_unknown_fields, rename = "Trouble")]
+pub struct Fault {
     pub at_s: f64,
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// Machines, for those kinds that strike some.
     #[serde(default)]
     pub count: u32,
     /// How long it lasts, or the time over which `count` machines are struck one after another.
-    #[serde(default)]
-    pub for_s: f64,
+    #[serde(default, rename = "for_s")]
+    pub duration_s: f64,
     /// Zone or region by name.
-    #[serde(default)]
-    pub place: Option<String>,
+    #[serde(default, rename = "place")]
+    pub location: Option<String>,
     /// Controller by number.
     #[serde(default)]
     pub controller: Option<u32>,
@@ -231,57 +232,73 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum TroubleKind {
+#[serde(rename = "TroubleKind")]
+pub enum FaultKind {
     /// Machines lose power for good, one after another within `for_s`.
-    MachinesFail,
+    #[serde(rename = "machines_fail")]
+    WorkerFailures,
     /// Machines start again at once with a new session, within `for_s`.
-    MachinesRestart,
+    #[serde(rename = "machines_restart")]
+    WorkerRestarts,
     /// Machines are taken by the cloud, within `for_s`.
-    MachinesReplaced,
+    #[serde(rename = "machines_replaced")]
+    WorkerReplacements,
     /// Machines of one zone lose power at once.
-    RackFail,
+    #[serde(rename = "rack_fail")]
+    RackFailure,
     /// Machines of one zone reach nobody for `for_s`.
-    RackCut,
+    #[serde(rename = "rack_cut")]
+    RackPartition,
     /// A zone with its controllers reaches only itself.
-    ZoneCut,
+    #[serde(rename = "zone_cut")]
+    ZonePartition,
     /// All machines of a zone lose power, and its controllers end; these are back after `for_s`.
-    ZoneFail,
+    #[serde(rename = "zone_fail")]
+    ZoneFailure,
     /// A region reaches only itself.
-    RegionCut,
+    #[serde(rename = "region_cut")]
+    RegionPartition,
     /// A controller is killed and back after `for_s`.
-    ControllerEnd,
-    StateSlow,
-    StateDown,
+    #[serde(rename = "controller_end")]
+    ControllerCrash,
+    #[serde(rename = "state_slow")]
+    StateStoreLatency,
+    #[serde(rename = "state_down")]
+    StateStoreOutage,
     /// The state service answers 503 to one controller.
-    StateRefuses,
-    CloudDown,
+    #[serde(rename = "state_refuses")]
+    StateStoreRejection,
+    #[serde(rename = "cloud_down")]
+    CloudOutage,
 }
 
-impl TroubleKind {
+impl FaultKind {
     fn strikes_machines(self) -> bool {
         matches!(
             self,
-            TroubleKind::MachinesFail
-                | TroubleKind::MachinesRestart
-                | TroubleKind::MachinesReplaced
-                | TroubleKind::RackFail
-                | TroubleKind::RackCut
+            FaultKind::WorkerFailures
+                | FaultKind::WorkerRestarts
+                | FaultKind::WorkerReplacements
+                | FaultKind::RackFailure
+                | FaultKind::RackPartition
         )
     }
 
     fn needs_zone(self) -> bool {
         matches!(
             self,
-            TroubleKind::RackFail
-                | TroubleKind::RackCut
-                | TroubleKind::ZoneCut
-                | TroubleKind::ZoneFail
+            FaultKind::RackFailure
+                | FaultKind::RackPartition
+                | FaultKind::ZonePartition
+                | FaultKind::ZoneFailure
         )
     }
 
     fn needs_controller(self) -> bool {
-        matches!(self, TroubleKind::ControllerEnd | TroubleKind::StateRefuses)
+        matches!(
+            self,
+            FaultKind::ControllerCrash | FaultKind::StateStoreRejection
+        )
     }
 }
 
@@ -365,7 +382,7 @@
         self.check_places()?;
         self.check_sizes()?;
         self.check_jobs()?;
-        self.check_troubles()
+        self.check_faults()
     }
 
     fn check_places(&self) -> Result<(), PlanError> {
@@ -483,7 +500,7 @@
             require_amount(job.from_s, "jobs.from_s", -self.warm_up_s, self.seconds)?;
             let until = job.until_s.unwrap_or(self.seconds);
             require_amount(until, "jobs.until_s", job.from_s, self.seconds)?;
-            let endless = job.shape == Shape::Daemon;
+            let endless = job.shape == JobShape::Daemon;
             require(
                 endless == (job.run_s == 0.0),
                 "jobs.run_s",
@@ -498,28 +515,26 @@
         )
     }
 
-    fn check_troubles(&self) -> Result<(), PlanError> {
-        let few = self.troubles.len() <= MOST_ENTRIES;
+    fn check_faults(&self) -> Result<(), PlanError> {
+        let few = self.faults.len() <= MOST_ENTRIES;
         require(few, "troubles", "too many")?;
-        for trouble in &self.troubles {
-            require_amount(trouble.at_s, "troubles.at_s", 0.0, self.seconds)?;
-            require_amount(trouble.for_s, "troubles.for_s", 0.0, MOST_SECONDS)?;
-            require_amount(trouble.latency_ms, "troubles.latency_ms", 0.0, 1e4)?;
-            let counted = !trouble.kind.strikes_machines() || trouble.count > 0;
+        for fault in &self.faults {
+            require_amount(fault.at_s, "troubles.at_s", 0.0, self.seconds)?;
+            require_amount(fault.duration_s, "troubles.for_s", 0.0, MOST_SECONDS)?;
+            require_amount(fault.latency_ms, "troubles.latency_ms", 0.0, 1e4)?;
+            let counted = !fault.kind.strikes_machines() || fault.count > 0;
             require(counted, "troubles.count", "how many machines")?;
-            let place = trouble.place.as_deref();
-            if trouble.kind.needs_zone() {
+            let place = fault.location.as_deref();
+            if fault.kind.needs_zone() {
                 let known = place.is_some_and(|zone| self.zone(zone).is_some());
                 require(known, "troubles.place", "no such zone")?;
             }
-            if trouble.kind == TroubleKind::RegionCut {
+            if fault.kind == FaultKind::RegionPartition {
                 let known = place.is_some_and(|region| !self.zones_of(region).is_empty());
                 require(known, "troubles.place", "no such region")?;
             }
-            if trouble.kind.needs_controller() {
-                let known = trouble
-                    .controller
-                    .is_some_and(|n| n < self.controllers.count);
+            if fault.kind.needs_controller() {
+                let known = fault.controller.is_some_and(|n| n < self.controllers.count);
                 require(known, "troubles.controller", "no such controller")?;
             }
         }
--- a/crates/loadtest/src/processes/controllers.rs
+++ b/crates/loadtest/src/processes/controllers.rs
@@ -1,8 +1,8 @@
 //! The real controller processes: their settings, their starts and ends.
 
-use crate::environment::World;
+use crate::environment::Environment;
 use crate::network::partitions::lock;
-use crate::network::peer_links::Links;
+use crate::network::peer_links::PeerLinks;
 use crate::plan::{Plan, ZoneIndex};
 use crate::processes::usage;
 use std::fmt::Write;
@@ -17,7 +17,7 @@
 
 /// How controllers are started.
 #[derive(Debug, Clone)]
-pub struct Launch {
+pub struct LaunchOptions {
     pub binary: PathBuf,
     /// Where settings and logs go.
     pub folder: PathBuf,
@@ -26,9 +26,9 @@
 
 /// Addresses of one controller.
 #[derive(Debug, Clone, Copy)]
-pub struct Addresses {
+pub struct ControllerAddresses {
     pub clients: SocketAddr,
-    pub siblings: SocketAddr,
+    pub peers: SocketAddr,
     pub state: SocketAddr,
     pub cloud: SocketAddr,
 }
@@ -41,7 +41,7 @@
 
 /// All controllers of a run.
 pub struct Controllers {
-    launch: Launch,
+    launch: LaunchOptions,
     settings: Vec<PathBuf>,
     pub zones: Vec<ZoneIndex>,
     pub clients: Vec<SocketAddr>,
@@ -49,13 +49,13 @@
 }
 
 /// The name that a controller has in the settings.
-pub fn member(n: usize) -> String {
+pub fn controller_name(n: usize) -> String {
     format!("controller-{n}")
 }
 
 /// Number of the controller with a name.
-pub fn number(member: &str) -> Option<usize> {
-    member.strip_prefix("controller-")?.parse().ok()
+pub fn controller_index(controller_name: &str) -> Option<usize> {
+    controller_name.strip_prefix("controller-")?.parse().ok()
 }
 
 /// Ports that are tried lie between this one and those that the kernel gives to outgoing connections: one of
@@ -98,28 +98,28 @@
     Err(std::io::Error::other("there are not enough free ports"))
 }
 
-fn settings(plan: &Plan, n: usize, own: Addresses, links: &Links) -> String {
+fn settings(plan: &Plan, n: usize, own: ControllerAddresses, links: &PeerLinks) -> String {
     let zones = plan.zones();
     let zone = |n: u32| zones[plan.controller_zone(n).0].0;
     let mut text = String::new();
-    let Addresses {
+    let ControllerAddresses {
         clients,
-        siblings,
+        peers,
         state,
         cloud,
     } = own;
     let _ = write!(
         text,
         "member = \"{}\"\nlocation = \"{}\"\nclient_listen = \"{clients}\"\n\
-         cluster_listen = \"{siblings}\"\n",
-        member(n),
+         cluster_listen = \"{peers}\"\n",
+        controller_name(n),
         zone(n as u32)
     );
     for other in (0..plan.controllers.count as usize).filter(|other| *other != n) {
         let _ = write!(
             text,
             "[[siblings]]\nmember = \"{}\"\nlocation = \"{}\"\npeer_addr = \"{}\"\n",
-            member(other),
+            controller_name(other),
             zone(other as u32),
             links.address(n, other)
         );
@@ -174,16 +174,16 @@
 impl Controllers {
     /// Writes the settings of all controllers and starts these.
     pub fn start(
-        world: &World,
-        launch: Launch,
-        addresses: &[Addresses],
-        links: &Links,
+        environment: &Environment,
+        launch: LaunchOptions,
+        addresses: &[ControllerAddresses],
+        links: &PeerLinks,
     ) -> std::io::Result<Arc<Controllers>> {
-        let plan = &world.plan;
+        let plan = &environment.plan;
         std::fs::create_dir_all(&launch.folder)?;
         let mut paths = Vec::new();
         for (n, own) in addresses.iter().enumerate() {
-            let path = launch.folder.join(format!("{}.toml", member(n)));
+            let path = launch.folder.join(format!("{}.toml", controller_name(n)));
             std::fs::write(&path, settings(plan, n, *own, links))?;
             paths.push(path);
         }
@@ -203,7 +203,10 @@
     }
 
     fn spawn(&self, n: usize) -> std::io::Result<Child> {
-        let log = self.launch.folder.join(format!("{}.log", member(n)));
+        let log = self
+            .launch
+            .folder
+            .join(format!("{}.log", controller_name(n)));
         let log = File::options().create(true).append(true).open(log)?;
         Command::new(&self.launch.binary)
             .arg("--config")
--- a/crates/loadtest/src/protocol.rs
+++ b/crates/loadtest/src/protocol.rs
@@ -1,6 +1,6 @@
 //! The messages of the published protocol that the stand-ins send and take, under its field names.
 
-use crate::plan::{Rank, Shape};
+use crate::plan::{JobPriority, JobShape};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::str::FromStr;
@@ -54,10 +54,11 @@
     pub class: String,
     #[serde(rename = "owner")]
     pub team: String,
-    pub shape: Shape,
-    pub rank: Rank,
+    pub shape: JobShape,
+    #[serde(rename = "rank")]
+    pub priority: JobPriority,
     #[serde(rename = "drops")]
-    pub tasks: u32,
+    pub task_count: u32,
     pub vcpus: f64,
     pub accelerators: f64,
     pub ram_gb: f64,
@@ -69,20 +70,26 @@
     pub machine_types: Option<Vec<String>>,
     #[serde(rename = "yard")]
     pub zone: Option<String>,
-    pub together: bool,
-    pub scatter: bool,
+    #[serde(rename = "together")]
+    pub zone_affinity: bool,
+    #[serde(rename = "scatter")]
+    pub topology_spread: bool,
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    pub expect_s: f64,
-    pub snapshot_s: f64,
-    pub flush_s: f64,
-    pub due_s: Option<f64>,
+    #[serde(rename = "expectS")]
+    pub expected_run_s: f64,
+    #[serde(rename = "snapshotS")]
+    pub checkpoint_interval_s: f64,
+    #[serde(rename = "flushS")]
+    pub checkpoint_write_s: f64,
+    #[serde(rename = "dueS")]
+    pub deadline_s: Option<f64>,
 }
 
 /// What a user is told of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum JobStatus {
     Pending,
     Running,
     Done,
@@ -90,23 +97,26 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct JobAnswer {
-    pub standing: Standing,
+pub struct JobStatusAnswer {
+    #[serde(rename = "standing")]
+    pub status: JobStatus,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Verb {
+pub enum CommandAction {
     Start,
-    Halt,
+    #[serde(rename = "halt")]
+    Stop,
     Forget,
     #[serde(other)]
     Unknown,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Order {
-    pub verb: Verb,
+pub struct TaskCommand {
+    #[serde(rename = "verb")]
+    pub action: CommandAction,
     #[serde(rename = "drop")]
     pub task: TaskId,
     #[serde(rename = "try")]
@@ -115,21 +125,25 @@
 
 /// The answer to a report.
 #[derive(Debug, Clone, Deserialize)]
-pub struct CheckinAnswer {
-    pub fence: Option<u64>,
-    #[serde(default)]
-    pub orders: Vec<Order>,
+pub struct HeartbeatAnswer {
+    #[serde(rename = "fence")]
+    pub fencing_token: Option<u64>,
+    #[serde(default, rename = "orders")]
+    pub commands: Vec<TaskCommand>,
     /// The controller to report to instead.
-    pub steward: Option<String>,
+    #[serde(rename = "steward")]
+    pub redirect_to: Option<String>,
 }
 
 /// Commands that a controller sends to a worker's address.
 #[derive(Debug, Clone, Deserialize)]
 pub struct DirectCommand {
-    pub fence: Option<u64>,
-    pub tenure: Option<u64>,
-    #[serde(default)]
-    pub orders: Vec<Order>,
+    #[serde(rename = "fence")]
+    pub fencing_token: Option<u64>,
+    #[serde(rename = "tenure")]
+    pub incarnation: Option<u64>,
+    #[serde(default, rename = "orders")]
+    pub commands: Vec<TaskCommand>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -141,30 +155,36 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Cause {
-    Done,
+pub enum ExitCause {
+    #[serde(rename = "done")]
+    Completed,
+    #[serde(rename = "stopped")]
     Stopped,
-    NoRoom,
-    InUse,
-    NoSuch,
+    #[serde(rename = "no_room")]
+    InsufficientResources,
+    #[serde(rename = "in_use")]
+    OtherAttemptRuns,
+    #[serde(rename = "no_such")]
+    UnknownTask,
 }
 
 #[derive(Debug, Clone, Serialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "drop")]
     pub task: TaskId,
     #[serde(rename = "try")]
     pub attempt: u64,
-    pub standing: TaskState,
+    #[serde(rename = "standing")]
+    pub state: TaskState,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
 }
 
 /// A worker's report.
 #[derive(Debug, Clone, Serialize)]
-pub struct Report {
-    pub host: String,
+pub struct WorkerHeartbeat {
+    #[serde(rename = "host")]
+    pub worker: String,
     pub address: String,
     #[serde(rename = "flavour")]
     pub machine_type: String,
@@ -172,18 +192,21 @@
     pub zone: String,
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    pub tenure: u64,
-    pub tally: u64,
-    pub fence: u64,
+    #[serde(rename = "tenure")]
+    pub incarnation: u64,
+    #[serde(rename = "tally")]
+    pub sequence: u64,
+    #[serde(rename = "fence")]
+    pub fencing_token: u64,
     #[serde(rename = "warningS")]
-    pub warning_s: Option<f64>,
+    pub eviction_warning_s: Option<f64>,
     #[serde(rename = "drops")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A machine in the cloud's list.
 #[derive(Debug, Clone, Serialize)]
-pub struct ListedMachine {
+pub struct ListedInstance {
     #[serde(rename = "nameId")]
     pub name: String,
     pub address: String,
@@ -193,21 +216,22 @@
     pub zone: String,
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    pub standing: MachineStanding,
+    #[serde(rename = "standing")]
+    pub state: InstanceState,
     #[serde(rename = "ageS")]
     pub age_s: f64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum MachineStanding {
+pub enum InstanceState {
     Starting,
     Running,
     Failed,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct RentRequest {
+pub struct ProvisionRequest {
     #[serde(rename = "hire")]
     pub name: String,
     #[serde(rename = "flavour")]
@@ -216,10 +240,12 @@
     pub zone: String,
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    pub number: u32,
+    #[serde(rename = "number")]
+    pub count: u32,
 }
 
 #[derive(Debug, Clone, Deserialize)]
 pub struct DeleteRequest {
-    pub hosts: Vec<String>,
+    #[serde(rename = "hosts")]
+    pub names: Vec<String>,
 }
--- a/crates/loadtest/src/run/mod.rs
+++ b/crates/loadtest/src/run/mod.rs
@@ -1,18 +1,22 @@
 //! One run: everything is started, troubles are played, figures are taken, and all of it is ended.
 
-use crate::environment::World;
-use crate::faults::{self, Struck};
-use crate::measurement::counters::{Kind, Traffic};
-use crate::measurement::result::{ControllerUse, Figures, Records, RunResult, Starts, WorkerBytes};
+use crate::environment::Environment;
+use crate::faults::{self, FaultInjector};
+use crate::measurement::counters::{ExchangeKind, Traffic};
+use crate::measurement::result::{
+    Figures, ProcessUsage, RecordUsage, RunResult, Starts, WorkerBytes,
+};
 use crate::network::partitions::{lock, Site};
-use crate::network::peer_links::Links;
+use crate::network::peer_links::PeerLinks;
 use crate::plan::{Plan, ZoneIndex};
-use crate::processes::controllers::{free_addresses, Addresses, Controllers, Launch};
+use crate::processes::controllers::{
+    free_addresses, ControllerAddresses, Controllers, LaunchOptions,
+};
 use crate::processes::usage::{machine_memory_mb, usage, Usage};
 use crate::stand_ins::cloud::Cloud;
-use crate::stand_ins::state_store::server::{StateService, OPERATORS};
-use crate::stand_ins::worker_fleet::Fleet;
-use crate::users::load_balancer::Balancer;
+use crate::stand_ins::state_store::server::{StateStoreServer, OPERATORS};
+use crate::stand_ins::worker_fleet::WorkerFleet;
+use crate::users::load_balancer::LoadBalancer;
 use crate::users::operator;
 use crate::users::Users;
 use std::collections::{BTreeMap, HashMap};
@@ -57,7 +61,7 @@
 /// What all that is measured stood at one moment.
 struct Snapshot {
     at: Instant,
-    traffic: BTreeMap<Kind, Traffic>,
+    traffic: BTreeMap<ExchangeKind, Traffic>,
     changes: BTreeMap<String, u64>,
     transactions: BTreeMap<String, u64>,
     bytes: HashMap<String, u64>,
@@ -65,7 +69,7 @@
 
 /// A process from second to second, across its restarts.
 #[derive(Default)]
-struct Account {
+struct UsageRecorder {
     last: Usage,
     pid: Option<u32>,
     cpu_s: f64,
@@ -74,7 +78,7 @@
     sockets: usize,
 }
 
-impl Account {
+impl UsageRecorder {
     fn sample(&mut self, pid: Option<u32>) {
         let Some(id) = pid else {
             self.pid = None;
@@ -94,8 +98,8 @@
         self.pid = pid;
     }
 
-    fn used(&self, seconds: f64) -> ControllerUse {
-        ControllerUse {
+    fn used(&self, seconds: f64) -> ProcessUsage {
+        ProcessUsage {
             cpu: self.cpu_s / seconds,
             cpu_peak: self.cpu_peak,
             resident_mb: self.last.resident_mb,
@@ -106,52 +110,52 @@
 }
 
 /// All parts of a run.
-struct Scene {
-    world: Arc<World>,
-    state: Arc<StateService>,
-    fleet: Arc<Fleet>,
+struct LoadTest {
+    environment: Arc<Environment>,
+    state: Arc<StateStoreServer>,
+    fleet: Arc<WorkerFleet>,
     controllers: Arc<Controllers>,
 }
 
-async fn set_up(plan: Plan, launch: Launch) -> std::io::Result<Scene> {
-    let world = Arc::new(World::new(plan));
-    let plan = &world.plan;
-    let state = StateService::new(world.clone());
-    let fleet = Fleet::new(world.clone()).await?;
-    let cloud = Cloud::new(world.clone(), fleet.clone());
+async fn set_up(plan: Plan, launch: LaunchOptions) -> std::io::Result<LoadTest> {
+    let environment = Arc::new(Environment::new(plan));
+    let plan = &environment.plan;
+    let state = StateStoreServer::new(environment.clone());
+    let fleet = WorkerFleet::new(environment.clone()).await?;
+    let cloud = Cloud::new(environment.clone(), fleet.clone());
     let zones: Vec<ZoneIndex> = (0..plan.controllers.count)
         .map(|n| plan.controller_zone(n))
         .collect();
     let free = free_addresses(plan.controllers.count).await?;
-    let siblings: Vec<SocketAddr> = free.iter().map(|(_, siblings)| *siblings).collect();
-    let links = Links::open(&world, &siblings, &zones).await?;
+    let peers: Vec<SocketAddr> = free.iter().map(|(_, peers)| *peers).collect();
+    let links = PeerLinks::open(&environment, &peers, &zones).await?;
     let mut addresses = Vec::new();
-    for (n, (clients, siblings)) in free.into_iter().enumerate() {
-        addresses.push(Addresses {
+    for (n, (clients, peers)) in free.into_iter().enumerate() {
+        addresses.push(ControllerAddresses {
             clients,
-            siblings,
+            peers,
             state: state.listen(n as u32, Site::Zone(zones[n])).await?,
             cloud: cloud.listen(zones[n]).await?,
         });
     }
-    let controllers = Controllers::start(&world, launch, &addresses, &links)?;
+    let controllers = Controllers::start(&environment, launch, &addresses, &links)?;
     fleet.controllers_are(controllers.clone());
     cloud.start_with(plan.workers.count);
-    let balancer = Balancer::start(&world, &controllers);
-    Users::start(world.clone(), balancer, controllers.clone());
+    let balancer = LoadBalancer::start(&environment, &controllers);
+    Users::start(environment.clone(), balancer, controllers.clone());
     if plan.configuration_changes_per_minute > 0.0 {
         let address = state.listen(OPERATORS, Site::Outside).await?;
-        tokio::spawn(operator::play(world.clone(), address));
+        tokio::spawn(operator::play(environment.clone(), address));
     }
-    faults::play(&Struck {
-        world: world.clone(),
+    faults::play(&FaultInjector {
+        environment: environment.clone(),
         fleet: fleet.clone(),
         cloud: cloud.clone(),
         state: state.clone(),
         controllers: controllers.clone(),
     });
-    Ok(Scene {
-        world,
+    Ok(LoadTest {
+        environment,
         state,
         fleet,
         controllers,
@@ -181,7 +185,7 @@
 
 /// Plays a plan to its end; all processes that it started have ended when it returns.
 pub async fn run(plan: Plan, options: &Options) -> Result<RunResult, RunError> {
-    let launch = Launch {
+    let launch = LaunchOptions {
         binary: options.binary.clone(),
         folder: options.folder.clone(),
         log_level: options.log_level.clone(),
@@ -235,23 +239,23 @@
     }
 }
 
-impl Scene {
+impl LoadTest {
     fn snapshot(&self) -> Snapshot {
         Snapshot {
             at: Instant::now(),
-            traffic: self.world.traffic.now(),
-            changes: self.world.changes.now(),
-            transactions: self.world.transactions.now(),
+            traffic: self.environment.traffic.now(),
+            changes: self.environment.record_changes.now(),
+            transactions: self.environment.transactions.now(),
             bytes: self.fleet.bytes(),
         }
     }
 
     async fn measure(&self, progress: bool) -> Result<RunResult, RunError> {
-        let plan = &self.world.plan;
+        let plan = &self.environment.plan;
         let allowed_mb = machine_memory_mb() * MEMORY_PART;
-        let mut accounts: Vec<Account> = Vec::new();
-        accounts.resize_with(self.controllers.count(), Account::default);
-        let mut own = Account::default();
+        let mut accounts: Vec<UsageRecorder> = Vec::new();
+        accounts.resize_with(self.controllers.count(), UsageRecorder::default);
+        let mut own = UsageRecorder::default();
         let mut before = None;
         let mut running = Vec::new();
         let begin = plan.warm_up_s.ceil() as u64;
@@ -259,9 +263,9 @@
         let last = end + plan.settle_s.ceil() as u64;
         let mut figures = Figures::default();
         for second in 0..=last {
-            sleep_until(self.world.instant(second * 1_000)).await;
-            let now_ms = self.world.now_ms();
-            lock(&self.world.rules).sweep(now_ms);
+            sleep_until(self.environment.instant_at(second * 1_000)).await;
+            let now_ms = self.environment.now_ms();
+            lock(&self.environment.invariants).check_cancelled_jobs(now_ms);
             for (account, pid) in accounts.iter_mut().zip(self.controllers.pids()) {
                 account.sample(pid);
             }
@@ -271,12 +275,12 @@
             if taken_mb > allowed_mb {
                 return Err(RunError::Memory(taken_mb, allowed_mb));
             }
-            let tasks = lock(&self.world.rules).running();
+            let tasks = lock(&self.environment.invariants).running_tasks();
             if progress {
                 self.print_progress(second, begin, tasks, &accounts);
             }
             if second == begin {
-                self.world.times.clear();
+                self.environment.latencies.clear();
                 for account in accounts.iter_mut().chain([&mut own]) {
                     account.cpu_s = 0.0;
                     account.cpu_peak = 0.0;
@@ -292,17 +296,17 @@
                 }
             }
         }
-        figures.times = self.world.times.now();
+        figures.times = self.environment.latencies.now();
         Ok(RunResult {
             plan: plan.clone(),
             figures,
-            breaches: lock(&self.world.rules).breaches().to_vec(),
+            violations: lock(&self.environment.invariants).violations().to_vec(),
             ended: self.controllers.ended_by_themselves(),
             finished: true,
         })
     }
 
-    fn print_progress(&self, second: u64, begin: u64, running: usize, accounts: &[Account]) {
+    fn print_progress(&self, second: u64, begin: u64, running: usize, accounts: &[UsageRecorder]) {
         let before = |counts: Vec<u64>| {
             let index = (second as usize).checked_sub(1);
             index.and_then(|n| counts.get(n).copied()).unwrap_or(0)
@@ -316,21 +320,21 @@
              controller memory {most:.0} MB  breaches {}",
             second as i64 - begin as i64,
             self.fleet
-                .hosts()
+                .workers()
                 .iter()
-                .filter(|host| host.is_powered())
+                .filter(|worker| worker.is_powered())
                 .count(),
-            before(self.world.asked.now()),
-            before(self.world.started.now()),
-            lock(&self.world.rules).breaches().len(),
+            before(self.environment.tasks_submitted.now()),
+            before(self.environment.tasks_started.now()),
+            lock(&self.environment.invariants).violations().len(),
         );
     }
 
     fn figures(
         &self,
         before: &Snapshot,
-        accounts: &[Account],
-        own: &Account,
+        accounts: &[UsageRecorder],
+        own: &UsageRecorder,
         running: &[usize],
         (begin, end): (u64, u64),
     ) -> Figures {
@@ -345,17 +349,17 @@
         let records = self.state.read(|store| store.by_kind());
         let records = records
             .into_iter()
-            .map(|(kind, (count, bytes))| (kind, Records { count, bytes }));
+            .map(|(kind, (count, bytes))| (kind, RecordUsage { count, bytes }));
         let span = begin as usize..end as usize;
-        let asked = &self.world.asked.now()[span.clone()];
-        let started = &self.world.started.now()[span];
+        let asked = &self.environment.tasks_submitted.now()[span.clone()];
+        let started = &self.environment.tasks_started.now()[span];
         Figures {
             seconds,
             workers: self
                 .fleet
-                .hosts()
+                .workers()
                 .iter()
-                .filter(|host| host.is_powered())
+                .filter(|worker| worker.is_powered())
                 .count(),
             running: running.iter().sum::<usize>() as f64 / running.len().max(1) as f64,
             running_most: running.iter().copied().max().unwrap_or(0),
@@ -373,7 +377,7 @@
             },
             times: BTreeMap::new(),
             worker_bytes: worker_bytes(&before.bytes, &now.bytes, seconds),
-            user_answers: self.world.user_answers.now(),
+            user_answers: self.environment.unexpected_answers.now(),
         }
     }
 }
--- a/crates/loadtest/src/stand_ins/cloud.rs
+++ b/crates/loadtest/src/stand_ins/cloud.rs
@@ -1,13 +1,13 @@
 //! A stand-in of the cloud: one type of machine, rentals by name, lists that lag, a limit of calls.
 
-use crate::environment::World;
-use crate::measurement::counters::Kind;
+use crate::environment::Environment;
+use crate::measurement::counters::ExchangeKind;
 use crate::network::http::{serve, Answer, Incoming};
 use crate::network::partitions::{lock, Site};
 use crate::plan::ZoneIndex;
-use crate::protocol::{DeleteRequest, ListedMachine, MachineStanding, RentRequest};
-use crate::stand_ins::token_bucket::RateLimit;
-use crate::stand_ins::worker_fleet::{Fleet, MACHINE_TYPE};
+use crate::protocol::{DeleteRequest, InstanceState, ListedInstance, ProvisionRequest};
+use crate::stand_ins::token_bucket::TokenBucket;
+use crate::stand_ins::worker_fleet::{WorkerFleet, MACHINE_TYPE};
 use hyper::Method;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -35,7 +35,7 @@
 
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
-struct Flavour<'a> {
+struct MachineType<'a> {
     name: &'a str,
     vcpus: f64,
     accelerators: f64,
@@ -50,17 +50,17 @@
 
 #[derive(Serialize)]
 struct Catalog<'a> {
-    flavours: Vec<Flavour<'a>>,
+    flavours: Vec<MachineType<'a>>,
 }
 
 #[derive(Serialize)]
 struct Page {
-    hosts: Vec<ListedMachine>,
+    hosts: Vec<ListedInstance>,
     more: bool,
 }
 
 #[derive(Serialize)]
-struct Rented {
+struct ProvisionAnswer {
     hosts: Vec<String>,
 }
 
@@ -73,7 +73,7 @@
 struct Nothing {}
 
 /// A machine and the times at which it changed, since lists describe the past.
-struct CloudMachine {
+struct Instance {
     address: SocketAddr,
     zone: ZoneIndex,
     spot: bool,
@@ -85,28 +85,28 @@
 
 #[derive(Default)]
 struct Machines {
-    all: BTreeMap<String, CloudMachine>,
+    all: BTreeMap<String, Instance>,
     rentals: HashMap<String, Vec<String>>,
 }
 
 /// The cloud and its troubles.
 pub struct Cloud {
-    world: Arc<World>,
-    fleet: Arc<Fleet>,
+    environment: Arc<Environment>,
+    fleet: Arc<WorkerFleet>,
     machines: Mutex<Machines>,
-    limit: Mutex<RateLimit>,
+    limit: Mutex<TokenBucket>,
     down: AtomicBool,
 }
 
 impl Cloud {
-    pub fn new(world: Arc<World>, fleet: Arc<Fleet>) -> Arc<Cloud> {
-        let limit = RateLimit::new(world.plan.cloud.rps, BURST_S);
+    pub fn new(environment: Arc<Environment>, fleet: Arc<WorkerFleet>) -> Arc<Cloud> {
+        let limit = TokenBucket::new(environment.plan.cloud.rps, BURST_S);
         Arc::new(Cloud {
             fleet,
             machines: Mutex::default(),
             limit: Mutex::new(limit),
             down: AtomicBool::new(false),
-            world,
+            environment,
         })
     }
 
@@ -128,11 +128,11 @@
 
     /// Machines that are up before the run begins, evenly over the zones.
     pub fn start_with(&self, count: u32) {
-        let zones = self.world.plan.zones().len();
+        let zones = self.environment.plan.zones().len();
         for n in 0..count as usize {
             let zone = ZoneIndex(n % zones);
             let (name, address) = self.fleet.reserve();
-            let machine = CloudMachine {
+            let machine = Instance {
                 address,
                 zone,
                 spot: false,
@@ -148,7 +148,7 @@
 
     /// A machine lost power by itself: some time later it is listed as failed.
     pub fn has_failed(&self, name: &str) {
-        let now_ms = self.world.now_ms() as i64;
+        let now_ms = self.environment.now_ms() as i64;
         if let Some(machine) = lock(&self.machines).all.get_mut(name) {
             machine.failed_ms.get_or_insert(now_ms + DYING_MS as i64);
         }
@@ -157,49 +157,49 @@
     /// The cloud takes a machine back.
     pub fn take(&self, name: &str) {
         self.fleet.remove(name);
-        let now_ms = self.world.now_ms() as i64;
+        let now_ms = self.environment.now_ms() as i64;
         if let Some(machine) = lock(&self.machines).all.get_mut(name) {
             machine.gone_ms.get_or_insert(now_ms);
         }
     }
 
     async fn serve(self: Arc<Self>, request: Incoming, zone: ZoneIndex) -> Answer {
-        let network = &self.world.network;
+        let network = &self.environment.network;
         network.until_reached(Site::Zone(zone), Site::Outside).await;
-        let latency = self.world.plan.cloud.latency_ms;
+        let latency = self.environment.plan.cloud.latency_ms;
         sleep(Duration::from_secs_f64(latency / 1_000.0)).await;
         let (kind, answer) = self.clone().answer(&request);
         network.until_reached(Site::Outside, Site::Zone(zone)).await;
-        let traffic = &self.world.traffic;
+        let traffic = &self.environment.traffic;
         traffic.count(kind, request.bytes, answer.bytes());
         answer
     }
 
-    fn answer(self: Arc<Self>, request: &Incoming) -> (Kind, Answer) {
+    fn answer(self: Arc<Self>, request: &Incoming) -> (ExchangeKind, Answer) {
         let kind = match (&request.method, request.path.as_str()) {
-            (&Method::GET, "/catalog") => Kind::CloudCatalog,
-            (&Method::GET, _) => Kind::CloudList,
-            (_, "/hosts/delete") => Kind::CloudDelete,
-            _ => Kind::CloudRent,
+            (&Method::GET, "/catalog") => ExchangeKind::CloudCatalog,
+            (&Method::GET, _) => ExchangeKind::CloudList,
+            (_, "/hosts/delete") => ExchangeKind::CloudDelete,
+            _ => ExchangeKind::CloudProvision,
         };
         if self.down.load(Relaxed) {
             return (kind, problem(503, "trouble"));
         }
-        if !lock(&self.limit).take(1.0, self.world.now_ms()) {
+        if !lock(&self.limit).take(1.0, self.environment.now_ms()) {
             return (kind, problem(429, "too many calls"));
         }
         let answer = match kind {
-            Kind::CloudCatalog => self.catalog(),
-            Kind::CloudList => self.list(request),
-            Kind::CloudDelete => self.delete(request),
+            ExchangeKind::CloudCatalog => self.catalog(),
+            ExchangeKind::CloudList => self.list(request),
+            ExchangeKind::CloudDelete => self.delete(request),
             _ => self.rent(request),
         };
         (kind, answer)
     }
 
     fn catalog(&self) -> Answer {
-        let (plan, zones) = (&self.world.plan, self.world.plan.zones());
-        let flavour = Flavour {
+        let (plan, zones) = (&self.environment.plan, self.environment.plan.zones());
+        let flavour = MachineType {
             name: MACHINE_TYPE,
             vcpus: plan.workers.cpus,
             accelerators: 0.0,
@@ -216,46 +216,46 @@
     }
 
     fn list(&self, request: &Incoming) -> Answer {
-        let lag_ms = self.world.plan.cloud.list_lag_s * 1_000.0;
-        let lag_ms = self.world.draw(0.0..=lag_ms.max(1.0)) as i64;
-        let seen_ms = self.world.now_ms() as i64 - lag_ms;
+        let lag_ms = self.environment.plan.cloud.list_lag_s * 1_000.0;
+        let lag_ms = self.environment.draw(0.0..=lag_ms.max(1.0)) as i64;
+        let seen_ms = self.environment.now_ms() as i64 - lag_ms;
         let since = request.word("since").to_string();
         let most = request.number("most").unwrap_or(MOST_LISTED as u64) as usize;
         let machines = lock(&self.machines);
         let from = std::ops::Bound::Excluded(since);
         let mut listed = (machines.all.range((from, std::ops::Bound::Unbounded)))
             .filter_map(|(name, machine)| self.listed(name, machine, seen_ms));
-        let hosts: Vec<ListedMachine> = listed.by_ref().take(most.min(MOST_LISTED)).collect();
+        let hosts: Vec<ListedInstance> = listed.by_ref().take(most.min(MOST_LISTED)).collect();
         let more = listed.next().is_some();
         Answer::json(200, &Page { hosts, more })
     }
 
-    fn listed(&self, name: &str, machine: &CloudMachine, seen_ms: i64) -> Option<ListedMachine> {
+    fn listed(&self, name: &str, machine: &Instance, seen_ms: i64) -> Option<ListedInstance> {
         let before = |at: Option<i64>| at.is_some_and(|at| at <= seen_ms);
         if machine.rented_ms > seen_ms || before(machine.gone_ms) {
             return None;
         }
-        let standing = match (before(machine.failed_ms), before(machine.up_ms)) {
-            (true, _) => MachineStanding::Failed,
-            (_, true) => MachineStanding::Running,
-            _ => MachineStanding::Starting,
+        let state = match (before(machine.failed_ms), before(machine.up_ms)) {
+            (true, _) => InstanceState::Failed,
+            (_, true) => InstanceState::Running,
+            _ => InstanceState::Starting,
         };
-        let zones = self.world.plan.zones();
-        Some(ListedMachine {
+        let zones = self.environment.plan.zones();
+        Some(ListedInstance {
             name: name.to_string(),
             address: machine.address.to_string(),
             machine_type: MACHINE_TYPE.to_string(),
             zone: zones[machine.zone.0].0.to_string(),
             spot: machine.spot,
-            standing,
+            state,
             age_s: (seen_ms - machine.rented_ms) as f64 / 1_000.0,
         })
     }
 
     fn rent(self: Arc<Self>, request: &Incoming) -> Answer {
-        let plan = &self.world.plan;
-        let asked = serde_json::from_slice::<RentRequest>(&request.body).ok();
-        let asked = asked.filter(|asked| (1..=MOST_RENTED).contains(&asked.number));
+        let plan = &self.environment.plan;
+        let asked = serde_json::from_slice::<ProvisionRequest>(&request.body).ok();
+        let asked = asked.filter(|asked| (1..=MOST_RENTED).contains(&asked.count));
         let zone = asked.as_ref().and_then(|asked| plan.zone(&asked.zone));
         let (Some(asked), Some(zone)) = (asked, zone) else {
             return problem(400, "malformed");
@@ -265,16 +265,14 @@
         }
         let mut machines = lock(&self.machines);
         if let Some(hosts) = machines.rentals.get(&asked.name).cloned() {
-            return Answer::json(200, &Rented { hosts });
+            return Answer::json(200, &ProvisionAnswer { hosts });
         }
         let zones = plan.zones().len();
         let room = ((plan.workers.count + plan.cloud.spare) as usize).div_ceil(zones);
         let there = machines.all.values();
         let there =
             there.filter(|m| m.zone == zone && m.gone_ms.is_none() && m.failed_ms.is_none());
-        let number = room
-            .saturating_sub(there.count())
-            .min(asked.number as usize);
+        let number = room.saturating_sub(there.count()).min(asked.count as usize);
         if number == 0 {
             return problem(503, "no capacity");
         }
@@ -282,22 +280,22 @@
             .map(|_| self.hire(&mut machines, zone, asked.spot))
             .collect();
         machines.rentals.insert(asked.name, hosts.clone());
-        Answer::json(200, &Rented { hosts })
+        Answer::json(200, &ProvisionAnswer { hosts })
     }
 
     fn hire(self: &Arc<Self>, machines: &mut Machines, zone: ZoneIndex, spot: bool) -> String {
         let (name, address) = self.fleet.reserve();
-        let machine = CloudMachine {
+        let machine = Instance {
             address,
             zone,
             spot,
-            rented_ms: self.world.now_ms() as i64,
+            rented_ms: self.environment.now_ms() as i64,
             up_ms: None,
             failed_ms: None,
             gone_ms: None,
         };
         machines.all.insert(name.clone(), machine);
-        let boot_s = self.world.plan.cloud.boot_s * self.world.draw(BOOT_SPREAD);
+        let boot_s = self.environment.plan.cloud.boot_s * self.environment.draw(BOOT_SPREAD);
         let (cloud, booting) = (self.clone(), name.clone());
         tokio::spawn(async move {
             sleep(Duration::from_secs_f64(boot_s)).await;
@@ -307,7 +305,7 @@
     }
 
     fn comes_up(&self, name: &str) {
-        let now_ms = self.world.now_ms() as i64;
+        let now_ms = self.environment.now_ms() as i64;
         let mut machines = lock(&self.machines);
         let machine = machines.all.get_mut(name);
         let Some(machine) = machine.filter(|machine| machine.gone_ms.is_none()) else {
@@ -320,10 +318,10 @@
 
     fn delete(&self, request: &Incoming) -> Answer {
         let asked = serde_json::from_slice::<DeleteRequest>(&request.body).ok();
-        let Some(asked) = asked.filter(|asked| asked.hosts.len() <= MOST_DELETED) else {
+        let Some(asked) = asked.filter(|asked| asked.names.len() <= MOST_DELETED) else {
             return problem(400, "malformed");
         };
-        for name in &asked.hosts {
+        for name in &asked.names {
             self.take(name);
         }
         Answer::json(200, &Nothing {})
--- a/crates/loadtest/src/stand_ins/hollow_worker.rs
+++ b/crates/loadtest/src/stand_ins/hollow_worker.rs
@@ -1,7 +1,10 @@
 //! One hollow worker: session, lease, token, images and tasks by the protocol, without sockets or clock.
 
-use crate::plan::Shape;
-use crate::protocol::{Cause, Order, Report, Submission, TaskId, TaskReport, TaskState, Verb};
+use crate::plan::JobShape;
+use crate::protocol::{
+    CommandAction, ExitCause, Submission, TaskCommand, TaskId, TaskState, TaskStatus,
+    WorkerHeartbeat,
+};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
@@ -28,14 +31,14 @@
 
 /// A job's description, which workers fetch by themselves, and how long its tasks run.
 #[derive(Debug, Clone)]
-pub struct Described {
+pub struct JobDescription {
     pub submission: Arc<Submission>,
     pub run_ms: u64,
 }
 
 /// Finds a job's description.
-pub trait Descriptions {
-    fn find(&self, job: &str) -> Option<Described>;
+pub trait JobLookup {
+    fn find(&self, job: &str) -> Option<JobDescription>;
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,7 +51,7 @@
         until_ms: Option<u64>,
     },
     Exited {
-        cause: Cause,
+        cause: ExitCause,
         at_ms: u64,
     },
 }
@@ -62,15 +65,15 @@
 
 /// What happened on a machine, in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
-    Started(TaskId),
-    Ended {
+pub enum WorkerEvent {
+    TaskStarted(TaskId),
+    TaskEnded {
         task: TaskId,
         completed: bool,
         at_ms: u64,
     },
     /// Its result is on record; it completed at this time.
-    Recorded {
+    ResultRecorded {
         task: TaskId,
         ended_ms: u64,
     },
@@ -78,17 +81,17 @@
 
 /// How a direct command was taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Accepted {
+pub enum CommandOutcome {
     Executed,
-    Refused,
+    Rejected,
 }
 
-pub struct Machine {
+pub struct HollowWorker {
     pub identity: Identity,
     capacity: Capacity,
-    session: u64,
-    tally: u64,
-    token: u64,
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
     /// When the last answered report was sent, or the session began.
     lease_from_ms: u64,
     tasks: BTreeMap<(TaskId, u64), Task>,
@@ -97,14 +100,14 @@
     fetches: HashMap<String, u64>,
 }
 
-impl Machine {
-    pub fn new(identity: Identity, capacity: Capacity, now_ms: u64) -> Machine {
-        Machine {
+impl HollowWorker {
+    pub fn new(identity: Identity, capacity: Capacity, now_ms: u64) -> HollowWorker {
+        HollowWorker {
             identity,
             capacity,
-            session: 1,
-            tally: 0,
-            token: 0,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
             lease_from_ms: now_ms,
             tasks: BTreeMap::new(),
             images: VecDeque::new(),
@@ -112,19 +115,19 @@
         }
     }
 
-    pub fn session(&self) -> u64 {
-        self.session
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
-    pub fn report(&mut self) -> Report {
-        self.tally += 1;
+    pub fn heartbeat(&mut self) -> WorkerHeartbeat {
+        self.sequence += 1;
         let tasks = self
             .tasks
             .iter()
-            .map(|((task, attempt), state)| TaskReport {
+            .map(|((task, attempt), state)| TaskStatus {
                 task: task.clone(),
                 attempt: *attempt,
-                standing: match state.phase {
+                state: match state.phase {
                     Phase::Fetching { .. } => TaskState::Fetching,
                     Phase::Running { .. } => TaskState::Running,
                     Phase::Exited { .. } => TaskState::Exited,
@@ -134,22 +137,22 @@
                     _ => None,
                 },
             });
-        Report {
-            host: self.identity.name.clone(),
+        WorkerHeartbeat {
+            worker: self.identity.name.clone(),
             address: self.identity.address.clone(),
             machine_type: self.identity.machine_type.clone(),
             zone: self.identity.zone.clone(),
             spot: self.identity.spot,
-            tenure: self.session,
-            tally: self.tally,
-            fence: self.token,
-            warning_s: None,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            eviction_warning_s: None,
             tasks: tasks.collect(),
         }
     }
 
     /// Brings fetches and tasks to where they are now.
-    pub fn advance(&mut self, now_ms: u64) -> Vec<Change> {
+    pub fn advance(&mut self, now_ms: u64) -> Vec<WorkerEvent> {
         let mut changes = Vec::new();
         let fetched: Vec<String> = (self.fetches.iter())
             .filter(|(_, until)| **until <= now_ms)
@@ -164,17 +167,17 @@
                 if until_ms <= now_ms {
                     let until_ms = task.run_ms.map(|run| now_ms + run);
                     task.phase = Phase::Running { until_ms };
-                    changes.push(Change::Started(id.clone()));
+                    changes.push(WorkerEvent::TaskStarted(id.clone()));
                 }
             }
             if let Phase::Running { until_ms: Some(at) } = task.phase {
                 if at <= now_ms {
-                    let cause = Cause::Done;
+                    let cause = ExitCause::Completed;
                     task.phase = Phase::Exited {
                         cause,
                         at_ms: now_ms,
                     };
-                    changes.push(Change::Ended {
+                    changes.push(WorkerEvent::TaskEnded {
                         task: id.clone(),
                         completed: true,
                         at_ms: now_ms,
@@ -196,32 +199,32 @@
     }
 
     /// Whether the lease that the last answered report gave is over.
-    pub fn lease_is_over(&self, lease_ms: u64, now_ms: u64) -> bool {
+    pub fn is_lease_expired(&self, lease_ms: u64, now_ms: u64) -> bool {
         now_ms > self.lease_from_ms + lease_ms
     }
 
     /// Kills and forgets all tasks and moves on to the next session.
-    pub fn next_session(&mut self, now_ms: u64) -> Vec<Change> {
+    pub fn begin_incarnation(&mut self, now_ms: u64) -> Vec<WorkerEvent> {
         let changes = self.stop_all(now_ms);
-        self.session += 1;
+        self.incarnation += 1;
         self.lease_from_ms = now_ms;
         changes
     }
 
     /// The machine starts anew: what it held in memory is gone, its images stay.
-    pub fn restart(&mut self, now_ms: u64) -> Vec<Change> {
-        self.next_session(now_ms)
+    pub fn restart(&mut self, now_ms: u64) -> Vec<WorkerEvent> {
+        self.begin_incarnation(now_ms)
     }
 
     /// All that ran is gone with the machine.
-    pub fn stop_all(&mut self, now_ms: u64) -> Vec<Change> {
+    pub fn stop_all(&mut self, now_ms: u64) -> Vec<WorkerEvent> {
         self.fetches.clear();
         let tasks = std::mem::take(&mut self.tasks);
         let running = tasks
             .into_iter()
             .filter(|(_, task)| matches!(task.phase, Phase::Running { .. }));
         running
-            .map(|((task, _), _)| Change::Ended {
+            .map(|((task, _), _)| WorkerEvent::TaskEnded {
                 task,
                 completed: false,
                 at_ms: now_ms,
@@ -230,74 +233,84 @@
     }
 
     /// Takes the answer to a report that was sent at `sent_ms` in `session`; a lower token drops it.
-    pub fn take_answer(
+    pub fn apply_heartbeat_answer(
         &mut self,
-        token: Option<u64>,
-        orders: &[Order],
-        session: u64,
+        fencing_token: Option<u64>,
+        commands: &[TaskCommand],
+        incarnation: u64,
         sent_ms: u64,
-        jobs: &dyn Descriptions,
+        jobs: &dyn JobLookup,
         now_ms: u64,
-    ) -> Vec<Change> {
-        let valid = token.is_some_and(|token| token >= self.token);
-        if !valid || session != self.session {
+    ) -> Vec<WorkerEvent> {
+        let valid = fencing_token.is_some_and(|fencing_token| fencing_token >= self.fencing_token);
+        if !valid || incarnation != self.incarnation {
             return Vec::new();
         }
-        self.token = token.unwrap_or(self.token);
+        self.fencing_token = fencing_token.unwrap_or(self.fencing_token);
         self.lease_from_ms = self.lease_from_ms.max(sent_ms);
-        self.execute(orders, jobs, now_ms)
+        self.execute(commands, jobs, now_ms)
     }
 
     /// Takes commands sent to the machine's address.
-    pub fn take_command(
+    pub fn apply_direct_command(
         &mut self,
-        token: u64,
-        session: u64,
-        orders: &[Order],
-        jobs: &dyn Descriptions,
+        fencing_token: u64,
+        incarnation: u64,
+        commands: &[TaskCommand],
+        jobs: &dyn JobLookup,
         now_ms: u64,
-    ) -> (Accepted, Vec<Change>) {
-        if token < self.token || session != self.session {
-            return (Accepted::Refused, Vec::new());
+    ) -> (CommandOutcome, Vec<WorkerEvent>) {
+        if fencing_token < self.fencing_token || incarnation != self.incarnation {
+            return (CommandOutcome::Rejected, Vec::new());
         }
-        self.token = token;
-        (Accepted::Executed, self.execute(orders, jobs, now_ms))
+        self.fencing_token = fencing_token;
+        (
+            CommandOutcome::Executed,
+            self.execute(commands, jobs, now_ms),
+        )
     }
 
-    fn execute(&mut self, orders: &[Order], jobs: &dyn Descriptions, now_ms: u64) -> Vec<Change> {
+    fn execute(
+        &mut self,
+        commands: &[TaskCommand],
+        jobs: &dyn JobLookup,
+        now_ms: u64,
+    ) -> Vec<WorkerEvent> {
         let mut changes = self.advance(now_ms);
-        for order in orders {
-            match order.verb {
-                Verb::Start => self.start(order, jobs, now_ms),
-                Verb::Halt => changes.extend(self.halt(order, now_ms)),
-                Verb::Forget => changes.extend(self.forget(order)),
-                Verb::Unknown => {}
+        for command in commands {
+            match command.action {
+                CommandAction::Start => self.start(command, jobs, now_ms),
+                CommandAction::Stop => changes.extend(self.halt(command, now_ms)),
+                CommandAction::Forget => changes.extend(self.forget(command)),
+                CommandAction::Unknown => {}
             }
         }
         changes.extend(self.advance(now_ms));
         changes
     }
 
-    fn start(&mut self, order: &Order, jobs: &dyn Descriptions, now_ms: u64) {
-        let key = (order.task.clone(), order.attempt);
+    fn start(&mut self, command: &TaskCommand, jobs: &dyn JobLookup, now_ms: u64) {
+        let key = (command.task.clone(), command.attempt);
         if self.tasks.contains_key(&key) {
             return;
         }
-        let described = jobs.find(&order.task.job);
-        let described = described.filter(|d| order.task.index < d.submission.tasks);
+        let described = jobs.find(&command.task.job);
+        let described = described.filter(|d| command.task.index < d.submission.task_count);
         let (phase, described) = match described {
-            None => (exited(Cause::NoSuch, now_ms), None),
-            Some(d) if self.holds_other_attempt(&order.task) => {
-                (exited(Cause::InUse, now_ms), Some(d))
+            None => (exited(ExitCause::UnknownTask, now_ms), None),
+            Some(d) if self.holds_other_attempt(&command.task) => {
+                (exited(ExitCause::OtherAttemptRuns, now_ms), Some(d))
+            }
+            Some(d) if !self.has_resources_for(&d.submission) => {
+                (exited(ExitCause::InsufficientResources, now_ms), Some(d))
             }
-            Some(d) if !self.has_room(&d.submission) => (exited(Cause::NoRoom, now_ms), Some(d)),
             Some(d) => {
                 let until_ms = self.image_ready_ms(&d.submission, now_ms);
                 (Phase::Fetching { until_ms }, Some(d))
             }
         };
         let submission = described.as_ref().map(|d| &d.submission);
-        let endless = submission.is_some_and(|s| s.shape == Shape::Daemon);
+        let endless = submission.is_some_and(|s| s.shape == JobShape::Daemon);
         let task = Task {
             phase,
             cpus: submission.map_or(0.0, |s| s.vcpus),
@@ -312,7 +325,7 @@
         same.any(|(_, state)| !matches!(state.phase, Phase::Exited { .. }))
     }
 
-    fn has_room(&self, submission: &Submission) -> bool {
+    fn has_resources_for(&self, submission: &Submission) -> bool {
         let live = || {
             let all = self.tasks.values();
             all.filter(|task| !matches!(task.phase, Phase::Exited { .. }))
@@ -342,34 +355,34 @@
         }
     }
 
-    fn halt(&mut self, order: &Order, now_ms: u64) -> Option<Change> {
-        let key = (order.task.clone(), order.attempt);
+    fn halt(&mut self, command: &TaskCommand, now_ms: u64) -> Option<WorkerEvent> {
+        let key = (command.task.clone(), command.attempt);
         let task = self.tasks.get_mut(&key)?;
         let was = task.phase;
         if !matches!(was, Phase::Exited { .. }) {
-            task.phase = exited(Cause::Stopped, now_ms);
+            task.phase = exited(ExitCause::Stopped, now_ms);
         }
-        matches!(was, Phase::Running { .. }).then(|| Change::Ended {
-            task: order.task.clone(),
+        matches!(was, Phase::Running { .. }).then(|| WorkerEvent::TaskEnded {
+            task: command.task.clone(),
             completed: false,
             at_ms: now_ms,
         })
     }
 
-    fn forget(&mut self, order: &Order) -> Option<Change> {
-        let key = (order.task.clone(), order.attempt);
+    fn forget(&mut self, command: &TaskCommand) -> Option<WorkerEvent> {
+        let key = (command.task.clone(), command.attempt);
         let phase = self.tasks.get(&key)?.phase;
         let Phase::Exited { cause, at_ms } = phase else {
             return None;
         };
         self.tasks.remove(&key);
-        (cause == Cause::Done).then(|| Change::Recorded {
-            task: order.task.clone(),
+        (cause == ExitCause::Completed).then(|| WorkerEvent::ResultRecorded {
+            task: command.task.clone(),
             ended_ms: at_ms,
         })
     }
 }
 
-fn exited(cause: Cause, at_ms: u64) -> Phase {
+fn exited(cause: ExitCause, at_ms: u64) -> Phase {
     Phase::Exited { cause, at_ms }
 }
--- a/crates/loadtest/src/stand_ins/state_store/key_value_store.rs
+++ b/crates/loadtest/src/stand_ins/state_store/key_value_store.rs
@@ -22,19 +22,20 @@
 #[derive(Debug, Deserialize)]
 pub struct Condition {
     pub k: String,
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// A put if it names `put`, else a removal.
 #[derive(Debug, Deserialize)]
-pub struct Change {
+pub struct RecordChange {
     pub put: Option<String>,
     pub v: Option<Box<RawValue>>,
     pub tenancy: Option<u64>,
     pub remove: Option<String>,
 }
 
-impl Change {
+impl RecordChange {
     pub fn key(&self) -> &str {
         let key = self.put.as_ref().or(self.remove.as_ref());
         key.map_or("", String::as_str)
@@ -46,53 +47,56 @@
     #[serde(default, rename = "if")]
     pub conditions: Vec<Condition>,
     #[serde(default)]
-    pub apply: Vec<Change>,
+    pub apply: Vec<RecordChange>,
 }
 
 #[derive(Debug, Clone, Serialize)]
 pub struct Item {
     pub k: String,
     pub v: Value,
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// One change as the watch tells it.
 #[derive(Debug, Clone, Serialize)]
-pub struct News {
+pub struct ChangeEvent {
     #[serde(skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub v: Option<Value>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub remove: Option<String>,
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 #[derive(Debug, Serialize)]
 pub struct Page {
     pub items: Vec<Item>,
     pub more: bool,
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub revision: u64,
 }
 
 /// How a transaction ended.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum TransactionOutcome {
     Committed(u64),
-    Conflict { failed: Vec<String>, epoch: u64 },
+    Conflict { failed: Vec<String>, revision: u64 },
     Malformed(&'static str),
 }
 
 /// Sizes that the state service accepts.
 #[derive(Debug, Clone, Copy)]
-pub struct Sizes {
+pub struct SizeLimits {
     pub value_bytes: usize,
     pub changes: usize,
 }
 
-struct Stored {
+struct StoredValue {
     value: Value,
-    stamp: u64,
+    mod_revision: u64,
     lease: Option<u64>,
 }
 
@@ -103,18 +107,18 @@
 }
 
 #[derive(Default)]
-pub struct Store {
-    epoch: u64,
-    items: BTreeMap<String, Stored>,
+pub struct KeyValueStore {
+    revision: u64,
+    items: BTreeMap<String, StoredValue>,
     bytes: usize,
-    changes: VecDeque<News>,
+    changes: VecDeque<ChangeEvent>,
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
 }
 
-impl Store {
-    pub fn epoch(&self) -> u64 {
-        self.epoch
+impl KeyValueStore {
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     pub fn records(&self) -> usize {
@@ -131,7 +135,7 @@
         Some(Item {
             k: key.to_string(),
             v: stored.value.clone(),
-            stamp: stored.stamp,
+            mod_revision: stored.mod_revision,
         })
     }
 
@@ -148,35 +152,40 @@
 
     /// Puts a value there as if a transaction had, long before anybody watches.
     pub fn preload(&mut self, key: String, value: Value) {
-        self.epoch += 1;
+        self.revision += 1;
         self.bytes += key.len() + value.get().len();
-        let stored = Stored {
+        let stored = StoredValue {
             value,
-            stamp: self.epoch,
+            mod_revision: self.revision,
             lease: None,
         };
         self.items.insert(key, stored);
     }
 
-    pub fn transact(&mut self, transaction: Transaction, bytes: usize, sizes: Sizes) -> Outcome {
+    pub fn transact(
+        &mut self,
+        transaction: Transaction,
+        bytes: usize,
+        sizes: SizeLimits,
+    ) -> TransactionOutcome {
         if let Some(problem) = malformed(&transaction, bytes, sizes) {
-            return Outcome::Malformed(problem);
+            return TransactionOutcome::Malformed(problem);
         }
-        let unknown = |c: &Change| c.tenancy.is_some_and(|id| !self.leases.contains_key(&id));
+        let unknown = |c: &RecordChange| c.tenancy.is_some_and(|id| !self.leases.contains_key(&id));
         if transaction.apply.iter().any(unknown) {
-            return Outcome::Malformed("no such lease");
+            return TransactionOutcome::Malformed("no such lease");
         }
-        let stamp_of = |key: &str| self.items.get(key).map_or(0, |stored| stored.stamp);
+        let revision_of = |key: &str| self.items.get(key).map_or(0, |stored| stored.mod_revision);
         let failed: Vec<String> = (transaction.conditions.iter())
-            .filter(|c| stamp_of(&c.k) != c.stamp)
+            .filter(|c| revision_of(&c.k) != c.mod_revision)
             .map(|c| c.k.clone())
             .collect();
         if !failed.is_empty() {
-            let epoch = self.epoch;
-            return Outcome::Conflict { failed, epoch };
+            let revision = self.revision;
+            return TransactionOutcome::Conflict { failed, revision };
         }
         if !transaction.apply.is_empty() {
-            self.epoch += 1;
+            self.revision += 1;
         }
         for change in transaction.apply {
             match change.put {
@@ -187,37 +196,37 @@
                 None => self.remove(&change.remove.unwrap_or_default()),
             }
         }
-        Outcome::Committed(self.epoch)
+        TransactionOutcome::Committed(self.revision)
     }
 
     fn put(&mut self, key: String, value: Value, lease: Option<u64>) {
-        let stamp = self.epoch;
+        let mod_revision = self.revision;
         self.forget(&key);
         self.bytes += key.len() + value.get().len();
         if let Some(held) = lease.and_then(|id| self.leases.get_mut(&id)) {
             held.keys.insert(key.clone());
         }
-        let stored = Stored {
+        let stored = StoredValue {
             value: value.clone(),
-            stamp,
+            mod_revision,
             lease,
         };
         self.items.insert(key.clone(), stored);
-        self.tell(News {
+        self.tell(ChangeEvent {
             put: Some(key),
             v: Some(value),
             remove: None,
-            stamp,
+            mod_revision,
         });
     }
 
     fn remove(&mut self, key: &str) {
         self.forget(key);
-        self.tell(News {
+        self.tell(ChangeEvent {
             put: None,
             v: None,
             remove: Some(key.to_string()),
-            stamp: self.epoch,
+            mod_revision: self.revision,
         });
     }
 
@@ -231,7 +240,7 @@
         }
     }
 
-    fn tell(&mut self, news: News) {
+    fn tell(&mut self, news: ChangeEvent) {
         self.changes.push_back(news);
         if self.changes.len() > CHANGES_KEPT {
             self.changes.pop_front();
@@ -254,25 +263,27 @@
             page.push(Item {
                 k: key.to_string(),
                 v: stored.value.clone(),
-                stamp: stored.stamp,
+                mod_revision: stored.mod_revision,
             });
             items.next();
         }
         Page {
             items: page,
             more: items.peek().is_some(),
-            epoch: self.epoch,
+            revision: self.revision,
         }
     }
 
     /// Changes of keys with a prefix after a revision; `None` if these are no longer kept.
-    pub fn news(&self, under: &str, since: u64) -> Option<Vec<News>> {
-        let oldest = self.changes.front().map_or(0, |news| news.stamp);
+    pub fn changes_since(&self, under: &str, since: u64) -> Option<Vec<ChangeEvent>> {
+        let oldest = self.changes.front().map_or(0, |news| news.mod_revision);
         let complete = self.changes.len() < CHANGES_KEPT || oldest <= since + 1;
         if !complete {
             return None;
         }
-        let from = self.changes.partition_point(|news| news.stamp <= since);
+        let from = self
+            .changes
+            .partition_point(|news| news.mod_revision <= since);
         let news = self.changes.range(from..).filter(|news| {
             let key = news.put.as_ref().or(news.remove.as_ref());
             key.is_some_and(|key| key.starts_with(under))
@@ -309,7 +320,7 @@
             return false;
         };
         if !held.keys.is_empty() {
-            self.epoch += 1;
+            self.revision += 1;
         }
         for key in held.keys {
             self.remove(&key);
@@ -339,9 +350,9 @@
     key.split('/').nth(1).unwrap_or(key).to_string()
 }
 
-fn malformed(transaction: &Transaction, bytes: usize, sizes: Sizes) -> Option<&'static str> {
+fn malformed(transaction: &Transaction, bytes: usize, sizes: SizeLimits) -> Option<&'static str> {
     let bad_key = |key: &str| key.is_empty() || key.len() > KEY_BYTES || key.contains(' ');
-    let large = |change: &Change| {
+    let large = |change: &RecordChange| {
         let value = change.v.as_ref();
         value.is_some_and(|v| v.get().len() > sizes.value_bytes)
     };
--- a/crates/loadtest/src/stand_ins/state_store/server.rs
+++ b/crates/loadtest/src/stand_ins/state_store/server.rs
@@ -1,11 +1,13 @@
 //! A stand-in of the state service: the store behind HTTP, with limits, latency, outages and refusals.
 
-use crate::environment::World;
-use crate::measurement::counters::{Kind, Timed};
+use crate::environment::Environment;
+use crate::measurement::counters::{ExchangeKind, LatencyKind};
 use crate::network::http::{serve, Answer, Incoming};
 use crate::network::partitions::{lock, Site};
-use crate::stand_ins::state_store::key_value_store::{kind_of, Outcome, Sizes, Store, Transaction};
-use crate::stand_ins::token_bucket::RateLimit;
+use crate::stand_ins::state_store::key_value_store::{
+    kind_of, ChangeEvent, KeyValueStore, SizeLimits, Transaction, TransactionOutcome,
+};
+use crate::stand_ins::token_bucket::TokenBucket;
 use glenmount_core::state::formats::LATEST;
 use glenmount_core::state::{JobPhase, JobRecord, Key, Record};
 use hyper::Method;
@@ -35,14 +37,16 @@
 const LEASE_LIFE_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
 
 #[derive(Serialize)]
-struct Epoch {
-    epoch: u64,
+struct RevisionAnswer {
+    #[serde(rename = "epoch")]
+    revision: u64,
 }
 
 #[derive(Serialize)]
 struct Failed<'a> {
     failed: &'a [String],
-    epoch: u64,
+    #[serde(rename = "epoch")]
+    revision: u64,
 }
 
 #[derive(Serialize)]
@@ -52,8 +56,9 @@
 
 #[derive(Serialize)]
 struct WatchAnswer {
-    epoch: u64,
-    news: Vec<crate::stand_ins::state_store::key_value_store::News>,
+    #[serde(rename = "epoch")]
+    revision: u64,
+    news: Vec<ChangeEvent>,
 }
 
 #[derive(Deserialize)]
@@ -68,15 +73,15 @@
 }
 
 struct Limits {
-    requests: RateLimit,
-    changes: RateLimit,
+    requests: TokenBucket,
+    changes: TokenBucket,
 }
 
 /// The service and the troubles that it has.
-pub struct StateService {
-    world: Arc<World>,
-    store: Mutex<Store>,
-    epoch: watch::Sender<u64>,
+pub struct StateStoreServer {
+    environment: Arc<Environment>,
+    store: Mutex<KeyValueStore>,
+    revision: watch::Sender<u64>,
     limits: Mutex<Limits>,
     latency_ms: AtomicU64,
     down: AtomicBool,
@@ -92,26 +97,26 @@
     v: u64,
 }
 
-impl StateService {
-    pub fn new(world: Arc<World>) -> Arc<StateService> {
-        let limits = &world.plan.state;
-        let mut store = Store::default();
-        for n in 0..world.plan.ended_jobs {
+impl StateStoreServer {
+    pub fn new(environment: Arc<Environment>) -> Arc<StateStoreServer> {
+        let limits = &environment.plan.state;
+        let mut store = KeyValueStore::default();
+        for n in 0..environment.plan.ended_jobs {
             let (key, value) = ended_job(n);
             store.preload(key, value);
         }
-        let service = Arc::new(StateService {
-            epoch: watch::channel(store.epoch()).0,
+        let service = Arc::new(StateStoreServer {
+            revision: watch::channel(store.revision()).0,
             store: Mutex::new(store),
             limits: Mutex::new(Limits {
-                requests: RateLimit::new(limits.rps, BURST_S),
-                changes: RateLimit::new(limits.write_rps, BURST_S),
+                requests: TokenBucket::new(limits.rps, BURST_S),
+                changes: TokenBucket::new(limits.write_rps, BURST_S),
             }),
             latency_ms: AtomicU64::new(limits.latency_ms.round() as u64),
             down: AtomicBool::new(false),
             refused: Mutex::default(),
             versions: Mutex::default(),
-            world,
+            environment,
         });
         tokio::spawn(service.clone().expire_leases());
         service
@@ -141,7 +146,7 @@
     pub fn set_down(&self, down: bool) {
         self.down.store(down, Relaxed);
         if !down {
-            lock(&self.store).renew_all(self.world.now_ms());
+            lock(&self.store).renew_all(self.environment.now_ms());
         }
     }
 
@@ -154,18 +159,18 @@
     }
 
     /// Reads the store, for what is printed at the end.
-    pub fn read<T>(&self, look: impl FnOnce(&Store) -> T) -> T {
+    pub fn read<T>(&self, look: impl FnOnce(&KeyValueStore) -> T) -> T {
         look(&lock(&self.store))
     }
 
     async fn serve(&self, request: Incoming, controller: u32, zone: Site) -> Answer {
-        let network = &self.world.network;
+        let network = &self.environment.network;
         network.until_reached(zone, Site::Outside).await;
         let kind = kind(&request);
         let request_bytes = request.bytes;
         let answer = self.answer(request, controller).await;
         network.until_reached(Site::Outside, zone).await;
-        let traffic = &self.world.traffic;
+        let traffic = &self.environment.traffic;
         if controller != OPERATORS {
             traffic.count(kind, request_bytes, answer.bytes());
         }
@@ -181,7 +186,7 @@
         if !self.serves(controller) {
             return problem(503, "unavailable");
         }
-        let now_ms = self.world.now_ms();
+        let now_ms = self.environment.now_ms();
         if !lock(&self.limits).requests.take(1.0, now_ms) {
             return problem(429, "too many requests");
         }
@@ -207,9 +212,9 @@
 
     async fn take_time(&self) {
         let usual = self.latency_ms.load(Relaxed);
-        let ms = match self.world.draw(0..SLOW_ONE_IN) {
-            0 => self.world.draw(SLOW_MS),
-            _ => self.world.draw(usual / 2..=usual * 3 / 2),
+        let ms = match self.environment.draw(0..SLOW_ONE_IN) {
+            0 => self.environment.draw(SLOW_MS),
+            _ => self.environment.draw(usual / 2..=usual * 3 / 2),
         };
         if ms > 0 {
             sleep(Duration::from_millis(ms)).await;
@@ -222,8 +227,8 @@
             Some(item) => Answer::json(200, &item),
             None => Answer::json(
                 404,
-                &Epoch {
-                    epoch: store.epoch(),
+                &RevisionAnswer {
+                    revision: store.revision(),
                 },
             ),
         }
@@ -234,47 +239,57 @@
             return problem(400, "malformed");
         };
         let changes = transaction.apply.len() as f64;
-        let now_ms = self.world.now_ms();
+        let now_ms = self.environment.now_ms();
         if !lock(&self.limits).changes.take(changes, now_ms) {
             return problem(429, "too many changes");
         }
         let shape = shape(&transaction);
         let versions = versions(&transaction);
         let kinds: Vec<String> = transaction.apply.iter().map(|c| kind_of(c.key())).collect();
-        let limits = &self.world.plan.state;
-        let sizes = Sizes {
+        let limits = &self.environment.plan.state;
+        let sizes = SizeLimits {
             value_bytes: (limits.value_kb * 1_024.0) as usize,
             changes: limits.txn_ops as usize,
         };
         let mut store = lock(&self.store);
         let outcome = store.transact(transaction, request.body.len(), sizes);
-        self.epoch.send_replace(store.epoch());
+        self.revision.send_replace(store.revision());
         drop(store);
         let (answer, ended) = match &outcome {
-            Outcome::Committed(epoch) => (Answer::json(200, &Epoch { epoch: *epoch }), ""),
-            Outcome::Conflict { failed, epoch } => {
+            TransactionOutcome::Committed(revision) => (
+                Answer::json(
+                    200,
+                    &RevisionAnswer {
+                        revision: *revision,
+                    },
+                ),
+                "",
+            ),
+            TransactionOutcome::Conflict { failed, revision } => {
                 let failed = Failed {
                     failed,
-                    epoch: *epoch,
+                    revision: *revision,
                 };
                 (Answer::json(409, &failed), " (conflict)")
             }
-            Outcome::Malformed(what) => (problem(400, what), " (refused)"),
+            TransactionOutcome::Malformed(what) => (problem(400, what), " (refused)"),
         };
-        if let Outcome::Committed(_) = outcome {
+        if let TransactionOutcome::Committed(_) = outcome {
             self.note_versions(versions);
         }
         let name = format!("{shape}{ended}");
-        self.world.transactions.add(&name, 1);
+        self.environment.transactions.add(&name, 1);
         for kind in kinds {
-            self.world.changes.add(&format!("{kind}{ended}"), 1);
+            self.environment
+                .record_changes
+                .add(&format!("{kind}{ended}"), 1);
         }
         answer
     }
 
     /// Notes when a version is committed, and how long it took until a controller follows it.
     fn note_versions(&self, changed: Vec<Versioned>) {
-        let now_ms = self.world.now_ms();
+        let now_ms = self.environment.now_ms();
         let mut versions = lock(&self.versions);
         for change in changed {
             match change {
@@ -283,7 +298,9 @@
                 }
                 Versioned::Followed(version) => {
                     if let Some(at) = versions.get(&version) {
-                        self.world.times.record(Timed::InForce, now_ms - at);
+                        self.environment
+                            .latencies
+                            .record(LatencyKind::ConfigurationInForce, now_ms - at);
                     }
                 }
             }
@@ -294,31 +311,33 @@
         let under = request.word("under");
         let since = request.number("since").unwrap_or(0);
         let hold = request.number("holdMs").unwrap_or(0).min(MOST_HOLD_MS);
-        let ends_ms = self.world.now_ms() + hold;
-        let mut epochs = self.epoch.subscribe();
+        let ends_ms = self.environment.now_ms() + hold;
+        let mut revisions = self.revision.subscribe();
         loop {
-            epochs.mark_unchanged();
+            revisions.mark_unchanged();
             let news = {
                 let store = lock(&self.store);
-                (store.epoch(), store.news(under, since))
+                (store.revision(), store.changes_since(under, since))
             };
             let serves = self.serves(controller);
-            let now_ms = self.world.now_ms();
+            let now_ms = self.environment.now_ms();
             match news {
-                (_, None) if serves => return Answer::json(410, &Epoch { epoch: news.0 }),
-                (epoch, Some(news)) if serves && (!news.is_empty() || now_ms >= ends_ms) => {
-                    return Answer::json(200, &WatchAnswer { epoch, news });
+                (_, None) if serves => {
+                    return Answer::json(410, &RevisionAnswer { revision: news.0 })
+                }
+                (revision, Some(news)) if serves && (!news.is_empty() || now_ms >= ends_ms) => {
+                    return Answer::json(200, &WatchAnswer { revision, news });
                 }
                 _ => {}
             }
             // An open watch waits through an outage.
             let left = ends_ms.saturating_sub(now_ms).clamp(20, 250);
-            let _ = timeout(Duration::from_millis(left), epochs.changed()).await;
+            let _ = timeout(Duration::from_millis(left), revisions.changed()).await;
         }
     }
 
     fn lease(&self, request: &Incoming, rest: &str) -> Answer {
-        let now_ms = self.world.now_ms();
+        let now_ms = self.environment.now_ms();
         let mut store = lock(&self.store);
         let parts: Vec<&str> = rest.split('/').filter(|part| !part.is_empty()).collect();
         let id = parts.first().and_then(|id| id.parse::<u64>().ok());
@@ -336,7 +355,7 @@
             (&Method::DELETE, Some(id), None) => store.end(id),
             _ => return problem(400, "malformed"),
         };
-        self.epoch.send_replace(store.epoch());
+        self.revision.send_replace(store.revision());
         match (held, id) {
             (true, Some(tenancy)) => Answer::json(200, &LeaseAnswer { tenancy }),
             _ => problem(404, "no such lease"),
@@ -350,8 +369,8 @@
                 continue;
             }
             let mut store = lock(&self.store);
-            if store.expire(self.world.now_ms()) {
-                self.epoch.send_replace(store.epoch());
+            if store.expire(self.environment.now_ms()) {
+                self.revision.send_replace(store.revision());
             }
         }
     }
@@ -402,13 +421,13 @@
     Answer::json(status, &Problem { error })
 }
 
-fn kind(request: &Incoming) -> Kind {
+fn kind(request: &Incoming) -> ExchangeKind {
     match request.path.as_str() {
-        "/txn" => Kind::StateTransaction,
-        "/watch" => Kind::StateWatch,
-        "/keys" => Kind::StateList,
-        path if path.starts_with("/leases") => Kind::StateLease,
-        _ => Kind::StateRead,
+        "/txn" => ExchangeKind::StateTransaction,
+        "/watch" => ExchangeKind::StateWatch,
+        "/keys" => ExchangeKind::StateList,
+        path if path.starts_with("/leases") => ExchangeKind::StateLease,
+        _ => ExchangeKind::StateRead,
     }
 }
 
--- a/crates/loadtest/src/stand_ins/token_bucket.rs
+++ b/crates/loadtest/src/stand_ins/token_bucket.rs
@@ -1,17 +1,17 @@
 //! A rate with a burst of so many seconds' worth, as the outside services enforce it.
 
 /// Tokens that come at a steady rate and are kept up to a bound.
-pub struct RateLimit {
+pub struct TokenBucket {
     per_ms: f64,
     most: f64,
     left: f64,
     at_ms: u64,
 }
 
-impl RateLimit {
-    pub fn new(per_second: f64, burst_s: f64) -> RateLimit {
+impl TokenBucket {
+    pub fn new(per_second: f64, burst_s: f64) -> TokenBucket {
         let most = per_second * burst_s;
-        RateLimit {
+        TokenBucket {
             per_ms: per_second / 1_000.0,
             most,
             left: most,
--- a/crates/loadtest/src/stand_ins/worker_fleet.rs
+++ b/crates/loadtest/src/stand_ins/worker_fleet.rs
@@ -1,15 +1,15 @@
 //! All hollow workers: each reports to a controller, takes commands at an address of its own, and keeps
 //! its lease, as the protocol asks.
 
-use crate::environment::World;
-use crate::invariants::Place;
-use crate::measurement::counters::Kind;
+use crate::environment::Environment;
+use crate::invariants::Placement;
+use crate::measurement::counters::ExchangeKind;
 use crate::network::http::{serve, Answer, Client, Incoming};
 use crate::network::partitions::{lock, Site};
 use crate::plan::ZoneIndex;
-use crate::processes::controllers::{number, Controllers};
-use crate::protocol::{CheckinAnswer, DirectCommand};
-use crate::stand_ins::hollow_worker::{Accepted, Capacity, Identity, Machine};
+use crate::processes::controllers::{controller_index, Controllers};
+use crate::protocol::{DirectCommand, HeartbeatAnswer};
+use crate::stand_ins::hollow_worker::{Capacity, CommandOutcome, HollowWorker, Identity};
 use hyper::Method;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -36,11 +36,11 @@
 const ADDRESSES_PER_ROW: u64 = 250;
 
 /// One worker's machine.
-pub struct Host {
+pub struct Worker {
     pub name: String,
     pub zone: ZoneIndex,
-    machine: Mutex<Machine>,
-    place: Place,
+    state: Mutex<HollowWorker>,
+    place: Placement,
     powered: AtomicBool,
     /// Reaches nobody, by itself.
     isolated: AtomicBool,
@@ -50,7 +50,7 @@
     bytes: AtomicU64,
 }
 
-impl Host {
+impl Worker {
     fn is_silent(&self) -> bool {
         !self.powered.load(Relaxed) || self.isolated.load(Relaxed)
     }
@@ -65,9 +65,9 @@
 }
 
 /// The workers that are up, by their addresses.
-pub struct Fleet {
-    world: Arc<World>,
-    hosts: Mutex<HashMap<Ipv4Addr, Arc<Host>>>,
+pub struct WorkerFleet {
+    environment: Arc<Environment>,
+    workers: Mutex<HashMap<Ipv4Addr, Arc<Worker>>>,
     controllers: OnceLock<Arc<Controllers>>,
     next: AtomicU64,
     port: u16,
@@ -80,13 +80,13 @@
     Ipv4Addr::new(127, block as u8, row as u8, place as u8)
 }
 
-impl Fleet {
+impl WorkerFleet {
     /// Listens for commands on all addresses of the loopback range.
-    pub async fn new(world: Arc<World>) -> std::io::Result<Arc<Fleet>> {
+    pub async fn new(environment: Arc<Environment>) -> std::io::Result<Arc<WorkerFleet>> {
         let listener = TcpListener::bind("0.0.0.0:0").await?;
-        let fleet = Arc::new(Fleet {
-            world,
-            hosts: Mutex::default(),
+        let fleet = Arc::new(WorkerFleet {
+            environment,
+            workers: Mutex::default(),
             controllers: OnceLock::new(),
             next: AtomicU64::new(1),
             port: listener.local_addr()?.port(),
@@ -104,17 +104,17 @@
         let _ = self.controllers.set(controllers);
     }
 
-    pub fn hosts(&self) -> Vec<Arc<Host>> {
-        let mut hosts: Vec<Arc<Host>> = lock(&self.hosts).values().cloned().collect();
-        hosts.sort_by(|a, b| a.name.cmp(&b.name));
-        hosts
+    pub fn workers(&self) -> Vec<Arc<Worker>> {
+        let mut workers: Vec<Arc<Worker>> = lock(&self.workers).values().cloned().collect();
+        workers.sort_by(|a, b| a.name.cmp(&b.name));
+        workers
     }
 
     /// Bytes for control of each worker so far.
     pub fn bytes(&self) -> HashMap<String, u64> {
-        let hosts = lock(&self.hosts);
-        let each = hosts.values();
-        each.map(|host| (host.name.clone(), host.bytes.load(Relaxed)))
+        let workers = lock(&self.workers);
+        let each = workers.values();
+        each.map(|worker| (worker.name.clone(), worker.bytes.load(Relaxed)))
             .collect()
     }
 
@@ -130,7 +130,7 @@
         let IpAddr::V4(ip) = at.ip() else {
             return;
         };
-        let zones = self.world.plan.zones();
+        let zones = self.environment.plan.zones();
         let identity = Identity {
             name: name.to_string(),
             address: at.to_string(),
@@ -138,23 +138,23 @@
             zone: zones[zone.0].0.to_string(),
             spot,
         };
-        let place = Place {
+        let place = Placement {
             machine: identity.name.clone(),
             machine_type: identity.machine_type.clone(),
             zone: identity.zone.clone(),
             spot,
         };
-        let workers = &self.world.plan.workers;
+        let workers = &self.environment.plan.workers;
         let capacity = Capacity {
             cpus: workers.cpus,
             ram_gb: workers.ram_gb,
             image_gb_per_s: workers.image_gb_per_s,
         };
-        let machine = Machine::new(identity, capacity, self.world.now_ms());
-        let host = Arc::new(Host {
+        let state = HollowWorker::new(identity, capacity, self.environment.now_ms());
+        let worker = Arc::new(Worker {
             name: name.to_string(),
             zone,
-            machine: Mutex::new(machine),
+            state: Mutex::new(state),
             place,
             powered: AtomicBool::new(true),
             isolated: AtomicBool::new(false),
@@ -162,99 +162,104 @@
             woken: Notify::new(),
             bytes: AtomicU64::new(0),
         });
-        lock(&self.hosts).insert(ip, host.clone());
-        tokio::spawn(self.clone().progress(host.clone()));
-        tokio::spawn(self.clone().report(host));
+        lock(&self.workers).insert(ip, worker.clone());
+        tokio::spawn(self.clone().progress(worker.clone()));
+        tokio::spawn(self.clone().heartbeat(worker));
     }
 
     /// A machine loses power; nothing answers at its address any more.
-    pub fn power_off(&self, host: &Host) {
-        let mut machine = lock(&host.machine);
-        host.powered.store(false, Relaxed);
-        let changes = machine.stop_all(self.world.now_ms());
-        self.world.happened(&host.place, changes);
-        host.woken.notify_one();
-        host.changed.notify_one();
+    pub fn power_off(&self, worker: &Worker) {
+        let mut state = lock(&worker.state);
+        worker.powered.store(false, Relaxed);
+        let changes = state.stop_all(self.environment.now_ms());
+        self.environment
+            .record_worker_events(&worker.place, changes);
+        worker.woken.notify_one();
+        worker.changed.notify_one();
     }
 
     /// A machine starts anew at once, with its next session.
-    pub fn restart(&self, host: &Host) {
-        let mut machine = lock(&host.machine);
-        let changes = machine.restart(self.world.now_ms());
-        self.world.happened(&host.place, changes);
-        host.changed.notify_one();
-        host.woken.notify_one();
+    pub fn restart(&self, worker: &Worker) {
+        let mut state = lock(&worker.state);
+        let changes = state.restart(self.environment.now_ms());
+        self.environment
+            .record_worker_events(&worker.place, changes);
+        worker.changed.notify_one();
+        worker.woken.notify_one();
     }
 
     /// A machine is gone: power off, and its address is nobody's.
     pub fn remove(&self, name: &str) {
         let found = {
-            let hosts = lock(&self.hosts);
-            hosts
+            let workers = lock(&self.workers);
+            workers
                 .iter()
-                .find(|(_, host)| host.name == name)
-                .map(|(ip, host)| (*ip, host.clone()))
+                .find(|(_, worker)| worker.name == name)
+                .map(|(ip, worker)| (*ip, worker.clone()))
         };
-        if let Some((ip, host)) = found {
-            self.power_off(&host);
-            lock(&self.hosts).remove(&ip);
+        if let Some((ip, worker)) = found {
+            self.power_off(&worker);
+            lock(&self.workers).remove(&ip);
         }
     }
 
     /// Lets time pass on a machine: images arrive, tasks end, the lease runs out.
-    async fn progress(self: Arc<Self>, host: Arc<Host>) {
-        let lease_ms = (self.world.plan.workers.lease_s * 1_000.0) as u64;
-        while host.is_powered() {
+    async fn progress(self: Arc<Self>, worker: Arc<Worker>) {
+        let lease_ms = (self.environment.plan.workers.lease_s * 1_000.0) as u64;
+        while worker.is_powered() {
             let next_ms = {
-                let mut machine = lock(&host.machine);
-                let now_ms = self.world.now_ms();
+                let mut state = lock(&worker.state);
+                let now_ms = self.environment.now_ms();
                 let mut changes = Vec::new();
-                if machine.lease_is_over(lease_ms, now_ms) {
-                    changes = machine.next_session(now_ms);
-                    host.changed.notify_one();
+                if state.is_lease_expired(lease_ms, now_ms) {
+                    changes = state.begin_incarnation(now_ms);
+                    worker.changed.notify_one();
                 }
-                changes.extend(machine.advance(now_ms));
+                changes.extend(state.advance(now_ms));
                 if !changes.is_empty() {
-                    host.changed.notify_one();
+                    worker.changed.notify_one();
                 }
-                if host.is_powered() {
-                    self.world.happened(&host.place, changes);
+                if worker.is_powered() {
+                    self.environment
+                        .record_worker_events(&worker.place, changes);
                 }
                 let lease_ms = lease_ms / 4 + now_ms;
-                machine
+                state
                     .next_change_ms()
                     .map_or(lease_ms, |at| at.min(lease_ms))
             };
-            let at = self.world.instant(next_ms + 1);
-            let _ = timeout_at(at, host.woken.notified()).await;
+            let at = self.environment.instant_at(next_ms + 1);
+            let _ = timeout_at(at, worker.woken.notified()).await;
         }
     }
 
-    async fn report(self: Arc<Self>, host: Arc<Host>) {
-        let report_ms = self.world.plan.workers.report_s * 1_000.0;
-        let first = self.world.draw(0.0..report_ms);
+    async fn heartbeat(self: Arc<Self>, worker: Arc<Worker>) {
+        let report_ms = self.environment.plan.workers.report_s * 1_000.0;
+        let first = self.environment.draw(0.0..report_ms);
         sleep(Duration::from_millis(first as u64)).await;
         let Some(controllers) = self.controllers.get().cloned() else {
             return;
         };
-        let mut controller = self.world.draw(0..controllers.count());
+        let mut controller = self.environment.draw(0..controllers.count());
         let mut client = Client::new(controllers.clients[controller]);
-        while host.is_powered() {
-            let sent_ms = self.world.now_ms();
+        while worker.is_powered() {
+            let sent_ms = self.environment.now_ms();
             match self
-                .report_once(&host, controller, &controllers, &mut client)
+                .report_once(&worker, controller, &controllers, &mut client)
                 .await
             {
                 Next::Stay => {
-                    let off = self.world.draw(1.0 - REPORT_OFF..1.0 + REPORT_OFF);
-                    let due = self.world.instant(sent_ms + (report_ms * off) as u64);
-                    let _ = timeout_at(due, host.changed.notified()).await;
-                    sleep_until(self.world.instant(sent_ms + LEAST_REPORT_MS)).await;
+                    let off = self.environment.draw(1.0 - REPORT_OFF..1.0 + REPORT_OFF);
+                    let due = self
+                        .environment
+                        .instant_at(sent_ms + (report_ms * off) as u64);
+                    let _ = timeout_at(due, worker.changed.notified()).await;
+                    sleep_until(self.environment.instant_at(sent_ms + LEAST_REPORT_MS)).await;
                 }
                 Next::At(other) => {
                     controller = other;
                     client = Client::new(controllers.clients[controller]);
-                    let wait = self.world.draw(0..LEAST_REPORT_MS);
+                    let wait = self.environment.draw(0..LEAST_REPORT_MS);
                     sleep(Duration::from_millis(wait)).await;
                 }
                 Next::Following => {
@@ -268,26 +273,26 @@
 
     async fn report_once(
         &self,
-        host: &Host,
+        worker: &Worker,
         controller: usize,
         controllers: &Controllers,
         client: &mut Client,
     ) -> Next {
         let (own, other) = (
-            Site::Zone(host.zone),
+            Site::Zone(worker.zone),
             Site::Zone(controllers.zones[controller]),
         );
-        let network = &self.world.network;
-        if host.is_silent() || !network.reaches(own, other) {
+        let network = &self.environment.network;
+        if worker.is_silent() || !network.reaches(own, other) {
             sleep(ANSWER_WITHIN).await;
             return Next::Following;
         }
-        let (report, session) = {
-            let mut machine = lock(&host.machine);
-            (machine.report(), machine.session())
+        let (heartbeat, incarnation) = {
+            let mut state = lock(&worker.state);
+            (state.heartbeat(), state.incarnation())
         };
-        let sent_ms = self.world.now_ms();
-        let body = serde_json::to_vec(&report).unwrap_or_default();
+        let sent_ms = self.environment.now_ms();
+        let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
         let reply = client
             .call(Method::POST, "/checkin", body, ANSWER_WITHIN)
             .await;
@@ -295,22 +300,22 @@
             return Next::Following;
         };
         self.count(
-            host,
-            Kind::WorkerReport,
+            worker,
+            ExchangeKind::WorkerHeartbeat,
             reply.request_bytes,
             reply.answer_bytes,
         );
-        if host.is_silent() || !network.reaches(other, own) {
+        if worker.is_silent() || !network.reaches(other, own) {
             return Next::Following;
         }
-        let answer = serde_json::from_slice::<CheckinAnswer>(&reply.body).ok();
+        let answer = serde_json::from_slice::<HeartbeatAnswer>(&reply.body).ok();
         match (reply.status, answer) {
             (200, Some(answer)) => {
-                self.take_answer(host, &answer, session, sent_ms);
+                self.apply_heartbeat_answer(worker, &answer, incarnation, sent_ms);
                 Next::Stay
             }
             (421, Some(answer)) => {
-                let named = answer.steward.as_deref().and_then(number);
+                let named = answer.redirect_to.as_deref().and_then(controller_index);
                 let named = named.filter(|n| *n != controller && *n < controllers.count());
                 named.map_or(Next::Following, Next::At)
             }
@@ -318,45 +323,59 @@
         }
     }
 
-    fn take_answer(&self, host: &Host, answer: &CheckinAnswer, session: u64, sent_ms: u64) {
-        let mut machine = lock(&host.machine);
-        if !host.is_powered() {
+    fn apply_heartbeat_answer(
+        &self,
+        worker: &Worker,
+        answer: &HeartbeatAnswer,
+        incarnation: u64,
+        sent_ms: u64,
+    ) {
+        let mut state = lock(&worker.state);
+        if !worker.is_powered() {
             return;
         }
-        let now_ms = self.world.now_ms();
-        let (token, orders) = (answer.fence, &answer.orders);
-        let jobs = &self.world.jobs;
-        let changes = machine.take_answer(token, orders, session, sent_ms, jobs, now_ms);
-        self.world.happened(&host.place, changes);
-        if !orders.is_empty() {
-            host.changed.notify_one();
-            host.woken.notify_one();
+        let now_ms = self.environment.now_ms();
+        let (fencing_token, commands) = (answer.fencing_token, &answer.commands);
+        let jobs = &self.environment.jobs;
+        let changes = state.apply_heartbeat_answer(
+            fencing_token,
+            commands,
+            incarnation,
+            sent_ms,
+            jobs,
+            now_ms,
+        );
+        self.environment
+            .record_worker_events(&worker.place, changes);
+        if !commands.is_empty() {
+            worker.changed.notify_one();
+            worker.woken.notify_one();
         }
     }
 
     async fn command(&self, request: Incoming) -> Answer {
-        let host = match request.connection.local.ip() {
-            IpAddr::V4(ip) => lock(&self.hosts).get(&ip).cloned(),
+        let worker = match request.connection.local.ip() {
+            IpAddr::V4(ip) => lock(&self.workers).get(&ip).cloned(),
             IpAddr::V6(_) => None,
         };
-        let Some(host) = host.filter(|host| !host.is_silent()) else {
+        let Some(worker) = worker.filter(|worker| !worker.is_silent()) else {
             sleep(SILENCE).await;
             return Answer::text(503, "");
         };
-        if !self.world.network.is_whole() {
-            self.hold(&request, &host).await;
+        if !self.environment.network.is_whole() {
+            self.hold(&request, &worker).await;
         }
         let kind = match request.path.as_str() {
-            "/do" => Kind::WorkerCommand,
-            _ => Kind::WorkerStatus,
+            "/do" => ExchangeKind::WorkerCommand,
+            _ => ExchangeKind::WorkerStatus,
         };
-        let answer = self.answer(&request, &host);
-        self.count(&host, kind, request.bytes, answer.bytes());
+        let answer = self.answer(&request, &worker);
+        self.count(&worker, kind, request.bytes, answer.bytes());
         answer
     }
 
     /// Holds a command up until the network between its sender and the machine is whole.
-    async fn hold(&self, request: &Incoming, host: &Host) {
+    async fn hold(&self, request: &Incoming, worker: &Worker) {
         let connection = &request.connection;
         let Some(controllers) = self.controllers.get() else {
             return;
@@ -367,39 +386,46 @@
         });
         let zone = owner.and_then(|n| controllers.zones.get(n as usize));
         if let Some(zone) = zone {
-            let network = &self.world.network;
-            let (from, to) = (Site::Zone(*zone), Site::Zone(host.zone));
+            let network = &self.environment.network;
+            let (from, to) = (Site::Zone(*zone), Site::Zone(worker.zone));
             network.until_reached(from, to).await;
         }
     }
 
-    fn answer(&self, request: &Incoming, host: &Host) -> Answer {
-        let mut machine = lock(&host.machine);
+    fn answer(&self, request: &Incoming, worker: &Worker) -> Answer {
+        let mut state = lock(&worker.state);
         if request.path != "/do" {
-            return Answer::json(200, &machine.report());
+            return Answer::json(200, &state.heartbeat());
         }
         let command = serde_json::from_slice::<DirectCommand>(&request.body).ok();
-        let named = command.as_ref().and_then(|c| Some((c.fence?, c.tenure?)));
-        let (Some(command), Some((token, session))) = (&command, named) else {
+        let named = command
+            .as_ref()
+            .and_then(|c| Some((c.fencing_token?, c.incarnation?)));
+        let (Some(command), Some((fencing_token, incarnation))) = (&command, named) else {
             return Answer::text(400, "");
         };
-        let now_ms = self.world.now_ms();
-        let jobs = &self.world.jobs;
+        let now_ms = self.environment.now_ms();
+        let jobs = &self.environment.jobs;
         let (accepted, changes) =
-            machine.take_command(token, session, &command.orders, jobs, now_ms);
-        self.world.happened(&host.place, changes);
-        host.woken.notify_one();
-        host.changed.notify_one();
+            state.apply_direct_command(fencing_token, incarnation, &command.commands, jobs, now_ms);
+        self.environment
+            .record_worker_events(&worker.place, changes);
+        worker.woken.notify_one();
+        worker.changed.notify_one();
         let status = match accepted {
-            Accepted::Executed => 200,
-            Accepted::Refused => 409,
+            CommandOutcome::Executed => 200,
+            CommandOutcome::Rejected => 409,
         };
-        Answer::json(status, &machine.report())
+        Answer::json(status, &state.heartbeat())
     }
 
-    fn count(&self, host: &Host, kind: Kind, request_bytes: u64, answer_bytes: u64) {
-        self.world.traffic.count(kind, request_bytes, answer_bytes);
-        host.bytes.fetch_add(request_bytes + answer_bytes, Relaxed);
+    fn count(&self, worker: &Worker, kind: ExchangeKind, request_bytes: u64, answer_bytes: u64) {
+        self.environment
+            .traffic
+            .count(kind, request_bytes, answer_bytes);
+        worker
+            .bytes
+            .fetch_add(request_bytes + answer_bytes, Relaxed);
     }
 }
 
--- a/crates/loadtest/src/users/job_registry.rs
+++ b/crates/loadtest/src/users/job_registry.rs
@@ -2,7 +2,7 @@
 
 use crate::network::partitions::lock;
 use crate::protocol::Submission;
-use crate::stand_ins::hollow_worker::{Described, Descriptions};
+use crate::stand_ins::hollow_worker::{JobDescription, JobLookup};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
@@ -20,7 +20,7 @@
 
 /// What a start of a task is, and since when it was waited for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StartOf {
+pub enum StartKind {
     First {
         since_ms: u64,
     },
@@ -31,12 +31,12 @@
 }
 
 impl Job {
-    pub fn started(&self, index: u32) -> StartOf {
+    pub fn started(&self, index: u32) -> StartKind {
         let mut tasks = lock(&self.tasks);
         let since_ms = self.submitted_ms;
         match tasks.insert(index, None) {
-            None => StartOf::First { since_ms },
-            Some(lost_ms) => StartOf::Again {
+            None => StartKind::First { since_ms },
+            Some(lost_ms) => StartKind::Again {
                 since_ms: lost_ms.unwrap_or(since_ms),
             },
         }
@@ -48,9 +48,9 @@
 }
 
 #[derive(Default)]
-pub struct Jobs(RwLock<HashMap<Arc<str>, Arc<Job>>>);
+pub struct JobRegistry(RwLock<HashMap<Arc<str>, Arc<Job>>>);
 
-impl Jobs {
+impl JobRegistry {
     pub fn add(&self, submission: Arc<Submission>, run_ms: u64, now_ms: u64) -> Arc<Job> {
         let job = Arc::new(Job {
             submission: submission.clone(),
@@ -82,10 +82,10 @@
     }
 }
 
-impl Descriptions for Jobs {
-    fn find(&self, id: &str) -> Option<Described> {
+impl JobLookup for JobRegistry {
+    fn find(&self, id: &str) -> Option<JobDescription> {
         let job = self.get(id)?;
-        Some(Described {
+        Some(JobDescription {
             submission: job.submission.clone(),
             run_ms: job.run_ms,
         })
--- a/crates/loadtest/src/users/load_balancer.rs
+++ b/crates/loadtest/src/users/load_balancer.rs
@@ -1,7 +1,7 @@
 //! The users' load balancer: probes controllers and picks one for each new connection.
 
-use crate::environment::World;
-use crate::measurement::counters::{Kind, Timed};
+use crate::environment::Environment;
+use crate::measurement::counters::{ExchangeKind, LatencyKind};
 use crate::network::http::Client;
 use crate::network::partitions::{lock, Site};
 use crate::processes::controllers::Controllers;
@@ -75,32 +75,35 @@
 }
 
 /// A connection's place at a controller; given back when dropped.
-pub struct Place {
+pub struct ConnectionSlot {
     target: Arc<Target>,
     /// Number of the controller.
     pub controller: usize,
 }
 
-impl Place {
+impl ConnectionSlot {
     pub fn address(&self) -> SocketAddr {
         self.target.address
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.target.open.fetch_sub(1, Relaxed);
     }
 }
 
 /// All controllers as the balancer sees them.
-pub struct Balancer {
+pub struct LoadBalancer {
     targets: Vec<Arc<Target>>,
     next: AtomicUsize,
 }
 
-impl Balancer {
-    pub fn start(world: &Arc<World>, controllers: &Arc<Controllers>) -> Arc<Balancer> {
+impl LoadBalancer {
+    pub fn start(
+        environment: &Arc<Environment>,
+        controllers: &Arc<Controllers>,
+    ) -> Arc<LoadBalancer> {
         let targets = controllers.clients.iter().map(|address| {
             Arc::new(Target {
                 address: *address,
@@ -108,19 +111,19 @@
                 open: AtomicUsize::new(0),
             })
         });
-        let balancer = Arc::new(Balancer {
+        let balancer = Arc::new(LoadBalancer {
             targets: targets.collect(),
             next: AtomicUsize::new(0),
         });
         for (n, target) in balancer.targets.iter().enumerate() {
             let site = Site::Zone(controllers.zones[n]);
-            tokio::spawn(probe(world.clone(), target.clone(), site));
+            tokio::spawn(probe(environment.clone(), target.clone(), site));
         }
         balancer
     }
 
     /// The healthy controller with the fewest connections of users, others if none is.
-    pub fn pick(&self, without: &[usize]) -> Option<Place> {
+    pub fn pick(&self, without: &[usize]) -> Option<ConnectionSlot> {
         let turn = self.next.fetch_add(1, Relaxed);
         let all = self.targets.iter().enumerate();
         let usable = all.filter(|(n, target)| !without.contains(n) && lock(&target.health).healthy);
@@ -128,33 +131,37 @@
         let order = |n: usize, target: &Target| (target.open.load(Relaxed), (n + turn) % count);
         let (controller, target) = usable.min_by_key(|(n, target)| order(*n, target))?;
         target.open.fetch_add(1, Relaxed);
-        Some(Place {
+        Some(ConnectionSlot {
             target: target.clone(),
             controller,
         })
     }
 }
 
-async fn probe(world: Arc<World>, target: Arc<Target>, site: Site) {
+async fn probe(environment: Arc<Environment>, target: Arc<Target>, site: Site) {
     let mut client = Client::new(target.address);
-    let begun_ms = world.now_ms();
+    let begun_ms = environment.now_ms();
     loop {
-        let reaches = world.network.reaches(Site::Outside, site);
+        let reaches = environment.network.reaches(Site::Outside, site);
         let reply = match reaches {
             true => client.call(Method::GET, "/ready", Vec::new(), PROBE).await,
             false => None,
         };
         if let Some(reply) = &reply {
             let (sent, came) = (reply.request_bytes, reply.answer_bytes);
-            world.traffic.count(Kind::UserReady, sent, came);
+            environment
+                .traffic
+                .count(ExchangeKind::UserReady, sent, came);
         }
         let answered = reply.is_some_and(|reply| reply.status == 200);
         let first = answered && !lock(&target.health).ever;
         if first {
-            let took = world.now_ms() - begun_ms;
-            world.times.record(Timed::ControllerReady, took);
+            let took = environment.now_ms() - begun_ms;
+            environment
+                .latencies
+                .record(LatencyKind::ControllerReady, took);
         }
-        lock(&target.health).probed(answered, world.now_ms());
+        lock(&target.health).probed(answered, environment.now_ms());
         let pause = match lock(&target.health).ever {
             true => PROBE,
             false => FIRST_PROBE,
--- a/crates/loadtest/src/users/mod.rs
+++ b/crates/loadtest/src/users/mod.rs
@@ -4,15 +4,15 @@
 pub mod load_balancer;
 pub mod operator;
 
-use crate::environment::World;
-use crate::measurement::counters::{Kind, Timed};
+use crate::environment::Environment;
+use crate::measurement::counters::{ExchangeKind, LatencyKind};
 use crate::network::http::{Client, Reply};
 use crate::network::partitions::{lock, Site};
 use crate::plan::JobClass;
 use crate::processes::controllers::{team_name, Controllers};
-use crate::protocol::{JobAnswer, Standing, Submission};
+use crate::protocol::{JobStatus, JobStatusAnswer, Submission};
 use crate::users::job_registry::Job;
-use crate::users::load_balancer::{Balancer, Place};
+use crate::users::load_balancer::{ConnectionSlot, LoadBalancer};
 use hyper::Method;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -43,27 +43,27 @@
 
 /// Makes jobs of a plan's classes and plays their users.
 pub struct Users {
-    world: Arc<World>,
-    balancer: Arc<Balancer>,
+    environment: Arc<Environment>,
+    balancer: Arc<LoadBalancer>,
     controllers: Arc<Controllers>,
     next: AtomicU64,
 }
 
 impl Users {
     pub fn start(
-        world: Arc<World>,
-        balancer: Arc<Balancer>,
+        environment: Arc<Environment>,
+        balancer: Arc<LoadBalancer>,
         controllers: Arc<Controllers>,
     ) -> Arc<Users> {
         let users = Arc::new(Users {
             balancer,
             controllers,
             next: AtomicU64::new(1),
-            world,
+            environment,
         });
-        for (n, class) in users.world.plan.jobs.iter().enumerate() {
+        for (n, class) in users.environment.plan.jobs.iter().enumerate() {
             let seed = users
-                .world
+                .environment
                 .plan
                 .seed
                 .wrapping_mul(1_000)
@@ -77,12 +77,12 @@
 
     /// Submits the jobs of one class when they are due.
     async fn arrivals(self: Arc<Self>, class: JobClass, mut random: SmallRng) {
-        let plan = &self.world.plan;
+        let plan = &self.environment.plan;
         let (warm_up_s, seconds) = (plan.warm_up_s, plan.seconds);
         let first = warm_up_s * FIRST_JOBS_PART;
         for n in 0..class.initial {
             let at_s = first * f64::from(n) / f64::from(class.initial);
-            sleep_until(self.world.instant((at_s * 1_000.0) as u64)).await;
+            sleep_until(self.environment.instant_at((at_s * 1_000.0) as u64)).await;
             self.submit(&class, &mut random);
         }
         if class.rate == 0.0 {
@@ -96,7 +96,7 @@
             if at_s > until_s {
                 return;
             }
-            sleep_until(self.world.instant((at_s * 1_000.0) as u64)).await;
+            sleep_until(self.environment.instant_at((at_s * 1_000.0) as u64)).await;
             self.submit(&class, &mut random);
         }
     }
@@ -104,12 +104,14 @@
     fn submit(self: &Arc<Self>, class: &JobClass, random: &mut SmallRng) {
         let id = format!("j-{:06}", self.next.fetch_add(1, Relaxed));
         let submission = Arc::new(self.submission(id.into(), class, random));
-        let now_ms = self.world.now_ms();
+        let now_ms = self.environment.now_ms();
         let run_ms = class.run_s * random.gen_range(0.7..1.3) * 1_000.0;
-        let (jobs, rules) = (&self.world.jobs, &self.world.rules);
+        let (jobs, invariants) = (&self.environment.jobs, &self.environment.invariants);
         let job = jobs.add(submission.clone(), run_ms as u64, now_ms);
-        lock(rules).submitted(submission.clone(), now_ms);
-        self.world.asked.add(now_ms, u64::from(submission.tasks));
+        lock(invariants).job_submitted(submission.clone(), now_ms);
+        self.environment
+            .tasks_submitted
+            .add(now_ms, u64::from(submission.task_count));
         let called_off = random.gen_bool(class.cancelled);
         let called_off = called_off.then(|| random.gen_range(CANCELLED_AFTER_MS));
         let user = User {
@@ -121,7 +123,7 @@
     }
 
     fn submission(&self, id: Arc<str>, class: &JobClass, random: &mut SmallRng) -> Submission {
-        let plan = &self.world.plan;
+        let plan = &self.environment.plan;
         let [least, most] = class.tasks;
         let span = f64::from(most) / f64::from(least);
         let tasks = f64::from(least) * span.powf(random.gen_range(0.0..=1.0));
@@ -133,8 +135,8 @@
             class: class.class.clone(),
             team: team_name(random.gen_range(0..plan.teams.count)),
             shape: class.shape,
-            rank: class.rank,
-            tasks: (tasks.round() as u32).clamp(least, most),
+            priority: class.priority,
+            task_count: (tasks.round() as u32).clamp(least, most),
             vcpus: class.cpus,
             accelerators: 0.0,
             ram_gb: class.ram_gb,
@@ -142,13 +144,13 @@
             image_gb: class.image_gb,
             machine_types: None,
             zone: bound.then_some(zone),
-            together: false,
-            scatter: class.scatter && !bound,
+            zone_affinity: false,
+            topology_spread: class.topology_spread && !bound,
             spot: class.spot,
-            expect_s: class.run_s,
-            snapshot_s: 0.0,
-            flush_s: 0.0,
-            due_s: class.due_s,
+            expected_run_s: class.run_s,
+            checkpoint_interval_s: 0.0,
+            checkpoint_write_s: 0.0,
+            deadline_s: class.deadline_s,
         }
     }
 
@@ -167,8 +169,13 @@
                 .client
                 .call(Method::GET, &path, Vec::new(), POLL_WITHIN);
             if reply.await.is_some_and(|reply| reply.status == 200) {
-                let now_ms = self.world.now_ms();
-                lock(&self.world.rules).told(&id, Standing::Pending, now_ms, now_ms);
+                let now_ms = self.environment.now_ms();
+                lock(&self.environment.invariants).job_status_answered(
+                    &id,
+                    JobStatus::Pending,
+                    now_ms,
+                    now_ms,
+                );
             }
         }
     }
@@ -177,10 +184,10 @@
     async fn connect(&self) -> Option<Connection> {
         let mut tried = Vec::new();
         for _ in 0..CONTROLLERS_TRIED {
-            let place = self.balancer.pick(&tried)?;
-            tried.push(place.controller);
-            let mut client = Client::new(place.address());
-            let taken = match self.reaches(place.controller) {
+            let slot = self.balancer.pick(&tried)?;
+            tried.push(slot.controller);
+            let mut client = Client::new(slot.address());
+            let taken = match self.reaches(slot.controller) {
                 true => client.connect(CONNECT_WITHIN).await,
                 false => {
                     sleep(CONNECT_WITHIN).await;
@@ -188,7 +195,7 @@
                 }
             };
             if taken {
-                return Some(Connection { client, place });
+                return Some(Connection { client, slot });
             }
         }
         None
@@ -196,13 +203,13 @@
 
     fn reaches(&self, controller: usize) -> bool {
         let site = Site::Zone(self.controllers.zones[controller]);
-        self.world.network.reaches(Site::Outside, site)
+        self.environment.network.reaches(Site::Outside, site)
     }
 }
 
 struct Connection {
     client: Client,
-    place: Place,
+    slot: ConnectionSlot,
 }
 
 /// One job's user.
@@ -217,19 +224,19 @@
         if !self.submit().await {
             return;
         }
-        let now_ms = self.world().now_ms();
+        let now_ms = self.environment().now_ms();
         let called_off_ms = called_off_after_ms.map(|after| now_ms + after);
         loop {
-            let next = self.world().instant(self.world().now_ms()) + POLL;
-            let called_off = called_off_ms.map(|at| self.world().instant(at));
+            let next = self.environment().instant_at(self.environment().now_ms()) + POLL;
+            let called_off = called_off_ms.map(|at| self.environment().instant_at(at));
             let next = called_off.map_or(next, |at| at.min(next));
             sleep_until(next).await;
-            let due = called_off_ms.is_some_and(|at| at <= self.world().now_ms());
-            let standing = match due {
+            let due = called_off_ms.is_some_and(|at| at <= self.environment().now_ms());
+            let status = match due {
                 true => self.cancel().await,
                 false => self.poll().await,
             };
-            if matches!(standing, Some(Standing::Done | Standing::Aborted)) || due {
+            if matches!(status, Some(JobStatus::Done | JobStatus::Aborted)) || due {
                 break;
             }
         }
@@ -240,19 +247,21 @@
         self.submit_once().await;
     }
 
-    fn world(&self) -> &World {
-        &self.users.world
+    fn environment(&self) -> &Environment {
+        &self.users.environment
     }
 
     async fn submit(&mut self) -> bool {
         let begun_ms = self.job.submitted_ms;
         loop {
             let reply = self.submit_once().await;
-            let now_ms = self.world().now_ms();
+            let now_ms = self.environment().now_ms();
             match reply.as_ref().map(|reply| reply.status) {
                 Some(200 | 201) => {
                     let took = now_ms.saturating_sub(begun_ms);
-                    self.world().times.record(Timed::Acceptance, took);
+                    self.environment()
+                        .latencies
+                        .record(LatencyKind::Acceptance, took);
                     return true;
                 }
                 Some(400 | 422) => return false,
@@ -268,77 +277,88 @@
     async fn submit_once(&mut self) -> Option<Reply> {
         let submission = self.job.submission.clone();
         let body = serde_json::to_vec(&*submission).unwrap_or_default();
-        let asked_ms = self.world().now_ms();
+        let asked_ms = self.environment().now_ms();
         let reply = self
             .call(
-                Kind::UserSubmit,
+                ExchangeKind::UserSubmit,
                 Method::POST,
                 "/v2/runs",
                 body,
                 SUBMIT_WITHIN,
             )
             .await;
-        let now_ms = self.world().now_ms();
-        let mut rules = lock(&self.world().rules);
+        let now_ms = self.environment().now_ms();
+        let mut invariants = lock(&self.environment().invariants);
         match reply.as_ref().map(|reply| reply.status) {
-            Some(200 | 201) => rules.accepted(&submission.id, now_ms),
-            Some(400 | 422) => rules.refused(&submission.id, now_ms),
+            Some(200 | 201) => invariants.job_accepted(&submission.id, now_ms),
+            Some(400 | 422) => invariants.job_rejected(&submission.id, now_ms),
             _ => {}
         }
-        let standing = reply.as_ref().and_then(standing);
-        if let Some(standing) = standing {
-            rules.told(&submission.id, standing, asked_ms, now_ms);
+        let status = reply.as_ref().and_then(status);
+        if let Some(status) = status {
+            invariants.job_status_answered(&submission.id, status, asked_ms, now_ms);
         }
-        drop(rules);
+        drop(invariants);
         reply
     }
 
-    async fn poll(&mut self) -> Option<Standing> {
+    async fn poll(&mut self) -> Option<JobStatus> {
         let id = self.job.submission.id.clone();
         let path = format!("/v2/runs/{id}");
-        let asked_ms = self.world().now_ms();
+        let asked_ms = self.environment().now_ms();
         let reply = self
-            .call(Kind::UserPoll, Method::GET, &path, Vec::new(), POLL_WITHIN)
+            .call(
+                ExchangeKind::UserPoll,
+                Method::GET,
+                &path,
+                Vec::new(),
+                POLL_WITHIN,
+            )
             .await;
-        let now_ms = self.world().now_ms();
-        let mut rules = lock(&self.world().rules);
-        let standing = reply.as_ref().and_then(standing);
-        match (reply.as_ref().map(|reply| reply.status), standing) {
-            (Some(404), _) => rules.unknown(&id, asked_ms, now_ms),
-            (_, Some(standing)) => rules.told(&id, standing, asked_ms, now_ms),
-            _ => rules.unanswered(&id, now_ms),
+        let now_ms = self.environment().now_ms();
+        let mut invariants = lock(&self.environment().invariants);
+        let status = reply.as_ref().and_then(status);
+        match (reply.as_ref().map(|reply| reply.status), status) {
+            (Some(404), _) => invariants.job_not_found(&id, asked_ms, now_ms),
+            (_, Some(status)) => invariants.job_status_answered(&id, status, asked_ms, now_ms),
+            _ => invariants.poll_unanswered(&id, now_ms),
         }
-        drop(rules);
-        if standing == Some(Standing::Done) {
+        drop(invariants);
+        if status == Some(JobStatus::Done) {
             let ended_ms = self.job.last_end_ms.load(Relaxed);
             let took = now_ms.saturating_sub(ended_ms);
-            self.world().times.record(Timed::DoneTold, took);
+            self.environment()
+                .latencies
+                .record(LatencyKind::CompletionReported, took);
         }
-        standing
+        status
     }
 
-    async fn cancel(&mut self) -> Option<Standing> {
+    async fn cancel(&mut self) -> Option<JobStatus> {
         let id = self.job.submission.id.clone();
         let path = format!("/v2/runs/{id}/withdraw");
-        let begun_ms = self.world().now_ms();
-        lock(&self.world().rules).cancel_asked(&id);
+        let begun_ms = self.environment().now_ms();
+        lock(&self.environment().invariants).cancellation_requested(&id);
         loop {
-            let asked_ms = self.world().now_ms();
+            let asked_ms = self.environment().now_ms();
             let reply = self
                 .call(
-                    Kind::UserCancel,
+                    ExchangeKind::UserCancel,
                     Method::POST,
                     &path,
                     Vec::new(),
                     SUBMIT_WITHIN,
                 )
                 .await;
-            let now_ms = self.world().now_ms();
-            if let Some(standing) = reply.as_ref().and_then(standing) {
-                lock(&self.world().rules).told(&id, standing, asked_ms, now_ms);
+            let now_ms = self.environment().now_ms();
+            if let Some(status) = reply.as_ref().and_then(status) {
+                lock(&self.environment().invariants)
+                    .job_status_answered(&id, status, asked_ms, now_ms);
                 let took = now_ms.saturating_sub(begun_ms);
-                self.world().times.record(Timed::CancellationTold, took);
-                return Some(standing);
+                self.environment()
+                    .latencies
+                    .record(LatencyKind::CancellationReported, took);
+                return Some(status);
             }
             if !self.pause(reply.as_ref(), begun_ms).await {
                 self.note("cancellation given up");
@@ -351,7 +371,7 @@
     async fn pause(&self, reply: Option<&Reply>, begun_ms: u64) -> bool {
         let wanted = reply.and_then(|reply| reply.retry_after_s).unwrap_or(0);
         let wait = wanted.clamp(RETRY_S, MOST_RETRY_S);
-        let late = self.world().now_ms() + wait * 1_000 > begun_ms + GIVE_UP_MS;
+        let late = self.environment().now_ms() + wait * 1_000 > begun_ms + GIVE_UP_MS;
         if !late {
             sleep(Duration::from_secs(wait)).await;
         }
@@ -360,7 +380,7 @@
 
     async fn call(
         &mut self,
-        kind: Kind,
+        kind: ExchangeKind,
         method: Method,
         path: &str,
         body: Vec<u8>,
@@ -371,23 +391,23 @@
             self.connection = users.connect().await;
         }
         let connection = self.connection.as_mut()?;
-        if !users.reaches(connection.place.controller) {
+        if !users.reaches(connection.slot.controller) {
             sleep(within).await;
             self.connection = None;
-            self.note(&format!("{kind:?}: no answer"));
+            self.note(&format!("{kind}: no answer"));
             return None;
         }
         let reply = connection.client.call(method, path, body, within).await;
         match &reply {
             None => {
                 self.connection = None;
-                self.note(&format!("{kind:?}: no answer"));
+                self.note(&format!("{kind}: no answer"));
             }
             Some(reply) => {
                 let (sent, came) = (reply.request_bytes, reply.answer_bytes);
-                self.world().traffic.count(kind, sent, came);
+                self.environment().traffic.count(kind, sent, came);
                 if !matches!(reply.status, 200 | 201) {
-                    self.note(&format!("{kind:?}: {}", reply.status));
+                    self.note(&format!("{kind}: {}", reply.status));
                 }
             }
         }
@@ -395,14 +415,14 @@
     }
 
     fn note(&self, what: &str) {
-        self.world().user_answers.add(what, 1);
+        self.environment().unexpected_answers.add(what, 1);
     }
 }
 
-fn standing(reply: &Reply) -> Option<Standing> {
+fn status(reply: &Reply) -> Option<JobStatus> {
     if !matches!(reply.status, 200 | 201) {
         return None;
     }
-    let answer = serde_json::from_slice::<JobAnswer>(&reply.body).ok()?;
-    Some(answer.standing)
+    let answer = serde_json::from_slice::<JobStatusAnswer>(&reply.body).ok()?;
+    Some(answer.status)
 }
--- a/crates/loadtest/src/users/operator.rs
+++ b/crates/loadtest/src/users/operator.rs
@@ -1,7 +1,7 @@
 //! An operator who changes the configuration on record while the run goes on, as `glenmountctl config` does.
 
-use crate::environment::World;
-use crate::measurement::counters::Timed;
+use crate::environment::Environment;
+use crate::measurement::counters::LatencyKind;
 use crate::network::partitions::lock;
 use crate::plan::Plan;
 use crate::processes::controllers::team_name;
@@ -33,21 +33,21 @@
 }
 
 /// Puts the plan's teams on record, then lowers and restores the limit of one team after another.
-pub async fn play(world: Arc<World>, state: SocketAddr) {
-    let plan = &world.plan;
+pub async fn play(environment: Arc<Environment>, state: SocketAddr) {
+    let plan = &environment.plan;
     let gap_ms = (SECONDS_PER_MINUTE / plan.configuration_changes_per_minute * 1_000.0) as u64;
     let limits = FileLimits {
         value_kb: plan.state.value_kb,
         max_transaction_changes: plan.state.txn_ops as usize,
     };
     let usual = settings(plan);
-    while !change(&world, state, usual.clone(), limits).await {
+    while !change(&environment, state, usual.clone(), limits).await {
         sleep(TRY_AGAIN).await;
     }
-    let mut next_ms = world.now_ms();
+    let mut next_ms = environment.now_ms();
     for n in 0_usize.. {
         next_ms += gap_ms;
-        sleep_until(world.instant(next_ms)).await;
+        sleep_until(environment.instant_at(next_ms)).await;
         let mut settings = usual.clone();
         let count = settings.teams.len();
         let Some(team) = settings.teams.get_mut(n / 2 % count) else {
@@ -57,12 +57,14 @@
             team.cpus_max *= LOWERED_PART;
         }
         let (name, limit) = (team.name.clone(), team.cpus_max);
-        let note = || lock(&world.rules).limit_changed(&name, limit, world.now_ms());
+        let note = || {
+            lock(&environment.invariants).quota_limit_changed(&name, limit, environment.now_ms())
+        };
         // Whoever sees a raised limit may use it at once, a lowered one holds from its commit on.
         if n % 2 == 1 {
             note();
         }
-        if change(&world, state, settings, limits).await && n % 2 == 0 {
+        if change(&environment, state, settings, limits).await && n % 2 == 0 {
             note();
         }
     }
@@ -70,12 +72,12 @@
 
 /// Carries one change out; whether it is on record.
 async fn change(
-    world: &Arc<World>,
+    environment: &Arc<Environment>,
     state: SocketAddr,
     settings: PolicySettings,
     limits: FileLimits,
 ) -> bool {
-    let begun_ms = world.now_ms();
+    let begun_ms = environment.now_ms();
     let done = tokio::task::spawn_blocking(move || {
         let change = Change {
             settings: &settings,
@@ -87,15 +89,17 @@
     });
     let failure = match done.await {
         Ok(Ok(_)) => {
-            let took = world.now_ms() - begun_ms;
-            world.times.record(Timed::ConfigurationChange, took);
+            let took = environment.now_ms() - begun_ms;
+            environment
+                .latencies
+                .record(LatencyKind::ConfigurationChange, took);
             return true;
         }
         Ok(Err(failure)) => failure,
         Err(error) => ConfigFailure::Failed(error.to_string()),
     };
-    world
-        .user_answers
+    environment
+        .unexpected_answers
         .add(&format!("configuration: exit {}", failure.status()), 1);
     false
 }
--- a/crates/loadtest/tests/common/mod.rs
+++ b/crates/loadtest/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A submission that several tests change a little.
 
-use glenmount_loadtest::plan::{Rank, Shape};
+use glenmount_loadtest::plan::{JobPriority, JobShape};
 use glenmount_loadtest::protocol::Submission;
 
 pub fn submission(id: &str, tasks: u32, vcpus: f64) -> Submission {
@@ -8,9 +8,9 @@
         id: id.into(),
         class: "c".into(),
         team: "t".into(),
-        shape: Shape::Array,
-        rank: Rank::Standard,
-        tasks,
+        shape: JobShape::Array,
+        priority: JobPriority::Standard,
+        task_count: tasks,
         vcpus,
         accelerators: 0.0,
         ram_gb: 1.0,
@@ -18,12 +18,12 @@
         image_gb: 1.0,
         machine_types: None,
         zone: None,
-        together: false,
-        scatter: false,
+        zone_affinity: false,
+        topology_spread: false,
         spot: false,
-        expect_s: 1.0,
-        snapshot_s: 0.0,
-        flush_s: 0.0,
-        due_s: None,
+        expected_run_s: 1.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_write_s: 0.0,
+        deadline_s: None,
     }
 }
--- a/crates/loadtest/tests/plans.rs
+++ b/crates/loadtest/tests/plans.rs
@@ -1,6 +1,6 @@
 //! Plans, results and slopes: good ones are taken, bad ones are named in one line.
 
-use glenmount_loadtest::measurement::result::Earlier;
+use glenmount_loadtest::measurement::result::EarlierResult;
 use glenmount_loadtest::measurement::scaling::fit;
 use glenmount_loadtest::plan::Plan;
 
@@ -67,7 +67,7 @@
     let path = folder.join("result.json");
     for text in ["", "{", "{\"figures\":{\"seconds\":\"long\"}}", "[]"] {
         std::fs::write(&path, text).unwrap();
-        let said = Earlier::read(&path).unwrap_err();
+        let said = EarlierResult::read(&path).unwrap_err();
         assert!(
             said.contains("result.json") && !said.contains('\n'),
             "{said}"
