--- a/crates/glenmount/tests/small_plan.rs
+++ b/crates/glenmount/tests/small_plan.rs
@@ -1,7 +1,7 @@
 //! The scale run's small plan: all troubles within some twenty seconds, real processes on loopback. No
 //! timings: only that no rule is broken, nobody ends by itself, and work is done.
 
-use glenmount_loadtest::measurement::counters::LatencyKind;
+use glenmount_loadtest::measurement::latencies::LatencyKind;
 use glenmount_loadtest::plan::Plan;
 use glenmount_loadtest::run::{run_alone, Options};
 use std::path::PathBuf;
@@ -24,12 +24,16 @@
     let options = options("small");
     let result = run_alone(plan, &options).unwrap();
     assert!(result.violations.is_empty(), "{:?}", result.violations);
-    assert!(result.ended.is_empty(), "{:?}", result.ended);
+    assert!(
+        result.exited_controllers.is_empty(),
+        "{:?}",
+        result.exited_controllers
+    );
     assert!(result.is_good());
-    let done = result.figures.times[&LatencyKind::CompletionReported].count;
-    assert!(done > 0, "{}", result.figures.table());
-    let in_force = result.figures.times[&LatencyKind::ConfigurationInForce].count;
-    assert!(in_force > 0, "{}", result.figures.table());
+    let done = result.figures.latencies[&LatencyKind::CompletionReported].count;
+    assert!(done > 0, "{}", result.figures);
+    let in_force = result.figures.latencies[&LatencyKind::ConfigurationInForce].count;
+    assert!(in_force > 0, "{}", result.figures);
     std::fs::remove_dir_all(&options.folder).unwrap();
 }
 
--- a/crates/loadtest/src/environment.rs
+++ b/crates/loadtest/src/environment.rs
@@ -1,28 +1,40 @@
-//! What all stand-ins share: clock, network, jobs, rules and counters.
+//! What all stand-ins of a run share: clock, random numbers, network, jobs, invariants and counters.
 
 use crate::invariants::{InvariantChecker, Placement};
-use crate::measurement::counters::{
-    Latencies, LatencyKind, NamedCounters, PerSecondCounter, TrafficCounters,
-};
-use crate::network::partitions::{lock, Network};
+use crate::job_registry::{JobRegistry, TaskStart};
+use crate::measurement::counters::{NamedCounters, PerSecondCounter};
+use crate::measurement::latencies::{Latencies, LatencyKind};
+use crate::measurement::traffic::TrafficCounters;
+use crate::network::partitions::Network;
 use crate::plan::Plan;
+use crate::protocol::jobs::TaskId;
 use crate::stand_ins::hollow_worker::WorkerEvent;
-use crate::users::job_registry::{JobRegistry, StartKind};
+use crate::sync::lock;
 use rand::distributions::uniform::{SampleRange, SampleUniform};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::sync::Mutex;
+use std::time::Duration;
 use tokio::time::Instant;
 
+/// Seconds that are counted beyond the planned end of a run.
+const SPARE_SECONDS: usize = 60;
+
 /// Shared by everything that one run plays.
 pub struct Environment {
+    /// What is played.
     pub plan: Plan,
-    begun: Instant,
+    started: Instant,
     random: Mutex<SmallRng>,
+    /// Partitions between zones.
     pub network: Network,
+    /// All jobs that users have submitted.
     pub jobs: JobRegistry,
+    /// Checks what workers do and what users are answered.
     pub invariants: Mutex<InvariantChecker>,
+    /// Exchanges by kind.
     pub traffic: TrafficCounters,
+    /// How long things take.
     pub latencies: Latencies,
     /// Transactions by the kinds of records that they change, and how they ended.
     pub transactions: NamedCounters,
@@ -30,19 +42,22 @@
     pub record_changes: NamedCounters,
     /// Answers to users that were neither of the expected ones.
     pub unexpected_answers: NamedCounters,
+    /// Tasks that started, by second of the run.
     pub tasks_started: PerSecondCounter,
+    /// Tasks of submitted jobs, by second of the run.
     pub tasks_submitted: PerSecondCounter,
 }
 
 impl Environment {
+    /// The environment of a run that begins now.
     pub fn new(plan: Plan) -> Environment {
-        let seconds = (plan.warm_up_s + plan.seconds + plan.settle_s).ceil() as usize + 60;
+        let seconds = (plan.warm_up_s + plan.seconds + plan.settle_s).ceil() as usize;
+        let seconds = seconds + SPARE_SECONDS;
+        let cancel_within_s = plan.workers.cancel_within_s;
+        let checker = InvariantChecker::new(cancel_within_s, plan.teams.cpu_limit);
         Environment {
-            invariants: Mutex::new(InvariantChecker::new(
-                plan.workers.cancel_s,
-                plan.teams.cpus_max,
-            )),
-            begun: Instant::now(),
+            invariants: Mutex::new(checker),
+            started: Instant::now(),
             random: Mutex::new(SmallRng::seed_from_u64(plan.seed)),
             network: Network::default(),
             jobs: JobRegistry::default(),
@@ -59,7 +74,12 @@
 
     /// Milliseconds since the run began.
     pub fn now_ms(&self) -> u64 {
-        self.begun.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
+    }
+
+    /// The moment so many milliseconds after the run began.
+    pub fn instant_at(&self, at_ms: u64) -> Instant {
+        self.started + Duration::from_millis(at_ms)
     }
 
     /// A number drawn from a range.
@@ -72,12 +92,9 @@
         draw(&mut lock(&self.random))
     }
 
-    pub fn instant_at(&self, at_ms: u64) -> Instant {
-        self.begun + std::time::Duration::from_millis(at_ms)
-    }
-
-    /// Takes note of what happened on a machine; its lock is held, so that the order is right.
-    pub fn record_worker_events(&self, place: &Placement, events: Vec<WorkerEvent>) {
+    /// Takes note of what happened on a worker; the caller holds the worker's lock, so that events of one
+    /// worker come in order.
+    pub fn record_worker_events(&self, placement: &Placement, events: Vec<WorkerEvent>) {
         if events.is_empty() {
             return;
         }
@@ -86,41 +103,37 @@
         for event in events {
             match event {
                 WorkerEvent::TaskStarted(task) => {
-                    invariants.task_started(&task, place, now_ms);
-                    self.tasks_started.add(now_ms, 1);
-                    if let Some(job) = self.jobs.get(&task.job) {
-                        let urgent = job.submission.priority.is_urgent();
-                        let (what, since_ms) = match (job.started(task.index), urgent) {
-                            (StartKind::First { since_ms }, true) => {
-                                (LatencyKind::UrgentStart, since_ms)
-                            }
-                            (StartKind::First { since_ms }, _) => {
-                                (LatencyKind::StandardStart, since_ms)
-                            }
-                            (StartKind::Again { since_ms }, true) => {
-                                (LatencyKind::UrgentRestart, since_ms)
-                            }
-                            (StartKind::Again { since_ms }, _) => {
-                                (LatencyKind::StandardRestart, since_ms)
-                            }
-                        };
-                        self.latencies.record(what, now_ms.saturating_sub(since_ms));
-                    }
+                    invariants.task_started(&task, placement, now_ms);
+                    self.record_start(&task, now_ms);
                 }
                 WorkerEvent::TaskEnded {
                     task,
                     completed,
                     at_ms,
                 } => {
-                    invariants.task_ended(&task, &place.machine, completed);
-                    let (job, index) = (&task.job, task.index);
-                    self.jobs.task_ended(job, index, completed, at_ms);
+                    invariants.task_ended(&task, &placement.worker, completed);
+                    self.jobs.task_ended(&task, completed, at_ms);
                 }
                 WorkerEvent::ResultRecorded { ended_ms, .. } => {
-                    let took = now_ms.saturating_sub(ended_ms);
-                    self.latencies.record(LatencyKind::ResultRecorded, took);
+                    let took_ms = now_ms.saturating_sub(ended_ms);
+                    self.latencies.record(LatencyKind::ResultRecorded, took_ms);
                 }
             }
         }
     }
+
+    fn record_start(&self, task: &TaskId, now_ms: u64) {
+        self.tasks_started.add(now_ms, 1);
+        let Some(job) = self.jobs.get(&task.job) else {
+            return;
+        };
+        let is_urgent = job.submission.priority.is_urgent();
+        let (kind, since_ms) = match (job.task_started(task.index), is_urgent) {
+            (TaskStart::First { since_ms }, true) => (LatencyKind::UrgentStart, since_ms),
+            (TaskStart::First { since_ms }, false) => (LatencyKind::StandardStart, since_ms),
+            (TaskStart::Restart { since_ms }, true) => (LatencyKind::UrgentRestart, since_ms),
+            (TaskStart::Restart { since_ms }, false) => (LatencyKind::StandardRestart, since_ms),
+        };
+        self.latencies.record(kind, now_ms.saturating_sub(since_ms));
+    }
 }
--- a/crates/loadtest/src/faults.rs
+++ b/crates/loadtest/src/faults.rs
@@ -1,4 +1,4 @@
-//! A plan's troubles, each played at its time.
+//! Fault injection: each of a plan's faults at its time.
 
 use crate::environment::Environment;
 use crate::network::partitions::Partition;
@@ -8,115 +8,142 @@
 use crate::stand_ins::state_store::server::StateStoreServer;
 use crate::stand_ins::worker_fleet::{Worker, WorkerFleet};
 use rand::seq::SliceRandom;
-use std::collections::BTreeSet;
 use std::sync::Arc;
 use tokio::time::{sleep, sleep_until, Duration};
 
-/// Everything that troubles strike.
+/// Everything that faults strike.
 #[derive(Clone)]
 pub struct FaultInjector {
+    /// Shared by all of a run.
     pub environment: Arc<Environment>,
+    /// The workers.
     pub fleet: Arc<WorkerFleet>,
+    /// The cloud.
     pub cloud: Arc<Cloud>,
-    pub state: Arc<StateStoreServer>,
+    /// The state store.
+    pub state_store: Arc<StateStoreServer>,
+    /// The controllers.
     pub controllers: Arc<Controllers>,
 }
 
-/// Plays all troubles of the plan at their times.
-pub fn play(injector: &FaultInjector) {
-    let warm_up_s = injector.environment.plan.warm_up_s;
-    for fault in injector.environment.plan.faults.clone() {
-        let injector = injector.clone();
-        let at_ms = ((warm_up_s + fault.at_s) * 1_000.0) as u64;
-        tokio::spawn(async move {
-            sleep_until(injector.environment.instant_at(at_ms)).await;
-            injector.inject(fault).await;
-        });
+impl FaultInjector {
+    /// Injects all faults of the plan at their times, until the run's runtime is shut down.
+    pub fn start(&self) {
+        let plan = &self.environment.plan;
+        for fault in plan.faults.clone() {
+            let injector = self.clone();
+            let at_ms = ((plan.warm_up_s + fault.at_s) * 1_000.0) as u64;
+            tokio::spawn(async move {
+                sleep_until(injector.environment.instant_at(at_ms)).await;
+                injector.inject(fault).await;
+            });
+        }
     }
-}
 
-impl FaultInjector {
     async fn inject(self, fault: Fault) {
-        let lasts = Duration::from_secs_f64(fault.duration_s);
-        let plan = &self.environment.plan;
-        let location = fault.location.as_deref().unwrap_or("");
-        let zone = plan.zone(location);
-        let controller = fault.controller.unwrap_or(0);
+        let duration = Duration::from_secs_f64(fault.duration_s);
         match fault.kind {
             FaultKind::WorkerFailures
             | FaultKind::WorkerRestarts
-            | FaultKind::WorkerReplacements => self.one_after_another(&fault).await,
-            FaultKind::RackFailure => {
-                for worker in self.some_of(zone, fault.count) {
-                    self.fail(&worker);
-                }
-            }
-            FaultKind::RackPartition => {
-                let rack = self.some_of(zone, fault.count);
-                rack.iter().for_each(|worker| worker.set_isolated(true));
-                sleep(lasts).await;
-                rack.iter().for_each(|worker| worker.set_isolated(false));
-            }
-            FaultKind::ZonePartition => {
-                self.partition_network(zone.into_iter().collect(), false, lasts)
-                    .await
-            }
-            FaultKind::ZoneFailure => self.fail_zone(zone, lasts).await,
-            FaultKind::RegionPartition => {
-                let zones: BTreeSet<ZoneIndex> = plan.zones_of(location).into_iter().collect();
-                let outside = plan.regions.first().is_some_and(|r| r.name == location);
-                self.partition_network(zones, outside, lasts).await;
+            | FaultKind::WorkerReplacements => self.strike_one_after_another(&fault).await,
+            FaultKind::RackFailure => self.fail_rack(&fault),
+            FaultKind::RackPartition => self.isolate_rack(&fault, duration).await,
+            FaultKind::ZonePartition | FaultKind::RegionPartition => {
+                self.partition(self.partition_of(&fault), duration).await;
             }
+            FaultKind::ZoneFailure => self.fail_zone(self.zone_of(&fault), duration).await,
             FaultKind::ControllerCrash => {
-                self.controllers.kill(controller as usize);
-                sleep(lasts).await;
-                self.restart(controller as usize);
+                let controller = controller_of(&fault) as usize;
+                self.controllers.kill(controller);
+                sleep(duration).await;
+                self.restart_controller(controller);
             }
             FaultKind::StateStoreLatency => {
-                self.state.set_latency(fault.latency_ms);
-                sleep(lasts).await;
-                self.state.set_latency(plan.state.latency_ms);
+                let usual_ms = self.environment.plan.state.latency_ms;
+                self.state_store.set_latency(fault.latency_ms);
+                sleep(duration).await;
+                self.state_store.set_latency(usual_ms);
             }
             FaultKind::StateStoreOutage => {
-                self.state.set_down(true);
-                sleep(lasts).await;
-                self.state.set_down(false);
+                self.state_store.set_down(true);
+                sleep(duration).await;
+                self.state_store.set_down(false);
             }
             FaultKind::StateStoreRejection => {
-                self.state.set_refused(controller, true);
-                sleep(lasts).await;
-                self.state.set_refused(controller, false);
+                let controller = controller_of(&fault);
+                self.state_store.set_rejected(controller, true);
+                sleep(duration).await;
+                self.state_store.set_rejected(controller, false);
             }
             FaultKind::CloudOutage => {
                 self.cloud.set_down(true);
-                sleep(lasts).await;
+                sleep(duration).await;
                 self.cloud.set_down(false);
             }
         }
     }
 
-    async fn one_after_another(&self, fault: &Fault) {
+    fn zone_of(&self, fault: &Fault) -> Option<ZoneIndex> {
+        let location = fault.location.as_deref()?;
+        self.environment.plan.zone(location)
+    }
+
+    /// The sites that a fault cuts off from all others.
+    fn partition_of(&self, fault: &Fault) -> Partition {
+        let plan = &self.environment.plan;
+        let location = fault.location.as_deref().unwrap_or("");
+        if fault.kind == FaultKind::ZonePartition {
+            return Partition {
+                zones: plan.zone(location).into_iter().collect(),
+                includes_outside: false,
+            };
+        }
+        let first_region = plan.regions.first();
+        Partition {
+            zones: plan.zones_of(location).into_iter().collect(),
+            includes_outside: first_region.is_some_and(|region| region.name == location),
+        }
+    }
+
+    async fn strike_one_after_another(&self, fault: &Fault) {
         let gap = Duration::from_secs_f64(fault.duration_s / f64::from(fault.count));
         for _ in 0..fault.count {
-            let Some(worker) = self.some_of(None, 1).pop() else {
+            let Some(worker) = self.random_workers(None, 1).pop() else {
                 return;
             };
             match fault.kind {
                 FaultKind::WorkerRestarts => self.fleet.restart(&worker),
-                FaultKind::WorkerReplacements => self.cloud.take(&worker.name),
-                _ => self.fail(&worker),
+                FaultKind::WorkerReplacements => self.cloud.delete(&worker.name),
+                _ => self.fail_worker(&worker),
             }
             sleep(gap).await;
         }
     }
 
-    fn fail(&self, worker: &Worker) {
+    fn fail_rack(&self, fault: &Fault) {
+        for worker in self.random_workers(self.zone_of(fault), fault.count) {
+            self.fail_worker(&worker);
+        }
+    }
+
+    async fn isolate_rack(&self, fault: &Fault, duration: Duration) {
+        let rack = self.random_workers(self.zone_of(fault), fault.count);
+        for worker in &rack {
+            worker.set_isolated(true);
+        }
+        sleep(duration).await;
+        for worker in &rack {
+            worker.set_isolated(false);
+        }
+    }
+
+    fn fail_worker(&self, worker: &Worker) {
         self.fleet.power_off(worker);
-        self.cloud.has_failed(&worker.name);
+        self.cloud.mark_failed(&worker.name);
     }
 
-    /// Machines that are up, drawn at random, of one zone or of all.
-    fn some_of(&self, zone: Option<ZoneIndex>, count: u32) -> Vec<Arc<Worker>> {
+    /// Workers that are up, drawn at random, of one zone or of all.
+    fn random_workers(&self, zone: Option<ZoneIndex>, count: u32) -> Vec<Arc<Worker>> {
         let mut workers = self.fleet.workers();
         workers.retain(|worker| worker.is_powered() && zone.is_none_or(|zone| worker.zone == zone));
         self.environment
@@ -125,30 +152,38 @@
         workers
     }
 
-    async fn partition_network(&self, zones: BTreeSet<ZoneIndex>, outside: bool, lasts: Duration) {
+    async fn partition(&self, partition: Partition, duration: Duration) {
         let network = &self.environment.network;
-        let partition_network = network.begin(Partition { zones, outside });
-        sleep(lasts).await;
-        network.end(partition_network);
+        let id = network.begin(partition);
+        sleep(duration).await;
+        network.heal(id);
     }
 
-    async fn fail_zone(&self, zone: Option<ZoneIndex>, lasts: Duration) {
-        let inside = self.controllers.zones.iter().enumerate();
-        let inside: Vec<usize> = inside
+    async fn fail_zone(&self, zone: Option<ZoneIndex>, duration: Duration) {
+        let zones = self.controllers.zones.iter().enumerate();
+        let controllers: Vec<usize> = zones
             .filter(|(_, of)| Some(**of) == zone)
-            .map(|(n, _)| n)
+            .map(|(controller, _)| controller)
             .collect();
-        inside.iter().for_each(|n| self.controllers.kill(*n));
-        for worker in self.some_of(zone, u32::MAX) {
-            self.fail(&worker);
+        for controller in &controllers {
+            self.controllers.kill(*controller);
+        }
+        for worker in self.random_workers(zone, u32::MAX) {
+            self.fail_worker(&worker);
+        }
+        sleep(duration).await;
+        for controller in controllers {
+            self.restart_controller(controller);
         }
-        sleep(lasts).await;
-        inside.into_iter().for_each(|n| self.restart(n));
     }
 
-    fn restart(&self, controller: usize) {
+    fn restart_controller(&self, controller: usize) {
         if let Err(error) = self.controllers.restart(controller) {
             eprintln!("controller {controller} did not start again: {error}");
         }
     }
 }
+
+fn controller_of(fault: &Fault) -> u32 {
+    fault.controller.unwrap_or(0)
+}
--- /dev/null
+++ b/crates/loadtest/src/invariants/mod.rs
@@ -0,0 +1,245 @@
+//! The protocol's invariants, checked from the outside by what workers do and what users are answered.
+
+mod job;
+mod quota;
+mod violation;
+
+pub use violation::{Invariant, Violation};
+
+use crate::protocol::jobs::{JobStatus, Submission, TaskId};
+use job::{FinalAnswer, TaskLocation, TrackedJob};
+use quota::{millicpus, TeamQuotas};
+use std::collections::{BTreeSet, HashMap};
+use std::sync::Arc;
+
+/// A job whose polls all fail for so long, while others get answers, counts as lost.
+const SILENT_MS: u64 = 90_000;
+/// Share of all polls that must have got answers meanwhile.
+const LEAST_ANSWERED_SHARE: f64 = 0.5;
+/// Violations kept; one is enough to fail a run.
+const MAX_VIOLATIONS: usize = 1_000;
+
+/// The worker that a task starts on.
+#[derive(Debug, Clone)]
+pub struct Placement {
+    /// Name of the worker.
+    pub worker: String,
+    /// Its machine type.
+    pub machine_type: String,
+    /// Its zone.
+    pub zone: String,
+    /// Whether it is a spot instance.
+    pub spot: bool,
+}
+
+/// What is known of all jobs and tasks, and the violations seen so far. All moments are milliseconds of
+/// the run.
+pub struct InvariantChecker {
+    cancel_within_ms: u64,
+    quotas: TeamQuotas,
+    jobs: HashMap<Arc<str>, TrackedJob>,
+    /// Cancelled jobs that had tasks left when last looked at.
+    cancelled: BTreeSet<Arc<str>>,
+    polls: u64,
+    polls_answered: u64,
+    violations: Vec<Violation>,
+}
+
+impl InvariantChecker {
+    /// A checker that knows no job yet. `cancel_within_s` is the time in which tasks of a cancelled job must
+    /// be gone, `cpu_limit` that of each team, 0 for none.
+    pub fn new(cancel_within_s: f64, cpu_limit: f64) -> InvariantChecker {
+        InvariantChecker {
+            cancel_within_ms: (cancel_within_s * 1_000.0) as u64,
+            quotas: TeamQuotas::new(cpu_limit),
+            jobs: HashMap::new(),
+            cancelled: BTreeSet::new(),
+            polls: 0,
+            polls_answered: 0,
+            violations: Vec::new(),
+        }
+    }
+
+    /// The violations seen so far.
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
+    }
+
+    /// Tasks that are on workers now.
+    pub fn running_tasks(&self) -> usize {
+        self.jobs.values().map(|job| job.running.len()).sum()
+    }
+
+    /// A user is about to submit a job.
+    pub fn job_submitted(&mut self, submission: Arc<Submission>, now_ms: u64) {
+        let job = TrackedJob::new(submission.clone(), now_ms);
+        self.jobs.entry(submission.id.clone()).or_insert(job);
+    }
+
+    /// A submission was answered 200 or 201.
+    pub fn job_accepted(&mut self, id: &str, now_ms: u64) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.accepted_ms.get_or_insert(now_ms);
+            job.last_answer_ms = now_ms;
+        }
+    }
+
+    /// A submission was answered 400 or 422.
+    pub fn job_rejected(&mut self, id: &str, now_ms: u64) {
+        let job = self.jobs.get(id);
+        if job.is_some_and(|job| job.accepted_ms.is_some()) {
+            let detail = format!("{id}: submission refused");
+            self.report(Invariant::JobLost, detail, now_ms);
+        }
+    }
+
+    /// A task has its image and runs on a worker.
+    pub fn task_started(&mut self, task: &TaskId, placement: &Placement, now_ms: u64) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return self.report(Invariant::UnknownJob, format!("{task} runs"), now_ms);
+        };
+        let is_misplaced = job.is_misplaced(task.index, placement);
+        let is_late = job.had_to_end_before(now_ms, self.cancel_within_ms);
+        let location = TaskLocation {
+            worker: placement.worker.clone(),
+            zone: placement.zone.clone(),
+        };
+        let elsewhere = job.running.insert(task.index, location);
+        let submission = job.submission.clone();
+        if let Some(other) = elsewhere {
+            let detail = format!("{task} on {} and {}", placement.worker, other.worker);
+            return self.report(Invariant::DuplicateExecution, detail, now_ms);
+        }
+        if is_misplaced {
+            let detail = format!("{task} on {} in {}", placement.worker, placement.zone);
+            self.report(Invariant::PlacementConstraint, detail, now_ms);
+        }
+        if is_late {
+            let detail = format!("{task} starts");
+            self.report(Invariant::RunAfterCancellation, detail, now_ms);
+        }
+        let (team, cpus) = (&submission.team, millicpus(submission.vcpus));
+        if let Some(excess) = self.quotas.acquire(team, cpus, now_ms) {
+            let (used, limit) = (excess.used_millicpus, excess.limit_millicpus);
+            let detail = format!("{team} uses {used} of {limit}");
+            self.report(Invariant::QuotaExceeded, detail, now_ms);
+        }
+    }
+
+    /// A task is no longer on a worker.
+    pub fn task_ended(&mut self, task: &TaskId, worker: &str, completed: bool) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        if completed {
+            job.completed.insert(task.index);
+        }
+        let location = job.running.get(&task.index);
+        if location.is_none_or(|location| location.worker != worker) {
+            return;
+        }
+        job.running.remove(&task.index);
+        let submission = &job.submission;
+        let cpus = millicpus(submission.vcpus);
+        self.quotas.release(&submission.team, cpus);
+    }
+
+    /// Another limit of a team has come into force.
+    pub fn quota_limit_changed(&mut self, team: &str, cpu_limit: f64, now_ms: u64) {
+        self.quotas.change_limit(team, cpu_limit, now_ms);
+    }
+
+    /// A user is about to cancel a job.
+    pub fn cancellation_requested(&mut self, id: &str) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.is_cancellation_requested = true;
+        }
+    }
+
+    /// A user was answered a job's status, to a request sent at `sent_ms`.
+    pub fn job_status_answered(&mut self, id: &str, status: JobStatus, sent_ms: u64, now_ms: u64) {
+        self.polls += 1;
+        self.polls_answered += 1;
+        let Some(job) = self.jobs.get_mut(id) else {
+            let detail = format!("{id}: {status:?}");
+            return self.report(Invariant::UnknownJob, detail, now_ms);
+        };
+        job.last_answer_ms = now_ms;
+        let earlier = job.final_answer.filter(|answer| answer.at_ms <= sent_ms);
+        let has_changed = earlier.is_some_and(|answer| answer.status != status);
+        let is_uncalled = status == JobStatus::Aborted && !job.is_cancellation_requested;
+        let is_early = status == JobStatus::Done && !job.is_complete();
+        if status.is_final() && job.final_answer.is_none() {
+            let at_ms = now_ms;
+            job.final_answer = Some(FinalAnswer { status, at_ms });
+        }
+        if status == JobStatus::Aborted && !job.running.is_empty() {
+            self.cancelled.insert(job.submission.id.clone());
+        }
+        if has_changed || is_uncalled {
+            let earlier = earlier.map(|answer| (answer.status, answer.at_ms));
+            let detail = format!("{id}: {status:?} after {earlier:?}");
+            self.report(Invariant::FinalStatusChanged, detail, now_ms);
+        }
+        if is_early {
+            self.report(Invariant::IncompleteJobDone, id.to_string(), now_ms);
+        }
+    }
+
+    /// A poll sent at `sent_ms` was answered 404.
+    pub fn job_not_found(&mut self, id: &str, sent_ms: u64, now_ms: u64) {
+        self.polls += 1;
+        self.polls_answered += 1;
+        let accepted_ms = self.jobs.get(id).and_then(|job| job.accepted_ms);
+        if accepted_ms.is_some_and(|at_ms| at_ms <= sent_ms) {
+            self.report(Invariant::JobLost, format!("{id}: 404"), now_ms);
+        }
+    }
+
+    /// A poll got no answer, or one that says nothing.
+    pub fn poll_unanswered(&mut self, id: &str, now_ms: u64) {
+        self.polls += 1;
+        let least_answered = LEAST_ANSWERED_SHARE * self.polls as f64;
+        let are_others_answered = self.polls_answered as f64 > least_answered;
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let is_silent = job.accepted_ms.is_some() && job.last_answer_ms + SILENT_MS < now_ms;
+        if is_silent && are_others_answered {
+            job.last_answer_ms = now_ms;
+            self.report(Invariant::JobLost, format!("{id}: no answer"), now_ms);
+        }
+    }
+
+    /// Looks for tasks that are left of cancelled jobs after their time.
+    pub fn check_cancelled_jobs(&mut self, now_ms: u64) {
+        let mut late = Vec::new();
+        let (jobs, cancel_within_ms) = (&self.jobs, self.cancel_within_ms);
+        self.cancelled.retain(|id| {
+            let Some(job) = jobs.get(id) else {
+                return false;
+            };
+            if !job.had_to_end_before(now_ms, cancel_within_ms) {
+                return !job.running.is_empty();
+            }
+            let left = job.running.iter();
+            late.extend(
+                left.map(|(index, location)| format!("{id}/{index} on {}", location.worker)),
+            );
+            false
+        });
+        for detail in late {
+            self.report(Invariant::RunAfterCancellation, detail, now_ms);
+        }
+    }
+
+    fn report(&mut self, invariant: Invariant, detail: String, at_ms: u64) {
+        if self.violations.len() < MAX_VIOLATIONS {
+            self.violations.push(Violation {
+                invariant,
+                detail,
+                at_ms,
+            });
+        }
+    }
+}
--- a/crates/loadtest/src/lib.rs
+++ b/crates/loadtest/src/lib.rs
@@ -1,15 +1,21 @@
 //! A load test of the scheduler: real controller processes on loopback, against stand-ins of the state
 //! store, the cloud, the workers and the users. Invariants are checked from the outside, and what each
 //! controller spends and sends is measured.
+//!
+//! [`run::run_alone`] plays a [`plan::Plan`] and returns a [`measurement::result::RunResult`].
 
-pub mod environment;
-pub mod faults;
+#![warn(missing_docs)]
+
+mod environment;
+mod faults;
 pub mod invariants;
+mod job_registry;
 pub mod measurement;
-pub mod network;
+mod network;
 pub mod plan;
-pub mod processes;
+mod processes;
 pub mod protocol;
 pub mod run;
 pub mod stand_ins;
-pub mod users;
+mod sync;
+mod users;
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,14 +1,18 @@
 //! Plays a plan against real controller processes on loopback, and measures what these spend.
 
 use clap::{Args, Parser, Subcommand};
-use glenmount_loadtest::measurement::result::{EarlierResult, Figures, RunResult};
-use glenmount_loadtest::measurement::{comparison, scaling};
-use glenmount_loadtest::plan::Plan;
+use glenmount_loadtest::measurement::comparison;
+use glenmount_loadtest::measurement::figures::Figures;
+use glenmount_loadtest::measurement::result::{EarlierResult, ResultFileError, RunResult};
+use glenmount_loadtest::measurement::scaling::{self, Point};
+use glenmount_loadtest::plan::{Plan, PlanError};
 use glenmount_loadtest::run::{run_alone, Options, RunError};
+use std::fs;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A rule was broken, a controller ended by itself, or the run did not come to its end.
+/// An invariant was violated, a controller ended by itself, or the run did not come to its end.
 const FAILED: u8 = 1;
 /// The plan, a file or an argument makes no sense.
 const UNUSABLE: u8 = 2;
@@ -42,6 +46,10 @@
 }
 
 impl Common {
+    fn plan(&self) -> Result<Plan, PlanError> {
+        Plan::read(&self.plan, &self.changes)
+    }
+
     fn options(&self, binary: &Path, folder: PathBuf) -> Options {
         Options {
             binary: binary.to_path_buf(),
@@ -95,31 +103,53 @@
     },
 }
 
-/// Why nothing could be played.
-enum Failure {
-    Unusable(String),
-    Failed(String),
+/// Why nothing, or not all, was played.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error(transparent)]
+    Plan(#[from] PlanError),
+    #[error(transparent)]
+    Earlier(#[from] ResultFileError),
+    #[error(transparent)]
+    Output(#[from] io::Error),
+    #[error("--vary: not of the form field=size,size")]
+    VaryForm,
+    #[error("--vary: {0} is no number")]
+    VaryNumber(String),
+    #[error(transparent)]
+    Run(#[from] RunError),
 }
 
-impl From<RunError> for Failure {
-    fn from(error: RunError) -> Failure {
-        Failure::Failed(error.to_string())
+impl CommandError {
+    fn exit_code(&self) -> ExitCode {
+        match self {
+            CommandError::Run(_) => ExitCode::from(FAILED),
+            _ => ExitCode::from(UNUSABLE),
+        }
     }
 }
 
-fn unusable(error: impl std::fmt::Display) -> Failure {
-    Failure::Unusable(error.to_string())
-}
-
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let outcome = match &arguments.command {
+    match execute(&arguments.command) {
+        Ok(true) => ExitCode::SUCCESS,
+        Ok(false) => ExitCode::from(FAILED),
+        Err(error) => {
+            eprintln!("{error}");
+            error.exit_code()
+        }
+    }
+}
+
+/// Executes a command; true if all runs were good.
+fn execute(command: &Command) -> Result<bool, CommandError> {
+    match command {
         Command::Scale {
             common,
             binary,
             out,
             compare,
-        } => scale(common, binary, out.as_deref(), compare.as_deref()),
+        } => play_once(common, binary, out.as_deref(), compare.as_deref()),
         Command::Slopes {
             common,
             binary,
@@ -131,76 +161,76 @@
             binary,
             against,
             pairs,
-        } => builds(common, binary, against, *pairs),
-    };
-    match outcome {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(FAILED),
-        Err(Failure::Failed(message)) => {
-            eprintln!("{message}");
-            ExitCode::from(FAILED)
-        }
-        Err(Failure::Unusable(message)) => {
-            eprintln!("{message}");
-            ExitCode::from(UNUSABLE)
-        }
+        } => compare_builds(common, binary, against, *pairs),
     }
 }
 
-fn print_faults(result: &RunResult) {
+fn print_failures(result: &RunResult) {
     for violation in &result.violations {
         println!(
             "BROKEN {} at {} ms: {}",
             violation.invariant, violation.at_ms, violation.detail
         );
     }
-    for controller in &result.ended {
+    for controller in &result.exited_controllers {
         println!("ENDED controller {controller} ended by itself");
     }
 }
 
-fn scale(
+fn play_once(
     common: &Common,
     binary: &Path,
     out: Option<&Path>,
     earlier: Option<&Path>,
-) -> Result<bool, Failure> {
-    let plan = Plan::read(&common.plan, &common.changes).map_err(unusable)?;
-    let earlier = earlier
-        .map(EarlierResult::read)
-        .transpose()
-        .map_err(unusable)?;
-    let times = plan.stands_for_s / plan.seconds;
+) -> Result<bool, CommandError> {
+    let plan = common.plan()?;
+    let earlier = earlier.map(EarlierResult::read).transpose()?;
+    let speedup = plan.represents_s / plan.seconds;
     println!(
-        "{}: troubles of {times:.0} times the time played",
+        "{}: troubles of {speedup:.0} times the time played",
         plan.name
     );
     let options = common.options(binary, common.folder.clone());
     let result = run_alone(plan, &options)?;
-    print!("{}", result.figures.table());
+    print!("{}", result.figures);
     if let Some(earlier) = earlier {
-        print!("{}", comparison::table(&earlier.figures, &result.figures));
+        let table = comparison::table(&earlier.figures, &result.figures);
+        print!("{table}");
     }
-    print_faults(&result);
+    print_failures(&result);
     if let Some(out) = out {
-        result.write(out).map_err(unusable)?;
+        result.write(out)?;
     }
     Ok(result.is_good())
 }
 
-/// The changes of a plan for each size, and the size itself.
-fn sizes(vary: &str) -> Result<Vec<(f64, Vec<String>)>, Failure> {
-    let (fields, values) = vary
-        .split_once('=')
-        .ok_or_else(|| unusable("--vary: not of the form field=size,size"))?;
-    let each = values.split(',').map(|value| {
-        let size: f64 = value
+/// One size of a plan that is played at several.
+struct SizeStep {
+    size: f64,
+    /// Overrides of the plan that give it this size.
+    overrides: Vec<String>,
+}
+
+/// The sizes that `--vary` names.
+fn size_steps(vary: &str) -> Result<Vec<SizeStep>, CommandError> {
+    let (fields, sizes) = vary.split_once('=').ok_or(CommandError::VaryForm)?;
+    let steps = sizes.split(',').map(|text| {
+        let size = text
             .parse()
-            .map_err(|_| unusable(format!("--vary: {value} is no number")))?;
-        let changes = fields.split('+').map(|field| format!("{field}={value}"));
-        Ok((size, changes.collect()))
+            .map_err(|_| CommandError::VaryNumber(text.to_string()))?;
+        let overrides = fields.split('+').map(|field| format!("{field}={text}"));
+        Ok(SizeStep {
+            size,
+            overrides: overrides.collect(),
+        })
     });
-    each.collect()
+    steps.collect()
+}
+
+/// The figures of a run of one size.
+struct SizedRun {
+    size: f64,
+    figures: Figures,
 }
 
 fn vary_size(
@@ -208,56 +238,75 @@
     binary: &Path,
     vary: &str,
     out: Option<&Path>,
-) -> Result<bool, Failure> {
-    let mut runs: Vec<(f64, Figures)> = Vec::new();
-    let mut good = true;
-    for (size, changes) in sizes(vary)? {
-        let changes: Vec<String> = common.changes.iter().cloned().chain(changes).collect();
-        let plan = Plan::read(&common.plan, &changes).map_err(unusable)?;
-        let folder = common.folder.join(format!("{size}"));
+) -> Result<bool, CommandError> {
+    let mut runs = Vec::new();
+    let mut all_good = true;
+    for step in size_steps(vary)? {
+        let overrides = [common.changes.as_slice(), &step.overrides].concat();
+        let plan = Plan::read(&common.plan, &overrides)?;
+        let folder = common.folder.join(step.size.to_string());
         let result = run_alone(plan, &common.options(binary, folder))?;
-        print_faults(&result);
-        good &= result.is_good();
-        runs.push((size, result.figures));
-    }
-    let names: Vec<String> = runs.iter().map(|(size, _)| size.to_string()).collect();
-    let mut text = format!(
-        "{vary}\nfigure | {} | base + slope x | residual | power | shape\n",
-        names.join(" | ")
-    );
-    let figures = runs
-        .first()
-        .map(|(_, first)| first.main())
-        .unwrap_or_default();
-    for (n, (name, _)) in figures.into_iter().enumerate() {
-        let points: Vec<(f64, f64)> = runs.iter().map(|(x, f)| (*x, f.main()[n].1)).collect();
-        text += &scaling::row(name, &points);
-        text.push('\n');
+        print_failures(&result);
+        all_good &= result.is_good();
+        runs.push(SizedRun {
+            size: step.size,
+            figures: result.figures,
+        });
     }
-    print!("{text}");
+    let table = scaling_table(vary, &runs);
+    print!("{table}");
     if let Some(out) = out {
         if let Some(folder) = out.parent() {
-            std::fs::create_dir_all(folder).map_err(unusable)?;
+            fs::create_dir_all(folder)?;
         }
-        std::fs::write(out, text).map_err(unusable)?;
+        fs::write(out, table)?;
     }
-    Ok(good)
+    Ok(all_good)
 }
 
-fn builds(common: &Common, binary: &Path, against: &Path, pairs: u32) -> Result<bool, Failure> {
-    let mut good = true;
-    for pair in 0..pairs {
-        let mut figures = Vec::new();
-        for (name, build) in [("against", against), ("binary", binary)] {
-            let plan = Plan::read(&common.plan, &common.changes).map_err(unusable)?;
-            let folder = common.folder.join(name);
-            let result = run_alone(plan, &common.options(build, folder))?;
-            print_faults(&result);
-            good &= result.is_good();
-            figures.push(result.figures);
-        }
-        println!("pair {}", pair + 1);
-        print!("{}", comparison::table(&figures[0], &figures[1]));
+/// A row for each main figure: its values by size, and the line through them.
+fn scaling_table(vary: &str, runs: &[SizedRun]) -> String {
+    let sizes: Vec<String> = runs.iter().map(|run| run.size.to_string()).collect();
+    let mut table = format!(
+        "{vary}\nfigure | {} | base + slope x | residual | power | shape\n",
+        sizes.join(" | ")
+    );
+    let Some(first) = runs.first() else {
+        return table;
+    };
+    for (index, figure) in first.figures.main_figures().into_iter().enumerate() {
+        let points: Vec<Point> = runs
+            .iter()
+            .map(|run| Point {
+                size: run.size,
+                value: run.figures.main_figures()[index].value,
+            })
+            .collect();
+        table += &scaling::row(figure.name, &points);
+        table.push('\n');
+    }
+    table
+}
+
+fn compare_builds(
+    common: &Common,
+    binary: &Path,
+    against: &Path,
+    pairs: u32,
+) -> Result<bool, CommandError> {
+    let mut all_good = true;
+    let mut play = |name: &str, build: &Path| -> Result<Figures, CommandError> {
+        let options = common.options(build, common.folder.join(name));
+        let result = run_alone(common.plan()?, &options)?;
+        print_failures(&result);
+        all_good &= result.is_good();
+        Ok(result.figures)
+    };
+    for pair in 1..=pairs {
+        let before = play("against", against)?;
+        let now = play("binary", binary)?;
+        println!("pair {pair}");
+        print!("{}", comparison::table(&before, &now));
     }
-    Ok(good)
+    Ok(all_good)
 }
--- a/crates/loadtest/src/measurement/mod.rs
+++ b/crates/loadtest/src/measurement/mod.rs
@@ -2,5 +2,9 @@
 
 pub mod comparison;
 pub mod counters;
+pub mod figures;
+pub mod latencies;
 pub mod result;
 pub mod scaling;
+mod table;
+pub mod traffic;
--- a/crates/loadtest/src/measurement/scaling.rs
+++ b/crates/loadtest/src/measurement/scaling.rs
@@ -1,89 +1,131 @@
-//! How figures grow with one size: a line through several runs, its residual, and the power if no line
-//! fits.
-
-use serde::Serialize;
+//! How figures grow with one size of the plan: a line through several runs, its residual, and the power if
+//! no line fits.
 
 /// A line fails to fit when its residual is larger than this part of the mean.
-const RESIDUAL_OF_A_LINE: f64 = 0.1;
+const MAX_RESIDUAL: f64 = 0.1;
+
+/// A figure's value in a run of one size.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Point {
+    /// The size that is varied.
+    pub size: f64,
+    /// The figure's value.
+    pub value: f64,
+}
 
-/// A least-squares line `base + slope * size`.
-#[derive(Debug, Clone, Copy, PartialEq, Serialize)]
+/// A least-squares line `intercept + slope * size`.
+#[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LinearFit {
-    pub base: f64,
+    /// Value at size 0.
+    pub intercept: f64,
+    /// Growth for each unit of size.
     pub slope: f64,
     /// Root of the mean squared distance from the line, as a part of the figure's mean.
     pub residual: f64,
-    /// The power of the size with which the figure grows, from logarithms; none with zeros about.
+    /// The power of the size with which the figure grows, from logarithms; none if a size or value is 0.
     pub power: Option<f64>,
 }
 
 impl LinearFit {
-    pub fn fits(&self) -> bool {
-        self.residual <= RESIDUAL_OF_A_LINE
+    /// Whether the points lie close to the line.
+    pub fn is_line(&self) -> bool {
+        self.residual <= MAX_RESIDUAL
     }
 
-    pub fn at(&self, size: f64) -> f64 {
-        self.base + self.slope * size
+    /// The line's value at a size.
+    pub fn value_at(&self, size: f64) -> f64 {
+        self.intercept + self.slope * size
     }
 }
 
-fn least_squares(points: &[(f64, f64)]) -> (f64, f64) {
-    let count = points.len() as f64;
-    let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
-    let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
+struct Coefficients {
+    intercept: f64,
+    slope: f64,
+}
+
+fn least_squares(points: &[Point]) -> Coefficients {
+    let mean_size = mean(points.iter().map(|point| point.size));
+    let mean_value = mean(points.iter().map(|point| point.value));
     let covariance: f64 = points
         .iter()
-        .map(|(x, y)| (x - mean_x) * (y - mean_y))
+        .map(|point| (point.size - mean_size) * (point.value - mean_value))
+        .sum();
+    let variance: f64 = points
+        .iter()
+        .map(|point| (point.size - mean_size).powi(2))
         .sum();
-    let variance: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
     let slope = match variance > 0.0 {
         true => covariance / variance,
         false => 0.0,
     };
-    (mean_y - slope * mean_x, slope)
+    Coefficients {
+        intercept: mean_value - slope * mean_size,
+        slope,
+    }
 }
 
-/// Fits a line to figures by size; none with fewer than two sizes.
-pub fn fit(points: &[(f64, f64)]) -> Option<LinearFit> {
+fn mean(values: impl ExactSizeIterator<Item = f64>) -> f64 {
+    let count = values.len() as f64;
+    values.sum::<f64>() / count
+}
+
+/// Fits a line to a figure's values by size; `None` with fewer than two points.
+pub fn fit(points: &[Point]) -> Option<LinearFit> {
     if points.len() < 2 {
         return None;
     }
-    let (base, slope) = least_squares(points);
-    let squares = points.iter().map(|(x, y)| (y - base - slope * x).powi(2));
-    let distance = (squares.sum::<f64>() / points.len() as f64).sqrt();
-    let mean = points.iter().map(|(_, y)| y.abs()).sum::<f64>() / points.len() as f64;
-    let residual = match mean > 0.0 {
-        true => distance / mean,
+    let Coefficients { intercept, slope } = least_squares(points);
+    let squares = points
+        .iter()
+        .map(|point| (point.value - intercept - slope * point.size).powi(2));
+    let distance = mean(squares).sqrt();
+    let magnitude = mean(points.iter().map(|point| point.value.abs()));
+    let residual = match magnitude > 0.0 {
+        true => distance / magnitude,
         false => 0.0,
     };
-    let positive = points.iter().all(|(x, y)| *x > 0.0 && *y > 0.0);
-    let logarithms: Vec<(f64, f64)> = points.iter().map(|(x, y)| (x.ln(), y.ln())).collect();
     Some(LinearFit {
-        base,
+        intercept,
         slope,
         residual,
-        power: positive.then(|| least_squares(&logarithms).1),
+        power: power(points),
     })
 }
 
+fn power(points: &[Point]) -> Option<f64> {
+    let is_positive = |point: &Point| point.size > 0.0 && point.value > 0.0;
+    if !points.iter().all(is_positive) {
+        return None;
+    }
+    let logarithms: Vec<Point> = points
+        .iter()
+        .map(|point| Point {
+            size: point.size.ln(),
+            value: point.value.ln(),
+        })
+        .collect();
+    Some(least_squares(&logarithms).slope)
+}
+
 /// One row of a table: the figure at each size, and the line through them.
-pub fn row(name: &str, points: &[(f64, f64)]) -> String {
-    let values: Vec<String> = points.iter().map(|(_, y)| format!("{y:.4}")).collect();
+pub fn row(name: &str, points: &[Point]) -> String {
+    let values: Vec<String> = points
+        .iter()
+        .map(|point| format!("{:.4}", point.value))
+        .collect();
+    let values = values.join(" | ");
     let Some(line) = fit(points) else {
-        return format!("{name} | {}", values.join(" | "));
+        return format!("{name} | {values}");
     };
     let power = line
         .power
         .map_or("-".to_string(), |power| format!("{power:.2}"));
-    let shape = match line.fits() {
+    let shape = match line.is_line() {
         true => "line",
         false => "no line",
     };
     format!(
-        "{name} | {} | {:.5} + {:.8} x | {:.3} | {power} | {shape}",
-        values.join(" | "),
-        line.base,
-        line.slope,
-        line.residual
+        "{name} | {values} | {:.5} + {:.8} x | {:.3} | {power} | {shape}",
+        line.intercept, line.slope, line.residual
     )
 }
--- a/crates/loadtest/src/network/http.rs
+++ b/crates/loadtest/src/network/http.rs
@@ -1,96 +1,133 @@
-//! HTTP for the stand-ins: a server, and a client's connection, both of which tell the bytes of what passed.
+//! HTTP for the stand-ins: a server, and a client's connection. Both tell the bytes of what passed.
 
+use crate::protocol::ErrorAnswer;
 use hyper::body::Bytes;
 use hyper::client::conn::SendRequest;
-use hyper::header::{HeaderMap, CONTENT_LENGTH, DATE, HOST};
+use hyper::header::{HeaderMap, CONNECTION, CONTENT_LENGTH, DATE, HOST, RETRY_AFTER};
 use hyper::server::conn::Http;
 use hyper::service::service_fn;
 use hyper::{Body, Method, Request, Response, StatusCode};
 use serde::Serialize;
-use std::future::Future;
-use std::net::SocketAddr;
+use std::future::{poll_fn, Future};
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, OnceLock};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::time::{timeout, Duration};
+use tokio::time::{sleep, timeout, Duration};
 
-/// Bytes of a status line, and of a date, which the server adds by itself.
+/// Bytes of a status line, and of a date header, which the server adds by itself.
 const STATUS_LINE_BYTES: u64 = 17;
 const DATE_BYTES: u64 = 37;
+/// Bytes of a request line beyond method and path: two spaces, the version, the line's end.
+const REQUEST_LINE_EXTRA_BYTES: usize = 12;
+/// Bytes of a header beyond name and value: a colon, a space, the line's end.
+const HEADER_EXTRA_BYTES: usize = 4;
+const LINE_END_BYTES: usize = 2;
 /// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// What a connection to a stand-in is known by.
+/// A connection to a stand-in.
 pub struct Connection {
+    /// Address of the client.
     pub peer: SocketAddr,
+    /// Address that the client connected to.
     pub local: SocketAddr,
-    /// The controller at its other end, once somebody looked it up.
-    pub owner: OnceLock<Option<u32>>,
+    /// Index of the controller at its other end, once somebody looked it up.
+    pub controller: OnceLock<Option<usize>>,
 }
 
 /// A request that came.
-pub struct Incoming {
+pub struct IncomingRequest {
+    /// The connection by which it came.
     pub connection: Arc<Connection>,
+    /// Its method.
     pub method: Method,
+    /// Path of its target.
     pub path: String,
+    /// Query of its target; empty without one.
     pub query: String,
+    /// Its body.
     pub body: Bytes,
     /// Bytes of its head and body.
     pub bytes: u64,
 }
 
-impl Incoming {
-    /// The value of a word of the query, or nothing.
-    pub fn word(&self, name: &str) -> &str {
+impl IncomingRequest {
+    /// The value of a field of the query; empty if it is not there.
+    pub fn query_value(&self, name: &str) -> &str {
         let mut pairs = self
             .query
             .split('&')
             .filter_map(|pair| pair.split_once('='));
         pairs
-            .find(|(n, _)| *n == name)
+            .find(|(field, _)| *field == name)
             .map_or("", |(_, value)| value)
     }
 
-    pub fn number(&self, name: &str) -> Option<u64> {
-        self.word(name).parse().ok()
+    /// The value of a field of the query as a number.
+    pub fn query_number(&self, name: &str) -> Option<u64> {
+        self.query_value(name).parse().ok()
     }
 }
 
-/// What is answered.
+/// What a stand-in answers.
 pub struct Answer {
+    /// Status code.
     pub status: u16,
+    /// Body.
     pub body: Vec<u8>,
 }
 
 impl Answer {
+    /// An answer with a JSON body.
     pub fn json(status: u16, body: &impl Serialize) -> Answer {
         let body = serde_json::to_vec(body).unwrap_or_default();
         Answer { status, body }
     }
 
-    pub fn text(status: u16, body: &str) -> Answer {
-        let body = body.as_bytes().to_vec();
+    /// An answer that refuses a request.
+    pub fn error(status: u16, error: &str) -> Answer {
+        Answer::json(status, &ErrorAnswer { error })
+    }
+
+    /// An answer without a body.
+    pub fn empty(status: u16) -> Answer {
+        let body = Vec::new();
         Answer { status, body }
     }
 
     /// Bytes of its head and body as they are sent.
     pub fn bytes(&self) -> u64 {
-        let length = self.body.len().to_string().len() as u64;
-        let length_header = CONTENT_LENGTH.as_str().len() as u64 + 4 + length;
-        STATUS_LINE_BYTES + length_header + DATE_BYTES + 2 + self.body.len() as u64
+        let body = self.body.len() as u64;
+        let head = length_header_bytes(self.body.len()) + LINE_END_BYTES;
+        STATUS_LINE_BYTES + DATE_BYTES + head as u64 + body
     }
 }
 
+fn length_header_bytes(length: usize) -> usize {
+    CONTENT_LENGTH.as_str().len() + HEADER_EXTRA_BYTES + length.to_string().len()
+}
+
+/// Bytes of headers but for the date, which is counted by itself.
 fn header_bytes(headers: &HeaderMap) -> u64 {
-    let each = headers.iter().filter(|(name, _)| **name != DATE);
-    each.map(|(name, value)| name.as_str().len() + value.len() + 4)
+    let counted = headers.iter().filter(|(name, _)| **name != DATE);
+    counted
+        .map(|(name, value)| name.as_str().len() + value.len() + HEADER_EXTRA_BYTES)
         .sum::<usize>() as u64
 }
 
-/// Serves what comes from this machine until the listener is dropped with the runtime.
+/// Binds a free port of the loopback address.
+pub async fn bind_loopback() -> io::Result<(TcpListener, SocketAddr)> {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
+    let address = listener.local_addr()?;
+    Ok((listener, address))
+}
+
+/// Serves what comes from this machine until the run's runtime is shut down.
 pub fn serve<F, H>(listener: TcpListener, handle: H)
 where
     F: Future<Output = Answer> + Send + 'static,
-    H: Fn(Incoming) -> F + Clone + Send + Sync + 'static,
+    H: Fn(IncomingRequest) -> F + Clone + Send + Sync + 'static,
 {
     tokio::spawn(async move {
         loop {
@@ -99,7 +136,7 @@
                     tokio::spawn(serve_connection(stream, peer, handle.clone()));
                 }
                 Ok(_) => {}
-                Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => sleep(ACCEPT_PAUSE).await,
             }
         }
     });
@@ -108,18 +145,21 @@
 async fn serve_connection<F, H>(stream: TcpStream, peer: SocketAddr, handle: H)
 where
     F: Future<Output = Answer> + Send + 'static,
-    H: Fn(Incoming) -> F + Clone + Send + Sync + 'static,
+    H: Fn(IncomingRequest) -> F + Clone + Send + Sync + 'static,
 {
     let Ok(local) = stream.local_addr() else {
         return;
     };
     let _ = stream.set_nodelay(true);
-    let owner = OnceLock::new();
-    let connection = Arc::new(Connection { peer, local, owner });
-    let each = service_fn(move |request: Request<Body>| {
+    let connection = Arc::new(Connection {
+        peer,
+        local,
+        controller: OnceLock::new(),
+    });
+    let service = service_fn(move |request: Request<Body>| {
         let (handle, connection) = (handle.clone(), connection.clone());
         async move {
-            let incoming = read(request, connection).await?;
+            let incoming = read_request(request, connection).await?;
             let answer = handle(incoming).await;
             let mut response = Response::new(Body::from(answer.body));
             let status = StatusCode::from_u16(answer.status);
@@ -127,33 +167,55 @@
             Ok::<_, hyper::Error>(response)
         }
     });
+    // A connection that breaks is the client's to open again.
     let _ = Http::new()
         .http1_only(true)
-        .serve_connection(stream, each)
+        .serve_connection(stream, service)
         .await;
 }
 
-async fn read(request: Request<Body>, connection: Arc<Connection>) -> hyper::Result<Incoming> {
+async fn read_request(
+    request: Request<Body>,
+    connection: Arc<Connection>,
+) -> hyper::Result<IncomingRequest> {
     let (parts, body) = request.into_parts();
     let body = hyper::body::to_bytes(body).await?;
-    let line = parts.method.as_str().len() + parts.uri.to_string().len() + 12;
-    let bytes = line as u64 + header_bytes(&parts.headers) + 2 + body.len() as u64;
-    Ok(Incoming {
+    let target_bytes = parts.uri.to_string().len();
+    let line_bytes = parts.method.as_str().len() + target_bytes + REQUEST_LINE_EXTRA_BYTES;
+    let head_bytes = (line_bytes + LINE_END_BYTES) as u64 + header_bytes(&parts.headers);
+    Ok(IncomingRequest {
         connection,
         method: parts.method,
         path: parts.uri.path().to_string(),
         query: parts.uri.query().unwrap_or("").to_string(),
+        bytes: head_bytes + body.len() as u64,
         body,
-        bytes,
     })
 }
 
+/// A request that a client sends.
+pub struct OutgoingRequest<'a> {
+    /// Its method.
+    pub method: Method,
+    /// Path of its target.
+    pub path: &'a str,
+    /// Its body.
+    pub body: Vec<u8>,
+    /// How long the client waits for the answer.
+    pub timeout: Duration,
+}
+
 /// An answer that came to a client.
 pub struct Reply {
+    /// Status code.
     pub status: u16,
+    /// Seconds after which the server wants the request again, if it said so.
     pub retry_after_s: Option<u64>,
+    /// Body.
     pub body: Bytes,
+    /// Bytes of the request's head and body.
     pub request_bytes: u64,
+    /// Bytes of the answer's head and body.
     pub answer_bytes: u64,
 }
 
@@ -164,6 +226,7 @@
 }
 
 impl Client {
+    /// A client that is not connected yet.
     pub fn new(address: SocketAddr) -> Client {
         Client {
             address,
@@ -176,42 +239,36 @@
         matches!(timeout(within, self.sender()).await, Ok(Some(_)))
     }
 
-    /// Sends a request; nothing if no answer came in time, and the connection is then given up.
-    pub async fn call(
-        &mut self,
-        method: Method,
-        path: &str,
-        body: Vec<u8>,
-        within: Duration,
-    ) -> Option<Reply> {
-        let exchange = self.exchange(method, path, body);
-        let reply = timeout(within, exchange).await.ok().flatten();
+    /// Sends a request; `None` if no answer came in time, and the connection is then given up.
+    pub async fn call(&mut self, request: OutgoingRequest<'_>) -> Option<Reply> {
+        let time_limit = request.timeout;
+        let exchange = self.exchange(request);
+        let reply = timeout(time_limit, exchange).await.ok().flatten();
         if reply.is_none() {
             self.sender = None;
         }
         reply
     }
 
-    async fn exchange(&mut self, method: Method, path: &str, body: Vec<u8>) -> Option<Reply> {
-        let host = self.address.to_string();
-        let length = body.len();
-        let line = method.as_str().len() + path.len() + 12;
-        let head = line + HOST.as_str().len() + 4 + host.len() + 2;
-        let length_header = CONTENT_LENGTH.as_str().len() + 4 + length.to_string().len();
+    async fn exchange(&mut self, request: OutgoingRequest<'_>) -> Option<Reply> {
+        let request_bytes = self.request_bytes(&request);
         let request = Request::builder()
-            .method(method)
-            .uri(path)
-            .header(HOST, host)
-            .body(Body::from(body))
+            .method(request.method)
+            .uri(request.path)
+            .header(HOST, self.address.to_string())
+            .body(Body::from(request.body))
             .ok()?;
-        let sender = self.sender().await?;
-        let response = sender.send_request(request).await.ok()?;
+        let response = self.sender().await?.send_request(request).await.ok()?;
         let status = response.status().as_u16();
-        let retry_after = response.headers().get("retry-after");
-        let retry_after_s = retry_after.and_then(|v| v.to_str().ok()?.parse().ok());
-        let closes = response.headers().get("connection");
-        let closes = closes.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
-        let answer_head = STATUS_LINE_BYTES + header_bytes(response.headers()) + DATE_BYTES + 2;
+        let headers = response.headers();
+        let retry_after_s = headers
+            .get(RETRY_AFTER)
+            .and_then(|value| value.to_str().ok()?.parse().ok());
+        let closes = headers
+            .get(CONNECTION)
+            .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
+        let head_bytes =
+            STATUS_LINE_BYTES + header_bytes(headers) + DATE_BYTES + LINE_END_BYTES as u64;
         let body = hyper::body::to_bytes(response.into_body()).await.ok()?;
         if closes {
             self.sender = None;
@@ -219,23 +276,31 @@
         Some(Reply {
             status,
             retry_after_s,
-            request_bytes: (head + length_header + length) as u64,
-            answer_bytes: answer_head + body.len() as u64,
+            request_bytes,
+            answer_bytes: head_bytes + body.len() as u64,
             body,
         })
     }
 
+    fn request_bytes(&self, request: &OutgoingRequest) -> u64 {
+        let method_bytes = request.method.as_str().len();
+        let line = method_bytes + request.path.len() + REQUEST_LINE_EXTRA_BYTES;
+        let address_bytes = self.address.to_string().len();
+        let host_header = HOST.as_str().len() + HEADER_EXTRA_BYTES + address_bytes;
+        let length_header = length_header_bytes(request.body.len());
+        (line + host_header + length_header + LINE_END_BYTES + request.body.len()) as u64
+    }
+
     async fn sender(&mut self) -> Option<&mut SendRequest<Body>> {
-        let usable = match &mut self.sender {
-            Some(sender) => std::future::poll_fn(|cx| sender.poll_ready(cx))
-                .await
-                .is_ok(),
+        let is_usable = match &mut self.sender {
+            Some(sender) => poll_fn(|context| sender.poll_ready(context)).await.is_ok(),
             None => false,
         };
-        if !usable {
+        if !is_usable {
             let stream = TcpStream::connect(self.address).await.ok()?;
             let _ = stream.set_nodelay(true);
             let (sender, connection) = hyper::client::conn::handshake(stream).await.ok()?;
+            // Ends with the sender, or when the server closes.
             tokio::spawn(connection);
             self.sender = Some(sender);
         }
--- a/crates/loadtest/src/processes/usage.rs
+++ b/crates/loadtest/src/processes/usage.rs
@@ -5,12 +5,18 @@
 
 const KB_PER_MB: f64 = 1_024.0;
 
+const NANOSECONDS_PER_S: f64 = 1e9;
+
 /// Processor time, memory and sockets of a process at one moment.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Usage {
+pub struct UsageSample {
+    /// Processor time of all threads since the process started.
     pub cpu_s: f64,
+    /// Resident memory.
     pub resident_mb: f64,
+    /// Highest resident memory since the process started.
     pub peak_mb: f64,
+    /// Open sockets.
     pub sockets: usize,
 }
 
@@ -20,7 +26,7 @@
     kb.unwrap_or(0.0) / KB_PER_MB
 }
 
-/// Processor time of all threads, from the scheduler's own accounts.
+/// Processor time of all threads, from the kernel scheduler's own accounts.
 fn cpu_s(pid: u32) -> f64 {
     let threads = fs::read_dir(format!("/proc/{pid}/task"));
     let each = threads
@@ -31,13 +37,13 @@
             let text = fs::read_to_string(thread.path().join("schedstat")).ok()?;
             text.split(' ').next()?.parse::<f64>().ok()
         });
-    each.sum::<f64>() / 1e9
+    each.sum::<f64>() / NANOSECONDS_PER_S
 }
 
-/// Reads what a process has used so far; zeros if there is no such process.
-pub fn usage(pid: u32) -> Usage {
+/// Reads what a process uses; zeros if there is no such process.
+pub fn sample_usage(pid: u32) -> UsageSample {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
-    Usage {
+    UsageSample {
         cpu_s: cpu_s(pid),
         resident_mb: status_mb(&status, "VmRSS:"),
         peak_mb: status_mb(&status, "VmHWM:"),
@@ -62,7 +68,7 @@
 }
 
 /// Which of some processes holds the socket that is bound to a loopback address.
-pub fn owner(address: SocketAddr, pids: &[u32]) -> Option<u32> {
+pub fn socket_owner(address: SocketAddr, pids: &[u32]) -> Option<u32> {
     let SocketAddr::V4(address) = address else {
         return None;
     };
--- a/crates/loadtest/src/stand_ins/cloud.rs
+++ b/crates/loadtest/src/stand_ins/cloud.rs
@@ -1,119 +1,121 @@
-//! A stand-in of the cloud: one type of machine, rentals by name, lists that lag, a limit of calls.
+//! A stand-in of the cloud: one machine type, idempotent requests for instances, lists that lag, a rate
+//! limit.
 
+use super::token_bucket::TokenBucket;
+use super::worker_fleet::{Reservation, WorkerFleet, MACHINE_TYPE};
 use crate::environment::Environment;
-use crate::measurement::counters::ExchangeKind;
-use crate::network::http::{serve, Answer, Incoming};
-use crate::network::partitions::{lock, Site};
+use crate::measurement::traffic::ExchangeKind;
+use crate::network::http::{bind_loopback, serve, Answer, IncomingRequest};
+use crate::network::partitions::Site;
 use crate::plan::ZoneIndex;
-use crate::protocol::{DeleteRequest, InstanceState, ListedInstance, ProvisionRequest};
-use crate::stand_ins::token_bucket::TokenBucket;
-use crate::stand_ins::worker_fleet::{WorkerFleet, MACHINE_TYPE};
+use crate::protocol::cloud::{
+    Catalog, DeleteAnswer, DeleteRequest, InstancePage, InstanceState, ListedInstance, MachineType,
+    ProvisionAnswer, ProvisionRequest,
+};
+use crate::sync::lock;
 use hyper::Method;
-use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
+use std::io;
 use std::net::SocketAddr;
+use std::ops::{Bound, Range};
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
-use tokio::net::TcpListener;
 use tokio::time::{sleep, Duration};
 
-/// Seconds' worth of calls that may come at once, by protocol.
+/// Seconds' worth of requests that may come at once, by protocol.
 const BURST_S: f64 = 2.0;
-/// Machines of one rental, names of one deletion and entries of one page at most, by protocol.
-const MOST_RENTED: u32 = 50;
-const MOST_DELETED: usize = 100;
-const MOST_LISTED: usize = 500;
-/// A machine that lost power is listed as running for so long.
-const DYING_MS: u64 = 30_000;
+/// Instances of one request, names of one deletion and entries of one page at most, by protocol.
+const MAX_PROVISIONED: u32 = 50;
+const MAX_DELETED: usize = 100;
+const MAX_LISTED: usize = 500;
+/// An instance that lost power is listed as running for so long.
+const FAILURE_LAG_MS: i64 = 30_000;
 /// Boot times, as parts of the usual one.
-const BOOT_SPREAD: std::ops::Range<f64> = 0.6..1.5;
-/// Age of the machines that are up at the start.
-const OLD_MS: u64 = 600_000;
-const HOURLY: f64 = 0.8;
-const SPOT_HOURLY: f64 = 0.3;
-const LOCAL_GB: f64 = 60.0;
+const BOOT_SPREAD: Range<f64> = 0.6..1.5;
+/// Age of the instances that are up at the start.
+const INITIAL_AGE_MS: i64 = 600_000;
+const HOURLY_PRICE: f64 = 0.8;
+const SPOT_HOURLY_PRICE: f64 = 0.3;
+const LOCAL_DISK_GB: f64 = 60.0;
 
-#[derive(Serialize)]
-#[serde(rename_all = "camelCase")]
-struct MachineType<'a> {
-    name: &'a str,
-    vcpus: f64,
-    accelerators: f64,
-    ram_gb: f64,
-    local_gb: f64,
-    pull_gb_per_s: f64,
-    hourly: f64,
-    market_price: f64,
-    ready_s: f64,
-    yards: Vec<&'a str>,
-}
-
-#[derive(Serialize)]
-struct Catalog<'a> {
-    flavours: Vec<MachineType<'a>>,
-}
-
-#[derive(Serialize)]
-struct Page {
-    hosts: Vec<ListedInstance>,
-    more: bool,
-}
-
-#[derive(Serialize)]
-struct ProvisionAnswer {
-    hosts: Vec<String>,
-}
-
-#[derive(Serialize)]
-struct Problem<'a> {
-    error: &'a str,
-}
-
-#[derive(Serialize)]
-struct Nothing {}
-
-/// A machine and the times at which it changed, since lists describe the past.
+/// An instance and the times at which it changed, since lists describe the past. Times are milliseconds of
+/// the run, negative before it.
 struct Instance {
-    address: SocketAddr,
+    reservation: Reservation,
     zone: ZoneIndex,
     spot: bool,
-    rented_ms: i64,
+    requested_ms: i64,
     up_ms: Option<i64>,
     failed_ms: Option<i64>,
-    gone_ms: Option<i64>,
+    deleted_ms: Option<i64>,
+}
+
+impl Instance {
+    fn new(reservation: Reservation, zone: ZoneIndex, spot: bool, requested_ms: i64) -> Instance {
+        Instance {
+            reservation,
+            zone,
+            spot,
+            requested_ms,
+            up_ms: None,
+            failed_ms: None,
+            deleted_ms: None,
+        }
+    }
+
+    /// Whether it takes up a place in its zone.
+    fn uses_capacity_of(&self, zone: ZoneIndex) -> bool {
+        self.zone == zone && self.deleted_ms.is_none() && self.failed_ms.is_none()
+    }
+
+    /// Its state at an earlier time; `None` if it was not there.
+    fn state_at(&self, at_ms: i64) -> Option<InstanceState> {
+        let had_happened = |event_ms: Option<i64>| event_ms.is_some_and(|ms| ms <= at_ms);
+        if self.requested_ms > at_ms || had_happened(self.deleted_ms) {
+            return None;
+        }
+        Some(
+            match (had_happened(self.failed_ms), had_happened(self.up_ms)) {
+                (true, _) => InstanceState::Failed,
+                (false, true) => InstanceState::Running,
+                (false, false) => InstanceState::Starting,
+            },
+        )
+    }
 }
 
 #[derive(Default)]
-struct Machines {
-    all: BTreeMap<String, Instance>,
-    rentals: HashMap<String, Vec<String>>,
+struct Instances {
+    by_name: BTreeMap<String, Instance>,
+    /// Names of the instances that each request got.
+    by_request: HashMap<String, Vec<String>>,
 }
 
-/// The cloud and its troubles.
+/// The cloud and the faults that it has.
 pub struct Cloud {
     environment: Arc<Environment>,
     fleet: Arc<WorkerFleet>,
-    machines: Mutex<Machines>,
-    limit: Mutex<TokenBucket>,
-    down: AtomicBool,
+    instances: Mutex<Instances>,
+    rate_limit: Mutex<TokenBucket>,
+    is_down: AtomicBool,
 }
 
 impl Cloud {
+    /// A cloud without instances.
     pub fn new(environment: Arc<Environment>, fleet: Arc<WorkerFleet>) -> Arc<Cloud> {
-        let limit = TokenBucket::new(environment.plan.cloud.rps, BURST_S);
+        let rate_limit = TokenBucket::new(environment.plan.cloud.requests_per_s, BURST_S);
         Arc::new(Cloud {
             fleet,
-            machines: Mutex::default(),
-            limit: Mutex::new(limit),
-            down: AtomicBool::new(false),
+            instances: Mutex::default(),
+            rate_limit: Mutex::new(rate_limit),
+            is_down: AtomicBool::new(false),
             environment,
         })
     }
 
-    /// An address of its own for a controller, by which that one is known.
-    pub async fn listen(self: &Arc<Self>, zone: ZoneIndex) -> std::io::Result<SocketAddr> {
-        let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let address = listener.local_addr()?;
+    /// Opens an address of its own for the controller in a zone.
+    pub async fn listen(self: &Arc<Self>, zone: ZoneIndex) -> io::Result<SocketAddr> {
+        let (listener, address) = bind_loopback().await?;
         let cloud = self.clone();
         serve(listener, move |request| {
             let cloud = cloud.clone();
@@ -122,212 +124,214 @@
         Ok(address)
     }
 
-    pub fn set_down(&self, down: bool) {
-        self.down.store(down, Relaxed);
+    /// Begins or ends an outage.
+    pub fn set_down(&self, is_down: bool) {
+        self.is_down.store(is_down, Relaxed);
     }
 
-    /// Machines that are up before the run begins, evenly over the zones.
-    pub fn start_with(&self, count: u32) {
+    /// Boots instances that are up before the run begins, evenly over the zones.
+    pub fn boot_initial(&self, count: u32) {
         let zones = self.environment.plan.zones().len();
-        for n in 0..count as usize {
-            let zone = ZoneIndex(n % zones);
-            let (name, address) = self.fleet.reserve();
-            let machine = Instance {
-                address,
-                zone,
-                spot: false,
-                rented_ms: -(OLD_MS as i64),
-                up_ms: Some(-(OLD_MS as i64)),
-                failed_ms: None,
-                gone_ms: None,
-            };
-            lock(&self.machines).all.insert(name.clone(), machine);
-            self.fleet.boot(&name, address, zone, false);
+        for index in 0..count as usize {
+            let zone = ZoneIndex(index % zones);
+            let reservation = self.fleet.reserve();
+            let name = reservation.name.clone();
+            let mut instance = Instance::new(reservation.clone(), zone, false, -INITIAL_AGE_MS);
+            instance.up_ms = Some(-INITIAL_AGE_MS);
+            lock(&self.instances).by_name.insert(name, instance);
+            self.fleet.boot(&reservation, zone, false);
         }
     }
 
-    /// A machine lost power by itself: some time later it is listed as failed.
-    pub fn has_failed(&self, name: &str) {
-        let now_ms = self.environment.now_ms() as i64;
-        if let Some(machine) = lock(&self.machines).all.get_mut(name) {
-            machine.failed_ms.get_or_insert(now_ms + DYING_MS as i64);
+    /// An instance lost power by itself: some time later it is listed as failed.
+    pub fn mark_failed(&self, name: &str) {
+        let listed_ms = self.now_ms() + FAILURE_LAG_MS;
+        if let Some(instance) = lock(&self.instances).by_name.get_mut(name) {
+            instance.failed_ms.get_or_insert(listed_ms);
         }
     }
 
-    /// The cloud takes a machine back.
-    pub fn take(&self, name: &str) {
+    /// Takes an instance away.
+    pub fn delete(&self, name: &str) {
         self.fleet.remove(name);
-        let now_ms = self.environment.now_ms() as i64;
-        if let Some(machine) = lock(&self.machines).all.get_mut(name) {
-            machine.gone_ms.get_or_insert(now_ms);
+        let now_ms = self.now_ms();
+        if let Some(instance) = lock(&self.instances).by_name.get_mut(name) {
+            instance.deleted_ms.get_or_insert(now_ms);
         }
     }
 
-    async fn serve(self: Arc<Self>, request: Incoming, zone: ZoneIndex) -> Answer {
+    fn now_ms(&self) -> i64 {
+        self.environment.now_ms() as i64
+    }
+
+    async fn serve(self: Arc<Self>, request: IncomingRequest, zone: ZoneIndex) -> Answer {
+        let site = Site::Zone(zone);
         let network = &self.environment.network;
-        network.until_reached(Site::Zone(zone), Site::Outside).await;
-        let latency = self.environment.plan.cloud.latency_ms;
-        sleep(Duration::from_secs_f64(latency / 1_000.0)).await;
-        let (kind, answer) = self.clone().answer(&request);
-        network.until_reached(Site::Outside, Site::Zone(zone)).await;
+        network.until_reachable(site, Site::Outside).await;
+        let latency_ms = self.environment.plan.cloud.latency_ms;
+        sleep(Duration::from_secs_f64(latency_ms / 1_000.0)).await;
+        let kind = exchange_kind(&request);
+        let answer = self.answer(kind, &request);
+        network.until_reachable(Site::Outside, site).await;
         let traffic = &self.environment.traffic;
         traffic.count(kind, request.bytes, answer.bytes());
         answer
     }
 
-    fn answer(self: Arc<Self>, request: &Incoming) -> (ExchangeKind, Answer) {
-        let kind = match (&request.method, request.path.as_str()) {
-            (&Method::GET, "/catalog") => ExchangeKind::CloudCatalog,
-            (&Method::GET, _) => ExchangeKind::CloudList,
-            (_, "/hosts/delete") => ExchangeKind::CloudDelete,
-            _ => ExchangeKind::CloudProvision,
-        };
-        if self.down.load(Relaxed) {
-            return (kind, problem(503, "trouble"));
+    fn answer(self: &Arc<Self>, kind: ExchangeKind, request: &IncomingRequest) -> Answer {
+        if self.is_down.load(Relaxed) {
+            return Answer::error(503, "trouble");
         }
-        if !lock(&self.limit).take(1.0, self.environment.now_ms()) {
-            return (kind, problem(429, "too many calls"));
+        if !lock(&self.rate_limit).take(1.0, self.environment.now_ms()) {
+            return Answer::error(429, "too many calls");
+        }
+        match kind {
+            ExchangeKind::CloudCatalog => self.answer_catalog(),
+            ExchangeKind::CloudList => self.answer_list(request),
+            ExchangeKind::CloudDelete => self.answer_delete(request),
+            _ => self.answer_provision(request),
         }
-        let answer = match kind {
-            ExchangeKind::CloudCatalog => self.catalog(),
-            ExchangeKind::CloudList => self.list(request),
-            ExchangeKind::CloudDelete => self.delete(request),
-            _ => self.rent(request),
-        };
-        (kind, answer)
     }
 
-    fn catalog(&self) -> Answer {
-        let (plan, zones) = (&self.environment.plan, self.environment.plan.zones());
-        let flavour = MachineType {
+    fn answer_catalog(&self) -> Answer {
+        let plan = &self.environment.plan;
+        let zones = plan.zones().into_iter();
+        let machine_type = MachineType {
             name: MACHINE_TYPE,
             vcpus: plan.workers.cpus,
             accelerators: 0.0,
             ram_gb: plan.workers.ram_gb,
-            local_gb: LOCAL_GB,
+            local_gb: LOCAL_DISK_GB,
             pull_gb_per_s: plan.workers.image_gb_per_s,
-            hourly: HOURLY,
-            market_price: SPOT_HOURLY,
+            hourly_price: HOURLY_PRICE,
+            spot_hourly_price: SPOT_HOURLY_PRICE,
             ready_s: plan.cloud.boot_s,
-            yards: zones.iter().map(|(zone, _)| *zone).collect(),
+            zones: zones.map(|zone| zone.name).collect(),
         };
-        let flavours = vec![flavour];
-        Answer::json(200, &Catalog { flavours })
+        let machine_types = vec![machine_type];
+        Answer::json(200, &Catalog { machine_types })
     }
 
-    fn list(&self, request: &Incoming) -> Answer {
-        let lag_ms = self.environment.plan.cloud.list_lag_s * 1_000.0;
-        let lag_ms = self.environment.draw(0.0..=lag_ms.max(1.0)) as i64;
-        let seen_ms = self.environment.now_ms() as i64 - lag_ms;
-        let since = request.word("since").to_string();
-        let most = request.number("most").unwrap_or(MOST_LISTED as u64) as usize;
-        let machines = lock(&self.machines);
-        let from = std::ops::Bound::Excluded(since);
-        let mut listed = (machines.all.range((from, std::ops::Bound::Unbounded)))
-            .filter_map(|(name, machine)| self.listed(name, machine, seen_ms));
-        let hosts: Vec<ListedInstance> = listed.by_ref().take(most.min(MOST_LISTED)).collect();
+    fn answer_list(&self, request: &IncomingRequest) -> Answer {
+        let max_lag_ms = self.environment.plan.cloud.list_lag_s * 1_000.0;
+        let lag_ms = self.environment.draw(0.0..=max_lag_ms.max(1.0)) as i64;
+        let seen_ms = self.now_ms() - lag_ms;
+        let after = request.query_value("since").to_string();
+        let wanted = request.query_number("most").map(|most| most as usize);
+        let page_size = wanted.unwrap_or(MAX_LISTED).min(MAX_LISTED);
+        let state = lock(&self.instances);
+        let following = state
+            .by_name
+            .range((Bound::Excluded(after), Bound::Unbounded));
+        let mut listed =
+            following.filter_map(|(name, instance)| self.listed(name, instance, seen_ms));
+        let instances: Vec<ListedInstance> = listed.by_ref().take(page_size).collect();
         let more = listed.next().is_some();
-        Answer::json(200, &Page { hosts, more })
+        Answer::json(200, &InstancePage { instances, more })
     }
 
-    fn listed(&self, name: &str, machine: &Instance, seen_ms: i64) -> Option<ListedInstance> {
-        let before = |at: Option<i64>| at.is_some_and(|at| at <= seen_ms);
-        if machine.rented_ms > seen_ms || before(machine.gone_ms) {
-            return None;
-        }
-        let state = match (before(machine.failed_ms), before(machine.up_ms)) {
-            (true, _) => InstanceState::Failed,
-            (_, true) => InstanceState::Running,
-            _ => InstanceState::Starting,
-        };
-        let zones = self.environment.plan.zones();
+    fn listed(&self, name: &str, instance: &Instance, seen_ms: i64) -> Option<ListedInstance> {
+        let state = instance.state_at(seen_ms)?;
+        let zone = self.environment.plan.zone_name(instance.zone);
         Some(ListedInstance {
             name: name.to_string(),
-            address: machine.address.to_string(),
+            address: instance.reservation.address.to_string(),
             machine_type: MACHINE_TYPE.to_string(),
-            zone: zones[machine.zone.0].0.to_string(),
-            spot: machine.spot,
+            zone: zone.to_string(),
+            spot: instance.spot,
             state,
-            age_s: (seen_ms - machine.rented_ms) as f64 / 1_000.0,
+            age_s: (seen_ms - instance.requested_ms) as f64 / 1_000.0,
         })
     }
 
-    fn rent(self: Arc<Self>, request: &Incoming) -> Answer {
-        let plan = &self.environment.plan;
-        let asked = serde_json::from_slice::<ProvisionRequest>(&request.body).ok();
-        let asked = asked.filter(|asked| (1..=MOST_RENTED).contains(&asked.count));
-        let zone = asked.as_ref().and_then(|asked| plan.zone(&asked.zone));
-        let (Some(asked), Some(zone)) = (asked, zone) else {
-            return problem(400, "malformed");
+    fn answer_provision(self: &Arc<Self>, request: &IncomingRequest) -> Answer {
+        let wanted = serde_json::from_slice::<ProvisionRequest>(&request.body).ok();
+        let wanted = wanted.filter(|wanted| (1..=MAX_PROVISIONED).contains(&wanted.count));
+        let Some(wanted) = wanted else {
+            return Answer::error(400, "malformed");
+        };
+        let Some(zone) = self.environment.plan.zone(&wanted.zone) else {
+            return Answer::error(400, "malformed");
         };
-        if asked.machine_type != MACHINE_TYPE {
-            return problem(400, "flavour");
+        if wanted.machine_type != MACHINE_TYPE {
+            return Answer::error(400, "flavour");
         }
-        let mut machines = lock(&self.machines);
-        if let Some(hosts) = machines.rentals.get(&asked.name).cloned() {
-            return Answer::json(200, &ProvisionAnswer { hosts });
+        let mut instances = lock(&self.instances);
+        if let Some(names) = instances.by_request.get(&wanted.name).cloned() {
+            return Answer::json(200, &ProvisionAnswer { names });
         }
-        let zones = plan.zones().len();
-        let room = ((plan.workers.count + plan.cloud.spare) as usize).div_ceil(zones);
-        let there = machines.all.values();
-        let there =
-            there.filter(|m| m.zone == zone && m.gone_ms.is_none() && m.failed_ms.is_none());
-        let number = room.saturating_sub(there.count()).min(asked.count as usize);
-        if number == 0 {
-            return problem(503, "no capacity");
+        let count = self
+            .free_capacity(&instances, zone)
+            .min(wanted.count as usize);
+        if count == 0 {
+            return Answer::error(503, "no capacity");
         }
-        let hosts: Vec<String> = (0..number)
-            .map(|_| self.hire(&mut machines, zone, asked.spot))
+        let names: Vec<String> = (0..count)
+            .map(|_| self.provision(&mut instances, zone, wanted.spot))
             .collect();
-        machines.rentals.insert(asked.name, hosts.clone());
-        Answer::json(200, &ProvisionAnswer { hosts })
+        instances.by_request.insert(wanted.name, names.clone());
+        Answer::json(200, &ProvisionAnswer { names })
     }
 
-    fn hire(self: &Arc<Self>, machines: &mut Machines, zone: ZoneIndex, spot: bool) -> String {
-        let (name, address) = self.fleet.reserve();
-        let machine = Instance {
-            address,
-            zone,
-            spot,
-            rented_ms: self.environment.now_ms() as i64,
-            up_ms: None,
-            failed_ms: None,
-            gone_ms: None,
-        };
-        machines.all.insert(name.clone(), machine);
+    /// How many more instances a zone has room for.
+    fn free_capacity(&self, instances: &Instances, zone: ZoneIndex) -> usize {
+        let plan = &self.environment.plan;
+        let total = (plan.workers.count + plan.cloud.spare_instances) as usize;
+        let capacity = total.div_ceil(plan.zones().len());
+        let present = instances.by_name.values();
+        let used = present.filter(|instance| instance.uses_capacity_of(zone));
+        capacity.saturating_sub(used.count())
+    }
+
+    /// Adds an instance that boots after a while, and returns its name.
+    fn provision(
+        self: &Arc<Self>,
+        instances: &mut Instances,
+        zone: ZoneIndex,
+        spot: bool,
+    ) -> String {
+        let reservation = self.fleet.reserve();
+        let name = reservation.name.clone();
+        let instance = Instance::new(reservation, zone, spot, self.now_ms());
+        instances.by_name.insert(name.clone(), instance);
         let boot_s = self.environment.plan.cloud.boot_s * self.environment.draw(BOOT_SPREAD);
         let (cloud, booting) = (self.clone(), name.clone());
         tokio::spawn(async move {
             sleep(Duration::from_secs_f64(boot_s)).await;
-            cloud.comes_up(&booting);
+            cloud.finish_boot(&booting);
         });
         name
     }
 
-    fn comes_up(&self, name: &str) {
-        let now_ms = self.environment.now_ms() as i64;
-        let mut machines = lock(&self.machines);
-        let machine = machines.all.get_mut(name);
-        let Some(machine) = machine.filter(|machine| machine.gone_ms.is_none()) else {
+    fn finish_boot(&self, name: &str) {
+        let now_ms = self.now_ms();
+        let mut instances = lock(&self.instances);
+        let instance = instances.by_name.get_mut(name);
+        let Some(instance) = instance.filter(|instance| instance.deleted_ms.is_none()) else {
             return;
         };
-        machine.up_ms = Some(now_ms);
+        instance.up_ms = Some(now_ms);
         self.fleet
-            .boot(name, machine.address, machine.zone, machine.spot);
+            .boot(&instance.reservation, instance.zone, instance.spot);
     }
 
-    fn delete(&self, request: &Incoming) -> Answer {
-        let asked = serde_json::from_slice::<DeleteRequest>(&request.body).ok();
-        let Some(asked) = asked.filter(|asked| asked.names.len() <= MOST_DELETED) else {
-            return problem(400, "malformed");
+    fn answer_delete(&self, request: &IncomingRequest) -> Answer {
+        let wanted = serde_json::from_slice::<DeleteRequest>(&request.body).ok();
+        let Some(wanted) = wanted.filter(|wanted| wanted.names.len() <= MAX_DELETED) else {
+            return Answer::error(400, "malformed");
         };
-        for name in &asked.names {
-            self.take(name);
+        for name in &wanted.names {
+            self.delete(name);
         }
-        Answer::json(200, &Nothing {})
+        Answer::json(200, &DeleteAnswer {})
     }
 }
 
-fn problem(status: u16, error: &str) -> Answer {
-    Answer::json(status, &Problem { error })
+fn exchange_kind(request: &IncomingRequest) -> ExchangeKind {
+    match (&request.method, request.path.as_str()) {
+        (&Method::GET, "/catalog") => ExchangeKind::CloudCatalog,
+        (&Method::GET, _) => ExchangeKind::CloudList,
+        (_, "/hosts/delete") => ExchangeKind::CloudDelete,
+        _ => ExchangeKind::CloudProvision,
+    }
 }
--- a/crates/loadtest/src/stand_ins/hollow_worker.rs
+++ b/crates/loadtest/src/stand_ins/hollow_worker.rs
@@ -1,46 +1,98 @@
-//! One hollow worker: session, lease, token, images and tasks by the protocol, without sockets or clock.
+//! One hollow worker: incarnation, lease, fencing token, images and tasks by the protocol, without sockets
+//! or clock.
 
 use crate::plan::JobShape;
-use crate::protocol::{
-    CommandAction, ExitCause, Submission, TaskCommand, TaskId, TaskState, TaskStatus,
-    WorkerHeartbeat,
+use crate::protocol::jobs::{Submission, TaskId};
+use crate::protocol::workers::{
+    CommandAction, ExitCause, HeartbeatAnswer, TaskCommand, TaskState, TaskStatus, WorkerHeartbeat,
 };
 use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::mem;
 use std::sync::Arc;
 
-/// Images that a machine keeps.
+/// Images that a worker keeps.
 const IMAGES_KEPT: usize = 12;
+/// What resources may exceed a worker's by, since sums of fractions are not exact.
+const ROUNDING_MARGIN: f64 = 1e-6;
 
-/// What a machine is, as its reports and the cloud's list say.
+/// What a worker is, as its heartbeats and the cloud's list say.
 #[derive(Debug, Clone)]
-pub struct Identity {
+pub struct WorkerIdentity {
+    /// Its name.
     pub name: String,
+    /// Address at which it takes direct commands.
     pub address: String,
+    /// Its machine type.
     pub machine_type: String,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot instance.
     pub spot: bool,
 }
 
-/// What a machine has.
+/// What a worker has.
 #[derive(Debug, Clone, Copy)]
 pub struct Capacity {
+    /// Processors.
     pub cpus: f64,
+    /// Memory.
     pub ram_gb: f64,
+    /// Rate at which it pulls images.
     pub image_gb_per_s: f64,
 }
 
 /// A job's description, which workers fetch by themselves, and how long its tasks run.
 #[derive(Debug, Clone)]
 pub struct JobDescription {
+    /// As its user submits it.
     pub submission: Arc<Submission>,
+    /// How long each task runs.
     pub run_ms: u64,
 }
 
 /// Finds a job's description.
 pub trait JobLookup {
+    /// The description of the job with an id.
     fn find(&self, job: &str) -> Option<JobDescription>;
 }
 
+/// What happened on a worker.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum WorkerEvent {
+    /// A task has its image and runs.
+    TaskStarted(TaskId),
+    /// A task no longer runs.
+    TaskEnded {
+        /// The task.
+        task: TaskId,
+        /// Whether it ended by itself.
+        completed: bool,
+        /// When it ended.
+        at_ms: u64,
+    },
+    /// The worker may forget a completed task: its result is on record.
+    ResultRecorded {
+        /// The task.
+        task: TaskId,
+        /// When it completed.
+        ended_ms: u64,
+    },
+}
+
+/// A heartbeat that was answered: the incarnation that sent it, and when.
+#[derive(Debug, Clone, Copy)]
+pub struct SentHeartbeat {
+    /// The incarnation.
+    pub incarnation: u64,
+    /// When it was sent.
+    pub sent_ms: u64,
+}
+
+/// A direct command was refused: its fencing token is too old, or it is meant for another incarnation.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("the command is fenced off")]
+pub struct CommandFenced;
+
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Fetching {
@@ -56,52 +108,60 @@
     },
 }
 
-struct Task {
+/// An attempt to run a task.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptId {
+    task: TaskId,
+    attempt: u64,
+}
+
+impl AttemptId {
+    fn of(command: &TaskCommand) -> AttemptId {
+        AttemptId {
+            task: command.task.clone(),
+            attempt: command.attempt,
+        }
+    }
+}
+
+struct Attempt {
     phase: Phase,
     cpus: f64,
     ram_gb: f64,
+    /// How long it runs; `None` for services.
     run_ms: Option<u64>,
 }
 
-/// What happened on a machine, in order.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum WorkerEvent {
-    TaskStarted(TaskId),
-    TaskEnded {
-        task: TaskId,
-        completed: bool,
-        at_ms: u64,
-    },
-    /// Its result is on record; it completed at this time.
-    ResultRecorded {
-        task: TaskId,
-        ended_ms: u64,
-    },
-}
+impl Attempt {
+    fn is_live(&self) -> bool {
+        !matches!(self.phase, Phase::Exited { .. })
+    }
 
-/// How a direct command was taken.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CommandOutcome {
-    Executed,
-    Rejected,
+    fn is_running(&self) -> bool {
+        matches!(self.phase, Phase::Running { .. })
+    }
 }
 
+/// The state of a hollow worker.
 pub struct HollowWorker {
-    pub identity: Identity,
+    /// What it is.
+    pub identity: WorkerIdentity,
     capacity: Capacity,
     incarnation: u64,
     sequence: u64,
     fencing_token: u64,
-    /// When the last answered report was sent, or the session began.
+    /// When the last answered heartbeat was sent, or the incarnation began.
     lease_from_ms: u64,
-    tasks: BTreeMap<(TaskId, u64), Task>,
+    attempts: BTreeMap<AttemptId, Attempt>,
     /// Most recently used last.
     images: VecDeque<String>,
-    fetches: HashMap<String, u64>,
+    /// Images that are being pulled, and when they are there.
+    pulls: HashMap<String, u64>,
 }
 
 impl HollowWorker {
-    pub fn new(identity: Identity, capacity: Capacity, now_ms: u64) -> HollowWorker {
+    /// A worker that has just come up.
+    pub fn new(identity: WorkerIdentity, capacity: Capacity, now_ms: u64) -> HollowWorker {
         HollowWorker {
             identity,
             capacity,
@@ -109,34 +169,33 @@
             sequence: 0,
             fencing_token: 0,
             lease_from_ms: now_ms,
-            tasks: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             images: VecDeque::new(),
-            fetches: HashMap::new(),
+            pulls: HashMap::new(),
         }
     }
 
+    /// The current incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
+    /// The next heartbeat.
     pub fn heartbeat(&mut self) -> WorkerHeartbeat {
         self.sequence += 1;
-        let tasks = self
-            .tasks
-            .iter()
-            .map(|((task, attempt), state)| TaskStatus {
-                task: task.clone(),
-                attempt: *attempt,
-                state: match state.phase {
-                    Phase::Fetching { .. } => TaskState::Fetching,
-                    Phase::Running { .. } => TaskState::Running,
-                    Phase::Exited { .. } => TaskState::Exited,
-                },
-                cause: match state.phase {
-                    Phase::Exited { cause, .. } => Some(cause),
-                    _ => None,
-                },
-            });
+        let tasks = self.attempts.iter().map(|(id, attempt)| {
+            let (state, cause) = match attempt.phase {
+                Phase::Fetching { .. } => (TaskState::Fetching, None),
+                Phase::Running { .. } => (TaskState::Running, None),
+                Phase::Exited { cause, .. } => (TaskState::Exited, Some(cause)),
+            };
+            TaskStatus {
+                task: id.task.clone(),
+                attempt: id.attempt,
+                state,
+                cause,
+            }
+        });
         WorkerHeartbeat {
             worker: self.identity.name.clone(),
             address: self.identity.address.clone(),
@@ -151,107 +210,107 @@
         }
     }
 
-    /// Brings fetches and tasks to where they are now.
+    /// Brings pulls and tasks to where they are now.
     pub fn advance(&mut self, now_ms: u64) -> Vec<WorkerEvent> {
-        let mut changes = Vec::new();
-        let fetched: Vec<String> = (self.fetches.iter())
-            .filter(|(_, until)| **until <= now_ms)
-            .map(|(image, _)| image.clone())
-            .collect();
-        for image in fetched {
-            self.fetches.remove(&image);
-            self.keep_image(&image);
-        }
-        for ((id, _), task) in &mut self.tasks {
-            if let Phase::Fetching { until_ms } = task.phase {
+        self.finish_pulls(now_ms);
+        let mut events = Vec::new();
+        for (id, attempt) in &mut self.attempts {
+            if let Phase::Fetching { until_ms } = attempt.phase {
                 if until_ms <= now_ms {
-                    let until_ms = task.run_ms.map(|run| now_ms + run);
-                    task.phase = Phase::Running { until_ms };
-                    changes.push(WorkerEvent::TaskStarted(id.clone()));
+                    let until_ms = attempt.run_ms.map(|run_ms| now_ms + run_ms);
+                    attempt.phase = Phase::Running { until_ms };
+                    events.push(WorkerEvent::TaskStarted(id.task.clone()));
                 }
             }
-            if let Phase::Running { until_ms: Some(at) } = task.phase {
-                if at <= now_ms {
-                    let cause = ExitCause::Completed;
-                    task.phase = Phase::Exited {
-                        cause,
-                        at_ms: now_ms,
-                    };
-                    changes.push(WorkerEvent::TaskEnded {
-                        task: id.clone(),
+            if let Phase::Running {
+                until_ms: Some(until_ms),
+            } = attempt.phase
+            {
+                if until_ms <= now_ms {
+                    attempt.phase = exited(ExitCause::Completed, now_ms);
+                    events.push(WorkerEvent::TaskEnded {
+                        task: id.task.clone(),
                         completed: true,
                         at_ms: now_ms,
                     });
                 }
             }
         }
-        changes
+        events
+    }
+
+    fn finish_pulls(&mut self, now_ms: u64) {
+        let pulled: Vec<String> = (self.pulls.iter())
+            .filter(|(_, until_ms)| **until_ms <= now_ms)
+            .map(|(image, _)| image.clone())
+            .collect();
+        for image in pulled {
+            self.pulls.remove(&image);
+            self.keep_image(&image);
+        }
     }
 
     /// When `advance` has something to do next.
     pub fn next_change_ms(&self) -> Option<u64> {
-        let each = self.tasks.values().filter_map(|task| match task.phase {
+        let attempts = self.attempts.values();
+        let changes = attempts.filter_map(|attempt| match attempt.phase {
             Phase::Fetching { until_ms } => Some(until_ms),
             Phase::Running { until_ms } => until_ms,
             Phase::Exited { .. } => None,
         });
-        each.min()
+        changes.min()
     }
 
-    /// Whether the lease that the last answered report gave is over.
+    /// Whether the lease that the last answered heartbeat gave has expired.
     pub fn is_lease_expired(&self, lease_ms: u64, now_ms: u64) -> bool {
         now_ms > self.lease_from_ms + lease_ms
     }
 
-    /// Kills and forgets all tasks and moves on to the next session.
+    /// Kills and forgets all tasks and begins the next incarnation: the lease has expired, or the worker
+    /// starts anew. Images stay.
     pub fn begin_incarnation(&mut self, now_ms: u64) -> Vec<WorkerEvent> {
-        let changes = self.stop_all(now_ms);
+        let events = self.stop_all(now_ms);
         self.incarnation += 1;
         self.lease_from_ms = now_ms;
-        changes
-    }
-
-    /// The machine starts anew: what it held in memory is gone, its images stay.
-    pub fn restart(&mut self, now_ms: u64) -> Vec<WorkerEvent> {
-        self.begin_incarnation(now_ms)
+        events
     }
 
-    /// All that ran is gone with the machine.
+    /// All that ran is gone.
     pub fn stop_all(&mut self, now_ms: u64) -> Vec<WorkerEvent> {
-        self.fetches.clear();
-        let tasks = std::mem::take(&mut self.tasks);
-        let running = tasks
-            .into_iter()
-            .filter(|(_, task)| matches!(task.phase, Phase::Running { .. }));
+        self.pulls.clear();
+        let attempts = mem::take(&mut self.attempts).into_iter();
+        let running = attempts.filter(|(_, attempt)| attempt.is_running());
         running
-            .map(|((task, _), _)| WorkerEvent::TaskEnded {
-                task,
+            .map(|(id, _)| WorkerEvent::TaskEnded {
+                task: id.task,
                 completed: false,
                 at_ms: now_ms,
             })
             .collect()
     }
 
-    /// Takes the answer to a report that was sent at `sent_ms` in `session`; a lower token drops it.
+    /// Takes the answer to a heartbeat. An answer with an older fencing token, or to a heartbeat of an
+    /// earlier incarnation, has no effect.
     pub fn apply_heartbeat_answer(
         &mut self,
-        fencing_token: Option<u64>,
-        commands: &[TaskCommand],
-        incarnation: u64,
-        sent_ms: u64,
+        answer: &HeartbeatAnswer,
+        sent: SentHeartbeat,
         jobs: &dyn JobLookup,
         now_ms: u64,
     ) -> Vec<WorkerEvent> {
-        let valid = fencing_token.is_some_and(|fencing_token| fencing_token >= self.fencing_token);
-        if !valid || incarnation != self.incarnation {
+        let current = answer.fencing_token.filter(|t| *t >= self.fencing_token);
+        let Some(fencing_token) = current else {
+            return Vec::new();
+        };
+        if sent.incarnation != self.incarnation {
             return Vec::new();
         }
-        self.fencing_token = fencing_token.unwrap_or(self.fencing_token);
-        self.lease_from_ms = self.lease_from_ms.max(sent_ms);
-        self.execute(commands, jobs, now_ms)
+        self.fencing_token = fencing_token;
+        self.lease_from_ms = self.lease_from_ms.max(sent.sent_ms);
+        self.execute(&answer.commands, jobs, now_ms)
     }
 
-    /// Takes commands sent to the machine's address.
+    /// Takes commands sent to the worker's address.
     pub fn apply_direct_command(
         &mut self,
         fencing_token: u64,
@@ -259,15 +318,12 @@
         commands: &[TaskCommand],
         jobs: &dyn JobLookup,
         now_ms: u64,
-    ) -> (CommandOutcome, Vec<WorkerEvent>) {
+    ) -> Result<Vec<WorkerEvent>, CommandFenced> {
         if fencing_token < self.fencing_token || incarnation != self.incarnation {
-            return (CommandOutcome::Rejected, Vec::new());
+            return Err(CommandFenced);
         }
         self.fencing_token = fencing_token;
-        (
-            CommandOutcome::Executed,
-            self.execute(commands, jobs, now_ms),
-        )
+        Ok(self.execute(commands, jobs, now_ms))
     }
 
     fn execute(
@@ -276,75 +332,78 @@
         jobs: &dyn JobLookup,
         now_ms: u64,
     ) -> Vec<WorkerEvent> {
-        let mut changes = self.advance(now_ms);
+        let mut events = self.advance(now_ms);
         for command in commands {
             match command.action {
                 CommandAction::Start => self.start(command, jobs, now_ms),
-                CommandAction::Stop => changes.extend(self.halt(command, now_ms)),
-                CommandAction::Forget => changes.extend(self.forget(command)),
+                CommandAction::Stop => events.extend(self.stop(command, now_ms)),
+                CommandAction::Forget => events.extend(self.forget(command)),
                 CommandAction::Unknown => {}
             }
         }
-        changes.extend(self.advance(now_ms));
-        changes
+        events.extend(self.advance(now_ms));
+        events
     }
 
     fn start(&mut self, command: &TaskCommand, jobs: &dyn JobLookup, now_ms: u64) {
-        let key = (command.task.clone(), command.attempt);
-        if self.tasks.contains_key(&key) {
+        let id = AttemptId::of(command);
+        if self.attempts.contains_key(&id) {
             return;
         }
-        let described = jobs.find(&command.task.job);
-        let described = described.filter(|d| command.task.index < d.submission.task_count);
-        let (phase, described) = match described {
-            None => (exited(ExitCause::UnknownTask, now_ms), None),
-            Some(d) if self.holds_other_attempt(&command.task) => {
-                (exited(ExitCause::OtherAttemptRuns, now_ms), Some(d))
-            }
-            Some(d) if !self.has_resources_for(&d.submission) => {
-                (exited(ExitCause::InsufficientResources, now_ms), Some(d))
-            }
-            Some(d) => {
-                let until_ms = self.image_ready_ms(&d.submission, now_ms);
-                (Phase::Fetching { until_ms }, Some(d))
-            }
+        let task = &command.task;
+        let job = jobs.find(&task.job);
+        let job = job.filter(|job| task.index < job.submission.task_count);
+        let attempt = match job {
+            None => Attempt {
+                phase: exited(ExitCause::UnknownTask, now_ms),
+                cpus: 0.0,
+                ram_gb: 0.0,
+                run_ms: None,
+            },
+            Some(job) => Attempt {
+                phase: self.first_phase(task, &job.submission, now_ms),
+                cpus: job.submission.vcpus,
+                ram_gb: job.submission.ram_gb,
+                run_ms: (job.submission.shape != JobShape::Daemon).then_some(job.run_ms),
+            },
         };
-        let submission = described.as_ref().map(|d| &d.submission);
-        let endless = submission.is_some_and(|s| s.shape == JobShape::Daemon);
-        let task = Task {
-            phase,
-            cpus: submission.map_or(0.0, |s| s.vcpus),
-            ram_gb: submission.map_or(0.0, |s| s.ram_gb),
-            run_ms: described.as_ref().filter(|_| !endless).map(|d| d.run_ms),
-        };
-        self.tasks.insert(key, task);
+        self.attempts.insert(id, attempt);
+    }
+
+    fn first_phase(&mut self, task: &TaskId, submission: &Submission, now_ms: u64) -> Phase {
+        if self.holds_live_attempt(task) {
+            return exited(ExitCause::OtherAttemptRuns, now_ms);
+        }
+        if !self.has_resources_for(submission) {
+            return exited(ExitCause::InsufficientResources, now_ms);
+        }
+        let until_ms = self.image_ready_ms(submission, now_ms);
+        Phase::Fetching { until_ms }
     }
 
-    fn holds_other_attempt(&self, task: &TaskId) -> bool {
-        let mut same = self.tasks.iter().filter(|((id, _), _)| id == task);
-        same.any(|(_, state)| !matches!(state.phase, Phase::Exited { .. }))
+    fn holds_live_attempt(&self, task: &TaskId) -> bool {
+        let mut attempts = self.attempts.iter();
+        attempts.any(|(id, attempt)| id.task == *task && attempt.is_live())
     }
 
     fn has_resources_for(&self, submission: &Submission) -> bool {
-        let live = || {
-            let all = self.tasks.values();
-            all.filter(|task| !matches!(task.phase, Phase::Exited { .. }))
-        };
-        let cpus: f64 = live().map(|task| task.cpus).sum();
-        let ram: f64 = live().map(|task| task.ram_gb).sum();
-        let margin = 1e-6;
-        cpus + submission.vcpus <= self.capacity.cpus + margin
-            && ram + submission.ram_gb <= self.capacity.ram_gb + margin
+        let live = || self.attempts.values().filter(|attempt| attempt.is_live());
+        let cpus: f64 = live().map(|attempt| attempt.cpus).sum();
+        let ram_gb: f64 = live().map(|attempt| attempt.ram_gb).sum();
+        cpus + submission.vcpus <= self.capacity.cpus + ROUNDING_MARGIN
+            && ram_gb + submission.ram_gb <= self.capacity.ram_gb + ROUNDING_MARGIN
     }
 
+    /// When a job's image is there; begins to pull it if need be.
     fn image_ready_ms(&mut self, submission: &Submission, now_ms: u64) -> u64 {
         let image = &submission.image;
         if self.images.contains(image) {
             self.keep_image(image);
             return now_ms;
         }
-        let takes = submission.image_gb / self.capacity.image_gb_per_s * 1_000.0;
-        *(self.fetches.entry(image.clone())).or_insert(now_ms + takes as u64)
+        let pull_ms = submission.image_gb / self.capacity.image_gb_per_s * 1_000.0;
+        let pull = self.pulls.entry(image.clone());
+        *pull.or_insert(now_ms + pull_ms as u64)
     }
 
     fn keep_image(&mut self, image: &str) {
@@ -355,14 +414,13 @@
         }
     }
 
-    fn halt(&mut self, command: &TaskCommand, now_ms: u64) -> Option<WorkerEvent> {
-        let key = (command.task.clone(), command.attempt);
-        let task = self.tasks.get_mut(&key)?;
-        let was = task.phase;
-        if !matches!(was, Phase::Exited { .. }) {
-            task.phase = exited(ExitCause::Stopped, now_ms);
+    fn stop(&mut self, command: &TaskCommand, now_ms: u64) -> Option<WorkerEvent> {
+        let attempt = self.attempts.get_mut(&AttemptId::of(command))?;
+        let was_running = attempt.is_running();
+        if attempt.is_live() {
+            attempt.phase = exited(ExitCause::Stopped, now_ms);
         }
-        matches!(was, Phase::Running { .. }).then(|| WorkerEvent::TaskEnded {
+        was_running.then(|| WorkerEvent::TaskEnded {
             task: command.task.clone(),
             completed: false,
             at_ms: now_ms,
@@ -370,12 +428,11 @@
     }
 
     fn forget(&mut self, command: &TaskCommand) -> Option<WorkerEvent> {
-        let key = (command.task.clone(), command.attempt);
-        let phase = self.tasks.get(&key)?.phase;
-        let Phase::Exited { cause, at_ms } = phase else {
+        let id = AttemptId::of(command);
+        let Phase::Exited { cause, at_ms } = self.attempts.get(&id)?.phase else {
             return None;
         };
-        self.tasks.remove(&key);
+        self.attempts.remove(&id);
         (cause == ExitCause::Completed).then(|| WorkerEvent::ResultRecorded {
             task: command.task.clone(),
             ended_ms: at_ms,
--- a/crates/loadtest/src/stand_ins/mod.rs
+++ b/crates/loadtest/src/stand_ins/mod.rs
@@ -1,7 +1,7 @@
 //! Stand-ins of what controllers talk to: the state store, the cloud and the workers.
 
-pub mod cloud;
+pub(crate) mod cloud;
 pub mod hollow_worker;
 pub mod state_store;
 pub mod token_bucket;
-pub mod worker_fleet;
+pub(crate) mod worker_fleet;
--- a/crates/loadtest/src/stand_ins/state_store/key_value_store.rs
+++ b/crates/loadtest/src/stand_ins/state_store/key_value_store.rs
@@ -1,6 +1,9 @@
-//! The state service's keys, conditional transactions, lists, leases and recent changes, in memory.
+//! The state store in memory: keys, compare-and-swap transactions, lists, leases and recent changes.
 
-use serde::{Deserialize, Serialize};
+use crate::measurement::figures::RecordUsage;
+use crate::protocol::state_store::{
+    ChangeEvent, Condition, Item, Page, RecordChange, Transaction, Value,
+};
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -8,89 +11,38 @@
 /// Changes that a watch can go back to, by protocol.
 const CHANGES_KEPT: usize = 10_000;
 /// Items and bytes of one page at most, by protocol.
-const PAGE_ITEMS: usize = 1_000;
-const PAGE_BYTES: usize = 512 * 1024;
+const MAX_PAGE_ITEMS: usize = 1_000;
+const MAX_PAGE_BYTES: usize = 512 * 1024;
+/// Bytes of an item on a page beyond its key and value.
+const ITEM_OVERHEAD_BYTES: usize = 40;
 /// Bytes of a transaction at most, by protocol.
-const TRANSACTION_BYTES: usize = 64 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 /// Conditions of a transaction for each change that it may have.
 const CONDITIONS_PER_CHANGE: usize = 4;
-const KEY_BYTES: usize = 200;
-
-/// A stored value: its JSON text, shared by all that read it.
-pub type Value = Arc<RawValue>;
-
-#[derive(Debug, Deserialize)]
-pub struct Condition {
-    pub k: String,
-    #[serde(rename = "stamp")]
-    pub mod_revision: u64,
-}
-
-/// A put if it names `put`, else a removal.
-#[derive(Debug, Deserialize)]
-pub struct RecordChange {
-    pub put: Option<String>,
-    pub v: Option<Box<RawValue>>,
-    pub tenancy: Option<u64>,
-    pub remove: Option<String>,
-}
-
-impl RecordChange {
-    pub fn key(&self) -> &str {
-        let key = self.put.as_ref().or(self.remove.as_ref());
-        key.map_or("", String::as_str)
-    }
-}
-
-#[derive(Debug, Deserialize)]
-pub struct Transaction {
-    #[serde(default, rename = "if")]
-    pub conditions: Vec<Condition>,
-    #[serde(default)]
-    pub apply: Vec<RecordChange>,
-}
-
-#[derive(Debug, Clone, Serialize)]
-pub struct Item {
-    pub k: String,
-    pub v: Value,
-    #[serde(rename = "stamp")]
-    pub mod_revision: u64,
-}
-
-/// One change as the watch tells it.
-#[derive(Debug, Clone, Serialize)]
-pub struct ChangeEvent {
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub put: Option<String>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub v: Option<Value>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub remove: Option<String>,
-    #[serde(rename = "stamp")]
-    pub mod_revision: u64,
-}
-
-#[derive(Debug, Serialize)]
-pub struct Page {
-    pub items: Vec<Item>,
-    pub more: bool,
-    #[serde(rename = "epoch")]
-    pub revision: u64,
-}
+const MAX_KEY_BYTES: usize = 200;
 
 /// How a transaction ended.
 #[derive(Debug, PartialEq, Eq)]
 pub enum TransactionOutcome {
+    /// It took effect at this revision.
     Committed(u64),
-    Conflict { failed: Vec<String>, revision: u64 },
+    /// Some conditions don't hold; nothing was changed.
+    Conflict {
+        /// Keys of the conditions that don't hold.
+        failed_keys: Vec<String>,
+        /// The store's revision.
+        revision: u64,
+    },
+    /// It exceeds a limit or names what is not there, as the text says.
     Malformed(&'static str),
 }
 
-/// Sizes that the state service accepts.
+/// Sizes that the store accepts.
 #[derive(Debug, Clone, Copy)]
 pub struct SizeLimits {
+    /// Bytes of one value.
     pub value_bytes: usize,
+    /// Changes of one transaction.
     pub changes: usize,
 }
 
@@ -101,27 +53,32 @@
 }
 
 struct Lease {
-    life_ms: u64,
-    ends_ms: u64,
+    time_to_live_ms: u64,
+    expires_ms: u64,
     keys: BTreeSet<String>,
 }
 
+/// All keys, leases and recent changes.
 #[derive(Default)]
 pub struct KeyValueStore {
     revision: u64,
     items: BTreeMap<String, StoredValue>,
+    /// Bytes of all keys and values.
     bytes: usize,
-    changes: VecDeque<ChangeEvent>,
+    /// Oldest first.
+    recent_changes: VecDeque<ChangeEvent>,
     leases: BTreeMap<u64, Lease>,
-    next_lease: u64,
+    last_lease: u64,
 }
 
 impl KeyValueStore {
+    /// Revision of the latest change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    pub fn records(&self) -> usize {
+    /// Number of keys.
+    pub fn key_count(&self) -> usize {
         self.items.len()
     }
 
@@ -130,244 +87,281 @@
         self.bytes
     }
 
+    /// Reads one key.
     pub fn get(&self, key: &str) -> Option<Item> {
-        let stored = self.items.get(key)?;
-        Some(Item {
-            k: key.to_string(),
-            v: stored.value.clone(),
-            mod_revision: stored.mod_revision,
-        })
+        self.items.get(key).map(|stored| stored.item(key))
     }
 
-    /// Keys, and bytes of their values, by the first two parts of the key.
-    pub fn by_kind(&self) -> BTreeMap<String, (usize, usize)> {
-        let mut kinds: BTreeMap<String, (usize, usize)> = BTreeMap::new();
+    /// Keys and bytes by kind of record.
+    pub fn usage_by_kind(&self) -> BTreeMap<String, RecordUsage> {
+        let mut kinds: BTreeMap<String, RecordUsage> = BTreeMap::new();
         for (key, stored) in &self.items {
-            let (count, bytes) = kinds.entry(kind_of(key)).or_default();
-            *count += 1;
-            *bytes += key.len() + stored.value.get().len();
+            let usage = kinds.entry(record_kind(key)).or_default();
+            usage.count += 1;
+            usage.bytes += stored.bytes(key);
         }
         kinds
     }
 
-    /// Puts a value there as if a transaction had, long before anybody watches.
+    /// Stores a value as if a transaction had, long before anybody watches.
     pub fn preload(&mut self, key: String, value: Value) {
         self.revision += 1;
-        self.bytes += key.len() + value.get().len();
         let stored = StoredValue {
             value,
             mod_revision: self.revision,
             lease: None,
         };
+        self.bytes += stored.bytes(&key);
         self.items.insert(key, stored);
     }
 
+    /// Executes a transaction that came as so many bytes.
     pub fn transact(
         &mut self,
         transaction: Transaction,
         bytes: usize,
-        sizes: SizeLimits,
+        limits: SizeLimits,
     ) -> TransactionOutcome {
-        if let Some(problem) = malformed(&transaction, bytes, sizes) {
+        if let Some(problem) = limits.problem_of(&transaction, bytes) {
             return TransactionOutcome::Malformed(problem);
         }
-        let unknown = |c: &RecordChange| c.tenancy.is_some_and(|id| !self.leases.contains_key(&id));
-        if transaction.apply.iter().any(unknown) {
+        if transaction.changes.iter().any(|c| !self.has_lease_of(c)) {
             return TransactionOutcome::Malformed("no such lease");
         }
-        let revision_of = |key: &str| self.items.get(key).map_or(0, |stored| stored.mod_revision);
-        let failed: Vec<String> = (transaction.conditions.iter())
-            .filter(|c| revision_of(&c.k) != c.mod_revision)
-            .map(|c| c.k.clone())
+        let failed_keys: Vec<String> = (transaction.conditions.iter())
+            .filter(|condition| !self.holds(condition))
+            .map(|condition| condition.key.clone())
             .collect();
-        if !failed.is_empty() {
-            let revision = self.revision;
-            return TransactionOutcome::Conflict { failed, revision };
+        if !failed_keys.is_empty() {
+            return TransactionOutcome::Conflict {
+                failed_keys,
+                revision: self.revision,
+            };
         }
-        if !transaction.apply.is_empty() {
+        if !transaction.changes.is_empty() {
             self.revision += 1;
         }
-        for change in transaction.apply {
-            match change.put {
-                Some(key) => {
-                    let value = change.v.map(Arc::from);
-                    self.put(key, value.unwrap_or_else(null), change.tenancy);
-                }
-                None => self.remove(&change.remove.unwrap_or_default()),
-            }
+        for change in transaction.changes {
+            self.apply(change);
         }
         TransactionOutcome::Committed(self.revision)
     }
 
+    fn has_lease_of(&self, change: &RecordChange) -> bool {
+        change.lease.is_none_or(|id| self.leases.contains_key(&id))
+    }
+
+    fn holds(&self, condition: &Condition) -> bool {
+        let stored = self.items.get(&condition.key);
+        stored.map_or(0, |stored| stored.mod_revision) == condition.mod_revision
+    }
+
+    fn apply(&mut self, change: RecordChange) {
+        match change.put {
+            Some(key) => {
+                let value = change.value.map(Arc::from);
+                self.put(key, value.unwrap_or_else(null), change.lease);
+            }
+            None => self.remove(&change.remove.unwrap_or_default()),
+        }
+    }
+
     fn put(&mut self, key: String, value: Value, lease: Option<u64>) {
-        let mod_revision = self.revision;
-        self.forget(&key);
-        self.bytes += key.len() + value.get().len();
-        if let Some(held) = lease.and_then(|id| self.leases.get_mut(&id)) {
-            held.keys.insert(key.clone());
+        self.drop_item(&key);
+        if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
+            lease.keys.insert(key.clone());
         }
         let stored = StoredValue {
             value: value.clone(),
-            mod_revision,
+            mod_revision: self.revision,
             lease,
         };
+        self.bytes += stored.bytes(&key);
         self.items.insert(key.clone(), stored);
-        self.tell(ChangeEvent {
+        self.publish(ChangeEvent {
             put: Some(key),
-            v: Some(value),
+            value: Some(value),
             remove: None,
-            mod_revision,
+            mod_revision: self.revision,
         });
     }
 
     fn remove(&mut self, key: &str) {
-        self.forget(key);
-        self.tell(ChangeEvent {
+        self.drop_item(key);
+        self.publish(ChangeEvent {
             put: None,
-            v: None,
+            value: None,
             remove: Some(key.to_string()),
             mod_revision: self.revision,
         });
     }
 
-    fn forget(&mut self, key: &str) {
+    fn drop_item(&mut self, key: &str) {
         let Some(old) = self.items.remove(key) else {
             return;
         };
-        self.bytes -= key.len() + old.value.get().len();
-        if let Some(held) = old.lease.and_then(|id| self.leases.get_mut(&id)) {
-            held.keys.remove(key);
+        self.bytes -= old.bytes(key);
+        if let Some(lease) = old.lease.and_then(|id| self.leases.get_mut(&id)) {
+            lease.keys.remove(key);
         }
     }
 
-    fn tell(&mut self, news: ChangeEvent) {
-        self.changes.push_back(news);
-        if self.changes.len() > CHANGES_KEPT {
-            self.changes.pop_front();
+    fn publish(&mut self, event: ChangeEvent) {
+        self.recent_changes.push_back(event);
+        if self.recent_changes.len() > CHANGES_KEPT {
+            self.recent_changes.pop_front();
         }
     }
 
-    pub fn list(&self, under: &str, since: &str, most: usize) -> Page {
-        let from = if since > under { since } else { under };
-        let mut items = (self.items.range(from.to_string()..))
-            .skip_while(|(key, _)| key.as_str() == since)
-            .take_while(|(key, _)| key.starts_with(under))
+    /// One page of the keys with a prefix after `after`, of `max_items` items at most.
+    pub fn list(&self, prefix: &str, after: &str, max_items: usize) -> Page {
+        let from = after.max(prefix);
+        let mut remaining = (self.items.range(from.to_string()..))
+            .skip_while(|(key, _)| key.as_str() == after)
+            .take_while(|(key, _)| key.starts_with(prefix))
             .peekable();
-        let (mut page, mut bytes) = (Vec::new(), 0);
-        while let Some((key, stored)) = items.peek() {
-            bytes += key.len() + stored.value.get().len() + 40;
-            let full = page.len() >= most.min(PAGE_ITEMS) || bytes > PAGE_BYTES;
-            if full && !page.is_empty() {
+        let mut items = Vec::new();
+        let mut bytes = 0;
+        while let Some((key, stored)) = remaining.peek() {
+            bytes += stored.bytes(key) + ITEM_OVERHEAD_BYTES;
+            let is_full = items.len() >= max_items.min(MAX_PAGE_ITEMS) || bytes > MAX_PAGE_BYTES;
+            if is_full && !items.is_empty() {
                 break;
             }
-            page.push(Item {
-                k: key.to_string(),
-                v: stored.value.clone(),
-                mod_revision: stored.mod_revision,
-            });
-            items.next();
+            items.push(stored.item(key));
+            remaining.next();
         }
         Page {
-            items: page,
-            more: items.peek().is_some(),
+            items,
+            more: remaining.peek().is_some(),
             revision: self.revision,
         }
     }
 
     /// Changes of keys with a prefix after a revision; `None` if these are no longer kept.
-    pub fn changes_since(&self, under: &str, since: u64) -> Option<Vec<ChangeEvent>> {
-        let oldest = self.changes.front().map_or(0, |news| news.mod_revision);
-        let complete = self.changes.len() < CHANGES_KEPT || oldest <= since + 1;
-        if !complete {
+    pub fn changes_since(&self, prefix: &str, since: u64) -> Option<Vec<ChangeEvent>> {
+        let changes = &self.recent_changes;
+        let oldest = changes.front().map_or(0, |event| event.mod_revision);
+        let is_complete = changes.len() < CHANGES_KEPT || oldest <= since + 1;
+        if !is_complete {
             return None;
         }
-        let from = self
-            .changes
-            .partition_point(|news| news.mod_revision <= since);
-        let news = self.changes.range(from..).filter(|news| {
-            let key = news.put.as_ref().or(news.remove.as_ref());
-            key.is_some_and(|key| key.starts_with(under))
+        let from = changes.partition_point(|event| event.mod_revision <= since);
+        let events = changes.range(from..).filter(|event| {
+            let key = event.put.as_ref().or(event.remove.as_ref());
+            key.is_some_and(|key| key.starts_with(prefix))
         });
-        Some(news.cloned().collect())
+        Some(events.cloned().collect())
     }
 
-    pub fn grant(&mut self, life_ms: u64, now_ms: u64) -> u64 {
-        self.next_lease += 1;
+    /// Grants a lease and returns its id.
+    pub fn grant_lease(&mut self, time_to_live_ms: u64, now_ms: u64) -> u64 {
+        self.last_lease += 1;
         let lease = Lease {
-            life_ms,
-            ends_ms: now_ms + life_ms,
+            time_to_live_ms,
+            expires_ms: now_ms + time_to_live_ms,
             keys: BTreeSet::new(),
         };
-        self.leases.insert(self.next_lease, lease);
-        self.next_lease
+        self.leases.insert(self.last_lease, lease);
+        self.last_lease
     }
 
-    /// Whether there is such a lease; it gets its full time back.
-    pub fn renew(&mut self, lease: u64, now_ms: u64) -> bool {
-        let held = self.leases.get_mut(&lease);
-        held.map(|held| held.ends_ms = now_ms + held.life_ms)
-            .is_some()
+    /// Gives a lease its full time back; false if there is no such lease.
+    pub fn renew_lease(&mut self, id: u64, now_ms: u64) -> bool {
+        let Some(lease) = self.leases.get_mut(&id) else {
+            return false;
+        };
+        lease.renew(now_ms);
+        true
     }
 
-    pub fn renew_all(&mut self, now_ms: u64) {
-        for held in self.leases.values_mut() {
-            held.ends_ms = now_ms + held.life_ms;
+    /// Gives all leases their full time back.
+    pub fn renew_all_leases(&mut self, now_ms: u64) {
+        for lease in self.leases.values_mut() {
+            lease.renew(now_ms);
         }
     }
 
-    pub fn end(&mut self, lease: u64) -> bool {
-        let Some(held) = self.leases.remove(&lease) else {
+    /// Ends a lease and removes its keys; false if there is no such lease.
+    pub fn end_lease(&mut self, id: u64) -> bool {
+        let Some(lease) = self.leases.remove(&id) else {
             return false;
         };
-        if !held.keys.is_empty() {
+        if !lease.keys.is_empty() {
             self.revision += 1;
         }
-        for key in held.keys {
+        for key in lease.keys {
             self.remove(&key);
         }
         true
     }
 
-    /// Ends leases whose time is over; says whether any did.
-    pub fn expire(&mut self, now_ms: u64) -> bool {
-        let over: Vec<u64> = (self.leases.iter())
-            .filter(|(_, held)| held.ends_ms < now_ms)
+    /// Ends leases whose time is over; true if any did.
+    pub fn expire_leases(&mut self, now_ms: u64) -> bool {
+        let expired: Vec<u64> = (self.leases.iter())
+            .filter(|(_, lease)| lease.expires_ms < now_ms)
             .map(|(id, _)| *id)
             .collect();
-        for lease in &over {
-            self.end(*lease);
+        for id in &expired {
+            self.end_lease(*id);
+        }
+        !expired.is_empty()
+    }
+}
+
+impl StoredValue {
+    fn bytes(&self, key: &str) -> usize {
+        key.len() + self.value.get().len()
+    }
+
+    fn item(&self, key: &str) -> Item {
+        Item {
+            key: key.to_string(),
+            value: self.value.clone(),
+            mod_revision: self.mod_revision,
+        }
+    }
+}
+
+impl Lease {
+    fn renew(&mut self, now_ms: u64) {
+        self.expires_ms = now_ms + self.time_to_live_ms;
+    }
+}
+
+impl SizeLimits {
+    /// What is wrong with a transaction by its sizes and keys.
+    fn problem_of(self, transaction: &Transaction, bytes: usize) -> Option<&'static str> {
+        let changes = &transaction.changes;
+        let is_large = |change: &RecordChange| {
+            let value = change.value.as_ref();
+            value.is_some_and(|value| value.get().len() > self.value_bytes)
+        };
+        if bytes > MAX_TRANSACTION_BYTES {
+            return Some("larger than 64 KiB");
+        }
+        if changes.len() > self.changes {
+            return Some("too many changes");
         }
-        !over.is_empty()
+        if transaction.conditions.len() > self.changes * CONDITIONS_PER_CHANGE {
+            return Some("too many conditions");
+        }
+        if changes.iter().any(|change| !is_valid_key(change.key())) {
+            return Some("bad key");
+        }
+        changes.iter().any(is_large).then_some("value too large")
     }
 }
 
+fn is_valid_key(key: &str) -> bool {
+    !key.is_empty() && key.len() <= MAX_KEY_BYTES && !key.contains(' ')
+}
+
 fn null() -> Value {
     Arc::from(RawValue::NULL.to_owned())
 }
 
 /// The kind of record that a key holds: `chunk` for `g/chunk/j-000412/0`.
-pub fn kind_of(key: &str) -> String {
+pub fn record_kind(key: &str) -> String {
     key.split('/').nth(1).unwrap_or(key).to_string()
 }
-
-fn malformed(transaction: &Transaction, bytes: usize, sizes: SizeLimits) -> Option<&'static str> {
-    let bad_key = |key: &str| key.is_empty() || key.len() > KEY_BYTES || key.contains(' ');
-    let large = |change: &RecordChange| {
-        let value = change.v.as_ref();
-        value.is_some_and(|v| v.get().len() > sizes.value_bytes)
-    };
-    let changes = &transaction.apply;
-    if bytes > TRANSACTION_BYTES {
-        return Some("larger than 64 KiB");
-    }
-    if changes.len() > sizes.changes {
-        return Some("too many changes");
-    }
-    if transaction.conditions.len() > sizes.changes * CONDITIONS_PER_CHANGE {
-        return Some("too many conditions");
-    }
-    if changes.iter().any(|change| bad_key(change.key())) {
-        return Some("bad key");
-    }
-    changes.iter().any(large).then_some("value too large")
-}
--- a/crates/loadtest/src/stand_ins/state_store/server.rs
+++ b/crates/loadtest/src/stand_ins/state_store/server.rs
@@ -1,160 +1,130 @@
-//! A stand-in of the state service: the store behind HTTP, with limits, latency, outages and refusals.
+//! The state store behind HTTP, with rate limits, latency, outages and rejections.
 
+use super::configuration_versions::{version_changes, ConfigurationVersions};
+use super::key_value_store::{record_kind, KeyValueStore, SizeLimits, TransactionOutcome};
+use super::preload::ended_job;
 use crate::environment::Environment;
-use crate::measurement::counters::{ExchangeKind, LatencyKind};
-use crate::network::http::{serve, Answer, Incoming};
-use crate::network::partitions::{lock, Site};
-use crate::stand_ins::state_store::key_value_store::{
-    kind_of, ChangeEvent, KeyValueStore, SizeLimits, Transaction, TransactionOutcome,
+use crate::measurement::traffic::ExchangeKind;
+use crate::network::http::{bind_loopback, serve, Answer, IncomingRequest};
+use crate::network::partitions::Site;
+use crate::protocol::state_store::{
+    ConflictAnswer, LeaseAnswer, LeaseRequest, RevisionAnswer, Transaction, WatchAnswer,
 };
 use crate::stand_ins::token_bucket::TokenBucket;
-use glenmount_core::state::formats::LATEST;
-use glenmount_core::state::{JobPhase, JobRecord, Key, Record};
+use crate::sync::lock;
 use hyper::Method;
-use serde::{Deserialize, Serialize};
-use serde_json::value::RawValue;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
+use std::io;
 use std::net::SocketAddr;
+use std::ops::{Range, RangeInclusive};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
-use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Duration};
 
-/// Both limits allow one second's worth at once.
+/// Both rate limits allow one second's worth at once.
 const BURST_S: f64 = 1.0;
 /// Longest hold of a watch.
-const MOST_HOLD_MS: u64 = 60_000;
+const MAX_HOLD_MS: u64 = 60_000;
+/// How long an open watch sleeps at least and at most before it looks again: it waits through an outage.
+const WATCH_WAIT_MS: (u64, u64) = (20, 250);
 /// One answer in so many takes some hundred milliseconds.
 const SLOW_ONE_IN: u32 = 500;
-const SLOW_MS: std::ops::Range<u64> = 150..400;
-/// Time of day at which preloaded jobs were accepted.
-const ENDED_AT_MS: u64 = 1_700_000_000_000;
-/// Stands for operators where controllers are numbered; their traffic is not counted with these.
-pub const OPERATORS: u32 = u32::MAX;
+const SLOW_MS: Range<u64> = 150..400;
+/// Items of a page unless a request says otherwise.
+const DEFAULT_PAGE_ITEMS: u64 = 1_000;
 /// How often leases are looked at.
-const LEASE_CHECK: Duration = Duration::from_millis(50);
-const LEASE_LIFE_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
-
-#[derive(Serialize)]
-struct RevisionAnswer {
-    #[serde(rename = "epoch")]
-    revision: u64,
-}
-
-#[derive(Serialize)]
-struct Failed<'a> {
-    failed: &'a [String],
-    #[serde(rename = "epoch")]
-    revision: u64,
-}
-
-#[derive(Serialize)]
-struct Problem<'a> {
-    error: &'a str,
-}
-
-#[derive(Serialize)]
-struct WatchAnswer {
-    #[serde(rename = "epoch")]
-    revision: u64,
-    news: Vec<ChangeEvent>,
-}
-
-#[derive(Deserialize)]
-struct LeaseRequest {
-    #[serde(rename = "lifeMs")]
-    life_ms: u64,
-}
-
-#[derive(Serialize)]
-struct LeaseAnswer {
-    tenancy: u64,
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const LEASE_TIME_TO_LIVE_MS: RangeInclusive<u64> = 100..=600_000;
+
+/// Who has an address of its own at the state store, by which it is known.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum StoreClient {
+    /// A controller by its index.
+    Controller(u32),
+    /// Operators; their traffic is not counted with the controllers'.
+    Operator,
 }
 
-struct Limits {
+struct RateLimits {
     requests: TokenBucket,
     changes: TokenBucket,
 }
 
-/// The service and the troubles that it has.
+/// The server and the faults that it has.
 pub struct StateStoreServer {
     environment: Arc<Environment>,
     store: Mutex<KeyValueStore>,
+    /// The store's revision, for open watches.
     revision: watch::Sender<u64>,
-    limits: Mutex<Limits>,
+    rate_limits: Mutex<RateLimits>,
     latency_ms: AtomicU64,
-    down: AtomicBool,
+    is_down: AtomicBool,
     /// Controllers that get 503.
-    refused: Mutex<BTreeSet<u32>>,
-    /// When versions of the configuration were committed.
-    versions: Mutex<BTreeMap<u64, u64>>,
-}
-
-/// The part of a configuration's records that is looked at here.
-#[derive(Deserialize)]
-struct VersionOf {
-    v: u64,
+    rejected: Mutex<BTreeSet<u32>>,
+    versions: ConfigurationVersions,
 }
 
 impl StateStoreServer {
+    /// A server with the plan's limits and preloaded records.
     pub fn new(environment: Arc<Environment>) -> Arc<StateStoreServer> {
         let limits = &environment.plan.state;
         let mut store = KeyValueStore::default();
-        for n in 0..environment.plan.ended_jobs {
-            let (key, value) = ended_job(n);
+        for index in 0..environment.plan.ended_jobs {
+            let (key, value) = ended_job(index);
             store.preload(key, value);
         }
-        let service = Arc::new(StateStoreServer {
+        let server = Arc::new(StateStoreServer {
             revision: watch::channel(store.revision()).0,
             store: Mutex::new(store),
-            limits: Mutex::new(Limits {
-                requests: TokenBucket::new(limits.rps, BURST_S),
-                changes: TokenBucket::new(limits.write_rps, BURST_S),
+            rate_limits: Mutex::new(RateLimits {
+                requests: TokenBucket::new(limits.requests_per_s, BURST_S),
+                changes: TokenBucket::new(limits.changes_per_s, BURST_S),
             }),
             latency_ms: AtomicU64::new(limits.latency_ms.round() as u64),
-            down: AtomicBool::new(false),
-            refused: Mutex::default(),
-            versions: Mutex::default(),
+            is_down: AtomicBool::new(false),
+            rejected: Mutex::default(),
+            versions: ConfigurationVersions::default(),
             environment,
         });
-        tokio::spawn(service.clone().expire_leases());
-        service
+        tokio::spawn(server.clone().expire_leases());
+        server
     }
 
-    /// An address of its own for a controller, by which that one is known; or for operators, who stand
-    /// outside of all zones.
+    /// Opens an address of its own for a client at a site.
     pub async fn listen(
         self: &Arc<Self>,
-        controller: u32,
-        zone: Site,
-    ) -> std::io::Result<SocketAddr> {
-        let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let address = listener.local_addr()?;
-        let service = self.clone();
+        client: StoreClient,
+        site: Site,
+    ) -> io::Result<SocketAddr> {
+        let (listener, address) = bind_loopback().await?;
+        let server = self.clone();
         serve(listener, move |request| {
-            let service = service.clone();
-            async move { service.serve(request, controller, zone).await }
+            let server = server.clone();
+            async move { server.serve(request, client, site).await }
         });
         Ok(address)
     }
 
-    pub fn set_latency(&self, ms: f64) {
-        self.latency_ms.store(ms.round() as u64, Relaxed);
+    /// Sets the mean latency of answers.
+    pub fn set_latency(&self, latency_ms: f64) {
+        self.latency_ms.store(latency_ms.round() as u64, Relaxed);
     }
 
-    pub fn set_down(&self, down: bool) {
-        self.down.store(down, Relaxed);
-        if !down {
-            lock(&self.store).renew_all(self.environment.now_ms());
+    /// Begins or ends an outage; leases have their full time when it ends.
+    pub fn set_down(&self, is_down: bool) {
+        self.is_down.store(is_down, Relaxed);
+        if !is_down {
+            lock(&self.store).renew_all_leases(self.environment.now_ms());
         }
     }
 
-    pub fn set_refused(&self, controller: u32, refused: bool) {
-        let mut all = lock(&self.refused);
-        match refused {
-            true => all.insert(controller),
-            false => all.remove(&controller),
+    /// Begins or ends to answer 503 to a controller.
+    pub fn set_rejected(&self, controller: u32, is_rejected: bool) {
+        let mut rejected = lock(&self.rejected);
+        match is_rejected {
+            true => rejected.insert(controller),
+            false => rejected.remove(&controller),
         };
     }
 
@@ -163,61 +133,60 @@
         look(&lock(&self.store))
     }
 
-    async fn serve(&self, request: Incoming, controller: u32, zone: Site) -> Answer {
+    async fn serve(&self, request: IncomingRequest, client: StoreClient, site: Site) -> Answer {
         let network = &self.environment.network;
-        network.until_reached(zone, Site::Outside).await;
-        let kind = kind(&request);
+        network.until_reachable(site, Site::Outside).await;
+        let kind = exchange_kind(&request);
         let request_bytes = request.bytes;
-        let answer = self.answer(request, controller).await;
-        network.until_reached(Site::Outside, zone).await;
-        let traffic = &self.environment.traffic;
-        if controller != OPERATORS {
+        let answer = self.answer(request, client).await;
+        network.until_reachable(Site::Outside, site).await;
+        if client != StoreClient::Operator {
+            let traffic = &self.environment.traffic;
             traffic.count(kind, request_bytes, answer.bytes());
         }
         answer
     }
 
-    fn serves(&self, controller: u32) -> bool {
-        !self.down.load(Relaxed) && !lock(&self.refused).contains(&controller)
+    fn is_serving(&self, client: StoreClient) -> bool {
+        let is_rejected = match client {
+            StoreClient::Controller(index) => lock(&self.rejected).contains(&index),
+            StoreClient::Operator => false,
+        };
+        !self.is_down.load(Relaxed) && !is_rejected
     }
 
-    async fn answer(&self, request: Incoming, controller: u32) -> Answer {
-        self.take_time().await;
-        if !self.serves(controller) {
-            return problem(503, "unavailable");
+    async fn answer(&self, request: IncomingRequest, client: StoreClient) -> Answer {
+        self.take_latency().await;
+        if !self.is_serving(client) {
+            return Answer::error(503, "unavailable");
         }
         let now_ms = self.environment.now_ms();
-        if !lock(&self.limits).requests.take(1.0, now_ms) {
-            return problem(429, "too many requests");
+        if !lock(&self.rate_limits).requests.take(1.0, now_ms) {
+            return Answer::error(429, "too many requests");
         }
         match (&request.method, request.path.as_str()) {
             (&Method::POST, "/txn") => self.transact(&request),
-            (&Method::GET, "/watch") => self.watch(&request, controller).await,
-            (&Method::GET, "/keys") => {
-                let most = request.number("most").unwrap_or(1_000) as usize;
-                let store = lock(&self.store);
-                let page = store.list(request.word("under"), request.word("since"), most);
-                Answer::json(200, &page)
-            }
+            (&Method::GET, "/watch") => self.watch(&request, client).await,
+            (&Method::GET, "/keys") => self.list(&request),
             (&Method::GET, path) => match path.strip_prefix("/keys/") {
                 Some(key) => self.get(key),
-                None => problem(400, "malformed"),
+                None => Answer::error(400, "malformed"),
             },
             (_, path) => match path.strip_prefix("/leases") {
                 Some(rest) => self.lease(&request, rest),
-                None => problem(400, "malformed"),
+                None => Answer::error(400, "malformed"),
             },
         }
     }
 
-    async fn take_time(&self) {
-        let usual = self.latency_ms.load(Relaxed);
-        let ms = match self.environment.draw(0..SLOW_ONE_IN) {
+    async fn take_latency(&self) {
+        let mean_ms = self.latency_ms.load(Relaxed);
+        let latency_ms = match self.environment.draw(0..SLOW_ONE_IN) {
             0 => self.environment.draw(SLOW_MS),
-            _ => self.environment.draw(usual / 2..=usual * 3 / 2),
+            _ => self.environment.draw(mean_ms / 2..=mean_ms * 3 / 2),
         };
-        if ms > 0 {
-            sleep(Duration::from_millis(ms)).await;
+        if latency_ms > 0 {
+            sleep(Duration::from_millis(latency_ms)).await;
         }
     }
 
@@ -225,203 +194,158 @@
         let store = lock(&self.store);
         match store.get(key) {
             Some(item) => Answer::json(200, &item),
-            None => Answer::json(
-                404,
-                &RevisionAnswer {
-                    revision: store.revision(),
-                },
-            ),
+            None => revision_answer(404, store.revision()),
         }
     }
 
-    fn transact(&self, request: &Incoming) -> Answer {
+    fn list(&self, request: &IncomingRequest) -> Answer {
+        let max_items = request.query_number("most").unwrap_or(DEFAULT_PAGE_ITEMS) as usize;
+        let (prefix, after) = (request.query_value("under"), request.query_value("since"));
+        let page = lock(&self.store).list(prefix, after, max_items);
+        Answer::json(200, &page)
+    }
+
+    fn transact(&self, request: &IncomingRequest) -> Answer {
         let Ok(transaction) = serde_json::from_slice::<Transaction>(&request.body) else {
-            return problem(400, "malformed");
+            return Answer::error(400, "malformed");
         };
-        let changes = transaction.apply.len() as f64;
+        let change_count = transaction.changes.len() as f64;
         let now_ms = self.environment.now_ms();
-        if !lock(&self.limits).changes.take(changes, now_ms) {
-            return problem(429, "too many changes");
+        if !lock(&self.rate_limits).changes.take(change_count, now_ms) {
+            return Answer::error(429, "too many changes");
         }
-        let shape = shape(&transaction);
-        let versions = versions(&transaction);
-        let kinds: Vec<String> = transaction.apply.iter().map(|c| kind_of(c.key())).collect();
+        let kinds: Vec<String> = (transaction.changes.iter())
+            .map(|change| record_kind(change.key()))
+            .collect();
+        let versions = version_changes(&transaction);
         let limits = &self.environment.plan.state;
-        let sizes = SizeLimits {
-            value_bytes: (limits.value_kb * 1_024.0) as usize,
-            changes: limits.txn_ops as usize,
+        let size_limits = SizeLimits {
+            value_bytes: (limits.max_value_kb * 1_024.0) as usize,
+            changes: limits.max_changes as usize,
         };
         let mut store = lock(&self.store);
-        let outcome = store.transact(transaction, request.body.len(), sizes);
+        let outcome = store.transact(transaction, request.body.len(), size_limits);
         self.revision.send_replace(store.revision());
         drop(store);
-        let (answer, ended) = match &outcome {
-            TransactionOutcome::Committed(revision) => (
-                Answer::json(
-                    200,
-                    &RevisionAnswer {
-                        revision: *revision,
-                    },
-                ),
-                "",
-            ),
-            TransactionOutcome::Conflict { failed, revision } => {
-                let failed = Failed {
-                    failed,
-                    revision: *revision,
-                };
-                (Answer::json(409, &failed), " (conflict)")
-            }
-            TransactionOutcome::Malformed(what) => (problem(400, what), " (refused)"),
-        };
         if let TransactionOutcome::Committed(_) = outcome {
-            self.note_versions(versions);
-        }
-        let name = format!("{shape}{ended}");
-        self.environment.transactions.add(&name, 1);
-        for kind in kinds {
-            self.environment
-                .record_changes
-                .add(&format!("{kind}{ended}"), 1);
+            let (now_ms, latencies) = (self.environment.now_ms(), &self.environment.latencies);
+            self.versions.record(versions, now_ms, latencies);
         }
-        answer
+        self.count_transaction(&outcome, kinds);
+        transaction_answer(&outcome)
     }
 
-    /// Notes when a version is committed, and how long it took until a controller follows it.
-    fn note_versions(&self, changed: Vec<Versioned>) {
-        let now_ms = self.environment.now_ms();
-        let mut versions = lock(&self.versions);
-        for change in changed {
-            match change {
-                Versioned::Committed(version) => {
-                    versions.insert(version, now_ms);
-                }
-                Versioned::Followed(version) => {
-                    if let Some(at) = versions.get(&version) {
-                        self.environment
-                            .latencies
-                            .record(LatencyKind::ConfigurationInForce, now_ms - at);
-                    }
-                }
-            }
+    /// Counts a transaction by the kinds of records that it changes, each once (`chunk+team` for a claim),
+    /// and its changes by kind.
+    fn count_transaction(&self, outcome: &TransactionOutcome, kinds: Vec<String>) {
+        let suffix = match outcome {
+            TransactionOutcome::Committed(_) => "",
+            TransactionOutcome::Conflict { .. } => " (conflict)",
+            TransactionOutcome::Malformed(_) => " (refused)",
+        };
+        let distinct: BTreeSet<&str> = kinds.iter().map(String::as_str).collect();
+        let distinct: Vec<&str> = distinct.into_iter().collect();
+        let name = format!("{}{suffix}", distinct.join("+"));
+        self.environment.transactions.add(&name, 1);
+        for kind in kinds {
+            let name = format!("{kind}{suffix}");
+            self.environment.record_changes.add(&name, 1);
         }
     }
 
-    async fn watch(&self, request: &Incoming, controller: u32) -> Answer {
-        let under = request.word("under");
-        let since = request.number("since").unwrap_or(0);
-        let hold = request.number("holdMs").unwrap_or(0).min(MOST_HOLD_MS);
-        let ends_ms = self.environment.now_ms() + hold;
+    async fn watch(&self, request: &IncomingRequest, client: StoreClient) -> Answer {
+        let prefix = request.query_value("under");
+        let since = request.query_number("since").unwrap_or(0);
+        let hold_ms = request.query_number("holdMs").unwrap_or(0).min(MAX_HOLD_MS);
+        let ends_ms = self.environment.now_ms() + hold_ms;
         let mut revisions = self.revision.subscribe();
         loop {
             revisions.mark_unchanged();
-            let news = {
+            let (revision, events) = {
                 let store = lock(&self.store);
-                (store.revision(), store.changes_since(under, since))
+                (store.revision(), store.changes_since(prefix, since))
             };
-            let serves = self.serves(controller);
+            let is_serving = self.is_serving(client);
             let now_ms = self.environment.now_ms();
-            match news {
-                (_, None) if serves => {
-                    return Answer::json(410, &RevisionAnswer { revision: news.0 })
-                }
-                (revision, Some(news)) if serves && (!news.is_empty() || now_ms >= ends_ms) => {
-                    return Answer::json(200, &WatchAnswer { revision, news });
+            match events {
+                None if is_serving => return revision_answer(410, revision),
+                Some(events) if is_serving && (!events.is_empty() || now_ms >= ends_ms) => {
+                    return Answer::json(200, &WatchAnswer { revision, events });
                 }
                 _ => {}
             }
-            // An open watch waits through an outage.
-            let left = ends_ms.saturating_sub(now_ms).clamp(20, 250);
-            let _ = timeout(Duration::from_millis(left), revisions.changed()).await;
+            let (least_ms, most_ms) = WATCH_WAIT_MS;
+            let wait_ms = ends_ms.saturating_sub(now_ms).clamp(least_ms, most_ms);
+            let _ = timeout(Duration::from_millis(wait_ms), revisions.changed()).await;
         }
     }
 
-    fn lease(&self, request: &Incoming, rest: &str) -> Answer {
+    fn lease(&self, request: &IncomingRequest, path: &str) -> Answer {
+        let parts: Vec<&str> = path.split('/').filter(|part| !part.is_empty()).collect();
+        let id = parts.first().and_then(|id| id.parse::<u64>().ok());
         let now_ms = self.environment.now_ms();
         let mut store = lock(&self.store);
-        let parts: Vec<&str> = rest.split('/').filter(|part| !part.is_empty()).collect();
-        let id = parts.first().and_then(|id| id.parse::<u64>().ok());
-        let held = match (&request.method, id, parts.get(1)) {
-            (&Method::POST, None, None) => {
-                let asked = serde_json::from_slice::<LeaseRequest>(&request.body);
-                let life = asked.ok().map(|asked| asked.life_ms);
-                let Some(life) = life.filter(|ms| LEASE_LIFE_MS.contains(ms)) else {
-                    return problem(400, "lifeMs");
-                };
-                let tenancy = store.grant(life, now_ms);
-                return Answer::json(200, &LeaseAnswer { tenancy });
-            }
-            (&Method::POST, Some(id), Some(&"touch")) => store.renew(id, now_ms),
-            (&Method::DELETE, Some(id), None) => store.end(id),
-            _ => return problem(400, "malformed"),
+        let (lease, is_held) = match (&request.method, id, parts.get(1)) {
+            (&Method::POST, None, None) => return grant_lease(&mut store, request, now_ms),
+            (&Method::POST, Some(id), Some(&"touch")) => (id, store.renew_lease(id, now_ms)),
+            (&Method::DELETE, Some(id), None) => (id, store.end_lease(id)),
+            _ => return Answer::error(400, "malformed"),
         };
         self.revision.send_replace(store.revision());
-        match (held, id) {
-            (true, Some(tenancy)) => Answer::json(200, &LeaseAnswer { tenancy }),
-            _ => problem(404, "no such lease"),
+        match is_held {
+            true => Answer::json(200, &LeaseAnswer { lease }),
+            false => Answer::error(404, "no such lease"),
         }
     }
 
     async fn expire_leases(self: Arc<Self>) {
         loop {
-            sleep(LEASE_CHECK).await;
-            if self.down.load(Relaxed) {
+            sleep(LEASE_CHECK_INTERVAL).await;
+            if self.is_down.load(Relaxed) {
                 continue;
             }
             let mut store = lock(&self.store);
-            if store.expire(self.environment.now_ms()) {
+            if store.expire_leases(self.environment.now_ms()) {
                 self.revision.send_replace(store.revision());
             }
         }
     }
 }
 
-/// The record of a job that ended long ago, as controllers write it.
-fn ended_job(
-    n: u32,
-) -> (
-    String,
-    crate::stand_ins::state_store::key_value_store::Value,
-) {
-    let id = format!("j-8{n:07}");
-    let record = Record::Job(JobRecord {
-        phase: JobPhase::Done,
-        tasks: 1 + n % 700,
-        chunk: 100,
-        at: ENDED_AT_MS + u64::from(n),
-        ended: ENDED_AT_MS + u64::from(n) + 60_000,
-        spec: None,
-    });
-    let text = record.value(LATEST).to_string();
-    let value = RawValue::from_string(text).unwrap_or_else(|_| RawValue::NULL.to_owned());
-    (Key::Job(id).path(), Arc::from(value))
-}
-
-/// What a transaction says of versions of the configuration.
-enum Versioned {
-    Committed(u64),
-    Followed(u64),
+fn grant_lease(store: &mut KeyValueStore, request: &IncomingRequest, now_ms: u64) -> Answer {
+    let requested = serde_json::from_slice::<LeaseRequest>(&request.body).ok();
+    let time_to_live_ms = requested.map(|request| request.time_to_live_ms);
+    match time_to_live_ms.filter(|ms| LEASE_TIME_TO_LIVE_MS.contains(ms)) {
+        Some(time_to_live_ms) => {
+            let lease = store.grant_lease(time_to_live_ms, now_ms);
+            Answer::json(200, &LeaseAnswer { lease })
+        }
+        None => Answer::error(400, "lifeMs"),
+    }
 }
 
-fn versions(transaction: &Transaction) -> Vec<Versioned> {
-    let each = transaction.apply.iter().filter_map(|change| {
-        let key = change.put.as_deref()?;
-        let wanted = key == "g/configuration" || key.starts_with("g/following/");
-        let value = change.v.as_ref().filter(|_| wanted)?;
-        let version = serde_json::from_str::<VersionOf>(value.get()).ok()?.v;
-        Some(match key {
-            "g/configuration" => Versioned::Committed(version),
-            _ => Versioned::Followed(version),
-        })
-    });
-    each.collect()
+fn transaction_answer(outcome: &TransactionOutcome) -> Answer {
+    match outcome {
+        TransactionOutcome::Committed(revision) => revision_answer(200, *revision),
+        TransactionOutcome::Conflict {
+            failed_keys,
+            revision,
+        } => {
+            let conflict = ConflictAnswer {
+                failed_keys,
+                revision: *revision,
+            };
+            Answer::json(409, &conflict)
+        }
+        TransactionOutcome::Malformed(problem) => Answer::error(400, problem),
+    }
 }
 
-fn problem(status: u16, error: &str) -> Answer {
-    Answer::json(status, &Problem { error })
+fn revision_answer(status: u16, revision: u64) -> Answer {
+    Answer::json(status, &RevisionAnswer { revision })
 }
 
-fn kind(request: &Incoming) -> ExchangeKind {
+fn exchange_kind(request: &IncomingRequest) -> ExchangeKind {
     match request.path.as_str() {
         "/txn" => ExchangeKind::StateTransaction,
         "/watch" => ExchangeKind::StateWatch,
@@ -430,12 +354,3 @@
         _ => ExchangeKind::StateRead,
     }
 }
-
-/// The kinds of records that a transaction changes, each once: `chunk+team` for a claim.
-fn shape(transaction: &Transaction) -> String {
-    let kinds: BTreeSet<String> = (transaction.apply.iter())
-        .map(|change| kind_of(change.key()))
-        .collect();
-    let kinds: Vec<String> = kinds.into_iter().collect();
-    kinds.join("+")
-}
--- a/crates/loadtest/src/stand_ins/token_bucket.rs
+++ b/crates/loadtest/src/stand_ins/token_bucket.rs
@@ -1,33 +1,34 @@
-//! A rate with a burst of so many seconds' worth, as the outside services enforce it.
+//! A token bucket: the rate limit that the services outside of the controllers enforce.
 
 /// Tokens that come at a steady rate and are kept up to a bound.
 pub struct TokenBucket {
-    per_ms: f64,
-    most: f64,
-    left: f64,
-    at_ms: u64,
+    tokens_per_ms: f64,
+    capacity: f64,
+    tokens: f64,
+    updated_ms: u64,
 }
 
 impl TokenBucket {
-    pub fn new(per_second: f64, burst_s: f64) -> TokenBucket {
-        let most = per_second * burst_s;
+    /// A full bucket that holds `burst_s` seconds' worth of tokens.
+    pub fn new(tokens_per_s: f64, burst_s: f64) -> TokenBucket {
+        let capacity = tokens_per_s * burst_s;
         TokenBucket {
-            per_ms: per_second / 1_000.0,
-            most,
-            left: most,
-            at_ms: 0,
+            tokens_per_ms: tokens_per_s / 1_000.0,
+            capacity,
+            tokens: capacity,
+            updated_ms: 0,
         }
     }
 
-    /// Takes `amount` if there is so much.
-    pub fn take(&mut self, amount: f64, now_ms: u64) -> bool {
-        let passed = now_ms.saturating_sub(self.at_ms) as f64;
-        self.left = (self.left + passed * self.per_ms).min(self.most);
-        self.at_ms = self.at_ms.max(now_ms);
-        let enough = self.left >= amount;
-        if enough {
-            self.left -= amount;
+    /// Takes so many tokens if there are that many; false, and none taken, if not.
+    pub fn take(&mut self, count: f64, now_ms: u64) -> bool {
+        let passed_ms = now_ms.saturating_sub(self.updated_ms) as f64;
+        self.tokens = (self.tokens + passed_ms * self.tokens_per_ms).min(self.capacity);
+        self.updated_ms = self.updated_ms.max(now_ms);
+        let is_enough = self.tokens >= count;
+        if is_enough {
+            self.tokens -= count;
         }
-        enough
+        is_enough
     }
 }
--- /dev/null
+++ b/crates/loadtest/src/stand_ins/worker_fleet/commands.rs
@@ -0,0 +1,85 @@
+//! Requests that controllers send to workers' addresses.
+
+use super::{Worker, WorkerFleet};
+use crate::measurement::traffic::ExchangeKind;
+use crate::network::http::{Answer, IncomingRequest};
+use crate::network::partitions::Site;
+use crate::protocol::workers::DirectCommand;
+use crate::sync::lock;
+use std::net::IpAddr;
+use std::sync::Arc;
+use tokio::time::{sleep, Duration};
+
+/// Path of commands; all others ask for the worker's status.
+const COMMAND_PATH: &str = "/do";
+/// A request to a worker without power gets no answer for so long, and then a failure.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(30);
+
+impl WorkerFleet {
+    pub(super) async fn serve_command(&self, request: IncomingRequest) -> Answer {
+        let worker = self.worker_at(request.connection.local.ip());
+        let Some(worker) = worker.filter(|worker| !worker.is_silent()) else {
+            sleep(UNREACHABLE_TIMEOUT).await;
+            return Answer::empty(503);
+        };
+        if !self.environment.network.is_whole() {
+            self.until_reachable(&request, &worker).await;
+        }
+        let kind = match request.path.as_str() {
+            COMMAND_PATH => ExchangeKind::WorkerCommand,
+            _ => ExchangeKind::WorkerStatus,
+        };
+        let answer = self.answer(&request, &worker);
+        self.count(&worker, kind, request.bytes, answer.bytes());
+        answer
+    }
+
+    fn worker_at(&self, ip: IpAddr) -> Option<Arc<Worker>> {
+        match ip {
+            IpAddr::V4(ip) => lock(&self.workers).get(&ip).cloned(),
+            IpAddr::V6(_) => None,
+        }
+    }
+
+    /// Holds a command up until the network between its sender and the worker is whole.
+    async fn until_reachable(&self, request: &IncomingRequest, worker: &Worker) {
+        let connection = &request.connection;
+        let Some(controllers) = self.controllers.get() else {
+            return;
+        };
+        let sender = connection
+            .controller
+            .get_or_init(|| controllers.owner_of(connection.peer));
+        let zone = sender.and_then(|index| controllers.zones.get(index));
+        if let Some(zone) = zone {
+            let (from, to) = (Site::Zone(*zone), Site::Zone(worker.zone));
+            self.environment.network.until_reachable(from, to).await;
+        }
+    }
+
+    fn answer(&self, request: &IncomingRequest, worker: &Worker) -> Answer {
+        let mut state = lock(&worker.state);
+        if request.path != COMMAND_PATH {
+            return Answer::json(200, &state.heartbeat());
+        }
+        let Ok(command) = serde_json::from_slice::<DirectCommand>(&request.body) else {
+            return Answer::empty(400);
+        };
+        let (Some(token), Some(incarnation)) = (command.fencing_token, command.incarnation) else {
+            return Answer::empty(400);
+        };
+        let environment = &self.environment;
+        let (jobs, now_ms) = (&environment.jobs, environment.now_ms());
+        let outcome =
+            state.apply_direct_command(token, incarnation, &command.commands, jobs, now_ms);
+        let status = match outcome {
+            Ok(events) => {
+                environment.record_worker_events(&worker.placement, events);
+                200
+            }
+            Err(_) => 409,
+        };
+        worker.wake();
+        Answer::json(status, &state.heartbeat())
+    }
+}
--- a/crates/loadtest/src/users/operator.rs
+++ b/crates/loadtest/src/users/operator.rs
@@ -1,10 +1,10 @@
 //! An operator who changes the configuration on record while the run goes on, as `glenmountctl config` does.
 
 use crate::environment::Environment;
-use crate::measurement::counters::LatencyKind;
-use crate::network::partitions::lock;
+use crate::measurement::latencies::LatencyKind;
 use crate::plan::Plan;
-use crate::processes::controllers::team_name;
+use crate::processes::settings::team_name;
+use crate::sync::lock;
 use glenmount_core::configuration::{PolicySettings, TeamSettings};
 use glenmountctl::config::{apply, Change, ConfigFailure, FileLimits, Records};
 use std::net::SocketAddr;
@@ -13,16 +13,25 @@
 
 /// Part of its limit that a team has while that is lowered.
 const LOWERED_PART: f64 = 0.9;
-/// Before controllers say that configurations may be on record.
-const TRY_AGAIN: Duration = Duration::from_secs(1);
+/// Pause before the first change is tried again: controllers may not accept configurations on record yet.
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
 const SECONDS_PER_MINUTE: f64 = 60.0;
+/// The note that each change carries.
+const CHANGE_NOTE: &str = "scale run";
+
+/// Changes the configuration in the state store at an address.
+pub struct Operator {
+    environment: Arc<Environment>,
+    state_store: SocketAddr,
+    limits: FileLimits,
+}
 
 /// The plan's teams, as the settings files have them.
-fn settings(plan: &Plan) -> PolicySettings {
-    let teams = (0..plan.teams.count).map(|n| TeamSettings {
-        name: team_name(n),
-        cpus: plan.teams.cpus,
-        cpus_max: plan.teams.cpus_max,
+fn plan_settings(plan: &Plan) -> PolicySettings {
+    let teams = (0..plan.teams.count).map(|index| TeamSettings {
+        name: team_name(index),
+        cpus: plan.teams.guaranteed_cpus,
+        cpus_max: plan.teams.cpu_limit,
         gpus: 0.0,
         gpus_max: 0.0,
     });
@@ -32,74 +41,90 @@
     }
 }
 
-/// Puts the plan's teams on record, then lowers and restores the limit of one team after another.
-pub async fn play(environment: Arc<Environment>, state: SocketAddr) {
-    let plan = &environment.plan;
-    let gap_ms = (SECONDS_PER_MINUTE / plan.configuration_changes_per_minute * 1_000.0) as u64;
-    let limits = FileLimits {
-        value_kb: plan.state.value_kb,
-        max_transaction_changes: plan.state.txn_ops as usize,
-    };
-    let usual = settings(plan);
-    while !change(&environment, state, usual.clone(), limits).await {
-        sleep(TRY_AGAIN).await;
-    }
-    let mut next_ms = environment.now_ms();
-    for n in 0_usize.. {
-        next_ms += gap_ms;
-        sleep_until(environment.instant_at(next_ms)).await;
-        let mut settings = usual.clone();
-        let count = settings.teams.len();
-        let Some(team) = settings.teams.get_mut(n / 2 % count) else {
-            return;
+impl Operator {
+    /// An operator of a run.
+    pub fn new(environment: Arc<Environment>, state_store: SocketAddr) -> Operator {
+        let limits = FileLimits {
+            value_kb: environment.plan.state.max_value_kb,
+            txn_ops: environment.plan.state.max_changes as usize,
         };
-        if n % 2 == 0 {
-            team.cpus_max *= LOWERED_PART;
+        Operator {
+            environment,
+            state_store,
+            limits,
         }
-        let (name, limit) = (team.name.clone(), team.cpus_max);
-        let note = || {
-            lock(&environment.invariants).quota_limit_changed(&name, limit, environment.now_ms())
-        };
-        // Whoever sees a raised limit may use it at once, a lowered one holds from its commit on.
-        if n % 2 == 1 {
-            note();
+    }
+
+    /// Puts the plan's teams on record, then lowers and restores the limit of one team after another, until
+    /// the run's runtime is shut down.
+    pub async fn play(self) {
+        let plan = &self.environment.plan;
+        let interval_s = SECONDS_PER_MINUTE / plan.configuration_changes_per_minute;
+        let interval_ms = (interval_s * 1_000.0) as u64;
+        let usual = plan_settings(plan);
+        while !self.apply(usual.clone()).await {
+            sleep(RETRY_PAUSE).await;
         }
-        if change(&environment, state, settings, limits).await && n % 2 == 0 {
-            note();
+        let mut next_ms = self.environment.now_ms();
+        let team_count = usual.teams.len();
+        for team in (0..team_count).cycle() {
+            next_ms += interval_ms;
+            sleep_until(self.environment.instant_at(next_ms)).await;
+            self.lower_limit(&usual, team).await;
+            next_ms += interval_ms;
+            sleep_until(self.environment.instant_at(next_ms)).await;
+            self.restore_limit(&usual, team).await;
         }
     }
-}
 
-/// Carries one change out; whether it is on record.
-async fn change(
-    environment: &Arc<Environment>,
-    state: SocketAddr,
-    settings: PolicySettings,
-    limits: FileLimits,
-) -> bool {
-    let begun_ms = environment.now_ms();
-    let done = tokio::task::spawn_blocking(move || {
-        let change = Change {
-            settings: &settings,
-            limits,
-            expect: None,
-            note: "scale run",
-        };
-        apply(&Records::new(&state.to_string()), &change)
-    });
-    let failure = match done.await {
-        Ok(Ok(_)) => {
-            let took = environment.now_ms() - begun_ms;
-            environment
-                .latencies
-                .record(LatencyKind::ConfigurationChange, took);
-            return true;
+    /// A lowered limit holds from its commit on.
+    async fn lower_limit(&self, usual: &PolicySettings, team: usize) {
+        let mut settings = usual.clone();
+        let lowered = &mut settings.teams[team];
+        lowered.cpus_max *= LOWERED_PART;
+        let lowered = lowered.clone();
+        if self.apply(settings).await {
+            self.note_limit(&lowered);
         }
-        Ok(Err(failure)) => failure,
-        Err(error) => ConfigFailure::Failed(error.to_string()),
-    };
-    environment
-        .unexpected_answers
-        .add(&format!("configuration: exit {}", failure.status()), 1);
-    false
+    }
+
+    /// Whoever sees a raised limit may use it at once.
+    async fn restore_limit(&self, usual: &PolicySettings, team: usize) {
+        self.note_limit(&usual.teams[team]);
+        self.apply(usual.clone()).await;
+    }
+
+    fn note_limit(&self, team: &TeamSettings) {
+        let now_ms = self.environment.now_ms();
+        let mut invariants = lock(&self.environment.invariants);
+        invariants.quota_limit_changed(&team.name, team.cpus_max, now_ms);
+    }
+
+    /// Carries one change out; true if it is on record.
+    async fn apply(&self, settings: PolicySettings) -> bool {
+        let begun_ms = self.environment.now_ms();
+        let (address, limits) = (self.state_store.to_string(), self.limits);
+        let outcome = tokio::task::spawn_blocking(move || {
+            let change = Change {
+                settings: &settings,
+                limits,
+                expect: None,
+                note: CHANGE_NOTE,
+            };
+            apply(&Records::new(&address), &change)
+        });
+        let failure = match outcome.await {
+            Ok(Ok(_)) => {
+                let took_ms = self.environment.now_ms() - begun_ms;
+                let latencies = &self.environment.latencies;
+                latencies.record(LatencyKind::ConfigurationChange, took_ms);
+                return true;
+            }
+            Ok(Err(failure)) => failure,
+            Err(error) => ConfigFailure::Failed(error.to_string()),
+        };
+        let name = format!("configuration: exit {}", failure.status());
+        self.environment.unexpected_answers.add(&name, 1);
+        false
+    }
 }
--- a/crates/loadtest/tests/common/mod.rs
+++ b/crates/loadtest/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A submission that several tests change a little.
 
 use glenmount_loadtest::plan::{JobPriority, JobShape};
-use glenmount_loadtest::protocol::Submission;
+use glenmount_loadtest::protocol::jobs::Submission;
 
 pub fn submission(id: &str, tasks: u32, vcpus: f64) -> Submission {
     Submission {
--- /dev/null
+++ b/crates/loadtest/tests/hollow_worker.rs
@@ -0,0 +1,147 @@
+//! A hollow worker keeps to the protocol.
+
+mod common;
+
+use glenmount_loadtest::protocol::jobs::TaskId;
+use glenmount_loadtest::protocol::workers::{CommandAction, HeartbeatAnswer, TaskCommand};
+use glenmount_loadtest::stand_ins::hollow_worker::{
+    Capacity, CommandFenced, HollowWorker, JobDescription, JobLookup, SentHeartbeat, WorkerEvent,
+    WorkerIdentity,
+};
+use std::sync::Arc;
+
+struct OneJob;
+
+impl JobLookup for OneJob {
+    fn find(&self, id: &str) -> Option<JobDescription> {
+        let submission = common::submission(id, 4, 2.0);
+        (id == "j-000001").then(|| JobDescription {
+            submission: Arc::new(submission),
+            run_ms: 1_000,
+        })
+    }
+}
+
+fn worker() -> HollowWorker {
+    let identity = WorkerIdentity {
+        name: "n-1".into(),
+        address: "127.1.0.1:1".into(),
+        machine_type: "m".into(),
+        zone: "a".into(),
+        spot: false,
+    };
+    let capacity = Capacity {
+        cpus: 4.0,
+        ram_gb: 8.0,
+        image_gb_per_s: 1.0,
+    };
+    HollowWorker::new(identity, capacity, 0)
+}
+
+fn command(action: CommandAction, index: u32, attempt: u64) -> TaskCommand {
+    let job = "j-000001".into();
+    let task = TaskId { job, index };
+    TaskCommand {
+        action,
+        task,
+        attempt,
+    }
+}
+
+/// The answer to a heartbeat with a fencing token and commands.
+fn answer(fencing_token: u64, commands: &[TaskCommand]) -> HeartbeatAnswer {
+    HeartbeatAnswer {
+        fencing_token: Some(fencing_token),
+        commands: commands.to_vec(),
+        redirect_to: None,
+    }
+}
+
+/// A heartbeat of the first incarnation.
+fn sent(sent_ms: u64) -> SentHeartbeat {
+    SentHeartbeat {
+        incarnation: 1,
+        sent_ms,
+    }
+}
+
+#[test]
+fn a_worker_fetches_runs_reports_and_forgets() {
+    let mut worker = worker();
+    let start = [command(CommandAction::Start, 0, 5)];
+    let events = worker.apply_heartbeat_answer(&answer(3, &start), sent(0), &OneJob, 100);
+    assert_eq!((events, worker.next_change_ms()), (vec![], Some(1_100)));
+    let task = start[0].task.clone();
+    assert_eq!(
+        worker.advance(1_100),
+        [WorkerEvent::TaskStarted(task.clone())]
+    );
+    let ended = WorkerEvent::TaskEnded {
+        task: task.clone(),
+        completed: true,
+        at_ms: 2_100,
+    };
+    assert_eq!(worker.advance(2_100), [ended]);
+    let forget = [command(CommandAction::Forget, 0, 5)];
+    let outcome = worker.apply_direct_command(3, 1, &forget, &OneJob, 2_500);
+    assert!(outcome.is_ok(), "{outcome:?}");
+    let ended_ms = 2_100;
+    assert_eq!(
+        outcome.unwrap(),
+        [WorkerEvent::ResultRecorded { task, ended_ms }]
+    );
+    assert!(worker.heartbeat().tasks.is_empty());
+}
+
+#[test]
+fn a_worker_drops_older_tokens_and_sessions_and_refuses_what_has_no_room() {
+    let mut worker = worker();
+    let both = [
+        command(CommandAction::Start, 0, 5),
+        command(CommandAction::Start, 1, 5),
+    ];
+    worker.apply_heartbeat_answer(&answer(3, &both), sent(0), &OneJob, 0);
+    let third = [
+        command(CommandAction::Start, 2, 5),
+        command(CommandAction::Start, 0, 6),
+    ];
+    assert_eq!(
+        worker.apply_direct_command(2, 1, &third, &OneJob, 0),
+        Err(CommandFenced)
+    );
+    assert_eq!(
+        worker.apply_direct_command(3, 2, &third, &OneJob, 0),
+        Err(CommandFenced)
+    );
+    assert_eq!(worker.heartbeat().tasks.len(), 2);
+    worker
+        .apply_direct_command(3, 1, &third, &OneJob, 0)
+        .unwrap();
+    let heartbeat = serde_json::to_string(&worker.heartbeat()).unwrap();
+    assert!(
+        heartbeat.contains("no_room") && heartbeat.contains("in_use"),
+        "{heartbeat}"
+    );
+}
+
+#[test]
+fn a_worker_whose_lease_is_over_begins_a_new_session_without_tasks() {
+    let mut worker = worker();
+    let start = [command(CommandAction::Start, 0, 5)];
+    worker.apply_heartbeat_answer(&answer(3, &start), sent(500), &OneJob, 500);
+    worker.advance(1_500);
+    assert!(!worker.is_lease_expired(2_000, 2_500) && worker.is_lease_expired(2_000, 2_501));
+    assert_eq!(worker.begin_incarnation(2_501).len(), 1);
+    // An answer to a heartbeat of the incarnation before has no effect.
+    let late = [command(CommandAction::Start, 1, 5)];
+    worker.apply_heartbeat_answer(&answer(4, &late), sent(2_400), &OneJob, 2_600);
+    let heartbeat = worker.heartbeat();
+    assert_eq!(
+        (
+            heartbeat.incarnation,
+            heartbeat.fencing_token,
+            heartbeat.tasks.len()
+        ),
+        (2, 3, 0)
+    );
+}
--- a/crates/loadtest/tests/rules.rs
+++ b/crates/loadtest/tests/invariants.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use glenmount_loadtest::invariants::{Invariant, InvariantChecker, Placement};
-use glenmount_loadtest::protocol::{JobStatus, Submission, TaskId};
+use glenmount_loadtest::protocol::jobs::{JobStatus, Submission, TaskId};
 use std::sync::Arc;
 
 const CANCEL_S: f64 = 20.0;
@@ -28,9 +28,9 @@
     }
 }
 
-fn place(machine: &str, zone: &str) -> Placement {
+fn place(worker: &str, zone: &str) -> Placement {
     Placement {
-        machine: machine.into(),
+        worker: worker.into(),
         machine_type: "m".into(),
         zone: zone.into(),
         spot: false,
--- a/crates/loadtest/tests/plans.rs
+++ b/crates/loadtest/tests/plans.rs
@@ -1,11 +1,22 @@
 //! Plans, results and slopes: good ones are taken, bad ones are named in one line.
 
 use glenmount_loadtest::measurement::result::EarlierResult;
-use glenmount_loadtest::measurement::scaling::fit;
+use glenmount_loadtest::measurement::scaling::{fit, Point};
 use glenmount_loadtest::plan::Plan;
 
 const TARGET: &str = include_str!("../plans/target.toml");
 
+/// Points of sizes and values.
+fn points(pairs: &[(f64, f64)]) -> Vec<Point> {
+    let pairs = pairs.iter();
+    pairs
+        .map(|(size, value)| Point {
+            size: *size,
+            value: *value,
+        })
+        .collect()
+}
+
 fn problem(changes: &[&str]) -> String {
     let changes: Vec<String> = changes.iter().map(|c| c.to_string()).collect();
     let error = Plan::parse(TARGET, &changes).unwrap_err().to_string();
@@ -67,7 +78,7 @@
     let path = folder.join("result.json");
     for text in ["", "{", "{\"figures\":{\"seconds\":\"long\"}}", "[]"] {
         std::fs::write(&path, text).unwrap();
-        let said = EarlierResult::read(&path).unwrap_err();
+        let said = EarlierResult::read(&path).unwrap_err().to_string();
         assert!(
             said.contains("result.json") && !said.contains('\n'),
             "{said}"
@@ -78,10 +89,10 @@
 
 #[test]
 fn a_line_is_found_and_what_is_none_is_told() {
-    let line = fit(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).unwrap();
-    assert!((line.base - 3.0).abs() < 1e-9 && (line.slope - 2.0).abs() < 1e-9);
-    assert!(line.residual < 1e-9 && line.fits() && (line.at(10.0) - 23.0).abs() < 1e-9);
-    let square = fit(&[(1.0, 1.0), (2.0, 4.0), (4.0, 16.0), (8.0, 64.0)]).unwrap();
-    assert!(!square.fits() && (square.power.unwrap() - 2.0).abs() < 1e-9);
-    assert!(fit(&[(1.0, 1.0)]).is_none());
+    let line = fit(&points(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)])).unwrap();
+    assert!((line.intercept - 3.0).abs() < 1e-9 && (line.slope - 2.0).abs() < 1e-9);
+    assert!(line.residual < 1e-9 && line.is_line() && (line.value_at(10.0) - 23.0).abs() < 1e-9);
+    let square = fit(&points(&[(1.0, 1.0), (2.0, 4.0), (4.0, 16.0), (8.0, 64.0)])).unwrap();
+    assert!(!square.is_line() && (square.power.unwrap() - 2.0).abs() < 1e-9);
+    assert!(fit(&points(&[(1.0, 1.0)])).is_none());
 }
