--- a/crates/loadtest/src/stand_ins/hollow_worker.rs
+++ b/crates/loadtest/src/stand_ins/hollow_worker/mod.rs
@@ -1,14 +1,19 @@
 //! One hollow worker: incarnation, lease, fencing token, images and tasks by the protocol, without sockets
 //! or clock.
 
+mod attempts;
+mod job_lookup;
+
+pub use job_lookup::{JobDescription, JobLookup};
+
 use crate::plan::JobShape;
 use crate::protocol::jobs::{Submission, TaskId};
 use crate::protocol::workers::{
     CommandAction, ExitCause, HeartbeatAnswer, TaskCommand, TaskState, TaskStatus, WorkerHeartbeat,
 };
+use attempts::{exited, Attempt, AttemptId, Phase};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::mem;
-use std::sync::Arc;
 
 /// Images that a worker keeps.
 const IMAGES_KEPT: usize = 12;
@@ -41,21 +46,6 @@
     pub image_gb_per_s: f64,
 }
 
-/// A job's description, which workers fetch by themselves, and how long its tasks run.
-#[derive(Debug, Clone)]
-pub struct JobDescription {
-    /// As its user submits it.
-    pub submission: Arc<Submission>,
-    /// How long each task runs.
-    pub run_ms: u64,
-}
-
-/// Finds a job's description.
-pub trait JobLookup {
-    /// The description of the job with an id.
-    fn find(&self, job: &str) -> Option<JobDescription>;
-}
-
 /// What happened on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkerEvent {
@@ -93,55 +83,6 @@
 #[error("the command is fenced off")]
 pub struct CommandFenced;
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Phase {
-    Fetching {
-        until_ms: u64,
-    },
-    /// Without an end for services.
-    Running {
-        until_ms: Option<u64>,
-    },
-    Exited {
-        cause: ExitCause,
-        at_ms: u64,
-    },
-}
-
-/// An attempt to run a task.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct AttemptId {
-    task: TaskId,
-    attempt: u64,
-}
-
-impl AttemptId {
-    fn of(command: &TaskCommand) -> AttemptId {
-        AttemptId {
-            task: command.task.clone(),
-            attempt: command.attempt,
-        }
-    }
-}
-
-struct Attempt {
-    phase: Phase,
-    cpus: f64,
-    ram_gb: f64,
-    /// How long it runs; `None` for services.
-    run_ms: Option<u64>,
-}
-
-impl Attempt {
-    fn is_live(&self) -> bool {
-        !matches!(self.phase, Phase::Exited { .. })
-    }
-
-    fn is_running(&self) -> bool {
-        matches!(self.phase, Phase::Running { .. })
-    }
-}
-
 /// The state of a hollow worker.
 pub struct HollowWorker {
     /// What it is.
@@ -439,7 +380,3 @@
         })
     }
 }
-
-fn exited(cause: ExitCause, at_ms: u64) -> Phase {
-    Phase::Exited { cause, at_ms }
-}
--- a/crates/loadtest/tests/ending.rs
+++ b/crates/loadtest/tests/ending.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_plan_that_makes_no_sense_ends_with_2_and_one_line() {
+fn an_invalid_plan_exits_with_2_and_one_line() {
     let plan = Path::new(env!("CARGO_MANIFEST_DIR")).join("plans/small.toml");
     let out = Command::new(env!("CARGO_BIN_EXE_glenmount-loadtest"))
         .arg("scale")
--- a/crates/loadtest/tests/hollow_worker.rs
+++ b/crates/loadtest/tests/hollow_worker.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_worker_fetches_runs_reports_and_forgets() {
+fn a_worker_pulls_runs_reports_and_forgets_a_task() {
     let mut worker = worker();
     let start = [command(CommandAction::Start, 0, 5)];
     let events = worker.apply_heartbeat_answer(&answer(3, &start), sent(0), &OneJob, 100);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_worker_drops_older_tokens_and_sessions_and_refuses_what_has_no_room() {
+fn a_worker_rejects_older_tokens_and_incarnations_and_what_exceeds_its_resources() {
     let mut worker = worker();
     let both = [
         command(CommandAction::Start, 0, 5),
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_worker_whose_lease_is_over_begins_a_new_session_without_tasks() {
+fn a_worker_whose_lease_expires_begins_an_incarnation_without_tasks() {
     let mut worker = worker();
     let start = [command(CommandAction::Start, 0, 5)];
     worker.apply_heartbeat_answer(&answer(3, &start), sent(500), &OneJob, 500);
--- a/crates/loadtest/tests/plans.rs
+++ b/crates/loadtest/tests/plans.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn all_plans_are_sound() {
+fn all_plans_are_valid() {
     let plan = Plan::parse(TARGET, &["workers.count=4000".into()]).unwrap();
     assert_eq!((plan.workers.count, plan.zones().len()), (4_000, 13));
     for text in [
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_absurd_plan_is_refused_by_the_field() {
+fn an_invalid_plan_is_rejected_by_field() {
     for (change, field) in [
         ("workers.count=0", "workers.count"),
         ("workers.count=900000", "workers.count"),
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_result_that_is_damaged_is_refused() {
+fn a_damaged_result_is_rejected() {
     let folder = std::env::temp_dir().join(format!("glenmount-plans-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("result.json");
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_line_is_found_and_what_is_none_is_told() {
+fn a_linear_fit_is_found_and_other_growth_is_told_apart() {
     let line = fit(&points(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)])).unwrap();
     assert!((line.intercept - 3.0).abs() < 1e-9 && (line.slope - 2.0).abs() < 1e-9);
     assert!(line.residual < 1e-9 && line.is_line() && (line.value_at(10.0) - 23.0).abs() < 1e-9);
--- a/crates/loadtest/tests/state_store.rs
+++ b/crates/loadtest/tests/state_store.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_transaction_takes_effect_only_on_what_it_rests_on() {
+fn a_transaction_commits_only_if_its_conditions_hold() {
     let mut store = KeyValueStore::default();
     let first =
         r#"{"if":[{"k":"c/a","stamp":0}],"apply":[{"put":"c/a","v":1},{"put":"d/b","v":2}]}"#;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_exceeds_the_limits_is_refused_and_leaves_no_trace() {
+fn a_transaction_above_the_limits_is_rejected_and_changes_nothing() {
     let mut store = KeyValueStore::default();
     let large = format!(r#"{{"apply":[{{"put":"c/a","v":"{}"}}]}}"#, "x".repeat(70));
     let many = r#"{"apply":[{"remove":"a"},{"remove":"b"},{"remove":"c"},{"remove":"d"}]}"#;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn keys_go_with_their_lease_and_a_watch_too_old_is_told_so() {
+fn keys_expire_with_their_lease_and_a_watch_too_old_is_rejected() {
     let mut store = KeyValueStore::default();
     let lease = store.grant_lease(1_000, 0);
     let put = format!(r#"{{"apply":[{{"put":"a","v":1,"tenancy":{lease}}}]}}"#);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_rate_allows_its_burst_and_then_its_rate() {
+fn a_token_bucket_allows_its_burst_and_then_its_rate() {
     let mut limit = TokenBucket::new(10.0, 2.0);
     assert!((0..20).all(|_| limit.take(1.0, 0)));
     assert!(!limit.take(1.0, 0) && limit.take(1.0, 100) && !limit.take(1.0, 150));
