--- a/crates/loadtest/src/measurement/figures.rs
+++ b/crates/loadtest/src/measurement/figures.rs
@@ -108,24 +108,35 @@
     pub value: f64,
 }
 
+impl MainFigure {
+    fn new(name: &'static str, value: f64) -> MainFigure {
+        MainFigure { name, value }
+    }
+}
+
+#[derive(Clone, Copy)]
+enum Quantile {
+    P50,
+    P99,
+}
+
+impl Quantile {
+    fn of(self, quantiles: Quantiles) -> u64 {
+        match self {
+            Quantile::P50 => quantiles.p50_ms,
+            Quantile::P99 => quantiles.p99_ms,
+        }
+    }
+}
+
 /// A main figure that is a quantile of a latency.
 struct LatencyFigure {
     name: &'static str,
     kind: LatencyKind,
-    quantile: fn(Quantiles) -> u64,
-}
-
-const fn median(name: &'static str, kind: LatencyKind) -> LatencyFigure {
-    let quantile = |quantiles: Quantiles| quantiles.p50_ms;
-    LatencyFigure {
-        name,
-        kind,
-        quantile,
-    }
+    quantile: Quantile,
 }
 
-const fn p99(name: &'static str, kind: LatencyKind) -> LatencyFigure {
-    let quantile = |quantiles: Quantiles| quantiles.p99_ms;
+const fn latency(name: &'static str, kind: LatencyKind, quantile: Quantile) -> LatencyFigure {
     LatencyFigure {
         name,
         kind,
@@ -134,25 +145,71 @@
 }
 
 const LATENCY_FIGURES: [LatencyFigure; 13] = [
-    median("acceptance p50 (ms)", LatencyKind::Acceptance),
-    p99("acceptance p99 (ms)", LatencyKind::Acceptance),
-    median("urgent start p50 (ms)", LatencyKind::UrgentStart),
-    p99("urgent start p99 (ms)", LatencyKind::UrgentStart),
-    median("standard start p50 (ms)", LatencyKind::StandardStart),
-    p99("standard start p99 (ms)", LatencyKind::StandardStart),
-    p99("urgent restart p99 (ms)", LatencyKind::UrgentRestart),
-    median("result recorded p50 (ms)", LatencyKind::ResultRecorded),
-    p99("result recorded p99 (ms)", LatencyKind::ResultRecorded),
-    p99("done told p99 (ms)", LatencyKind::CompletionReported),
-    p99(
+    latency(
+        "acceptance p50 (ms)",
+        LatencyKind::Acceptance,
+        Quantile::P50,
+    ),
+    latency(
+        "acceptance p99 (ms)",
+        LatencyKind::Acceptance,
+        Quantile::P99,
+    ),
+    latency(
+        "urgent start p50 (ms)",
+        LatencyKind::UrgentStart,
+        Quantile::P50,
+    ),
+    latency(
+        "urgent start p99 (ms)",
+        LatencyKind::UrgentStart,
+        Quantile::P99,
+    ),
+    latency(
+        "standard start p50 (ms)",
+        LatencyKind::StandardStart,
+        Quantile::P50,
+    ),
+    latency(
+        "standard start p99 (ms)",
+        LatencyKind::StandardStart,
+        Quantile::P99,
+    ),
+    latency(
+        "urgent restart p99 (ms)",
+        LatencyKind::UrgentRestart,
+        Quantile::P99,
+    ),
+    latency(
+        "result recorded p50 (ms)",
+        LatencyKind::ResultRecorded,
+        Quantile::P50,
+    ),
+    latency(
+        "result recorded p99 (ms)",
+        LatencyKind::ResultRecorded,
+        Quantile::P99,
+    ),
+    latency(
+        "done told p99 (ms)",
+        LatencyKind::CompletionReported,
+        Quantile::P99,
+    ),
+    latency(
         "cancellation told p99 (ms)",
         LatencyKind::CancellationReported,
+        Quantile::P99,
     ),
-    p99(
+    latency(
         "configuration in force p99 (ms)",
         LatencyKind::ConfigurationInForce,
+        Quantile::P99,
+    ),
+    latency(
+        "controller ready p50 (ms)",
+        LatencyKind::ControllerReady,
+        Quantile::P50,
     ),
-    median("controller ready p50 (ms)", LatencyKind::ControllerReady),
 ];
 
 /// Starts per second below this count as this many, where a figure is divided by them.
@@ -219,20 +276,16 @@
 
     /// The figures that are compared and fitted, in the order in which they are printed.
     pub fn main_figures(&self) -> Vec<MainFigure> {
-        let rates = self.rate_figures().into_iter();
-        let rates = rates.map(|(name, value)| MainFigure { name, value });
         let latencies = LATENCY_FIGURES.iter().map(|figure| {
             let quantiles = self.latencies.get(&figure.kind).copied();
-            MainFigure {
-                name: figure.name,
-                value: (figure.quantile)(quantiles.unwrap_or_default()) as f64,
-            }
+            let value_ms = figure.quantile.of(quantiles.unwrap_or_default());
+            MainFigure::new(figure.name, value_ms as f64)
         });
-        rates.chain(latencies).collect()
+        self.rate_figures().into_iter().chain(latencies).collect()
     }
 
     /// The main figures that are not latencies.
-    fn rate_figures(&self) -> [(&'static str, f64); 21] {
+    fn rate_figures(&self) -> [MainFigure; 21] {
         use ExchangeKind::{
             Peer, StateRead, StateTransaction, StateWatch, WorkerCommand, WorkerHeartbeat,
         };
@@ -240,36 +293,36 @@
         let max_sockets = self.max_controller_sockets() as f64;
         let worker_bytes = self.worker_bandwidth;
         [
-            (
+            MainFigure::new(
                 "controller processor, mean (cores)",
                 self.mean_controller_cpu(),
             ),
-            (
+            MainFigure::new(
                 "controller processor, busiest (cores)",
                 self.max_controller_cpu(),
             ),
-            (
+            MainFigure::new(
                 "controller memory, most (MB)",
                 self.max_controller_memory_mb(),
             ),
-            ("controller sockets, most", max_sockets),
-            ("state requests/s", self.state_requests()),
-            ("state changes/s", self.state_changes()),
-            ("state changes per start", self.changes_per_start()),
-            ("state transactions/s", exchanges(StateTransaction)),
-            ("state reads/s", exchanges(StateRead)),
-            ("state watches/s", exchanges(StateWatch)),
-            ("state watch bytes/s", bytes(StateWatch)),
-            ("state transaction bytes/s", bytes(StateTransaction)),
-            ("sibling bytes/s", bytes(Peer)),
-            ("worker reports/s", exchanges(WorkerHeartbeat)),
-            ("worker report bytes/s", bytes(WorkerHeartbeat)),
-            ("worker commands/s", exchanges(WorkerCommand)),
-            ("worker control bytes/s, mean", worker_bytes.mean),
-            ("worker control bytes/s, most", worker_bytes.max),
-            ("starts/s", self.starts.started),
-            ("starts/s, best 10 s", self.starts.started_best_10s),
-            ("tasks running, mean", self.mean_running_tasks),
+            MainFigure::new("controller sockets, most", max_sockets),
+            MainFigure::new("state requests/s", self.state_requests()),
+            MainFigure::new("state changes/s", self.state_changes()),
+            MainFigure::new("state changes per start", self.changes_per_start()),
+            MainFigure::new("state transactions/s", exchanges(StateTransaction)),
+            MainFigure::new("state reads/s", exchanges(StateRead)),
+            MainFigure::new("state watches/s", exchanges(StateWatch)),
+            MainFigure::new("state watch bytes/s", bytes(StateWatch)),
+            MainFigure::new("state transaction bytes/s", bytes(StateTransaction)),
+            MainFigure::new("sibling bytes/s", bytes(Peer)),
+            MainFigure::new("worker reports/s", exchanges(WorkerHeartbeat)),
+            MainFigure::new("worker report bytes/s", bytes(WorkerHeartbeat)),
+            MainFigure::new("worker commands/s", exchanges(WorkerCommand)),
+            MainFigure::new("worker control bytes/s, mean", worker_bytes.mean),
+            MainFigure::new("worker control bytes/s, most", worker_bytes.max),
+            MainFigure::new("starts/s", self.starts.started),
+            MainFigure::new("starts/s, best 10 s", self.starts.started_best_10s),
+            MainFigure::new("tasks running, mean", self.mean_running_tasks),
         ]
     }
 }
