--- a/crates/loadtest/src/protocol/cloud.rs
+++ b/crates/loadtest/src/protocol/cloud.rs
@@ -2,6 +2,13 @@
 
 use serde::{Deserialize, Serialize};
 
+/// Path of the catalog.
+pub const CATALOG_PATH: &str = "/catalog";
+/// Path to which deletions are posted.
+pub const DELETE_PATH: &str = "/hosts/delete";
+/// The error of a request for a machine type that the catalog has not.
+pub const UNKNOWN_MACHINE_TYPE: &str = "flavour";
+
 /// A type of machine that can be provisioned.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
--- a/crates/loadtest/src/protocol/jobs.rs
+++ b/crates/loadtest/src/protocol/jobs.rs
@@ -6,6 +6,21 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
+/// Path to which jobs are submitted.
+pub const SUBMIT_PATH: &str = "/v2/runs";
+/// Path at which a controller tells whether it is ready.
+pub const READY_PATH: &str = "/ready";
+
+/// Path at which a job is polled.
+pub fn poll_path(id: &str) -> String {
+    format!("{SUBMIT_PATH}/{id}")
+}
+
+/// Path at which a job is cancelled.
+pub fn cancel_path(id: &str) -> String {
+    format!("{SUBMIT_PATH}/{id}/withdraw")
+}
+
 /// A task: its job and its index in that job, written as in `j-000412/3`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
--- a/crates/loadtest/src/protocol/state_store.rs
+++ b/crates/loadtest/src/protocol/state_store.rs
@@ -4,6 +4,17 @@
 use serde_json::value::RawValue;
 use std::sync::Arc;
 
+/// Path to which transactions are posted.
+pub const TRANSACTION_PATH: &str = "/txn";
+/// Path of watches.
+pub const WATCH_PATH: &str = "/watch";
+/// Path of lists; a key's own path is under it.
+pub const KEYS_PATH: &str = "/keys";
+/// Path to which requests for leases are posted; a lease's own path is under it.
+pub const LEASES_PATH: &str = "/leases";
+/// Last part of the path at which a lease is renewed.
+pub const RENEW_SEGMENT: &str = "touch";
+
 /// A stored value: its JSON text, shared by all that read it.
 pub type Value = Arc<RawValue>;
 
--- a/crates/loadtest/src/protocol/workers.rs
+++ b/crates/loadtest/src/protocol/workers.rs
@@ -3,6 +3,11 @@
 use super::jobs::TaskId;
 use serde::{Deserialize, Serialize};
 
+/// Path at which controllers take heartbeats.
+pub const HEARTBEAT_PATH: &str = "/checkin";
+/// Path at which workers take commands; at all others they tell their status.
+pub const COMMAND_PATH: &str = "/do";
+
 /// What a controller asks a worker to do with a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
--- a/crates/loadtest/src/run/snapshot.rs
+++ b/crates/loadtest/src/run/snapshot.rs
@@ -23,10 +23,15 @@
 
 /// Rates per second between two snapshots.
 pub struct Rates {
+    /// Seconds between them.
     pub seconds: f64,
+    /// Exchanges by kind.
     pub traffic: BTreeMap<ExchangeKind, Traffic>,
+    /// Changes of the state store by kind of record; those that did not happen are left out.
     pub record_changes: BTreeMap<String, f64>,
+    /// Transactions by the kinds of records that they change, likewise.
     pub transactions: BTreeMap<String, f64>,
+    /// Bytes for control of the workers that were there at both moments.
     pub worker_bandwidth: WorkerBandwidth,
 }
 
--- a/crates/loadtest/src/stand_ins/cloud.rs
+++ b/crates/loadtest/src/stand_ins/cloud.rs
@@ -10,7 +10,7 @@
 use crate::plan::ZoneIndex;
 use crate::protocol::cloud::{
     Catalog, DeleteAnswer, DeleteRequest, InstancePage, InstanceState, ListedInstance, MachineType,
-    ProvisionAnswer, ProvisionRequest,
+    ProvisionAnswer, ProvisionRequest, CATALOG_PATH, DELETE_PATH, UNKNOWN_MACHINE_TYPE,
 };
 use crate::sync::lock;
 use hyper::Method;
@@ -254,7 +254,7 @@
             return Answer::error(400, "malformed");
         };
         if wanted.machine_type != MACHINE_TYPE {
-            return Answer::error(400, "flavour");
+            return Answer::error(400, UNKNOWN_MACHINE_TYPE);
         }
         let mut instances = lock(&self.instances);
         if let Some(names) = instances.by_request.get(&wanted.name).cloned() {
@@ -329,9 +329,9 @@
 
 fn exchange_kind(request: &IncomingRequest) -> ExchangeKind {
     match (&request.method, request.path.as_str()) {
-        (&Method::GET, "/catalog") => ExchangeKind::CloudCatalog,
+        (&Method::GET, CATALOG_PATH) => ExchangeKind::CloudCatalog,
         (&Method::GET, _) => ExchangeKind::CloudList,
-        (_, "/hosts/delete") => ExchangeKind::CloudDelete,
+        (_, DELETE_PATH) => ExchangeKind::CloudDelete,
         _ => ExchangeKind::CloudProvision,
     }
 }
--- a/crates/loadtest/src/stand_ins/state_store/server.rs
+++ b/crates/loadtest/src/stand_ins/state_store/server.rs
@@ -8,7 +8,8 @@
 use crate::network::http::{bind_loopback, serve, Answer, IncomingRequest};
 use crate::network::partitions::Site;
 use crate::protocol::state_store::{
-    ConflictAnswer, LeaseAnswer, LeaseRequest, RevisionAnswer, Transaction, WatchAnswer,
+    ConflictAnswer, LeaseAnswer, LeaseRequest, RevisionAnswer, Transaction, WatchAnswer, KEYS_PATH,
+    LEASES_PATH, RENEW_SEGMENT, TRANSACTION_PATH, WATCH_PATH,
 };
 use crate::stand_ins::token_bucket::TokenBucket;
 use crate::sync::lock;
@@ -165,14 +166,14 @@
             return Answer::error(429, "too many requests");
         }
         match (&request.method, request.path.as_str()) {
-            (&Method::POST, "/txn") => self.transact(&request),
-            (&Method::GET, "/watch") => self.watch(&request, client).await,
-            (&Method::GET, "/keys") => self.list(&request),
-            (&Method::GET, path) => match path.strip_prefix("/keys/") {
+            (&Method::POST, TRANSACTION_PATH) => self.transact(&request),
+            (&Method::GET, WATCH_PATH) => self.watch(&request, client).await,
+            (&Method::GET, KEYS_PATH) => self.list(&request),
+            (&Method::GET, path) => match key_in(path) {
                 Some(key) => self.get(key),
                 None => Answer::error(400, "malformed"),
             },
-            (_, path) => match path.strip_prefix("/leases") {
+            (_, path) => match path.strip_prefix(LEASES_PATH) {
                 Some(rest) => self.lease(&request, rest),
                 None => Answer::error(400, "malformed"),
             },
@@ -287,7 +288,7 @@
         let mut store = lock(&self.store);
         let (lease, is_held) = match (&request.method, id, parts.get(1)) {
             (&Method::POST, None, None) => return grant_lease(&mut store, request, now_ms),
-            (&Method::POST, Some(id), Some(&"touch")) => (id, store.renew_lease(id, now_ms)),
+            (&Method::POST, Some(id), Some(&RENEW_SEGMENT)) => (id, store.renew_lease(id, now_ms)),
             (&Method::DELETE, Some(id), None) => (id, store.end_lease(id)),
             _ => return Answer::error(400, "malformed"),
         };
@@ -345,12 +346,17 @@
     Answer::json(status, &RevisionAnswer { revision })
 }
 
+/// The key whose own path this is.
+fn key_in(path: &str) -> Option<&str> {
+    path.strip_prefix(KEYS_PATH)?.strip_prefix('/')
+}
+
 fn exchange_kind(request: &IncomingRequest) -> ExchangeKind {
     match request.path.as_str() {
-        "/txn" => ExchangeKind::StateTransaction,
-        "/watch" => ExchangeKind::StateWatch,
-        "/keys" => ExchangeKind::StateList,
-        path if path.starts_with("/leases") => ExchangeKind::StateLease,
+        TRANSACTION_PATH => ExchangeKind::StateTransaction,
+        WATCH_PATH => ExchangeKind::StateWatch,
+        KEYS_PATH => ExchangeKind::StateList,
+        path if path.starts_with(LEASES_PATH) => ExchangeKind::StateLease,
         _ => ExchangeKind::StateRead,
     }
 }
--- a/crates/loadtest/src/stand_ins/worker_fleet/commands.rs
+++ b/crates/loadtest/src/stand_ins/worker_fleet/commands.rs
@@ -4,14 +4,12 @@
 use crate::measurement::traffic::ExchangeKind;
 use crate::network::http::{Answer, IncomingRequest};
 use crate::network::partitions::Site;
-use crate::protocol::workers::DirectCommand;
+use crate::protocol::workers::{DirectCommand, COMMAND_PATH};
 use crate::sync::lock;
 use std::net::IpAddr;
 use std::sync::Arc;
 use tokio::time::{sleep, Duration};
 
-/// Path of commands; all others ask for the worker's status.
-const COMMAND_PATH: &str = "/do";
 /// A request to a worker without power gets no answer for so long, and then a failure.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(30);
 
--- a/crates/loadtest/src/stand_ins/worker_fleet/heartbeats.rs
+++ b/crates/loadtest/src/stand_ins/worker_fleet/heartbeats.rs
@@ -6,7 +6,7 @@
 use crate::network::partitions::Site;
 use crate::processes::controllers::Controllers;
 use crate::processes::settings::controller_index;
-use crate::protocol::workers::HeartbeatAnswer;
+use crate::protocol::workers::{HeartbeatAnswer, HEARTBEAT_PATH};
 use crate::stand_ins::hollow_worker::SentHeartbeat;
 use crate::sync::lock;
 use hyper::Method;
@@ -128,7 +128,7 @@
         };
         let request = OutgoingRequest {
             method: Method::POST,
-            path: "/checkin",
+            path: HEARTBEAT_PATH,
             body: serde_json::to_vec(&heartbeat).unwrap_or_default(),
             timeout: ANSWER_TIMEOUT,
         };
--- a/crates/loadtest/src/users/arrivals.rs
+++ b/crates/loadtest/src/users/arrivals.rs
@@ -8,7 +8,7 @@
 use crate::plan::JobClass;
 use crate::processes::controllers::Controllers;
 use crate::processes::settings::team_name;
-use crate::protocol::jobs::{JobStatus, Submission};
+use crate::protocol::jobs::{poll_path, JobStatus, Submission};
 use crate::sync::lock;
 use hyper::Method;
 use rand::rngs::SmallRng;
@@ -149,7 +149,7 @@
             };
             let request = OutgoingRequest {
                 method: Method::GET,
-                path: &format!("/v2/runs/{id}"),
+                path: &poll_path(&id),
                 body: Vec::new(),
                 timeout: POLL_TIMEOUT,
             };
--- a/crates/loadtest/src/users/load_balancer.rs
+++ b/crates/loadtest/src/users/load_balancer.rs
@@ -6,6 +6,7 @@
 use crate::network::http::{Client, OutgoingRequest};
 use crate::network::partitions::Site;
 use crate::processes::controllers::Controllers;
+use crate::protocol::jobs::READY_PATH;
 use crate::sync::lock;
 use hyper::Method;
 use std::collections::VecDeque;
@@ -188,7 +189,7 @@
     }
     let request = OutgoingRequest {
         method: Method::GET,
-        path: "/ready",
+        path: READY_PATH,
         body: Vec::new(),
         timeout: PROBE_INTERVAL,
     };
--- a/crates/loadtest/src/users/user.rs
+++ b/crates/loadtest/src/users/user.rs
@@ -6,7 +6,7 @@
 use crate::measurement::latencies::LatencyKind;
 use crate::measurement::traffic::ExchangeKind;
 use crate::network::http::{OutgoingRequest, Reply};
-use crate::protocol::jobs::{JobStatus, JobStatusAnswer};
+use crate::protocol::jobs::{cancel_path, poll_path, JobStatus, JobStatusAnswer, SUBMIT_PATH};
 use crate::sync::lock;
 use hyper::Method;
 use std::sync::atomic::Ordering::Relaxed;
@@ -111,7 +111,7 @@
             kind: ExchangeKind::UserSubmit,
             http: OutgoingRequest {
                 method: Method::POST,
-                path: "/v2/runs",
+                path: SUBMIT_PATH,
                 body: serde_json::to_vec(&*submission).unwrap_or_default(),
                 timeout: SUBMIT_TIMEOUT,
             },
@@ -138,7 +138,7 @@
             kind: ExchangeKind::UserPoll,
             http: OutgoingRequest {
                 method: Method::GET,
-                path: &format!("/v2/runs/{id}"),
+                path: &poll_path(&id),
                 body: Vec::new(),
                 timeout: POLL_TIMEOUT,
             },
@@ -165,7 +165,7 @@
     /// Cancels the job until it is answered.
     async fn cancel(&mut self) -> Option<JobStatus> {
         let id = self.job.submission.id.clone();
-        let path = format!("/v2/runs/{id}/withdraw");
+        let path = cancel_path(&id);
         let begun_ms = self.environment.now_ms();
         lock(&self.environment.invariants).cancellation_requested(&id);
         loop {
