--- a/crates/ctl/src/config_command.rs
+++ b/crates/ctl/src/commands/config.rs
@@ -1,6 +1,6 @@
 //! The command line of `glenmountctl config`.
 
-use crate::say;
+use crate::output::say;
 use clap::{Args, Subcommand};
 use glenmount_core::configuration::PolicySettings;
 use glenmountctl::config::{
--- /dev/null
+++ b/crates/ctl/src/config/apply.rs
@@ -0,0 +1,183 @@
+//! Putting a configuration on record: the checks before, the transaction, and the way back.
+
+use super::records::Current;
+use super::{ConfigFailure, FileLimits, Records};
+use crate::state_client::Committed;
+use glenmount_core::configuration::{self, Policy, PolicySettings};
+use glenmount_core::model::JobSpec;
+use serde::Serialize;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// A change without an answer is looked for, and sent again, so often.
+const UNANSWERED_TRIES: u32 = 5;
+
+/// A version that was put on record.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize)]
+pub struct Applied {
+    pub version: u64,
+    pub pages: usize,
+}
+
+/// What is put on record, and on what it rests.
+pub struct Change<'a> {
+    pub settings: &'a PolicySettings,
+    pub limits: FileLimits,
+    /// The version that must be on record still, if the operator named one.
+    pub expect: Option<u64>,
+    pub note: &'a str,
+}
+
+/// Whether a configuration could be put on record now.
+pub fn check(records: &Records, settings: &PolicySettings) -> Result<(), ConfigFailure> {
+    settings.check_strictly()?;
+    let policy = settings.policy()?;
+    let before = records.current()?;
+    let before = before
+        .map(|current| current.settings.policy())
+        .transpose()?;
+    if may_strand(before.as_ref(), &policy) {
+        let jobs = records.open_jobs()?;
+        configuration::review(&policy, jobs.iter())?;
+    }
+    Ok(())
+}
+
+/// Whether an accepted job may be unable to run by the new configuration: only if a team goes or a limit
+/// falls. To find out takes a look at all jobs.
+fn may_strand(before: Option<&Policy>, after: &Policy) -> bool {
+    let Some(before) = before else {
+        return true;
+    };
+    let falls = |old: u64, new: u64| new > 0 && (old == 0 || new < old);
+    before
+        .teams
+        .values()
+        .any(|old| match after.teams.get(&old.name) {
+            None => true,
+            Some(new) => falls(old.cpus_max, new.cpus_max) || falls(old.gpus_max, new.gpus_max),
+        })
+}
+
+fn now_ms() -> u64 {
+    let since = SystemTime::now().duration_since(UNIX_EPOCH);
+    since.map_or(0, |since| since.as_millis() as u64)
+}
+
+/// Puts a configuration on record by one transaction. A job that was accepted meanwhile, and could never run
+/// by it, gets its team's entry back.
+pub fn apply(records: &Records, change: &Change) -> Result<Applied, ConfigFailure> {
+    check(records, change.settings)?;
+    let before = records.current()?;
+    let applied = commit(records, change, before.as_ref())?;
+    // All that was accepted by the version before is on record now.
+    let policy = change.settings.policy()?;
+    let before = before.map(|current| current.settings);
+    let policy_before = before.as_ref().map(PolicySettings::policy).transpose()?;
+    let jobs = match may_strand(policy_before.as_ref(), &policy) {
+        true => records.open_jobs()?,
+        false => Vec::new(),
+    };
+    let Err(error) = configuration::review(&policy, jobs.iter()) else {
+        records.remove_outdated();
+        return Ok(applied);
+    };
+    let before = before.unwrap_or_default();
+    let settings = with_entries_back(change.settings, &before, &jobs);
+    let again = Change {
+        settings: &settings,
+        expect: Some(applied.version),
+        ..*change
+    };
+    let back = commit(records, &again, records.current()?.as_ref())?;
+    let (version, why) = (back.version, error.to_string());
+    Err(ConfigFailure::Conflict(format!(
+        "a job was accepted meanwhile: version {version} has its team as before ({why})"
+    )))
+}
+
+/// The settings with the entries of those teams as before whose jobs could never run by the new ones.
+fn with_entries_back(
+    settings: &PolicySettings,
+    before: &PolicySettings,
+    jobs: &[JobSpec],
+) -> PolicySettings {
+    let mut back = settings.clone();
+    for job in jobs {
+        let runs = back
+            .policy()
+            .is_ok_and(|policy| configuration::review(&policy, std::iter::once(job)).is_ok());
+        let old = before.teams.iter().find(|team| team.name == job.team);
+        if let (false, Some(old)) = (runs, old) {
+            back.teams.retain(|team| team.name != job.team);
+            back.teams.push(old.clone());
+        }
+    }
+    back
+}
+
+fn commit(
+    records: &Records,
+    change: &Change,
+    current: Option<&Current>,
+) -> Result<Applied, ConfigFailure> {
+    let version = current.map_or(0, |current| current.record.version);
+    if change.expect.is_some_and(|expected| expected != version) {
+        let why = format!("version {version} is on record");
+        return Err(ConfigFailure::Conflict(why));
+    }
+    let configurable = records.configurable()?.ok_or_else(|| {
+        let why = "not every controller reads configurations yet: a rolling upgrade is under way";
+        ConfigFailure::Refused(why.into())
+    })?;
+    let record = current.map(|current| (&current.record, current.mod_revision));
+    let limits = change.limits.change_limits();
+    let (settings, note) = (change.settings, change.note);
+    let transaction =
+        configuration::change(settings, record, configurable, limits, now_ms(), note)?;
+    let applied = Applied {
+        version: version + 1,
+        pages: transaction.changes.len() - 1,
+    };
+    for _ in 0..UNANSWERED_TRIES {
+        let conflict = match records.commit(&transaction)? {
+            Committed::Yes => return Ok(applied),
+            Committed::Conflict => true,
+            Committed::Unknown => false,
+        };
+        // An earlier try may have taken effect: what is on record tells.
+        let now = records.current()?;
+        let now_version = now.as_ref().map_or(0, |now| now.record.version);
+        let ours = now
+            .is_some_and(|now| now.record.version == applied.version && now.settings == *settings);
+        if ours {
+            return Ok(applied);
+        }
+        if conflict {
+            let why = format!("another change came first: version {now_version} is on record");
+            return Err(ConfigFailure::Conflict(why));
+        }
+    }
+    let why = "no answer: the change may have taken effect, or may yet; look with `show`";
+    Err(ConfigFailure::Failed(why.into()))
+}
+
+/// Goes back to a version that is kept, as a new version.
+pub fn rollback(
+    records: &Records,
+    version: u64,
+    limits: FileLimits,
+) -> Result<Applied, ConfigFailure> {
+    let current = records.current()?;
+    let unknown = || ConfigFailure::Refused(format!("version: {version} is not kept"));
+    let current = current.ok_or_else(unknown)?;
+    let settings = records.version(&current.record, version)?;
+    let settings = settings.ok_or_else(unknown)?;
+    let note = format!("back to {version}");
+    let change = Change {
+        settings: &settings,
+        limits,
+        expect: Some(current.record.version),
+        note: &note,
+    };
+    apply(records, &change)
+}
--- /dev/null
+++ b/crates/ctl/src/config/effects.rs
@@ -0,0 +1,40 @@
+//! What a configuration would stop, were it put on record.
+
+use super::{ConfigFailure, Records};
+use glenmount_core::configuration::PolicySettings;
+use glenmount_core::scheduling::quota_enforcement;
+use serde::Serialize;
+use std::collections::BTreeMap;
+
+/// What a change would stop.
+#[derive(Debug, Clone, PartialEq, Serialize)]
+pub struct Effect {
+    pub team: String,
+    /// Processors in use, and the limit to be.
+    pub cpus: f64,
+    pub cpus_max: f64,
+    /// Tasks that would be stopped.
+    pub stopped: Vec<String>,
+}
+
+/// What a configuration would stop, team by team.
+pub fn effects(records: &Records, settings: &PolicySettings) -> Result<Vec<Effect>, ConfigFailure> {
+    let policy = settings.policy()?;
+    let cache = records.assignments()?;
+    let mut effects: BTreeMap<String, Effect> = BTreeMap::new();
+    for (_, task, _) in quota_enforcement::over_limits(&cache, &policy) {
+        let Some(spec) = cache.open_job(&task.job) else {
+            continue;
+        };
+        let cpus = |milli: u64| milli as f64 / 1e3;
+        let limit = policy.teams.get(&spec.team).map_or(0, |team| team.cpus_max);
+        let effect = effects.entry(spec.team.clone()).or_insert_with(|| Effect {
+            team: spec.team.clone(),
+            cpus: cpus(cache.usage(&spec.team).cpus),
+            cpus_max: cpus(limit),
+            stopped: Vec::new(),
+        });
+        effect.stopped.push(task.to_string());
+    }
+    Ok(effects.into_values().collect())
+}
--- /dev/null
+++ b/crates/ctl/src/config/followers.rs
@@ -0,0 +1,32 @@
+//! Waiting until the controllers follow a version.
+
+use super::{ConfigFailure, Records};
+use serde::Serialize;
+use std::time::{Duration, Instant};
+
+/// Between two looks at who follows a version.
+const LOOK_AGAIN: Duration = Duration::from_millis(100);
+
+/// Who follows which version.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize)]
+pub struct Followers {
+    pub follow: Vec<String>,
+    pub others: Vec<String>,
+}
+
+/// Waits until all controllers follow a version or a later one.
+pub fn wait(records: &Records, version: u64, within: Duration) -> Result<Followers, ConfigFailure> {
+    let begun = Instant::now();
+    loop {
+        let followers = records.followers(version)?;
+        if followers.others.is_empty() {
+            return Ok(followers);
+        }
+        if begun.elapsed() >= within {
+            let (others, seconds) = (followers.others.join(" "), within.as_secs_f64());
+            let why = format!("not followed within {seconds} s by: {others}");
+            return Err(ConfigFailure::Late(why));
+        }
+        std::thread::sleep(LOOK_AGAIN);
+    }
+}
--- a/crates/ctl/src/config/records.rs
+++ b/crates/ctl/src/config/records.rs
@@ -1,7 +1,7 @@
 //! What the state service holds that concerns configurations.
 
 use super::{ConfigFailure, Followers};
-use crate::state::{Committed, StateService, Stored};
+use crate::state_client::{Committed, StateService, Stored};
 use glenmount_core::configuration::{
     self, ConfigurationPageRecord, ConfigurationVersionRecord, PolicySettings, CONFIGURATION_FORM,
 };
--- a/crates/ctl/src/learned.rs
+++ b/crates/ctl/src/estimates.rs
@@ -1,7 +1,7 @@
 //! What the state service holds of run times.
 
-use crate::run::Row;
-use crate::state::StateService;
+use crate::run_record::Row;
+use crate::state_client::StateService;
 use crate::Failure;
 use glenmount_core::state::{Record, RunTimesRecord};
 use glenmount_runtime_estimates::history::History;
--- a/crates/ctl/src/export.rs
+++ b/crates/ctl/src/export.rs
@@ -1,8 +1,8 @@
 //! Exports: from controllers' logs or from the state service into one Parquet file, in order of
 //! start, however large.
 
-use crate::file::RunWriter;
-use crate::run::{of_line, Row};
+use crate::run_file::RunWriter;
+use crate::run_record::{of_line, Row};
 use crate::Failure;
 use extsort::{ExternalSorter, Sortable};
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -4,12 +4,12 @@
 //! that name the file, line, column or field at fault.
 
 pub mod config;
+pub mod estimates;
 pub mod export;
-pub mod file;
-pub mod learned;
 pub mod replay;
-pub mod run;
-pub mod state;
+pub mod run_file;
+pub mod run_record;
+pub mod state_client;
 
 /// One sentence for the operator.
 pub type Failure = String;
--- a/crates/ctl/tests/files.rs
+++ b/crates/ctl/tests/files.rs
@@ -3,9 +3,9 @@
 
 use bytes::Bytes;
 use glenmountctl::export::{self, LogRuns};
-use glenmountctl::file::{RunReader, RunWriter, GROUP_ROWS};
 use glenmountctl::replay::Replay;
-use glenmountctl::run::Row;
+use glenmountctl::run_file::{RunReader, RunWriter, GROUP_ROWS};
+use glenmountctl::run_record::Row;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/ctl/tests/log_lines.rs
+++ b/crates/ctl/tests/log_lines.rs
@@ -1,6 +1,6 @@
 //! Lines of controllers' logs: which tell of a run, and which are refused.
 
-use glenmountctl::run::of_line;
+use glenmountctl::run_record::of_line;
 
 #[test]
 fn a_line_is_read_whatever_stands_before_it() {
