--- a/crates/ctl/src/commands/config.rs
+++ b/crates/ctl/src/commands/config.rs
@@ -1,6 +1,6 @@
 //! The command line of `glenmountctl config`.
 
-use crate::output::say;
+use crate::output::print_line;
 use clap::{Args, Subcommand};
 use glenmount_core::configuration::PolicySettings;
 use glenmountctl::config::{
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Seconds for which `wait` waits at most.
-const MOST_WAIT_S: f64 = 3_600.0;
+const MAX_WAIT_S: f64 = 3_600.0;
 
 /// Exit status: 0 done, 1 not reached or unreadable, 2 refused, 3 another change came first, 4 not followed
 /// in time.
@@ -81,7 +81,7 @@
         let number = text.strip_suffix(unit)?.parse::<f64>().ok()?;
         Some(number * factor)
     });
-    let seconds = split.filter(|s| s.is_finite() && (0.0..=MOST_WAIT_S).contains(s));
+    let seconds = split.filter(|s| s.is_finite() && (0.0..=MAX_WAIT_S).contains(s));
     let seconds = seconds.ok_or_else(|| format!("{text:?} is no time up to an hour, as 7s"))?;
     Ok(Duration::from_secs_f64(seconds))
 }
@@ -123,7 +123,7 @@
 
 /// Carries the command out; says what failed and ends with its status.
 pub fn run(arguments: &ConfigArguments) -> ExitCode {
-    match carry_out(arguments) {
+    match execute(arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("glenmountctl: {}", failure.message());
@@ -132,7 +132,7 @@
     }
 }
 
-fn carry_out(arguments: &ConfigArguments) -> Result<(), ConfigFailure> {
+fn execute(arguments: &ConfigArguments) -> Result<(), ConfigFailure> {
     if arguments.state.is_empty() {
         let why = "--state: the state service's address is missing";
         return Err(ConfigFailure::Refused(why.into()));
@@ -276,5 +276,5 @@
         true => serde_json::to_string(value).map_err(|e| e.to_string())?,
         false => text.to_string(),
     };
-    Ok(say(&shown)?)
+    Ok(print_line(&shown)?)
 }
--- a/crates/ctl/src/commands/estimates.rs
+++ b/crates/ctl/src/commands/estimates.rs
@@ -1,7 +1,7 @@
 //! `glenmountctl estimates`: replays of a history, and what is learned now.
 
-use super::at;
-use crate::output::{progress, say};
+use super::at_path;
+use crate::output::{print_line, progress};
 use clap::Subcommand;
 use glenmountctl::replay::Replay;
 use glenmountctl::run_file::RunReader;
@@ -39,31 +39,31 @@
 
 fn replay(path: &Path, from: u64, json: bool) -> Result<(), Failure> {
     let named = |e: Failure| format!("{}: {e}", path.display());
-    let file = File::open(path).map_err(at(path))?;
+    let file = File::open(path).map_err(at_path(path))?;
     let mut reader = RunReader::new(file).map_err(named)?;
-    let bar = progress(reader.whole, false);
+    let bar = progress(reader.row_count, false);
     let mut replay = Replay::new(from);
-    while let Some(row) = reader.next_row().map_err(named)? {
+    while let Some(row) = reader.next_record().map_err(named)? {
         replay.play(row).map_err(named)?;
         bar.inc(1);
     }
     bar.finish_and_clear();
     let report = replay.report();
     match json {
-        true => say(&serde_json::to_value(&report).map_err(|e| e.to_string())?),
-        false => say(&report.table().trim_end()),
+        true => print_line(&serde_json::to_value(&report).map_err(|e| e.to_string())?),
+        false => print_line(&report.table().trim_end()),
     }
 }
 
 fn show(state: &str, json: bool) -> Result<(), Failure> {
-    let (records, damaged) = estimates::read(state)?;
+    let (records, damaged) = estimates::read_histories(state)?;
     let mut shown: Vec<_> = records
         .iter()
-        .map(|(r, h)| estimates::shown(r, h))
+        .map(|(r, h)| estimates::summarize(r, h))
         .collect();
     shown.sort_by(|a, b| (&a.team, &a.class).cmp(&(&b.team, &b.class)));
     if json {
-        return say(&serde_json::json!({"classes": shown, "damaged": damaged}));
+        return print_line(&serde_json::json!({"classes": shown, "damaged": damaged}));
     }
     let mut table = format!(
         "{:32} {:>8} {:>5} {:>9} {:>9} {:>9} {:>6}\n",
@@ -83,5 +83,5 @@
     if damaged > 0 {
         table += &format!("\n{damaged} damaged records passed over.");
     }
-    say(&table)
+    print_line(&table)
 }
--- a/crates/ctl/src/commands/history.rs
+++ b/crates/ctl/src/commands/history.rs
@@ -1,7 +1,7 @@
 //! `glenmountctl history`: exports of runs, and the columns that they have.
 
-use super::at;
-use crate::output::{progress, say};
+use super::at_path;
+use crate::output::{print_line, progress};
 use clap::{Args, Subcommand};
 use glenmountctl::export::{self, LogRuns};
 use glenmountctl::run_file::COLUMNS;
@@ -13,7 +13,7 @@
 #[derive(Subcommand)]
 pub(crate) enum HistoryCommand {
     /// Writes the runs that controllers logged, or those that the state service remembers, as Parquet
-    Export(Export),
+    Export(ExportArguments),
     /// Describes the columns of such a file
     Schema {
         #[arg(long)]
@@ -33,7 +33,7 @@
 }
 
 #[derive(Args)]
-pub(crate) struct Export {
+pub(crate) struct ExportArguments {
     #[command(flatten)]
     from: Source,
     /// The file to be written; an older one is replaced once all is written
@@ -51,29 +51,31 @@
     }
 }
 
-fn history_export(what: Export) -> Result<(), Failure> {
+fn history_export(what: ExportArguments) -> Result<(), Failure> {
     let folder = match what.out.parent() {
         Some(folder) if !folder.as_os_str().is_empty() => folder,
         _ => Path::new("."),
     };
     // Beside the target, so that it can be renamed; gone by itself if anything fails.
-    let file = tempfile::NamedTempFile::new_in(folder).map_err(at(folder))?;
-    let sorting = tempfile::tempdir_in(folder).map_err(at(folder))?;
+    let file = tempfile::NamedTempFile::new_in(folder).map_err(at_path(folder))?;
+    let sorting = tempfile::tempdir_in(folder).map_err(at_path(folder))?;
     let out = BufWriter::new(file);
     let (mut faults, mut named) = (0, Vec::new());
     let (out, written) = match &what.from.state {
         Some(address) => {
-            let (records, damaged) = estimates::read(address)?;
+            let (records, damaged) = estimates::read_histories(address)?;
             faults += damaged as u64;
-            let rows = records.iter().flat_map(|(r, h)| estimates::rows(r, h));
+            let rows = records
+                .iter()
+                .flat_map(|(r, h)| estimates::run_records(r, h));
             export::write(rows, sorting.path(), out)?
         }
         None => {
             let mut logs = Vec::new();
             let mut whole = 0;
             for path in &what.from.log {
-                let file = File::open(path).map_err(at(path))?;
-                whole += file.metadata().map_err(at(path))?.len();
+                let file = File::open(path).map_err(at_path(path))?;
+                whole += file.metadata().map_err(at_path(path))?.len();
                 logs.push((path.display().to_string(), file));
             }
             let bar = progress(whole, true);
@@ -85,7 +87,7 @@
             let mut now = runs.next();
             let rows = std::iter::from_fn(|| loop {
                 let log = now.as_mut()?;
-                match log.next_row() {
+                match log.next_record() {
                     Ok(Some(row)) => return Some(row),
                     Ok(None) => {
                         faults += log.faults.count;
@@ -107,14 +109,14 @@
         }
     };
     let file = out.into_inner().map_err(|e| e.to_string())?;
-    file.as_file().sync_all().map_err(at(&what.out))?;
+    file.as_file().sync_all().map_err(at_path(&what.out))?;
     file.persist(&what.out)
         .map_err(|e| format!("{}: {}", what.out.display(), e.error))?;
     named.iter().for_each(|f| eprintln!("passed over: {f}"));
     let out = what.out.display().to_string();
     match what.json {
-        true => say(&serde_json::json!({"runs": written, "faulty": faults, "file": out})),
-        false => say(&format!(
+        true => print_line(&serde_json::json!({"runs": written, "faulty": faults, "file": out})),
+        false => print_line(&format!(
             "{written} runs to {out}, {faults} faulty ones passed over"
         )),
     }
@@ -126,12 +128,12 @@
             "required": required, "holds": what})
     });
     if json {
-        return say(&serde_json::json!(columns));
+        return print_line(&serde_json::json!(columns));
     }
     let line = |(name, kind, required, what): (&str, parquet::basic::Type, bool, &str)| {
         let kind = kind.to_string();
         let mark = if required { "" } else { "optional" };
         format!("{name:10} {kind:11} {mark:9} {what}")
     };
-    say(&COLUMNS.map(line).join("\n"))
+    print_line(&COLUMNS.map(line).join("\n"))
 }
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -7,6 +7,6 @@
 use glenmountctl::Failure;
 use std::path::Path;
 
-pub(crate) fn at(path: &Path) -> impl Fn(std::io::Error) -> Failure + '_ {
+pub(crate) fn at_path(path: &Path) -> impl Fn(std::io::Error) -> Failure + '_ {
     move |e| format!("{}: {e}", path.display())
 }
--- a/crates/ctl/src/config/apply.rs
+++ b/crates/ctl/src/config/apply.rs
@@ -2,14 +2,14 @@
 
 use super::records::Current;
 use super::{ConfigFailure, FileLimits, Records};
-use crate::state_client::Committed;
+use crate::state_client::CommitOutcome;
 use glenmount_core::configuration::{self, Policy, PolicySettings};
 use glenmount_core::model::JobSpec;
 use serde::Serialize;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// A change without an answer is looked for, and sent again, so often.
-const UNANSWERED_TRIES: u32 = 5;
+const COMMIT_ATTEMPTS: u32 = 5;
 
 /// A version that was put on record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -35,7 +35,7 @@
     let before = before
         .map(|current| current.settings.policy())
         .transpose()?;
-    if may_strand(before.as_ref(), &policy) {
+    if may_leave_jobs_unrunnable(before.as_ref(), &policy) {
         let jobs = records.open_jobs()?;
         configuration::review(&policy, jobs.iter())?;
     }
@@ -44,7 +44,7 @@
 
 /// Whether an accepted job may be unable to run by the new configuration: only if a team goes or a limit
 /// falls. To find out takes a look at all jobs.
-fn may_strand(before: Option<&Policy>, after: &Policy) -> bool {
+fn may_leave_jobs_unrunnable(before: Option<&Policy>, after: &Policy) -> bool {
     let Some(before) = before else {
         return true;
     };
@@ -73,7 +73,7 @@
     let policy = change.settings.policy()?;
     let before = before.map(|current| current.settings);
     let policy_before = before.as_ref().map(PolicySettings::policy).transpose()?;
-    let jobs = match may_strand(policy_before.as_ref(), &policy) {
+    let jobs = match may_leave_jobs_unrunnable(policy_before.as_ref(), &policy) {
         true => records.open_jobs()?,
         false => Vec::new(),
     };
@@ -82,21 +82,21 @@
         return Ok(applied);
     };
     let before = before.unwrap_or_default();
-    let settings = with_entries_back(change.settings, &before, &jobs);
-    let again = Change {
+    let settings = with_teams_restored(change.settings, &before, &jobs);
+    let restored = Change {
         settings: &settings,
         expect: Some(applied.version),
         ..*change
     };
-    let back = commit(records, &again, records.current()?.as_ref())?;
-    let (version, why) = (back.version, error.to_string());
+    let corrected = commit(records, &restored, records.current()?.as_ref())?;
+    let (version, why) = (corrected.version, error.to_string());
     Err(ConfigFailure::Conflict(format!(
         "a job was accepted meanwhile: version {version} has its team as before ({why})"
     )))
 }
 
 /// The settings with the entries of those teams as before whose jobs could never run by the new ones.
-fn with_entries_back(
+fn with_teams_restored(
     settings: &PolicySettings,
     before: &PolicySettings,
     jobs: &[JobSpec],
@@ -125,11 +125,11 @@
         let why = format!("version {version} is on record");
         return Err(ConfigFailure::Conflict(why));
     }
-    let configurable = records.configurable()?.ok_or_else(|| {
+    let configurable = records.configurable_revision()?.ok_or_else(|| {
         let why = "not every controller reads configurations yet: a rolling upgrade is under way";
         ConfigFailure::Refused(why.into())
     })?;
-    let record = current.map(|current| (&current.record, current.mod_revision));
+    let record = current.map(|current| (&current.record, current.revision));
     let limits = change.limits.change_limits();
     let (settings, note) = (change.settings, change.note);
     let transaction =
@@ -138,11 +138,11 @@
         version: version + 1,
         pages: transaction.changes.len() - 1,
     };
-    for _ in 0..UNANSWERED_TRIES {
+    for _ in 0..COMMIT_ATTEMPTS {
         let conflict = match records.commit(&transaction)? {
-            Committed::Yes => return Ok(applied),
-            Committed::Conflict => true,
-            Committed::Unknown => false,
+            CommitOutcome::Committed => return Ok(applied),
+            CommitOutcome::Conflict => true,
+            CommitOutcome::Unknown => false,
         };
         // An earlier try may have taken effect: what is on record tells.
         let now = records.current()?;
--- a/crates/ctl/src/config/effects.rs
+++ b/crates/ctl/src/config/effects.rs
@@ -20,7 +20,7 @@
 /// What a configuration would stop, team by team.
 pub fn effects(records: &Records, settings: &PolicySettings) -> Result<Vec<Effect>, ConfigFailure> {
     let policy = settings.policy()?;
-    let cache = records.assignments()?;
+    let cache = records.task_cache()?;
     let mut effects: BTreeMap<String, Effect> = BTreeMap::new();
     for (_, task, _) in quota_enforcement::over_limits(&cache, &policy) {
         let Some(spec) = cache.open_job(&task.job) else {
--- a/crates/ctl/src/config/error.rs
+++ b/crates/ctl/src/config/error.rs
@@ -12,7 +12,7 @@
     /// Another change came first. Exit status 3.
     Conflict(String),
     /// Not all controllers follow the version in time. Exit status 4.
-    Late(String),
+    TimedOut(String),
 }
 
 impl ConfigFailure {
@@ -21,7 +21,7 @@
             ConfigFailure::Failed(_) => 1,
             ConfigFailure::Refused(_) => 2,
             ConfigFailure::Conflict(_) => 3,
-            ConfigFailure::Late(_) => 4,
+            ConfigFailure::TimedOut(_) => 4,
         }
     }
 
@@ -30,7 +30,7 @@
             ConfigFailure::Failed(message)
             | ConfigFailure::Refused(message)
             | ConfigFailure::Conflict(message)
-            | ConfigFailure::Late(message) => message,
+            | ConfigFailure::TimedOut(message) => message,
         }
     }
 }
--- a/crates/ctl/src/config/followers.rs
+++ b/crates/ctl/src/config/followers.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 /// Between two looks at who follows a version.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Who follows which version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -25,8 +25,8 @@
         if begun.elapsed() >= within {
             let (others, seconds) = (followers.others.join(" "), within.as_secs_f64());
             let why = format!("not followed within {seconds} s by: {others}");
-            return Err(ConfigFailure::Late(why));
+            return Err(ConfigFailure::TimedOut(why));
         }
-        std::thread::sleep(LOOK_AGAIN);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/ctl/src/config/records.rs
+++ b/crates/ctl/src/config/records.rs
@@ -1,7 +1,7 @@
 //! What the state service holds that concerns configurations.
 
 use super::{ConfigFailure, Followers};
-use crate::state_client::{Committed, StateService, Stored};
+use crate::state_client::{CommitOutcome, StateClient, StoredItem};
 use glenmount_core::configuration::{
     self, ConfigurationPageRecord, ConfigurationVersionRecord, PolicySettings, CONFIGURATION_FORM,
 };
@@ -11,32 +11,35 @@
 use std::collections::BTreeMap;
 
 /// Records read at most: many times what a site of two years has.
-const MOST_RECORDS: usize = 20_000_000;
+const MAX_RECORDS: usize = 20_000_000;
 /// Changes of one transaction that removes pages nobody can go back to.
-const REMOVED_AT_ONCE: usize = 3;
+const PAGES_REMOVED_PER_TRANSACTION: usize = 3;
 
 /// The configuration on record.
 #[derive(Debug, Clone)]
 pub struct Current {
     pub record: ConfigurationVersionRecord,
     /// Its revision.
-    pub mod_revision: u64,
+    pub revision: u64,
     pub settings: PolicySettings,
 }
 
 /// The state service's records, read when they are asked for.
 pub struct Records {
-    service: StateService,
+    service: StateClient,
 }
 
 impl Records {
     pub fn new(address: &str) -> Records {
         Records {
-            service: StateService::new(address),
+            service: StateClient::new(address),
         }
     }
 
-    pub(super) fn commit(&self, transaction: &CasTransaction) -> Result<Committed, ConfigFailure> {
+    pub(super) fn commit(
+        &self,
+        transaction: &CasTransaction,
+    ) -> Result<CommitOutcome, ConfigFailure> {
         Ok(self.service.commit(transaction)?)
     }
 
@@ -45,7 +48,7 @@
         let Some(stored) = self.service.value(&Key::Configuration)? else {
             return Ok(None);
         };
-        let mod_revision = stored.mod_revision;
+        let revision = stored.revision;
         let Some((_, Record::Configuration(record))) = stored.record() else {
             let why = "the configuration on record can't be read";
             return Err(ConfigFailure::Failed(why.into()));
@@ -59,7 +62,7 @@
         })?;
         Ok(Some(Current {
             record,
-            mod_revision,
+            revision,
             settings,
         }))
     }
@@ -83,7 +86,7 @@
         let mut pages: Vec<ConfigurationPageRecord> = Vec::new();
         for n in 0..count {
             let stored = self.service.value(&Key::ConfigurationPage(version, n))?;
-            match stored.and_then(Stored::record) {
+            match stored.and_then(StoredItem::record) {
                 Some((_, Record::ConfigurationPage(page))) => pages.push(page),
                 _ => return Ok(None),
             }
@@ -92,14 +95,14 @@
     }
 
     /// The revision of the record that says that every controller reads configurations.
-    pub(super) fn configurable(&self) -> Result<Option<u64>, ConfigFailure> {
+    pub(super) fn configurable_revision(&self) -> Result<Option<u64>, ConfigFailure> {
         let stored = self.service.value(&Key::ConfigurationEnabled)?;
-        Ok(stored.map(|stored| stored.mod_revision))
+        Ok(stored.map(|stored| stored.revision))
     }
 
     /// Jobs that were accepted and are not over.
     pub fn open_jobs(&self) -> Result<Vec<JobSpec>, ConfigFailure> {
-        let stored = self.service.list("g/job/", MOST_RECORDS)?;
+        let stored = self.service.list("g/job/", MAX_RECORDS)?;
         let open = stored
             .into_iter()
             .filter_map(|stored| match stored.record()? {
@@ -110,13 +113,13 @@
     }
 
     /// Jobs and what is assigned of them, as a controller's copy would have them.
-    pub(super) fn assignments(&self) -> Result<StateCache, ConfigFailure> {
+    pub(super) fn task_cache(&self) -> Result<StateCache, ConfigFailure> {
         let mut cache = StateCache::default();
         for under in ["g/job/", "g/chunk/"] {
-            for stored in self.service.list(under, MOST_RECORDS)? {
-                let mod_revision = stored.mod_revision;
+            for stored in self.service.list(under, MAX_RECORDS)? {
+                let revision = stored.revision;
                 if let Some((key, record)) = stored.record() {
-                    cache.put(key, mod_revision, record);
+                    cache.put(key, revision, record);
                 }
             }
         }
@@ -126,12 +129,12 @@
     /// Which controllers follow a version or a later one.
     pub fn followers(&self, version: u64) -> Result<Followers, ConfigFailure> {
         let mut versions: BTreeMap<String, u64> = BTreeMap::new();
-        for stored in self.service.list("g/format/", MOST_RECORDS)? {
+        for stored in self.service.list("g/format/", MAX_RECORDS)? {
             if let Some(Key::Format(controller)) = Key::parse(&stored.key) {
                 versions.insert(controller, 0);
             }
         }
-        for stored in self.service.list("g/following/", MOST_RECORDS)? {
+        for stored in self.service.list("g/following/", MAX_RECORDS)? {
             if let Some((Key::ObservedVersion(controller), Record::ObservedVersion(record))) =
                 stored.record()
             {
@@ -157,7 +160,7 @@
         let Ok(Some(current)) = self.current() else {
             return;
         };
-        let stored = self.service.list("g/configuration/", MOST_RECORDS);
+        let stored = self.service.list("g/configuration/", MAX_RECORDS);
         let pages = stored.into_iter().flatten().filter_map(|stored| {
             let Some(Key::ConfigurationPage(version, n)) = Key::parse(&stored.key) else {
                 return None;
@@ -166,13 +169,16 @@
         });
         let pages: Vec<(u64, u32)> = pages.collect();
         let outdated = configuration::outdated_pages(&current.record, pages.iter());
-        for keys in outdated.chunks(REMOVED_AT_ONCE) {
+        for keys in outdated.chunks(PAGES_REMOVED_PER_TRANSACTION) {
             let transaction = CasTransaction {
-                conditions: vec![(Key::Configuration, current.mod_revision)],
+                conditions: vec![(Key::Configuration, current.revision)],
                 changes: keys.iter().map(|key| (key.clone(), None)).collect(),
                 format: formats::STORED_CONFIGURATION,
             };
-            if !matches!(self.service.commit(&transaction), Ok(Committed::Yes)) {
+            if !matches!(
+                self.service.commit(&transaction),
+                Ok(CommitOutcome::Committed)
+            ) {
                 return;
             }
         }
--- a/crates/ctl/src/estimates.rs
+++ b/crates/ctl/src/estimates.rs
@@ -1,7 +1,7 @@
 //! What the state service holds of run times.
 
-use crate::run_record::Row;
-use crate::state_client::StateService;
+use crate::run_record::RunRecord;
+use crate::state_client::StateClient;
 use crate::Failure;
 use glenmount_core::state::{Record, RunTimesRecord};
 use glenmount_runtime_estimates::history::History;
@@ -9,11 +9,11 @@
 use serde::Serialize;
 
 /// Records read at most: many times what controllers keep.
-const MOST_RECORDS: usize = 100_000;
+const MAX_RECORDS: usize = 100_000;
 
 /// All records, and how many were damaged.
-pub fn read(address: &str) -> Result<(Vec<(RunTimesRecord, History)>, usize), Failure> {
-    let stored = StateService::new(address).list("g/runs/", MOST_RECORDS)?;
+pub fn read_histories(address: &str) -> Result<(Vec<(RunTimesRecord, History)>, usize), Failure> {
+    let stored = StateClient::new(address).list("g/runs/", MAX_RECORDS)?;
     let (mut found, mut damaged) = (Vec::new(), 0);
     for item in stored {
         let history = |r: &RunTimesRecord| History::unpack(&r.packed);
@@ -30,7 +30,7 @@
 
 /// What is learned of a class, for a job whose owner says what owners said on the whole.
 #[derive(Debug, Serialize)]
-pub struct Shown {
+pub struct ClassSummary {
     pub team: String,
     pub class: String,
     /// Runs counted in all, and jobs remembered of them.
@@ -46,13 +46,13 @@
     pub at: u64,
 }
 
-pub fn shown(record: &RunTimesRecord, history: &History) -> Shown {
+pub fn summarize(record: &RunTimesRecord, history: &History) -> ClassSummary {
     let prior = Mixture::new(Vec::new());
     let (jobs, within) = history.mixture(None, 0, &prior);
     let e = jobs.wider(within).estimate();
     let latest: Vec<f64> = history.excess().rev().take(6).collect();
     let bias = latest.iter().sum::<f64>() / latest.len().max(1) as f64;
-    Shown {
+    ClassSummary {
         team: record.team.clone(),
         class: record.class.clone(),
         runs: history.runs,
@@ -66,10 +66,10 @@
 }
 
 /// The jobs that a record remembers, as rows: of their starts only the order is known.
-pub fn rows(record: &RunTimesRecord, history: &History) -> Vec<Row> {
+pub fn run_records(record: &RunTimesRecord, history: &History) -> Vec<RunRecord> {
     let count = history.jobs().len() as i64;
     let jobs = history.jobs().iter().enumerate();
-    jobs.map(|(i, j)| Row {
+    jobs.map(|(i, j)| RunRecord {
         start_ms: (record.at as i64).saturating_sub(count - i as i64).max(0),
         secs: j.mean.exp(),
         team: record.team.clone(),
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -12,11 +12,11 @@
 #[command(version, about)]
 struct Cli {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Records of runs
     #[command(subcommand)]
     History(history::HistoryCommand),
@@ -28,12 +28,12 @@
 }
 
 fn main() -> ExitCode {
-    // What a library asserts of a damaged file becomes an error of one sentence.
+    // Command a library asserts of a damaged file becomes an error of one sentence.
     std::panic::set_hook(Box::new(|_| ()));
-    let done = match Cli::parse().what {
-        What::Config(arguments) => return config::run(&arguments),
-        What::History(command) => history::run(command),
-        What::Estimates(command) => estimates::run(&command),
+    let done = match Cli::parse().command {
+        Command::Config(arguments) => return config::run(&arguments),
+        Command::History(command) => history::run(command),
+        Command::Estimates(command) => estimates::run(&command),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/ctl/src/replay/mod.rs
+++ b/crates/ctl/src/replay/mod.rs
@@ -6,24 +6,24 @@
 
 pub use report::{ClassReport, ErrorReport, WorkerHeartbeat};
 
-use crate::run_record::Row;
+use crate::run_record::RunRecord;
 use crate::Failure;
 use glenmount_runtime_estimates::book::{About, Book};
 use glenmount_runtime_estimates::End;
-use score::{ControllerStatus, Score};
+use score::{Prediction, Score};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
 /// Runs under way at once at most; more are no history of one site.
-const MOST_RUNNING: usize = 2_000_000;
+const MAX_RUNNING: usize = 2_000_000;
 /// Classes of teams told apart in the report; of any more only the sum is shown.
-const MOST_CLASSES: usize = 2_000;
+const MAX_CLASSES: usize = 2_000;
 
 /// A run under way: by its end, then in order of appearance.
-type Running = Reverse<(i64, u64)>;
+type RunEnd = Reverse<(i64, u64)>;
 
 #[derive(Default)]
-struct Past {
+struct ClassRuns {
     jobs: HashMap<String, u32>,
     sum_s: f64,
     runs: u64,
@@ -31,35 +31,35 @@
 
 pub struct Replay {
     book: Book,
-    from: u64,
+    min_jobs: u64,
     rows: u64,
     cut_short: u64,
     last_start: i64,
-    running: BinaryHeap<Running>,
-    rows_running: HashMap<u64, (Row, ControllerStatus)>,
-    past: BTreeMap<(String, String), Past>,
+    run_ends: BinaryHeap<RunEnd>,
+    running_records: HashMap<u64, (RunRecord, Prediction)>,
+    past: BTreeMap<(String, String), ClassRuns>,
     scores: BTreeMap<(String, String), Score>,
     all: Score,
 }
 
 impl Replay {
     /// Runs are scored once so many jobs of their class are known.
-    pub fn new(from: u64) -> Replay {
+    pub fn new(min_jobs: u64) -> Replay {
         Replay {
             book: Book::default(),
-            from,
+            min_jobs,
             rows: 0,
             cut_short: 0,
             last_start: i64::MIN,
-            running: BinaryHeap::new(),
-            rows_running: HashMap::new(),
+            run_ends: BinaryHeap::new(),
+            running_records: HashMap::new(),
             past: BTreeMap::new(),
             scores: BTreeMap::new(),
             all: Score::new(),
         }
     }
 
-    pub fn play(&mut self, row: Row) -> Result<(), Failure> {
+    pub fn play(&mut self, row: RunRecord) -> Result<(), Failure> {
         self.rows += 1;
         if row.start_ms < self.last_start {
             return Err(format!(
@@ -69,15 +69,15 @@
         }
         self.last_start = row.start_ms;
         self.end_until(row.start_ms);
-        if self.running.len() >= MOST_RUNNING {
+        if self.run_ends.len() >= MAX_RUNNING {
             return Err(format!("row {}: too many runs at once", self.rows));
         }
         let run = row.run();
         let estimate = self.book.distribution(&About::from(&run)).estimate();
         let class = (row.team.clone(), row.class.clone());
         let past = self.past.get(&class);
-        let known = |p: &&Past| p.runs > 0;
-        let said = ControllerStatus {
+        let known = |p: &&ClassRuns| p.runs > 0;
+        let prediction = Prediction {
             median_s: estimate.median_s,
             low_s: estimate.low_s,
             high_s: estimate.high_s,
@@ -86,24 +86,24 @@
             first: !past.is_some_and(|p| p.jobs.contains_key(&row.job)),
             jobs: past.map_or(0, |p| p.jobs.len() as u64),
         };
-        self.running.push(Reverse((row.end_ms(), self.rows)));
-        self.rows_running.insert(self.rows, (row, said));
+        self.run_ends.push(Reverse((row.end_ms(), self.rows)));
+        self.running_records.insert(self.rows, (row, prediction));
         Ok(())
     }
 
     fn end_until(&mut self, ms: i64) {
-        while let Some(Reverse((end, n))) = self.running.peek().copied() {
+        while let Some(Reverse((end, n))) = self.run_ends.peek().copied() {
             if end > ms {
                 break;
             }
-            self.running.pop();
-            if let Some((row, said)) = self.rows_running.remove(&n) {
-                self.ended(&row, &said);
+            self.run_ends.pop();
+            if let Some((row, prediction)) = self.running_records.remove(&n) {
+                self.end_run(&row, &prediction);
             }
         }
     }
 
-    fn ended(&mut self, row: &Row, said: &ControllerStatus) {
+    fn end_run(&mut self, row: &RunRecord, prediction: &Prediction) {
         let run = row.run();
         for _ in 0..row.runs.min(250) {
             self.book.ran(&run);
@@ -127,11 +127,11 @@
         *past.jobs.entry(row.job.clone()).or_default() += 1;
         past.sum_s += row.secs;
         past.runs += 1;
-        if said.jobs >= self.from {
-            self.all.note(said, row.secs);
-            if self.scores.len() < MOST_CLASSES || self.scores.contains_key(&class) {
+        if prediction.jobs >= self.min_jobs {
+            self.all.record(prediction, row.secs);
+            if self.scores.len() < MAX_CLASSES || self.scores.contains_key(&class) {
                 let score = self.scores.entry(class).or_insert_with(Score::new);
-                score.note(said, row.secs);
+                score.record(prediction, row.secs);
             }
         }
     }
@@ -140,13 +140,15 @@
         self.end_until(i64::MAX);
         let jobs = |class| self.past.get(class).map_or(0, |p| p.jobs.len() as u64);
         let classes = self.scores.iter();
-        let classes = classes.map(|(c, s)| s.told(&c.0, &c.1, jobs(c))).collect();
+        let classes = classes
+            .map(|(c, s)| s.report(&c.0, &c.1, jobs(c)))
+            .collect();
         let sum = self.past.values().map(|p| p.jobs.len() as u64).sum();
         WorkerHeartbeat {
             rows: self.rows,
             cut_short: self.cut_short,
             classes,
-            all: self.all.told("", "all", sum),
+            all: self.all.report("", "all", sum),
         }
     }
 }
--- a/crates/ctl/src/replay/score.rs
+++ b/crates/ctl/src/replay/score.rs
@@ -7,19 +7,19 @@
 const ERROR_SCALE: f64 = 1e4;
 
 /// Sizes of |ln(actual / estimate)|.
-struct Errors(Option<Histogram<u64>>);
+struct ErrorHistogram(Option<Histogram<u64>>);
 
-impl Errors {
-    fn new() -> Errors {
-        Errors(Histogram::new_with_bounds(1, 200_000, 3).ok())
+impl ErrorHistogram {
+    fn new() -> ErrorHistogram {
+        ErrorHistogram(Histogram::new_with_bounds(1, 200_000, 3).ok())
     }
-    fn note(&mut self, actual: f64, estimate: f64) {
+    fn record(&mut self, actual: f64, estimate: f64) {
         let error = (actual.max(1e-3) / estimate.max(1e-3)).ln().abs();
         if let Some(h) = &mut self.0 {
             h.saturating_record((error * ERROR_SCALE).round().max(1.0) as u64);
         }
     }
-    fn told(&self) -> Option<ErrorReport> {
+    fn report(&self) -> Option<ErrorReport> {
         let h = self.0.as_ref().filter(|h| !h.is_empty())?;
         let at = |q| h.value_at_quantile(q) as f64 / ERROR_SCALE;
         Some(ErrorReport {
@@ -31,59 +31,59 @@
 
 pub(super) struct Score {
     runs: u64,
-    firsts: u64,
-    within: u64,
-    learned: Errors,
-    first: Errors,
-    owner: Errors,
-    mean: Errors,
+    first_runs: u64,
+    covered: u64,
+    learned: ErrorHistogram,
+    first: ErrorHistogram,
+    owner: ErrorHistogram,
+    mean: ErrorHistogram,
 }
 
 impl Score {
     pub(super) fn new() -> Score {
         Score {
             runs: 0,
-            firsts: 0,
-            within: 0,
-            learned: Errors::new(),
-            first: Errors::new(),
-            owner: Errors::new(),
-            mean: Errors::new(),
+            first_runs: 0,
+            covered: 0,
+            learned: ErrorHistogram::new(),
+            first: ErrorHistogram::new(),
+            owner: ErrorHistogram::new(),
+            mean: ErrorHistogram::new(),
         }
     }
-    pub(super) fn note(&mut self, said: &ControllerStatus, secs: f64) {
+    pub(super) fn record(&mut self, prediction: &Prediction, secs: f64) {
         self.runs += 1;
-        self.within += u64::from((said.low_s..=said.high_s).contains(&secs));
-        self.learned.note(secs, said.median_s);
-        if said.first {
-            self.firsts += 1;
-            self.first.note(secs, said.median_s);
+        self.covered += u64::from((prediction.low_s..=prediction.high_s).contains(&secs));
+        self.learned.record(secs, prediction.median_s);
+        if prediction.first {
+            self.first_runs += 1;
+            self.first.record(secs, prediction.median_s);
         }
-        if said.expect_s > 0.0 {
-            self.owner.note(secs, said.expect_s);
+        if prediction.expect_s > 0.0 {
+            self.owner.record(secs, prediction.expect_s);
         }
-        if let Some(mean) = said.mean_s {
-            self.mean.note(secs, mean);
+        if let Some(mean) = prediction.mean_s {
+            self.mean.record(secs, mean);
         }
     }
-    pub(super) fn told(&self, team: &str, class: &str, jobs: u64) -> ClassReport {
+    pub(super) fn report(&self, team: &str, class: &str, jobs: u64) -> ClassReport {
         ClassReport {
             team: team.into(),
             class: class.into(),
             jobs,
             runs: self.runs,
-            covered: self.within as f64 / self.runs.max(1) as f64,
-            learned: self.learned.told(),
-            first_of_job: self.first.told(),
-            first_runs: self.firsts,
-            owner: self.owner.told(),
-            plain_mean: self.mean.told(),
+            covered: self.covered as f64 / self.runs.max(1) as f64,
+            learned: self.learned.report(),
+            first_of_job: self.first.report(),
+            first_runs: self.first_runs,
+            owner: self.owner.report(),
+            plain_mean: self.mean.report(),
         }
     }
 }
 
 /// What was said of a run when it began.
-pub(super) struct ControllerStatus {
+pub(super) struct Prediction {
     pub(super) median_s: f64,
     pub(super) low_s: f64,
     pub(super) high_s: f64,
--- a/crates/ctl/src/run_file/reader.rs
+++ b/crates/ctl/src/run_file/reader.rs
@@ -1,21 +1,21 @@
 //! Reads files of runs, a row group at a time; whatever is damaged or of another kind is refused.
 
 use super::schema::{failed, COLUMNS, KIND};
-use crate::run_record::Row;
+use crate::run_record::RunRecord;
 use crate::Failure;
 use parquet::column::reader::get_typed_column_reader;
 use parquet::data_type::{BoolType, ByteArray, ByteArrayType, DoubleType, Int32Type, Int64Type};
 use parquet::file::reader::{ChunkReader, FileReader, SerializedFileReader};
 
 /// Rows in a row group at most, of files that others wrote.
-const MOST_GROUP_ROWS: i64 = 2_000_000;
-/// Row groups in a file at most: of full ones ten thousand million runs.
-const MOST_GROUPS: usize = 500_000;
+const MAX_GROUP_ROWS: i64 = 2_000_000;
+/// RunRecord groups in a file at most: of full ones ten thousand million runs.
+const MAX_GROUPS: usize = 500_000;
 
 /// The library asserts in places what a damaged file need not keep to (found by the fuzzer in
 /// `tests/files.rs`): that is an error like any other here. It needs a build that unwinds, which
 /// the profile `tools` is.
-fn guarded<T>(read: impl FnOnce() -> Result<T, Failure>) -> Result<T, Failure> {
+fn catch_parquet_panics<T>(read: impl FnOnce() -> Result<T, Failure>) -> Result<T, Failure> {
     let caught = std::panic::catch_unwind(std::panic::AssertUnwindSafe(read));
     caught.unwrap_or_else(|_| Err("a damaged Parquet file: what it says of itself can't be".into()))
 }
@@ -24,15 +24,15 @@
 pub struct RunReader<R: ChunkReader + 'static> {
     file: SerializedFileReader<R>,
     next_group: usize,
-    rows: std::vec::IntoIter<Row>,
+    rows: std::vec::IntoIter<RunRecord>,
     /// Rows read so far, and in all by the file's own word.
-    pub read: u64,
-    pub whole: u64,
+    pub rows_read: u64,
+    pub row_count: u64,
 }
 
 impl<R: ChunkReader + 'static> RunReader<R> {
     pub fn new(source: R) -> Result<RunReader<R>, Failure> {
-        guarded(|| RunReader::open(source))
+        catch_parquet_panics(|| RunReader::open(source))
     }
 
     fn open(source: R) -> Result<RunReader<R>, Failure> {
@@ -69,32 +69,33 @@
                 ));
             }
         }
-        if metadata.num_row_groups() > MOST_GROUPS {
+        if metadata.num_row_groups() > MAX_GROUPS {
             return Err("more row groups than any export has".into());
         }
-        let mut whole = 0u64;
+        let mut row_count = 0u64;
         for group in metadata.row_groups() {
             let rows = group.num_rows();
-            if !(0..=MOST_GROUP_ROWS).contains(&rows) {
+            if !(0..=MAX_GROUP_ROWS).contains(&rows) {
                 return Err(format!("a row group says that it has {rows} rows"));
             }
-            whole += rows as u64;
+            row_count += rows as u64;
         }
         Ok(RunReader {
             file,
             next_group: 0,
             rows: Vec::new().into_iter(),
-            read: 0,
-            whole,
+            rows_read: 0,
+            row_count,
         })
     }
 
     /// The next run, or nothing at the end.
-    pub fn next_row(&mut self) -> Result<Option<Row>, Failure> {
+    pub fn next_record(&mut self) -> Result<Option<RunRecord>, Failure> {
         loop {
             if let Some(row) = self.rows.next() {
-                self.read += 1;
-                row.check().map_err(|e| format!("row {}: {e}", self.read))?;
+                self.rows_read += 1;
+                row.check()
+                    .map_err(|e| format!("row {}: {e}", self.rows_read))?;
                 return Ok(Some(row));
             }
             if self.next_group >= self.file.metadata().num_row_groups() {
@@ -102,13 +103,13 @@
             }
             let group = self.next_group;
             self.next_group += 1;
-            let rows = guarded(|| self.group(group));
+            let rows = catch_parquet_panics(|| self.read_group(group));
             let rows = rows.map_err(|e| format!("row group {group}: {e}"))?;
             self.rows = rows.into_iter();
         }
     }
 
-    fn group(&self, at: usize) -> Result<Vec<Row>, Failure> {
+    fn read_group(&self, at: usize) -> Result<Vec<RunRecord>, Failure> {
         let group = self.file.get_row_group(at).map_err(failed("broken"))?;
         let rows = group.metadata().num_rows() as usize;
         macro_rules! column {
@@ -162,7 +163,7 @@
         let names = team.into_iter().zip(class).zip(image).zip(job);
         for (i, (((team, class), image), job)) in names.enumerate() {
             let has = |levels: &[i16]| levels.get(i).is_some_and(|l| *l > 0);
-            found.push(Row {
+            found.push(RunRecord {
                 start_ms: starts[i],
                 secs: secs[i],
                 team,
--- a/crates/ctl/src/run_file/writer.rs
+++ b/crates/ctl/src/run_file/writer.rs
@@ -1,7 +1,7 @@
 //! Writes files of runs, a row group at a time.
 
 use super::schema::{failed, schema, COLUMNS, KIND};
-use crate::run_record::Row;
+use crate::run_record::RunRecord;
 use crate::Failure;
 use parquet::basic::Compression;
 use parquet::data_type::{BoolType, ByteArray, ByteArrayType, DoubleType, Int32Type, Int64Type};
@@ -17,7 +17,7 @@
 /// Writes runs in order of their start; the caller sees to that.
 pub struct RunWriter<W: Write + Send> {
     out: SerializedFileWriter<W>,
-    rows: Vec<Row>,
+    rows: Vec<RunRecord>,
     pub written: u64,
 }
 
@@ -36,25 +36,25 @@
         })
     }
 
-    pub fn push(&mut self, row: Row) -> Result<(), Failure> {
+    pub fn push(&mut self, row: RunRecord) -> Result<(), Failure> {
         self.rows.push(row);
         match self.rows.len() >= GROUP_ROWS {
-            true => self.group(),
+            true => self.write_group(),
             false => Ok(()),
         }
     }
 
-    fn group(&mut self) -> Result<(), Failure> {
+    fn write_group(&mut self) -> Result<(), Failure> {
         let rows = std::mem::take(&mut self.rows);
         if rows.is_empty() {
             return Ok(());
         }
         let mut write = || -> Result<(), parquet::errors::ParquetError> {
             let mut group = self.out.next_row_group()?;
-            let text = |of: fn(&Row) -> &str| -> Vec<ByteArray> {
+            let text = |of: fn(&RunRecord) -> &str| -> Vec<ByteArray> {
                 rows.iter().map(|r| ByteArray::from(of(r))).collect()
             };
-            let double = |of: fn(&Row) -> f64| -> Vec<f64> { rows.iter().map(of).collect() };
+            let double = |of: fn(&RunRecord) -> f64| -> Vec<f64> { rows.iter().map(of).collect() };
             let mut at = 0;
             while let Some(mut column) = group.next_column()? {
                 match COLUMNS[at].0 {
@@ -127,7 +127,7 @@
 
     /// Writes what is left and the footer: without it the file is refused by readers.
     pub fn finish(mut self) -> Result<(W, u64), Failure> {
-        self.group()?;
+        self.write_group()?;
         let out = self
             .out
             .into_inner()
--- a/crates/ctl/src/run_record.rs
+++ b/crates/ctl/src/run_record.rs
@@ -5,12 +5,12 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a name at most, as submissions allow.
-const NAME_BYTES: usize = 200;
+const MAX_NAME_BYTES: usize = 200;
 /// Milliseconds since 1970 that a start may have: until the year 2286.
-const MOST_MS: i64 = 9_999_999_999_999;
+const MAX_START_MS: i64 = 9_999_999_999_999;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct RunRecord {
     /// Milliseconds since 1970 at which the run began, by the time of day of the controller that heard it.
     pub start_ms: i64,
     /// Run time in seconds, without the fetch of the image.
@@ -30,7 +30,7 @@
     pub machine: Option<String>,
 }
 
-impl Row {
+impl RunRecord {
     pub fn run(&self) -> Run {
         Run {
             team: self.team.clone(),
@@ -60,7 +60,7 @@
         };
         time("secs", self.secs)?;
         time("expect_s", self.expect_s)?;
-        if !(0..=MOST_MS).contains(&self.start_ms) {
+        if !(0..=MAX_START_MS).contains(&self.start_ms) {
             return Err(format!("start_ms: {} is no time of day", self.start_ms));
         }
         if self.runs < 1 {
@@ -73,8 +73,8 @@
             ("job", &self.job),
         ];
         for (field, name) in names {
-            if name.len() > NAME_BYTES {
-                return Err(format!("{field}: longer than {NAME_BYTES} bytes"));
+            if name.len() > MAX_NAME_BYTES {
+                return Err(format!("{field}: longer than {MAX_NAME_BYTES} bytes"));
             }
         }
         Ok(())
@@ -83,7 +83,7 @@
 
 /// As the controllers log it.
 #[derive(Deserialize)]
-struct Logged {
+struct LogEntry {
     at: i64,
     job: String,
     task: i32,
@@ -97,27 +97,29 @@
 }
 
 /// What marks such a line, whatever stands before it.
-const MARK: &str = "ran run={";
+const LOG_LINE_MARK: &str = "ran run={";
 
 /// The run that a line of a controller's log tells of, if it does.
-pub fn of_line(line: &str) -> Option<Result<Row, Failure>> {
-    let at = line.find(MARK)? + MARK.len() - 1;
-    let mut values = serde_json::Deserializer::from_str(&line[at..]).into_iter::<Logged>();
+pub fn parse_log_line(line: &str) -> Option<Result<RunRecord, Failure>> {
+    let at = line.find(LOG_LINE_MARK)? + LOG_LINE_MARK.len() - 1;
+    let mut values = serde_json::Deserializer::from_str(&line[at..]).into_iter::<LogEntry>();
     let row = match values.next()? {
         Err(e) => Err(e.to_string()),
-        Ok(l) => {
-            let row = Row {
-                start_ms: l.at.saturating_sub((l.secs.clamp(0.0, 1e9) * 1e3) as i64),
-                secs: l.secs,
-                team: l.team,
-                class: l.class,
-                image: l.image,
-                job: l.job,
-                task: Some(l.task),
-                expect_s: l.expect_s,
-                done: l.done,
+        Ok(entry) => {
+            let row = RunRecord {
+                start_ms: entry
+                    .at
+                    .saturating_sub((entry.secs.clamp(0.0, 1e9) * 1e3) as i64),
+                secs: entry.secs,
+                team: entry.team,
+                class: entry.class,
+                image: entry.image,
+                job: entry.job,
+                task: Some(entry.task),
+                expect_s: entry.expect_s,
+                done: entry.done,
                 runs: 1,
-                machine: Some(l.machine),
+                machine: Some(entry.machine),
             };
             row.check().map(|()| row)
         }
--- a/crates/ctl/src/state_client.rs
+++ b/crates/ctl/src/state_client.rs
@@ -7,33 +7,32 @@
 use std::time::Duration;
 
 /// Records per page; the state service holds a page under 512 KiB.
-const PAGE: usize = 200;
+const PAGE_ITEMS: usize = 200;
 /// Bytes of an answer at most.
-const ANSWER_BYTES: u64 = 4 << 20;
+const MAX_RESPONSE_BYTES: u64 = 4 << 20;
 /// Time for an answer.
-const TIMEOUT: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// Tries of what the service refuses or does not answer, and the pause between them.
-const TRIES: u32 = 5;
-const PAUSE: Duration = Duration::from_millis(400);
+const ATTEMPTS: u32 = 5;
+const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The state service at an address like `10.2.0.1:2379`.
-pub struct StateService {
+pub struct StateClient {
     address: String,
 }
 
 /// A stored value, of whatever kind.
 #[derive(Debug, Deserialize)]
-pub struct Stored {
+pub struct StoredItem {
     #[serde(rename = "k")]
     pub key: String,
     #[serde(rename = "v")]
     pub value: serde_json::Value,
-    #[serde(default)]
-    #[serde(rename = "stamp")]
-    pub mod_revision: u64,
+    #[serde(rename = "stamp", default)]
+    pub revision: u64,
 }
 
-impl Stored {
+impl StoredItem {
     /// The record that it holds, if it is one of glenmount's that is not damaged.
     pub fn record(self) -> Option<(Key, Record)> {
         let key = Key::parse(&self.key)?;
@@ -44,51 +43,51 @@
 
 #[derive(Deserialize)]
 struct Page {
-    items: Vec<Stored>,
+    items: Vec<StoredItem>,
     #[serde(default)]
     more: bool,
 }
 
 /// How a transaction ended.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Committed {
-    Yes,
+pub enum CommitOutcome {
+    Committed,
     /// A condition does not hold.
     Conflict,
     /// There was no answer: it may have taken effect, or may yet.
     Unknown,
 }
 
-impl StateService {
-    pub fn new(address: &str) -> StateService {
-        StateService {
+impl StateClient {
+    pub fn new(address: &str) -> StateClient {
+        StateClient {
             address: address.to_string(),
         }
     }
 
     /// All values under a prefix, in order of their keys; so many at most.
-    pub fn list(&self, under: &str, most: usize) -> Result<Vec<Stored>, Failure> {
-        let (mut found, mut since) = (Vec::new(), None);
+    pub fn list(&self, prefix: &str, limit: usize) -> Result<Vec<StoredItem>, Failure> {
+        let (mut items, mut since) = (Vec::new(), None);
         loop {
-            let page = self.page(under, since.as_deref())?;
+            let page = self.page(prefix, since.as_deref())?;
             let last = page.items.last().map(|item| item.key.clone());
-            found.extend(page.items);
-            if !page.more || last.is_none() || found.len() >= most {
-                return Ok(found);
+            items.extend(page.items);
+            if !page.more || last.is_none() || items.len() >= limit {
+                return Ok(items);
             }
             since = last;
         }
     }
 
-    fn page(&self, under: &str, since: Option<&str>) -> Result<Page, Failure> {
+    fn page(&self, prefix: &str, since: Option<&str>) -> Result<Page, Failure> {
         let since = since.map_or(String::new(), |since| format!("&since={since}"));
-        let path = format!("/keys?under={under}{since}&most={PAGE}");
+        let path = format!("/keys?under={prefix}{since}&most={PAGE_ITEMS}");
         let (_, text) = self.get(&path)?;
         self.parse(&text)
     }
 
     /// One value, if the key is there.
-    pub fn value(&self, key: &Key) -> Result<Option<Stored>, Failure> {
+    pub fn value(&self, key: &Key) -> Result<Option<StoredItem>, Failure> {
         let (status, text) = self.get(&format!("/keys/{}", key.path()))?;
         match status {
             404 => Ok(None),
@@ -97,17 +96,17 @@
     }
 
     /// Sends a transaction; what is certainly not executed is sent again.
-    pub fn commit(&self, transaction: &CasTransaction) -> Result<Committed, Failure> {
+    pub fn commit(&self, transaction: &CasTransaction) -> Result<CommitOutcome, Failure> {
         let (address, text) = (&self.address, transaction.text());
         let mut refused = String::new();
-        for n in 0..TRIES {
-            if n > 0 {
-                std::thread::sleep(PAUSE);
+        for attempt in 0..ATTEMPTS {
+            if attempt > 0 {
+                std::thread::sleep(RETRY_INTERVAL);
             }
-            let request = ureq::post(&format!("http://{address}/txn")).timeout(TIMEOUT);
+            let request = ureq::post(&format!("http://{address}/txn")).timeout(REQUEST_TIMEOUT);
             match request.send_string(&text) {
-                Ok(_) => return Ok(Committed::Yes),
-                Err(ureq::Error::Status(409, _)) => return Ok(Committed::Conflict),
+                Ok(_) => return Ok(CommitOutcome::Committed),
+                Err(ureq::Error::Status(409, _)) => return Ok(CommitOutcome::Conflict),
                 Err(ureq::Error::Status(status @ (429 | 503), _)) => {
                     refused = format!("{address}: answers {status}; try again later");
                 }
@@ -118,7 +117,7 @@
                 Err(ureq::Error::Transport(e)) if e.kind() == ureq::ErrorKind::ConnectionFailed => {
                     refused = format!("{address}: not reached: {e}");
                 }
-                Err(ureq::Error::Transport(_)) => return Ok(Committed::Unknown),
+                Err(ureq::Error::Transport(_)) => return Ok(CommitOutcome::Unknown),
             }
         }
         Err(refused)
@@ -130,14 +129,14 @@
         let url = format!("http://{address}{path}");
         let listing = path.starts_with("/keys?");
         let mut last = String::new();
-        for n in 0..TRIES {
-            if n > 0 {
-                std::thread::sleep(PAUSE);
+        for attempt in 0..ATTEMPTS {
+            if attempt > 0 {
+                std::thread::sleep(RETRY_INTERVAL);
             }
-            match ureq::get(&url).timeout(TIMEOUT).call() {
+            match ureq::get(&url).timeout(REQUEST_TIMEOUT).call() {
                 Ok(answer) => {
                     let mut text = String::new();
-                    let body = answer.into_reader().take(ANSWER_BYTES);
+                    let body = answer.into_reader().take(MAX_RESPONSE_BYTES);
                     let read = { body }.read_to_string(&mut text);
                     read.map_err(|e| format!("{address}: the answer broke off: {e}"))?;
                     return Ok((200, text));
--- a/crates/ctl/tests/log_lines.rs
+++ b/crates/ctl/tests/log_lines.rs
@@ -1,19 +1,21 @@
 //! Lines of controllers' logs: which tell of a run, and which are refused.
 
-use glenmountctl::run_record::of_line;
+use glenmountctl::run_record::parse_log_line;
 
 #[test]
 fn a_line_is_read_whatever_stands_before_it() {
     let json = r#"{"at":10000,"class":"a b","done":true,"expect_s":3.0,"image":"i","job":"j-1","machine":"n","secs":2.5,"task":7,"team":"t"}"#;
-    let row = of_line(&format!("12:00 node INFO ran run={json}"))
+    let row = parse_log_line(&format!("12:00 node INFO ran run={json}"))
         .unwrap()
         .unwrap();
     assert_eq!((row.start_ms, row.secs, row.task), (7_500, 2.5, Some(7)));
-    assert!(of_line("INFO claimed task=j-1/0").is_none());
+    assert!(parse_log_line("INFO claimed task=j-1/0").is_none());
     let broken = json.replace("2.5", "-2.5");
-    let error = of_line(&format!("ran run={broken}")).unwrap().unwrap_err();
+    let error = parse_log_line(&format!("ran run={broken}"))
+        .unwrap()
+        .unwrap_err();
     assert!(error.contains("secs"), "{error}");
-    assert!(of_line(&format!("ran run={}", &json[..40]))
+    assert!(parse_log_line(&format!("ran run={}", &json[..40]))
         .unwrap()
         .is_err());
 }
--- a/crates/ctl/tests/files.rs
+++ b/crates/ctl/tests/run_files.rs
@@ -5,12 +5,12 @@
 use glenmountctl::export::{self, LogRuns};
 use glenmountctl::replay::Replay;
 use glenmountctl::run_file::{RunReader, RunWriter, GROUP_ROWS};
-use glenmountctl::run_record::Row;
+use glenmountctl::run_record::RunRecord;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn row(n: usize) -> Row {
-    Row {
+fn row(n: usize) -> RunRecord {
+    RunRecord {
         start_ms: 1_700_000_000_000 + n as i64 * 137,
         secs: 10.0 + (n % 7) as f64,
         team: "red".into(),
@@ -25,7 +25,7 @@
     }
 }
 
-fn written(rows: &[Row]) -> Bytes {
+fn written(rows: &[RunRecord]) -> Bytes {
     let mut writer = RunWriter::new(Vec::new()).unwrap();
     rows.iter().for_each(|r| writer.push(r.clone()).unwrap());
     let (bytes, n) = writer.finish().unwrap();
@@ -33,10 +33,10 @@
     Bytes::from(bytes)
 }
 
-fn read(bytes: Bytes) -> Result<Vec<Row>, String> {
+fn read(bytes: Bytes) -> Result<Vec<RunRecord>, String> {
     let mut reader = RunReader::new(bytes)?;
     let mut rows = Vec::new();
-    while let Some(row) = reader.next_row()? {
+    while let Some(row) = reader.next_record()? {
         rows.push(row);
     }
     Ok(rows)
@@ -44,14 +44,14 @@
 
 #[test]
 fn rows_come_back_as_written_over_several_row_groups() {
-    let rows: Vec<Row> = (0..GROUP_ROWS * 2 + 17).map(row).collect();
+    let rows: Vec<RunRecord> = (0..GROUP_ROWS * 2 + 17).map(row).collect();
     assert_eq!(read(written(&rows)).unwrap(), rows);
     assert_eq!(read(written(&[])).unwrap(), []);
 }
 
 #[test]
 fn files_that_are_broken_cut_off_or_foreign_are_named_as_such() {
-    let rows: Vec<Row> = (0..500).map(row).collect();
+    let rows: Vec<RunRecord> = (0..500).map(row).collect();
     let bytes = written(&rows);
     for cut in [0, 3, 11, 12, 100, bytes.len() / 2, bytes.len() - 1] {
         let error = read(bytes.slice(..cut)).unwrap_err();
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_value_that_can_not_be_names_its_row_and_field() {
-    let mut rows: Vec<Row> = (0..5).map(row).collect();
+    let mut rows: Vec<RunRecord> = (0..5).map(row).collect();
     rows[3].secs = -1.0;
     let error = read(written(&rows)).unwrap_err();
     assert!(error.contains("row 4: secs"), "{error}");
@@ -92,7 +92,7 @@
     log += "INFO ran run={\"at\":3";
     let mut runs = LogRuns::new("a.log", log.as_bytes(), Box::new(|_| ()));
     let mut rows = Vec::new();
-    while let Some(row) = runs.next_row().unwrap() {
+    while let Some(row) = runs.next_record().unwrap() {
         rows.push(row);
     }
     assert_eq!(runs.faults.count, 2);
@@ -116,7 +116,7 @@
     for n in 0..6u32 {
         let secs = 10f64.powi(n as i32);
         let start_ms = 1_000_000 + i64::from(n) * 10;
-        let row = Row {
+        let row = RunRecord {
             secs,
             start_ms,
             expect_s: 1.0,
@@ -141,7 +141,7 @@
         let secs = 60.0 + f64::from(n % 5);
         let start_ms = 1_000_000 + i64::from(n) * 100_000;
         let (expect_s, job) = ([20.0, 200.0][n as usize % 2], format!("j-{n}"));
-        let row = Row {
+        let row = RunRecord {
             secs,
             start_ms,
             expect_s,
@@ -152,7 +152,7 @@
         };
         replay.play(row).unwrap();
     }
-    let before = Row {
+    let before = RunRecord {
         start_ms: 5,
         ..row(1)
     };
@@ -179,7 +179,7 @@
         at in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
         cut in prop::option::of(any::<prop::sample::Index>()),
     ) {
-        let rows: Vec<Row> = (0..60).map(row).collect();
+        let rows: Vec<RunRecord> = (0..60).map(row).collect();
         let mut bytes = written(&rows).to_vec();
         for (at, byte) in at {
             let at = at.index(bytes.len());
@@ -196,7 +196,7 @@
     #[test]
     fn any_line_of_a_log_is_read_or_refused(line in "\\PC{0,80}(ran run=\\{)?\\PC{0,120}") {
         let mut log = LogRuns::new("l", line.as_bytes(), Box::new(|_| ()));
-        while let Ok(Some(row)) = log.next_row() {
+        while let Ok(Some(row)) = log.next_record() {
             prop_assert!(row.check().is_ok());
         }
     }
