--- a/crates/runtime-estimates/src/bias.rs
+++ b/crates/runtime-estimates/src/bias.rs
@@ -12,12 +12,12 @@
 
 impl Bias {
     /// Drawn towards another, as far as it rests on few jobs.
-    pub(crate) fn towards(self, parent: (f64, f64)) -> (f64, f64) {
-        let share = self.jobs / (self.jobs + PARENT_JOBS);
+    pub(crate) fn shrunk_towards(self, parent: (f64, f64)) -> (f64, f64) {
+        let share = self.jobs / (self.jobs + PARENT_WEIGHT_JOBS);
         let mean = parent.0 + (self.mean - parent.0) * share;
         // What the two means are apart counts as doubt.
-        let apart = (self.mean - parent.0).powi(2) * share * (1.0 - share);
-        (mean, parent.1 + (self.var - parent.1) * share + apart)
+        let between = (self.mean - parent.0).powi(2) * share * (1.0 - share);
+        (mean, parent.1 + (self.var - parent.1) * share + between)
     }
 }
 
--- a/crates/runtime-estimates/src/book.rs
+++ b/crates/runtime-estimates/src/book.rs
@@ -44,22 +44,22 @@
     name: String,
     history: History,
     /// Runs not recorded yet, by job, in the order in which these were first heard of.
-    fresh: Vec<Batch>,
+    unrecorded: Vec<Batch>,
     /// The two together.
-    whole: History,
+    combined: History,
     /// When it was last used, counted in runs.
-    used: u64,
+    last_used: u64,
 }
 
 impl Class {
-    fn join(&mut self) {
-        self.whole = self.history.clone();
-        for batch in &self.fresh {
-            self.whole.take(batch);
+    fn combine(&mut self) {
+        self.combined = self.history.clone();
+        for batch in &self.unrecorded {
+            self.combined.take(batch);
         }
     }
-    fn fresh(&mut self, tag: u32) -> Option<&mut Batch> {
-        self.fresh.iter_mut().find(|b| b.job.tag == tag)
+    fn unrecorded_job(&mut self, tag: u32) -> Option<&mut Batch> {
+        self.unrecorded.iter_mut().find(|b| b.job.tag == tag)
     }
 }
 
@@ -83,16 +83,17 @@
     fn class(&mut self, id: ClassId, team: &str, class: &str) -> &mut Class {
         if !self.classes.contains_key(&id) && self.classes.len() >= CLASSES_KEPT {
             // Those with something to record go last.
-            let least = self.classes.iter();
-            let least = least.min_by_key(|(_, c)| (!c.fresh.is_empty(), c.used));
-            if let Some(id) = least.map(|(id, _)| *id) {
+            let least_used = self.classes.iter();
+            let least_used =
+                least_used.min_by_key(|(_, c)| (!c.unrecorded.is_empty(), c.last_used));
+            if let Some(id) = least_used.map(|(id, _)| *id) {
                 self.classes.remove(&id);
             }
         }
         self.clock += 1;
         self.biases = None;
         let known = self.classes.entry(id).or_default();
-        known.used = self.clock;
+        known.last_used = self.clock;
         if known.team.is_empty() {
             known.team = team.to_string();
             known.name = class.to_string();
@@ -104,24 +105,24 @@
     pub fn ran(&mut self, run: &Run) {
         let class = self.class(class_id(&run.team, &run.class), &run.team, &run.class);
         let batch = Batch::of(run);
-        match class.fresh(batch.job.tag) {
+        match class.unrecorded_job(batch.job.tag) {
             Some(known) => known.add(&batch),
             None => {
                 // Unrecorded for long: what is oldest would fall out of the record anyway.
-                if class.fresh.len() >= JOBS_KEPT {
-                    class.fresh.remove(0);
+                if class.unrecorded.len() >= JOBS_PER_CLASS {
+                    class.unrecorded.remove(0);
                 }
-                class.fresh.push(batch);
+                class.unrecorded.push(batch);
             }
         }
-        class.join();
+        class.combine();
     }
 
     /// Takes up what is on record of a class, whose names may be shortened there.
     pub fn recorded(&mut self, id: ClassId, team: &str, class: &str, history: History) {
         let known = self.class(id, team, class);
         known.history = history;
-        known.join();
+        known.combine();
     }
 
     /// What was on record is no more.
@@ -129,8 +130,8 @@
         self.biases = None;
         if let Some(class) = self.classes.get_mut(&id) {
             class.history = History::default();
-            class.join();
-            if class.fresh.is_empty() {
+            class.combine();
+            if class.unrecorded.is_empty() {
                 self.classes.remove(&id);
             }
         }
@@ -138,19 +139,19 @@
 
     /// Classes with something to record: those with most first.
     pub fn unrecorded(&self) -> Vec<ClassId> {
-        let mut due: Vec<(usize, ClassId)> = (self.classes.iter())
-            .filter(|(_, c)| !c.fresh.is_empty())
-            .map(|(id, c)| (c.fresh.len(), *id))
+        let mut waiting: Vec<(usize, ClassId)> = (self.classes.iter())
+            .filter(|(_, c)| !c.unrecorded.is_empty())
+            .map(|(id, c)| (c.unrecorded.len(), *id))
             .collect();
-        due.sort_by(|a, b| b.cmp(a));
-        due.into_iter().map(|(_, id)| id).collect()
+        waiting.sort_by(|a, b| b.cmp(a));
+        waiting.into_iter().map(|(_, id)| id).collect()
     }
 
     /// What a class's record becomes with what is to be recorded, and that.
     pub fn to_record(&self, id: ClassId) -> Option<(&str, &str, History, Vec<Batch>)> {
         let class = self.classes.get(&id)?;
-        let fresh = class.fresh.clone();
-        Some((&class.team, &class.name, class.whole.clone(), fresh))
+        let unrecorded = class.unrecorded.clone();
+        Some((&class.team, &class.name, class.combined.clone(), unrecorded))
     }
 
     /// These have been recorded, or may have been: they are not recorded again. Runs that came
@@ -158,36 +159,36 @@
     pub fn sent(&mut self, id: ClassId, batches: &[Batch]) {
         if let Some(class) = self.classes.get_mut(&id) {
             let sent = |b: &Batch| batches.iter().any(|s| s.job.tag == b.job.tag);
-            class.fresh.retain(|b| !sent(b));
+            class.unrecorded.retain(|b| !sent(b));
         }
     }
 
     /// These were certainly not recorded.
     pub fn unsent(&mut self, id: ClassId, batches: &[Batch]) {
         if let Some(class) = self.classes.get_mut(&id) {
-            let later = std::mem::take(&mut class.fresh);
-            class.fresh = batches.to_vec();
+            let later = std::mem::take(&mut class.unrecorded);
+            class.unrecorded = batches.to_vec();
             for batch in later {
-                match class.fresh(batch.job.tag) {
+                match class.unrecorded_job(batch.job.tag) {
                     Some(known) => known.add(&batch),
-                    None => class.fresh.push(batch),
+                    None => class.unrecorded.push(batch),
                 }
             }
-            let over = class.fresh.len().saturating_sub(JOBS_KEPT);
-            class.fresh.drain(..over);
-            class.join();
+            let over = class.unrecorded.len().saturating_sub(JOBS_PER_CLASS);
+            class.unrecorded.drain(..over);
+            class.combine();
             self.biases = None;
         }
     }
 
     /// What is learned of a class, recorded or not.
     pub fn history(&self, id: ClassId) -> Option<&History> {
-        self.classes.get(&id).map(|c| &c.whole)
+        self.classes.get(&id).map(|c| &c.combined)
     }
 
     /// Team, class and history of all, recorded or not.
     pub fn classes(&self) -> impl Iterator<Item = (&str, &str, &History)> {
-        (self.classes.values()).map(|c| (c.team.as_str(), c.name.as_str(), &c.whole))
+        (self.classes.values()).map(|c| (c.team.as_str(), c.name.as_str(), &c.combined))
     }
 
     fn biases(&mut self) -> &(HashMap<String, Bias>, Bias) {
@@ -195,7 +196,7 @@
         self.biases.get_or_insert_with(|| {
             let mut teams: HashMap<String, Vec<f64>> = HashMap::new();
             for class in classes.values() {
-                let latest = class.whole.excess().rev().take(PARENT_LATEST);
+                let latest = class.combined.excess().rev().take(PARENT_JOBS_PER_CLASS);
                 teams.entry(class.team.clone()).or_default().extend(latest);
             }
             let all = bias(teams.values().flatten().copied());
@@ -208,28 +209,28 @@
     /// What stands in for a class without a history.
     fn prior(&mut self, about: &About) -> Mixture {
         let Some(expect) = ln_expect(about.expect_s) else {
-            return self.levels(about.team);
+            return self.prior_without_estimate(about.team);
         };
         let (teams, all) = self.biases();
-        let of_all = all.towards((0.0, OWNER_SD * OWNER_SD));
+        let of_all = all.shrunk_towards((0.0, OWNER_SD * OWNER_SD));
         let team = teams.get(about.team).copied().unwrap_or_default();
-        let (mean, var) = team.towards(of_all);
-        Mixture::normal(expect + mean, var.max(LEAST_SD * LEAST_SD))
+        let (mean, var) = team.shrunk_towards(of_all);
+        Mixture::normal(expect + mean, var.max(MIN_SD * MIN_SD))
     }
 
     /// Without an estimate: what its team's work takes, widely.
-    fn levels(&self, team: &str) -> Mixture {
+    fn prior_without_estimate(&self, team: &str) -> Mixture {
         let of_team = self.classes.values().filter(|c| c.team == team);
         let parts = of_team.flat_map(|c| {
-            let done = c.whole.jobs().iter().rev().filter(|j| j.runs > 0);
-            done.take(PARENT_LATEST).map(|j| Part {
+            let done = c.combined.jobs().iter().rev().filter(|j| j.runs > 0);
+            done.take(PARENT_JOBS_PER_CLASS).map(|j| Part {
                 weight: 1.0,
                 mean: j.mean,
                 var: 0.25,
             })
         });
         let unknown = Part {
-            weight: PARENT_JOBS,
+            weight: PARENT_WEIGHT_JOBS,
             mean: UNKNOWN_S.ln(),
             var: UNKNOWN_SD * UNKNOWN_SD,
         };
@@ -241,7 +242,7 @@
         let prior = self.prior(about);
         let id = class_id(about.team, about.class);
         let none = History::default();
-        let history = self.classes.get(&id).map_or(&none, |c| &c.whole);
+        let history = self.classes.get(&id).map_or(&none, |c| &c.combined);
         let expect = ln_expect(about.expect_s);
         let (job, within) = history.mixture(expect, image_tag(about.image), &prior);
         let known = history.job(job_tag(about.job)).filter(|j| j.runs > 0);
--- a/crates/runtime-estimates/src/history/distribution.rs
+++ b/crates/runtime-estimates/src/history/distribution.rs
@@ -1,6 +1,6 @@
 //! The distribution that a history makes.
 
-use super::statistics::{dot, images_tell, last_change, spread};
+use super::statistics::{dot, images_differ, last_change, robust_deviation};
 use super::{History, Job};
 use crate::constants::*;
 use crate::mixture::{Mixture, Part};
@@ -10,9 +10,12 @@
     /// variance of tasks within a job.
     pub fn mixture(&self, expect: Option<f64>, image: u16, prior: &Mixture) -> (Mixture, f64) {
         let done: Vec<&Job> = self.jobs.iter().filter(|j| j.runs > 0).collect();
-        let within = self.within.max(1e-4);
+        let within = self.within_var.max(1e-4);
         if done.is_empty() {
-            return (self.censor(prior.parts().to_vec(), expect, 0.0), within);
+            return (
+                self.with_censored_runs(prior.parts().to_vec(), expect, 0.0),
+                within,
+            );
         }
         let slope = self.slope(&done, expect);
         // As they would be were the owner's estimate this one.
@@ -22,16 +25,16 @@
         };
         let points: Vec<f64> = done.iter().map(|j| at(j)).collect();
         let changed = last_change(&points);
-        let apart = images_tell(&done, &points, changed);
+        let apart = images_differ(&done, &points, changed);
         let mut weights: Vec<f64> = Vec::new();
         for (i, j) in done.iter().enumerate() {
             let age = (done.len() - 1 - i) as i32;
-            let mut weight = FADE.powi(age);
+            let mut weight = JOB_DECAY.powi(age);
             if i < changed {
-                weight *= CHANGE_FADE;
+                weight *= CHANGE_DECAY;
             }
             if apart && j.image != image {
-                weight *= IMAGE_FADE;
+                weight *= IMAGE_WEIGHT;
             }
             weights.push(weight);
         }
@@ -57,9 +60,11 @@
             .zip(&done)
             .map(|(w, j)| w / f64::from(j.runs));
         let noise = within * noise.sum::<f64>() / sum;
-        let least = LEAST_SD * LEAST_SD;
+        let least = MIN_SD * MIN_SD;
         let wanted = (unbiased * (1.0 + 1.0 / count) - noise).max(least);
-        let robust = spread(&weights, &points).min(unbiased.sqrt()).max(LEAST_SD);
+        let robust = robust_deviation(&weights, &points)
+            .min(unbiased.sqrt())
+            .max(MIN_SD);
         let width = (robust * count.powf(-0.2)).min(wanted.sqrt());
         let draw = match var > 1e-9 {
             true => ((wanted - width * width).max(0.0) / var).sqrt().min(1.2),
@@ -72,12 +77,12 @@
                 var: width * width,
             })
             .collect();
-        let stand_in = PRIOR_JOBS / (1.0 + count / PRIOR_HALF);
+        let stand_in = PRIOR_JOBS / (1.0 + count / PRIOR_HALVING_JOBS);
         parts.extend(prior.parts().iter().map(|p| Part {
             weight: p.weight * stand_in,
             ..*p
         }));
-        (self.censor(parts, expect, slope), within)
+        (self.with_censored_runs(parts, expect, slope), within)
     }
 
     /// How run times go with the owner's estimates: 1 if they are proportional, 0 if these say
@@ -87,7 +92,7 @@
             return 0.0;
         }
         let pairs: Vec<(f64, f64, f64)> = (done.iter().rev().enumerate())
-            .filter_map(|(age, j)| Some((FADE.powi(age as i32), j.expect?, j.mean)))
+            .filter_map(|(age, j)| Some((JOB_DECAY.powi(age as i32), j.expect?, j.mean)))
             .collect();
         let sum: f64 = pairs.iter().map(|p| p.0).sum();
         if sum <= 0.0 {
@@ -102,7 +107,7 @@
 
     /// Runs that were cut short take at least as long as they lasted: the weight of each goes to
     /// what is longer (Efron's redistribution to the right).
-    fn censor(&self, mut parts: Vec<Part>, expect: Option<f64>, slope: f64) -> Mixture {
+    fn with_censored_runs(&self, mut parts: Vec<Part>, expect: Option<f64>, slope: f64) -> Mixture {
         for (age, j) in self.jobs.iter().rev().enumerate() {
             if j.runs > 0 {
                 continue;
@@ -111,7 +116,7 @@
                 (Some(x), Some(own)) => j.mean + slope * (x - own),
                 _ => j.mean,
             };
-            let weight = FADE.powi(age as i32);
+            let weight = JOB_DECAY.powi(age as i32);
             let right: f64 = (parts.iter().filter(|p| p.mean > least))
                 .map(|p| p.weight)
                 .sum();
@@ -122,8 +127,8 @@
             } else {
                 parts.push(Part {
                     weight,
-                    mean: least + BEYOND.ln(),
-                    var: (BEYOND.ln()).powi(2),
+                    mean: least + CENSORED_FACTOR.ln(),
+                    var: (CENSORED_FACTOR.ln()).powi(2),
                 });
             }
         }
--- a/crates/runtime-estimates/src/history/mod.rs
+++ b/crates/runtime-estimates/src/history/mod.rs
@@ -29,7 +29,7 @@
 pub struct Batch {
     pub job: Job,
     /// Squared deviations from the mean.
-    squares: f64,
+    squared_deviations: f64,
 }
 
 impl Batch {
@@ -42,7 +42,7 @@
                 mean: run.ln_secs(),
                 runs: u8::from(run.end == End::Done),
             },
-            squares: 0.0,
+            squared_deviations: 0.0,
         }
     }
 
@@ -54,15 +54,15 @@
         } else {
             let apart = other.job.mean - self.job.mean;
             if a > 0.0 && b > 0.0 {
-                self.squares += apart * apart * a * b / (a + b);
+                self.squared_deviations += apart * apart * a * b / (a + b);
             }
-            self.squares += other.squares;
+            self.squared_deviations += other.squared_deviations;
             self.job.mean += apart * b / (a + b);
             self.job.runs = self
                 .job
                 .runs
                 .saturating_add(other.job.runs)
-                .min(RUNS_COUNTED);
+                .min(MAX_RUNS_PER_JOB);
         }
         if self.job.expect.is_none() {
             self.job.expect = other.job.expect;
@@ -83,7 +83,7 @@
 pub struct History {
     jobs: Vec<Job>,
     /// Variance of tasks within a job, in squared logarithms, and the tasks that it rests on.
-    within: f64,
+    within_var: f64,
     within_tasks: f64,
     /// Completed runs counted in all.
     pub runs: u64,
@@ -93,7 +93,7 @@
     fn default() -> History {
         History {
             jobs: Vec::new(),
-            within: WITHIN_SD * WITHIN_SD,
+            within_var: WITHIN_SD * WITHIN_SD,
             within_tasks: WITHIN_TASKS,
             runs: 0,
         }
@@ -112,30 +112,30 @@
     /// Counts a job's runs, once. More runs of one that it holds are added to that.
     pub fn take(&mut self, batch: &Batch) {
         self.runs = self.runs.saturating_add(u64::from(batch.job.runs));
-        let mut squares = batch.squares;
+        let mut squares = batch.squared_deviations;
         let mut tasks = f64::from(batch.job.runs.saturating_sub(1));
         match self.jobs.iter_mut().find(|j| j.tag == batch.job.tag) {
             Some(known) => {
                 let mut sum = Batch {
                     job: *known,
-                    squares: 0.0,
+                    squared_deviations: 0.0,
                 };
                 sum.add(batch);
-                squares = sum.squares;
+                squares = sum.squared_deviations;
                 tasks += f64::from(u8::from(known.runs > 0 && batch.job.runs > 0));
                 *known = sum.job;
             }
             None => {
                 self.jobs.push(batch.job);
-                if self.jobs.len() > JOBS_KEPT {
+                if self.jobs.len() > JOBS_PER_CLASS {
                     self.jobs.remove(0);
                 }
             }
         }
         if tasks > 0.0 {
-            let known = self.within_tasks.min(WITHIN_MOST);
-            self.within = (self.within * known + squares) / (known + tasks);
-            self.within_tasks = (known + tasks).min(WITHIN_MOST);
+            let known = self.within_tasks.min(WITHIN_MAX_TASKS);
+            self.within_var = (self.within_var * known + squares) / (known + tasks);
+            self.within_tasks = (known + tasks).min(WITHIN_MAX_TASKS);
         }
     }
 
--- a/crates/runtime-estimates/src/history/packed.rs
+++ b/crates/runtime-estimates/src/history/packed.rs
@@ -19,26 +19,26 @@
     #[serde(rename = "n")]
     runs: u64,
     #[serde(rename = "s")]
-    sum: u32,
+    checksum: u32,
 }
 
 /// Bytes of a stored job: tag 4, image 2, estimate 2, mean 2, runs 1.
 const JOB_BYTES: usize = 11;
 /// Logarithms are stored in thousandths, from here up.
-const LN_FROM: f64 = -3.0;
+const MIN_LN: f64 = -3.0;
 /// Stands for no estimate.
 const NO_LN: u16 = u16::MAX;
 
 fn pack_ln(ln: f64) -> u16 {
-    ((ln - LN_FROM) * 1_000.0).round().clamp(0.0, 65_000.0) as u16
+    ((ln - MIN_LN) * 1_000.0).round().clamp(0.0, 65_000.0) as u16
 }
 
 fn unpack_ln(n: u16) -> f64 {
-    f64::from(n) / 1_000.0 + LN_FROM
+    f64::from(n) / 1_000.0 + MIN_LN
 }
 
 impl Packed {
-    fn sum_of(&self) -> u32 {
+    fn computed_checksum(&self) -> u32 {
         let numbers = format!("{} {} {}", self.within, self.within_tasks, self.runs);
         crate::hash(&[&self.jobs, &numbers]) as u32
     }
@@ -56,23 +56,23 @@
         }
         let mut packed = Packed {
             jobs: BASE64.encode(bytes),
-            within: (self.within * 1_000.0).round().clamp(0.0, 1e6) as u32,
+            within: (self.within_var * 1_000.0).round().clamp(0.0, 1e6) as u32,
             within_tasks: (self.within_tasks * 1_000.0).round().clamp(0.0, 1e6) as u32,
             runs: self.runs,
-            sum: 0,
+            checksum: 0,
         };
-        packed.sum = packed.sum_of();
+        packed.checksum = packed.computed_checksum();
         packed
     }
 
     /// None for what was damaged, or written by nobody.
     pub fn unpack(packed: &Packed) -> Option<History> {
-        let most = (JOBS_KEPT * JOB_BYTES).div_ceil(3) * 4;
-        if packed.jobs.len() > most || packed.sum != packed.sum_of() {
+        let most = (JOBS_PER_CLASS * JOB_BYTES).div_ceil(3) * 4;
+        if packed.jobs.len() > most || packed.checksum != packed.computed_checksum() {
             return None;
         }
         let bytes = BASE64.decode(&packed.jobs).ok()?;
-        if bytes.len() % JOB_BYTES != 0 || bytes.len() > JOBS_KEPT * JOB_BYTES {
+        if bytes.len() % JOB_BYTES != 0 || bytes.len() > JOBS_PER_CLASS * JOB_BYTES {
             return None;
         }
         let jobs = bytes.chunks_exact(JOB_BYTES).map(|b| {
@@ -88,7 +88,7 @@
         });
         Some(History {
             jobs: jobs.collect(),
-            within: f64::from(packed.within.min(1_000_000)) / 1_000.0,
+            within_var: f64::from(packed.within.min(1_000_000)) / 1_000.0,
             within_tasks: f64::from(packed.within_tasks.min(1_000_000)) / 1_000.0,
             runs: packed.runs,
         })
--- a/crates/runtime-estimates/src/history/statistics.rs
+++ b/crates/runtime-estimates/src/history/statistics.rs
@@ -19,7 +19,7 @@
 }
 
 /// Standard deviation by the weighted quartiles: one freak does not move it.
-pub(super) fn spread(weights: &[f64], points: &[f64]) -> f64 {
+pub(super) fn robust_deviation(weights: &[f64], points: &[f64]) -> f64 {
     let mut sorted: Vec<(f64, f64)> = points
         .iter()
         .copied()
@@ -43,15 +43,15 @@
 /// The first job of the latest level: that since which the median differs most, by more than
 /// chance, from what was before. 0 if there was no change.
 pub(super) fn last_change(points: &[f64]) -> usize {
-    let mut best = (CHANGE_ERRORS, 0);
-    for since in CHANGE_LEAST..points.len().saturating_sub(CHANGE_LEAST - 1) {
+    let mut best = (CHANGE_MIN_ERRORS, 0);
+    for since in CHANGE_MIN_JOBS..points.len().saturating_sub(CHANGE_MIN_JOBS - 1) {
         let (before, after) = points.split_at(since);
-        if after.len() < CHANGE_LEAST {
+        if after.len() < CHANGE_MIN_JOBS {
             break;
         }
         let level = median(before);
         let off: Vec<f64> = before.iter().map(|p| (p - level).abs()).collect();
-        let sd = (median(&off) * 1.4826).max(CHANGE_SD);
+        let sd = (median(&off) * 1.4826).max(CHANGE_MIN_SD);
         let change = median(after) - level;
         // All on one side: a class of two kinds of work changes back and forth.
         if !after
@@ -70,14 +70,14 @@
 }
 
 /// Whether jobs with the same image are alike and those with different ones are not.
-pub(super) fn images_tell(done: &[&Job], points: &[f64], changed: usize) -> bool {
+pub(super) fn images_differ(done: &[&Job], points: &[f64], changed: usize) -> bool {
     let mut groups: BTreeMap<u16, Vec<f64>> = Default::default();
     for (j, p) in done.iter().zip(points).skip(changed) {
         groups.entry(j.image).or_default().push(*p);
     }
     groups.retain(|_, points| points.len() >= 2);
     let all: Vec<f64> = groups.values().flatten().copied().collect();
-    if groups.len() < 2 || all.len() < IMAGE_JOBS {
+    if groups.len() < 2 || all.len() < IMAGE_MIN_JOBS {
         return false;
     }
     let mean_of = |v: &[f64]| v.iter().sum::<f64>() / v.len() as f64;
@@ -92,5 +92,5 @@
     // Per degree of freedom, so that many small groups do not explain by their number alone.
     let free = (all.len() - groups.len()).max(1) as f64;
     let share = 1.0 - (inside / free) / (total / (all.len() - 1) as f64).max(1e-9);
-    all.len() > groups.len() && share > IMAGE_SHARE
+    all.len() > groups.len() && share > IMAGE_MIN_SHARE
 }
--- a/crates/runtime-estimates/src/lib.rs
+++ b/crates/runtime-estimates/src/lib.rs
@@ -45,7 +45,7 @@
 /// The logarithm of a time, kept within what run times can be.
 pub fn ln(secs: f64) -> f64 {
     let secs = if secs.is_finite() { secs } else { 0.0 };
-    secs.clamp(constants::LEAST_S, constants::MOST_S).ln()
+    secs.clamp(constants::MIN_RUN_S, constants::MAX_RUN_S).ln()
 }
 
 /// That of the owner's estimate, if there is one.
--- a/crates/runtime-estimates/src/machines.rs
+++ b/crates/runtime-estimates/src/machines.rs
@@ -18,10 +18,10 @@
     all: Speed,
 }
 
-fn note(speed: &mut Speed, excess: f64, share: f64) {
+fn update(speed: &mut Speed, excess: f64, latest_share: f64) {
     speed.runs += 1.0;
-    let share = share.max(1.0 / speed.runs);
-    speed.excess += (excess - speed.excess) * share;
+    let latest_share = latest_share.max(1.0 / speed.runs);
+    speed.excess += (excess - speed.excess) * latest_share;
 }
 
 impl Machines {
@@ -32,16 +32,16 @@
         let slow = self.slow(machine);
         if self.known.len() < MACHINES_KEPT || self.known.contains_key(machine) {
             let speed = self.known.entry(machine.to_string()).or_default();
-            note(speed, excess, SPEED_NEW);
+            update(speed, excess, SPEED_LATEST_SHARE);
         }
         if !slow {
-            note(&mut self.all, excess, SPEED_NEW / 10.0);
+            update(&mut self.all, excess, SPEED_LATEST_SHARE / 10.0);
         }
         !self.slow(machine)
     }
     pub fn slow(&self, machine: &str) -> bool {
-        let known = self.known.get(machine).filter(|s| s.runs >= SLOW_RUNS);
-        known.is_some_and(|s| s.excess - self.all.excess > SLOW_LN)
+        let known = self.known.get(machine).filter(|s| s.runs >= SLOW_MIN_RUNS);
+        known.is_some_and(|s| s.excess - self.all.excess > SLOW_MIN_EXCESS)
     }
     pub fn retain(&mut self, mut known: impl FnMut(&str) -> bool) {
         self.known.retain(|id, _| known(id));
--- a/crates/runtime-estimates/src/mixture.rs
+++ b/crates/runtime-estimates/src/mixture.rs
@@ -24,7 +24,7 @@
     pub high_s: f64,
 }
 
-fn below(z: f64) -> f64 {
+fn normal_cdf(z: f64) -> f64 {
     0.5 * libm::erfc(-z / std::f64::consts::SQRT_2)
 }
 
@@ -66,7 +66,7 @@
 
     /// The share of runs that take no longer.
     pub fn share_within(&self, ln_secs: f64) -> f64 {
-        let share = |p: &Part| p.weight * below((ln_secs - p.mean) / p.var.sqrt().max(1e-6));
+        let share = |p: &Part| p.weight * normal_cdf((ln_secs - p.mean) / p.var.sqrt().max(1e-6));
         self.parts.iter().map(share).sum::<f64>().clamp(0.0, 1.0)
     }
 
@@ -121,7 +121,7 @@
         let known = self.share_within(crate::ln(elapsed_s));
         if known > 0.999 {
             // It outlasts all that is known: the longer it has run, the longer it may go on.
-            return elapsed_s * (BEYOND - 1.0) * 2.0 * share;
+            return elapsed_s * (CENSORED_FACTOR - 1.0) * 2.0 * share;
         }
         let at = self.quantile(known + (1.0 - known) * share);
         (at.exp() - elapsed_s).max(0.0)
@@ -130,8 +130,8 @@
     pub fn estimate(&self) -> Estimate {
         Estimate {
             median_s: self.quantile(0.5).exp(),
-            low_s: self.quantile(LOW).exp(),
-            high_s: self.quantile(HIGH).exp(),
+            low_s: self.quantile(LOW_QUANTILE).exp(),
+            high_s: self.quantile(HIGH_QUANTILE).exp(),
         }
     }
 }
