--- a/crates/runtime-estimates/src/book.rs
+++ b/crates/runtime-estimates/src/book.rs
@@ -1,8 +1,11 @@
 //! All classes, and what stands in for those that are new: their team's bias, that of all teams,
 //! then nothing but the owner's word.
 
-use crate::bias::{bias, Bias};
-use crate::constants::*;
+use crate::bias::Biases;
+use crate::constants::{
+    CLASSES_KEPT, JOBS_PER_CLASS, MIN_SD, PARENT_JOBS_PER_CLASS, PARENT_WEIGHT_JOBS, UNKNOWN_S,
+    UNKNOWN_SD,
+};
 use crate::history::{image_tag, job_tag, Batch, History};
 use crate::mixture::{Mixture, Part};
 use crate::{ln_expect, Run};
@@ -11,6 +14,7 @@
 /// Names a class of a team, the same everywhere.
 pub type ClassId = u64;
 
+/// The id of a class, from its whole names.
 pub fn class_id(team: &str, class: &str) -> ClassId {
     crate::hash(&[team, class])
 }
@@ -18,9 +22,13 @@
 /// What is asked about.
 #[derive(Clone, Copy, Debug)]
 pub struct About<'a> {
+    /// The team that owns the job.
     pub team: &'a str,
+    /// The job's class.
     pub class: &'a str,
+    /// The job's image.
     pub image: &'a str,
+    /// The job's id.
     pub job: &'a str,
     /// Seconds; 0 if the owner gave no estimate.
     pub expect_s: f64,
@@ -45,7 +53,7 @@
     history: History,
     /// Runs not recorded yet, by job, in the order in which these were first heard of.
     unrecorded: Vec<Batch>,
-    /// The two together.
+    /// What is recorded and what is not, together.
     combined: History,
     /// When it was last used, counted in runs.
     last_used: u64,
@@ -58,6 +66,7 @@
             self.combined.take(batch);
         }
     }
+
     fn unrecorded_job(&mut self, tag: u32) -> Option<&mut Batch> {
         self.unrecorded.iter_mut().find(|b| b.job.tag == tag)
     }
@@ -68,18 +77,22 @@
 pub struct Book {
     classes: HashMap<ClassId, Class>,
     /// Biases of teams and of all, until something changes.
-    biases: Option<(HashMap<String, Bias>, Bias)>,
+    biases: Option<Biases>,
     clock: u64,
 }
 
 impl Book {
+    /// Classes that are remembered.
     pub fn len(&self) -> usize {
         self.classes.len()
     }
+
+    /// Whether none is remembered.
     pub fn is_empty(&self) -> bool {
         self.classes.is_empty()
     }
 
+    /// The class with this id, which makes it the latest used; the least used makes way for a new one.
     fn class(&mut self, id: ClassId, team: &str, class: &str) -> &mut Class {
         if !self.classes.contains_key(&id) && self.classes.len() >= CLASSES_KEPT {
             // Those with something to record go last.
@@ -147,7 +160,8 @@
         waiting.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// What a class's record becomes with what is to be recorded, and that.
+    /// What a class's record becomes with what is to be recorded: team, class, the history, and the batches
+    /// that are new in it.
     pub fn to_record(&self, id: ClassId) -> Option<(&str, &str, History, Vec<Batch>)> {
         let class = self.classes.get(&id)?;
         let unrecorded = class.unrecorded.clone();
@@ -191,19 +205,10 @@
         (self.classes.values()).map(|c| (c.team.as_str(), c.name.as_str(), &c.combined))
     }
 
-    fn biases(&mut self) -> &(HashMap<String, Bias>, Bias) {
-        let classes = &self.classes;
-        self.biases.get_or_insert_with(|| {
-            let mut teams: HashMap<String, Vec<f64>> = HashMap::new();
-            for class in classes.values() {
-                let latest = class.combined.excess().rev().take(PARENT_JOBS_PER_CLASS);
-                teams.entry(class.team.clone()).or_default().extend(latest);
-            }
-            let all = bias(teams.values().flatten().copied());
-            let teams = teams.into_iter();
-            let teams = teams.map(|(team, e)| (team, bias(e.into_iter())));
-            (teams.collect(), all)
-        })
+    fn biases(&mut self) -> &Biases {
+        let classes = self.classes.values();
+        let classes = classes.map(|class| (class.team.as_str(), &class.combined));
+        self.biases.get_or_insert_with(|| Biases::of(classes))
     }
 
     /// What stands in for a class without a history.
@@ -211,10 +216,7 @@
         let Some(expect) = ln_expect(about.expect_s) else {
             return self.prior_without_estimate(about.team);
         };
-        let (teams, all) = self.biases();
-        let of_all = all.shrunk_towards((0.0, OWNER_SD * OWNER_SD));
-        let team = teams.get(about.team).copied().unwrap_or_default();
-        let (mean, var) = team.shrunk_towards(of_all);
+        let (mean, var) = self.biases().of_team(about.team);
         Mixture::normal(expect + mean, var.max(MIN_SD * MIN_SD))
     }
 
--- a/crates/runtime-estimates/src/constants.rs
+++ b/crates/runtime-estimates/src/constants.rs
@@ -1,8 +1,8 @@
 //! Every fixed number of the estimates, with its unit and the reason for it.
 
-/// Shortest and longest run times told apart, in seconds: a tenth of a second, and thirty days.
+/// Shortest run time told apart, in seconds. The longest is thirty days.
 pub const MIN_RUN_S: f64 = 0.1;
-/// See there.
+/// The longest, see [`MIN_RUN_S`].
 pub const MAX_RUN_S: f64 = 2_592_000.0;
 /// Jobs remembered per class. Twice the weight that the latest of them have in all (1 / (1 - JOB_DECAY)
 /// is 12), so that what falls out weighs little, in some 300 bytes.
@@ -29,12 +29,18 @@
 /// Strength of the assumption that run times are proportional to the owner's estimates, in squared
 /// logarithms: that of a few jobs.
 pub const SLOPE_RIDGE: f64 = 1.0;
+/// Slope of run times over the owner's estimates at most.
+pub const MAX_SLOPE: f64 = 1.3;
 /// Standard deviation, in logarithms, of tasks within a job, of which nothing is known yet, ...
 pub const WITHIN_SD: f64 = 0.3;
 /// ... with the weight of so many tasks; ...
 pub const WITHIN_TASKS: f64 = 4.0;
 /// ... of later ones so many count, so that it follows changes.
 pub const WITHIN_MAX_TASKS: f64 = 100.0;
+/// Least variance of tasks within a job, in squared logarithms.
+pub const MIN_WITHIN_VAR: f64 = 1e-4;
+/// Factor at most by which jobs are drawn apart so that a mixture has the variance of a new job's.
+pub const MAX_KERNEL_STRETCH: f64 = 1.2;
 /// Least standard deviation of a job's run time about its estimate: machines of a type differ by a
 /// tenth.
 pub const MIN_SD: f64 = 0.08;
@@ -55,11 +61,13 @@
 pub const IMAGE_MIN_JOBS: usize = 6;
 /// What a job with another image weighs then.
 pub const IMAGE_WEIGHT: f64 = 0.1;
+/// Least deviation from the level before that a change takes, in standard deviations of it.
+pub const CHANGE_MIN_DEVIATIONS: f64 = 0.5;
 /// Factor by which a run that was cut short, and outlasted all that is known, is taken to go on.
 pub const CENSORED_FACTOR: f64 = 1.4;
-/// The quantiles of the interval that says how sure an estimate is: 90 in 100 lie within.
+/// The lower quantile of the interval that says how sure an estimate is: 90 in 100 runs lie within.
 pub const LOW_QUANTILE: f64 = 0.05;
-/// See there.
+/// The upper one, see [`LOW_QUANTILE`].
 pub const HIGH_QUANTILE: f64 = 0.95;
 /// Classes remembered; the least used go first.
 pub const CLASSES_KEPT: usize = 400;
--- a/crates/runtime-estimates/src/history/mod.rs
+++ b/crates/runtime-estimates/src/history/mod.rs
@@ -6,7 +6,9 @@
 
 pub use packed::Packed;
 
-use crate::constants::*;
+use crate::constants::{
+    JOBS_PER_CLASS, MAX_RUNS_PER_JOB, WITHIN_MAX_TASKS, WITHIN_SD, WITHIN_TASKS,
+};
 use crate::{ln_expect, End, Run};
 
 /// One job's runs, as far as they were counted.
@@ -27,12 +29,14 @@
 /// Sums over runs of one job until they are recorded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Batch {
+    /// What is counted so far.
     pub job: Job,
     /// Squared deviations from the mean.
     squared_deviations: f64,
 }
 
 impl Batch {
+    /// Of a single run.
     pub fn of(run: &Run) -> Batch {
         Batch {
             job: Job {
@@ -46,7 +50,7 @@
         }
     }
 
-    /// Adds runs of the same job. Returns what they add to the squared deviations, and tasks.
+    /// Adds runs of the same job.
     pub fn add(&mut self, other: &Batch) {
         let (a, b) = (f64::from(self.job.runs), f64::from(other.job.runs));
         if a + b == 0.0 {
@@ -70,20 +74,23 @@
     }
 }
 
+/// The hash of a job's id that is stored.
 pub fn job_tag(id: &str) -> u32 {
     crate::hash(&[id]) as u32
 }
 
+/// The hash of an image's name that is stored.
 pub fn image_tag(image: &str) -> u16 {
     crate::hash(&[image]) as u16
 }
 
-/// Latest jobs last.
+/// The latest jobs of a class of a team, latest last.
 #[derive(Clone, Debug, PartialEq)]
 pub struct History {
     jobs: Vec<Job>,
-    /// Variance of tasks within a job, in squared logarithms, and the tasks that it rests on.
+    /// Variance of tasks within a job, in squared logarithms.
     within_var: f64,
+    /// Tasks that it rests on.
     within_tasks: f64,
     /// Completed runs counted in all.
     pub runs: u64,
@@ -101,10 +108,12 @@
 }
 
 impl History {
+    /// The jobs that are remembered, latest last.
     pub fn jobs(&self) -> &[Job] {
         &self.jobs
     }
 
+    /// The latest job with this tag.
     pub fn job(&self, tag: u32) -> Option<&Job> {
         self.jobs.iter().rev().find(|j| j.tag == tag)
     }
--- a/crates/runtime-estimates/src/history/packed.rs
+++ b/crates/runtime-estimates/src/history/packed.rs
@@ -1,7 +1,7 @@
 //! How a history is stored.
 
 use super::{History, Job};
-use crate::constants::*;
+use crate::constants::JOBS_PER_CLASS;
 use base64::engine::general_purpose::STANDARD_NO_PAD as BASE64;
 use base64::Engine;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 pub struct Packed {
     #[serde(rename = "j")]
     jobs: String,
-    /// Thousandths.
+    /// In thousandths, as are the tasks.
     #[serde(rename = "w")]
     within: u32,
     #[serde(rename = "k")]
@@ -26,7 +26,7 @@
 const JOB_BYTES: usize = 11;
 /// Logarithms are stored in thousandths, from here up.
 const MIN_LN: f64 = -3.0;
-/// Stands for no estimate.
+/// Stored where the owner gave no estimate.
 const NO_LN: u16 = u16::MAX;
 
 fn pack_ln(ln: f64) -> u16 {
@@ -45,6 +45,7 @@
 }
 
 impl History {
+    /// As it is stored: times to the thousandth of a logarithm.
     pub fn pack(&self) -> Packed {
         let mut bytes = Vec::with_capacity(self.jobs.len() * JOB_BYTES);
         for j in &self.jobs {
@@ -65,7 +66,7 @@
         packed
     }
 
-    /// None for what was damaged, or written by nobody.
+    /// Reads what is stored; none if it is damaged or too long.
     pub fn unpack(packed: &Packed) -> Option<History> {
         let most = (JOBS_PER_CLASS * JOB_BYTES).div_ceil(3) * 4;
         if packed.jobs.len() > most || packed.checksum != packed.computed_checksum() {
--- a/crates/runtime-estimates/src/history/statistics.rs
+++ b/crates/runtime-estimates/src/history/statistics.rs
@@ -1,9 +1,17 @@
 //! Statistics of weighted jobs: medians, quartiles, changes of level, and whether images tell jobs apart.
 
 use super::Job;
-use crate::constants::*;
+use crate::constants::{
+    CHANGE_MIN_DEVIATIONS, CHANGE_MIN_ERRORS, CHANGE_MIN_JOBS, CHANGE_MIN_SD, IMAGE_MIN_JOBS,
+    IMAGE_MIN_SHARE, MEDIAN_ERROR,
+};
 use std::collections::BTreeMap;
 
+/// Standard deviations of normal values between their quartiles.
+const QUARTILE_DISTANCE: f64 = 1.349;
+/// Standard deviation of normal values over their median absolute deviation.
+const DEVIATION_PER_MAD: f64 = 1.4826;
+
 pub(super) fn dot(a: &[f64], b: &[f64]) -> f64 {
     a.iter().zip(b).map(|(a, b)| a * b).sum()
 }
@@ -37,7 +45,7 @@
         }
         sorted.last().map_or(0.0, |(p, _)| *p)
     };
-    (quantile(0.75) - quantile(0.25)) / 1.349
+    (quantile(0.75) - quantile(0.25)) / QUARTILE_DISTANCE
 }
 
 /// The first job of the latest level: that since which the median differs most, by more than
@@ -51,12 +59,12 @@
         }
         let level = median(before);
         let off: Vec<f64> = before.iter().map(|p| (p - level).abs()).collect();
-        let sd = (median(&off) * 1.4826).max(CHANGE_MIN_SD);
+        let sd = (median(&off) * DEVIATION_PER_MAD).max(CHANGE_MIN_SD);
         let change = median(after) - level;
         // All on one side: a class of two kinds of work changes back and forth.
         if !after
             .iter()
-            .all(|p| (p - level) * change.signum() > 0.5 * sd)
+            .all(|p| (p - level) * change.signum() > CHANGE_MIN_DEVIATIONS * sd)
         {
             continue;
         }
--- a/crates/runtime-estimates/src/lib.rs
+++ b/crates/runtime-estimates/src/lib.rs
@@ -5,6 +5,8 @@
 //! in for them while they are new, [`mixture::Mixture`] is what an estimate is. The design note is
 //! `docs/run-times.md`.
 
+#![warn(missing_docs)]
+
 mod bias;
 pub mod book;
 pub mod constants;
@@ -12,6 +14,7 @@
 pub mod machines;
 pub mod mixture;
 
+use constants::{MAX_RUN_S, MIN_RUN_S};
 use serde::{Deserialize, Serialize};
 
 /// How a task's run ended, as far as it tells how long the task takes.
@@ -26,17 +29,24 @@
 /// One run of one task, without the fetch of its image.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Run {
+    /// The team that owns the job.
     pub team: String,
+    /// The job's class.
     pub class: String,
+    /// The job's image.
     pub image: String,
+    /// The job's id.
     pub job: String,
     /// The owner's estimate in seconds; 0 if there is none.
     pub expect_s: f64,
+    /// How long it ran, in seconds.
     pub secs: f64,
+    /// Whether it completed.
     pub end: End,
 }
 
 impl Run {
+    /// The logarithm of its run time.
     pub fn ln_secs(&self) -> f64 {
         ln(self.secs)
     }
@@ -45,15 +55,15 @@
 /// The logarithm of a time, kept within what run times can be.
 pub fn ln(secs: f64) -> f64 {
     let secs = if secs.is_finite() { secs } else { 0.0 };
-    secs.clamp(constants::MIN_RUN_S, constants::MAX_RUN_S).ln()
+    secs.clamp(MIN_RUN_S, MAX_RUN_S).ln()
 }
 
-/// That of the owner's estimate, if there is one.
+/// The logarithm of the owner's estimate, none if there is no estimate.
 pub fn ln_expect(expect_s: f64) -> Option<f64> {
     (expect_s.is_finite() && expect_s > 0.0).then(|| ln(expect_s))
 }
 
-/// A hash that is the same on every node and version: names records, images and jobs.
+/// A hash that is the same on every controller and version: names records, images and jobs.
 pub fn hash(parts: &[&str]) -> u64 {
     let mut bytes = Vec::new();
     for part in parts {
--- a/crates/runtime-estimates/src/machines.rs
+++ b/crates/runtime-estimates/src/machines.rs
@@ -1,6 +1,6 @@
 //! Machines that are slow: their runs say nothing of the work.
 
-use crate::constants::*;
+use crate::constants::{MACHINES_KEPT, SLOW_MIN_EXCESS, SLOW_MIN_RUNS, SPEED_LATEST_SHARE};
 use std::collections::HashMap;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -18,6 +18,7 @@
     all: Speed,
 }
 
+/// Counts a run; the first ones by their mean.
 fn update(speed: &mut Speed, excess: f64, latest_share: f64) {
     speed.runs += 1.0;
     let latest_share = latest_share.max(1.0 / speed.runs);
@@ -39,16 +40,24 @@
         }
         !self.slow(machine)
     }
+
+    /// Whether runs take much longer on it than on all machines.
     pub fn slow(&self, machine: &str) -> bool {
         let known = self.known.get(machine).filter(|s| s.runs >= SLOW_MIN_RUNS);
         known.is_some_and(|s| s.excess - self.all.excess > SLOW_MIN_EXCESS)
     }
+
+    /// Forgets machines that are not known any more.
     pub fn retain(&mut self, mut known: impl FnMut(&str) -> bool) {
         self.known.retain(|id, _| known(id));
     }
+
+    /// Machines that are followed.
     pub fn len(&self) -> usize {
         self.known.len()
     }
+
+    /// Whether none is followed.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
--- a/crates/runtime-estimates/src/mixture.rs
+++ b/crates/runtime-estimates/src/mixture.rs
@@ -1,11 +1,15 @@
 //! A distribution of run times: normal ones of their logarithms, each with its weight.
 
-use crate::constants::*;
+use crate::constants::{CENSORED_FACTOR, HIGH_QUANTILE, LOW_QUANTILE, UNKNOWN_S, UNKNOWN_SD};
 
+/// A normal distribution of logarithms of seconds, and its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Part {
+    /// Its share of the whole.
     pub weight: f64,
+    /// Mean logarithm.
     pub mean: f64,
+    /// Variance, in squared logarithms.
     pub var: f64,
 }
 
@@ -18,12 +22,15 @@
 /// What an estimate says: seconds, and how sure it is.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
+    /// Half of the runs should take no longer, seconds.
     pub median_s: f64,
-    /// 90 of 100 runs should lie between these.
+    /// 90 of 100 runs should take between this and `high_s`, seconds.
     pub low_s: f64,
+    /// See `low_s`.
     pub high_s: f64,
 }
 
+/// The share of a standard normal distribution below `z`.
 fn normal_cdf(z: f64) -> f64 {
     0.5 * libm::erfc(-z / std::f64::consts::SQRT_2)
 }
@@ -52,6 +59,7 @@
         Mixture { parts }
     }
 
+    /// A single normal distribution.
     pub fn normal(mean: f64, var: f64) -> Mixture {
         Mixture::new(vec![Part {
             weight: 1.0,
@@ -60,6 +68,7 @@
         }])
     }
 
+    /// Its parts, whose weights sum to one.
     pub fn parts(&self) -> &[Part] {
         &self.parts
     }
@@ -127,6 +136,7 @@
         (at.exp() - elapsed_s).max(0.0)
     }
 
+    /// The median, and the interval that 90 in 100 runs should lie in.
     pub fn estimate(&self) -> Estimate {
         Estimate {
             median_s: self.quantile(0.5).exp(),
--- a/crates/runtime-estimates/tests/estimates.rs
+++ b/crates/runtime-estimates/tests/estimates.rs
@@ -2,7 +2,7 @@
 //! held against it.
 
 use glenmount_runtime_estimates::book::{About, Book};
-use glenmount_runtime_estimates::constants::*;
+use glenmount_runtime_estimates::constants::CLASSES_KEPT;
 use glenmount_runtime_estimates::{End, Run};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
