--- a/crates/xtask/src/verdict.rs
+++ b/crates/xtask/src/comparison.rs
@@ -1,6 +1,6 @@
 //! What a run's entries say against the base.
 
-use crate::base::{drawn, Base};
+use crate::baseline::{drawn, Base};
 use crate::journal::Entry;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- /dev/null
+++ b/crates/xtask/src/experiment/plot.rs
@@ -0,0 +1,43 @@
+//! Plots of times, a curve for each variant.
+
+use plotters::prelude::*;
+use std::path::Path;
+
+pub(super) fn plot(
+    path: &Path,
+    title: &str,
+    curves: &[(String, Vec<(f64, f64)>)],
+) -> Result<(), String> {
+    let last = curves.iter().flat_map(|(_, c)| c.last()).map(|p| p.0);
+    let most = last.fold(1.0, f64::max);
+    let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
+    let drawn = || -> Result<(), Box<dyn std::error::Error>> {
+        area.fill(&WHITE)?;
+        let mut chart = ChartBuilder::on(&area)
+            .caption(title, ("sans-serif", 18))
+            .margin(12)
+            .x_label_area_size(36)
+            .y_label_area_size(44)
+            .build_cartesian_2d(0.0..most, 0.0..1.0)?;
+        chart
+            .configure_mesh()
+            .x_desc("milliseconds (simulated)")
+            .y_desc("share that took no longer")
+            .draw()?;
+        for (at, (name, curve)) in curves.iter().enumerate() {
+            let colour = Palette99::pick(at).to_rgba();
+            chart
+                .draw_series(LineSeries::new(curve.iter().copied(), &colour))?
+                .label(name)
+                .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour));
+        }
+        chart
+            .configure_series_labels()
+            .background_style(WHITE)
+            .border_style(BLACK)
+            .draw()?;
+        area.present()?;
+        Ok(())
+    };
+    drawn().map_err(|e| e.to_string())
+}
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,17 +1,20 @@
 //! `cargo run -p xtask -- regress ...`: the regression set in one command.
 
+use bench::Bench;
 use clap::{Parser, Subcommand};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
-use std::process::{Command, ExitCode};
-use xtask::base::Base;
+use std::process::ExitCode;
+use xtask::baseline::Base;
+use xtask::comparison::{rows, table, Row, TABLE};
 use xtask::digest;
 use xtask::experiment;
 use xtask::journal::{self, Entry, Read};
 use xtask::known_red;
-use xtask::larger;
-use xtask::sets::Set;
-use xtask::verdict::{rows, table, Row, TABLE};
+use xtask::regression_set::Set;
+use xtask::site_variant;
+
+mod bench;
 
 #[derive(Parser)]
 #[command(version, about)]
@@ -103,7 +106,7 @@
         #[arg(required = true)]
         sites: Vec<PathBuf>,
         #[command(flatten)]
-        sizes: larger::Sizes,
+        sizes: site_variant::Sizes,
         /// A folder outside the repository
         #[arg(long)]
         out: PathBuf,
@@ -143,7 +146,7 @@
         }
         Verb::Larger { sites, sizes, out } => {
             for site in sites {
-                println!("{}", larger::write(&site, &sizes, &out)?.display());
+                println!("{}", site_variant::write(&site, &sizes, &out)?.display());
             }
             Ok(true)
         }
@@ -241,33 +244,3 @@
 fn entries(read: Vec<Read>) -> Vec<Entry> {
     read.into_iter().map(|r| r.entry).collect()
 }
-
-/// The users' bench, and what it has left in the journal so far.
-struct Bench {
-    program: PathBuf,
-    journal: PathBuf,
-    why: String,
-    entries: Vec<Entry>,
-}
-
-impl Bench {
-    /// Plays, and takes up the entries that it leaves. How it exits says nothing: its entries do.
-    fn play(&mut self, verb: &str, args: &[&str]) -> Result<(), String> {
-        let before: BTreeSet<PathBuf> = journal::files(&self.journal)?.into_iter().collect();
-        let status = Command::new(&self.program)
-            .arg(verb)
-            .args(args)
-            .args(["--why", &self.why])
-            .status()
-            .map_err(|e| format!("--bench: {}: {e}", self.program.display()))?;
-        let after = journal::files(&self.journal)?;
-        let new: Vec<&PathBuf> = after.iter().filter(|p| !before.contains(*p)).collect();
-        if new.is_empty() {
-            return Err(format!("--bench: {verb} left no entry ({status})"));
-        }
-        for path in new {
-            self.entries.push(journal::read(path)?.entry);
-        }
-        Ok(())
-    }
-}
--- /dev/null
+++ b/crates/xtask/src/site_variant/division.rs
@@ -0,0 +1,89 @@
+//! Other numbers of zones and teams, over which what the file has is divided.
+
+use super::values::{list, nodes_of, number};
+use toml::{Table, Value};
+
+/// How many times its even share a team may use at most, when there are more teams than in the file.
+const LIMIT_SHARES: f64 = 4.0;
+/// Processors that a team may use at the least, so that one task fits.
+const LEAST_LIMIT: f64 = 200.0;
+
+/// As many zones, the file's own first, with the machines of each type spread evenly over them.
+pub(super) fn spread(site: &mut Table, count: usize) -> Result<(), String> {
+    let zones = nodes_of(site)?.get("zones").and_then(Value::as_array);
+    let zones = zones.ok_or("nodes.zones: missing")?;
+    let mut zones: Vec<String> = zones
+        .iter()
+        .filter_map(|zone| zone.as_str().map(String::from))
+        .take(count)
+        .collect();
+    for n in zones.len()..count {
+        zones.push(format!("zone-{}", n + 1));
+    }
+    let names = zones.iter().cloned().map(Value::from).collect();
+    nodes_of(site)?.insert("zones".into(), Value::Array(names));
+    spread_entries(site, "capacity", &["type"], &["count", "spot"], &zones);
+    spread_entries(site, "machines", &["type", "spot"], &["count"], &zones);
+    Ok(())
+}
+
+/// Adds up entries that agree in `same`, and writes one for each zone with its part of the sums.
+fn spread_entries(site: &mut Table, name: &str, same: &[&str], sums: &[&str], zones: &[String]) {
+    let entries: Vec<Table> = list(site, name).map(|entry| entry.clone()).collect();
+    let mut groups: Vec<Table> = Vec::new();
+    for entry in entries {
+        let like = |group: &&mut Table| {
+            same.iter()
+                .all(|field| group.get(*field) == entry.get(*field))
+        };
+        match groups.iter_mut().find(like) {
+            Some(group) => {
+                for field in sums {
+                    let sum = number(group.get(*field)) + number(entry.get(*field));
+                    group.insert(field.to_string(), Value::Integer(sum as i64));
+                }
+            }
+            None => groups.push(entry),
+        }
+    }
+    let mut spread = Vec::new();
+    for group in groups {
+        for (n, zone) in zones.iter().enumerate() {
+            let mut entry = group.clone();
+            entry.insert("zone".into(), zone.clone().into());
+            for field in sums.iter().filter(|field| group.contains_key(**field)) {
+                let sum = number(group.get(*field)) as i64;
+                let (zones, n) = (zones.len() as i64, n as i64);
+                let part = sum / zones + i64::from(n < sum % zones);
+                entry.insert(field.to_string(), Value::Integer(part));
+            }
+            spread.push(Value::Table(entry));
+        }
+    }
+    site.insert(name.into(), Value::Array(spread));
+}
+
+/// As many teams, which share what the file's are guaranteed; any team may submit any job.
+pub(super) fn divide_teams(site: &mut Table, count: usize) {
+    let sum = |site: &mut Table, field: &str| -> f64 {
+        list(site, "teams")
+            .map(|team| number(team.get(field)))
+            .sum()
+    };
+    let (cpus, cpus_max) = (sum(site, "cpus"), sum(site, "cpus_max"));
+    let share = |whole: f64| whole / count as f64;
+    let teams = (0..count).map(|n| {
+        let mut team = Table::new();
+        team.insert("name".into(), format!("team-{n:04}").into());
+        team.insert("weight".into(), 1.0.into());
+        team.insert("cpus".into(), share(cpus).into());
+        let most = (share(cpus_max) * LIMIT_SHARES).max(LEAST_LIMIT);
+        team.insert("cpus_max".into(), most.into());
+        Value::Table(team)
+    });
+    let teams = teams.collect();
+    site.insert("teams".into(), Value::Array(teams));
+    for job in list(site, "jobs") {
+        job.remove("teams");
+    }
+}
--- /dev/null
+++ b/crates/xtask/src/site_variant/mod.rs
@@ -0,0 +1,64 @@
+//! Sites of other sizes than the users' files have: machines, jobs and teams' processors times a factor,
+//! other numbers of zones, teams and controllers, longer jobs; all limits as they are. Written outside the
+//! repository, since they are the users'.
+
+mod division;
+mod scaling;
+mod sizes;
+mod values;
+
+pub use sizes::Sizes;
+
+use division::{divide_teams, spread};
+use scaling::{lengthen, multiply};
+use std::path::{Path, PathBuf};
+use toml::{Table, Value};
+use values::nodes_of;
+
+/// The site with everything that grows grown; says which field is not a number.
+pub fn larger(site: &Table, sizes: &Sizes) -> Result<Table, String> {
+    sizes.check()?;
+    let mut site = site.clone();
+    let name = site.get("name").and_then(Value::as_str);
+    let name = name.ok_or("name: missing")?.to_string();
+    site.insert("name".into(), format!("{name}{}", sizes.suffix()).into());
+    if let Some(seconds) = sizes.back_s {
+        nodes_of(&mut site)?.insert("restart_delay_s".into(), seconds.into());
+    }
+    if let Some(count) = sizes.nodes {
+        nodes_of(&mut site)?.insert("count".into(), count.into());
+    }
+    multiply(&mut site, sizes.factor)?;
+    if let Some(factor) = sizes.tasks {
+        lengthen(&mut site, "tasks", factor)?;
+    }
+    if let Some(factor) = sizes.run {
+        lengthen(&mut site, "run_s", factor)?;
+    }
+    if let Some(zones) = sizes.zones {
+        spread(&mut site, zones)?;
+    }
+    if let Some(teams) = sizes.teams {
+        divide_teams(&mut site, teams);
+    }
+    Ok(site)
+}
+
+/// Writes the variant and the page of messages that it names into a folder.
+pub fn write(path: &Path, sizes: &Sizes, out: &Path) -> Result<PathBuf, String> {
+    let at = |p: &Path, e: &dyn std::fmt::Display| format!("{}: {e}", p.display());
+    let text = std::fs::read_to_string(path).map_err(|e| at(path, &e))?;
+    let site: Table = text.parse().map_err(|e| at(path, &e))?;
+    let larger = larger(&site, sizes).map_err(|e| at(path, &e))?;
+    std::fs::create_dir_all(out).map_err(|e| at(out, &e))?;
+    if let Some(wire) = site.get("wire").and_then(Value::as_str) {
+        let (from, to) = (path.with_file_name(wire), out.join(wire));
+        let bytes = std::fs::read(&from).map_err(|e| at(&from, &e))?;
+        std::fs::write(&to, bytes).map_err(|e| at(&to, &e))?;
+    }
+    let name = larger.get("name").and_then(Value::as_str).unwrap_or("site");
+    let to = out.join(format!("{name}.toml"));
+    let text = toml::to_string(&larger).map_err(|e| e.to_string())?;
+    std::fs::write(&to, text).map_err(|e| at(&to, &e))?;
+    Ok(to)
+}
--- /dev/null
+++ b/crates/xtask/src/site_variant/scaling.rs
@@ -0,0 +1,56 @@
+//! What grows by a factor.
+
+use super::values::{list, times};
+use toml::{Table, Value};
+
+/// What is multiplied: lists of the site file, and fields of their entries.
+const FIELDS: [(&str, &[&str]); 5] = [
+    ("capacity", &["count", "spot"]),
+    ("machines", &["count"]),
+    ("teams", &["cpus", "cpus_max", "gpus", "gpus_max"]),
+    ("jobs", &["initial"]),
+    ("arrivals", &["rate"]),
+];
+
+pub(super) fn multiply(site: &mut Table, factor: f64) -> Result<(), String> {
+    for (name, fields) in FIELDS {
+        // Arrivals stand with each class of jobs.
+        let entries = match name {
+            "arrivals" => list(site, "jobs"),
+            _ => list(site, name),
+        };
+        for entry in entries {
+            let entry = match name {
+                "arrivals" => entry.get_mut("arrivals").and_then(Value::as_table_mut),
+                _ => Some(entry),
+            };
+            let Some(entry) = entry else {
+                continue;
+            };
+            for field in fields {
+                let value = entry.get_mut(*field);
+                if value.is_some_and(|value| !times(value, factor)) {
+                    return Err(format!("{name}.{field}: not a number"));
+                }
+            }
+        }
+    }
+    Ok(())
+}
+
+/// Sizes of arrays times a factor: medians, quantiles and bounds of a distribution.
+pub(super) fn lengthen(site: &mut Table, field: &str, factor: f64) -> Result<(), String> {
+    for job in list(site, "jobs") {
+        let is_array = job.get("kind").and_then(Value::as_str) == Some("array");
+        let distribution = job.get_mut(field).and_then(Value::as_table_mut);
+        let Some(distribution) = distribution.filter(|_| is_array) else {
+            continue;
+        };
+        for (part, value) in distribution {
+            if !times(value, factor) {
+                return Err(format!("jobs.{field}.{part}: not a number"));
+            }
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/xtask/src/site_variant/sizes.rs
@@ -0,0 +1,92 @@
+//! What a variant of a site is to be, from the command line.
+
+use std::ops::RangeInclusive;
+
+/// Factors that make sense: a tenth to ten times.
+const FACTORS: RangeInclusive<f64> = 0.1..=10.0;
+/// What a variant of a site is to be.
+#[derive(Clone, Copy, Debug, clap::Args)]
+pub struct Sizes {
+    /// Times as many machines, jobs and teams' processors
+    #[arg(long, default_value_t = 1.5)]
+    pub factor: f64,
+    /// Seconds after which a process that ended is back, instead of the file's
+    #[arg(long)]
+    pub back_s: Option<f64>,
+    /// So many zones, over which machines are spread evenly
+    #[arg(long)]
+    pub zones: Option<usize>,
+    /// So many teams, which share the processors of the file's
+    #[arg(long)]
+    pub teams: Option<usize>,
+    /// So many controllers
+    #[arg(long)]
+    pub nodes: Option<i64>,
+    /// Times as many tasks in each array
+    #[arg(long)]
+    pub tasks: Option<f64>,
+    /// Times as long run times of arrays
+    #[arg(long)]
+    pub run: Option<f64>,
+}
+
+impl Sizes {
+    /// Half as many again of everything, or another factor.
+    pub fn times(factor: f64, back_s: Option<f64>) -> Sizes {
+        Sizes {
+            factor,
+            back_s,
+            zones: None,
+            teams: None,
+            nodes: None,
+            tasks: None,
+            run: None,
+        }
+    }
+
+    pub(super) fn check(&self) -> Result<(), String> {
+        let factors = [
+            ("--factor", Some(self.factor)),
+            ("--tasks", self.tasks),
+            ("--run", self.run),
+        ];
+        for (name, factor) in factors {
+            let factor = factor.unwrap_or(1.0);
+            if !FACTORS.contains(&factor) {
+                return Err(format!("{name}: {factor} is not from 0.1 to 10"));
+            }
+        }
+        let counts = [
+            ("--zones", self.zones, 64),
+            ("--teams", self.teams, 2_000),
+            ("--nodes", self.nodes.map(|n| n.max(0) as usize), 64),
+        ];
+        for (name, count, most) in counts {
+            let count = count.unwrap_or(1);
+            if !(1..=most).contains(&count) {
+                return Err(format!("{name}: {count} is not from 1 to {most}"));
+            }
+        }
+        if !(0.0..=600.0).contains(&self.back_s.unwrap_or(0.0)) {
+            let back_s = self.back_s.unwrap_or(0.0);
+            return Err(format!("--back-s: {back_s} is not from 0 to 600"));
+        }
+        Ok(())
+    }
+
+    /// What the variant's name ends with.
+    pub(super) fn suffix(&self) -> String {
+        let part = |name: &str, value: Option<String>| {
+            value.map_or(String::new(), |value| format!("-{name}{value}"))
+        };
+        let text = |value: Option<f64>| value.map(|value| value.to_string());
+        let count = |value: Option<usize>| value.map(|value| value.to_string());
+        format!("-x{}", self.factor)
+            + &part("back", text(self.back_s))
+            + &part("zones", count(self.zones))
+            + &part("teams", count(self.teams))
+            + &part("nodes", self.nodes.map(|nodes| nodes.to_string()))
+            + &part("tasks", text(self.tasks))
+            + &part("run", text(self.run))
+    }
+}
--- a/crates/xtask/tests/comparison.rs
+++ b/crates/xtask/tests/comparison.rs
@@ -4,9 +4,9 @@
 use serde_json::{json, Value};
 use std::path::Path;
 use std::process::Command;
-use xtask::base::Base;
+use xtask::baseline::Base;
+use xtask::comparison::{rows, table, Row, TABLE};
 use xtask::journal::{parse, Entry, Read};
-use xtask::verdict::{rows, table, Row, TABLE};
 
 fn day(name: &str, score: f64) -> Value {
     json!({"name": name, "score": score, "rules": {}, "fault": null, "restarts": 0.0, "G": score})
--- a/crates/xtask/tests/larger.rs
+++ b/crates/xtask/tests/site_variant.rs
@@ -1,7 +1,7 @@
 //! Variants of sites: what grows does, limits stay, and what makes no sense is named.
 
 use toml::{Table, Value};
-use xtask::larger::{larger, Sizes};
+use xtask::site_variant::{larger, Sizes};
 
 const SITE: &str = r#"
     name = "a"
