--- a/crates/xtask/src/baseline.rs
+++ b/crates/xtask/src/baseline.rs
@@ -1,13 +1,13 @@
 //! The base: figures of earlier runs, each from an entry of the journal that it names.
 
-use crate::journal::{self, Read};
+use crate::journal::{self, HashedEntry};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::Path;
 
 /// Where a figure comes from.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Source {
+pub struct BaseEntry {
     pub id: String,
     /// Of the entry's file, so that a figure can't change under the base.
     pub sha256: String,
@@ -15,7 +15,7 @@
 
 /// Figures of one site. A day played several times has several.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
-pub struct Site {
+pub struct SiteFigures {
     /// Full scores.
     #[serde(default)]
     pub score: Vec<f64>,
@@ -25,15 +25,15 @@
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct Base {
-    pub entries: Vec<Source>,
-    pub sites: BTreeMap<String, Site>,
+    pub entries: Vec<BaseEntry>,
+    pub sites: BTreeMap<String, SiteFigures>,
 }
 
 impl Base {
     /// A base of these entries; what must not serve as one is refused.
-    pub fn of(runs: &[Read]) -> Result<Base, String> {
+    pub fn of(runs: &[HashedEntry]) -> Result<Base, String> {
         let mut base = Base::default();
-        for Read { entry, sha256 } in runs {
+        for HashedEntry { entry, sha256 } in runs {
             let id = &entry.id;
             let site = (entry.site.as_ref()).ok_or_else(|| format!("{id}: it names no site"))?;
             if !entry.ok || entry.edited_meanwhile {
@@ -51,12 +51,12 @@
                     return Err(format!("{id}: a rule was broken on {}", day.name));
                 }
                 // Drawn days never come again.
-                if !drawn(&day.name) {
+                if !is_drawn(&day.name) {
                     let figures = known.days.entry(day.name.clone()).or_default();
                     figures.extend(day.score);
                 }
             }
-            base.entries.push(Source {
+            base.entries.push(BaseEntry {
                 id: id.clone(),
                 sha256: sha256.clone(),
             });
@@ -79,7 +79,7 @@
     /// took from them.
     pub fn confirm(&self, journal: &Path) -> Result<(), String> {
         let mut runs = Vec::new();
-        for Source { id, sha256 } in &self.entries {
+        for BaseEntry { id, sha256 } in &self.entries {
             let run = journal::read(&journal::find(journal, id)?)?;
             if run.sha256 != *sha256 {
                 return Err(format!(
@@ -96,6 +96,6 @@
 }
 
 /// Whether a day was drawn for one run: it has a seed or a run's mark in its name.
-pub fn drawn(name: &str) -> bool {
+pub fn is_drawn(name: &str) -> bool {
     name.contains(" --seed") || name.starts_with("fresh-") || name.starts_with("hunt-")
 }
--- a/crates/xtask/src/comparison.rs
+++ b/crates/xtask/src/comparison.rs
@@ -1,20 +1,20 @@
 //! What a run's entries say against the base.
 
-use crate::baseline::{drawn, Base};
+use crate::baseline::{is_drawn, Base};
 use crate::journal::Entry;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// What a figure may lose: less is noise, by the users' word.
-pub const FALL: f64 = 0.03;
+pub const MAX_FALL: f64 = 0.03;
 
 /// A day of which less than this share of any class or team was served counts as failed, by the users'
 /// word.
-pub const SERVED_LEAST: f64 = 0.5;
+pub const MIN_SERVED_SHARE: f64 = 0.5;
 
 /// One line of the table.
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Row {
+pub struct ComparisonRow {
     pub site: String,
     /// A day's name, `hunted` for all of a hunt, or `score` for the site's figure.
     pub what: String,
@@ -33,7 +33,7 @@
 
 /// One row for each site's figure and each day, several plays of a day taken together. Sites that
 /// were to be played and have no entry fail.
-pub fn rows(base: &Base, wanted: &[String], entries: &[Entry]) -> Vec<Row> {
+pub fn rows(base: &Base, wanted: &[String], entries: &[Entry]) -> Vec<ComparisonRow> {
     let mut rows = Vec::new();
     for site in wanted {
         let of: Vec<&Entry> = (entries.iter())
@@ -56,8 +56,8 @@
     rows
 }
 
-fn empty(site: &str, what: &str) -> Row {
-    Row {
+fn empty(site: &str, what: &str) -> ComparisonRow {
+    ComparisonRow {
         site: site.into(),
         what: what.into(),
         plays: 0,
@@ -70,7 +70,7 @@
     }
 }
 
-fn site_rows(base: &Base, site: &str, entries: &[&Entry]) -> Vec<Row> {
+fn site_rows(base: &Base, site: &str, entries: &[&Entry]) -> Vec<ComparisonRow> {
     let mut rows = Vec::new();
     if entries.is_empty() {
         let mut row = empty(site, "score");
@@ -96,7 +96,7 @@
             plays.entry("all").or_default();
         }
         for day in &entry.days {
-            let name = match drawn(&day.name) {
+            let name = match is_drawn(&day.name) {
                 true => "drawn",
                 false => day.name.as_str(),
             };
@@ -120,7 +120,7 @@
             if day.restarts > 0.0 {
                 trouble(format!("{} controllers ended by themselves", day.restarts));
             }
-            for (of, _, share) in day.served.iter().filter(|s| s.2 < SERVED_LEAST) {
+            for (of, _, share) in day.served.iter().filter(|s| s.2 < MIN_SERVED_SHARE) {
                 trouble(format!("only {share:.2} of {of} was served"));
             }
             if day.score.is_none() {
@@ -140,7 +140,7 @@
     rows
 }
 
-fn compared(mut row: Row, figures: &[f64], base: &[f64]) -> Row {
+fn compared(mut row: ComparisonRow, figures: &[f64], base: &[f64]) -> ComparisonRow {
     row.plays = figures.len();
     row.of = base.len();
     row.base = base.iter().copied().reduce(f64::min);
@@ -150,16 +150,16 @@
     if let (Some(now), Some(before)) = (row.figure, row.base) {
         row.change = Some(now - before);
         // Figures have four digits: what is 0.03 in them is no more than that.
-        row.fell = now < before - FALL - 1e-6;
+        row.fell = now < before - MAX_FALL - 1e-6;
         if row.fell {
-            row.fails = Some(format!("fell by more than {FALL}"));
+            row.fails = Some(format!("fell by more than {MAX_FALL}"));
         }
     }
     row
 }
 
 /// The table, from a template so that a report in another form needs no code.
-pub fn table(rows: &[Row], template: &str) -> Result<String, String> {
+pub fn table(rows: &[ComparisonRow], template: &str) -> Result<String, String> {
     let mut env = minijinja::Environment::new();
     env.set_keep_trailing_newline(true);
     env.add_filter("fixed", |x: Option<f64>, digits: usize| {
--- a/crates/xtask/src/journal.rs
+++ b/crates/xtask/src/journal.rs
@@ -58,13 +58,13 @@
 
 /// An entry with the hash of its file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Read {
+pub struct HashedEntry {
     pub entry: Entry,
     pub sha256: String,
 }
 
 /// Reads one entry; errors name the file and, where there is one, the field.
-pub fn read(path: &Path) -> Result<Read, String> {
+pub fn read(path: &Path) -> Result<HashedEntry, String> {
     let at = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let bytes = std::fs::metadata(path).map_err(|e| at(&e))?.len();
     if bytes > ENTRY_BYTES {
@@ -72,7 +72,7 @@
     }
     let text = std::fs::read(path).map_err(|e| at(&e))?;
     let entry = parse(&text).map_err(|e| at(&e))?;
-    Ok(Read {
+    Ok(HashedEntry {
         entry,
         sha256: hash(&text),
     })
--- a/crates/xtask/src/known_red.rs
+++ b/crates/xtask/src/known_red.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 
 /// Lines that the list may have: what fails is mended, not collected.
-pub const MOST: usize = 3;
+pub const MAX_LISTED: usize = 3;
 
 /// A test by its package, its target (`lib`, or the file under `tests`) and its whole name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -24,19 +24,21 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Red {
+pub struct KnownFailure {
     pub test: Test,
     pub cause: String,
     pub issue: String,
 }
 
 /// Reads the list: one line each, `PACKAGE/TARGET/TEST, cause, issue`.
-pub fn read(text: &str) -> Result<Vec<Red>, String> {
-    let mut reds: Vec<Red> = Vec::new();
+pub fn parse_list(text: &str) -> Result<Vec<KnownFailure>, String> {
+    let mut listed: Vec<KnownFailure> = Vec::new();
     for (i, line) in text.lines().enumerate() {
         let at = i + 1;
-        if i >= MOST {
-            return Err(format!("line {at}: at most {MOST} tests may be listed"));
+        if i >= MAX_LISTED {
+            return Err(format!(
+                "line {at}: at most {MAX_LISTED} tests may be listed"
+            ));
         }
         let (test, rest) = line.split_once(',').unwrap_or((line, ""));
         let (cause, issue) = rest.rsplit_once(',').unwrap_or((rest, ""));
@@ -53,34 +55,34 @@
             target: target.into(),
             name: name.into(),
         };
-        if reds.iter().any(|r| r.test == test) {
+        if listed.iter().any(|r| r.test == test) {
             return Err(format!("line {at}: {test} is listed twice"));
         }
-        reds.push(Red {
+        listed.push(KnownFailure {
             test,
             cause: cause.trim().into(),
             issue: issue.trim().into(),
         });
     }
-    Ok(reds)
+    Ok(listed)
 }
 
 /// What `cargo test` of one package printed, target by target.
 #[derive(Debug, Default, PartialEq)]
-pub struct Ran {
+pub struct PackageRun {
     /// Whether each test passed.
     pub tests: BTreeMap<Test, bool>,
     /// Whether `cargo test` itself ended well.
-    pub ended_well: bool,
+    pub succeeded: bool,
     /// Targets that ended without saying how their tests went: they crashed, or were not built.
     pub broken: Vec<String>,
 }
 
 /// Reads what a package's tests printed, standard output and errors in order.
-pub fn ran(package: &str, output: &str, ended_well: bool) -> Ran {
-    let mut ran = Ran {
-        ended_well,
-        ..Ran::default()
+pub fn parse_output(package: &str, output: &str, succeeded: bool) -> PackageRun {
+    let mut ran = PackageRun {
+        succeeded,
+        ..PackageRun::default()
     };
     let mut open: Option<String> = None;
     for line in output.lines() {
@@ -124,29 +126,29 @@
 }
 
 /// Whether all is well but the tests that are listed: lines to be printed, or what is wrong.
-pub fn judge(reds: &[Red], ran: &[Ran]) -> Result<Vec<String>, String> {
-    let listed = |test: &Test| reds.iter().any(|r| r.test == *test);
+pub fn judge(listed: &[KnownFailure], ran: &[PackageRun]) -> Result<Vec<String>, String> {
+    let is_listed = |test: &Test| listed.iter().any(|r| r.test == *test);
     let tests = || ran.iter().flat_map(|r| &r.tests);
     if let Some(target) = ran.iter().flat_map(|r| &r.broken).next() {
         return Err(format!("{target} ended without a result"));
     }
-    if let Some((test, _)) = tests().find(|(test, passed)| !**passed && !listed(test)) {
+    if let Some((test, _)) = tests().find(|(test, passed)| !**passed && !is_listed(test)) {
         return Err(format!("{test} failed and is not listed"));
     }
-    let unsaid = |r: &Ran| !r.ended_well && r.tests.values().all(|passed| *passed);
+    let unsaid = |r: &PackageRun| !r.succeeded && r.tests.values().all(|passed| *passed);
     if ran.iter().any(unsaid) {
         return Err("cargo test failed, though no test did".into());
     }
     let mut lines = Vec::new();
-    for red in reds {
-        let found = tests().find(|(test, _)| **test == red.test);
+    for known in listed {
+        let found = tests().find(|(test, _)| **test == known.test);
         let Some((test, passed)) = found else {
-            return Err(format!("{} is listed and does not exist", red.test));
+            return Err(format!("{} is listed and does not exist", known.test));
         };
         let result = if *passed { "passed" } else { "failed" };
         lines.push(format!(
             "known red: {test}: {result}; {}; {}",
-            red.cause, red.issue
+            known.cause, known.issue
         ));
     }
     Ok(lines)
@@ -167,7 +169,7 @@
 /// Runs all tests; those that are listed are printed, all others must pass.
 pub fn check(list: &Path) -> Result<Vec<String>, String> {
     let text = std::fs::read_to_string(list).map_err(|e| format!("{}: {e}", list.display()))?;
-    let reds = read(&text)?;
+    let listed = parse_list(&text)?;
     let mut all = Vec::new();
     for package in packages()? {
         // In one stream, so that each target's results follow its name.
@@ -178,7 +180,7 @@
             .map_err(|e| format!("{command}: {e}"))?;
         let output = String::from_utf8_lossy(&out.stdout);
         print!("{output}");
-        all.push(ran(&package, &output, out.status.success()));
+        all.push(parse_output(&package, &output, out.status.success()));
     }
-    judge(&reds, &all)
+    judge(&listed, &all)
 }
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -6,12 +6,12 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use xtask::baseline::Base;
-use xtask::comparison::{rows, table, Row, TABLE};
+use xtask::comparison::{rows, table, ComparisonRow, TABLE};
 use xtask::digest;
 use xtask::experiment;
-use xtask::journal::{self, Entry, Read};
+use xtask::journal::{self, Entry, HashedEntry};
 use xtask::known_red;
-use xtask::regression_set::Set;
+use xtask::regression_set::RegressionSet;
 use xtask::site_variant;
 
 mod bench;
@@ -26,15 +26,15 @@
     #[arg(long, global = true, default_value = "regression/base.json")]
     base: PathBuf,
     #[command(subcommand)]
-    verb: Verb,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Command {
     /// Plays a set on the bench, then compares what it left in the journal with the base
     Regress {
         /// What is played
-        set: Set,
+        set: RegressionSet,
         /// The bench's program
         #[arg(long)]
         bench: PathBuf,
@@ -131,26 +131,26 @@
 
 /// Whether nothing failed.
 fn run(args: Args) -> Result<bool, String> {
-    match args.verb {
-        Verb::Base { ids } => {
+    match args.command {
+        Command::Base { ids } => {
             let base = Base::of(&named(&args.journal, &ids)?)?;
             base.write(&args.base)?;
             println!("{}: {} entries", args.base.display(), base.entries.len());
             Ok(true)
         }
-        Verb::KnownRed { list } => {
+        Command::KnownRed { list } => {
             for line in known_red::check(&list)? {
                 println!("{line}");
             }
             Ok(true)
         }
-        Verb::Larger { sites, sizes, out } => {
+        Command::Larger { sites, sizes, out } => {
             for site in sites {
                 println!("{}", site_variant::write(&site, &sizes, &out)?.display());
             }
             Ok(true)
         }
-        Verb::Experiment {
+        Command::Experiment {
             files,
             seeds,
             from,
@@ -167,20 +167,20 @@
                 .iter()
                 .all(|r| r.broken.is_empty() && r.outcome.failed().is_empty()))
         }
-        Verb::Digest { seeds, jobs, days } => {
+        Command::Digest { seeds, jobs, days } => {
             for line in digest::lines(seeds, &days, jobs)? {
                 println!("{line}");
             }
             Ok(true)
         }
-        Verb::Compare { ids, template } => {
+        Command::Compare { ids, template } => {
             let base = confirmed(&args.base, &args.journal)?;
             let entries = entries(named(&args.journal, &ids)?);
             let sites: BTreeSet<String> = entries.iter().filter_map(|e| e.site.clone()).collect();
             let sites: Vec<String> = sites.into_iter().collect();
             show(&rows(&base, &sites, &entries), template.as_deref())
         }
-        Verb::Regress {
+        Command::Regress {
             set,
             bench,
             kit,
@@ -192,7 +192,7 @@
         } => {
             let base = confirmed(&args.base, &args.journal)?;
             let sites = set.sites(&kit)?;
-            let names: Vec<String> = sites.iter().map(|s| Set::name(s)).collect();
+            let names: Vec<String> = sites.iter().map(|s| RegressionSet::name(s)).collect();
             let mut bench = Bench {
                 program: bench,
                 journal: args.journal,
@@ -202,14 +202,17 @@
             let mut score: Vec<&str> = sites.iter().filter_map(|s| s.to_str()).collect();
             score.extend(quick.then_some("--quick"));
             bench.play("score", &score)?;
-            for site in sites.iter().filter(|_| set == Set::Full && hunt > 0) {
+            for site in sites
+                .iter()
+                .filter(|_| set == RegressionSet::Full && hunt > 0)
+            {
                 let days = hunt.to_string();
                 let site = site.to_string_lossy();
                 bench.play("hunt", &[&*site, "--days", &days])?;
             }
             for _ in 0..again {
                 for row in rows(&base, &names, &bench.entries) {
-                    let site = sites.iter().find(|s| Set::name(s) == row.site);
+                    let site = sites.iter().find(|s| RegressionSet::name(s) == row.site);
                     if let (true, Some(site), true) = (row.fell, site, row.what != "score") {
                         let site = site.to_string_lossy();
                         bench.play("run", &[&*site, &row.what])?;
@@ -221,7 +224,7 @@
     }
 }
 
-fn show(rows: &[Row], template: Option<&Path>) -> Result<bool, String> {
+fn show(rows: &[ComparisonRow], template: Option<&Path>) -> Result<bool, String> {
     let text = match template {
         Some(path) => std::fs::read_to_string(path).map_err(|e| format!("--template: {e}"))?,
         None => TABLE.to_string(),
@@ -236,11 +239,11 @@
     Ok(known)
 }
 
-fn named(journal: &Path, ids: &[String]) -> Result<Vec<Read>, String> {
+fn named(journal: &Path, ids: &[String]) -> Result<Vec<HashedEntry>, String> {
     let one = |id: &String| journal::read(&journal::find(journal, id)?);
     ids.iter().map(one).collect()
 }
 
-fn entries(read: Vec<Read>) -> Vec<Entry> {
+fn entries(read: Vec<HashedEntry>) -> Vec<Entry> {
     read.into_iter().map(|r| r.entry).collect()
 }
--- a/crates/xtask/src/regression_set.rs
+++ b/crates/xtask/src/regression_set.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Set {
+pub enum RegressionSet {
     /// The two large fleets: before what touches storage, membership, timers or messages.
     Fleet,
     /// The operators' deployments and those named next: before every landing.
@@ -30,14 +30,14 @@
     "change/melekt-shared-next.toml",
 ];
 
-impl Set {
+impl RegressionSet {
     /// Site files, each of which must exist.
     pub fn sites(self, kit: &Path) -> Result<Vec<PathBuf>, String> {
         let names: Vec<&str> = match self {
-            Set::Fleet => FLEET.to_vec(),
-            Set::Operators => OPERATORS.to_vec(),
-            Set::Hunt => HUNT.to_vec(),
-            Set::Full => (FLEET.into_iter().chain(HUNT).chain(OPERATORS)).collect(),
+            RegressionSet::Fleet => FLEET.to_vec(),
+            RegressionSet::Operators => OPERATORS.to_vec(),
+            RegressionSet::Hunt => HUNT.to_vec(),
+            RegressionSet::Full => (FLEET.into_iter().chain(HUNT).chain(OPERATORS)).collect(),
         };
         let sites = names.into_iter().map(|n| kit.join(n));
         sites
--- a/crates/xtask/src/site_variant/division.rs
+++ b/crates/xtask/src/site_variant/division.rs
@@ -4,12 +4,12 @@
 use toml::{Table, Value};
 
 /// How many times its even share a team may use at most, when there are more teams than in the file.
-const LIMIT_SHARES: f64 = 4.0;
+const MAX_LIMIT_SHARES: f64 = 4.0;
 /// Processors that a team may use at the least, so that one task fits.
-const LEAST_LIMIT: f64 = 200.0;
+const MIN_LIMIT_CPUS: f64 = 200.0;
 
 /// As many zones, the file's own first, with the machines of each type spread evenly over them.
-pub(super) fn spread(site: &mut Table, count: usize) -> Result<(), String> {
+pub(super) fn spread_over_zones(site: &mut Table, count: usize) -> Result<(), String> {
     let zones = nodes_of(site)?.get("zones").and_then(Value::as_array);
     let zones = zones.ok_or("nodes.zones: missing")?;
     let mut zones: Vec<String> = zones
@@ -77,7 +77,7 @@
         team.insert("name".into(), format!("team-{n:04}").into());
         team.insert("weight".into(), 1.0.into());
         team.insert("cpus".into(), share(cpus).into());
-        let most = (share(cpus_max) * LIMIT_SHARES).max(LEAST_LIMIT);
+        let most = (share(cpus_max) * MAX_LIMIT_SHARES).max(MIN_LIMIT_CPUS);
         team.insert("cpus_max".into(), most.into());
         Value::Table(team)
     });
--- a/crates/xtask/src/site_variant/mod.rs
+++ b/crates/xtask/src/site_variant/mod.rs
@@ -9,14 +9,14 @@
 
 pub use sizes::Sizes;
 
-use division::{divide_teams, spread};
-use scaling::{lengthen, multiply};
+use division::{divide_teams, spread_over_zones};
+use scaling::{scale_arrays, scale_site};
 use std::path::{Path, PathBuf};
 use toml::{Table, Value};
 use values::nodes_of;
 
 /// The site with everything that grows grown; says which field is not a number.
-pub fn larger(site: &Table, sizes: &Sizes) -> Result<Table, String> {
+pub fn vary(site: &Table, sizes: &Sizes) -> Result<Table, String> {
     sizes.check()?;
     let mut site = site.clone();
     let name = site.get("name").and_then(Value::as_str);
@@ -28,15 +28,15 @@
     if let Some(count) = sizes.nodes {
         nodes_of(&mut site)?.insert("count".into(), count.into());
     }
-    multiply(&mut site, sizes.factor)?;
+    scale_site(&mut site, sizes.factor)?;
     if let Some(factor) = sizes.tasks {
-        lengthen(&mut site, "tasks", factor)?;
+        scale_arrays(&mut site, "tasks", factor)?;
     }
     if let Some(factor) = sizes.run {
-        lengthen(&mut site, "run_s", factor)?;
+        scale_arrays(&mut site, "run_s", factor)?;
     }
     if let Some(zones) = sizes.zones {
-        spread(&mut site, zones)?;
+        spread_over_zones(&mut site, zones)?;
     }
     if let Some(teams) = sizes.teams {
         divide_teams(&mut site, teams);
@@ -49,16 +49,19 @@
     let at = |p: &Path, e: &dyn std::fmt::Display| format!("{}: {e}", p.display());
     let text = std::fs::read_to_string(path).map_err(|e| at(path, &e))?;
     let site: Table = text.parse().map_err(|e| at(path, &e))?;
-    let larger = larger(&site, sizes).map_err(|e| at(path, &e))?;
+    let variant = vary(&site, sizes).map_err(|e| at(path, &e))?;
     std::fs::create_dir_all(out).map_err(|e| at(out, &e))?;
     if let Some(wire) = site.get("wire").and_then(Value::as_str) {
         let (from, to) = (path.with_file_name(wire), out.join(wire));
         let bytes = std::fs::read(&from).map_err(|e| at(&from, &e))?;
         std::fs::write(&to, bytes).map_err(|e| at(&to, &e))?;
     }
-    let name = larger.get("name").and_then(Value::as_str).unwrap_or("site");
+    let name = variant
+        .get("name")
+        .and_then(Value::as_str)
+        .unwrap_or("site");
     let to = out.join(format!("{name}.toml"));
-    let text = toml::to_string(&larger).map_err(|e| e.to_string())?;
+    let text = toml::to_string(&variant).map_err(|e| e.to_string())?;
     std::fs::write(&to, text).map_err(|e| at(&to, &e))?;
     Ok(to)
 }
--- a/crates/xtask/src/site_variant/scaling.rs
+++ b/crates/xtask/src/site_variant/scaling.rs
@@ -1,10 +1,10 @@
 //! What grows by a factor.
 
-use super::values::{list, times};
+use super::values::{list, scale};
 use toml::{Table, Value};
 
 /// What is multiplied: lists of the site file, and fields of their entries.
-const FIELDS: [(&str, &[&str]); 5] = [
+const SCALED_FIELDS: [(&str, &[&str]); 5] = [
     ("capacity", &["count", "spot"]),
     ("machines", &["count"]),
     ("teams", &["cpus", "cpus_max", "gpus", "gpus_max"]),
@@ -12,8 +12,8 @@
     ("arrivals", &["rate"]),
 ];
 
-pub(super) fn multiply(site: &mut Table, factor: f64) -> Result<(), String> {
-    for (name, fields) in FIELDS {
+pub(super) fn scale_site(site: &mut Table, factor: f64) -> Result<(), String> {
+    for (name, fields) in SCALED_FIELDS {
         // Arrivals stand with each class of jobs.
         let entries = match name {
             "arrivals" => list(site, "jobs"),
@@ -29,7 +29,7 @@
             };
             for field in fields {
                 let value = entry.get_mut(*field);
-                if value.is_some_and(|value| !times(value, factor)) {
+                if value.is_some_and(|value| !scale(value, factor)) {
                     return Err(format!("{name}.{field}: not a number"));
                 }
             }
@@ -39,7 +39,7 @@
 }
 
 /// Sizes of arrays times a factor: medians, quantiles and bounds of a distribution.
-pub(super) fn lengthen(site: &mut Table, field: &str, factor: f64) -> Result<(), String> {
+pub(super) fn scale_arrays(site: &mut Table, field: &str, factor: f64) -> Result<(), String> {
     for job in list(site, "jobs") {
         let is_array = job.get("kind").and_then(Value::as_str) == Some("array");
         let distribution = job.get_mut(field).and_then(Value::as_table_mut);
@@ -47,7 +47,7 @@
             continue;
         };
         for (part, value) in distribution {
-            if !times(value, factor) {
+            if !scale(value, factor) {
                 return Err(format!("jobs.{field}.{part}: not a number"));
             }
         }
--- a/crates/xtask/src/site_variant/sizes.rs
+++ b/crates/xtask/src/site_variant/sizes.rs
@@ -3,7 +3,7 @@
 use std::ops::RangeInclusive;
 
 /// Factors that make sense: a tenth to ten times.
-const FACTORS: RangeInclusive<f64> = 0.1..=10.0;
+const FACTOR_RANGE: RangeInclusive<f64> = 0.1..=10.0;
 /// What a variant of a site is to be.
 #[derive(Clone, Copy, Debug, clap::Args)]
 pub struct Sizes {
@@ -32,7 +32,7 @@
 
 impl Sizes {
     /// Half as many again of everything, or another factor.
-    pub fn times(factor: f64, back_s: Option<f64>) -> Sizes {
+    pub fn scaled(factor: f64, back_s: Option<f64>) -> Sizes {
         Sizes {
             factor,
             back_s,
@@ -52,7 +52,7 @@
         ];
         for (name, factor) in factors {
             let factor = factor.unwrap_or(1.0);
-            if !FACTORS.contains(&factor) {
+            if !FACTOR_RANGE.contains(&factor) {
                 return Err(format!("{name}: {factor} is not from 0.1 to 10"));
             }
         }
--- a/crates/xtask/src/site_variant/values.rs
+++ b/crates/xtask/src/site_variant/values.rs
@@ -2,7 +2,7 @@
 
 use toml::{Table, Value};
 
-pub(super) fn times(value: &mut Value, factor: f64) -> bool {
+pub(super) fn scale(value: &mut Value, factor: f64) -> bool {
     match value {
         Value::Integer(n) => *n = (*n as f64 * factor).round() as i64,
         Value::Float(x) => *x *= factor,
--- a/crates/xtask/tests/comparison.rs
+++ b/crates/xtask/tests/comparison.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use std::process::Command;
 use xtask::baseline::Base;
-use xtask::comparison::{rows, table, Row, TABLE};
-use xtask::journal::{parse, Entry, Read};
+use xtask::comparison::{rows, table, ComparisonRow, TABLE};
+use xtask::journal::{parse, Entry, HashedEntry};
 
 fn day(name: &str, score: f64) -> Value {
     json!({"name": name, "score": score, "rules": {}, "fault": null, "restarts": 0.0, "G": score})
@@ -36,18 +36,18 @@
             vec![day("calm", 0.9), day("rough", 0.76), day("fresh-1", 0.1)],
         ),
     ];
-    let runs = runs.iter().map(|r| Read {
+    let runs = runs.iter().map(|r| HashedEntry {
         entry: read(r),
         sha256: "00".into(),
     });
     Base::of(&runs.collect::<Vec<_>>()).unwrap()
 }
 
-fn against(value: &Value) -> Vec<Row> {
+fn against(value: &Value) -> Vec<ComparisonRow> {
     rows(&base(), &["south".into()], &[read(value)])
 }
 
-fn fails(rows: &[Row]) -> Vec<(&str, &str)> {
+fn fails(rows: &[ComparisonRow]) -> Vec<(&str, &str)> {
     let failed = rows.iter().filter_map(|r| Some((r, r.fails.as_ref()?)));
     failed
         .map(|(r, why)| (r.what.as_str(), why.as_str()))
@@ -165,7 +165,7 @@
 
 #[test]
 fn what_must_not_be_a_base_is_refused() {
-    let run = |value: &Value| Read {
+    let run = |value: &Value| HashedEntry {
         entry: read(value),
         sha256: "00".into(),
     };
--- a/crates/xtask/tests/known_red.rs
+++ b/crates/xtask/tests/known_red.rs
@@ -1,11 +1,11 @@
 //! The list of tests that are known to fail: which lists are refused, and what passes with one.
 
-use xtask::known_red::{judge, ran, read, Red};
+use xtask::known_red::{judge, parse_list, parse_output, KnownFailure};
 
 const ONE: &str = "glenmount-core/meetings/late, answers overlap, issue 37";
 
-fn one() -> Vec<Red> {
-    read(ONE).unwrap()
+fn one() -> Vec<KnownFailure> {
+    parse_list(ONE).unwrap()
 }
 
 /// What cargo prints of a package with two targets.
@@ -17,16 +17,16 @@
     )
 }
 
-fn judged(reds: &[Red], output: &str, ended_well: bool) -> Result<Vec<String>, String> {
-    judge(reds, &[ran("glenmount-core", output, ended_well)])
+fn judged(listed: &[KnownFailure], output: &str, succeeded: bool) -> Result<Vec<String>, String> {
+    judge(listed, &[parse_output("glenmount-core", output, succeeded)])
 }
 
 #[test]
 fn a_line_names_a_test_a_cause_and_an_issue() {
-    let reds = read("p/t/a::b, first, and more, issue 3").unwrap();
-    assert_eq!(reds[0].test.to_string(), "p/t/a::b");
+    let listed = parse_list("p/t/a::b, first, and more, issue 3").unwrap();
+    assert_eq!(listed[0].test.to_string(), "p/t/a::b");
     assert_eq!(
-        (reds[0].cause.as_str(), reds[0].issue.as_str()),
+        (listed[0].cause.as_str(), listed[0].issue.as_str()),
         ("first, and more", "issue 3")
     );
     for (text, why) in [
@@ -42,7 +42,7 @@
             "line 4: at most 3 tests may be listed",
         ),
     ] {
-        assert_eq!(read(text).unwrap_err(), why, "{text}");
+        assert_eq!(parse_list(text).unwrap_err(), why, "{text}");
     }
 }
 
@@ -72,8 +72,8 @@
         "glenmount-core/lib/late",
         "glenmount/meetings/late",
     ] {
-        let reds = read(&format!("{listed}, cause, issue")).unwrap();
-        let why = judged(&reds, &output("ok", "ok"), true).unwrap_err();
+        let failures = parse_list(&format!("{listed}, cause, issue")).unwrap();
+        let why = judged(&failures, &output("ok", "ok"), true).unwrap_err();
         assert_eq!(why, format!("{listed} is listed and does not exist"));
     }
 }
@@ -86,9 +86,9 @@
     let why = judged(&one(), &output("ok", "ok"), false).unwrap_err();
     assert_eq!(why, "cargo test failed, though no test did");
     // Nor may another package that was not built hide behind a listed failure.
-    let red = ran("glenmount-core", &output("FAILED", "ok"), false);
-    let unbuilt = ran("p", "error: could not compile", false);
+    let known = parse_output("glenmount-core", &output("FAILED", "ok"), false);
+    let unbuilt = parse_output("p", "error: could not compile", false);
     assert!(unbuilt.tests.is_empty());
-    let why = judge(&one(), &[red, unbuilt]).unwrap_err();
+    let why = judge(&one(), &[known, unbuilt]).unwrap_err();
     assert_eq!(why, "cargo test failed, though no test did");
 }
--- a/crates/xtask/tests/site_variant.rs
+++ b/crates/xtask/tests/site_variant.rs
@@ -1,7 +1,7 @@
 //! Variants of sites: what grows does, limits stay, and what makes no sense is named.
 
 use toml::{Table, Value};
-use xtask::site_variant::{larger, Sizes};
+use xtask::site_variant::{vary, Sizes};
 
 const SITE: &str = r#"
     name = "a"
@@ -50,7 +50,7 @@
 
 #[test]
 fn all_that_grows_does_and_the_limits_stay() {
-    let to = larger(&site(), &Sizes::times(1.5, None)).unwrap();
+    let to = vary(&site(), &Sizes::scaled(1.5, None)).unwrap();
     let number = |path: [&str; 2]| to[path[0]][0][path[1]].clone();
     assert_eq!(number(["machines", "count"]), Value::Integer(77));
     assert_eq!(number(["capacity", "spot"]), Value::Integer(5));
@@ -73,9 +73,9 @@
         nodes: Some(8),
         tasks: Some(2.0),
         run: Some(0.5),
-        ..Sizes::times(1.0, None)
+        ..Sizes::scaled(1.0, None)
     };
-    let to = larger(&site(), &sizes).unwrap();
+    let to = vary(&site(), &sizes).unwrap();
     let expected = "a-x1-zones3-teams4-nodes8-tasks2-run0.5";
     assert_eq!(to["name"].as_str(), Some(expected));
     assert_eq!(to["nodes"]["count"], Value::Integer(8));
@@ -102,41 +102,41 @@
 #[test]
 fn what_makes_no_sense_is_named() {
     let site = site();
-    let none = larger(&site, &Sizes::times(0.0, None)).unwrap_err();
+    let none = vary(&site, &Sizes::scaled(0.0, None)).unwrap_err();
     assert!(none.contains("--factor"));
     for (sizes, field) in [
         (
             Sizes {
                 teams: Some(0),
-                ..Sizes::times(1.0, None)
+                ..Sizes::scaled(1.0, None)
             },
             "--teams",
         ),
         (
             Sizes {
                 zones: Some(99),
-                ..Sizes::times(1.0, None)
+                ..Sizes::scaled(1.0, None)
             },
             "--zones",
         ),
         (
             Sizes {
                 nodes: Some(-1),
-                ..Sizes::times(1.0, None)
+                ..Sizes::scaled(1.0, None)
             },
             "--nodes",
         ),
         (
             Sizes {
                 run: Some(f64::NAN),
-                ..Sizes::times(1.0, None)
+                ..Sizes::scaled(1.0, None)
             },
             "--run",
         ),
-        (Sizes::times(1.0, Some(-1.0)), "--back-s"),
+        (Sizes::scaled(1.0, Some(-1.0)), "--back-s"),
     ] {
         assert!(
-            larger(&site, &sizes).unwrap_err().starts_with(field),
+            vary(&site, &sizes).unwrap_err().starts_with(field),
             "{field}"
         );
     }
@@ -145,10 +145,10 @@
         .parse()
         .unwrap();
     assert_eq!(
-        larger(&odd, &Sizes::times(1.5, None)).unwrap_err(),
+        vary(&odd, &Sizes::scaled(1.5, None)).unwrap_err(),
         "machines.count: not a number"
     );
-    assert!(larger(&Table::new(), &Sizes::times(1.5, None))
+    assert!(vary(&Table::new(), &Sizes::scaled(1.5, None))
         .unwrap_err()
         .contains("name"));
 }
