--- a/crates/xtask/src/digest.rs
+++ b/crates/xtask/src/digest.rs
@@ -1,36 +1,57 @@
 //! Digests of behaviour: random faults and described days are played in the simulation, and all that the
 //! controllers do is hashed. A change that only renames or moves code leaves every line as it was.
 
-use crate::experiment;
+use crate::experiment::{self, ExperimentError};
 use glenmount_simulation::day::{Day, Experiment, Variant};
 use glenmount_simulation::digest::EffectDigest;
 use glenmount_simulation::random_faults::{self, STEPS};
 use glenmount_simulation::{every_use, play, World};
+use std::fmt;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
+use thiserror::Error;
 
 /// Machines at the start of a run of random faults, by seed in turn.
 const SIZES: [usize; 4] = [6, 6, 24, 80];
 /// One run in so many learns run times and uses them.
 const LEARNING_PART: u64 = 5;
 
+/// Plays at once at most.
+const MAX_THREADS: usize = 64;
+
+/// Why there is no digest.
+#[derive(Debug, Error)]
+pub enum DigestError {
+    /// The files of described days can't be read.
+    #[error(transparent)]
+    Experiment(#[from] ExperimentError),
+    /// A day can't be played.
+    #[error("{0}")]
+    Play(String),
+    /// The simulation kept none.
+    #[error("no digest was kept")]
+    Missing,
+}
+
 enum Run {
     RandomFaults { seed: u64, machines: usize },
     Day { day: Box<Day>, variant: Variant },
 }
 
-impl Run {
-    fn name(&self) -> String {
+impl fmt::Display for Run {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Run::RandomFaults { seed, machines } => {
-                format!("random faults, seed {seed}, {machines} machines")
+                write!(f, "random faults, seed {seed}, {machines} machines")
             }
-            Run::Day { day, variant } => format!("day {:?}, {:?}", day.name, variant.name),
+            Run::Day { day, variant } => write!(f, "day {:?}, {:?}", day.name, variant.name),
         }
     }
+}
 
-    fn play(&self) -> Result<EffectDigest, String> {
+impl Run {
+    fn play(&self) -> Result<EffectDigest, DigestError> {
         match self {
             Run::RandomFaults { seed, machines } => {
                 let prepare = |world: &mut World| {
@@ -40,19 +61,24 @@
                     }
                 };
                 let run = random_faults::play_on(*seed, *machines, STEPS, prepare);
-                run.world.digest.ok_or("no digest was kept".into())
+                run.world.digest.ok_or(DigestError::Missing)
             }
             Run::Day { day, variant } => {
                 let digest = Some(EffectDigest::default());
-                let (_, digest) = play::play_digested(day, variant, 1, digest)?;
-                digest.ok_or("no digest was kept".into())
+                let (_, digest) = play::play_digested(day, variant, 1, digest)
+                    .map_err(|e| DigestError::Play(e.to_string()))?;
+                digest.ok_or(DigestError::Missing)
             }
         }
     }
 }
 
 /// Plays runs of random faults from seed 0 on, and the days of some files; a line for each, in order.
-pub fn lines(seeds: u64, days: &[PathBuf], threads: usize) -> Result<Vec<String>, String> {
+///
+/// # Errors
+///
+/// If a file of days can't be read, or a day can't be played.
+pub fn lines(seeds: u64, days: &[PathBuf], threads: usize) -> Result<Vec<String>, DigestError> {
     let sizes = SIZES.iter().cycle();
     let faults = (0..seeds).zip(sizes);
     let mut runs: Vec<Run> = faults
@@ -72,15 +98,15 @@
         }
     }
     let next = AtomicUsize::new(0);
-    let lines = Mutex::new(vec![Ok(String::new()); runs.len()]);
+    let lines = Mutex::new(runs.iter().map(|_| Ok(String::new())).collect::<Vec<_>>());
     std::thread::scope(|scope| {
-        for _ in 0..threads.clamp(1, 64) {
+        for _ in 0..threads.clamp(1, MAX_THREADS) {
             scope.spawn(|| loop {
                 let at = next.fetch_add(1, Ordering::Relaxed);
                 let Some(run) = runs.get(at) else { return };
                 let line = run.play().map(|digest| {
                     let (value, effects) = (digest.value(), digest.effects);
-                    format!("{value:016x} {effects:>8} effects  {}", run.name())
+                    format!("{value:016x} {effects:>8} effects  {run}")
                 });
                 lines.lock().expect("no panic holds it")[at] = line;
             });
--- a/crates/xtask/src/experiment/plot.rs
+++ b/crates/xtask/src/experiment/plot.rs
@@ -1,13 +1,18 @@
 //! Plots of times, a curve for each variant.
 
-use plotters::prelude::*;
+use super::ExperimentError;
+use plotters::prelude::{
+    ChartBuilder, Color, IntoDrawingArea, LineSeries, Palette, Palette99, PathElement, SVGBackend,
+    BLACK, WHITE,
+};
 use std::path::Path;
 
+/// Draws curves of points (milliseconds, share), each with its name.
 pub(super) fn plot(
     path: &Path,
     title: &str,
     curves: &[(String, Vec<(f64, f64)>)],
-) -> Result<(), String> {
+) -> Result<(), ExperimentError> {
     let last = curves.iter().flat_map(|(_, c)| c.last()).map(|p| p.0);
     let most = last.fold(1.0, f64::max);
     let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
@@ -39,5 +44,8 @@
         area.present()?;
         Ok(())
     };
-    drawn().map_err(|e| e.to_string())
+    drawn().map_err(|error| ExperimentError::Plot {
+        path: path.to_path_buf(),
+        problem: error.to_string(),
+    })
 }
--- a/crates/xtask/src/experiment/table.rs
+++ b/crates/xtask/src/experiment/table.rs
@@ -1,12 +1,31 @@
 //! What was played, as text.
 
 use super::Played;
-use glenmount_simulation::measure::Times;
+use glenmount_simulation::measure::{Outcome, Times};
 use std::fmt::Write as _;
 
 /// One row a day and variant, then what was served.
 pub fn table(played: &[Played]) -> String {
     let mut text = String::new();
+    write_header(&mut text);
+    for p in played {
+        write_row(&mut text, p);
+    }
+    for p in played {
+        let _ = writeln!(text, "\n{} ({})", p.day, p.variant);
+        write_totals(&mut text, &p.outcome);
+        write_shares(&mut text, &p.outcome);
+        for failed in p.outcome.failed() {
+            let _ = writeln!(text, "  FAILED: less than half of {failed} was served");
+        }
+        for broken in &p.broken {
+            let _ = writeln!(text, "  BROKEN: {broken}");
+        }
+    }
+    text
+}
+
+fn write_header(text: &mut String) {
     let _ = writeln!(
         text,
         "{:28} {:20} {:>5} {:>7} {:>7} {:>16} {:>16} {:>16} {:>14} {:>12} {:>6} {:>6} {:>7}",
@@ -24,73 +43,81 @@
         "killed",
         "us/ev"
     );
-    for p in played {
-        let o = &p.outcome;
-        let two = |t: &Times| {
-            let s = t.spread();
-            format!("{}/{} ({})", s.p50, s.p99, s.count)
-        };
-        let _ = writeln!(
-            text,
-            "{:28} {:20} {:>5} {:>7.4} {:>7.4} {:>16} {:>16} {:>16} {:>14} {:>12} {:>6} {:>6} {:>7.1}",
-            p.day, p.variant, o.plays, o.up, o.up_worst, two(&o.noticed), two(&o.heard),
-            two(&o.first_claim), two(&o.duty), o.submitted.spread().p99, o.unanswered,
-            o.killed_by_lease, o.us_per_event
-        );
-    }
-    for p in played {
-        let _ = writeln!(text, "\n{} ({})", p.day, p.variant);
-        let o = &p.outcome;
-        let start = |t: &Times| t.spread();
-        let (ready, accepted, claimed) = (start(&o.ready), start(&o.accepted), start(&o.claimed));
-        let _ = writeln!(
+}
+
+fn write_row(text: &mut String, p: &Played) {
+    let o = &p.outcome;
+    let two = |t: &Times| {
+        let s = t.spread();
+        format!("{}/{} ({})", s.p50, s.p99, s.count)
+    };
+    let _ = writeln!(
+        text,
+        "{:28} {:20} {:>5} {:>7.4} {:>7.4} {:>16} {:>16} {:>16} {:>14} {:>12} {:>6} {:>6} {:>7.1}",
+        p.day,
+        p.variant,
+        o.plays,
+        o.up,
+        o.up_worst,
+        two(&o.noticed),
+        two(&o.heard),
+        two(&o.first_claim),
+        two(&o.duty),
+        o.submitted.spread().p99,
+        o.unanswered,
+        o.killed_by_lease,
+        o.us_per_event
+    );
+}
+
+/// Starts of processes, submissions and tasks.
+fn write_totals(text: &mut String, o: &Outcome) {
+    let start = |t: &Times| t.spread();
+    let (ready, accepted, claimed) = (start(&o.ready), start(&o.accepted), start(&o.claimed));
+    let _ = writeln!(
             text,
             "  starts of a process: ready {}/{}, first acceptance {}/{}, first start {}/{} ms (p50/p99 of {})",
             ready.p50, ready.p99, accepted.p50, accepted.p99, claimed.p50, claimed.p99, ready.count
         );
-        let _ = writeln!(
+    let _ = writeln!(
             text,
             "  submissions: {} ({} told to come back, {} unanswered, balancer blind {} ms), most workers at one node {:.2}",
             o.submissions, o.told_later, o.unanswered, o.blind_ms, o.crowded
         );
-        let _ = writeln!(
+    let _ = writeln!(
             text,
             "  tasks: {} started, {} done, {} ended with a lease; {} machines deleted; {} changes, {} conflicts, {} refused; no socket {}",
             o.starts, o.tasks_done, o.killed_by_lease, o.deleted, o.changes, o.conflicts, o.throttled, o.no_socket
         );
-        for (why, (count, ms)) in &o.stops {
-            let _ = writeln!(
-                text,
-                "  stopped, {why}: {count}, after {} s in all",
-                ms / 1_000
-            );
-        }
-        for (name, (service, s)) in &o.classes {
-            let waits = o.waits.get(name).map(Times::spread).unwrap_or_default();
-            let share = s.share(*service);
-            let in_time = match s.with_goal {
-                0 => String::new(),
-                n => format!(", in time {:.3}", f64::from(s.in_time) / f64::from(n)),
-            };
-            let _ = writeln!(
+}
+
+/// Stopped tasks by cause, and what was served of each class and team.
+fn write_shares(text: &mut String, o: &Outcome) {
+    for (why, (count, ms)) in &o.stops {
+        let _ = writeln!(
+            text,
+            "  stopped, {why}: {count}, after {} s in all",
+            ms / 1_000
+        );
+    }
+    for (name, (service, s)) in &o.classes {
+        let waits = o.waits.get(name).map(Times::spread).unwrap_or_default();
+        let share = s.share(*service);
+        let in_time = match s.with_goal {
+            0 => String::new(),
+            n => format!(", in time {:.3}", f64::from(s.in_time) / f64::from(n)),
+        };
+        let _ = writeln!(
                 text,
                 "  class {name}: {} jobs, {} started, {} done, {share:.3} of its tasks served{in_time}; first task after {}/{}/{} ms (p50/p90/p99)",
                 s.jobs, s.started, s.done, waits.p50, waits.p90, waits.p99
             );
-        }
-        for (name, s) in &o.teams {
-            let _ = writeln!(
-                text,
-                "  team {name}: {} jobs, {} started, {} done",
-                s.jobs, s.started, s.done
-            );
-        }
-        for failed in o.failed() {
-            let _ = writeln!(text, "  FAILED: less than half of {failed} was served");
-        }
-        for broken in &p.broken {
-            let _ = writeln!(text, "  BROKEN: {broken}");
-        }
     }
-    text
+    for (name, s) in &o.teams {
+        let _ = writeln!(
+            text,
+            "  team {name}: {} jobs, {} started, {} done",
+            s.jobs, s.started, s.done
+        );
+    }
 }
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,24 +1,26 @@
 //! `cargo run -p xtask -- regress ...`: the regression set in one command.
 
-use bench::Bench;
-use clap::{Parser, Subcommand};
+use bench::{Bench, BenchError};
+use clap::{Args, Parser, Subcommand};
 use std::collections::BTreeSet;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use xtask::baseline::Base;
-use xtask::comparison::{rows, table, ComparisonRow, TABLE};
-use xtask::digest;
-use xtask::experiment;
-use xtask::journal::{self, Entry, HashedEntry};
-use xtask::known_red;
-use xtask::regression_set::RegressionSet;
-use xtask::site_variant;
+use thiserror::Error;
+use xtask::baseline::{Base, BaselineError};
+use xtask::comparison::{rows, table, ComparisonRow, TemplateError, TABLE};
+use xtask::digest::{self, DigestError};
+use xtask::experiment::{self, ExperimentError};
+use xtask::journal::{self, Entry, HashedEntry, JournalError};
+use xtask::known_red::{self, KnownRedError};
+use xtask::regression_set::{MissingSite, RegressionSet};
+use xtask::site_variant::{self, SiteVariantError};
 
 mod bench;
 
 #[derive(Parser)]
 #[command(version, about)]
-struct Args {
+struct Cli {
     /// The bench's journal
     #[arg(long, global = true, default_value = "journal")]
     journal: PathBuf,
@@ -32,31 +34,7 @@
 #[derive(Subcommand)]
 enum Command {
     /// Plays a set on the bench, then compares what it left in the journal with the base
-    Regress {
-        /// What is played
-        set: RegressionSet,
-        /// The bench's program
-        #[arg(long)]
-        bench: PathBuf,
-        /// The users' kit, which has the site files
-        #[arg(long)]
-        kit: PathBuf,
-        /// Said in the journal: tried, expected
-        #[arg(long)]
-        why: String,
-        /// The two roughest days of each site only
-        #[arg(long)]
-        quick: bool,
-        /// Days of each site's hunt with the full set
-        #[arg(long, default_value_t = 4)]
-        hunt: u32,
-        /// How often a day that fell is played again before it counts: its mean is compared
-        #[arg(long, default_value_t = 2)]
-        again: u32,
-        /// A template for the table instead of the usual one
-        #[arg(long)]
-        template: Option<PathBuf>,
-    },
+    Regress(RegressArguments),
     /// Plays runs in the simulation and prints a digest of all that the controllers did in each
     Digest {
         /// Runs of random faults
@@ -118,8 +96,60 @@
     },
 }
 
+#[derive(Args)]
+struct RegressArguments {
+    /// What is played
+    set: RegressionSet,
+    /// The bench's program
+    #[arg(long)]
+    bench: PathBuf,
+    /// The users' kit, which has the site files
+    #[arg(long)]
+    kit: PathBuf,
+    /// Said in the journal: tried, expected
+    #[arg(long)]
+    why: String,
+    /// The two roughest days of each site only
+    #[arg(long)]
+    quick: bool,
+    /// Days of each site's hunt with the full set
+    #[arg(long, default_value_t = 4)]
+    hunt: u32,
+    /// How often a day that fell is played again before it counts: its mean is compared
+    #[arg(long, default_value_t = 2)]
+    again: u32,
+    /// A template for the table instead of the usual one
+    #[arg(long)]
+    template: Option<PathBuf>,
+}
+
+/// Why a command failed. Messages name the flag, file or field at fault.
+#[derive(Debug, Error)]
+enum XtaskError {
+    #[error(transparent)]
+    Baseline(#[from] BaselineError),
+    #[error(transparent)]
+    Bench(#[from] BenchError),
+    #[error(transparent)]
+    Digest(#[from] DigestError),
+    #[error(transparent)]
+    Experiment(#[from] ExperimentError),
+    #[error(transparent)]
+    Journal(#[from] JournalError),
+    #[error(transparent)]
+    KnownRed(#[from] KnownRedError),
+    #[error(transparent)]
+    MissingSite(#[from] MissingSite),
+    #[error(transparent)]
+    SiteVariant(#[from] SiteVariantError),
+    #[error("--template: {0}")]
+    TemplateFile(io::Error),
+    #[error(transparent)]
+    Template(#[from] TemplateError),
+}
+
 fn main() -> ExitCode {
-    match run(Args::parse()) {
+    match run(Cli::parse()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
@@ -130,7 +160,7 @@
 }
 
 /// Whether nothing failed.
-fn run(args: Args) -> Result<bool, String> {
+fn run(args: Cli) -> Result<bool, XtaskError> {
     match args.command {
         Command::Base { ids } => {
             let base = Base::of(&named(&args.journal, &ids)?)?;
@@ -180,66 +210,58 @@
             let sites: Vec<String> = sites.into_iter().collect();
             show(&rows(&base, &sites, &entries), template.as_deref())
         }
-        Command::Regress {
-            set,
-            bench,
-            kit,
-            why,
-            quick,
-            hunt,
-            again,
-            template,
-        } => {
-            let base = confirmed(&args.base, &args.journal)?;
-            let sites = set.sites(&kit)?;
-            let names: Vec<String> = sites.iter().map(|s| RegressionSet::name(s)).collect();
-            let mut bench = Bench {
-                program: bench,
-                journal: args.journal,
-                why,
-                entries: Vec::new(),
-            };
-            let mut score: Vec<&str> = sites.iter().filter_map(|s| s.to_str()).collect();
-            score.extend(quick.then_some("--quick"));
-            bench.play("score", &score)?;
-            for site in sites
-                .iter()
-                .filter(|_| set == RegressionSet::Full && hunt > 0)
-            {
-                let days = hunt.to_string();
-                let site = site.to_string_lossy();
-                bench.play("hunt", &[&*site, "--days", &days])?;
-            }
-            for _ in 0..again {
-                for row in rows(&base, &names, &bench.entries) {
-                    let site = sites.iter().find(|s| RegressionSet::name(s) == row.site);
-                    if let (true, Some(site), true) = (row.fell, site, row.what != "score") {
-                        let site = site.to_string_lossy();
-                        bench.play("run", &[&*site, &row.what])?;
-                    }
-                }
+        Command::Regress(arguments) => regress(&args.base, args.journal, arguments),
+    }
+}
+
+/// Plays a set, and days that fell again; whether nothing failed.
+fn regress(base: &Path, journal: PathBuf, args: RegressArguments) -> Result<bool, XtaskError> {
+    let base = confirmed(base, &journal)?;
+    let sites = args.set.sites(&args.kit)?;
+    let names: Vec<String> = sites.iter().map(|s| RegressionSet::name(s)).collect();
+    let mut bench = Bench {
+        program: args.bench,
+        journal,
+        why: args.why,
+        entries: Vec::new(),
+    };
+    let mut score: Vec<&str> = sites.iter().filter_map(|s| s.to_str()).collect();
+    score.extend(args.quick.then_some("--quick"));
+    bench.play("score", &score)?;
+    if args.set == RegressionSet::Full && args.hunt > 0 {
+        let days = args.hunt.to_string();
+        for site in &sites {
+            bench.play("hunt", &[&*site.to_string_lossy(), "--days", &days])?;
+        }
+    }
+    for _ in 0..args.again {
+        for row in rows(&base, &names, &bench.entries) {
+            let site = sites.iter().find(|s| RegressionSet::name(s) == row.site);
+            if let (true, Some(site), true) = (row.fell, site, row.what != "score") {
+                bench.play("run", &[&*site.to_string_lossy(), &row.what])?;
             }
-            show(&rows(&base, &names, &bench.entries), template.as_deref())
         }
     }
+    let rows = rows(&base, &names, &bench.entries);
+    show(&rows, args.template.as_deref())
 }
 
-fn show(rows: &[ComparisonRow], template: Option<&Path>) -> Result<bool, String> {
+fn show(rows: &[ComparisonRow], template: Option<&Path>) -> Result<bool, XtaskError> {
     let text = match template {
-        Some(path) => std::fs::read_to_string(path).map_err(|e| format!("--template: {e}"))?,
+        Some(path) => std::fs::read_to_string(path).map_err(XtaskError::TemplateFile)?,
         None => TABLE.to_string(),
     };
     print!("{}", table(rows, &text)?);
     Ok(!rows.is_empty() && rows.iter().all(|r| r.fails.is_none()))
 }
 
-fn confirmed(base: &Path, journal: &Path) -> Result<Base, String> {
+fn confirmed(base: &Path, journal: &Path) -> Result<Base, BaselineError> {
     let known = Base::read(base)?;
     known.confirm(journal)?;
     Ok(known)
 }
 
-fn named(journal: &Path, ids: &[String]) -> Result<Vec<HashedEntry>, String> {
+fn named(journal: &Path, ids: &[String]) -> Result<Vec<HashedEntry>, JournalError> {
     let one = |id: &String| journal::read(&journal::find(journal, id)?);
     ids.iter().map(one).collect()
 }
--- a/crates/xtask/src/regression_set.rs
+++ b/crates/xtask/src/regression_set.rs
@@ -1,7 +1,14 @@
 //! What is played when: sites by their files under the users' kit.
 
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
+/// A site file that the users' kit does not have.
+#[derive(Debug, Error)]
+#[error("--kit: no site file {}", .0.display())]
+pub struct MissingSite(pub PathBuf);
+
+/// A set of sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum RegressionSet {
     /// The two large fleets: before what touches storage, membership, timers or messages.
@@ -31,8 +38,12 @@
 ];
 
 impl RegressionSet {
-    /// Site files, each of which must exist.
-    pub fn sites(self, kit: &Path) -> Result<Vec<PathBuf>, String> {
+    /// Site files.
+    ///
+    /// # Errors
+    ///
+    /// The first that does not exist.
+    pub fn sites(self, kit: &Path) -> Result<Vec<PathBuf>, MissingSite> {
         let names: Vec<&str> = match self {
             RegressionSet::Fleet => FLEET.to_vec(),
             RegressionSet::Operators => OPERATORS.to_vec(),
@@ -43,7 +54,7 @@
         sites
             .map(|path| match path.is_file() {
                 true => Ok(path),
-                false => Err(format!("--kit: no site file {}", path.display())),
+                false => Err(MissingSite(path)),
             })
             .collect()
     }
--- a/crates/xtask/src/site_variant/division.rs
+++ b/crates/xtask/src/site_variant/division.rs
@@ -1,6 +1,7 @@
 //! Other numbers of zones and teams, over which what the file has is divided.
 
 use super::values::{list, nodes_of, number};
+use super::SiteVariantError;
 use toml::{Table, Value};
 
 /// How many times its even share a team may use at most, when there are more teams than in the file.
@@ -9,9 +10,9 @@
 const MIN_LIMIT_CPUS: f64 = 200.0;
 
 /// As many zones, the file's own first, with the machines of each type spread evenly over them.
-pub(super) fn spread_over_zones(site: &mut Table, count: usize) -> Result<(), String> {
+pub(super) fn spread_over_zones(site: &mut Table, count: usize) -> Result<(), SiteVariantError> {
     let zones = nodes_of(site)?.get("zones").and_then(Value::as_array);
-    let zones = zones.ok_or("nodes.zones: missing")?;
+    let zones = zones.ok_or(SiteVariantError::Missing("nodes.zones"))?;
     let mut zones: Vec<String> = zones
         .iter()
         .filter_map(|zone| zone.as_str().map(String::from))
--- a/crates/xtask/src/site_variant/mod.rs
+++ b/crates/xtask/src/site_variant/mod.rs
@@ -3,24 +3,31 @@
 //! repository, since they are the users'.
 
 mod division;
+mod error;
 mod scaling;
 mod sizes;
 mod values;
 
+pub use error::SiteVariantError;
 pub use sizes::Sizes;
 
+use crate::file_error::FileError;
 use division::{divide_teams, spread_over_zones};
 use scaling::{scale_arrays, scale_site};
 use std::path::{Path, PathBuf};
 use toml::{Table, Value};
 use values::nodes_of;
 
-/// The site with everything that grows grown; says which field is not a number.
-pub fn vary(site: &Table, sizes: &Sizes) -> Result<Table, String> {
+/// The site with everything that grows grown.
+///
+/// # Errors
+///
+/// If the sizes make no sense, or a field of the site is missing or not a number.
+pub fn vary(site: &Table, sizes: &Sizes) -> Result<Table, SiteVariantError> {
     sizes.check()?;
     let mut site = site.clone();
     let name = site.get("name").and_then(Value::as_str);
-    let name = name.ok_or("name: missing")?.to_string();
+    let name = name.ok_or(SiteVariantError::Missing("name"))?.to_string();
     site.insert("name".into(), format!("{name}{}", sizes.suffix()).into());
     if let Some(seconds) = sizes.back_s {
         nodes_of(&mut site)?.insert("restart_delay_s".into(), seconds.into());
@@ -44,24 +51,30 @@
     Ok(site)
 }
 
-/// Writes the variant and the page of messages that it names into a folder.
-pub fn write(path: &Path, sizes: &Sizes, out: &Path) -> Result<PathBuf, String> {
-    let at = |p: &Path, e: &dyn std::fmt::Display| format!("{}: {e}", p.display());
-    let text = std::fs::read_to_string(path).map_err(|e| at(path, &e))?;
-    let site: Table = text.parse().map_err(|e| at(path, &e))?;
-    let variant = vary(&site, sizes).map_err(|e| at(path, &e))?;
-    std::fs::create_dir_all(out).map_err(|e| at(out, &e))?;
+/// Writes the variant and the page of messages that it names into a folder. Returns the variant's path.
+///
+/// # Errors
+///
+/// Names the file that can't be read or written, or of which no variant can be made.
+pub fn write(path: &Path, sizes: &Sizes, out: &Path) -> Result<PathBuf, SiteVariantError> {
+    let text = std::fs::read_to_string(path).map_err(FileError::at(path))?;
+    let site: Table = text.parse().map_err(|source| SiteVariantError::Toml {
+        path: path.to_path_buf(),
+        source,
+    })?;
+    let variant = vary(&site, sizes).map_err(|source| SiteVariantError::Site {
+        path: path.to_path_buf(),
+        source: Box::new(source),
+    })?;
+    std::fs::create_dir_all(out).map_err(FileError::at(out))?;
     if let Some(wire) = site.get("wire").and_then(Value::as_str) {
         let (from, to) = (path.with_file_name(wire), out.join(wire));
-        let bytes = std::fs::read(&from).map_err(|e| at(&from, &e))?;
-        std::fs::write(&to, bytes).map_err(|e| at(&to, &e))?;
+        let bytes = std::fs::read(&from).map_err(FileError::at(&from))?;
+        std::fs::write(&to, bytes).map_err(FileError::at(&to))?;
     }
-    let name = variant
-        .get("name")
-        .and_then(Value::as_str)
-        .unwrap_or("site");
-    let to = out.join(format!("{name}.toml"));
-    let text = toml::to_string(&variant).map_err(|e| e.to_string())?;
-    std::fs::write(&to, text).map_err(|e| at(&to, &e))?;
+    let name = variant.get("name").and_then(Value::as_str);
+    let to = out.join(format!("{}.toml", name.unwrap_or("site")));
+    let text = toml::to_string(&variant)?;
+    std::fs::write(&to, text).map_err(FileError::at(&to))?;
     Ok(to)
 }
--- a/crates/xtask/src/site_variant/scaling.rs
+++ b/crates/xtask/src/site_variant/scaling.rs
@@ -1,6 +1,7 @@
 //! What grows by a factor.
 
 use super::values::{list, scale};
+use super::SiteVariantError;
 use toml::{Table, Value};
 
 /// What is multiplied: lists of the site file, and fields of their entries.
@@ -12,7 +13,8 @@
     ("arrivals", &["rate"]),
 ];
 
-pub(super) fn scale_site(site: &mut Table, factor: f64) -> Result<(), String> {
+/// Multiplies all that grows with a site.
+pub(super) fn scale_site(site: &mut Table, factor: f64) -> Result<(), SiteVariantError> {
     for (name, fields) in SCALED_FIELDS {
         // Arrivals stand with each class of jobs.
         let entries = match name {
@@ -30,7 +32,7 @@
             for field in fields {
                 let value = entry.get_mut(*field);
                 if value.is_some_and(|value| !scale(value, factor)) {
-                    return Err(format!("{name}.{field}: not a number"));
+                    return Err(SiteVariantError::NotANumber(format!("{name}.{field}")));
                 }
             }
         }
@@ -39,7 +41,11 @@
 }
 
 /// Sizes of arrays times a factor: medians, quantiles and bounds of a distribution.
-pub(super) fn scale_arrays(site: &mut Table, field: &str, factor: f64) -> Result<(), String> {
+pub(super) fn scale_arrays(
+    site: &mut Table,
+    field: &str,
+    factor: f64,
+) -> Result<(), SiteVariantError> {
     for job in list(site, "jobs") {
         let is_array = job.get("kind").and_then(Value::as_str) == Some("array");
         let distribution = job.get_mut(field).and_then(Value::as_table_mut);
@@ -48,7 +54,8 @@
         };
         for (part, value) in distribution {
             if !scale(value, factor) {
-                return Err(format!("jobs.{field}.{part}: not a number"));
+                let field = format!("jobs.{field}.{part}");
+                return Err(SiteVariantError::NotANumber(field));
             }
         }
     }
--- a/crates/xtask/src/site_variant/sizes.rs
+++ b/crates/xtask/src/site_variant/sizes.rs
@@ -1,9 +1,13 @@
 //! What a variant of a site is to be, from the command line.
 
+use super::SiteVariantError;
 use std::ops::RangeInclusive;
 
 /// Factors that make sense: a tenth to ten times.
 const FACTOR_RANGE: RangeInclusive<f64> = 0.1..=10.0;
+/// Seconds to a restart at most.
+pub(super) const MAX_BACK_S: f64 = 600.0;
+
 /// What a variant of a site is to be.
 #[derive(Clone, Copy, Debug, clap::Args)]
 pub struct Sizes {
@@ -44,16 +48,16 @@
         }
     }
 
-    pub(super) fn check(&self) -> Result<(), String> {
+    pub(super) fn check(&self) -> Result<(), SiteVariantError> {
         let factors = [
             ("--factor", Some(self.factor)),
             ("--tasks", self.tasks),
             ("--run", self.run),
         ];
-        for (name, factor) in factors {
+        for (flag, factor) in factors {
             let factor = factor.unwrap_or(1.0);
             if !FACTOR_RANGE.contains(&factor) {
-                return Err(format!("{name}: {factor} is not from 0.1 to 10"));
+                return Err(SiteVariantError::Factor { flag, factor });
             }
         }
         let counts = [
@@ -61,17 +65,18 @@
             ("--teams", self.teams, 2_000),
             ("--nodes", self.nodes.map(|n| n.max(0) as usize), 64),
         ];
-        for (name, count, most) in counts {
+        for (flag, count, max) in counts {
             let count = count.unwrap_or(1);
-            if !(1..=most).contains(&count) {
-                return Err(format!("{name}: {count} is not from 1 to {most}"));
+            if !(1..=max).contains(&count) {
+                return Err(SiteVariantError::Count { flag, count, max });
             }
         }
-        if !(0.0..=600.0).contains(&self.back_s.unwrap_or(0.0)) {
-            let back_s = self.back_s.unwrap_or(0.0);
-            return Err(format!("--back-s: {back_s} is not from 0 to 600"));
+        match self.back_s {
+            Some(back_s) if !(0.0..=MAX_BACK_S).contains(&back_s) => {
+                Err(SiteVariantError::BackSeconds(back_s))
+            }
+            _ => Ok(()),
         }
-        Ok(())
     }
 
     /// What the variant's name ends with.
--- a/crates/xtask/tests/comparison.rs
+++ b/crates/xtask/tests/comparison.rs
@@ -89,7 +89,7 @@
         [("rough", "only 0.49 of team red was served")]
     );
     let absurd = parse(served(1.5).to_string().as_bytes());
-    assert!(absurd.unwrap_err().contains("served, team red"));
+    assert!(absurd.unwrap_err().to_string().contains("served, team red"));
 }
 
 #[test]
@@ -172,10 +172,14 @@
     let mut broken = day("rough", 0.0);
     broken["rules"] = json!({"quota": 1});
     let broken = run(&entry("a", "south", 0.5, vec![broken]));
-    assert!(Base::of(&[broken]).unwrap_err().contains("rough"));
+    assert!(Base::of(&[broken])
+        .unwrap_err()
+        .to_string()
+        .contains("rough"));
     let fine = run(&entry("a", "south", 0.5, vec![]));
     assert!(Base::of(&[fine.clone(), fine])
         .unwrap_err()
+        .to_string()
         .contains("twice"));
     for bad in [json!({"id": "a"}), entry("a", "south", 1.5, vec![])] {
         assert!(parse(bad.to_string().as_bytes()).is_err());
--- a/crates/xtask/tests/known_red.rs
+++ b/crates/xtask/tests/known_red.rs
@@ -1,6 +1,6 @@
 //! The list of tests that are known to fail: which lists are refused, and what passes with one.
 
-use xtask::known_red::{judge, parse_list, parse_output, KnownFailure};
+use xtask::known_red::{judge, parse_list, parse_output, KnownFailure, KnownRedError};
 
 const ONE: &str = "glenmount-core/meetings/late, answers overlap, issue 37";
 
@@ -17,7 +17,11 @@
     )
 }
 
-fn judged(listed: &[KnownFailure], output: &str, succeeded: bool) -> Result<Vec<String>, String> {
+fn judged(
+    listed: &[KnownFailure],
+    output: &str,
+    succeeded: bool,
+) -> Result<Vec<String>, KnownRedError> {
     judge(listed, &[parse_output("glenmount-core", output, succeeded)])
 }
 
@@ -42,7 +46,7 @@
             "line 4: at most 3 tests may be listed",
         ),
     ] {
-        assert_eq!(parse_list(text).unwrap_err(), why, "{text}");
+        assert_eq!(parse_list(text).unwrap_err().to_string(), why, "{text}");
     }
 }
 
@@ -55,12 +59,16 @@
     );
     let lines = judged(&one(), &output("ok", "ok"), true).unwrap();
     assert!(lines[0].contains(": passed;"), "{lines:?}");
-    let why = judged(&one(), &output("FAILED", "FAILED"), false).unwrap_err();
+    let why = judged(&one(), &output("FAILED", "FAILED"), false)
+        .unwrap_err()
+        .to_string();
     assert_eq!(
         why,
         "glenmount-core/meetings/late_too failed and is not listed"
     );
-    let why = judged(&[], &output("FAILED", "ok"), false).unwrap_err();
+    let why = judged(&[], &output("FAILED", "ok"), false)
+        .unwrap_err()
+        .to_string();
     assert_eq!(why, "glenmount-core/meetings/late failed and is not listed");
 }
 
@@ -73,7 +81,9 @@
         "glenmount/meetings/late",
     ] {
         let failures = parse_list(&format!("{listed}, cause, issue")).unwrap();
-        let why = judged(&failures, &output("ok", "ok"), true).unwrap_err();
+        let why = judged(&failures, &output("ok", "ok"), true)
+            .unwrap_err()
+            .to_string();
         assert_eq!(why, format!("{listed} is listed and does not exist"));
     }
 }
@@ -81,14 +91,16 @@
 #[test]
 fn what_did_not_run_to_its_end_fails() {
     let crashed = output("FAILED", "ok").replace("test result: FAILED. 1 passed; 1 failed\n", "");
-    let why = judged(&one(), &crashed, false).unwrap_err();
+    let why = judged(&one(), &crashed, false).unwrap_err().to_string();
     assert_eq!(why, "meetings ended without a result");
-    let why = judged(&one(), &output("ok", "ok"), false).unwrap_err();
+    let why = judged(&one(), &output("ok", "ok"), false)
+        .unwrap_err()
+        .to_string();
     assert_eq!(why, "cargo test failed, though no test did");
     // Nor may another package that was not built hide behind a listed failure.
     let known = parse_output("glenmount-core", &output("FAILED", "ok"), false);
     let unbuilt = parse_output("p", "error: could not compile", false);
     assert!(unbuilt.tests.is_empty());
-    let why = judge(&one(), &[known, unbuilt]).unwrap_err();
+    let why = judge(&one(), &[known, unbuilt]).unwrap_err().to_string();
     assert_eq!(why, "cargo test failed, though no test did");
 }
--- a/crates/xtask/tests/site_variant.rs
+++ b/crates/xtask/tests/site_variant.rs
@@ -102,7 +102,9 @@
 #[test]
 fn what_makes_no_sense_is_named() {
     let site = site();
-    let none = vary(&site, &Sizes::scaled(0.0, None)).unwrap_err();
+    let none = vary(&site, &Sizes::scaled(0.0, None))
+        .unwrap_err()
+        .to_string();
     assert!(none.contains("--factor"));
     for (sizes, field) in [
         (
@@ -136,7 +138,10 @@
         (Sizes::scaled(1.0, Some(-1.0)), "--back-s"),
     ] {
         assert!(
-            vary(&site, &sizes).unwrap_err().starts_with(field),
+            vary(&site, &sizes)
+                .unwrap_err()
+                .to_string()
+                .starts_with(field),
             "{field}"
         );
     }
@@ -145,10 +150,13 @@
         .parse()
         .unwrap();
     assert_eq!(
-        vary(&odd, &Sizes::scaled(1.5, None)).unwrap_err(),
+        vary(&odd, &Sizes::scaled(1.5, None))
+            .unwrap_err()
+            .to_string(),
         "machines.count: not a number"
     );
     assert!(vary(&Table::new(), &Sizes::scaled(1.5, None))
         .unwrap_err()
+        .to_string()
         .contains("name"));
 }
