--- a/crates/core/src/configuration/rollout.rs
+++ b/crates/core/src/configuration/rollout.rs
@@ -3,7 +3,7 @@
 
 use crate::configuration::{ConfigurationEnabledRecord, ObservedVersionRecord, Taken};
 use crate::controller::{Controller, PendingOperation, RequestClass};
-use crate::scheduling::placement::CachedQueueOrder;
+use crate::scheduling::deferral::CachedQueueOrder;
 use crate::state::formats;
 use crate::state::{Key, Record, TransactionBuilder};
 
--- a/crates/core/src/provisioning/demand.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -6,7 +6,7 @@
 };
 use crate::model::{JobKind, JobSpec, MachineType, Resources, WallMs};
 use crate::scheduling::claims::zone_room;
-use crate::scheduling::placement::PendingWork;
+use crate::scheduling::pending_work::PendingWork;
 use crate::state::{
     offer_key, MachinePhase, MachineRecord, ProvisioningRecord, StateCache, ZoneSpreadRecord,
 };
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -10,10 +10,13 @@
 use crate::jobs::dependencies::{self, InheritedPriority};
 use crate::model::{JobKind, JobPriority, JobSpec, Millis, Resources, TaskId};
 use crate::provisioning::demand;
+use crate::scheduling::candidates::{self, Candidate};
 use crate::scheduling::claims;
-use crate::scheduling::placement::{self, Candidate, RunTimes};
+use crate::scheduling::pending_work::{self, PendingWork, RunTimes};
+use crate::scheduling::placement;
 use crate::scheduling::preemption;
 use crate::scheduling::rescheduling::{self, Reason, Wish};
+use crate::scheduling::service_reserve;
 use crate::state::{
     Assignment, InstanceRequestRecord, Key, MachinePhase, MachineRecord, Placed, Record,
     TransactionBuilder,
@@ -55,7 +58,7 @@
             least: &least,
             before_due: &|job| self.start_before_ms(job),
         };
-        let mut work = placement::waiting(
+        let mut work = pending_work::waiting(
             &self.cache,
             &self.settings,
             &pulls,
@@ -69,7 +72,7 @@
         if work.is_empty() {
             return;
         }
-        let least = placement::least_need(&work);
+        let least = candidates::least_need(&work);
         let mut machines: Vec<Candidate> = Vec::new();
         for (id, m, _) in self.cache.machines() {
             let Some(kind) = self.machine_types.get(&m.type_name) else {
@@ -177,7 +180,7 @@
     /// there is room after all.
     fn hold_for_images(
         &self,
-        work: &mut [placement::PendingWork],
+        work: &mut [PendingWork],
         pulls: &HashMap<String, InheritedPriority>,
     ) -> Millis {
         let usable = |id: &str| self.usable(id);
@@ -220,11 +223,7 @@
     }
 
     /// Stops work of lower rank for what found no room.
-    fn preempt(
-        &mut self,
-        work: &[placement::PendingWork],
-        pulls: &HashMap<String, InheritedPriority>,
-    ) {
+    fn preempt(&mut self, work: &[PendingWork], pulls: &HashMap<String, InheritedPriority>) {
         if work.is_empty()
             || !self.may_write()
             || self.now < self.scheduling.last_preemption_at + PREEMPT_GAP_MS
@@ -232,14 +231,14 @@
             return;
         }
         // Urgent work is not kept waiting; other work waits a little for room to come by itself.
-        let after = |w: &placement::PendingWork| match w.own_rank {
+        let after = |w: &PendingWork| match w.own_rank {
             _ if w.warm_only => Some(0),
             JobPriority::High | JobPriority::Production => Some(PREEMPT_AFTER_MS),
             JobPriority::Normal => Some(PREEMPT_LATER_MS),
             JobPriority::Low => Some(PREEMPT_LATER_MS).filter(|_| w.within),
         };
         let mut next = Millis::MAX;
-        let mut ripe: Vec<placement::PendingWork> = Vec::new();
+        let mut ripe: Vec<PendingWork> = Vec::new();
         for w in work {
             let Some(at) = after(w).map(|ms| w.at + ms) else {
                 continue;
@@ -276,7 +275,7 @@
                 return priority;
             }
             let at = self.cache.job(id).map_or(0, |j| self.cache.ready_at(j));
-            match placement::begins_late(&self.cache, &self.settings, id, at, self.wall) {
+            match pending_work::begins_late(&self.cache, &self.settings, id, at, self.wall) {
                 Some(_) => JobPriority::High,
                 None => priority,
             }
@@ -286,7 +285,7 @@
         let spared = |task: &TaskId, attempt: u64| {
             spares && self.about_to_end(task, attempt, SPARED_MS, SPARED_CHANCE)
         };
-        let open = placement::reserve_open(work, self.wall);
+        let open = service_reserve::reserve_open(work, self.wall);
         let stops = preemption::victims(site, &ripe, usable, age, priority, spared, open);
         let mut draft = TransactionBuilder::new(&self.cache);
         let mut chosen = Vec::new();
@@ -322,7 +321,7 @@
         self.log_oversized(large);
     }
 
-    pub(crate) fn scale_out(&mut self, work: &[placement::PendingWork]) {
+    pub(crate) fn scale_out(&mut self, work: &[PendingWork]) {
         // What is wanted while requests are under way goes into the next ones together: the
         // cloud takes few calls, and a call brings up to 50 machines.
         if work.is_empty()
@@ -559,7 +558,7 @@
                 })
                 .map(|(at, m, _)| match self.cache.has_image(at, &spec.image) {
                     true => 0.0,
-                    false => placement::fetch_ms(&self.machine_types, m, spec) as f64 / 1e3,
+                    false => candidates::fetch_ms(&self.machine_types, m, spec) as f64 / 1e3,
                 })
                 .min_by(f64::total_cmp);
             let Some(fetch_s) = fetch_s else { continue };
--- a/crates/core/src/scheduling/preemption.rs
+++ b/crates/core/src/scheduling/preemption.rs
@@ -4,7 +4,7 @@
 use crate::constants::{PREEMPT_TASKS, PREEMPT_WASTE_MS};
 use crate::model::{JobKind, JobPriority, JobSpec, MachineType, Millis, Resources, TaskId};
 use crate::scheduling::claims::zone_room;
-use crate::scheduling::placement::PendingWork;
+use crate::scheduling::pending_work::PendingWork;
 use crate::settings::Settings;
 use crate::state::{MachinePhase, MachineRecord, StateCache};
 use foldhash::HashMap;
--- a/crates/core/src/scheduling/schedule.rs
+++ b/crates/core/src/scheduling/schedule.rs
@@ -1,7 +1,7 @@
 //! When the next scheduling pass is due, and what earlier ones left.
 
 use crate::model::Millis;
-use crate::scheduling::placement::CachedQueueOrder;
+use crate::scheduling::deferral::CachedQueueOrder;
 use crate::scheduling::rescheduling::Moves;
 
 /// When the next scheduling pass is due, and what earlier ones left.
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -8,7 +8,7 @@
 use crate::jobs::dependencies;
 use crate::model::{JobKind, JobPriority, JobSpec, Resources, TaskId, WallMs};
 use crate::scheduling::claims;
-use crate::scheduling::placement::PendingWork;
+use crate::scheduling::pending_work::PendingWork;
 use crate::state::{
     Assignment, MachinePhase, MachineRecord, Placed, TransactionBuilder, ZoneSpreadRecord,
 };
