--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -1,4 +1,4 @@
-//! Dealings with the cloud: its types and lists, instance requests and deletions under way.
+//! Requests to the cloud: its machine types and instance lists, instance requests and deletions under way.
 
 use crate::constants::{
     CONTROLLER_STAGGER_MS, DELETE_MAX, DELETE_RETRY_MS, INSTANCE_LIST_INTERVAL_MS,
@@ -7,56 +7,55 @@
 use crate::controller::{
     CloudOperation, CloudResponse, Controller, OperationId, PendingOperation, RequestClass,
 };
-use crate::model::{CloudInstance, CloudInstanceState, MachineType};
+use crate::model::{CloudInstance, CloudInstanceState, MachineType, Millis};
 use crate::state::formats;
 use crate::state::{
-    InstanceRequestRecord, Key, MachinePhase, MachineRecord, MachineTypesRecord, Record,
-    TransactionBuilder,
+    InstanceRequestRecord, Key, MachinePhase, MachineRecord, MachineTypesRecord,
+    ProvisioningRecord, Record, TransactionBuilder,
 };
 use std::collections::BTreeSet;
 
 impl Controller {
-    pub(crate) fn handle_cloud_response(&mut self, token: OperationId, answer: CloudResponse) {
+    /// Handles the cloud's answer to a request, or that it failed.
+    pub(crate) fn handle_cloud_response(&mut self, token: OperationId, response: CloudResponse) {
         let Some((purpose, _)) = self.operations.outstanding.remove(&token) else {
             return;
         };
-        match (purpose, answer) {
-            (PendingOperation::MachineTypes, answer) => {
+        match (purpose, response) {
+            (PendingOperation::MachineTypes, response) => {
                 self.provisioning.machine_types_in_flight = false;
-                if let CloudResponse::Types(machine_types) = answer {
+                if let CloudResponse::Types(machine_types) = response {
                     self.provisioning.machine_types_read_at = Some(self.now);
                     self.use_machine_types(&machine_types);
                     self.store_machine_types(machine_types);
                 }
             }
-            (PendingOperation::Instances, answer) => {
+            (PendingOperation::Instances, response) => {
                 self.provisioning.instance_list_in_flight = false;
-                if let CloudResponse::Instances { instances, more } = answer {
-                    let last = instances.last().map(|h| h.name.clone());
-                    self.take_instance_list(instances);
+                if let CloudResponse::Instances { instances, more } = response {
+                    let last = instances.last().map(|instance| instance.name.clone());
+                    self.reconcile_instances(instances);
                     if more {
                         self.provisioning.instance_list_in_flight = true;
-                        self.send_to_cloud(
-                            CloudOperation::List { after: last },
-                            PendingOperation::Instances,
-                        );
+                        let next_page = CloudOperation::List { after: last };
+                        self.send_to_cloud(next_page, PendingOperation::Instances);
                     }
                 }
             }
-            (PendingOperation::Provision(n), answer) => {
+            (PendingOperation::Provision(n), response) => {
                 self.provisioning.request_tried_at.insert(n, self.now);
                 self.provisioning.requests_in_flight.remove(&n);
-                match answer {
+                match response {
                     CloudResponse::Provisioned(instances) => self.record_provisioned(n, instances),
                     CloudResponse::NoCapacity => self.record_provisioned(n, Vec::new()),
                     _ => {}
                 }
             }
-            (PendingOperation::Deprovision(machines), answer) => {
+            (PendingOperation::Deprovision(machines), response) => {
                 self.provisioning.deletion_in_flight = false;
-                if answer == CloudResponse::Deleted {
+                if response == CloudResponse::Deleted {
                     for id in machines {
-                        tracing::info!(machine = id, "deleted");
+                        tracing::info!(machine = id, "machine deleted");
                         self.provisioning.deletion_confirmed.insert(id);
                     }
                 }
@@ -65,36 +64,27 @@
         }
     }
 
+    /// Places and provisions by these machine types from now on.
     pub(crate) fn use_machine_types(&mut self, machine_types: &[MachineType]) {
-        let named = |t: &MachineType| (t.name.clone(), t.clone());
-        self.machine_types = machine_types.iter().map(named).collect();
-        let room = |t: &MachineType| (t.name.clone(), t.cache_gb);
-        self.cache.cache_gb = machine_types.iter().map(room).collect();
+        let by_name = |t: &MachineType| (t.name.clone(), t.clone());
+        self.machine_types = machine_types.iter().map(by_name).collect();
+        let cache_gb = |t: &MachineType| (t.name.clone(), t.cache_gb);
+        self.cache.cache_gb = machine_types.iter().map(cache_gb).collect();
         self.scheduling.pass_requested = true;
     }
 
-    /// Records the types for controllers that start while the cloud is down. Prices that move are
-    /// no reason to.
+    /// Records the types for controllers that start while the cloud is down. Changed prices alone are no
+    /// reason to.
     fn store_machine_types(&mut self, machine_types: Vec<MachineType>) {
-        let unpriced = |machine_types: &[MachineType]| {
-            let mut machine_types = machine_types.to_vec();
-            for t in &mut machine_types {
-                (t.price, t.spot_price) = (0.0, 0.0);
-            }
-            machine_types.sort_by(|a, b| a.name.cmp(&b.name));
-            machine_types
-        };
-        let known = self
-            .cache
-            .machine_types()
-            .map(|r| unpriced(&r.machine_types));
-        if !self.has_current_state() || known.is_some_and(|known| known == unpriced(&machine_types))
-        {
+        let known = self.cache.machine_types();
+        let is_known = known
+            .is_some_and(|r| without_prices(&r.machine_types) == without_prices(&machine_types));
+        if !self.has_current_state() || is_known {
             return;
         }
         let record = Record::MachineTypes(MachineTypesRecord { machine_types });
-        if formats::stored_bytes(&record, formats::LATEST) as u64 > self.settings.max_value_bytes {
-            return; // more types than a value holds: each controller reads them from the cloud
+        if !fits_value(&record, self.settings.max_value_bytes) {
+            return; // each controller reads them from the cloud
         }
         let mut draft = TransactionBuilder::new(&self.cache);
         draft.put(Key::MachineTypes, record);
@@ -106,8 +96,9 @@
         );
     }
 
+    /// Sends an instance request that is on record.
     pub(crate) fn send_instance_request(&mut self, n: u64) {
-        let Some(h) = self.cache.instance_request(&n).cloned() else {
+        let Some(request) = self.cache.instance_request(&n).cloned() else {
             return;
         };
         self.provisioning.request_tried_at.insert(n, self.now);
@@ -115,72 +106,45 @@
         self.send_to_cloud(
             CloudOperation::Provision {
                 name: format!("g-{n}"),
-                type_name: h.type_name,
-                zone: h.zone,
-                spot: h.spot,
-                count: h.count,
+                type_name: request.type_name,
+                zone: request.zone,
+                spot: request.spot,
+                count: request.count,
             },
             PendingOperation::Provision(n),
         );
     }
 
-    /// Records what an instance request brought; an empty or partial answer bars the offer for a while.
+    /// Records what an instance request brought. After an empty or partial answer the offer counts as
+    /// unavailable for a while.
     fn record_provisioned(&mut self, n: u64, instances: Vec<String>) {
-        let Some(instance_request) = self
-            .cache
-            .instance_request(&n)
-            .filter(|h| h.instances.is_none())
-            .cloned()
-        else {
+        let request = self.cache.instance_request(&n);
+        let Some(request) = request.filter(|r| r.instances.is_none()).cloned() else {
             return;
         };
         tracing::info!(
-            type_name = instance_request.type_name,
-            zone = instance_request.zone,
-            spot = instance_request.spot,
-            wanted = instance_request.count,
-            got = instances.len(),
-            "rented"
+            machine_type = request.type_name,
+            zone = request.zone,
+            spot = request.spot,
+            requested = request.count,
+            provisioned = instances.len(),
+            "machines provisioned"
         );
-        let wall = self.wall;
+        let max_bytes = self.settings.max_value_bytes;
         let mut draft = TransactionBuilder::new(&self.cache);
-        if (instances.len() as u32) < instance_request.count {
+        if (instances.len() as u32) < request.count {
             let mut fleet = draft.fleet();
-            fleet.refused.retain(|_, until| *until > wall);
-            fleet
-                .refused
-                .insert(instance_request.offer(), wall + OFFER_UNAVAILABLE_MS);
-            // A hint: what there is no room for is asked once more than needed.
-            let most = self.settings.max_value_bytes as usize;
-            while formats::stored_bytes(&Record::Provisioning(fleet.clone()), formats::LATEST)
-                > most
-                && fleet.refused.pop_first().is_some()
-            {}
-            draft.put(Key::Provisioning, Record::Provisioning(fleet));
+            fleet.refused.retain(|_, until| *until > self.wall);
+            let until = self.wall + OFFER_UNAVAILABLE_MS;
+            fleet.refused.insert(request.offer(), until);
+            let record = fitting_fleet(fleet, max_bytes);
+            draft.put(Key::Provisioning, record);
         }
         if instances.is_empty() {
             draft.remove(Key::InstanceRequest(n));
         } else {
-            let mut instance_request = InstanceRequestRecord {
-                instances: Some(instances),
-                ..instance_request
-            };
-            // Machines whose names find no room are taken up when they report or are listed.
-            let most = self.settings.max_value_bytes as usize;
-            while formats::stored_bytes(
-                &Record::InstanceRequest(instance_request.clone()),
-                formats::LATEST,
-            ) > most
-                && instance_request
-                    .instances
-                    .as_mut()
-                    .and_then(Vec::pop)
-                    .is_some()
-            {}
-            draft.put(
-                Key::InstanceRequest(n),
-                Record::InstanceRequest(instance_request),
-            );
+            let record = fitting_request(request, instances, max_bytes);
+            draft.put(Key::InstanceRequest(n), record);
         }
         let transaction = draft.finish();
         self.commit(
@@ -197,15 +161,17 @@
 
     /// Removes records of instance requests all of whose machines have come, or gone again.
     pub(crate) fn remove_completed_requests(&mut self) {
+        let is_complete = |request: &InstanceRequestRecord| {
+            let instances = request.instances.as_ref();
+            instances.is_some_and(|instances| !instances.iter().any(|id| self.on_its_way(id)))
+        };
         let due: Vec<u64> = self
             .cache
             .instance_requests()
-            .filter(|(n, h, _)| {
-                h.instances
-                    .as_ref()
-                    .is_some_and(|instances| !instances.iter().any(|id| self.on_its_way(id)))
+            .filter(|(n, request, _)| {
+                is_complete(request)
                     && !self.provisioning.removing_requests.contains(n)
-                    && (h.controller == self.settings.controller || self.on_duty())
+                    && (request.controller == self.settings.controller || self.on_duty())
             })
             .map(|(n, _, _)| *n)
             .collect();
@@ -224,8 +190,8 @@
 
     /// Deletes machines whose deletion is committed, as long as their records stand.
     pub(crate) fn send_deletions(&mut self) {
-        // One request at a time, for all that are due: the cloud takes few, and what waits in
-        // line for them must not hold up instance requests.
+        // One request at a time, for all that are due: the cloud takes few, and queued deletions must not hold
+        // up instance requests.
         if self.provisioning.deletion_in_flight {
             return;
         }
@@ -256,107 +222,93 @@
         self.send_to_cloud(CloudOperation::Delete { machines: due }, purpose);
     }
 
-    fn take_instance_list(&mut self, instances: Vec<CloudInstance>) {
-        // A list shows machines that are gone for up to twice its lag, and a controller that has
+    /// Reconciles a page of the cloud's instance list with the records.
+    fn reconcile_instances(&mut self, instances: Vec<CloudInstance>) {
+        // The list shows machines that are gone for up to twice its lag, and a controller that has
         // just started does not know that they are.
-        let lag = self.settings.list_lag_ms * 2 + INSTANCE_LIST_INTERVAL_MS;
+        let lag_ms = self.settings.list_lag_ms * 2 + INSTANCE_LIST_INTERVAL_MS;
         let now = self.now;
         self.provisioning
             .unmanaged
-            .retain(|_, at| now < *at + 4 * lag);
+            .retain(|_, at| now < *at + 4 * lag_ms);
         for instance in instances {
-            match self.cache.machine(&instance.name) {
-                None => {
-                    // Provisioned by a request that nobody remembers. A machine that is up
-                    // reports by itself; one that never comes up is found here.
-                    let rented =
-                        self.cache
-                            .instance_requests()
-                            .any(|(_, h, _)| match &h.instances {
-                                Some(instances) => instances.contains(&instance.name),
-                                None => true,
-                            });
-                    if rented || self.workers.recently_deleted.contains(&instance.name) {
-                        self.provisioning.unmanaged.remove(&instance.name);
-                        continue;
-                    }
-                    let since = *self
-                        .provisioning
-                        .unmanaged
-                        .entry(instance.name.clone())
-                        .or_insert(now);
-                    if now >= since + lag {
-                        self.provisioning.unmanaged.remove(&instance.name);
-                        let mut draft = TransactionBuilder::new(&self.cache);
-                        draft.put(
-                            Key::Machine(instance.name.clone()),
-                            Record::Machine(MachineRecord::new(
-                                &instance.type_name,
-                                &instance.zone,
-                                instance.spot,
-                                MachinePhase::Booting,
-                                self.wall,
-                            )),
-                        );
-                        tracing::info!(machine = instance.name, "listed machine taken up");
-                        let transaction = draft.finish();
-                        self.commit(
-                            transaction,
-                            PendingOperation::RemoveObsolete,
-                            RequestClass::Housekeeping,
-                        );
-                    }
-                }
-                Some(m)
-                    if instance.state == CloudInstanceState::Failed
-                        && m.phase != MachinePhase::Deprovisioning =>
-                {
+            let phase = self
+                .cache
+                .machine(&instance.name)
+                .map(|record| record.phase);
+            match phase {
+                None => self.observe_unmanaged(instance, lag_ms),
+                Some(MachinePhase::Deprovisioning) => {}
+                Some(_) if instance.state == CloudInstanceState::Failed => {
                     self.mark_for_termination(&instance.name, "the cloud lists it as failed");
                 }
-                _ => {}
+                Some(_) => {}
             }
         }
     }
 
+    /// A machine without a record, provisioned by a request of which there is no record either. One that is up
+    /// sends heartbeats; one that never comes up is found here, and adopted once it has been listed for so long.
+    fn observe_unmanaged(&mut self, instance: CloudInstance, lag_ms: Millis) {
+        let is_expected = self.may_be_requested(&instance.name);
+        if is_expected || self.workers.recently_deleted.contains(&instance.name) {
+            self.provisioning.unmanaged.remove(&instance.name);
+            return;
+        }
+        let first_seen = self.provisioning.unmanaged.entry(instance.name.clone());
+        let first_seen = *first_seen.or_insert(self.now);
+        if self.now < first_seen + lag_ms {
+            return;
+        }
+        self.provisioning.unmanaged.remove(&instance.name);
+        let record = MachineRecord::new(
+            &instance.type_name,
+            &instance.zone,
+            instance.spot,
+            MachinePhase::Booting,
+            self.wall,
+        );
+        let mut draft = TransactionBuilder::new(&self.cache);
+        draft.put(Key::Machine(instance.name.clone()), Record::Machine(record));
+        tracing::info!(machine = instance.name, "unmanaged machine adopted");
+        let transaction = draft.finish();
+        self.commit(
+            transaction,
+            PendingOperation::RemoveObsolete,
+            RequestClass::Housekeeping,
+        );
+    }
+
+    /// Whether a machine was or may have been brought by an instance request on record.
+    fn may_be_requested(&self, name: &String) -> bool {
+        let mut requests = self.cache.instance_requests();
+        requests.any(|(_, request, _)| match &request.instances {
+            Some(instances) => instances.contains(name),
+            None => true,
+        })
+    }
+
+    /// Sends instance requests again whose outcome is not on record.
     pub(crate) fn retry_instance_requests(&mut self) {
-        let now = self.now;
-        let mut due = Vec::new();
-        let live: BTreeSet<u64> = self.cache.instance_requests().map(|(n, _, _)| *n).collect();
-        self.provisioning
+        let on_record: BTreeSet<u64> = self.cache.instance_requests().map(|(n, _, _)| *n).collect();
+        let tracker = &mut self.provisioning;
+        tracker
             .request_tried_at
-            .retain(|n, _| live.contains(n));
-        self.provisioning
+            .retain(|n, _| on_record.contains(n));
+        tracker
             .request_known_since
-            .retain(|n, _| live.contains(n));
-        for (n, h, _) in self.cache.instance_requests() {
-            let patience = if self.peers.is_away(&h.controller) {
-                // By the same name, so it does no harm should it only be silent.
-                PROVISION_RETRY_SOON_MS + self.settings.controller_index() * CONTROLLER_STAGGER_MS
-            } else if h.controller == self.settings.controller {
-                // Never asked: the transaction that recorded it got no answer.
-                let tried = self.provisioning.request_tried_at.contains_key(n)
-                    || !self.settings.checks.doubt;
-                if tried {
-                    PROVISION_RETRY_MS
-                } else {
-                    PROVISION_RETRY_SOON_MS
-                }
-            } else {
-                PROVISION_RETRY_MS * 2 + self.settings.controller_index() * CONTROLLER_STAGGER_MS
-            };
-            let since = *self
-                .provisioning
-                .request_known_since
-                .entry(*n)
-                .or_insert(now);
-            let last = self
-                .provisioning
-                .request_tried_at
-                .get(n)
-                .copied()
-                .unwrap_or(since);
-            let asked = self.provisioning.requests_in_flight.contains(n);
-            if h.instances.is_none() && !asked && now >= last + patience {
+            .retain(|n, _| on_record.contains(n));
+        let mut due = Vec::new();
+        for (n, request, _) in self.cache.instance_requests() {
+            let retry_ms = self.request_retry_ms(*n, request);
+            let tracker = &mut self.provisioning;
+            let known_since = *tracker.request_known_since.entry(*n).or_insert(self.now);
+            let tried_at = tracker.request_tried_at.get(n).copied();
+            let is_in_flight = tracker.requests_in_flight.contains(n);
+            if request.instances.is_none()
+                && !is_in_flight
+                && self.now >= tried_at.unwrap_or(known_since) + retry_ms
+            {
                 due.push(*n);
             }
         }
@@ -364,4 +316,65 @@
             self.send_instance_request(n);
         }
     }
+
+    /// Milliseconds after which an instance request is sent again. It is always sent by the same name, so that
+    /// the cloud serves it once, whoever sends it.
+    fn request_retry_ms(&self, n: u64, request: &InstanceRequestRecord) -> Millis {
+        let stagger_ms = self.settings.controller_index() * CONTROLLER_STAGGER_MS;
+        if self.peers.is_away(&request.controller) {
+            PROVISION_RETRY_SOON_MS + stagger_ms
+        } else if request.controller != self.settings.controller {
+            PROVISION_RETRY_MS * 2 + stagger_ms
+        } else if self.provisioning.request_tried_at.contains_key(&n) || !self.settings.checks.doubt
+        {
+            PROVISION_RETRY_MS
+        } else {
+            // Never sent: the transaction that recorded it got no answer.
+            PROVISION_RETRY_SOON_MS
+        }
+    }
+}
+
+/// Machine types in order of their names, without prices.
+fn without_prices(machine_types: &[MachineType]) -> Vec<MachineType> {
+    let mut machine_types = machine_types.to_vec();
+    for machine_type in &mut machine_types {
+        machine_type.price = 0.0;
+        machine_type.spot_price = 0.0;
+    }
+    machine_types.sort_by(|a, b| a.name.cmp(&b.name));
+    machine_types
+}
+
+fn fits_value(record: &Record, max_bytes: u64) -> bool {
+    formats::stored_bytes(record, formats::LATEST) as u64 <= max_bytes
+}
+
+/// The record without the refused offers that it has no space for. They are a hint: the others are requested
+/// once more than needed.
+fn fitting_fleet(mut fleet: ProvisioningRecord, max_bytes: u64) -> Record {
+    loop {
+        let record = Record::Provisioning(fleet.clone());
+        if fits_value(&record, max_bytes) || fleet.refused.pop_first().is_none() {
+            return record;
+        }
+    }
+}
+
+/// The record of a request's outcome, without the machines that it has no space for: these get their records
+/// when they send heartbeats or are listed.
+fn fitting_request(
+    request: InstanceRequestRecord,
+    mut instances: Vec<String>,
+    max_bytes: u64,
+) -> Record {
+    loop {
+        let record = Record::InstanceRequest(InstanceRequestRecord {
+            instances: Some(instances.clone()),
+            ..request.clone()
+        });
+        if fits_value(&record, max_bytes) || instances.pop().is_none() {
+            return record;
+        }
+    }
 }
--- a/crates/core/src/provisioning/demand.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -1,17 +1,39 @@
-//! Renting and returning machines.
+//! Demand for machines: which instances to provision for work that no machine, present or on its way, can take.
 
 use crate::constants::{
     BOOT_LATE, BOOT_LATE_SPARE_MS, LATE_FEW, LATE_PART, PROVISION_MAX_INSTANCES,
-    PROVISION_REQUESTS_AT_ONCE, RESERVE_SERVICES, SCALE_IN_PRICE_FACTOR,
+    PROVISION_REQUESTS_AT_ONCE,
 };
-use crate::model::{JobKind, JobSpec, MachineType, Resources, WallMs};
+use crate::model::{JobSpec, MachineType, Resources, WallMs};
 use crate::scheduling::claims::zone_room;
 use crate::scheduling::pending_work::PendingWork;
-use crate::state::{
-    offer_key, MachinePhase, MachineRecord, ProvisioningRecord, StateCache, ZoneSpreadRecord,
-};
+use crate::state::{offer_key, MachinePhase, ProvisioningRecord, StateCache, ZoneSpreadRecord};
 use foldhash::HashMap;
-use std::collections::{BTreeMap, BTreeSet};
+
+/// Prices per task that differ by less count as equal.
+const PRICE_TOLERANCE: f64 = 1e-9;
+
+/// Machines of one offer to provision.
+#[derive(Clone, Debug, PartialEq)]
+pub struct InstanceDemand {
+    pub type_name: String,
+    pub zone: String,
+    pub spot: bool,
+    pub count: u32,
+}
+
+/// What demand is worked out from.
+pub struct ProvisioningView<'a> {
+    pub cache: &'a StateCache,
+    /// The cloud's machine types by name.
+    pub machine_types: &'a HashMap<String, MachineType>,
+    /// Whether a machine that an instance request brought is still on its way.
+    pub is_on_its_way: &'a dyn Fn(&str) -> bool,
+    /// Whether a zone can't be reached: what is provisioned there would come up unheard.
+    pub is_zone_unreachable: &'a dyn Fn(&str) -> bool,
+    /// The time of day.
+    pub wall: WallMs,
+}
 
 /// A machine that could be provisioned, or one that is on its way.
 #[derive(Clone, Debug, PartialEq)]
@@ -19,310 +41,228 @@
     type_name: String,
     zone: String,
     spot: bool,
-    room: Resources,
+    free: Resources,
 }
 
-#[derive(Clone, Debug, PartialEq)]
-pub struct Wish {
-    pub type_name: String,
-    pub zone: String,
-    pub spot: bool,
-    pub count: u32,
+/// Machines of one offer that are on their way.
+struct ExpectedInstances<'a> {
+    type_name: &'a str,
+    zone: &'a str,
+    spot: bool,
+    count: u32,
+    is_late: bool,
 }
 
-/// What to rent for work that no machine, present or on its way, can take: per set the
-/// cheapest way to serve it, offers refused lately passed over. `pending` tells whether a
-/// machine that an instance request brought is still on its way, `quiet` whether a zone is cut off: what is
-/// provisioned there would come up unheard.
-pub fn provisioning_demand(
-    cache: &StateCache,
-    machine_types: &HashMap<String, MachineType>,
-    work: &[PendingWork],
-    pending: impl Fn(&str) -> bool,
-    quiet: impl Fn(&str) -> bool,
-    wall: WallMs,
-) -> Vec<Wish> {
-    let fleet = cache.fleet();
-    let mut coming: Vec<PlannedInstance> = Vec::new();
-    let mut push = |type_name: &str, zone: &str, spot: bool, count: u32| {
-        if let Some(kind) = machine_types.get(type_name) {
-            for _ in 0..count {
-                coming.push(PlannedInstance {
-                    type_name: type_name.to_string(),
-                    zone: zone.to_string(),
-                    spot,
-                    room: kind.room,
-                });
-            }
-        }
-    };
-    // A machine that is late may never come: a few such are not waited for. When many are late it
-    // is the cloud that is slow, and more of them would only cost more.
-    let late = |type_name: &str, at: WallMs| {
-        let boot_s = machine_types.get(type_name).map_or(0.0, |t| t.boot_s);
-        wall > at + (boot_s * 1_000.0 * BOOT_LATE) as u64 + BOOT_LATE_SPARE_MS
-    };
-    let mut on_the_way: Vec<(&str, &str, bool, u32, bool)> = Vec::new();
-    for (_, m, _) in cache.machines() {
-        if m.phase == MachinePhase::Booting {
-            let late = late(&m.type_name, m.at);
-            on_the_way.push((&m.type_name, &m.zone, m.spot, 1, late));
-        }
-    }
-    for (_, h, _) in cache.instance_requests() {
-        let count = match &h.instances {
-            Some(instances) => instances.iter().filter(|id| pending(id)).count() as u32,
-            None => h.count,
-        };
-        let late = h.instances.is_some() && late(&h.type_name, h.at);
-        on_the_way.push((&h.type_name, &h.zone, h.spot, count, late));
-    }
-    let sum = |late: bool| -> u32 {
-        let those = on_the_way.iter().filter(|c| c.4 || !late);
-        those.map(|(_, _, _, n, _)| n).sum()
-    };
-    let few = sum(true) <= LATE_FEW || sum(true) * LATE_PART <= sum(false);
-    for (type_name, zone, spot, count, late) in on_the_way {
-        if !(quiet(zone) || late && few) {
-            push(type_name, zone, spot, count);
+/// One job's tasks that still need a machine.
+struct UnplacedTasks<'a> {
+    spec: &'a JobSpec,
+    /// The job's tasks by zone, with those that have been assigned to planned instances.
+    zones: ZoneSpreadRecord,
+    count: u64,
+}
+
+impl UnplacedTasks<'_> {
+    /// Assigns as many as fit to an instance.
+    fn assign_to(&mut self, instance: &mut PlannedInstance) {
+        while self.count > 0
+            && instance.free.fits(&self.spec.resources)
+            && self
+                .spec
+                .allows(&instance.type_name, &instance.zone, instance.spot)
+            && zone_room(self.spec, &self.zones, &instance.zone) > 0
+        {
+            instance.free = instance.free.less(&self.spec.resources);
+            let zone = instance.zone.clone();
+            *self.zones.zones.entry(zone).or_default() += 1;
+            self.count -= 1;
         }
     }
-    let known = coming.len();
-    for w in work {
-        let Some(spec) = cache.open_job(&w.job) else {
-            continue;
-        };
-        let mut zones = w.zones.clone();
-        let mut left = w.indices.len() as u64;
-        for v in coming.iter_mut() {
-            while left > 0
-                && v.room.fits(&spec.resources)
-                && spec.allows(&v.type_name, &v.zone, v.spot)
-                && zone_room(spec, &zones, &v.zone) > 0
-            {
-                v.room = v.room.less(&spec.resources);
-                *zones.zones.entry(v.zone.clone()).or_default() += 1;
-                left -= 1;
-            }
-        }
-        while left > 0 {
-            let Some(offer) = cheapest(machine_types, &fleet, spec, &zones, left, &quiet, wall)
-            else {
-                break;
+}
+
+impl ProvisioningView<'_> {
+    /// What to provision for pending work that no machine, present or on its way, can take: per job the
+    /// cheapest way to serve it, offers refused lately passed over.
+    pub fn demand(&self, work: &[PendingWork]) -> Vec<InstanceDemand> {
+        let offers = self.cache.fleet();
+        let mut instances = self.instances_on_their_way();
+        let on_their_way = instances.len();
+        let max = PROVISION_MAX_INSTANCES as usize * PROVISION_REQUESTS_AT_ONCE;
+        for work in work {
+            let Some(spec) = self.cache.open_job(&work.job) else {
+                continue;
+            };
+            let mut tasks = UnplacedTasks {
+                spec,
+                zones: work.zones.clone(),
+                count: work.indices.len() as u64,
             };
-            let mut v = offer;
-            while left > 0 && v.room.fits(&spec.resources) && zone_room(spec, &zones, &v.zone) > 0 {
-                v.room = v.room.less(&spec.resources);
-                *zones.zones.entry(v.zone.clone()).or_default() += 1;
-                left -= 1;
+            for instance in &mut instances {
+                tasks.assign_to(instance);
             }
-            coming.push(v);
-            if coming.len() - known >= PROVISION_MAX_INSTANCES as usize * PROVISION_REQUESTS_AT_ONCE
-            {
-                break;
+            while tasks.count > 0 {
+                let Some(mut instance) = self.cheapest_offer(&offers, &tasks) else {
+                    break;
+                };
+                tasks.assign_to(&mut instance);
+                instances.push(instance);
+                if instances.len() - on_their_way >= max {
+                    break;
+                }
             }
         }
+        by_offer(instances.split_off(on_their_way))
     }
-    let mut wishes: Vec<Wish> = Vec::new();
-    for v in coming.drain(known..) {
-        match wishes
-            .iter_mut()
-            .find(|w| w.type_name == v.type_name && w.zone == v.zone && w.spot == v.spot)
-        {
-            Some(w) => w.count += 1,
-            None => wishes.push(Wish {
-                type_name: v.type_name,
-                zone: v.zone,
-                spot: v.spot,
-                count: 1,
-            }),
+
+    /// Machines that are waited for. One that is late may never come: a few such are not waited for. When many
+    /// are late it is the cloud that is slow, and more of them would only cost more.
+    fn instances_on_their_way(&self) -> Vec<PlannedInstance> {
+        let expected = self.expected_instances();
+        let all: u32 = expected.iter().map(|e| e.count).sum();
+        let late: u32 = (expected.iter().filter(|e| e.is_late))
+            .map(|e| e.count)
+            .sum();
+        let only_few_are_late = late <= LATE_FEW || late * LATE_PART <= all;
+        let mut instances = Vec::new();
+        for expected in expected {
+            let is_given_up = expected.is_late && only_few_are_late;
+            if is_given_up || (self.is_zone_unreachable)(expected.zone) {
+                continue;
+            }
+            let Some(machine_type) = self.machine_types.get(expected.type_name) else {
+                continue;
+            };
+            let instance = PlannedInstance {
+                type_name: expected.type_name.to_string(),
+                zone: expected.zone.to_string(),
+                spot: expected.spot,
+                free: machine_type.room,
+            };
+            instances.extend(std::iter::repeat_n(instance, expected.count as usize));
         }
+        instances
     }
-    wishes
-}
 
-/// Machines, at most so many, that cost much for what they still do and whose services all fit
-/// elsewhere, on machines that have their images. Emptied, they can be returned. What machines being
-/// emptied still hold counts as there already.
-pub fn scale_in_candidates(
-    cache: &StateCache,
-    machine_types: &HashMap<String, MachineType>,
-    old_enough: impl Fn(&str) -> bool,
-    most: usize,
-) -> Vec<String> {
-    let cheapest = machine_types
-        .values()
-        .map(|t| t.price / t.room.cpus.max(1) as f64)
-        .fold(f64::INFINITY, f64::min);
-    let mut candidates: Vec<(f64, &str)> = Vec::new();
-    for (id, m, _) in cache.machines() {
-        let Some(kind) = machine_types.get(&m.type_name) else {
-            continue;
-        };
-        let services_only = cache.assignments(id).all(|(task, _)| {
-            cache
-                .open_job(&task.job)
-                .is_some_and(|s| s.kind == JobKind::Service)
+    /// Machines that boot, then those that instance requests are to bring or have brought.
+    fn expected_instances(&self) -> Vec<ExpectedInstances<'_>> {
+        let booting = self.cache.machines();
+        let booting = booting.filter(|(_, m, _)| m.phase == MachinePhase::Booting);
+        let booting = booting.map(|(_, m, _)| ExpectedInstances {
+            type_name: &m.type_name,
+            zone: &m.zone,
+            spot: m.spot,
+            count: 1,
+            is_late: self.is_late(&m.type_name, m.at),
         });
-        let price = if m.spot { kind.spot_price } else { kind.price };
-        let used = cache.used(id).cpus.max(1) as f64;
-        if m.phase == MachinePhase::Up
-            && cache.assigned_tasks(id) > 0
-            && services_only
-            && price / used >= cheapest * SCALE_IN_PRICE_FACTOR
-            && old_enough(id)
-        {
-            candidates.push((price, id));
-        }
-    }
-    candidates.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(b.1)));
-    let mut places = Places::new(cache, machine_types);
-    for (id, m, _) in cache.machines() {
-        if m.phase == MachinePhase::Draining {
-            places.take_in(cache, id);
-        }
-    }
-    let mut chosen = Vec::new();
-    for (_, id) in candidates {
-        if chosen.len() >= most {
-            break;
-        }
-        if places.take_in(cache, id) {
-            chosen.push(id.to_string());
-        }
+        let requests = self.cache.instance_requests();
+        let requested = requests.map(|(_, request, _)| ExpectedInstances {
+            type_name: &request.type_name,
+            zone: &request.zone,
+            spot: request.spot,
+            count: match &request.instances {
+                Some(instances) => {
+                    let on_their_way = instances.iter().filter(|id| (self.is_on_its_way)(id));
+                    on_their_way.count() as u32
+                }
+                None => request.count,
+            },
+            is_late: request.instances.is_some() && self.is_late(&request.type_name, request.at),
+        });
+        booting.chain(requested).collect()
     }
-    chosen
-}
 
-/// Room that services may move to.
-struct Places<'a> {
-    /// Ordinary machines that are up, by name, and their room.
-    rooms: BTreeMap<&'a str, (&'a MachineRecord, Resources)>,
-    /// Of these, those that others were moved to: they stay.
-    used: BTreeSet<&'a str>,
-    /// Processors that must stay free, so that a new service of the largest size starts at once.
-    spare: u64,
-}
+    /// Whether a machine of a type that was requested then should have come by now.
+    fn is_late(&self, type_name: &str, requested_at: WallMs) -> bool {
+        let boot_s = self.machine_types.get(type_name).map_or(0.0, |t| t.boot_s);
+        let boot_ms = (boot_s * 1_000.0 * BOOT_LATE) as u64;
+        self.wall > requested_at + boot_ms + BOOT_LATE_SPARE_MS
+    }
 
-impl<'a> Places<'a> {
-    fn new(cache: &'a StateCache, machine_types: &HashMap<String, MachineType>) -> Places<'a> {
-        let up = cache.machines();
-        let up = up.filter(|(_, m, _)| m.phase == MachinePhase::Up && !m.spot);
-        let room = |id: &str, m: &MachineRecord| {
-            let kind = machine_types.get(&m.type_name)?;
-            Some(kind.room.less(&cache.used(id)))
-        };
-        let largest = cache
-            .open_jobs()
-            .filter(|(_, _, s)| s.kind == JobKind::Service)
-            .map(|(_, _, s)| s.resources.cpus.saturating_mul(s.tasks as u64))
-            .max()
-            .unwrap_or(0);
-        Places {
-            rooms: up
-                .filter_map(|(id, m, _)| Some((id, (m, room(id, m)?))))
-                .collect(),
-            used: BTreeSet::new(),
-            spare: largest * RESERVE_SERVICES,
+    /// The offer that serves the tasks at the lowest price per task.
+    fn cheapest_offer(
+        &self,
+        offers: &ProvisioningRecord,
+        tasks: &UnplacedTasks,
+    ) -> Option<PlannedInstance> {
+        let mut best: Option<(f64, PlannedInstance)> = None;
+        for machine_type in self.machine_types.values() {
+            let zones = machine_type.zones.iter();
+            for zone in zones.filter(|zone| !(self.is_zone_unreachable)(zone)) {
+                for spot in [false, true] {
+                    let Some(price) = self.price_per_task(offers, tasks, machine_type, zone, spot)
+                    else {
+                        continue;
+                    };
+                    let instance = PlannedInstance {
+                        type_name: machine_type.name.clone(),
+                        zone: zone.clone(),
+                        spot,
+                        free: machine_type.room,
+                    };
+                    let is_better = match &best {
+                        None => true,
+                        Some((best_price, best)) => {
+                            let name = (&instance.type_name, &instance.zone);
+                            price < best_price - PRICE_TOLERANCE
+                                || price <= best_price + PRICE_TOLERANCE
+                                    && name < (&best.type_name, &best.zone)
+                        }
+                    };
+                    if is_better {
+                        best = Some((price, instance));
+                    }
+                }
+            }
         }
+        best.map(|(_, instance)| instance)
     }
 
-    /// Finds room for all that a machine holds, and keeps it; nothing changes if there is none.
-    fn take_in(&mut self, cache: &'a StateCache, id: &'a str) -> bool {
-        let Some(leaving) = cache.machine(id).filter(|_| !self.used.contains(id)) else {
-            return false;
+    /// The price of an offer for each task that it would serve; none if it serves none, was refused lately, or
+    /// does not exist.
+    fn price_per_task(
+        &self,
+        offers: &ProvisioningRecord,
+        tasks: &UnplacedTasks,
+        machine_type: &MachineType,
+        zone: &str,
+        spot: bool,
+    ) -> Option<f64> {
+        let price = match spot {
+            true => machine_type.spot_price,
+            false => machine_type.price,
         };
-        let mut taken: BTreeMap<&str, Resources> = BTreeMap::new();
-        for (task, placed) in cache.assignments(id) {
-            let Some(spec) = cache.open_job(&task.job) else {
-                return false;
-            };
-            // Only within its zone: what the zone may hold does not change then.
-            // The fullest that takes it: the emptier ones may be emptied as well.
-            let fits = self.rooms.iter().filter(|(other, (m, room))| {
-                let taken = taken.get(*other).copied().unwrap_or_default();
-                **other != id
-                    && m.zone == leaving.zone
-                    && room.less(&taken).fits(&placed.resources)
-                    && cache.has_image(other, &spec.image)
-                    && spec.allows(&m.type_name, &m.zone, m.spot)
-            });
-            let place = fits.min_by_key(|(other, (_, room))| (room.cpus, **other));
-            let Some((other, _)) = place else {
-                return false;
-            };
-            let sum = taken.entry(*other).or_default();
-            *sum = sum.plus(&placed.resources);
-        }
-        // What is left must still take a new service of the largest size at once.
-        let rooms = self.rooms.iter().filter(|(other, _)| **other != id);
-        let left: u64 = rooms.map(|(_, (_, room))| room.cpus).sum();
-        let needs: u64 = taken.values().map(|r| r.cpus).sum();
-        if left < self.spare + needs && leaving.phase == MachinePhase::Up {
-            return false;
-        }
-        for (other, resources) in taken {
-            if let Some((_, room)) = self.rooms.get_mut(other) {
-                *room = room.less(&resources);
-            }
-            self.used.insert(other);
-        }
-        self.rooms.remove(id);
-        true
+        let is_refused = offers
+            .refused
+            .get(&offer_key(&machine_type.name, zone, spot))
+            .is_some_and(|until| *until > self.wall);
+        let in_zone = u64::from(zone_room(tasks.spec, &tasks.zones, zone));
+        let fits = machine_type.room.count(&tasks.spec.resources);
+        let served = fits.min(tasks.count).min(in_zone);
+        let is_offered = !is_refused
+            && price.is_finite()
+            && (price > 0.0 || !spot)
+            && tasks.spec.allows(&machine_type.name, zone, spot);
+        (is_offered && served > 0).then(|| price / served as f64)
     }
 }
 
-fn cheapest(
-    machine_types: &HashMap<String, MachineType>,
-    fleet: &ProvisioningRecord,
-    spec: &JobSpec,
-    zones: &ZoneSpreadRecord,
-    left: u64,
-    quiet: &impl Fn(&str) -> bool,
-    wall: WallMs,
-) -> Option<PlannedInstance> {
-    let mut best: Option<(f64, PlannedInstance)> = None;
-    for kind in machine_types.values() {
-        let fit = kind.room.count(&spec.resources);
-        if fit == 0 {
-            continue;
-        }
-        for zone in kind.zones.iter().filter(|z| !quiet(z)) {
-            for spot in [false, true] {
-                let price = if spot { kind.spot_price } else { kind.price };
-                let refused = fleet
-                    .refused
-                    .get(&offer_key(&kind.name, zone, spot))
-                    .is_some_and(|until| *until > wall);
-                let room = zone_room(spec, zones, zone) as u64;
-                if refused
-                    || !price.is_finite()
-                    || price <= 0.0 && spot
-                    || room == 0
-                    || !spec.allows(&kind.name, zone, spot)
-                {
-                    continue;
-                }
-                let per_task = price / fit.min(left).min(room) as f64;
-                let v = PlannedInstance {
-                    type_name: kind.name.clone(),
-                    zone: zone.clone(),
-                    spot,
-                    room: kind.room,
-                };
-                let better = match &best {
-                    None => true,
-                    Some((cost, b)) => {
-                        per_task < cost - 1e-9
-                            || (per_task <= cost + 1e-9
-                                && (&v.type_name, &v.zone) < (&b.type_name, &b.zone))
-                    }
-                };
-                if better {
-                    best = Some((per_task, v));
-                }
-            }
+/// Counts instances by offer, in the order in which offers first appear.
+fn by_offer(instances: Vec<PlannedInstance>) -> Vec<InstanceDemand> {
+    let mut demand: Vec<InstanceDemand> = Vec::new();
+    for instance in instances {
+        let known = demand.iter_mut().find(|known| {
+            known.type_name == instance.type_name
+                && known.zone == instance.zone
+                && known.spot == instance.spot
+        });
+        match known {
+            Some(known) => known.count += 1,
+            None => demand.push(InstanceDemand {
+                type_name: instance.type_name,
+                zone: instance.zone,
+                spot: instance.spot,
+                count: 1,
+            }),
         }
     }
-    best.map(|(_, v)| v)
+    demand
 }
--- a/crates/core/src/provisioning/mod.rs
+++ b/crates/core/src/provisioning/mod.rs
@@ -2,4 +2,6 @@
 
 mod cloud;
 pub mod demand;
+mod scale_in;
+mod scale_out;
 pub(crate) mod tracker;
--- a/crates/core/src/provisioning/tracker.rs
+++ b/crates/core/src/provisioning/tracker.rs
@@ -1,4 +1,4 @@
-//! Requests to the cloud under way, and what is remembered of earlier ones.
+//! The requests to the cloud that are under way, and what earlier ones brought.
 
 use crate::constants::INSTANCE_LIST_INTERVAL_MS;
 use crate::model::Millis;
@@ -9,7 +9,7 @@
 pub(crate) struct ProvisioningTracker {
     /// When the cloud's machine types were last read.
     pub(crate) machine_types_read_at: Option<Millis>,
-    /// They are being read.
+    /// The machine types are being read.
     pub(crate) machine_types_in_flight: bool,
     /// Since when each instance request is known here.
     pub(crate) request_known_since: HashMap<u64, Millis>,
@@ -19,7 +19,7 @@
     pub(crate) request_creation_in_flight: bool,
     /// Instance requests whose record is being removed.
     pub(crate) removing_requests: BTreeSet<u64>,
-    /// Rental requests whose answer is awaited.
+    /// Instance requests that the cloud has not answered yet.
     pub(crate) requests_in_flight: BTreeSet<u64>,
     /// Machines that the cloud has deleted.
     pub(crate) deletion_confirmed: BTreeSet<String>,
@@ -31,11 +31,12 @@
     pub(crate) unmanaged: HashMap<String, Millis>,
     /// When the cloud's instances are listed next.
     pub(crate) next_instance_list_at: Millis,
-    /// They are being listed.
+    /// The instances are being listed.
     pub(crate) instance_list_in_flight: bool,
 }
 
 impl ProvisioningTracker {
+    /// The tracker of a controller that starts.
     pub(crate) fn new(now: Millis) -> ProvisioningTracker {
         ProvisioningTracker {
             machine_types_read_at: None,
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -1,9 +1,9 @@
-//! Claiming tasks for machines and giving them up again, as steps of one transaction.
+//! Claims and releases: assigning tasks to machines and ending assignments, as steps of one transaction.
 //!
-//! The assignment stands in the task's chunk, so that one put claims, or releases, as many tasks
-//! of a chunk as there are. A claim rests on the job (one cancelled meanwhile refuses it), the
-//! chunk, the machine's record, and for teams with a limit on the team's, which every such
-//! claim writes: what is in use is then known exactly, since no other claim came between.
+//! The assignment is part of the task's chunk, so that one put claims, or releases, as many tasks of a chunk
+//! as there are. A claim is conditional on the job (one cancelled meanwhile refuses it), the chunk, the
+//! machine's record, and for teams with a limit on the team's record, which every such claim writes: usage is
+//! then known exactly, since no other claim came between.
 
 use crate::constants::{
     ASSIGNMENT_BYTES, CHUNK_BASE_BYTES, FAIL_PAUSE_MAX_MS, FAIL_PAUSE_MS, FAULTS_KEPT,
@@ -17,15 +17,22 @@
     TransactionBuilder, ZoneSpreadRecord,
 };
 
+/// Why a claim can't be added to a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
+    /// The job is done, cancelled or unknown, or its team is.
     JobOver,
-    /// A job that it awaits is not done.
+    /// A job that it depends on is not done.
     Blocked,
+    /// The task is not pending.
     TaskTaken,
+    /// The machine is not up, or has no resources for the task.
     MachineBusy,
+    /// The job's zone or machine type rules exclude the machine.
     WrongPlace,
+    /// The team would be above its limit.
     TeamLimit,
+    /// The chunk pauses after a failure or refusal.
     Paused,
     /// The chunk's value holds no more assignments.
     ChunkFull,
@@ -33,33 +40,39 @@
     Full,
 }
 
-/// What will carry the start to the worker.
+/// How the start is delivered to the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Carrier {
-    /// The answer to the next heartbeat that any controller gets.
+    /// In the answer to its next heartbeat, whichever controller receives that.
     Answer,
-    /// One direct command for an incarnation, under the machine's token.
-    Command { incarnation: u64, token: u64 },
+    /// By one direct command to an incarnation of the worker.
+    Command {
+        incarnation: u64,
+        /// The machine's fencing token.
+        token: u64,
+    },
 }
 
 /// Why an assignment ends, once it is proven that its attempt is gone (or never began).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
+    /// It completed.
     Done,
+    /// It ended with an error.
     Failed,
     /// Refused by the worker, which has no room or does not know the job yet.
     Refused,
-    /// Stopped, lost with its machine, or never started.
+    /// Stopped, ended with its machine, or never started.
     Terminated,
 }
 
 /// Whether claims of a job's chunks must know of one another.
-fn counts_places(spec: &JobSpec, job: &JobRecord) -> bool {
+fn counts_zones(spec: &JobSpec, job: &JobRecord) -> bool {
     (spec.zone_affinity || spec.topology_spread) && job.chunks() > 1
 }
 
-/// Live tasks per zone of a job, as the draft sees them. A machine that is not on record
-/// counts for every zone: that can only refuse too much.
+/// Assigned tasks of a job by zone, as the draft sees them. A machine without a record counts for every zone:
+/// that can only refuse too much.
 pub fn zones_of(
     draft: &TransactionBuilder,
     job: &JobRecord,
@@ -103,120 +116,207 @@
         && (team.gpus_max == 0 || usage.gpus.saturating_add(resources.gpus) <= team.gpus_max)
 }
 
-/// Books one task on a machine with `room` left. A refusal leaves the draft without the claim.
+/// A task to claim for a machine.
+pub struct ClaimRequest<'a> {
+    pub task: &'a TaskId,
+    /// The machine's name.
+    pub machine: &'a str,
+    /// What is free on the machine, earlier claims of the draft counted.
+    pub free: Resources,
+    pub carrier: Carrier,
+}
+
+/// Claims one task for a machine. A refusal leaves the draft without the claim.
 pub fn claim(
     draft: &mut TransactionBuilder,
     settings: &Settings,
-    machine_id: &str,
-    room: &Resources,
-    task: &TaskId,
-    carrier: Carrier,
+    request: &ClaimRequest,
     wall: WallMs,
 ) -> Result<(), Refusal> {
     let cache = draft.cache;
+    let task = request.task;
     let job = cache.job(&task.job).ok_or(Refusal::JobOver)?;
     let spec = job.open().ok_or(Refusal::JobOver)?;
     if cache.blocked(&task.job) {
         return Err(Refusal::Blocked);
     }
-    let n = job.chunk_of(task.index);
-    if cache.is_refused(&Key::Chunk(task.job.clone(), n)) {
-        return Err(Refusal::ChunkFull);
+    let claim = Claim {
+        request,
+        job,
+        spec,
+        chunk: job.chunk_of(task.index),
+    };
+    claim.check_chunk(draft, settings, wall)?;
+    claim.check_machine(draft, settings)?;
+    let team = settings
+        .policy
+        .teams
+        .get(&spec.team)
+        .ok_or(Refusal::JobOver)?;
+    if !within_limit(team, &draft.usage(&spec.team), &spec.resources) {
+        return Err(Refusal::TeamLimit);
+    }
+    if !claim.fits_transaction(draft, settings, team) {
+        return Err(Refusal::Full);
     }
-    if let Some(chunk) = draft.chunk(&task.job, n) {
-        let slot = (task.index % job.chunk.max(1)) as usize;
+    claim.write(draft, settings, team)
+}
+
+/// A claim in the making: the request with the records it is about.
+struct Claim<'a> {
+    request: &'a ClaimRequest<'a>,
+    job: &'a JobRecord,
+    spec: &'a JobSpec,
+    /// The number of the task's chunk.
+    chunk: u32,
+}
+
+impl Claim<'_> {
+    fn chunk_key(&self) -> Key {
+        Key::Chunk(self.request.task.job.clone(), self.chunk)
+    }
+
+    /// What the assignment adds to its chunk's value.
+    fn assignment_bytes(&self) -> usize {
+        ASSIGNMENT_BYTES + self.request.machine.len()
+    }
+
+    /// Whether the task is pending, and its chunk's value holds one more assignment.
+    fn check_chunk(
+        &self,
+        draft: &TransactionBuilder,
+        settings: &Settings,
+        wall: WallMs,
+    ) -> Result<(), Refusal> {
+        let (cache, task) = (draft.cache, self.request.task);
+        if cache.is_refused(&self.chunk_key()) {
+            return Err(Refusal::ChunkFull);
+        }
+        let Some(chunk) = draft.chunk(&task.job, self.chunk) else {
+            return Ok(());
+        };
+        let slot = (task.index % self.job.chunk.max(1)) as usize;
         if chunk.tasks.get(slot) != Some(&TaskState::Pending) {
             return Err(Refusal::TaskTaken);
         }
         if chunk.pause_until > wall {
             return Err(Refusal::Paused);
         }
-        if !formats::takes_one_more(chunk, machine_id, cache.format(), settings.max_value_bytes) {
-            return Err(Refusal::ChunkFull);
+        let (format, max_bytes) = (cache.format(), settings.max_value_bytes);
+        match formats::takes_one_more(chunk, self.request.machine, format, max_bytes) {
+            true => Ok(()),
+            false => Err(Refusal::ChunkFull),
         }
     }
-    let machine = cache.machine(machine_id).ok_or(Refusal::MachineBusy)?;
-    if machine.phase != MachinePhase::Up {
-        return Err(Refusal::MachineBusy);
-    }
-    if !spec.allows(&machine.type_name, &machine.zone, machine.spot) {
-        return Err(Refusal::WrongPlace);
-    }
-    // One attempt of a task may be refused as `in_use` while an older one is still known.
-    if !room.fits(&spec.resources) || cache.assignment(machine_id, task).is_some() {
-        return Err(Refusal::MachineBusy);
-    }
-    if spec.zone_affinity || spec.topology_spread {
-        let zones = zones_of(draft, job, &task.job, &settings.zones);
-        if zone_room(spec, &zones, &machine.zone) == 0 {
+
+    /// Whether the machine may run the task, and has the resources for it.
+    fn check_machine(
+        &self,
+        draft: &TransactionBuilder,
+        settings: &Settings,
+    ) -> Result<(), Refusal> {
+        let (cache, task, spec) = (draft.cache, self.request.task, self.spec);
+        let machine = cache
+            .machine(self.request.machine)
+            .ok_or(Refusal::MachineBusy)?;
+        if machine.phase != MachinePhase::Up {
+            return Err(Refusal::MachineBusy);
+        }
+        if !spec.allows(&machine.type_name, &machine.zone, machine.spot) {
             return Err(Refusal::WrongPlace);
         }
-    }
-    let team = settings
-        .policy
-        .teams
-        .get(&spec.team)
-        .ok_or(Refusal::JobOver)?;
-    let usage = draft.usage(&spec.team);
-    if !within_limit(team, &usage, &spec.resources) {
-        return Err(Refusal::TeamLimit);
-    }
-    let booking_bytes = ASSIGNMENT_BYTES + machine_id.len();
-    let limited = team.cpus_max > 0 || team.gpus_max > 0;
-    let fits = match draft.touches(&Key::Chunk(task.job.clone(), n)) {
-        true => draft.has_room(settings, 0, 1, booking_bytes),
-        // With the records of its team and places, which may be new to the draft as well.
-        false => {
-            let team = limited && !draft.touches(&Key::Team(spec.team.clone()));
-            let place =
-                counts_places(spec, job) && !draft.touches(&Key::ZoneSpread(task.job.clone()));
-            let chunk = draft.chunk(&task.job, n).map_or(0, |c| c.size());
-            let fresh = CHUNK_BASE_BYTES + job.chunk as usize * 4;
-            draft.has_room(
-                settings,
-                1 + usize::from(team) + usize::from(place),
-                6,
-                chunk.max(fresh) + 2 * SMALL_RECORD_BYTES + booking_bytes,
-            )
+        // One attempt of a task may be refused as `in_use` while an older one is still known.
+        let is_assigned_there = cache.assignment(self.request.machine, task).is_some();
+        if !self.request.free.fits(&spec.resources) || is_assigned_there {
+            return Err(Refusal::MachineBusy);
         }
-    };
-    if !fits {
-        return Err(Refusal::Full);
-    }
-    // No two claims of a task that take effect share their attempt, whatever arrives late or
-    // twice: each changes the revision that it was conditional on.
-    let attempt = cache.claim_revision(&task.job, n);
-    draft.rests_on(Key::Job(task.job.clone()));
-    draft.rests_on(Key::Machine(machine_id.to_string()));
-    if settings.checks.configured {
-        draft.rests_on_revision(Key::Configuration, settings.policy.mod_revision);
+        if spec.zone_affinity || spec.topology_spread {
+            let zones = zones_of(draft, self.job, &task.job, &settings.zones);
+            if zone_room(spec, &zones, &machine.zone) == 0 {
+                return Err(Refusal::WrongPlace);
+            }
+        }
+        Ok(())
     }
-    let chunk = draft
-        .chunk_mut(&task.job, n, || Some(ChunkRecord::fresh(job, spec, n)))
-        .ok_or(Refusal::JobOver)?;
-    let slot = task.index.saturating_sub(chunk.first) as usize;
-    let state = chunk.tasks.get_mut(slot).ok_or(Refusal::TaskTaken)?;
-    *state = TaskState::Assigned(Assignment {
-        machine: machine_id.to_string(),
-        attempt,
-        reply_start: None,
-        direct_start: match carrier {
-            Carrier::Answer => None,
-            Carrier::Command { incarnation, token } => Some(DirectStart { incarnation, token }),
-        },
-        stop: None,
-    });
-    draft.grow(booking_bytes);
-    draft.use_more(&spec.team, &spec.resources);
-    if limited {
-        let usage = draft.usage(&spec.team);
-        draft.put(Key::Team(spec.team.clone()), Record::Team(usage));
+
+    /// Whether the transaction holds the claim.
+    fn fits_transaction(
+        &self,
+        draft: &TransactionBuilder,
+        settings: &Settings,
+        team: &Team,
+    ) -> bool {
+        let (job_id, bytes) = (&self.request.task.job, self.assignment_bytes());
+        if draft.touches(&self.chunk_key()) {
+            return draft.has_room(settings, 0, 1, bytes);
+        }
+        // With the records of its team and places, which may be new to the draft as well.
+        let adds_team = is_limited(team) && !draft.touches(&Key::Team(self.spec.team.clone()));
+        let adds_zones =
+            counts_zones(self.spec, self.job) && !draft.touches(&Key::ZoneSpread(job_id.clone()));
+        let known_chunk = draft
+            .chunk(job_id, self.chunk)
+            .map_or(0, |chunk| chunk.size());
+        let new_chunk = CHUNK_BASE_BYTES + self.job.chunk as usize * 4;
+        draft.has_room(
+            settings,
+            1 + usize::from(adds_team) + usize::from(adds_zones),
+            6,
+            known_chunk.max(new_chunk) + 2 * SMALL_RECORD_BYTES + bytes,
+        )
     }
-    if counts_places(spec, job) {
-        let zones = zones_of(draft, job, &task.job, &settings.zones);
-        draft.put(Key::ZoneSpread(task.job.clone()), Record::ZoneSpread(zones));
+
+    /// Adds the claim to the transaction.
+    fn write(
+        &self,
+        draft: &mut TransactionBuilder,
+        settings: &Settings,
+        team: &Team,
+    ) -> Result<(), Refusal> {
+        let (job, spec, task) = (self.job, self.spec, self.request.task);
+        let machine = self.request.machine.to_string();
+        // No two claims of a task that take effect share their attempt, whatever arrives late or
+        // twice: each changes the revision that it was conditional on.
+        let attempt = draft.cache.claim_revision(&task.job, self.chunk);
+        draft.rests_on(Key::Job(task.job.clone()));
+        draft.rests_on(Key::Machine(machine.clone()));
+        if settings.checks.configured {
+            draft.rests_on_revision(Key::Configuration, settings.policy.mod_revision);
+        }
+        let chunk = draft
+            .chunk_mut(&task.job, self.chunk, || {
+                Some(ChunkRecord::fresh(job, spec, self.chunk))
+            })
+            .ok_or(Refusal::JobOver)?;
+        let slot = task.index.saturating_sub(chunk.first) as usize;
+        let state = chunk.tasks.get_mut(slot).ok_or(Refusal::TaskTaken)?;
+        *state = TaskState::Assigned(Assignment {
+            machine,
+            attempt,
+            reply_start: None,
+            direct_start: match self.request.carrier {
+                Carrier::Answer => None,
+                Carrier::Command { incarnation, token } => Some(DirectStart { incarnation, token }),
+            },
+            stop: None,
+        });
+        draft.grow(self.assignment_bytes());
+        draft.use_more(&spec.team, &spec.resources);
+        if is_limited(team) {
+            let usage = draft.usage(&spec.team);
+            draft.put(Key::Team(spec.team.clone()), Record::Team(usage));
+        }
+        if counts_zones(spec, job) {
+            let zones = zones_of(draft, job, &task.job, &settings.zones);
+            draft.put(Key::ZoneSpread(task.job.clone()), Record::ZoneSpread(zones));
+        }
+        Ok(())
     }
-    Ok(())
+}
+
+/// Whether claims for a team must count its usage exactly.
+fn is_limited(team: &Team) -> bool {
+    team.cpus_max > 0 || team.gpus_max > 0
 }
 
 /// Most changes that a release adds to a draft.
--- /dev/null
+++ b/crates/core/src/scheduling/cluster_view.rs
@@ -0,0 +1,17 @@
+//! What the steps of a scheduling pass are worked out from.
+
+use crate::model::{MachineType, WallMs};
+use crate::settings::Settings;
+use crate::state::StateCache;
+use foldhash::HashMap;
+
+/// The cluster as a scheduling pass sees it.
+#[derive(Clone, Copy)]
+pub struct ClusterView<'a> {
+    pub cache: &'a StateCache,
+    pub settings: &'a Settings,
+    /// The cloud's machine types by name.
+    pub machine_types: &'a HashMap<String, MachineType>,
+    /// The time of day.
+    pub wall: WallMs,
+}
--- a/crates/core/src/scheduling/deferral.rs
+++ b/crates/core/src/scheduling/deferral.rs
@@ -1,163 +1,217 @@
 //! Deferral: which pending jobs are put off, priority by priority, when not all of them can be done in time.
+//! The rule itself is in `queue_order`; here are the figures that it works on.
 
 use crate::constants::{CHANGES_PER_TASK, FRESH_MS, QUEUE_ORDER_CACHE_MS};
 use crate::jobs::dependencies;
 use crate::model::{JobKind, JobPriority, JobSpec, WallMs};
 use crate::scheduling::pending_work::PendingWork;
-use crate::scheduling::queue_order;
+use crate::scheduling::queue_order::{self, Capacity, QueuePlace, QueuedJob};
 use crate::settings::Settings;
 use crate::state::StateCache;
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whose turn it is, worked out now and then: hundreds of jobs wait in a burst, and scheduling passes are many.
+/// For each job that can meet a goal: by when it should start to meet the goal after its first, if any.
+pub type NextGoals = HashMap<String, Option<WallMs>>;
+
+/// Which jobs are deferred, worked out now and then: hundreds of jobs wait in a burst, and scheduling
+/// passes are many.
 #[derive(Default)]
 pub struct CachedQueueOrder {
-    until: WallMs,
-    /// Jobs that are put off, and when others are due if not by their first goal.
-    places: HashMap<String, (bool, WallMs)>,
+    /// The time of day until which it is used.
+    expires_at: WallMs,
+    places: HashMap<String, CachedPlace>,
+}
+
+/// What was found for one job.
+struct CachedPlace {
+    is_deferred: bool,
+    due: WallMs,
 }
 
 impl CachedQueueOrder {
-    /// Whether they are to be worked out anew; also when the time of day was set back.
-    pub fn old(&self, wall: WallMs) -> bool {
-        wall >= self.until || wall + QUEUE_ORDER_CACHE_MS < self.until
+    /// Whether it has to be worked out anew; also when the time of day was set back.
+    pub fn has_expired(&self, wall: WallMs) -> bool {
+        wall >= self.expires_at || wall + QUEUE_ORDER_CACHE_MS < self.expires_at
     }
 
-    pub fn keep(&mut self, found: &[PendingWork], wall: WallMs) {
-        self.until = wall + QUEUE_ORDER_CACHE_MS;
-        let place = |w: &PendingWork| (w.job.clone(), (w.urgency.put_off, w.urgency.due));
-        self.places = found.iter().map(place).collect();
+    /// Remembers what was found for each job.
+    pub fn store(&mut self, queue: &[PendingWork], wall: WallMs) {
+        self.expires_at = wall + QUEUE_ORDER_CACHE_MS;
+        let place = |work: &PendingWork| {
+            let (is_deferred, due) = (work.urgency.is_deferred, work.urgency.due);
+            (work.job.clone(), CachedPlace { is_deferred, due })
+        };
+        self.places = queue.iter().map(place).collect();
     }
 
-    pub fn take(&self, found: &mut [PendingWork]) {
-        for w in found {
-            if let Some((put_off, due)) = self.places.get(&w.job) {
-                (w.urgency.put_off, w.urgency.due) = (*put_off, *due);
+    /// Applies what was found before to the jobs that it was found for.
+    pub fn apply(&self, queue: &mut [PendingWork]) {
+        for work in queue {
+            if let Some(place) = self.places.get(&work.job) {
+                work.urgency.is_deferred = place.is_deferred;
+                work.urgency.due = place.due;
             }
         }
     }
 }
 
-/// Puts off, rank by rank, what there is no room for in time. `cpus`: thousandths of processors that
-/// there are in all.
-pub fn take_turns(
-    found: &mut [PendingWork],
-    next_goals: &HashMap<String, Option<WallMs>>,
-    cache: &StateCache,
-    settings: &Settings,
-    cpus: u64,
-    wall: WallMs,
-) {
-    found.sort_by(|a, b| a.urgency.cmp(&b.urgency).then(a.job.cmp(&b.job)));
-    // Services stay; what else runs is half done, on the whole.
-    let mut services = 0;
-    let mut running: BTreeMap<JobPriority, (u128, u64)> = BTreeMap::new();
-    let mut held: BTreeMap<&str, u64> = BTreeMap::new();
-    for (id, _, spec) in cache.open_jobs() {
-        let cpus = u64::from(cache.counts(id).assigned) * spec.resources.cpus;
-        match spec.kind {
-            JobKind::Service => {
-                services += cpus;
-                *held.entry(&spec.team).or_default() += cpus;
+/// What deferral is worked out from.
+pub struct Deferral<'a> {
+    pub cache: &'a StateCache,
+    pub settings: &'a Settings,
+    /// Thousandths of processors of all machines that work can be placed on.
+    pub usable_cpus: u64,
+    /// The time of day.
+    pub wall: WallMs,
+}
+
+/// Work of running batches of one priority.
+#[derive(Default)]
+struct RunningWork {
+    cpu_work: u128,
+    tasks: u64,
+}
+
+/// What runs already.
+#[derive(Default)]
+struct Running<'a> {
+    /// Thousandths of processors that services hold, in all and by team.
+    service_cpus: u64,
+    service_cpus_by_team: BTreeMap<&'a str, u64>,
+    batches: BTreeMap<JobPriority, RunningWork>,
+}
+
+impl Deferral<'_> {
+    /// Defers, priority by priority, the jobs that cannot be done in time, and sets when the others are due.
+    pub fn defer_excess(&self, queue: &mut [PendingWork], next_goals: &NextGoals) {
+        queue.sort_by(PendingWork::compare);
+        let mut running = self.running();
+        let mut capacity = self.capacity(&running);
+        let arrived = self.within_guarantee_on_arrival(queue);
+        let tuning = &self.settings.tuning;
+        let (threshold, share) = (tuning.put_off_from, tuning.put_off_share);
+        for group in queue.chunk_by_mut(|a, b| a.urgency.priority == b.urgency.priority) {
+            let priority = group
+                .first()
+                .map_or(JobPriority::Low, |work| work.urgency.priority.0);
+            // Running batches of lower priority are preempted for it, the others come before it.
+            for work in running.batches.split_off(&priority).into_values() {
+                capacity.work_ahead += work.cpu_work;
+                capacity.tasks_ahead += work.tasks;
             }
-            JobKind::Array => {
-                let (work, tasks) = running.entry(spec.priority).or_default();
-                *work += queue_order::work(1, cpus, dependencies::run_ms(spec) / 2);
-                // They have been started: what is left are their results.
-                *tasks += u64::from(cache.counts(id).assigned / 2);
+            let jobs: Vec<QueuedJob> = group
+                .iter()
+                .map(|work| self.queued_job(work, next_goals, &arrived))
+                .collect();
+            let places =
+                queue_order::places_if_short(&jobs, &capacity, threshold, share, self.wall);
+            for (work, place) in group.iter_mut().zip(places) {
+                match place {
+                    QueuePlace::Due(due) => work.urgency.due = due,
+                    // What has been overdue for long comes first: nothing is deferred for ever.
+                    QueuePlace::Deferred => {
+                        let is_overdue = work.urgency.due <= self.wall;
+                        work.urgency.is_deferred = !is_overdue && !arrived.contains(&work.job);
+                    }
+                }
             }
+            capacity.work_ahead += jobs.iter().map(|job| job.cpu_work).sum::<u128>();
+            capacity.tasks_ahead += jobs.iter().map(|job| job.tasks).sum::<u64>();
         }
     }
-    let (from, share) = (settings.tuning.put_off_from, settings.tuning.put_off_share);
-    let names: Vec<&String> = settings.policy.teams.keys().collect();
-    let limits = settings
-        .policy
-        .teams
-        .iter()
-        .map(|(name, team)| match team.cpus_max {
-            0 => 0,
-            most => (most.saturating_sub(held.get(name.as_str()).copied().unwrap_or(0))).max(1),
-        });
-    let mut means = queue_order::Means {
-        cpus: cpus.saturating_sub(services),
-        tasks_per_s: settings.write_rps * settings.controllers.len() as f64 / CHANGES_PER_TASK,
-        before: 0,
-        tasks_before: 0,
-        teams: limits.collect(),
-    };
-    let arrived = within_on_arrival(found, cache, settings, wall);
-    for class in found.chunk_by_mut(|a, b| a.urgency.priority == b.urgency.priority) {
-        // What runs of lower rank is stopped for it.
-        let priority = class
-            .first()
-            .map_or(JobPriority::Low, |w| w.urgency.priority.0);
-        let above: Vec<JobPriority> = running.range(priority..).map(|(r, _)| *r).collect();
-        for (work, tasks) in above.iter().filter_map(|r| running.remove(r)) {
-            means.before += work;
-            means.tasks_before += tasks;
-        }
-        let jobs: Vec<queue_order::Turn> = (class.iter())
-            .map(|w| {
-                let spec = cache.open_job(&w.job);
-                let team = spec.and_then(|s| names.iter().position(|n| **n == s.team));
-                let run_ms = spec.map_or(0, dependencies::run_ms);
-                let goals = next_goals.get(&w.job);
-                queue_order::Turn {
-                    work: queue_order::work(w.indices.len() as u64, w.set.resources.cpus, run_ms),
-                    tasks: w.indices.len() as u64,
-                    team: team.unwrap_or(0),
-                    due: goals.map(|_| w.urgency.due),
-                    next_due: goals.copied().flatten(),
-                    firm: arrived.contains(&w.job),
+
+    /// Running services, which stay, and batches, which are half done on average.
+    fn running(&self) -> Running<'_> {
+        let mut running = Running::default();
+        for (id, _, spec) in self.cache.open_jobs() {
+            let assigned = self.cache.counts(id).assigned;
+            let cpus = u64::from(assigned) * spec.resources.cpus;
+            match spec.kind {
+                JobKind::Service => {
+                    running.service_cpus += cpus;
+                    *running.service_cpus_by_team.entry(&spec.team).or_default() += cpus;
                 }
-            })
-            .collect();
-        let places = queue_order::places_if_short(&jobs, &means, from, share, wall);
-        for (w, place) in class.iter_mut().zip(places) {
-            match place {
-                queue_order::Place::Due(due) => w.urgency.due = due,
-                // What has been overdue for long comes first: nothing is put off for ever.
-                queue_order::Place::PutOff => {
-                    w.urgency.put_off = w.urgency.due > wall && !arrived.contains(&w.job);
+                JobKind::Array => {
+                    let batches = running.batches.entry(spec.priority).or_default();
+                    batches.cpu_work +=
+                        queue_order::cpu_work(1, cpus, dependencies::run_ms(spec) / 2);
+                    // They have been started: only the changes for their results are still to be made.
+                    batches.tasks += u64::from(assigned / 2);
                 }
             }
         }
-        means.before += jobs.iter().map(|j| j.work).sum::<u128>();
-        means.tasks_before += jobs.iter().map(|j| j.tasks).sum::<u64>();
+        running
     }
-}
 
-/// Jobs that have just come and that fit into their team's guarantee with all that the team had
-/// before: they need not wait for anybody.
-fn within_on_arrival(
-    found: &[PendingWork],
-    cache: &StateCache,
-    settings: &Settings,
-    wall: WallMs,
-) -> BTreeSet<String> {
-    let fresh = |at: WallMs| wall < at + FRESH_MS;
-    if !found.iter().any(|w| fresh(w.at)) {
-        return BTreeSet::new();
+    /// What is left beside the services that run.
+    fn capacity(&self, running: &Running) -> Capacity {
+        let settings = self.settings;
+        let team_limits = settings.policy.teams.iter().map(|(name, team)| {
+            let services = running.service_cpus_by_team.get(name.as_str());
+            match team.cpus_max {
+                0 => 0,
+                limit => limit.saturating_sub(services.copied().unwrap_or(0)).max(1),
+            }
+        });
+        Capacity {
+            cpus: self.usable_cpus.saturating_sub(running.service_cpus),
+            tasks_per_s: settings.write_rps * settings.controllers.len() as f64 / CHANGES_PER_TASK,
+            work_ahead: 0,
+            tasks_ahead: 0,
+            team_limits: team_limits.collect(),
+        }
     }
-    let mut open: Vec<(WallMs, &str, &JobSpec)> = cache
-        .open_jobs()
-        .map(|(id, job, spec)| (cache.ready_at(job), id, spec))
-        .collect();
-    open.sort_by_key(|(at, id, _)| (*at, *id));
-    let mut sums: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
-    let mut within = BTreeSet::new();
-    for (at, id, spec) in open {
-        let Some(team) = settings.policy.teams.get(&spec.team) else {
-            continue;
-        };
-        let left = u64::from(spec.tasks.saturating_sub(cache.counts(id).done));
-        let (cpus, gpus) = sums.entry(&spec.team).or_default();
-        *cpus += left * spec.resources.cpus;
-        *gpus += left * spec.resources.gpus;
-        if fresh(at) && *cpus <= team.cpus && *gpus <= team.gpus {
-            within.insert(id.to_string());
+
+    fn queued_job(
+        &self,
+        work: &PendingWork,
+        next_goals: &NextGoals,
+        arrived: &BTreeSet<String>,
+    ) -> QueuedJob {
+        let spec = self.cache.open_job(&work.job);
+        let mut teams = self.settings.policy.teams.keys();
+        let team = spec.and_then(|spec| teams.position(|name| *name == spec.team));
+        let run_ms = spec.map_or(0, dependencies::run_ms);
+        let tasks = work.indices.len() as u64;
+        let goals = next_goals.get(&work.job);
+        QueuedJob {
+            cpu_work: queue_order::cpu_work(tasks, work.resources.cpus, run_ms),
+            tasks,
+            team: team.unwrap_or(0),
+            due: goals.map(|_| work.urgency.due),
+            next_due: goals.copied().flatten(),
+            is_firm: arrived.contains(&work.job),
+        }
+    }
+
+    /// Jobs that have just arrived and that fit into their team's guarantee together with all that the team
+    /// had before: they need not wait for anybody.
+    fn within_guarantee_on_arrival(&self, queue: &[PendingWork]) -> BTreeSet<String> {
+        let has_just_arrived = |ready_at: WallMs| self.wall < ready_at + FRESH_MS;
+        if !queue.iter().any(|work| has_just_arrived(work.ready_at)) {
+            return BTreeSet::new();
+        }
+        let mut open: Vec<(WallMs, &str, &JobSpec)> = self
+            .cache
+            .open_jobs()
+            .map(|(id, job, spec)| (self.cache.ready_at(job), id, spec))
+            .collect();
+        open.sort_by_key(|(ready_at, id, _)| (*ready_at, *id));
+        let mut usage: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
+        let mut within = BTreeSet::new();
+        for (ready_at, id, spec) in open {
+            let Some(team) = self.settings.policy.teams.get(&spec.team) else {
+                continue;
+            };
+            let unfinished = u64::from(spec.tasks.saturating_sub(self.cache.counts(id).done));
+            let (cpus, gpus) = usage.entry(&spec.team).or_default();
+            *cpus += unfinished * spec.resources.cpus;
+            *gpus += unfinished * spec.resources.gpus;
+            if has_just_arrived(ready_at) && *cpus <= team.cpus && *gpus <= team.gpus {
+                within.insert(id.to_string());
+            }
         }
+        within
     }
-    within
 }
--- a/crates/core/src/scheduling/mod.rs
+++ b/crates/core/src/scheduling/mod.rs
@@ -1,15 +1,22 @@
 //! Scheduling: pending work, queue order, placement, claims, preemption, rescheduling, enforcement of quotas.
+//!
+//! `pass` puts the steps of a scheduling pass in order; `migration_step` runs beside it. The other modules
+//! decide, from a view of the cluster, and know nothing of the controller's effects.
 
 pub mod candidates;
 pub mod claims;
+pub mod cluster_view;
 pub mod deferral;
+mod migration_step;
 mod pass;
 pub mod pending_work;
 pub mod placement;
 pub mod preemption;
+mod preemption_step;
 pub mod queue_order;
 pub mod quota_enforcement;
 pub mod rescheduling;
 pub(crate) mod schedule;
 pub mod service_reserve;
+pub mod stops;
 pub mod urgency;
--- a/crates/core/src/scheduling/queue_order.rs
+++ b/crates/core/src/scheduling/queue_order.rs
@@ -1,204 +1,237 @@
-//! Whose turn it is when there is not room for all: of the jobs of a rank as many as can are done by
+//! The order of the queue when capacity is short: of the jobs of one priority as many as possible are done by
 //! when they are due.
 //!
-//! Serving the earliest due first is best as long as all can be met. When a class asks for more than
-//! there is, it is the worst: each job starts just too late, and nearly all miss. So jobs are given up
-//! for now by the rule of Moore and Hodgson ("An n job, one machine sequencing algorithm for minimizing
-//! the number of late jobs", 1968): taken in the order in which they are due, whenever what has been
-//! taken does not fit into the time until then, the one with the most work left is put off. What is put
-//! off comes after the rest of its rank, and may still meet a later goal of its own.
+//! Serving the earliest due first is best as long as all due times can be met. When a class asks for more than
+//! there is, it is the worst: each job starts just too late, and nearly all miss. So jobs are deferred by the
+//! rule of Moore and Hodgson ("An n job, one machine sequencing algorithm for minimizing the number of late
+//! jobs", 1968): admitted in the order in which they are due, whenever the admitted jobs do not fit into the
+//! time until then, the one with the most work left is deferred. Deferred jobs come after the rest of their
+//! priority, and may still meet a later goal of their own.
 
 use crate::model::{Millis, WallMs};
 use std::collections::BinaryHeap;
 
-/// One job's waiting work.
+/// One job's pending work.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Turn {
-    /// Processors by milliseconds, in thousandths of a processor.
-    pub work: u128,
+pub struct QueuedJob {
+    /// Thousandths of processors times milliseconds.
+    pub cpu_work: u128,
     pub tasks: u64,
-    /// What is kept of it when it has to wait: its team.
+    /// The position of its team among the limits of `Capacity`.
     pub team: usize,
-    /// By when it is to be done, the first of its goals that it can still meet alone; and the next.
+    /// By when it is to start: the first of its goals that it can still meet alone; and the next one.
     pub due: Option<WallMs>,
     pub next_due: Option<WallMs>,
-    /// It is not put off, however much it is: it is within its team's guarantee and has just come.
-    pub firm: bool,
+    /// It is never deferred, however large it is: it is within its team's guarantee and has just arrived.
+    pub is_firm: bool,
 }
 
-/// What there is to serve them with.
+/// What there is to serve the jobs with.
 #[derive(Clone, Debug, Default)]
-pub struct Means {
+pub struct Capacity {
     /// Thousandths of processors.
     pub cpus: u64,
-    /// Tasks that can be started and ended in a second, by the state service's changes; 0 is no limit.
+    /// Tasks that can be started and ended in a second, by the changes that the state service takes; 0 is no
+    /// limit.
     pub tasks_per_s: f64,
-    /// Work that comes first: what runs already, and what is of higher rank; and its tasks.
-    pub before: u128,
-    pub tasks_before: u64,
-    /// What each team may use of it; 0 is no limit.
-    pub teams: Vec<u64>,
+    /// Work that comes first, in thousandths of processors times milliseconds: what runs already, and what is
+    /// of higher priority; and its tasks.
+    pub work_ahead: u128,
+    pub tasks_ahead: u64,
+    /// Thousandths of processors that each team may use; 0 is no limit.
+    pub team_limits: Vec<u64>,
 }
 
-/// When each job is to be done, or that it is put off.
+impl Capacity {
+    /// The same with so many times the processors, tasks and limits.
+    fn scaled(&self, factor: f64) -> Capacity {
+        let scale = |cpus: u64| (cpus as f64 * factor) as u64;
+        Capacity {
+            cpus: scale(self.cpus),
+            tasks_per_s: self.tasks_per_s * factor,
+            team_limits: self.team_limits.iter().map(|cpus| scale(*cpus)).collect(),
+            ..self.clone()
+        }
+    }
+}
+
+/// When a job is due, or that it is deferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum QueuePlace {
     Due(WallMs),
-    PutOff,
+    Deferred,
+}
+
+/// A job's work with its position in the queue. The one with the most work is the greatest.
+struct AdmittedJob {
+    cpu_work: u128,
+    position: usize,
+    is_firm: bool,
 }
 
-struct Taken {
-    work: u128,
-    at: usize,
-    firm: bool,
+impl AdmittedJob {
+    fn of(position: usize, job: &QueuedJob) -> AdmittedJob {
+        AdmittedJob {
+            cpu_work: job.cpu_work,
+            position,
+            is_firm: job.is_firm,
+        }
+    }
 }
 
-impl PartialEq for Taken {
-    fn eq(&self, other: &Taken) -> bool {
+impl PartialEq for AdmittedJob {
+    fn eq(&self, other: &AdmittedJob) -> bool {
         self.cmp(other).is_eq()
     }
 }
-impl Eq for Taken {}
-impl PartialOrd for Taken {
-    fn partial_cmp(&self, other: &Taken) -> Option<std::cmp::Ordering> {
+impl Eq for AdmittedJob {}
+impl PartialOrd for AdmittedJob {
+    fn partial_cmp(&self, other: &AdmittedJob) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Taken {
-    fn cmp(&self, other: &Taken) -> std::cmp::Ordering {
-        self.work.cmp(&other.work).then(self.at.cmp(&other.at))
+impl Ord for AdmittedJob {
+    fn cmp(&self, other: &AdmittedJob) -> std::cmp::Ordering {
+        (self.cpu_work.cmp(&other.cpu_work)).then(self.position.cmp(&other.position))
     }
 }
 
-/// Marks jobs put off so that what is left fits, in the order of its due times, into so many
-/// processors after the work that comes before.
-fn put_off(due: &mut [(WallMs, Taken)], cpus: u64, before: u128, wall: WallMs, off: &mut [bool]) {
-    due.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.cmp(&b.1)));
-    let mut sum = before;
-    let mut taken: BinaryHeap<Taken> = BinaryHeap::new();
-    for (due, job) in due.iter() {
-        sum += job.work;
-        if !job.firm {
-            let (work, at) = (job.work, job.at);
-            taken.push(Taken {
-                work,
-                at,
-                firm: false,
-            });
+/// Marks jobs in `deferred` so that the others fit, in the order of their due times, into so many processors
+/// after the work that comes first.
+fn defer_until_fitting(
+    jobs: &mut [(WallMs, AdmittedJob)],
+    cpus: u64,
+    work_ahead: u128,
+    wall: WallMs,
+    deferred: &mut [bool],
+) {
+    jobs.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.cmp(&b.1)));
+    let mut sum = work_ahead;
+    let mut deferrable: BinaryHeap<&AdmittedJob> = BinaryHeap::new();
+    for (due, job) in jobs.iter() {
+        sum += job.cpu_work;
+        if !job.is_firm {
+            deferrable.push(job);
         }
         let fits = u128::from(cpus) * u128::from(due.saturating_sub(wall));
         while sum > fits {
-            let Some(largest) = taken.pop() else { break };
-            sum -= largest.work;
-            off[largest.at] = true;
+            let Some(largest) = deferrable.pop() else {
+                break;
+            };
+            sum -= largest.cpu_work;
+            deferred[largest.position] = true;
         }
     }
 }
 
-/// Processors' time that a task takes of what is short, where that is the changes by which it is
-/// started and ended rather than processors.
-fn per_task(jobs: &[Turn], means: &Means) -> Option<u128> {
-    if means.tasks_per_s <= 0.0 {
+/// Processor time that a task counts as, where the changes by which tasks are started and ended are short
+/// rather than processors.
+fn cpu_work_per_task(jobs: &[QueuedJob], capacity: &Capacity) -> Option<u128> {
+    if capacity.tasks_per_s <= 0.0 {
         return None;
     }
-    let per_task = (means.cpus as f64 * 1e3 / means.tasks_per_s) as u128;
-    let tasks: u64 = means.tasks_before + jobs.iter().map(|j| j.tasks).sum::<u64>();
-    let work: u128 = means.before + jobs.iter().map(|j| j.work).sum::<u128>();
-    (u128::from(tasks) * per_task > work).then_some(per_task)
+    let per_task = (capacity.cpus as f64 * 1e3 / capacity.tasks_per_s) as u128;
+    let tasks = capacity.tasks_ahead + jobs.iter().map(|job| job.tasks).sum::<u64>();
+    let cpu_work = capacity.work_ahead + jobs.iter().map(|job| job.cpu_work).sum::<u128>();
+    (u128::from(tasks) * per_task > cpu_work).then_some(per_task)
 }
 
-/// The same with two measures: nothing is put off until clearly more is asked for than there is, and
-/// then with room to spare.
+/// Places with hysteresis: nothing is deferred until more is asked for than `threshold` times the capacity,
+/// and then so much that the rest fits into `share` of it.
 pub fn places_if_short(
-    jobs: &[Turn],
-    means: &Means,
-    from: f64,
+    jobs: &[QueuedJob],
+    capacity: &Capacity,
+    threshold: f64,
     share: f64,
     wall: WallMs,
-) -> Vec<Place> {
-    let times = |by: f64| Means {
-        cpus: (means.cpus as f64 * by) as u64,
-        tasks_per_s: means.tasks_per_s * by,
-        teams: means
-            .teams
-            .iter()
-            .map(|c| (*c as f64 * by) as u64)
-            .collect(),
-        ..means.clone()
+) -> Vec<QueuePlace> {
+    let lenient = places(jobs, &capacity.scaled(threshold), wall);
+    let misses_goal = |(job, place): (&QueuedJob, &QueuePlace)| {
+        job.due.is_some() && *place == QueuePlace::Deferred
     };
-    let lax = places(jobs, &times(from), wall);
-    let goal = |(job, place): (&Turn, &Place)| job.due.is_some() && *place == Place::PutOff;
-    match jobs.iter().zip(&lax).any(goal) {
-        true => places(jobs, &times(share), wall),
-        false => lax,
+    match jobs.iter().zip(&lenient).any(misses_goal) {
+        true => places(jobs, &capacity.scaled(share), wall),
+        false => lenient,
     }
 }
 
-/// Says of each job of one rank when it is to be done, and which are put off.
-pub fn places(jobs: &[Turn], means: &Means, wall: WallMs) -> Vec<Place> {
-    let Some(per_task) = per_task(jobs, means) else {
-        return placed(jobs, means, wall);
+/// For each job of one priority: when it is due, or that it is deferred.
+pub fn places(jobs: &[QueuedJob], capacity: &Capacity, wall: WallMs) -> Vec<QueuePlace> {
+    let Some(per_task) = cpu_work_per_task(jobs, capacity) else {
+        return places_by_cpu_work(jobs, capacity, wall);
     };
-    let taken = |j: &Turn| Turn {
-        work: u128::from(j.tasks) * per_task,
-        ..j.clone()
+    let by_tasks = |job: &QueuedJob| QueuedJob {
+        cpu_work: u128::from(job.tasks) * per_task,
+        ..job.clone()
     };
-    let jobs: Vec<Turn> = jobs.iter().map(taken).collect();
+    let jobs: Vec<QueuedJob> = jobs.iter().map(by_tasks).collect();
     // Teams' limits are of processors, which are not what is short.
-    let means = Means {
-        before: u128::from(means.tasks_before) * per_task,
-        teams: Vec::new(),
-        ..means.clone()
+    let capacity = Capacity {
+        work_ahead: u128::from(capacity.tasks_ahead) * per_task,
+        team_limits: Vec::new(),
+        ..capacity.clone()
     };
-    placed(&jobs, &means, wall)
+    places_by_cpu_work(&jobs, &capacity, wall)
 }
 
-fn placed(jobs: &[Turn], means: &Means, wall: WallMs) -> Vec<Place> {
-    let taken = |at: usize, job: &Turn| Taken {
-        work: job.work,
-        at,
-        firm: job.firm,
+fn places_by_cpu_work(jobs: &[QueuedJob], capacity: &Capacity, wall: WallMs) -> Vec<QueuePlace> {
+    let mut deferred = vec![false; jobs.len()];
+    defer_by_team_limits(jobs, capacity, wall, &mut deferred);
+    let with_goal = |(position, job): (usize, &QueuedJob)| {
+        let due = job.due?;
+        Some((due, AdmittedJob::of(position, job)))
     };
-    let mut off = vec![false; jobs.len()];
-    // Teams at their limits first: what a team can't have does not stand in the way of others.
-    for (team, cpus) in means.teams.iter().enumerate() {
-        if *cpus == 0 || *cpus >= means.cpus {
-            continue;
-        }
-        let those = jobs.iter().enumerate().filter(|(_, j)| j.team == team);
-        let mut those: Vec<_> = those
-            .filter_map(|(at, j)| Some((j.due?, taken(at, j))))
-            .collect();
-        put_off(&mut those, *cpus, 0, wall, &mut off);
-    }
-    let left = jobs.iter().enumerate().filter(|(at, _)| !off[*at]);
-    let mut left: Vec<_> = left
-        .filter_map(|(at, j)| Some((j.due?, taken(at, j))))
+    let mut admitted: Vec<_> = (jobs.iter().enumerate())
+        .filter(|(position, _)| !deferred[*position])
+        .filter_map(with_goal)
         .collect();
-    put_off(&mut left, means.cpus, means.before, wall, &mut off);
-    // Those put off have another try by their next goals, which take nothing from the others.
-    let mut again: Vec<_> = (jobs.iter().enumerate())
-        .filter_map(|(at, j)| match off[at] {
-            true => Some((j.next_due?, taken(at, j))),
-            false => {
-                let mut kept = taken(at, j);
-                kept.firm = true;
-                Some((j.due?, kept))
+    let (cpus, work_ahead) = (capacity.cpus, capacity.work_ahead);
+    defer_until_fitting(&mut admitted, cpus, work_ahead, wall, &mut deferred);
+    // Deferred jobs have another try by their next goals, which take nothing from the others.
+    let mut retried: Vec<_> = (jobs.iter().enumerate())
+        .filter_map(|(position, job)| {
+            let mut admitted = AdmittedJob::of(position, job);
+            if deferred[position] {
+                return Some((job.next_due?, admitted));
             }
+            admitted.is_firm = true;
+            Some((job.due?, admitted))
         })
         .collect();
-    let mut off_again = vec![false; jobs.len()];
-    put_off(&mut again, means.cpus, means.before, wall, &mut off_again);
-    let place = |(at, j): (usize, &Turn)| match (off[at], j.due) {
-        (false, Some(due)) => Place::Due(due),
-        (true, _) if !off_again[at] => j.next_due.map_or(Place::PutOff, Place::Due),
-        _ => Place::PutOff,
+    let mut deferred_again = vec![false; jobs.len()];
+    defer_until_fitting(&mut retried, cpus, work_ahead, wall, &mut deferred_again);
+    let place = |(position, job): (usize, &QueuedJob)| {
+        let due = match deferred[position] {
+            false => job.due,
+            true if deferred_again[position] => None,
+            true => job.next_due,
+        };
+        due.map_or(QueuePlace::Deferred, QueuePlace::Due)
     };
     jobs.iter().enumerate().map(place).collect()
 }
 
-/// Milliseconds that a job of so many tasks takes with so many processors at the least.
-pub fn work(tasks: u64, cpus: u64, run_ms: Millis) -> u128 {
+/// Defers what does not fit into its team's limit, so that it does not stand in the way of other teams.
+fn defer_by_team_limits(
+    jobs: &[QueuedJob],
+    capacity: &Capacity,
+    wall: WallMs,
+    deferred: &mut [bool],
+) {
+    for (team, cpus) in capacity.team_limits.iter().enumerate() {
+        if *cpus == 0 || *cpus >= capacity.cpus {
+            continue;
+        }
+        let mut of_team: Vec<_> = (jobs.iter().enumerate())
+            .filter(|(_, job)| job.team == team)
+            .filter_map(|(position, job)| Some((job.due?, AdmittedJob::of(position, job))))
+            .collect();
+        defer_until_fitting(&mut of_team, *cpus, 0, wall, deferred);
+    }
+}
+
+/// Thousandths of processors times milliseconds that so many tasks take.
+pub fn cpu_work(tasks: u64, cpus: u64, run_ms: Millis) -> u128 {
     u128::from(tasks) * u128::from(cpus) * u128::from(run_ms)
 }
 
--- a/crates/core/src/scheduling/quota_enforcement.rs
+++ b/crates/core/src/scheduling/quota_enforcement.rs
@@ -1,42 +1,84 @@
-//! Evictions for limits that were lowered: what a team runs above its limit is stopped, the least
-//! important first, until what stays fits. Claims keep to the new limit from its commit on, so this only
+//! Quota enforcement: evictions for limits that were lowered. What a team runs above its limit is stopped, the
+//! least important first, until the rest fits. Claims keep to the new limit from its commit on, so this only
 //! ends what was claimed before.
 
 use crate::configuration::Policy;
-use crate::controller::{Controller, PendingOperation, RequestClass};
-use crate::model::{JobKind, JobPriority, Resources, TaskId, Team};
-use crate::state::{Key, StateCache, TransactionBuilder};
+use crate::controller::Controller;
+use crate::model::{JobKind, JobPriority, JobSpec, Resources, TaskId, Team};
+use crate::scheduling::stops::{RevisionCondition, Stop, StopReason};
+use crate::state::{Assignment, Key, StateCache};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// The reason on record of tasks that are stopped for a limit.
-pub const OVER_LIMIT: &str = "limit";
-
-/// A task that may be stopped for its team's limit.
-struct Candidate {
+/// A task that may be evicted for its team's limit.
+struct EvictionCandidate {
     task: TaskId,
     machine: String,
     attempt: u64,
     resources: Resources,
-    service: bool,
+    is_service: bool,
     priority: JobPriority,
 }
 
-impl Candidate {
-    /// Batches before services, lower ranks before higher ones, the youngest first.
-    fn turn(&self) -> impl Ord {
-        (self.service, self.priority, Reverse(self.attempt))
+impl EvictionCandidate {
+    fn of(job: &str, spec: &JobSpec, index: u32, assignment: &Assignment) -> EvictionCandidate {
+        EvictionCandidate {
+            task: TaskId {
+                job: job.to_string(),
+                index,
+            },
+            machine: assignment.machine.clone(),
+            attempt: assignment.attempt,
+            resources: spec.resources,
+            is_service: spec.kind == JobKind::Service,
+            priority: spec.priority,
+        }
+    }
+
+    /// Batches before services, lower priorities before higher ones, the youngest first.
+    fn sort_key(&self) -> impl Ord {
+        (self.is_service, self.priority, Reverse(self.attempt))
     }
 }
 
-/// What stays of a team's use, and what may be stopped of it.
+/// What a team uses, and what may be evicted of it.
 #[derive(Default)]
-struct TeamUse {
+struct TeamUsage {
+    /// Thousandths of processors.
     cpus: u64,
+    /// Thousandths of GPUs.
     gpus: u64,
-    candidates: Vec<Candidate>,
+    candidates: Vec<EvictionCandidate>,
+}
+
+impl TeamUsage {
+    /// Stops, the least important first, until the rest fits the team's limit.
+    fn stops(mut self, team: &Team) -> Vec<Stop> {
+        self.candidates.sort_by_key(EvictionCandidate::sort_key);
+        let mut stops = Vec::new();
+        for candidate in self.candidates {
+            if !is_over(team, self.cpus, self.gpus) {
+                break;
+            }
+            let resources = candidate.resources;
+            let helps = exceeds(self.cpus, team.cpus_max) && resources.cpus > 0
+                || exceeds(self.gpus, team.gpus_max) && resources.gpus > 0;
+            if helps {
+                self.cpus -= resources.cpus;
+                self.gpus -= resources.gpus;
+                stops.push(Stop {
+                    machine: candidate.machine,
+                    task: candidate.task,
+                    attempt: candidate.attempt,
+                    reason: StopReason::OverLimit,
+                });
+            }
+        }
+        stops
+    }
 }
 
+/// Whether usage is above a limit; a limit of 0 is none.
 fn exceeds(used: u64, limit: u64) -> bool {
     limit > 0 && used > limit
 }
@@ -45,7 +87,7 @@
     exceeds(cpus, team.cpus_max) || exceeds(gpus, team.gpus_max)
 }
 
-/// Teams whose assignments take more than their limits, by what is counted anyway.
+/// Teams whose assignments use more than their limits.
 fn teams_over<'a>(cache: &StateCache, policy: &'a Policy) -> BTreeMap<&'a str, &'a Team> {
     let over = policy.teams.values().filter(|team| {
         let used = cache.usage(&team.name);
@@ -54,54 +96,31 @@
     over.map(|team| (team.name.as_str(), team)).collect()
 }
 
-/// Tasks to stop so that each team's use fits its limit, with the machine and attempt of each. What is
-/// being stopped already, or belongs to a cancelled job, is counted as gone.
-pub fn over_limits(cache: &StateCache, policy: &Policy) -> Vec<(String, TaskId, u64)> {
+/// Stops by which each team's usage fits its limit. What is being stopped already, or belongs to a cancelled
+/// job, is counted as gone.
+pub fn stops_over_limits(cache: &StateCache, policy: &Policy) -> Vec<Stop> {
     let over = teams_over(cache, policy);
     if over.is_empty() {
         return Vec::new();
     }
-    let mut uses: BTreeMap<&str, TeamUse> = BTreeMap::new();
+    let mut usage: BTreeMap<&str, TeamUsage> = BTreeMap::new();
     for (id, _, spec) in cache.open_jobs() {
         let Some((team, _)) = over.get_key_value(spec.team.as_str()) else {
             continue;
         };
-        let used = uses.entry(*team).or_default();
+        let used = usage.entry(*team).or_default();
         let assigned = cache.chunks_of(id).flat_map(|(_, chunk)| chunk.assigned());
-        for (index, assignment) in assigned.filter(|(_, b)| b.stop.is_none()) {
+        for (index, assignment) in assigned.filter(|(_, assignment)| assignment.stop.is_none()) {
             used.cpus += spec.resources.cpus;
             used.gpus += spec.resources.gpus;
-            used.candidates.push(Candidate {
-                task: TaskId {
-                    job: id.to_string(),
-                    index,
-                },
-                machine: assignment.machine.clone(),
-                attempt: assignment.attempt,
-                resources: spec.resources,
-                service: spec.kind == JobKind::Service,
-                priority: spec.priority,
-            });
+            let candidate = EvictionCandidate::of(id, spec, index, assignment);
+            used.candidates.push(candidate);
         }
     }
-    let mut stops = Vec::new();
-    for (name, mut used) in uses {
-        let Some(team) = over.get(name) else { continue };
-        used.candidates.sort_by_key(Candidate::turn);
-        for candidate in used.candidates {
-            let helps = exceeds(used.cpus, team.cpus_max) && candidate.resources.cpus > 0
-                || exceeds(used.gpus, team.gpus_max) && candidate.resources.gpus > 0;
-            if !is_over(team, used.cpus, used.gpus) {
-                break;
-            }
-            if helps {
-                used.cpus -= candidate.resources.cpus;
-                used.gpus -= candidate.resources.gpus;
-                stops.push((candidate.machine, candidate.task, candidate.attempt));
-            }
-        }
-    }
-    stops
+    let stops = usage
+        .into_iter()
+        .filter_map(|(name, used)| Some(used.stops(over.get(name)?)));
+    stops.flatten().collect()
 }
 
 impl Controller {
@@ -112,33 +131,18 @@
         if !configured || !self.settings.checks.eviction || !self.may_write() {
             return;
         }
-        let stops = over_limits(&self.cache, &self.settings.policy);
+        let stops = stops_over_limits(&self.cache, &self.settings.policy);
         if stops.is_empty() || self.changes_left() < self.min_changes() {
             return;
         }
-        let mut draft = TransactionBuilder::new(&self.cache);
-        let mut chosen = Vec::new();
-        for (machine, task, attempt) in stops {
-            if !draft.has_room(&self.settings, 1, 2, self.settings.max_value_bytes as usize) {
-                break;
-            }
-            self.edit_assignment(&mut draft, &task, attempt, |assignment| {
-                assignment.stop = Some(OVER_LIMIT.into());
-            });
-            chosen.push((machine, task));
-        }
-        // Raised meanwhile, nothing has to go.
-        draft.rests_on_revision(Key::Configuration, self.settings.policy.mod_revision);
-        let large = draft.drop_oversized(self.settings.max_value_bytes);
-        if !draft.is_empty() {
-            tracing::info!(tasks = chosen.len(), "stopped: above their teams' limits");
-            let transaction = draft.finish();
-            self.commit_assignments(
-                transaction,
-                PendingOperation::Stop(chosen),
-                RequestClass::Claim,
-            );
+        // If a newer configuration raises the limits meanwhile, nothing has to go.
+        let condition = RevisionCondition {
+            key: Key::Configuration,
+            mod_revision: self.settings.policy.mod_revision,
+        };
+        let outcome = self.commit_stops(stops, Some(condition));
+        if outcome.is_sent {
+            tracing::info!(tasks = outcome.stops, "tasks above team limits stopped");
         }
-        self.log_oversized(large);
     }
 }
--- a/crates/core/src/scheduling/rescheduling.rs
+++ b/crates/core/src/scheduling/rescheduling.rs
@@ -1,94 +1,119 @@
-//! Which running tasks are moved, for whatever reason: one planner, one budget.
+//! Rescheduling: which running tasks are migrated, for whatever reason: one planner, one budget.
 //!
-//! A move stops a task where it runs and lets it be placed anew. Each says what it gains and what it
+//! A migration stops a task where it runs and lets it be placed anew. Each states what it gains and what it
 //! costs, in seconds of a replica's time; it is made only if the gain is clearly more. A service never
-//! loses two tasks at a time, nor one while another is missing, and no task moves twice within a
-//! stated time. What a move is made of, a stop on record and a claim, survives the end of any controller.
+//! loses two tasks at a time, nor one while another is missing, and no task migrates twice within
+//! `MOVE_AGAIN_MS`. A migration consists of a stop on record and a claim, which survive the end of any
+//! controller.
 
 use crate::constants::{MOVES_REMEMBERED, MOVE_AGAIN_MS, MOVE_WORTH, SPREAD_GAIN_S};
 use crate::model::{Millis, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
-/// Why a task is moved, the most urgent first.
+/// Why a task is migrated, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reason {
-    /// Its machine is sick, under notice, or to be returned.
+pub enum MigrationReason {
+    /// Its machine is faulty, about to be reclaimed, or to be returned.
     Leaving,
     /// Its zone holds more of its service than its share.
     Spread,
 }
 
-impl Reason {
-    /// As it stands on record with the stop.
-    pub fn name(self) -> &'static str {
-        match self {
-            Reason::Leaving => "moved",
-            Reason::Spread => "spread",
-        }
+impl fmt::Display for MigrationReason {
+    /// As it is stored with the stop.
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            MigrationReason::Leaving => "moved",
+            MigrationReason::Spread => "spread",
+        })
     }
 }
 
-/// A move that could be made.
+/// A migration that could be made.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wish {
+pub struct MigrationCandidate {
     pub task: TaskId,
     pub attempt: u64,
+    /// The machine that it leaves.
     pub machine: String,
-    pub reason: Reason,
-    /// Seconds of a replica's time that it saves, as far as can be told, and that it takes.
+    pub reason: MigrationReason,
+    /// Seconds of a replica's time that it saves, as far as can be told.
     pub gain_s: f64,
+    /// Seconds of a replica's time that it takes.
     pub cost_s: f64,
 }
 
-/// What has been moved, and how much may be at a time.
+impl MigrationCandidate {
+    /// Whether it gains clearly more than it costs. A task on a machine that is to go has no choice.
+    fn is_worthwhile(&self) -> bool {
+        self.reason == MigrationReason::Leaving || self.gain_s >= MOVE_WORTH * self.cost_s
+    }
+
+    fn net_gain_s(&self) -> f64 {
+        self.gain_s - self.cost_s
+    }
+
+    /// The order in which migrations are made.
+    fn compare(&self, other: &MigrationCandidate) -> std::cmp::Ordering {
+        (self.reason.cmp(&other.reason))
+            .then(other.net_gain_s().total_cmp(&self.net_gain_s()))
+            .then(self.task.cmp(&other.task))
+    }
+}
+
+/// Migrations made lately, and when the next may be made.
 #[derive(Debug, Default)]
-pub struct Moves {
-    moved: BTreeMap<TaskId, Millis>,
-    pub at: Millis,
+pub struct MigrationHistory {
+    migrated_at: BTreeMap<TaskId, Millis>,
+    /// When migrations were last considered.
+    pub last_round_at: Millis,
 }
 
-impl Moves {
-    pub fn new(now: Millis) -> Moves {
-        Moves {
-            at: now,
-            ..Moves::default()
+impl MigrationHistory {
+    pub fn new(now: Millis) -> MigrationHistory {
+        MigrationHistory {
+            last_round_at: now,
+            ..MigrationHistory::default()
         }
     }
 
-    /// The moves to be made now, at most so many. `missing`: services of which a task is not running
-    /// or being moved already.
-    pub fn chosen(
+    /// The migrations to be made now, at most `max`. `incomplete`: services of which a task is not running
+    /// or is being migrated already.
+    pub fn choose(
         &mut self,
         now: Millis,
-        mut wishes: Vec<Wish>,
-        most: usize,
-        missing: &BTreeSet<String>,
-    ) -> Vec<Wish> {
-        self.moved.retain(|_, at| now < *at + MOVE_AGAIN_MS);
-        let worth = |w: &Wish| w.reason == Reason::Leaving || w.gain_s >= MOVE_WORTH * w.cost_s;
-        // What leaves a machine that is to go has no choice.
-        let rested = |w: &Wish| w.reason == Reason::Leaving || !self.moved.contains_key(&w.task);
-        wishes.retain(|w| worth(w) && rested(w) && !missing.contains(&w.task.job));
-        let net = |w: &Wish| w.gain_s - w.cost_s;
-        wishes.sort_by(|a, b| {
-            (a.reason.cmp(&b.reason))
-                .then(net(b).total_cmp(&net(a)))
-                .then(a.task.cmp(&b.task))
+        mut candidates: Vec<MigrationCandidate>,
+        max: usize,
+        incomplete: &BTreeSet<String>,
+    ) -> Vec<MigrationCandidate> {
+        self.migrated_at.retain(|_, at| now < *at + MOVE_AGAIN_MS);
+        candidates.retain(|candidate| {
+            candidate.is_worthwhile()
+                && self.may_migrate_again(candidate)
+                && !incomplete.contains(&candidate.task.job)
         });
+        candidates.sort_by(MigrationCandidate::compare);
         let mut services = BTreeSet::new();
-        wishes.retain(|w| services.insert(w.task.job.clone()));
-        wishes.truncate(most);
-        for w in &wishes {
-            if self.moved.len() < MOVES_REMEMBERED {
-                self.moved.insert(w.task.clone(), now);
+        candidates.retain(|candidate| services.insert(candidate.task.job.clone()));
+        candidates.truncate(max);
+        for candidate in &candidates {
+            if self.migrated_at.len() < MOVES_REMEMBERED {
+                self.migrated_at.insert(candidate.task.clone(), now);
             }
         }
-        wishes
+        candidates
+    }
+
+    /// A task on a machine that is to go has no choice, however lately it migrated.
+    fn may_migrate_again(&self, candidate: &MigrationCandidate) -> bool {
+        candidate.reason == MigrationReason::Leaving
+            || !self.migrated_at.contains_key(&candidate.task)
     }
 }
 
-/// What evening out gains, for a service of so many tasks of which so many are in its fullest zone,
-/// where its share would be less: the loss of that zone takes fewer of them.
+/// Seconds that one migration to an even spread gains, for a service of so many tasks of which `fullest` are in
+/// its fullest zone: where that is more than the zone's share, the loss of the zone takes fewer of them.
 pub fn spread_gain_s(tasks: u32, fullest: u32, zones: usize) -> f64 {
     let share = tasks.div_ceil(zones.max(1) as u32);
     f64::from(fullest.saturating_sub(share).min(1)) * SPREAD_GAIN_S
--- a/crates/core/src/scheduling/rescheduling/tests.rs
+++ b/crates/core/src/scheduling/rescheduling/tests.rs
@@ -4,9 +4,15 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-fn wish(job: &str, index: u32, reason: Reason, gain_s: f64, cost_s: f64) -> Wish {
+fn candidate(
+    job: &str,
+    index: u32,
+    reason: MigrationReason,
+    gain_s: f64,
+    cost_s: f64,
+) -> MigrationCandidate {
     let job = job.to_string();
-    Wish {
+    MigrationCandidate {
         task: TaskId { job, index },
         attempt: 1,
         machine: format!("n-{index}"),
@@ -16,40 +22,40 @@
     }
 }
 
-fn names(chosen: &[Wish]) -> Vec<String> {
+fn names(chosen: &[MigrationCandidate]) -> Vec<String> {
     chosen.iter().map(|w| w.task.to_string()).collect()
 }
 
 #[test]
 fn leaving_goes_first_and_little_gain_is_no_reason() {
-    let mut moves = Moves::default();
-    let wishes = vec![
-        wish("a", 0, Reason::Spread, 20.0, 2.0),
-        wish("b", 0, Reason::Spread, 20.0, 15.0),
-        wish("c", 0, Reason::Leaving, 0.0, 5.0),
+    let mut history = MigrationHistory::default();
+    let candidates = vec![
+        candidate("a", 0, MigrationReason::Spread, 20.0, 2.0),
+        candidate("b", 0, MigrationReason::Spread, 20.0, 15.0),
+        candidate("c", 0, MigrationReason::Leaving, 0.0, 5.0),
     ];
-    let chosen = moves.chosen(1_000, wishes, 9, &BTreeSet::new());
+    let chosen = history.choose(1_000, candidates, 9, &BTreeSet::new());
     assert_eq!(names(&chosen), ["c/0", "a/0"]);
 }
 
-/// Whatever is wished, however often.
+/// Whatever the candidates are, however often.
 #[test]
 fn a_service_never_loses_two_and_no_task_moves_twice_soon() {
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut moves = Moves::default();
+    let mut history = MigrationHistory::default();
     let mut last: BTreeMap<TaskId, Millis> = BTreeMap::new();
     for round in 0..400 {
         let now = round * 10_000;
-        let wishes: Vec<Wish> = (0..30)
+        let candidates: Vec<MigrationCandidate> = (0..30)
             .map(|_| {
                 let job = ["a", "b", "c", "d"][rng.gen_range(0..4)];
                 let gain = rng.gen_range(0.0..30.0);
-                wish(job, rng.gen_range(0..6), Reason::Spread, gain, 4.0)
+                candidate(job, rng.gen_range(0..6), MigrationReason::Spread, gain, 4.0)
             })
             .collect();
         let missing = BTreeSet::from(["d".to_string()]);
         let most = rng.gen_range(0..4);
-        let chosen = moves.chosen(now, wishes, most, &missing);
+        let chosen = history.choose(now, candidates, most, &missing);
         assert!(chosen.len() <= most);
         let services: BTreeSet<&str> = chosen.iter().map(|w| w.task.job.as_str()).collect();
         assert_eq!(services.len(), chosen.len(), "one of a service at a time");
--- a/crates/core/src/scheduling/service_reserve.rs
+++ b/crates/core/src/scheduling/service_reserve.rs
@@ -1,83 +1,116 @@
 //! The service reserve: capacity per zone that work of lower priority leaves free for services.
+//!
+//! A service starts at once or is late, whereas a batch can wait: on ordinary machines capacity for the
+//! largest service there is stays free.
 
 use crate::constants::{RESERVE_PART, RESERVE_PATIENCE_MS, RESERVE_SERVICES};
-use crate::model::{JobKind, JobPriority, MachineType, WallMs};
+use crate::model::{JobKind, JobPriority, WallMs};
 use crate::scheduling::candidates::Candidate;
+use crate::scheduling::cluster_view::ClusterView;
 use crate::scheduling::pending_work::PendingWork;
-use crate::settings::Settings;
 use crate::state::{MachineRecord, StateCache};
-use foldhash::HashMap;
 use std::collections::BTreeMap;
 
-/// Room on ordinary machines, per zone, that work of lower rank leaves to services: enough
-/// for the largest service there is. Services start at once or late; a batch can wait.
+/// Thousandths of processors of a zone's ordinary machines.
+#[derive(Clone, Copy, Debug, Default)]
+struct ZoneCapacity {
+    free: u64,
+    total: u64,
+}
+
+/// Capacity on ordinary machines, per zone, that work of lower priority leaves free for services.
 pub struct ServiceReserve {
+    /// Thousandths of processors to keep free in each zone.
     per_zone: u64,
-    /// Free and whole room per zone.
-    free: BTreeMap<String, (u64, u64)>,
+    zones: BTreeMap<String, ZoneCapacity>,
+    /// The time of day.
     wall: WallMs,
-    /// It is open to this rank and those above.
-    open: Option<JobPriority>,
+    /// It is open to this priority and those above.
+    open_to: Option<JobPriority>,
 }
 
-/// The lowest rank of which something has waited for so long that the room kept for services is open
-/// to it. It is open to all above as well: else what is made for them by stops goes to what has
-/// waited longer, is stopped for them again, and so on.
-pub fn reserve_open(work: &[PendingWork], wall: WallMs) -> Option<JobPriority> {
-    let long = work.iter().filter(|w| wall > w.at + RESERVE_PATIENCE_MS);
-    long.map(|w| w.urgency.priority.0).min()
+/// The lowest priority of which something has waited for so long that the service reserve is open to it. It
+/// is open to all above as well: otherwise capacity that preemption frees for these goes to work that has
+/// waited longer, which is preempted for them again, and so on.
+pub fn reserve_open_to(work: &[PendingWork], wall: WallMs) -> Option<JobPriority> {
+    work.iter()
+        .filter(|work| has_lost_patience(work, wall))
+        .map(|work| work.urgency.priority.0)
+        .min()
+}
+
+fn has_lost_patience(work: &PendingWork, wall: WallMs) -> bool {
+    wall > work.ready_at + RESERVE_PATIENCE_MS
 }
 
 impl ServiceReserve {
-    pub fn new(
-        cache: &StateCache,
-        settings: &Settings,
-        machine_types: &HashMap<String, MachineType>,
-        work: &[PendingWork],
-        machines: &[Candidate],
-        wall: WallMs,
-    ) -> ServiceReserve {
-        let largest = cache
-            .open_jobs()
-            .filter(|(_, _, s)| s.kind == JobKind::Service && s.priority == JobPriority::Production)
-            .map(|(_, _, s)| s.resources.cpus.saturating_mul(s.tasks as u64))
-            .max()
-            .unwrap_or(0);
-        let mut free: BTreeMap<String, (u64, u64)> = BTreeMap::new();
-        for c in machines.iter().filter(|c| !c.record.spot) {
-            free.entry(c.record.zone.clone()).or_default().0 += c.room.cpus;
+    /// The reserve as a scheduling pass finds it.
+    pub fn new(view: ClusterView, work: &[PendingWork], machines: &[Candidate]) -> ServiceReserve {
+        let mut zones: BTreeMap<String, ZoneCapacity> = BTreeMap::new();
+        for machine in machines.iter().filter(|machine| !machine.record.spot) {
+            let zone = zones.entry(machine.record.zone.clone()).or_default();
+            zone.free += machine.free.cpus;
         }
-        for (_, m, _) in cache.machines().filter(|(_, m, _)| m.is_up() && !m.spot) {
-            let whole = machine_types.get(&m.type_name).map_or(0, |t| t.room.cpus);
-            free.entry(m.zone.clone()).or_default().1 += whole;
+        let ordinary = view
+            .cache
+            .machines()
+            .filter(|(_, record, _)| record.is_up() && !record.spot);
+        for (_, record, _) in ordinary {
+            let machine_type = view.machine_types.get(&record.type_name);
+            let zone = zones.entry(record.zone.clone()).or_default();
+            zone.total += machine_type.map_or(0, |t| t.room.cpus);
         }
+        let zone_count = view.settings.zones.len().max(1) as u64;
         ServiceReserve {
-            per_zone: largest * RESERVE_SERVICES / settings.zones.len().max(1) as u64,
-            free,
-            wall,
-            open: reserve_open(work, wall),
+            per_zone: largest_service_cpus(view.cache) * RESERVE_SERVICES / zone_count,
+            zones,
+            wall: view.wall,
+            open_to: reserve_open_to(work, view.wall),
         }
     }
-    pub fn allows(&self, waiting: &PendingWork, machine: &MachineRecord) -> bool {
-        let (free, whole) = self.free.get(&machine.zone).copied().unwrap_or_default();
-        // A small site keeps nothing back: part of a service's room helps nobody.
-        let kept = match self.per_zone <= whole / RESERVE_PART {
-            true => self.per_zone,
-            false => 0,
-        };
+
+    /// Whether a task of the work may be placed on the machine.
+    pub fn allows(&self, work: &PendingWork, machine: &MachineRecord) -> bool {
         machine.spot
-            || waiting.urgency.priority.0 == JobPriority::Production
-            || free >= kept + waiting.set.resources.cpus
-            || self
-                .open
-                .is_some_and(|priority| waiting.urgency.priority.0 >= priority)
-                && (self.wall > waiting.at + RESERVE_PATIENCE_MS
-                    || self.open < Some(waiting.urgency.priority.0))
+            || work.urgency.priority.0 == JobPriority::Production
+            || self.is_open_to(work)
+            || self.leaves_enough(work.resources.cpus, &machine.zone)
     }
-    pub fn take(&mut self, machine: &MachineRecord, cpus: u64) {
+
+    /// Counts processors of a machine as no longer free.
+    pub fn assign(&mut self, machine: &MachineRecord, cpus: u64) {
         if !machine.spot {
-            let (free, _) = self.free.entry(machine.zone.clone()).or_default();
-            *free = free.saturating_sub(cpus);
+            let zone = self.zones.entry(machine.zone.clone()).or_default();
+            zone.free = zone.free.saturating_sub(cpus);
         }
     }
+
+    fn leaves_enough(&self, cpus: u64, zone: &str) -> bool {
+        let zone = self.zones.get(zone).copied().unwrap_or_default();
+        // A small site keeps nothing back: part of a service's capacity helps nobody.
+        let kept = match self.per_zone <= zone.total / RESERVE_PART {
+            true => self.per_zone,
+            false => 0,
+        };
+        zone.free >= kept + cpus
+    }
+
+    /// Work of the priority that it was opened for must have waited long itself; work above that need not.
+    fn is_open_to(&self, work: &PendingWork) -> bool {
+        let priority = work.urgency.priority.0;
+        self.open_to.is_some_and(|open_to| {
+            priority > open_to || priority == open_to && has_lost_patience(work, self.wall)
+        })
+    }
+}
+
+/// Thousandths of processors that all replicas of the largest service of production priority request.
+fn largest_service_cpus(cache: &StateCache) -> u64 {
+    cache
+        .open_jobs()
+        .map(|(_, _, spec)| spec)
+        .filter(|spec| spec.kind == JobKind::Service && spec.priority == JobPriority::Production)
+        .map(|spec| spec.resources.cpus.saturating_mul(spec.tasks as u64))
+        .max()
+        .unwrap_or(0)
 }
--- a/crates/core/src/zones/detector.rs
+++ b/crates/core/src/zones/detector.rs
@@ -8,7 +8,7 @@
 };
 use crate::controller::Controller;
 use crate::model::Millis;
-use crate::scheduling::rescheduling::Wish;
+use crate::scheduling::rescheduling::MigrationCandidate;
 use crate::workers::observations::Liveness;
 use crate::zones::failures::{Kind, Turn, Why};
 use std::collections::BTreeMap;
@@ -207,7 +207,7 @@
 
     /// Services' tasks on machines that are mute are moved when half of their lease is over: later they
     /// would end with it. Not where so many are that it is rather the controllers that workers do not reach.
-    pub(crate) fn services_on_mute_workers(&self) -> Vec<Wish> {
+    pub(crate) fn services_on_mute_workers(&self) -> Vec<MigrationCandidate> {
         let half = self.settings.lease_ms / 2;
         let lapses = |sight: &Liveness| {
             let heard = sight
--- a/crates/ctl/src/config/effects.rs
+++ b/crates/ctl/src/config/effects.rs
@@ -24,8 +24,8 @@
     let policy = settings.policy()?;
     let cache = records.task_cache()?;
     let mut effects: BTreeMap<String, Effect> = BTreeMap::new();
-    for (_, task, _) in quota_enforcement::over_limits(&cache, &policy) {
-        let Some(spec) = cache.open_job(&task.job) else {
+    for stop in quota_enforcement::stops_over_limits(&cache, &policy) {
+        let Some(spec) = cache.open_job(&stop.task.job) else {
             continue;
         };
         let cpus = |milli: u64| milli as f64 / 1e3;
@@ -36,7 +36,7 @@
             cpus_max: cpus(limit),
             stopped: Vec::new(),
         });
-        effect.stopped.push(task.to_string());
+        effect.stopped.push(stop.task.to_string());
     }
     Ok(effects.into_values().collect())
 }
