--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -13,10 +13,13 @@
 use crate::settings::Settings;
 use crate::state::formats;
 use crate::state::{
-    Assignment, ChunkRecord, JobPhase, JobRecord, Key, MachinePhase, Record, TaskState, TeamRecord,
-    TransactionBuilder, ZoneSpreadRecord,
+    Assignment, ChunkRecord, JobPhase, JobRecord, Key, MachinePhase, MachineRecord, Record,
+    TaskState, TeamRecord, TransactionBuilder, ZoneSpreadRecord,
 };
 
+/// The pause after failures is doubled so many times at most.
+const FAIL_PAUSE_MAX_DOUBLINGS: u32 = 8;
+
 /// Why a claim can't be added to a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
@@ -60,7 +63,7 @@
     Done,
     /// It ended with an error.
     Failed,
-    /// Refused by the worker, which has no room or does not know the job yet.
+    /// Refused by the worker, which lacks resources for it or does not know the job yet.
     Refused,
     /// Stopped, ended with its machine, or never started.
     Terminated,
@@ -328,21 +331,22 @@
     let Some(job) = draft.cache.job(&task.job) else {
         return 0;
     };
-    let n = job.chunk_of(task.index);
+    let chunk = job.chunk_of(task.index);
     let Some(machine) = draft.assignment(task).map(|b| b.machine.clone()) else {
         return 0;
     };
-    let faults = draft.cache.machine(&machine).map_or(0, |m| m.faults.len());
-    let health = match outcome {
+    let record = draft.cache.machine(&machine);
+    let has_faults = record.is_some_and(|record| !record.faults.is_empty());
+    let may_change_machine = match outcome {
         AttemptOutcome::Failed => true,
-        AttemptOutcome::Done => faults > 0,
-        _ => false,
+        AttemptOutcome::Done => has_faults,
+        AttemptOutcome::Refused | AttemptOutcome::Terminated => false,
     };
-    let new = |key: Key| usize::from(!draft.touches(&key));
-    let ends = outcome == AttemptOutcome::Done && job.chunks() == 1;
-    new(Key::Chunk(task.job.clone(), n))
-        + usize::from(ends) * new(Key::Job(task.job.clone()))
-        + usize::from(health) * new(Key::Machine(machine))
+    let may_finish_job = outcome == AttemptOutcome::Done && job.chunks() == 1;
+    let adds = |key: Key| usize::from(!draft.touches(&key));
+    adds(Key::Chunk(task.job.clone(), chunk))
+        + usize::from(may_finish_job) * adds(Key::Job(task.job.clone()))
+        + usize::from(may_change_machine) * adds(Key::Machine(machine))
 }
 
 /// Ends the assignment of an attempt that is proven gone. The caller holds the proof.
@@ -354,60 +358,64 @@
     outcome: AttemptOutcome,
     wall: WallMs,
 ) {
-    let cache = draft.cache;
-    let Some(job) = cache.job(&task.job) else {
+    let Some(job) = draft.cache.job(&task.job) else {
         return;
     };
     let n = job.chunk_of(task.index);
-    let Some(machine_id) = draft
-        .assignment(task)
-        .filter(|b| b.attempt == attempt)
-        .map(|b| b.machine.clone())
-    else {
+    let assignment = draft.assignment(task);
+    let Some(assignment) = assignment.filter(|assignment| assignment.attempt == attempt) else {
         return;
     };
-    let array = job.open().is_none_or(|s| s.kind == JobKind::Array);
+    let machine_id = assignment.machine.clone();
+    let is_array = job.open().is_none_or(|spec| spec.kind == JobKind::Array);
     let Some(chunk) = draft.chunk_mut(&task.job, n, || None) else {
         return;
     };
     let slot = task.index.saturating_sub(chunk.first) as usize;
     chunk.tasks[slot] = match outcome {
-        // A replica that completes is put up again: services end by cancellation only.
-        AttemptOutcome::Done if array => TaskState::Done,
-        _ => TaskState::Pending,
+        AttemptOutcome::Done if is_array => TaskState::Done,
+        // A replica that completes is placed again: services end by cancellation only.
+        AttemptOutcome::Done
+        | AttemptOutcome::Failed
+        | AttemptOutcome::Refused
+        | AttemptOutcome::Terminated => TaskState::Pending,
     };
-    if outcome == AttemptOutcome::Refused {
-        chunk.pause_until = wall + FAIL_PAUSE_MS;
+    match outcome {
+        AttemptOutcome::Refused => chunk.pause_until = wall + FAIL_PAUSE_MS,
+        AttemptOutcome::Failed => pause_after_failure(chunk, &machine_id, wall),
+        AttemptOutcome::Done | AttemptOutcome::Terminated => {}
     }
-    if outcome == AttemptOutcome::Failed {
-        chunk.fails = chunk.fails.saturating_add(1);
-        if !chunk.failed_on.contains(&machine_id) && chunk.failed_on.len() < FAULTY_MACHINES {
-            chunk.failed_on.push(machine_id.clone());
-        }
-        // A sick machine's failures must not slow the job; a faulty job must not loop.
-        let doublings = match chunk.failed_on.len() >= FAULTY_MACHINES {
-            true => chunk.fails.min(8),
-            false => 0,
-        };
-        chunk.pause_until = wall + (FAIL_PAUSE_MS << doublings).min(FAIL_PAUSE_MAX_MS);
-    }
-    let assigned = chunk.assigned().next().is_some();
-    let complete = chunk.done() == job.tasks;
-    if job.open().is_none() && !assigned {
+    let has_assigned = chunk.assigned().next().is_some();
+    let is_complete = chunk.done() == job.tasks;
+    if job.open().is_none() && !has_assigned {
         // A job that is over stays so, and nothing of it is claimed any more.
         draft.remove(Key::Chunk(task.job.clone(), n));
-    } else if job.open().is_some() && job.chunks() == 1 && complete {
+    } else if job.open().is_some() && job.chunks() == 1 && is_complete {
         draft.remove(Key::Chunk(task.job.clone(), 0));
-        draft.put(
-            Key::Job(task.job.clone()),
-            Record::Job(job.over(JobPhase::Done, wall)),
-        );
+        let done = job.over(JobPhase::Done, wall);
+        draft.put(Key::Job(task.job.clone()), Record::Job(done));
     }
-    note_fault(draft, &machine_id, &task.job, outcome);
+    update_machine_faults(draft, &machine_id, &task.job, outcome);
+}
+
+/// Counts a failure of a chunk's task. Failures on one faulty machine must not slow the job; a faulty job,
+/// which fails on several, must not be restarted in a loop.
+fn pause_after_failure(chunk: &mut ChunkRecord, machine_id: &str, wall: WallMs) {
+    chunk.fails = chunk.fails.saturating_add(1);
+    let is_known = chunk.failed_on.iter().any(|id| id == machine_id);
+    if !is_known && chunk.failed_on.len() < FAULTY_MACHINES {
+        chunk.failed_on.push(machine_id.to_string());
+    }
+    let doublings = match chunk.failed_on.len() >= FAULTY_MACHINES {
+        true => chunk.fails.min(FAIL_PAUSE_MAX_DOUBLINGS),
+        false => 0,
+    };
+    chunk.pause_until = wall + (FAIL_PAUSE_MS << doublings).min(FAIL_PAUSE_MAX_MS);
 }
 
-/// A machine on which tasks of several jobs fail with no success between takes no more work.
-fn note_fault(
+/// Cordons a machine on which tasks of several jobs fail without a success in between; a success clears its
+/// faults.
+fn update_machine_faults(
     draft: &mut TransactionBuilder,
     machine_id: &str,
     job: &str,
@@ -416,35 +424,39 @@
     let Some(record) = draft.cache.machine(machine_id) else {
         return;
     };
-    let heals = outcome == AttemptOutcome::Done && !record.faults.is_empty();
-    if !heals && outcome != AttemptOutcome::Failed {
+    let clears_faults = outcome == AttemptOutcome::Done && !record.faults.is_empty();
+    if !clears_faults && outcome != AttemptOutcome::Failed {
         return;
     }
     let Some(mut machine) = draft.machine(machine_id) else {
         return;
     };
-    if heals {
+    if clears_faults {
         machine.faults.clear();
-    } else {
-        // Jobs submitted with a mistake fail everywhere: two of them say nothing of a machine.
-        let known = machine.faults.iter().any(|j| j == job);
-        if !known {
-            if machine.faults.len() >= FAULTS_KEPT {
-                machine.faults.remove(0);
-            }
-            machine.faults.push(job.to_string());
-        }
-        let telling = |j: &&String| !draft.suspect(j);
-        let sick = machine.faults.iter().filter(telling).count() >= SICK_JOBS;
-        if known && !sick {
-            return;
-        }
-        if sick && machine.phase == MachinePhase::Up {
-            machine.phase = MachinePhase::Draining;
-        }
+    } else if !add_fault(draft, &mut machine, job) {
+        return;
     }
     draft.put(
         Key::Machine(machine_id.to_string()),
         Record::Machine(machine),
     );
 }
+
+/// Notes that a job's task failed on a machine, and cordons it if that makes it faulty. Whether the record
+/// changes.
+fn add_fault(draft: &TransactionBuilder, machine: &mut MachineRecord, job: &str) -> bool {
+    let is_known = machine.faults.iter().any(|known| known == job);
+    if !is_known {
+        if machine.faults.len() >= FAULTS_KEPT {
+            machine.faults.remove(0);
+        }
+        machine.faults.push(job.to_string());
+    }
+    // Jobs submitted with a mistake fail everywhere: two of them say nothing about a machine.
+    let telling = machine.faults.iter().filter(|job| !draft.suspect(job));
+    let is_faulty = telling.count() >= SICK_JOBS;
+    if is_faulty && machine.phase == MachinePhase::Up {
+        machine.phase = MachinePhase::Draining;
+    }
+    !is_known || is_faulty
+}
