--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -214,19 +214,19 @@
 pub const ADMIT_FADES_MS: f64 = 4_000.0;
 /// Seconds told at most to a user whose submission is one too many: users give up after 60.
 pub const ADMIT_RETRY_MOST_S: u32 = 8;
-/// Milliseconds for which moves rest after a trouble: what it upset is placed first.
+/// Milliseconds for which migrations rest after a disruption: disrupted work is placed first.
 pub const MOVES_REST_MS: u64 = 10_000;
 /// Of a service's tasks one machine gets this share, as long as others serve it as well.
 pub const MACHINE_SHARE_OF_SERVICE: f64 = 0.5;
-/// Milliseconds between two times at which it is worked out which jobs are put off.
+/// Milliseconds for which the queue order, that is which jobs are deferred, is cached.
 pub const QUEUE_ORDER_CACHE_MS: u64 = 1_000;
-/// Milliseconds after which some of a batch of which nothing has begun goes first in its rank: users
-/// expect the largest to begin within four minutes, and room takes a minute or two to come free.
+/// Milliseconds after which the first part of a batch of which nothing has begun becomes urgent: users
+/// expect the largest to begin within four minutes, and capacity takes a minute or two to come free.
 pub const BEGIN_LATE_MS: u64 = 120_000;
-/// One in so many of its tasks does.
+/// That first part is one in so many of its tasks.
 pub const BEGIN_PART: u32 = 16;
-/// Milliseconds after which a job within its team's guarantee has not just come any more: such work
-/// is to start within some 10 s.
+/// Milliseconds for which a job within its team's guarantee counts as just arrived: such work is to start
+/// within some 10 s.
 pub const FRESH_MS: u64 = 12_000;
 
 /// Milliseconds of a heartbeat's age, by times of day that may be off, from which it is dropped: held
@@ -358,68 +358,67 @@
 pub const PROVISION_RETRY_MS: u64 = 4_000;
 /// Milliseconds after which an instance request whose outcome could not be recorded is asked again.
 pub const PROVISION_RETRY_SOON_MS: u64 = 300;
-/// Rental requests made in one step: a burst may need several types and zones.
+/// Instance requests made in one step: a burst may need several types and zones.
 pub const PROVISION_REQUESTS_AT_ONCE: usize = 4;
 /// Boot times (multiples of the catalogue's) after which a machine is given up.
 pub const BOOT_GIVE_UP: f64 = 4.0;
 /// Boot times after which a machine on its way is late: most need 0.6 to 1.5.
 pub const BOOT_LATE: f64 = 1.8;
-/// Milliseconds added to that, for what times of day differ and a first report takes.
+/// Milliseconds added to that, for clock differences and the time of a first heartbeat.
 pub const BOOT_LATE_SPARE_MS: u64 = 5_000;
 /// Late machines that are not waited for: so many, or one in `LATE_PART` of all on their way.
 pub const LATE_FEW: u32 = 3;
-/// See there.
+/// See `LATE_FEW`.
 pub const LATE_PART: u32 = 5;
 /// Milliseconds added to the time after which it is given up, for lists and reports to come in.
 pub const BOOT_SPARE_MS: u64 = 20_000;
 /// Milliseconds a machine stays idle before it is returned: the minimum charge is 60 s and
 /// the next work of the same kind usually comes within it.
 pub const IDLE_RETURN_MS: u64 = 45_000;
-/// A machine is emptied when it costs so many times the cheapest ordinary price for each
-/// processor in use: below that, moving its services saves too little.
+/// A machine is drained for scale-in when it costs so many times the cheapest ordinary price for each
+/// processor in use: below that, migrating its services saves too little.
 pub const SCALE_IN_PRICE_FACTOR: f64 = 2.0;
-/// Milliseconds a machine must have been up, and nothing have waited, before that: after
-/// 30 s machines were given up that the next burst could not get back.
+/// Milliseconds that a machine must have been up, and no work have been pending, before that: after
+/// 30 s machines were returned that the next burst could not get back.
 pub const SCALE_IN_AFTER_MS: u64 = 75_000;
-/// Milliseconds of work that may be wasted by stopping a task for one of high rank; with
-/// 12 s hardly any task qualified when it mattered. Services
-/// may waste more: until one is up it serves nobody.
+/// Milliseconds of work that preempting a task for a batch may waste; with 12 s hardly any task qualified
+/// when it mattered. Preemption for services may waste more: until one is up it serves nobody.
 pub const PREEMPT_WASTE_MS: u64 = 45_000;
-/// Milliseconds that a service waits for room on machines with its image: a stop, its proof and the
+/// Milliseconds that a service waits for capacity on machines with its image: a stop, its proof and the
 /// claim take some 500.
 pub const WARM_IMAGE_WAIT_MS: u64 = 1_000;
-/// Milliseconds of a fetch, at the fastest type's rate, from which that is worth it.
+/// Milliseconds that its image takes to fetch, at the fastest type's rate, from which that wait is worth it.
 pub const WARM_IMAGE_MIN_FETCH_MS: u64 = 1_000;
-/// Milliseconds that work waits before others are stopped for it: room often comes by itself.
+/// Milliseconds that urgent work is pending before it preempts: capacity often comes free by itself.
 pub const PREEMPT_AFTER_MS: u64 = 250;
 /// The same for work that is not urgent: what is within a guarantee is to start in some 10 s, and a
 /// stop, a start and a fetch take several.
 pub const PREEMPT_LATER_MS: u64 = 1_500;
-/// Milliseconds between two rounds of stops.
+/// Milliseconds between two rounds of preemption.
 pub const PREEMPT_GAP_MS: u64 = 500;
-/// Tasks stopped in one round: urgent jobs have up to some 60.
+/// Tasks preempted in one round: urgent jobs have up to some 60.
 pub const PREEMPT_TASKS: usize = 32;
 /// Proofs that wait for the watch to reach them, kept apart; more share the latest revision.
 pub const PENDING_READS_MAX: usize = 64;
 /// Revisions whose times are remembered, to tell how old an attempt is.
 pub const REVISION_TIMES_KEPT: usize = 4_000;
-/// Services' tasks move, and machines are emptied, one at a time for so many machines that are up,
-/// so that it takes a large fleet no longer than a small one ...
+/// Services' tasks migrate, and machines are drained for scale-in, one at a time for so many machines that
+/// are up, so that it takes a large fleet no longer than a small one ...
 pub const MOVES_PART: usize = 20;
 /// ... and at most so many: each costs some three changes and a start.
 pub const MOVES_MOST: usize = 32;
-/// Milliseconds between two moves of a service's tasks: each costs it half a second.
+/// Milliseconds between two rounds of migrations: each costs its service half a second.
 pub const MOVE_GAP_MS: u64 = 2_000;
-/// Milliseconds within which a task is not moved twice, but off a machine that is to go.
+/// Milliseconds within which a task does not migrate twice, except off a machine that is to go.
 pub const MOVE_AGAIN_MS: u64 = 300_000;
-/// Tasks remembered as moved.
+/// Tasks remembered as migrated.
 pub const MOVES_REMEMBERED: usize = 20_000;
-/// A move must gain so many times what it costs.
+/// A migration must gain so many times what it costs.
 pub const MOVE_WORTH: f64 = 2.0;
 /// Seconds of a replica's time that one task less in a zone that holds more than its share is worth: a
 /// zone that is lost once in some days for some minutes, and what a restart without room takes.
 pub const SPREAD_GAIN_S: f64 = 20.0;
-/// Seconds that a move costs beside its image: stop, proof, claim and start.
+/// Seconds of a replica's time that a migration costs beside fetching its image: stop, proof, claim and start.
 pub const MOVE_COST_S: f64 = 1.5;
 /// Milliseconds between two deletion requests for the same machine.
 pub const DELETE_RETRY_MS: u64 = 3_000;
@@ -455,17 +454,17 @@
 pub const BODY_BYTES: u64 = 64 * 1024;
 /// Tasks of a job at most, by protocol.
 pub const JOB_TASKS: u64 = 100_000;
-/// Services, as large as the largest, for which room is kept free of lower ranks.
+/// Services, as large as the largest, for which capacity is kept free of lower priorities.
 pub const RESERVE_SERVICES: u64 = 2;
-/// That room is at most one part in so many of a zone's ordinary machines.
+/// That capacity is at most one part in so many of a zone's ordinary machines.
 pub const RESERVE_PART: u64 = 8;
-/// Milliseconds after a job's acceptance from which that room is open to it as well: users count a job as
-/// left waiting that waits for 90 s beside room for it.
+/// Milliseconds that a job is pending before that capacity is open to it as well: users count a job as
+/// left waiting that is pending for 90 s beside free capacity for it.
 pub const RESERVE_PATIENCE_MS: u64 = 60_000;
 /// Share of a job's estimated run time that must still fit for a goal to be in reach:
 /// estimates are often wrong by half.
 pub const FEASIBLE_SHARE: f64 = 0.6;
-/// Milliseconds after acceptance at which a job is due that has no goal in reach.
+/// Milliseconds after it could start at which a job is due that has no goal in reach.
 pub const NO_GOAL_MS: u64 = 900_000;
 /// Share of this controller's changes that what is learned of run times may take.
 pub const LEARN_SHARE: f64 = 0.01;
@@ -487,12 +486,12 @@
 pub const MOST_CHANCE: f64 = 0.7;
 /// A run's end is counted on when it is so likely.
 pub const LIKELY_CHANCE: f64 = 0.7;
-/// A task is not stopped for others when it more likely ends by itself.
+/// A task is not preempted when it more likely ends by itself.
 pub const SPARED_CHANCE: f64 = 0.5;
 /// Milliseconds that a start and a usual fetch take.
 pub const START_TAKES_MS: u64 = 2_500;
-/// Milliseconds within which a task that ends is not stopped for others: a stop, its proof and the
-/// next start take as long.
+/// Milliseconds within which a task that ends is not preempted: a stop, its proof and the next start take
+/// as long.
 pub const SPARED_MS: u64 = 3_000;
 /// Milliseconds of a notice not counted on: the machine may be taken a little early, and the result
 /// must be heard.
