--- a/crates/ctl/src/run_file/schema.rs
+++ b/crates/ctl/src/run_file/schema.rs
@@ -2,7 +2,7 @@
 
 use super::RunFileError;
 use parquet::basic::{LogicalType, Repetition, TimeUnit, Type as Physical};
-use parquet::schema::machine_types::{Type, TypePtr};
+use parquet::schema::types::{Type, TypePtr};
 use std::sync::Arc;
 
 /// The key in a file's metadata that says what it is.
--- a/crates/loadtest/src/users/operator.rs
+++ b/crates/loadtest/src/users/operator.rs
@@ -46,7 +46,7 @@
     pub fn new(environment: Arc<Environment>, state_store: SocketAddr) -> Operator {
         let limits = FileLimits {
             value_kb: environment.plan.state.max_value_kb,
-            txn_ops: environment.plan.state.max_changes as usize,
+            max_transaction_changes: environment.plan.state.max_changes as usize,
         };
         Operator {
             environment,
