--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -10,7 +10,7 @@
 pub(crate) mod list_watch;
 pub(crate) mod reads;
 mod records;
-pub(crate) mod sync;
+mod responses;
 mod transaction;
 pub(crate) mod write_control;
 
--- a/crates/core/src/state/reads.rs
+++ b/crates/core/src/state/reads.rs
@@ -1,6 +1,9 @@
 //! Reads of the state service's current revision, and the user requests that wait for one: they are answered once the watch has reached it.
 
-use crate::controller::{OperationId, RequestId};
+use crate::constants::{READ_INDEX_INTERVAL_MS, STATE_PROBE_INTERVAL_MS};
+use crate::controller::{
+    Controller, Effect, OperationId, PendingOperation, RequestClass, RequestId, StateOperation,
+};
 use crate::model::Millis;
 
 /// Reads of the state service's current revision, and the user requests that wait for one: they are answered once the watch has reached it.
@@ -31,3 +34,52 @@
         }
     }
 }
+
+impl Controller {
+    pub(crate) fn issue_read_index(&mut self) {
+        let wanted = !self.reads.unissued.is_empty()
+            || (self.sync.has_listed
+                && self.now >= self.reads.last_requested_at + STATE_PROBE_INTERVAL_MS);
+        if !wanted
+            || self.reads.in_flight
+            || !self.sync.has_listed
+            || self.now < self.reads.last_issued_at + READ_INDEX_INTERVAL_MS
+        {
+            return;
+        }
+        self.reads.in_flight = true;
+        self.reads.last_issued_at = self.now;
+        self.reads.last_requested_at = self.now;
+        self.reads.issued = std::mem::take(&mut self.reads.unissued);
+        let token = self.track_operation(PendingOperation::ReadIndex, None);
+        self.emit(Effect::State {
+            token,
+            op: StateOperation::ReadIndex,
+            request_class: RequestClass::User,
+        });
+    }
+
+    pub(super) fn serve_caught_up_reads(&mut self) {
+        let revision = self.cache.revision;
+        let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.reads.behind_watch)
+            .into_iter()
+            .partition(|(e, ..)| *e <= revision);
+        self.reads.behind_watch = waiting;
+        if self.reads.behind_watch.is_empty() {
+            self.sync.watch_lag_since = None;
+        }
+        for (_, token, requests) in ready {
+            if self.lifecycle.view_predates_resume
+                && self.sync.has_listed
+                && token >= self.lifecycle.first_operation_since_resume
+            {
+                self.lifecycle.view_predates_resume = false;
+                self.state_changed = true;
+                self.scheduling.pass_requested = true;
+            }
+            for request in requests {
+                self.serve_with_current_state(request);
+            }
+        }
+    }
+}
--- a/crates/core/src/state/write_control.rs
+++ b/crates/core/src/state/write_control.rs
@@ -1,7 +1,7 @@
 //! When and how much may be written to the state service.
 
-use crate::constants::WRITE_BURST_S;
-use crate::controller::OperationId;
+use crate::constants::{CONFLICT_PAUSE_MS, WRITE_BURST_S};
+use crate::controller::{Controller, OperationId, StateResponse};
 use crate::model::Millis;
 use crate::settings::Settings;
 use crate::state::Key;
@@ -44,3 +44,34 @@
         }
     }
 }
+
+impl Controller {
+    /// When to try again what did not commit: once the watch has brought what stood in the
+    /// way. Trying at once would only meet the same conflict, and conflicts cost budget.
+    pub(super) fn assignment_write_finished(&mut self, token: OperationId, answer: &StateResponse) {
+        self.state_changed = true;
+        // It counted as unanswered, and held up nothing since.
+        if self.writes.assignment_write != Some(token) {
+            return;
+        }
+        self.writes.assignment_write = None;
+        self.writes.assignment_retry = self.retry_after(answer);
+    }
+
+    /// Whether a transaction on assignments may be sent now.
+    pub(crate) fn may_write(&self) -> bool {
+        self.writes.assignment_write.is_none()
+            && self
+                .writes
+                .assignment_retry
+                .is_none_or(|(revision, at)| self.cache.revision >= revision || self.now >= at)
+    }
+
+    fn retry_after(&self, answer: &StateResponse) -> Option<(u64, Millis)> {
+        match answer {
+            StateResponse::Committed { .. } => None,
+            StateResponse::Conflict { revision } => Some((*revision, self.now + CONFLICT_PAUSE_MS)),
+            _ => Some((u64::MAX, self.now + CONFLICT_PAUSE_MS)),
+        }
+    }
+}
