--- /dev/null
+++ b/crates/core/src/configuration/records.rs
@@ -0,0 +1,188 @@
+//! Configurations as they are stored: a version record and its pages.
+
+use super::{require, ConfigurationError, ObjectiveSettings, Policy, PolicySettings, TeamSettings};
+use crate::model::WallMs;
+use crate::state::StateCache;
+use serde::{Deserialize, Serialize};
+
+/// The latest form of configuration records that this version reads.
+pub const CONFIGURATION_FORM: u32 = 1;
+/// Bytes of a page besides its entries, and of a change in a transaction besides key and value.
+pub(super) const PAGE_BASE_BYTES: usize = 40;
+
+/// A version of the configuration: written with its pages by one transaction.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct ConfigurationVersionRecord {
+    /// The form in which its pages are written.
+    #[serde(rename = "f")]
+    pub form: u32,
+    /// Counts the changes, from 1.
+    #[serde(rename = "v")]
+    pub version: u64,
+    #[serde(rename = "p")]
+    pub pages: u32,
+    /// Teams and objectives on all its pages together.
+    #[serde(rename = "t")]
+    pub teams: u32,
+    #[serde(rename = "o")]
+    pub objectives: u32,
+    /// Time of day of the change.
+    #[serde(rename = "a")]
+    pub at: WallMs,
+    #[serde(rename = "n", default, skip_serializing_if = "String::is_empty")]
+    pub note: String,
+    /// Earlier versions whose pages are kept, latest first.
+    #[serde(rename = "k", default, skip_serializing_if = "Vec::is_empty")]
+    pub kept: Vec<KeptVersion>,
+}
+
+/// An earlier version that can be gone back to.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct KeptVersion {
+    #[serde(rename = "v")]
+    pub version: u64,
+    #[serde(rename = "p")]
+    pub pages: u32,
+    #[serde(rename = "a")]
+    pub at: WallMs,
+    #[serde(rename = "n", default, skip_serializing_if = "String::is_empty")]
+    pub note: String,
+}
+
+/// A part of a version's entries. Never changed.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct ConfigurationPageRecord {
+    #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
+    pub teams: Vec<TeamEntry>,
+    #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
+    pub objectives: Vec<ObjectiveSettings>,
+    /// On the first page, if it is set.
+    #[serde(rename = "i", default, skip_serializing_if = "Option::is_none")]
+    pub idle_return_s: Option<f64>,
+}
+
+fn is_zero(value: &f64) -> bool {
+    *value == 0.0
+}
+
+/// A team as it is stored.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct TeamEntry {
+    #[serde(rename = "n")]
+    pub name: String,
+    #[serde(rename = "c", default, skip_serializing_if = "is_zero")]
+    pub cpus: f64,
+    #[serde(rename = "m", default, skip_serializing_if = "is_zero")]
+    pub cpus_max: f64,
+    #[serde(rename = "g", default, skip_serializing_if = "is_zero")]
+    pub gpus: f64,
+    #[serde(rename = "x", default, skip_serializing_if = "is_zero")]
+    pub gpus_max: f64,
+}
+
+impl TeamEntry {
+    fn of(team: &TeamSettings) -> TeamEntry {
+        TeamEntry {
+            name: team.name.clone(),
+            cpus: team.cpus,
+            cpus_max: team.cpus_max,
+            gpus: team.gpus,
+            gpus_max: team.gpus_max,
+        }
+    }
+
+    fn settings(&self) -> TeamSettings {
+        TeamSettings {
+            name: self.name.clone(),
+            cpus: self.cpus,
+            cpus_max: self.cpus_max,
+            gpus: self.gpus,
+            gpus_max: self.gpus_max,
+        }
+    }
+}
+
+/// The version that a controller decides by.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct ObservedVersionRecord {
+    #[serde(rename = "v")]
+    pub version: u64,
+}
+
+/// Once on record, every controller reads configurations from the records. Written once, never changed.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct ConfigurationEnabledRecord {
+    /// The format that brought it.
+    #[serde(rename = "v")]
+    pub version: u32,
+}
+
+pub(super) fn json_bytes(value: &impl Serialize) -> usize {
+    serde_json::to_string(value).map_or(usize::MAX / 4, |text| text.len())
+}
+
+/// The entries on as few pages as hold them, each within so many bytes.
+pub fn pages(settings: &PolicySettings, page_bytes: usize) -> Vec<ConfigurationPageRecord> {
+    let first = ConfigurationPageRecord {
+        idle_return_s: settings.idle_return_s,
+        ..ConfigurationPageRecord::default()
+    };
+    let mut pages = vec![first];
+    let mut bytes = PAGE_BASE_BYTES;
+    let mut page_for = |pages: &mut Vec<ConfigurationPageRecord>, entry: usize| {
+        if bytes + entry > page_bytes {
+            pages.push(ConfigurationPageRecord::default());
+            bytes = PAGE_BASE_BYTES;
+        }
+        bytes += entry;
+        pages.len() - 1
+    };
+    for team in &settings.teams {
+        let entry = TeamEntry::of(team);
+        let page = page_for(&mut pages, json_bytes(&entry) + 1);
+        pages[page].teams.push(entry);
+    }
+    for objective in &settings.objectives {
+        let page = page_for(&mut pages, json_bytes(objective) + 1);
+        pages[page].objectives.push(objective.clone());
+    }
+    pages
+}
+
+/// The settings that a version's pages hold; none if pages are missing.
+pub fn settings_of(pages: &[ConfigurationPageRecord]) -> PolicySettings {
+    let teams = pages.iter().flat_map(|page| &page.teams);
+    let objectives = pages.iter().flat_map(|page| &page.objectives);
+    PolicySettings {
+        idle_return_s: pages.first().and_then(|page| page.idle_return_s),
+        teams: teams.map(TeamEntry::settings).collect(),
+        objectives: objectives.cloned().collect(),
+    }
+}
+
+/// The configuration on record, whole; an error if it is damaged, of a later form, or not all there.
+pub(super) fn read(
+    record: &ConfigurationVersionRecord,
+    mod_revision: u64,
+    cache: &StateCache,
+) -> Result<Policy, ConfigurationError> {
+    let form = format!("{} is later than {CONFIGURATION_FORM}", record.form);
+    require(record.form <= CONFIGURATION_FORM, "form", &form)?;
+    let version = record.version;
+    let mut pages = Vec::new();
+    for n in 0..record.pages {
+        let missing = || ConfigurationError::new(format!("page {n}"), "missing or unreadable");
+        let page = cache.configuration_page(version, n).ok_or_else(missing)?;
+        pages.push(page.clone());
+    }
+    let settings = settings_of(&pages);
+    let counted = (settings.teams.len(), settings.objectives.len());
+    let whole = counted == (record.teams as usize, record.objectives as usize);
+    require(whole, "pages", "not all entries are there")?;
+    settings.check_strictly()?;
+    Ok(Policy {
+        version,
+        mod_revision,
+        ..settings.policy()?
+    })
+}
