--- a/crates/core/src/controller/housekeeping.rs
+++ b/crates/core/src/controller/housekeeping.rs
@@ -47,7 +47,7 @@
         self.judge_peers();
         self.send_heartbeat();
         self.exit_if_drained();
-        if !self.sync.has_listed && !self.sync.list.busy {
+        if !self.sync.has_listed && !self.sync.list.in_flight {
             self.start_list();
         }
         self.read_machine_types();
--- a/crates/core/src/controller/readiness.rs
+++ b/crates/core/src/controller/readiness.rs
@@ -145,7 +145,7 @@
 
     /// Whether the cache holds all that the list met, page by page.
     pub(crate) fn has_synced(&self) -> bool {
-        !self.settings.checks.caught_up || self.cache.revision >= self.sync.list.high
+        !self.settings.checks.caught_up || self.cache.revision >= self.sync.list.max_mod_revision
     }
 
     /// Peers that were heard lately and are not known to have exited.
--- a/crates/core/src/state/cache/images.rs
+++ b/crates/core/src/state/cache/images.rs
@@ -1,88 +1,126 @@
-//! Images that machines have had: a hint for placement.
+//! Images that machines have had: hints for placement.
 
 use super::StateCache;
 use crate::constants::{IMAGES_KNOWN, MACHINE_IMAGES};
 use foldhash::HashMap;
 
+/// Images that machines have had. Only hints: they are not on record, where each would cost a put.
+#[derive(Debug, Default)]
+pub(super) struct ImageHints {
+    /// Images of each machine by number, latest last, with their size in GB.
+    by_machine: HashMap<String, Vec<(u32, f64)>>,
+    /// Numbers that stand for images.
+    numbers: HashMap<String, u32>,
+}
+
+impl ImageHints {
+    pub(super) fn forget_machine(&mut self, machine: &str) {
+        self.by_machine.remove(machine);
+    }
+
+    /// The number that stands for an image, a new one if there is none yet; none once as many are
+    /// known as are kept.
+    fn number(&mut self, image: &str) -> Option<u32> {
+        let next = self.numbers.len();
+        match self.numbers.get(image) {
+            Some(number) => Some(*number),
+            None if next < IMAGES_KNOWN => {
+                self.numbers.insert(image.to_string(), next as u32);
+                Some(next as u32)
+            }
+            None => None,
+        }
+    }
+
+    /// A machine gets an image; the oldest go while all together exceed its capacity.
+    fn note(&mut self, machine: &str, image: &str, image_gb: f64, capacity_gb: f64) {
+        let Some(number) = self.number(image) else {
+            return;
+        };
+        let images = self.by_machine.entry(machine.to_string()).or_default();
+        images.retain(|(known, _)| *known != number);
+        images.push((number, image_gb));
+        while images.len() > 1
+            && (images.len() > MACHINE_IMAGES
+                || images.iter().map(|(_, gb)| gb).sum::<f64>() > capacity_gb)
+        {
+            images.remove(0);
+        }
+    }
+
+    /// Adds a peer's hints of a machine; the own ones count as later.
+    fn merge(&mut self, machine: &str, hints: &[(String, f64)]) {
+        let own = self.by_machine.remove(machine).unwrap_or_default();
+        let mut merged: Vec<(u32, f64)> = Vec::new();
+        for (image, gb) in hints.iter().take(MACHINE_IMAGES) {
+            if let Some(number) = self.number(image) {
+                merged.push((number, *gb));
+            }
+        }
+        merged.retain(|(number, _)| !own.iter().any(|(known, _)| known == number));
+        merged.extend(own);
+        let excess = merged.len().saturating_sub(MACHINE_IMAGES);
+        let latest = merged.split_off(excess);
+        self.by_machine.insert(machine.to_string(), latest);
+    }
+}
+
 impl StateCache {
+    /// Whether a machine has had an image, as far as is known here.
     pub fn has_image(&self, machine: &str, image: &str) -> bool {
-        self.image_id(image)
-            .is_some_and(|id| self.images_of(machine).iter().any(|(i, _)| *i == id))
+        let has = |number| {
+            let images = self.images_of(machine);
+            images.iter().any(|(known, _)| *known == number)
+        };
+        self.image_id(image).is_some_and(has)
     }
 
+    /// The number that stands for an image.
     pub fn image_id(&self, image: &str) -> Option<u32> {
-        self.image_ids.get(image).copied()
+        self.images.numbers.get(image).copied()
     }
 
     /// Images that a machine has had, by their numbers, with their size in GB.
     pub fn images_of(&self, machine: &str) -> &[(u32, f64)] {
-        self.images.get(machine).map_or(&[], |list| list)
+        let images = self.images.by_machine.get(machine);
+        images.map_or(&[], |images| images)
     }
 
-    /// All that is remembered of images: machine, then images with their size, latest last.
+    /// All hints: machine, then images with their size in GB, latest last.
     pub fn image_hints(&self) -> Vec<(String, Vec<(String, f64)>)> {
-        let names: HashMap<u32, &String> = self.image_ids.iter().map(|(n, id)| (*id, n)).collect();
-        let named = |(id, gb): &(u32, f64)| Some(((*names.get(id)?).clone(), *gb));
+        let numbers = self.images.numbers.iter();
+        let names: HashMap<u32, &String> = numbers.map(|(image, n)| (*n, image)).collect();
+        let named = |(number, gb): &(u32, f64)| Some(((*names.get(number)?).clone(), *gb));
         self.images
+            .by_machine
             .iter()
-            .map(|(machine, list)| (machine.clone(), list.iter().filter_map(named).collect()))
+            .map(|(machine, images)| {
+                let images = images.iter().filter_map(named).collect();
+                (machine.clone(), images)
+            })
             .collect()
     }
 
-    /// Takes up what a peer remembers of images; what is known here is later.
+    /// Adds the hints of a peer for machines on record.
     pub fn take_hints(&mut self, hints: &[(String, Vec<(String, f64)>)]) {
-        for (machine, list) in hints {
-            if !self.machines.contains_key(machine) {
-                continue;
-            }
-            let own = self.images.remove(machine).unwrap_or_default();
-            let mut merged: Vec<(u32, f64)> = Vec::new();
-            for (image, gb) in list.iter().take(MACHINE_IMAGES) {
-                if let Some(id) = self.image_number(image) {
-                    merged.push((id, *gb));
-                }
+        for (machine, images) in hints {
+            if self.machines.contains_key(machine) {
+                self.images.merge(machine, images);
             }
-            merged.retain(|(id, _)| !own.iter().any(|(i, _)| i == id));
-            merged.extend(own);
-            let over = merged.len().saturating_sub(MACHINE_IMAGES);
-            self.images.insert(machine.clone(), merged.split_off(over));
-        }
-    }
-
-    fn image_number(&mut self, image: &str) -> Option<u32> {
-        let next = self.image_ids.len();
-        match self.image_ids.get(image) {
-            Some(id) => Some(*id),
-            None if next < IMAGES_KNOWN => {
-                self.image_ids.insert(image.to_string(), next as u32);
-                Some(next as u32)
-            }
-            None => None,
         }
     }
 
+    /// A task of a job was assigned to a machine, which fetches the job's image.
     pub(super) fn note_image(&mut self, machine: &str, job: &str) {
-        let spec = self.jobs.get(job).and_then(|(j, _)| j.spec.as_ref());
-        let Some((image, gb)) = spec.map(|s| (s.image.clone(), s.image_gb)) else {
+        let Some(spec) = self.jobs.get(job).and_then(|(job, _)| job.spec.as_ref()) else {
             return;
         };
-        let room = self
-            .machines
-            .get(machine)
-            .and_then(|(m, _)| self.cache_gb.get(&m.type_name))
+        let machine_type = self.machines.get(machine).map(|(m, _)| &m.type_name);
+        let capacity_gb = machine_type
+            .and_then(|name| self.cache_gb.get(name))
             .copied()
             .unwrap_or(f64::INFINITY);
-        let Some(id) = self.image_number(&image) else {
-            return;
-        };
-        let images = self.images.entry(machine.to_string()).or_default();
-        images.retain(|(i, _)| *i != id);
-        images.push((id, gb));
-        while images.len() > 1
-            && (images.len() > MACHINE_IMAGES
-                || images.iter().map(|(_, gb)| gb).sum::<f64>() > room)
-        {
-            images.remove(0);
-        }
+        self.images
+            .note(machine, &spec.image, spec.image_gb, capacity_gb);
     }
 }
--- a/crates/core/src/state/cache/mod.rs
+++ b/crates/core/src/state/cache/mod.rs
@@ -20,63 +20,67 @@
     ZoneSpreadRecord,
 };
 use foldhash::HashMap;
+use images::ImageHints;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A record and the revision of its latest change.
+/// Records of one kind by key, each with the revision of its latest change.
 type Table<K, R> = BTreeMap<K, (R, u64)>;
 
-/// This controller's state cache, with the revision up to which it is complete, and what
-/// is looked up in them often.
+/// A controller's copy of the shared records, complete up to a revision, with indexes derived from
+/// them.
 #[derive(Debug, Default)]
 pub struct StateCache {
     term: Table<(), TermRecord>,
     machine_types: Table<(), MachineTypesRecord>,
-    fleet: Table<(), ProvisioningRecord>,
+    provisioning: Table<(), ProvisioningRecord>,
     jobs: Table<String, JobRecord>,
     chunks: BTreeMap<String, Table<u32, ChunkRecord>>,
-    places: Table<String, ZoneSpreadRecord>,
+    zone_spreads: Table<String, ZoneSpreadRecord>,
     machines: Table<String, MachineRecord>,
     teams: Table<String, TeamRecord>,
     instance_requests: Table<u64, InstanceRequestRecord>,
     formats: Table<String, FormatRecord>,
-    settled: Table<(), CancellationConfirmationRecord>,
-    runs: Table<u64, RunTimesRecord>,
+    cancellation_confirmation: Table<(), CancellationConfirmationRecord>,
+    run_times: Table<u64, RunTimesRecord>,
     configuration: Table<(), ConfigurationVersionRecord>,
     configuration_pages: Table<(u64, u32), ConfigurationPageRecord>,
-    configurable: Table<(), ConfigurationEnabledRecord>,
-    following: Table<String, ObservedVersionRecord>,
-    /// Names of all controllers, as the settings have them.
+    configuration_enabled: Table<(), ConfigurationEnabledRecord>,
+    observed_versions: Table<String, ObservedVersionRecord>,
+    /// Names of all controllers, from the settings.
     pub members: Vec<String>,
-    /// Records that the state service refused to take as large as they would have become, and the
-    /// revision that this was tried on.
-    barred: BTreeMap<Key, u64>,
+    /// Records that the state service refused to store as large as they would have become, and the
+    /// revision at which that was tried.
+    refused: BTreeMap<Key, u64>,
+    /// The revision up to which the cache is complete.
     pub revision: u64,
-    // Gathered
+    /// Open jobs.
     open: BTreeSet<String>,
-    /// Open jobs with tasks that are neither done nor assigned.
+    /// Open jobs with tasks that are neither done nor assigned, and no unfinished dependency.
     waiting: BTreeSet<String>,
     dependents: Dependents,
+    /// Per job with chunks on record.
     counts: BTreeMap<String, Counts>,
-    held: HashMap<String, assignments::Holding>,
+    /// Per machine with assignments.
+    assigned: HashMap<String, assignments::MachineAssignments>,
+    /// What the assignments of each team use.
     usage: BTreeMap<String, TeamRecord>,
-    /// Images each machine has had, latest last, with their size in GB. Only a hint: it is
-    /// not kept in the records, where it would cost a put for each.
-    images: HashMap<String, Vec<(u32, f64)>>,
-    /// Numbers that stand for images in that list.
-    image_ids: HashMap<String, u32>,
-    /// Room for images per type, in GB.
+    images: ImageHints,
+    /// Space for images per machine type, in GB.
     pub cache_gb: HashMap<String, f64>,
 }
 
+/// A method for one record of a kind by key, and one for all, in key order, with their revisions.
 macro_rules! accessors {
     ($one:ident, $all:ident, $table:ident, $record:ty, $key:ty) => {
+        /// The record of this key.
         pub fn $one(&self, key: &$key) -> Option<&$record> {
             self.$table.get(key).map(|(r, _)| r)
         }
+        /// All of them, in order of their keys: key, record, revision of its latest change.
         pub fn $all(&self) -> impl Iterator<Item = (&$key, &$record, u64)> {
-            self.$table.iter().map(|(k, (r, mod_revision))| {
-                let k: &$key = k;
-                (k, r, *mod_revision)
+            self.$table.iter().map(|(key, (record, mod_revision))| {
+                let key: &$key = key;
+                (key, record, *mod_revision)
             })
         }
     };
@@ -85,7 +89,7 @@
 impl StateCache {
     accessors!(job, jobs, jobs, JobRecord, str);
     accessors!(machine, machines, machines, MachineRecord, str);
-    accessors!(place, places, places, ZoneSpreadRecord, str);
+    accessors!(place, places, zone_spreads, ZoneSpreadRecord, str);
     accessors!(
         instance_request,
         instance_requests,
@@ -93,74 +97,94 @@
         InstanceRequestRecord,
         u64
     );
-    accessors!(class_runs, all_runs, runs, RunTimesRecord, u64);
+    accessors!(class_runs, all_runs, run_times, RunTimesRecord, u64);
 
     /// The latest format that every controller reads.
     pub fn format(&self) -> u32 {
-        let of = |controller| self.format_of(controller);
-        let common = self.members.iter().map(of).min();
-        common.unwrap_or(formats::OLDEST).min(formats::LATEST)
+        let formats = self.members.iter().map(|member| self.format_of(member));
+        let common = formats.min().unwrap_or(formats::OLDEST);
+        common.min(formats::LATEST)
     }
-    /// The latest format that a controller reads, as far as it has said so.
+
+    /// The latest format that a controller reads, as it has on record.
     pub fn format_of(&self, controller: &String) -> u32 {
         let row = self.formats.get(controller);
-        row.map_or(formats::OLDEST, |(f, _)| f.version)
+        row.map_or(formats::OLDEST, |(format, _)| format.version)
     }
 
+    /// The revision of a job's latest change; 0 without a record.
     pub fn job_revision(&self, id: &str) -> u64 {
-        self.jobs
-            .get(id)
-            .map_or(0, |(_, mod_revision)| *mod_revision)
+        let row = self.jobs.get(id);
+        row.map_or(0, |(_, mod_revision)| *mod_revision)
     }
+
+    /// Chunk `n` of a job, if it is on record.
     pub fn chunk(&self, job: &str, n: u32) -> Option<&ChunkRecord> {
-        self.chunks.get(job)?.get(&n).map(|(c, _)| c)
+        self.chunks.get(job)?.get(&n).map(|(chunk, _)| chunk)
     }
+
+    /// The revision of a chunk's latest change; 0 without a record.
     pub fn chunk_revision(&self, job: &str, n: u32) -> u64 {
-        let row = self.chunks.get(job).and_then(|c| c.get(&n));
+        let row = self.chunks.get(job).and_then(|chunks| chunks.get(&n));
         row.map_or(0, |(_, mod_revision)| *mod_revision)
     }
+
     /// The revision that a claim in this chunk is conditional on, and its attempt. A chunk that
-    /// is not on record yet has none; its job's serves once, and lies below all that follow.
+    /// is not on record yet has none: its job's serves once, and is lower than all that follow.
     pub fn claim_revision(&self, job: &str, n: u32) -> u64 {
         match self.chunk_revision(job, n) {
             0 => self.job_revision(job),
             mod_revision => mod_revision,
         }
     }
+
+    /// A job's chunks on record, by number.
     pub fn chunks_of(&self, job: &str) -> impl Iterator<Item = (u32, &ChunkRecord)> {
         let chunks = self.chunks.get(job).into_iter().flatten();
-        chunks.map(|(n, (c, _))| (*n, c))
+        chunks.map(|(n, (chunk, _))| (*n, chunk))
     }
+
+    /// What is on record of provisioning.
     pub fn fleet(&self) -> ProvisioningRecord {
-        self.fleet
-            .get(&())
-            .map_or(ProvisioningRecord::default(), |(f, _)| f.clone())
+        let row = self.provisioning.get(&());
+        row.map_or(ProvisioningRecord::default(), |(record, _)| record.clone())
     }
+
+    /// The machine types on record.
     pub fn machine_types(&self) -> Option<&MachineTypesRecord> {
-        self.machine_types.get(&()).map(|(t, _)| t)
+        self.machine_types.get(&()).map(|(record, _)| record)
     }
+
+    /// The shared term, the base of all fencing tokens.
     pub fn term(&self) -> Option<u64> {
-        self.term.get(&()).map(|(t, _)| t.term)
+        self.term.get(&()).map(|(record, _)| record.term)
     }
 
     /// The version of the configuration on record, and its revision.
     pub fn configuration(&self) -> Option<(&ConfigurationVersionRecord, u64)> {
-        self.configuration
-            .get(&())
-            .map(|(r, mod_revision)| (r, *mod_revision))
+        let row = self.configuration.get(&());
+        row.map(|(record, mod_revision)| (record, *mod_revision))
     }
+
+    /// Page `n` of a version of the configuration.
     pub fn configuration_page(&self, version: u64, n: u32) -> Option<&ConfigurationPageRecord> {
-        self.configuration_pages.get(&(version, n)).map(|(r, _)| r)
+        let row = self.configuration_pages.get(&(version, n));
+        row.map(|(page, _)| page)
     }
-    /// Pages of all versions.
+
+    /// How many pages of all versions of the configuration are on record.
     pub fn configuration_pages(&self) -> usize {
         self.configuration_pages.len()
     }
+
+    /// Whether configurations may be put on record.
     pub fn is_configurable(&self) -> bool {
-        !self.configurable.is_empty()
+        !self.configuration_enabled.is_empty()
     }
-    /// The version of the configuration that a controller follows, as it has said on record.
+
+    /// The version of the configuration that a controller follows, as it has on record.
     pub fn followed_by(&self, controller: &String) -> Option<u64> {
-        self.following.get(controller).map(|(r, _)| r.version)
+        let row = self.observed_versions.get(controller);
+        row.map(|(record, _)| record.version)
     }
 }
--- a/crates/core/src/state/cache/refused.rs
+++ b/crates/core/src/state/cache/refused.rs
@@ -5,25 +5,25 @@
 use crate::state::Key;
 
 impl StateCache {
-    /// A record is not to be written again as it stands now.
-    pub fn fence_start(&mut self, key: Key) {
+    /// The state service refused a record: it is not to be written again as it is now.
+    pub fn mark_refused(&mut self, key: Key) {
         let mod_revision = self.mod_revision(&key);
-        let mut barred = std::mem::take(&mut self.barred);
-        barred.retain(|key, at| *at == self.mod_revision(key));
-        self.barred = barred;
-        if self.barred.len() < REFUSED_RECORDS_KEPT {
-            self.barred.insert(key, mod_revision);
+        let mut refused = std::mem::take(&mut self.refused);
+        refused.retain(|key, at| *at == self.mod_revision(key));
+        self.refused = refused;
+        if self.refused.len() < REFUSED_RECORDS_KEPT {
+            self.refused.insert(key, mod_revision);
         }
     }
 
     /// Refused records are tried once more: the limits may have been raised.
     pub fn retry_refused(&mut self) {
-        self.barred.clear();
+        self.refused.clear();
     }
 
-    /// Whether that holds: once somebody has changed it, it is tried again.
+    /// Whether a record was refused and has not changed since: then it is not written.
     pub fn is_refused(&self, key: &Key) -> bool {
-        let at = self.barred.get(key);
-        at.is_some_and(|at| *at == self.mod_revision(key))
+        let refused_at = self.refused.get(key);
+        refused_at.is_some_and(|at| *at == self.mod_revision(key))
     }
 }
