--- a/crates/core/src/configuration/change.rs
+++ b/crates/core/src/configuration/change.rs
@@ -2,8 +2,8 @@
 
 use super::records::{json_bytes, pages, PAGE_BASE_BYTES};
 use super::{
-    require, ConfigurationError, ConfigurationVersionRecord, KeptVersion, Policy, PolicySettings,
-    CONFIGURATION_FORM,
+    require, ConfigurationError, ConfigurationPageRecord, ConfigurationVersionRecord, KeptVersion,
+    Policy, PolicySettings, CONFIGURATION_FORM,
 };
 use crate::constants::TXN_BYTES;
 use crate::model::{JobKind, JobSpec, WallMs};
@@ -15,8 +15,11 @@
 pub const NOTE_BYTES: usize = 60;
 const CHANGE_FRAME_BYTES: usize = 48;
 
-/// What is refused for the sake of jobs that were accepted: a team that is gone, or a limit below what a job
-/// needs at the least (a service all of its tasks, an array one).
+/// Checks a configuration against the jobs that were accepted.
+///
+/// # Errors
+/// A job's team is removed, or a limit is lower than what a job needs at once (all tasks of a
+/// service, one of an array).
 pub fn review<'a>(
     policy: &Policy,
     open_jobs: impl Iterator<Item = &'a JobSpec>,
@@ -46,16 +49,21 @@
     Ok(())
 }
 
-/// What a change is written by.
+/// The state service's limits that a change must keep.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeLimits {
-    /// Bytes of a value, and changes of a transaction, that the state service takes.
+    /// Bytes of a value at most.
     pub max_value_bytes: usize,
+    /// Changes of a transaction at most.
     pub changes: usize,
 }
 
-/// The one transaction that puts a configuration on record, conditional on the version before (`current`,
-/// with its revision) and on the record that says that all controllers read configurations.
+/// The one transaction that puts a configuration on record, conditional on the version before
+/// (`current`, with its revision) and on the record that enables configurations, at revision
+/// `configurable`.
+///
+/// # Errors
+/// Settings that are contradictory, a note that is too long, or more than one transaction holds.
 pub fn change(
     settings: &PolicySettings,
     current: Option<(&ConfigurationVersionRecord, u64)>,
@@ -65,71 +73,33 @@
     note: &str,
 ) -> Result<CasTransaction, ConfigurationError> {
     settings.check_strictly()?;
-    let short = note.len() <= NOTE_BYTES;
-    require(short, "note", &format!("longer than {NOTE_BYTES} bytes"))?;
-    let pages = pages(
-        settings,
-        limits.max_value_bytes.saturating_sub(PAGE_BASE_BYTES),
-    );
-    let mut kept: Vec<KeptVersion> = Vec::new();
-    if let Some((before, _)) = current {
-        kept.push(KeptVersion {
-            version: before.version,
-            pages: before.pages,
-            at: before.at,
-            note: before.note.clone(),
-        });
-        kept.extend(before.kept.iter().cloned());
-        kept.truncate(VERSIONS_KEPT - 1);
-    }
+    let is_short = note.len() <= NOTE_BYTES;
+    require(is_short, "note", &format!("longer than {NOTE_BYTES} bytes"))?;
+    let page_bytes = limits.max_value_bytes.saturating_sub(PAGE_BASE_BYTES);
+    let pages = pages(settings, page_bytes);
+    let before = current.map(|(record, _)| record);
     let mut record = ConfigurationVersionRecord {
         form: CONFIGURATION_FORM,
-        version: current.map_or(0, |(before, _)| before.version) + 1,
+        version: before.map_or(0, |record| record.version) + 1,
         pages: pages.len() as u32,
         teams: settings.teams.len() as u32,
         objectives: settings.objectives.len() as u32,
         at,
         note: note.to_string(),
-        kept,
+        kept: before.map_or(Vec::new(), versions_kept_after),
     };
-    // What can be gone back to is bounded by a value as well.
+    // The list of earlier versions is bounded by the size of a value as well.
     while json_bytes(&record) > limits.max_value_bytes && record.kept.pop().is_some() {}
-    let version = record.version;
-    let mut changes: Vec<(Key, Option<Record>)> = Vec::new();
-    for (n, page) in pages.into_iter().enumerate() {
-        let fits = json_bytes(&page) <= limits.max_value_bytes;
-        let field = page.teams.first().map_or("objectives", |_| "teams");
-        require(
-            fits,
-            &format!("settings.{field}"),
-            "an entry is larger than a value",
-        )?;
-        let key = Key::ConfigurationPage(version, n as u32);
-        changes.push((key, Some(Record::ConfigurationPage(page))));
-    }
+    let mut changes = page_changes(record.version, pages, limits.max_value_bytes)?;
+    let new_pages: Vec<Key> = changes.iter().map(|(key, _)| key.clone()).collect();
     changes.push((Key::Configuration, Some(Record::Configuration(record))));
-    let count = changes.len();
-    let many = format!(
-        "{count} changes, and a transaction takes {}",
-        limits.changes
-    );
-    require(count <= limits.changes, "settings.teams", &many)?;
-    let bytes: usize = changes
-        .iter()
-        .filter_map(|(key, record)| Some(change_bytes(key, record.as_ref()?)))
-        .sum();
-    let large = format!("{bytes} bytes, and a transaction takes {TXN_BYTES}");
-    require(bytes <= TXN_BYTES, "settings.teams", &large)?;
+    require_one_transaction(&changes, limits)?;
+    let current_revision = current.map_or(0, |(_, mod_revision)| mod_revision);
     let mut conditions = vec![
-        (
-            Key::Configuration,
-            current.map_or(0, |(_, mod_revision)| mod_revision),
-        ),
+        (Key::Configuration, current_revision),
         (Key::ConfigurationEnabled, configurable),
     ];
-    let pages = changes.iter().map(|(key, _)| key);
-    let pages = pages.filter(|key| matches!(key, Key::ConfigurationPage(..)));
-    conditions.extend(pages.map(|key| (key.clone(), 0)));
+    conditions.extend(new_pages.into_iter().map(|key| (key, 0)));
     Ok(CasTransaction {
         conditions,
         changes,
@@ -137,6 +107,54 @@
     })
 }
 
+/// The versions that can be gone back to once `before` is replaced, latest first.
+fn versions_kept_after(before: &ConfigurationVersionRecord) -> Vec<KeptVersion> {
+    let mut kept = vec![KeptVersion {
+        version: before.version,
+        pages: before.pages,
+        at: before.at,
+        note: before.note.clone(),
+    }];
+    kept.extend(before.kept.iter().cloned());
+    kept.truncate(VERSIONS_KEPT - 1);
+    kept
+}
+
+/// The changes that write a version's pages; an error if one is larger than a value.
+fn page_changes(
+    version: u64,
+    pages: Vec<ConfigurationPageRecord>,
+    max_value_bytes: usize,
+) -> Result<Vec<(Key, Option<Record>)>, ConfigurationError> {
+    let mut changes = Vec::new();
+    for (n, page) in pages.into_iter().enumerate() {
+        let fits = json_bytes(&page) <= max_value_bytes;
+        let field = page.teams.first().map_or("objectives", |_| "teams");
+        let field = format!("settings.{field}");
+        require(fits, &field, "an entry is larger than a value")?;
+        let key = Key::ConfigurationPage(version, n as u32);
+        changes.push((key, Some(Record::ConfigurationPage(page))));
+    }
+    Ok(changes)
+}
+
+/// An error unless one transaction holds all these changes.
+fn require_one_transaction(
+    changes: &[(Key, Option<Record>)],
+    limits: ChangeLimits,
+) -> Result<(), ConfigurationError> {
+    let count = changes.len();
+    let limit = limits.changes;
+    let problem = format!("{count} changes, and a transaction takes {limit}");
+    require(count <= limit, "settings.teams", &problem)?;
+    let sizes = changes.iter();
+    let sizes = sizes.filter_map(|(key, record)| Some(change_bytes(key, record.as_ref()?)));
+    let bytes: usize = sizes.sum();
+    let problem = format!("{bytes} bytes, and a transaction takes {TXN_BYTES}");
+    require(bytes <= TXN_BYTES, "settings.teams", &problem)
+}
+
+/// Bytes that a change takes in a transaction, at most.
 fn change_bytes(key: &Key, record: &Record) -> usize {
     let value = record.value(formats::STORED_CONFIGURATION).to_string();
     value.len() + 2 * key.path().len() + CHANGE_FRAME_BYTES
--- a/crates/core/src/configuration/in_force.rs
+++ b/crates/core/src/configuration/in_force.rs
@@ -4,102 +4,110 @@
 use super::{ConfigurationError, Policy};
 use crate::state::StateCache;
 
-/// How the configuration on record stands with a controller.
+/// Which configuration a controller decides by.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Standing {
+enum ConfigurationSource {
     /// Nothing is on record: the settings file holds.
     FromFile,
+    /// The one on record.
     InForce,
     /// It can't be read: nothing is decided by any configuration.
     Unreadable(ConfigurationError),
 }
 
-/// What changed for a controller.
+/// What a look at the cache changed for a controller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Taken {
+pub enum ConfigurationUpdate {
+    /// The configuration is the same as before.
     Unchanged,
     /// Another configuration holds from now on.
     InForce(Policy),
+    /// The one on record can't be read: nothing is decided by any configuration from now on.
     Unreadable(ConfigurationError),
 }
 
 /// The part of a controller that follows the configuration on record.
 #[derive(Debug)]
 pub struct Configuration {
+    /// The settings file's.
     from_file: Policy,
-    standing: Standing,
+    source: ConfigurationSource,
     /// The revision of the version record that was last looked at, and how many pages the cache had.
     seen: (u64, usize),
-    /// The version on its way to the records as the one that this controller follows.
-    telling: bool,
+    /// The version that this controller follows is being recorded.
+    recording_in_flight: bool,
 }
 
 impl Configuration {
+    /// Before anything is read from the records: the settings file's configuration.
     pub fn new(from_file: Policy) -> Configuration {
         Configuration {
             from_file,
-            standing: Standing::FromFile,
+            source: ConfigurationSource::FromFile,
             seen: (0, 0),
-            telling: false,
+            recording_in_flight: false,
         }
     }
 
     /// Whether decisions can rest on a configuration.
     pub fn is_readable(&self) -> bool {
-        !matches!(self.standing, Standing::Unreadable(_))
+        !matches!(self.source, ConfigurationSource::Unreadable(_))
     }
 
-    /// Whether what holds differs from the settings file: said once when it comes into force.
+    /// Whether a policy differs from the settings file, which is logged when it comes into force.
     pub fn differs_from_file(&self, policy: &Policy) -> bool {
         let file = &self.from_file;
         file.teams != policy.teams || file.goals != policy.goals || file.starts != policy.starts
     }
 
-    /// Looks at the state cache; to be called whenever it has changed, before anything is decided.
-    pub fn take(&mut self, cache: &StateCache) -> Taken {
+    /// Reads the configuration in the cache; to be called whenever the cache has changed, before
+    /// anything is decided.
+    pub fn refresh(&mut self, cache: &StateCache) -> ConfigurationUpdate {
         let (record, mod_revision) = match cache.configuration() {
             Some((record, mod_revision)) => (Some(record), mod_revision),
             None => (None, 0),
         };
         let seen = (mod_revision, cache.configuration_pages());
         if seen == self.seen {
-            return Taken::Unchanged;
+            return ConfigurationUpdate::Unchanged;
         }
-        let same_version = mod_revision == self.seen.0 && self.standing == Standing::InForce;
+        let same_version =
+            mod_revision == self.seen.0 && self.source == ConfigurationSource::InForce;
         self.seen = seen;
         let Some(record) = record else {
-            let was = std::mem::replace(&mut self.standing, Standing::FromFile);
-            return match was {
-                Standing::FromFile => Taken::Unchanged,
-                _ => Taken::InForce(self.from_file.clone()),
+            let before = std::mem::replace(&mut self.source, ConfigurationSource::FromFile);
+            return match before {
+                ConfigurationSource::FromFile => ConfigurationUpdate::Unchanged,
+                _ => ConfigurationUpdate::InForce(self.from_file.clone()),
             };
         };
         if same_version {
-            // Pages of other versions came or went.
-            return Taken::Unchanged;
+            // Only pages of other versions were added or removed.
+            return ConfigurationUpdate::Unchanged;
         }
         match read(record, mod_revision, cache) {
             Ok(policy) => {
-                self.standing = Standing::InForce;
-                Taken::InForce(policy)
+                self.source = ConfigurationSource::InForce;
+                ConfigurationUpdate::InForce(policy)
             }
             Err(error) => {
-                self.standing = Standing::Unreadable(error.clone());
-                Taken::Unreadable(error)
+                self.source = ConfigurationSource::Unreadable(error.clone());
+                ConfigurationUpdate::Unreadable(error)
             }
         }
     }
 
-    /// Whether a controller should put on record now that it follows this version.
-    pub fn should_tell(&mut self, version: u64, on_record: Option<u64>) -> bool {
-        let due = self.standing == Standing::InForce && on_record != Some(version);
-        let tells = due && !self.telling;
-        self.telling |= tells;
-        tells
+    /// Whether the controller should record now that it follows this version. If so, the record is
+    /// in flight from now on.
+    pub fn start_recording_version(&mut self, version: u64, on_record: Option<u64>) -> bool {
+        let is_due = self.source == ConfigurationSource::InForce && on_record != Some(version);
+        let starts = is_due && !self.recording_in_flight;
+        self.recording_in_flight |= starts;
+        starts
     }
 
-    /// That transaction has ended, one way or the other.
-    pub fn told(&mut self) {
-        self.telling = false;
+    /// The transaction that records the version has ended, committed or not.
+    pub fn version_recording_finished(&mut self) {
+        self.recording_in_flight = false;
     }
 }
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -14,7 +14,7 @@
 mod settings;
 
 pub use change::{change, outdated_pages, review, ChangeLimits, NOTE_BYTES, VERSIONS_KEPT};
-pub use in_force::{Configuration, Taken};
+pub use in_force::{Configuration, ConfigurationUpdate};
 pub use records::{
     pages, settings_of, ConfigurationEnabledRecord, ConfigurationPageRecord,
     ConfigurationVersionRecord, KeptVersion, ObservedVersionRecord, TeamEntry, CONFIGURATION_FORM,
@@ -28,11 +28,14 @@
 /// Why a configuration is refused: the field and what is wrong with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigurationError {
+    /// The field, as operators write it.
     pub field: String,
+    /// What is wrong with it.
     pub problem: String,
 }
 
 impl ConfigurationError {
+    /// `problem` is wrong with `field`.
     pub fn new(field: impl Into<String>, problem: impl Into<String>) -> ConfigurationError {
         ConfigurationError {
             field: field.into(),
@@ -53,6 +56,9 @@
     }
 }
 
+impl std::error::Error for ConfigurationError {}
+
+/// An error unless a condition holds.
 fn require(holds: bool, field: &str, problem: &str) -> Result<(), ConfigurationError> {
     match holds {
         true => Ok(()),
--- a/crates/core/src/configuration/rollout.rs
+++ b/crates/core/src/configuration/rollout.rs
@@ -1,45 +1,44 @@
-//! A controller follows the configuration on record: takes versions up, says which one it decides by, and
-//! lets operators put configurations on record once every controller reads them.
+//! A controller follows the configuration on record: it applies new versions, records which one it
+//! decides by, and enables configurations on record once every controller reads them.
 
-use crate::configuration::{ConfigurationEnabledRecord, ObservedVersionRecord, Taken};
+use crate::configuration::{
+    ConfigurationEnabledRecord, ConfigurationUpdate, ObservedVersionRecord,
+};
 use crate::controller::{Controller, PendingOperation, RequestClass};
 use crate::scheduling::deferral::CachedQueueOrder;
 use crate::state::formats;
 use crate::state::{Key, Record, TransactionBuilder};
 
 impl Controller {
-    /// Takes up the configuration that the cache shows; before anything is decided by a copy that changed.
-    /// While the records are read page by page the cache may show a part of one.
+    /// Applies the configuration in the cache, before anything is decided by a cache that changed.
+    /// Not during a list: then the cache may hold a part of a configuration.
     pub(crate) fn apply_stored_configuration(&mut self) {
         if !self.sync.has_listed || !self.settings.checks.configuration {
             return;
         }
-        match self.configuration.take(&self.cache) {
-            Taken::Unchanged => {}
-            Taken::InForce(policy) => {
+        match self.configuration.refresh(&self.cache) {
+            ConfigurationUpdate::Unchanged => {}
+            ConfigurationUpdate::InForce(policy) => {
                 let (version, teams) = (policy.version, policy.teams.len());
                 tracing::info!(version, teams, "configuration in force");
                 if self.configuration.differs_from_file(&policy) {
                     tracing::info!(
                         version,
-                        "it differs from the settings file, which is passed over"
+                        "configuration differs from settings file, which is ignored"
                     );
                 }
                 self.settings.policy = policy;
                 self.scheduling.queue_order = CachedQueueOrder::default();
                 self.scheduling.pass_requested = true;
             }
-            Taken::Unreadable(error) => {
+            ConfigurationUpdate::Unreadable(error) => {
                 let error = error.to_string();
-                tracing::error!(
-                    error,
-                    "the configuration on record can't be read: nothing is claimed"
-                );
+                tracing::error!(error, "stored configuration unreadable, claims suspended");
             }
         }
     }
 
-    /// Says that configurations may be on record, where every controller reads them and nobody has said it yet.
+    /// Adds the record that enables configurations on record, once every controller reads them.
     pub(crate) fn draft_configuration_enabled(&self, draft: &mut TransactionBuilder) {
         if self.cache.format() >= formats::STORED_CONFIGURATION && !self.cache.is_configurable() {
             let version = formats::STORED_CONFIGURATION;
@@ -48,13 +47,16 @@
         }
     }
 
-    /// Puts on record, once, that configurations may be, and the version that this controller follows.
+    /// Enables configurations on record, once, and records the version that this controller follows.
     pub(crate) fn record_observed_version(&mut self) {
         if self.cache.format() < formats::STORED_CONFIGURATION {
             return;
         }
-        let settled = self.cache.mod_revision(&Key::CancellationConfirmation) > 0;
-        if settled && !self.cache.is_configurable() && !self.upgrade.configurable_busy {
+        let is_confirmation_enabled = self.cache.mod_revision(&Key::CancellationConfirmation) > 0;
+        if is_confirmation_enabled
+            && !self.cache.is_configurable()
+            && !self.upgrade.configurable_busy
+        {
             let mut draft = TransactionBuilder::new(&self.cache);
             self.draft_configuration_enabled(&mut draft);
             let transaction = draft.finish();
@@ -67,7 +69,10 @@
         }
         let version = self.settings.policy.version;
         let on_record = self.cache.followed_by(&self.settings.controller);
-        if self.configuration.should_tell(version, on_record) {
+        if self
+            .configuration
+            .start_recording_version(version, on_record)
+        {
             let mut draft = TransactionBuilder::new(&self.cache);
             let key = Key::ObservedVersion(self.settings.controller.clone());
             draft.put(
--- a/crates/core/src/configuration/settings.rs
+++ b/crates/core/src/configuration/settings.rs
@@ -7,6 +7,7 @@
 
 /// Teams and objectives of a configuration at most: what one transaction holds is less.
 pub const TEAMS_MOST: usize = 5_000;
+/// The same for objectives.
 pub const OBJECTIVES_MOST: usize = 1_000;
 /// Bytes of the name of a team or a class.
 const NAME_BYTES: usize = 200;
@@ -18,23 +19,31 @@
 /// A team as operators write it, in the settings file and in files for `glenmountctl config`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TeamSettings {
+    /// The team's name, as jobs give it.
     pub name: String,
+    /// Guaranteed processors.
     #[serde(default)]
     pub cpus: f64,
+    /// Limit of processors; 0 is none.
     #[serde(default)]
     pub cpus_max: f64,
+    /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
+    /// Limit of GPUs; 0 is none.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// An aim of the users'. Kinds that the scheduler has no use for are ignored.
+/// A service-level objective of the users. Kinds that the scheduler has no use for are ignored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObjectiveSettings {
+    /// `finished` or `wait`: within what a class's jobs are to be complete, or its tasks to start.
     pub kind: String,
+    /// The class of jobs that it is for.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<String>,
+    /// Seconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub within_s: Option<f64>,
 }
@@ -42,10 +51,13 @@
 /// The part of the settings that a configuration record holds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicySettings {
+    /// Seconds after which idle machines are deprovisioned.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub idle_return_s: Option<f64>,
+    /// The teams, with their guarantees and limits.
     #[serde(default)]
     pub teams: Vec<TeamSettings>,
+    /// The users' objectives.
     #[serde(default)]
     pub objectives: Vec<ObjectiveSettings>,
 }
@@ -58,6 +70,7 @@
     /// The revision of the version record that it came from; 0: there was none. Decisions that rest on
     /// limits, guarantees or order are conditional on it.
     pub mod_revision: u64,
+    /// Teams by name.
     pub teams: BTreeMap<String, Team>,
     /// Per class, milliseconds within which its jobs should be complete, shortest first.
     pub goals: BTreeMap<String, Vec<u64>>,
@@ -67,6 +80,7 @@
     pub idle_return_ms: Option<Millis>,
 }
 
+/// Thousandths of processors or GPUs; an error if the amount makes no sense.
 fn amount(field: &str, value: f64) -> Result<u64, ConfigurationError> {
     let sane = value.is_finite() && (0.0..=AMOUNT_MOST).contains(&value);
     let problem = format!("must be between 0 and 1e9, not {value}");
@@ -74,9 +88,10 @@
     Ok(have_milli(value))
 }
 
-fn milliseconds(field: &str, value: f64, least: f64) -> Result<u64, ConfigurationError> {
-    let sane = value.is_finite() && (least..=SECONDS_MOST).contains(&value);
-    let problem = format!("must be between {least} and {SECONDS_MOST} seconds, not {value}");
+/// Seconds as milliseconds; an error unless they are between `min_s` and a day.
+fn milliseconds(field: &str, value: f64, min_s: f64) -> Result<u64, ConfigurationError> {
+    let sane = value.is_finite() && (min_s..=SECONDS_MOST).contains(&value);
+    let problem = format!("must be between {min_s} and {SECONDS_MOST} seconds, not {value}");
     require(sane, field, &problem)?;
     Ok((value * 1000.0).round() as u64)
 }
@@ -110,7 +125,7 @@
             require(new, "settings.teams.name", &problem)?;
         }
         for objective in &self.objectives {
-            policy.take_objective(objective)?;
+            policy.add_objective(objective)?;
         }
         policy.goals.values_mut().for_each(|goals| goals.sort());
         if let Some(seconds) = self.idle_return_s {
@@ -154,7 +169,7 @@
 }
 
 impl Policy {
-    fn take_objective(&mut self, objective: &ObjectiveSettings) -> Result<(), ConfigurationError> {
+    fn add_objective(&mut self, objective: &ObjectiveSettings) -> Result<(), ConfigurationError> {
         let (Some(class), Some(within_s)) = (&objective.class, objective.within_s) else {
             return Ok(());
         };
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -138,7 +138,9 @@
             PendingOperation::RecordFormat => self.upgrade.format_busy = false,
             PendingOperation::ConfirmCancellations => self.upgrade.settle_busy = false,
             PendingOperation::EnableConfiguration => self.upgrade.configurable_busy = false,
-            PendingOperation::RecordObservedVersion => self.configuration.told(),
+            PendingOperation::RecordObservedVersion => {
+                self.configuration.version_recording_finished()
+            }
             PendingOperation::RemoveObsolete => self.cleanup.removal_in_flight = false,
             PendingOperation::Term => self.upgrade.term_in_flight = false,
             // Operations of the cloud: they have responses of their own.
