--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -1,17 +1,18 @@
-//! Cancellations that are told only when nothing is left of the job, and what rests on it: that a
-//! controller which is cut off may renew leases for as long as the cut lasts.
+//! Confirmed cancellations: users are told that a job is cancelled only when nothing of it is left.
+//! Therefore a controller that is cut off from the state service may renew leases for as long as
+//! that lasts.
 //!
 //! A user who was told that a job is cancelled must find nothing of it anywhere `cancel_s` later.
-//! Told at its commit, that rests on what happens after: a halt that arrives, a deletion that the
-//! cloud carries out, or a lease that nobody renews, so a controller cut off with its zone had to stop
-//! renewing in time, and let everything die that nothing was wrong with. Told when every assignment of
-//! the job is proven to be over, it rests on nothing that is still to happen. So renewing can break
-//! no rule, whoever does it and for however long.
+//! Answered at its commit, a cancellation depends on what happens later: a stop that arrives, a
+//! deletion that the cloud carries out, or a lease that nobody renews. A controller cut off with its
+//! zone would have to stop renewing leases in time, and healthy tasks would end with them. Answered
+//! when every assignment of the job is proven to be over, it depends on nothing that is still to
+//! happen. So renewing can break no rule, whoever does it and for however long.
 //!
-//! Until every controller has format 3 cancellations are told at their commit, as older versions do, and
-//! leases are renewed no longer than they allow. `g/settled` is written once when all have it:
-//! which of the two holds for a cancellation is the order of the two revisions, and each
-//! cancellation is conditional on the key as it was known. See docs/design.md.
+//! Until every controller has format 3, cancellations are answered at their commit, as older versions
+//! do, and leases are renewed no longer than that allows. `g/settled` is written once, when all have
+//! the format. Which of the two holds for a cancellation is the order of the two revisions, and each
+//! cancellation is conditional on that key as it was cached. See docs/design.md.
 
 use crate::constants::{
     CANCEL_MARGIN_MS, CANCEL_PATIENCE_MS, CANCEL_RETRY_AFTER_S, CONFIRMED_CANCELLATION_TERM,
@@ -24,8 +25,8 @@
 use crate::model::{JobState, TaskId, TaskPhase, TaskStatus, WorkerCommand, WorkerHeartbeat};
 use crate::state::formats;
 use crate::state::{
-    Assignment, CancellationConfirmationRecord, Counts, JobPhase, Key, MachinePhase, Placed,
-    Record, TermRecord, TransactionBuilder,
+    CancellationConfirmationRecord, Counts, JobPhase, Key, MachinePhase, Placed, Record,
+    TermRecord, TransactionBuilder,
 };
 
 impl Controller {
@@ -33,37 +34,37 @@
     /// and, once nothing is left of any that was told before, raises the term beyond
     /// `CONFIRMED_CANCELLATION_TERM`. A worker that has seen such a token proves that to a controller without records.
     pub(crate) fn record_cancellation_confirmation(&mut self) {
-        let settled = self.cache.mod_revision(&Key::CancellationConfirmation);
+        let confirmed_from = self.cache.mod_revision(&Key::CancellationConfirmation);
         if self.upgrade.settle_busy || self.cache.format() < formats::CONFIRMED_CANCELLATION {
             return;
         }
-        let mut draft = TransactionBuilder::new(&self.cache);
-        match (settled, self.cache.term()) {
+        let mut builder = TransactionBuilder::new(&self.cache);
+        match (confirmed_from, self.cache.term()) {
             (0, _) => {
                 let version = formats::CONFIRMED_CANCELLATION;
-                draft.put(
+                builder.put(
                     Key::CancellationConfirmation,
                     Record::CancellationConfirmation(CancellationConfirmationRecord { version }),
                 );
-                self.draft_configuration_enabled(&mut draft);
+                self.draft_configuration_enabled(&mut builder);
             }
             (_, Some(term))
-                if term < CONFIRMED_CANCELLATION_TERM && self.cache.revision >= settled =>
+                if term < CONFIRMED_CANCELLATION_TERM && self.cache.revision >= confirmed_from =>
             {
-                let told_before = |(job, counts): (&str, Counts)| {
+                let is_earlier_and_unfinished = |(job, counts): (&str, Counts)| {
                     let phase = self.cache.job(job).map(|j| j.phase);
-                    let before = self.cache.job_revision(job) < settled;
+                    let before = self.cache.job_revision(job) < confirmed_from;
                     counts.assigned > 0 && phase == Some(JobPhase::Cancelled) && before
                 };
-                if self.cache.counted().any(told_before) {
+                if self.cache.counted().any(is_earlier_and_unfinished) {
                     return;
                 }
                 let term = term + CONFIRMED_CANCELLATION_TERM;
-                draft.put(Key::Term, Record::Term(TermRecord { term }));
+                builder.put(Key::Term, Record::Term(TermRecord { term }));
             }
             _ => return,
         }
-        let transaction = draft.finish();
+        let transaction = builder.finish();
         self.upgrade.settle_busy = true;
         self.commit(
             transaction,
@@ -72,63 +73,66 @@
         );
     }
 
-    /// A cancellation was committed, or asked for once more, and tasks of the job may be left: its
-    /// user waits a moment, as most tasks are gone within half a second. One whose machines can't
-    /// be reached now is told at once when to come back.
-    pub(crate) fn await_cancellation(&mut self, request: RequestId) {
-        let Some(job) = self.requests.open.get(&request).map(|a| a.job.clone()) else {
+    /// A cancellation was committed, or requested once more, and tasks of the job may be left: its
+    /// user waits a moment, as most tasks end within half a second. Where machines can't be reached
+    /// now, the user is asked at once to come back.
+    pub(crate) fn await_cancellation(&mut self, id: RequestId) {
+        let Some(job) = self.requests.open.get(&id).map(|r| r.job.clone()) else {
             return;
         };
-        let unreached = |b: &Assignment| match self.cache.machine(&b.machine) {
-            Some(m) => {
-                let reached = self.reachable(&b.machine, &m.zone) || self.answers(&b.machine);
-                m.phase == MachinePhase::Deprovisioning || !reached
-            }
-            None => true,
-        };
-        let assigned = self.cache.chunks_of(&job).flat_map(|(_, c)| c.assigned());
-        if assigned.map(|(_, b)| b).any(unreached) {
+        let chunks = self.cache.chunks_of(&job);
+        let is_any_out_of_reach = chunks
+            .flat_map(|(_, chunk)| chunk.assigned())
+            .any(|(_, assignment)| !self.can_stop_tasks_on(&assignment.machine));
+        if is_any_out_of_reach {
             let after_s = CANCEL_RETRY_AFTER_S;
-            self.answer(request, UserReply::RetryAfter { after_s });
+            self.answer(id, UserReply::RetryAfter { after_s });
             return;
         }
         let until = self.now + CANCEL_PATIENCE_MS;
-        if let Some(ask) = self.requests.open.get_mut(&request) {
-            ask.until = ask.until.min(until);
-            self.requests.awaiting_cancellation.insert(request);
+        if let Some(request) = self.requests.open.get_mut(&id) {
+            request.until = request.until.min(until);
+            self.requests.awaiting_cancellation.insert(id);
         }
     }
 
-    /// Tells those who wait for it that their job is cancelled, now that nothing is left of it.
+    /// Whether a machine's worker can be reached, and the machine is not being deleted.
+    fn can_stop_tasks_on(&self, id: &str) -> bool {
+        let Some(machine) = self.cache.machine(id) else {
+            return false;
+        };
+        let is_reached = self.reachable(id, &machine.zone) || self.answers(id);
+        machine.phase != MachinePhase::Deprovisioning && is_reached
+    }
+
+    /// Answers the requests that wait for it that their job is cancelled, where nothing of it is
+    /// left now.
     pub(crate) fn confirm_cancellations(&mut self) {
         if self.requests.awaiting_cancellation.is_empty() || !self.sync.has_listed {
             return;
         }
-        let asks = &self.requests.open;
+        let open = &self.requests.open;
         self.requests
             .awaiting_cancellation
-            .retain(|request| asks.contains_key(request));
-        let gone = |request: &RequestId| {
-            let ask: &UserRequest = self.requests.open.get(request)?;
-            let told = matches!(ask.want, RequestKind::Cancel) && !self.cache.ending(&ask.job);
-            told.then(|| (*request, ask.job.clone()))
+            .retain(|id| open.contains_key(id));
+        let confirmed = |id: &RequestId| {
+            let request: &UserRequest = self.requests.open.get(id)?;
+            let is_cancel = matches!(request.kind, RequestKind::Cancel);
+            let is_confirmed = is_cancel && !self.cache.ending(&request.job);
+            is_confirmed.then(|| (*id, request.job.clone()))
         };
-        let over: Vec<(RequestId, String)> = self
-            .requests
-            .awaiting_cancellation
-            .iter()
-            .filter_map(gone)
-            .collect();
-        for (request, job) in over {
-            self.requests.awaiting_cancellation.remove(&request);
+        let awaiting = self.requests.awaiting_cancellation.iter();
+        let confirmed: Vec<(RequestId, String)> = awaiting.filter_map(confirmed).collect();
+        for (id, job) in confirmed {
+            self.requests.awaiting_cancellation.remove(&id);
             let state = JobState::Cancelled;
-            self.answer(request, UserReply::Cancelled { job, state });
+            self.answer(id, UserReply::Cancelled { job, state });
         }
     }
 
-    /// Whether a machine that holds a cancelled task which nobody was told of is left alone: its zone
-    /// is cut off, and it runs others' work. The user waits longer then, but nobody else loses what
-    /// runs well behind the cut.
+    /// Whether a machine with a task whose cancellation is not confirmed is kept: its zone is
+    /// unreachable, and it runs tasks of other jobs. The user waits longer then, but nobody else
+    /// loses what runs well in that zone.
     pub(crate) fn is_spared(&self, id: &str) -> bool {
         let quiet = self
             .cache
@@ -141,50 +145,50 @@
     /// Whether renewing a lease can break no rule. Cancellations later than `g/settled` are told when
     /// nothing is left; a copy that has reached it knows all earlier ones, and stops their tasks; and
     /// where a worker has seen a settled term there are none of these.
-    fn renewing_is_safe(&self, report: &WorkerHeartbeat) -> bool {
-        let settled = self.cache.mod_revision(&Key::CancellationConfirmation);
-        report.token >= CONFIRMED_CANCELLATION_TERM
-            || self.sync.has_listed && settled > 0 && self.cache.revision >= settled
+    fn renewing_is_safe(&self, heartbeat: &WorkerHeartbeat) -> bool {
+        let confirmed_from = self.cache.mod_revision(&Key::CancellationConfirmation);
+        heartbeat.token >= CONFIRMED_CANCELLATION_TERM
+            || self.sync.has_listed && confirmed_from > 0 && self.cache.revision >= confirmed_from
     }
 
     /// Cut off from the state service: hand workers to a peer that reaches it, or keep their
     /// leases alive. Nothing is started; what was cancelled before the cut is stopped, since that
     /// never changes. A controller that has started inside the cut, and so knows nothing, does the same.
-    pub(crate) fn reply_without_state(&mut self, report: &WorkerHeartbeat) -> WorkerReply {
+    pub(crate) fn reply_without_state(&mut self, heartbeat: &WorkerHeartbeat) -> WorkerReply {
         if let Some(controller) = self.peer_with_state() {
             return WorkerReply::Redirect {
                 controller: Some(controller),
             };
         }
-        let renews = match self.renewing_is_safe(report) {
-            true => self.keeps_worker(&report.machine),
+        let renews = match self.renewing_is_safe(heartbeat) {
+            true => self.keeps_worker(&heartbeat.machine),
             // Somebody may have been told of a cancellation since the last answer, also of one that
             // came a moment before all lost the state service.
             false => self.lost_state_recently() || !self.settings.checks.bounded,
         };
-        let token = self.fencing_token(&report.machine).unwrap_or(0);
+        let token = self.fencing_token(&heartbeat.machine).unwrap_or(0);
         // Peers may have raised it since this controller was cut off. Nothing is started, so a start
         // that this bars stays barred.
-        let token = token.max(report.token);
+        let token = token.max(heartbeat.token);
         if !renews || token == 0 {
             return WorkerReply::Unavailable;
         }
         WorkerReply::Commands {
             token,
-            commands: self.stops_for_cancelled(report),
+            commands: self.stops_for_cancelled(heartbeat),
         }
     }
 
-    fn stops_for_cancelled(&self, report: &WorkerHeartbeat) -> Vec<WorkerCommand> {
-        let cancelled = |t: &&TaskStatus| {
-            let job = self.cache.job(&t.task.job);
-            !matches!(t.phase, TaskPhase::Exited(_))
+    fn stops_for_cancelled(&self, heartbeat: &WorkerHeartbeat) -> Vec<WorkerCommand> {
+        let cancelled = |status: &&TaskStatus| {
+            let job = self.cache.job(&status.task.job);
+            !matches!(status.phase, TaskPhase::Exited(_))
                 && job.is_some_and(|j| j.phase == JobPhase::Cancelled)
         };
-        let tasks = report.tasks.iter().filter(cancelled);
-        let stop = |t: &TaskStatus| WorkerCommand::Stop {
-            task: t.task.clone(),
-            attempt: t.attempt,
+        let tasks = heartbeat.tasks.iter().filter(cancelled);
+        let stop = |status: &TaskStatus| WorkerCommand::Stop {
+            task: status.task.clone(),
+            attempt: status.attempt,
             grace_s: 0.0,
         };
         tasks.map(stop).take(REPLY_MAX_COMMANDS).collect()
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -1,5 +1,5 @@
-//! Users' requests: submit, status, cancel. Nothing is answered from records that might be
-//! old, except what can never change.
+//! Users' requests: submit, status, cancel. Nothing is answered from a cache that might be outdated,
+//! except what can never change.
 
 use crate::constants::{
     OUTAGE_RETRY_AFTER_S, RETRY_AFTER_S, STATUS_PATIENCE_MS, SUBMIT_PATIENCE_MS,
@@ -10,105 +10,121 @@
 use crate::state::formats;
 use crate::state::{JobPhase, JobRecord, Key, Record, TransactionBuilder};
 
+/// What a user asks for.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestKind {
+    /// To accept a job.
     Submit(Box<JobSpec>),
+    /// How far a job is.
     Status,
+    /// To cancel a job.
     Cancel,
 }
 
+/// A user's request that waits for an answer.
 #[derive(Clone, Debug)]
 pub(crate) struct UserRequest {
+    /// The job that it is about.
     pub job: String,
-    pub want: RequestKind,
+    /// What is asked for.
+    pub kind: RequestKind,
+    /// When it arrived.
     pub since: Millis,
+    /// When the user is told to come back.
     pub until: Millis,
 }
 
 impl Controller {
+    /// A user submits a job.
     pub(crate) fn handle_submit(&mut self, request: RequestId, spec: JobSpec) {
-        let ask = UserRequest {
+        let user_request = UserRequest {
             job: spec.id.clone(),
-            want: RequestKind::Submit(Box::new(spec)),
+            kind: RequestKind::Submit(Box::new(spec)),
             since: self.now,
             until: self.now + SUBMIT_PATIENCE_MS,
         };
-        self.enqueue_request(request, ask);
+        self.enqueue_request(request, user_request);
     }
 
+    /// A user asks how far a job is.
     pub(crate) fn handle_status(&mut self, request: RequestId, job: String) {
-        let ask = UserRequest {
+        let user_request = UserRequest {
             job,
-            want: RequestKind::Status,
+            kind: RequestKind::Status,
             since: self.now,
             until: self.now + STATUS_PATIENCE_MS,
         };
-        self.enqueue_request(request, ask);
+        self.enqueue_request(request, user_request);
     }
 
+    /// A user cancels a job.
     pub(crate) fn handle_cancel(&mut self, request: RequestId, job: String) {
-        let ask = UserRequest {
+        let user_request = UserRequest {
             job,
-            want: RequestKind::Cancel,
+            kind: RequestKind::Cancel,
             since: self.now,
             until: self.now + SUBMIT_PATIENCE_MS,
         };
-        self.enqueue_request(request, ask);
+        self.enqueue_request(request, user_request);
     }
 
-    fn enqueue_request(&mut self, request: RequestId, ask: UserRequest) {
-        // A final state never changes, so the cache suffices however old it is.
-        if let Some(job) = self.cache.job(&ask.job).filter(|j| self.over(&ask.job, j)) {
-            let reply = self.job_reply(&ask, job);
-            self.emit(Effect::User { request, reply });
+    /// Answers a request at once where that is possible, else has it wait for a linearizable read.
+    fn enqueue_request(&mut self, id: RequestId, request: UserRequest) {
+        if let Some(reply) = self.immediate_reply(&request) {
+            self.emit(Effect::User { request: id, reply });
             return;
         }
-        if !self.has_current_state()
-            || self.lifecycle.shutting_down_since.is_some()
-            || self.requests.open.len() >= WAITING_REQUESTS
-        {
-            let reply = self.later();
-            self.emit(Effect::User { request, reply });
+        // A new job needs no proof that the cache is current: its record is only written if absent.
+        let is_new = self.cache.job(&request.job).is_none();
+        let is_valid_submission = matches!(&request.kind, RequestKind::Submit(spec)
+            if self.refusal(spec).is_none());
+        let is_new_submission = is_new && is_valid_submission;
+        if let Err(after_s) = self.admit(&request, is_new_submission) {
+            let reply = UserReply::RetryAfter { after_s };
+            self.emit(Effect::User { request: id, reply });
             return;
         }
-        // A new job needs no proof of freshness: its record is only written if absent.
-        let new = self.cache.job(&ask.job).is_none();
-        let valid = matches!(&ask.want, RequestKind::Submit(spec)
-            if self.refusal(spec).is_none());
-        if let (true, RequestKind::Submit(spec)) = (new && valid, &ask.want) {
-            if let Err(after_s) = self
-                .requests
-                .admission
-                .submissions
-                .takes(self.now, &spec.team)
-            {
-                let reply = UserReply::RetryAfter { after_s };
-                self.emit(Effect::User { request, reply });
-                return;
-            }
+        let needs_no_read = is_new_submission && !self.machine_types.is_empty();
+        self.requests.open.insert(id, request);
+        if needs_no_read || !self.settings.checks.proof {
+            self.serve_with_current_state(id);
+        } else {
+            self.reads.unissued.push(id);
         }
-        let at_once = new && valid && !self.machine_types.is_empty();
-        if let (RequestKind::Cancel, Some(spec)) = (&ask.want, self.cache.open_job(&ask.job)) {
-            // A flood of these would leave no changes for results, by which what is cancelled is told.
-            if let Err(after_s) = self
-                .requests
-                .admission
-                .cancellations
-                .takes(self.now, &spec.team)
-            {
-                let reply = UserReply::RetryAfter { after_s };
-                self.emit(Effect::User { request, reply });
-                return;
-            }
+    }
+
+    /// The reply to a request that nothing more need be known for, or that can't be served now.
+    fn immediate_reply(&self, request: &UserRequest) -> Option<UserReply> {
+        // A final state never changes, so the cache suffices however old it is.
+        let job = self.cache.job(&request.job);
+        if let Some(job) = job.filter(|job| self.is_final(&request.job, job)) {
+            return Some(self.job_reply(request, job));
         }
-        self.requests.open.insert(request, ask);
-        if at_once || !self.settings.checks.proof {
-            self.serve_with_current_state(request);
-        } else {
-            self.reads.unissued.push(request);
+        let can_wait = self.has_current_state()
+            && self.lifecycle.shutting_down_since.is_none()
+            && self.requests.open.len() < WAITING_REQUESTS;
+        (!can_wait).then(|| self.later())
+    }
+
+    /// Whether a request that costs a change of the state service is admitted; if not, after how
+    /// many seconds it may be repeated.
+    fn admit(&mut self, request: &UserRequest, is_new_submission: bool) -> Result<(), u32> {
+        let admission = &mut self.requests.admission;
+        match &request.kind {
+            RequestKind::Submit(spec) if is_new_submission => {
+                admission.submissions.takes(self.now, &spec.team)
+            }
+            // A flood of cancellations would leave no changes for results, by which they are
+            // confirmed.
+            RequestKind::Cancel => match self.cache.open_job(&request.job) {
+                Some(spec) => admission.cancellations.takes(self.now, &spec.team),
+                None => Ok(()),
+            },
+            RequestKind::Submit(_) | RequestKind::Status => Ok(()),
         }
     }
 
+    /// The reply that asks the user to come back.
     pub(crate) fn later(&self) -> UserReply {
         let after_s = match self.has_current_state() {
             true => RETRY_AFTER_S,
@@ -117,53 +133,62 @@
         UserReply::RetryAfter { after_s }
     }
 
+    /// Answers a request, unless it was answered before.
     pub(crate) fn answer(&mut self, request: RequestId, reply: UserReply) {
         if self.requests.open.remove(&request).is_some() {
             self.emit(Effect::User { request, reply });
         }
     }
 
-    /// The records are at least as new as the request.
-    pub(crate) fn serve_with_current_state(&mut self, request: RequestId) {
-        let Some(ask) = self.requests.open.get(&request).cloned() else {
+    /// Serves a request from a cache that is at least as new as the request.
+    pub(crate) fn serve_with_current_state(&mut self, id: RequestId) {
+        let Some(request) = self.requests.open.get(&id).cloned() else {
             return;
         };
-        if let Some(job) = self.cache.job(&ask.job).cloned() {
-            if matches!(ask.want, RequestKind::Cancel) && !self.over(&ask.job, &job) {
-                let mut draft = TransactionBuilder::new(&self.cache);
-                if job.phase == JobPhase::Cancelled {
-                    self.await_cancellation(request);
-                    return;
-                }
-                let over = job.over(JobPhase::Cancelled, self.wall);
-                draft.put(Key::Job(ask.job), Record::Job(over));
-                // Which way it is to be told is the order of the two.
-                draft.rests_on(Key::CancellationConfirmation);
-                let transaction = draft.finish();
-                self.commit(
-                    transaction,
-                    PendingOperation::UserRequest(request),
-                    RequestClass::User,
-                );
+        if let Some(job) = self.cache.job(&request.job).cloned() {
+            let is_cancel = matches!(request.kind, RequestKind::Cancel);
+            if is_cancel && !self.is_final(&request.job, &job) {
+                self.cancel_job(id, request.job, &job);
                 return;
             }
-            let reply = self.job_reply(&ask, &job);
-            self.answer(request, reply);
+            let reply = self.job_reply(&request, &job);
+            self.answer(id, reply);
             return;
         }
-        let RequestKind::Submit(spec) = ask.want else {
-            self.answer(request, UserReply::NotFound);
+        match request.kind {
+            RequestKind::Submit(spec) => self.accept_job(id, request.job, spec),
+            RequestKind::Status | RequestKind::Cancel => self.answer(id, UserReply::NotFound),
+        }
+    }
+
+    /// Cancels a job on record; one that is cancelled already only has its user wait.
+    fn cancel_job(&mut self, request: RequestId, id: String, job: &JobRecord) {
+        if job.phase == JobPhase::Cancelled {
+            self.await_cancellation(request);
             return;
-        };
+        }
+        let cancelled = job.over(JobPhase::Cancelled, self.wall);
+        let mut builder = TransactionBuilder::new(&self.cache);
+        builder.put(Key::Job(id), Record::Job(cancelled));
+        // Whether the cancellation is answered at its commit, or once it is confirmed, is the order
+        // of the two revisions.
+        builder.rests_on(Key::CancellationConfirmation);
+        let transaction = builder.finish();
+        let purpose = PendingOperation::UserRequest(request);
+        self.commit(transaction, purpose, RequestClass::User);
+    }
+
+    /// Puts a submitted job on record, unless it is refused or can't be accepted now.
+    fn accept_job(&mut self, request: RequestId, id: String, spec: Box<JobSpec>) {
         let types_known = !self.machine_types.is_empty() || !self.settings.checks.machine_types;
         if !types_known || !self.configuration.is_readable() {
             let reply = self.later();
             self.answer(request, reply);
             return;
         }
-        if let Some(why) = self.refusal(&spec) {
-            tracing::info!(job = spec.id, why, "refused");
-            self.answer(request, UserReply::Rejected(why));
+        if let Some(reason) = self.refusal(&spec) {
+            tracing::info!(job = spec.id, reason, "submission rejected");
+            self.answer(request, UserReply::Rejected(reason));
             return;
         }
         if !spec.dependencies.is_empty() && self.cache.format() < formats::PIPELINES {
@@ -173,17 +198,14 @@
             return;
         }
         let record = self.accepted(spec);
-        let mut draft = TransactionBuilder::new(&self.cache);
-        draft.put(Key::Job(ask.job), Record::Job(record));
+        let mut builder = TransactionBuilder::new(&self.cache);
+        builder.put(Key::Job(id), Record::Job(record));
         if self.settings.checks.configured {
-            draft.rests_on_revision(Key::Configuration, self.settings.policy.mod_revision);
+            builder.rests_on_revision(Key::Configuration, self.settings.policy.mod_revision);
         }
-        let transaction = draft.finish();
-        self.commit(
-            transaction,
-            PendingOperation::UserRequest(request),
-            RequestClass::User,
-        );
+        let transaction = builder.finish();
+        let purpose = PendingOperation::UserRequest(request);
+        self.commit(transaction, purpose, RequestClass::User);
     }
 
     /// A job's record at its acceptance.
@@ -198,7 +220,7 @@
         }
     }
 
-    /// The state service gave no proof this time.
+    /// A request's read failed: it waits for another one, or is sent away.
     pub(crate) fn retry_read(&mut self, request: RequestId) {
         if self.has_current_state() && self.requests.open.contains_key(&request) {
             self.reads.unissued.push(request);
@@ -208,75 +230,77 @@
         }
     }
 
-    pub(crate) fn request_committed(&mut self, request: RequestId, committed: bool) {
-        let Some(ask) = self.requests.open.get(&request).cloned() else {
+    /// The transaction of a request has a response.
+    pub(crate) fn request_committed(&mut self, id: RequestId, committed: bool) {
+        let Some(request) = self.requests.open.get(&id).cloned() else {
             return;
         };
         if !committed {
-            // Lost to another request, or the outcome is unknown: read again, then decide.
-            self.retry_read(request);
+            // It conflicted, or the outcome is unknown: read again, then decide.
+            self.retry_read(id);
             return;
         }
-        match ask.want {
-            RequestKind::Submit(spec) => {
-                tracing::info!(
-                    job = ask.job,
-                    class = spec.class,
-                    team = spec.team,
-                    tasks = spec.tasks,
-                    image = spec.image,
-                    dependencies = spec.dependencies.join(" "),
-                    "accepted"
-                );
-                // The watch may have brought the record first, as if a peer had made it.
-                self.scheduling.pass_requested = true;
-                self.metrics.accepted(self.now - ask.since);
-                self.answer(request, UserReply::Accepted { job: ask.job });
-            }
-            _ => {
-                tracing::info!(job = ask.job, "cancelled");
-                let state = JobState::Cancelled;
-                self.send_stops(&ask.job);
-                self.cancel_dependents();
-                if self.cache.ending(&ask.job) {
-                    self.await_cancellation(request);
-                    return;
-                }
-                self.answer(
-                    request,
-                    UserReply::Cancelled {
-                        job: ask.job,
-                        state,
-                    },
-                );
-            }
+        match request.kind {
+            RequestKind::Submit(spec) => self.job_accepted(id, request.job, &spec, request.since),
+            RequestKind::Status | RequestKind::Cancel => self.job_cancelled(id, request.job),
+        }
+    }
+
+    fn job_accepted(&mut self, request: RequestId, job: String, spec: &JobSpec, since: Millis) {
+        tracing::info!(
+            job,
+            class = spec.class,
+            team = spec.team,
+            tasks = spec.tasks,
+            image = spec.image,
+            dependencies = spec.dependencies.join(" "),
+            "job accepted"
+        );
+        // The watch may have brought the record first, as if a peer had made it.
+        self.scheduling.pass_requested = true;
+        self.metrics.accepted(self.now - since);
+        self.answer(request, UserReply::Accepted { job });
+    }
+
+    fn job_cancelled(&mut self, request: RequestId, job: String) {
+        tracing::info!(job, "job cancelled");
+        self.send_stops(&job);
+        self.cancel_dependents();
+        if self.cache.ending(&job) {
+            self.await_cancellation(request);
+            return;
         }
+        let state = JobState::Cancelled;
+        self.answer(request, UserReply::Cancelled { job, state });
     }
 
+    /// Sends away the users whose requests have waited too long; all of them once the cache is
+    /// not known to be current any more.
     pub(crate) fn expire_user_requests(&mut self) {
-        let late: Vec<RequestId> = self
-            .requests
-            .open
-            .iter()
-            .filter(|(_, a)| self.now >= a.until)
-            .map(|(r, _)| *r)
+        let now = self.now;
+        let expired = |request: &UserRequest| now >= request.until;
+        let open = self.requests.open.iter();
+        let expired: Vec<RequestId> = open
+            .filter(|(_, request)| expired(request))
+            .map(|(id, _)| *id)
             .collect();
-        for request in late {
-            let reply = self.later();
-            self.answer(request, reply);
-        }
+        self.answer_all_later(expired);
         if !self.has_current_state() {
-            let waiting: Vec<RequestId> = self.requests.open.keys().copied().collect();
-            for request in waiting {
-                let reply = self.later();
-                self.answer(request, reply);
-            }
+            let open = self.requests.open.keys().copied().collect();
+            self.answer_all_later(open);
             self.reads.unissued.clear();
         }
     }
 
+    fn answer_all_later(&mut self, requests: Vec<RequestId>) {
+        for request in requests {
+            let reply = self.later();
+            self.answer(request, reply);
+        }
+    }
+
     /// Whether a job's state is final, though its record may not say so yet.
-    fn over(&self, id: &str, job: &JobRecord) -> bool {
+    fn is_final(&self, id: &str, job: &JobRecord) -> bool {
         match job.phase {
             JobPhase::Open => self.cache.doomed(id),
             JobPhase::Done => true,
@@ -285,15 +309,15 @@
         }
     }
 
-    fn job_reply(&self, ask: &UserRequest, job: &JobRecord) -> UserReply {
-        let (state, done, running) = self.job_state(&ask.job, job);
-        match ask.want {
+    fn job_reply(&self, request: &UserRequest, job: &JobRecord) -> UserReply {
+        let (state, done, running) = self.job_state(&request.job, job);
+        match request.kind {
             RequestKind::Cancel => UserReply::Cancelled {
-                job: ask.job.clone(),
+                job: request.job.clone(),
                 state,
             },
             _ => UserReply::Status {
-                job: ask.job.clone(),
+                job: request.job.clone(),
                 state,
                 done,
                 running,
