--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What this controller spends and how long things take, logged every so often.
+//! Metrics of a controller: what it sends, and how long jobs wait, logged at an interval.
 
 use crate::constants::{STATS_MAX_MS, STATS_MS, STATS_STARTS};
 use crate::controller::PendingOperation;
@@ -8,20 +8,21 @@
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Milliseconds, told apart to a hundredth.
+/// A histogram of milliseconds, exact to a hundredth.
 type Times = Option<Histogram<u32>>;
 
 fn times() -> Times {
     Histogram::new_with_bounds(1, STATS_MAX_MS, 2).ok()
 }
 
-fn note(times: &mut Times, ms: Millis) {
+fn record(times: &mut Times, ms: Millis) {
     if let Some(times) = times {
         times.saturating_record(ms.max(1));
     }
 }
 
-fn told(times: &Times) -> String {
+/// Count / median / 99th percentile / maximum.
+fn summary(times: &Times) -> String {
     times.as_ref().map_or(String::new(), |t| {
         format!(
             "{}/{}/{}/{}",
@@ -33,6 +34,7 @@
     })
 }
 
+/// What was counted since the last log line.
 pub(crate) struct Stats {
     since: Millis,
     pub check_ins: u64,
@@ -49,12 +51,14 @@
     accepted: Times,
     /// From a job's acceptance, by the controllers' times of day, to the claim of a task.
     claimed: Times,
-    /// From a claim made here to the first report, here, that the task runs.
+    /// From a claim made here to the first heartbeat, here, that shows the task running.
     running: Times,
+    /// Claimed tasks that no heartbeat has shown running yet, and when they were claimed.
     starting: HashMap<(TaskId, u64), Millis>,
 }
 
 impl Stats {
+    /// Nothing counted yet.
     pub fn new(now: Millis) -> Stats {
         Stats {
             since: now,
@@ -72,6 +76,7 @@
             starting: HashMap::new(),
         }
     }
+    /// A transaction was sent.
     pub fn sent(&mut self, purpose: &PendingOperation, transaction: &CasTransaction) {
         self.transactions += 1;
         self.changes += transaction.changes.len() as u64;
@@ -97,24 +102,27 @@
             *self.by_kind.entry((purpose, kind)).or_default() += 1;
         }
     }
+    /// A job was accepted, so many milliseconds after its submission.
     pub fn accepted(&mut self, ms: Millis) {
-        note(&mut self.accepted, ms);
+        record(&mut self.accepted, ms);
     }
+    /// A task was claimed, so many milliseconds after its job's acceptance.
     pub fn claimed(&mut self, task: &TaskId, attempt: u64, ms: Millis, now: Millis) {
-        note(&mut self.claimed, ms);
+        record(&mut self.claimed, ms);
         if self.starting.len() < STATS_STARTS {
             self.starting.insert((task.clone(), attempt), now);
         }
     }
+    /// A heartbeat shows a task running.
     pub fn runs(&mut self, task: &TaskId, attempt: u64, now: Millis) {
         if self.starting.is_empty() {
             return;
         }
         if let Some(at) = self.starting.remove(&(task.clone(), attempt)) {
-            note(&mut self.running, now - at);
+            record(&mut self.running, now - at);
         }
     }
-    /// Logs what has come together and begins anew, when it is time.
+    /// Logs what was counted and starts anew, once the interval is over.
     pub fn report(&mut self, now: Millis, records: usize, held: usize) {
         if now < self.since + STATS_MS {
             return;
@@ -133,10 +141,9 @@
             cloud = self.cloud,
             records,
             held,
-            // each: how many / median / 99 in 100 / longest
-            accepted_ms = told(&self.accepted),
-            claimed_ms = told(&self.claimed),
-            running_ms = told(&self.running),
+            accepted_ms = summary(&self.accepted),
+            claimed_ms = summary(&self.claimed),
+            running_ms = summary(&self.running),
             "spent"
         );
         let mut starting = std::mem::take(&mut self.starting);
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -1,8 +1,8 @@
-//! Words of the field: jobs, tasks, machines, types, reports, orders.
+//! The domain model: jobs, tasks, machines, machine types, heartbeats, commands.
 
 use serde::{Deserialize, Serialize};
 
-/// Steady milliseconds since the process began.
+/// Milliseconds of the monotonic clock, since the process began.
 pub type Millis = u64;
 /// Milliseconds of the time of day. Differs between controllers by up to `clock_off_ms`.
 pub type WallMs = u64;
@@ -32,7 +32,7 @@
     pub ram: u64,
 }
 
-/// A need in thousandths, rounded up.
+/// A resource request in thousandths, rounded up.
 pub fn need_milli(x: f64) -> u64 {
     (x * 1000.0 - 1e-6).ceil().max(0.0) as u64
 }
@@ -43,9 +43,11 @@
 }
 
 impl Resources {
+    /// Whether so much is available here.
     pub fn fits(&self, resources: &Resources) -> bool {
         resources.cpus <= self.cpus && resources.gpus <= self.gpus && resources.ram <= self.ram
     }
+    /// What is left without so much.
     pub fn less(&self, resources: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_sub(resources.cpus),
@@ -53,6 +55,7 @@
             ram: self.ram.saturating_sub(resources.ram),
         }
     }
+    /// The sum of both.
     pub fn plus(&self, more: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_add(more.cpus),
@@ -60,7 +63,7 @@
             ram: self.ram.saturating_add(more.ram),
         }
     }
-    /// How many tasks of this need fit.
+    /// How many tasks of this resource request fit.
     pub fn count(&self, resources: &Resources) -> u64 {
         let part = |have: u64, want: u64| have.checked_div(want).unwrap_or(u64::MAX);
         part(self.cpus, resources.cpus)
@@ -104,6 +107,7 @@
 }
 
 impl JobSpec {
+    /// Whether its tasks may run on such machines.
     pub fn allows(&self, type_name: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
@@ -112,7 +116,7 @@
                 .as_ref()
                 .is_none_or(|t| t.iter().any(|t| t == type_name))
     }
-    /// Most tasks that may be in one zone.
+    /// Tasks that may be in one zone at most.
     pub fn zone_cap(&self) -> u32 {
         if self.topology_spread {
             self.tasks.div_ceil(2)
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -1,10 +1,10 @@
-//! Run times: what this controller hears of them, what it records, and what it makes of them.
+//! Run times: what a controller observes of them, what it records, and what it estimates from them.
 //!
-//! A run is observed by the controller that hears how its task begins and ends, and counted by the one
-//! whose transaction records that end: an assignment is released once, so no run counts twice. What is
-//! counted goes to the class's record (`g/runs/CLASS`) in a transaction conditional on what it adds
-//! to; should its outcome never be known, these runs are not sent again. Nothing rests on what is
-//! learned: no rule, no proof, no claim's condition.
+//! A run is observed by the controller that receives the heartbeats in which its task begins and ends,
+//! and counted by the one whose transaction records that end: an assignment is released once, so no run
+//! counts twice. What is counted is added to the class's record (`g/runs/CLASS`) by a transaction
+//! conditional on that record; if its outcome is never known, these runs are not sent again. No rule,
+//! no proof and no condition of a claim depends on what is learned.
 
 use crate::constants::{
     ATTEMPTS_FOLLOWED, BACKLOG_RESULTS, EARLY_CHANCE, ESTIMATES_AT_ONCE, ESTIMATES_KEPT,
@@ -26,31 +26,32 @@
 
 type Attempt = (TaskId, u64);
 
-/// When an attempt was claimed, then when it was first heard to run.
+/// When an attempt was claimed; once a heartbeat shows it running, when that was.
 #[derive(Clone, Copy, Debug)]
-struct Begun {
+struct AttemptBeginning {
     attempt: u64,
     at: Millis,
     runs: bool,
-    /// Its machine reported here shortly before without it, so that is when it began.
+    /// Its machine's last heartbeat, shortly before, did not show it: it began at that time.
     exact: bool,
 }
 
-/// What earlier attempts of a task with checkpoints saved, as far as it is known.
+/// The progress that earlier attempts of a task with checkpoints saved.
 #[derive(Clone, Copy, Debug)]
-struct Carried {
+struct SavedProgress {
     attempt: u64,
     secs: Option<f64>,
 }
 
-/// What is said of a job's tasks, until it is worked out anew.
-struct Known {
+/// An estimate of a job's run times, used until it is computed anew.
+struct JobEstimate {
     at: Millis,
     tasks: Mixture,
     least_ms: u64,
-    /// Most of its tasks are over by then.
+    /// Most of its tasks end within so many milliseconds.
     most_ms: u64,
-    /// Few of its tasks are over by then: of any younger there is no need to work out more.
+    /// Few of its tasks end within so many seconds: for tasks that would be no older, no more is
+    /// computed.
     early_s: f64,
 }
 
@@ -59,18 +60,19 @@
     pub book: Book,
     machines: Machines,
     /// Of each task's latest attempt.
-    begun: HashMap<TaskId, Begun>,
-    carried: HashMap<TaskId, Carried>,
-    /// Runs that ended, as heard here, until that is on record.
+    begun: HashMap<TaskId, AttemptBeginning>,
+    saved_progress: HashMap<TaskId, SavedProgress>,
+    /// Runs whose end a heartbeat showed here, until that is on record.
     ended: HashMap<Attempt, (Run, String)>,
-    /// Each machine's incarnation, and when it last reported here.
-    reported: HashMap<String, (u64, Millis)>,
-    known: HashMap<String, Known>,
-    /// When the next change may be spent on records.
+    /// Each worker's incarnation, and when its last heartbeat arrived here.
+    last_heartbeats: HashMap<String, (u64, Millis)>,
+    estimates: HashMap<String, JobEstimate>,
+    /// When the next record may be written.
     record_at: Millis,
-    busy: bool,
-    /// Counted since the last line that says so.
+    recording_in_flight: bool,
+    /// Runs counted since that was last logged.
     pub counted: u64,
+    /// Records written since that was last logged.
     pub recorded: u64,
 }
 
@@ -127,7 +129,7 @@
     fn claim_seen(&mut self, task: TaskId, attempt: u64) {
         if self.run_times.begun.len() < ATTEMPTS_FOLLOWED {
             let at = self.now;
-            let begun = Begun {
+            let begun = AttemptBeginning {
                 attempt,
                 at,
                 runs: false,
@@ -145,33 +147,38 @@
     fn interrupted(&mut self, task: TaskId, attempt: u64) {
         let open = self.cache.open_job(&task.job);
         if open.is_none_or(|s| s.checkpoint_interval_s <= 0.0)
-            || self.run_times.carried.len() >= ATTEMPTS_FOLLOWED
+            || self.run_times.saved_progress.len() >= ATTEMPTS_FOLLOWED
         {
             return;
         }
-        let unknown = Carried {
+        let unknown = SavedProgress {
             attempt,
             secs: None,
         };
-        let known = self.run_times.carried.entry(task).or_insert(unknown);
+        let known = self.run_times.saved_progress.entry(task).or_insert(unknown);
         if known.attempt != attempt {
             *known = unknown;
         }
     }
 
-    /// A report shows an attempt running. Asked only where run times are learned.
-    pub(crate) fn seen_running(&mut self, task: &TaskId, attempt: u64, report: &WorkerHeartbeat) {
+    /// A heartbeat shows an attempt running. Called only where run times are learned.
+    pub(crate) fn seen_running(
+        &mut self,
+        task: &TaskId,
+        attempt: u64,
+        heartbeat: &WorkerHeartbeat,
+    ) {
         let recent = self.settings.report_due_ms() + SILENCE_MARGIN_MS;
-        let before = self.run_times.reported.get(&report.machine);
+        let before = self.run_times.last_heartbeats.get(&heartbeat.machine);
         let exact =
-            before.is_some_and(|(s, at)| *s == report.incarnation && self.now < at + recent);
+            before.is_some_and(|(s, at)| *s == heartbeat.incarnation && self.now < at + recent);
         let room = self.run_times.begun.len() < ATTEMPTS_FOLLOWED;
         match self.run_times.begun.get(task) {
             Some(begun) if begun.runs && begun.attempt == attempt => {}
             None if !room => {}
             _ => {
                 let at = self.now;
-                let begun = Begun {
+                let begun = AttemptBeginning {
                     attempt,
                     at,
                     runs: true,
@@ -182,15 +189,17 @@
         }
     }
 
-    /// All of a report has been looked at.
-    pub(crate) fn noted_report(&mut self, report: &WorkerHeartbeat) {
+    /// A heartbeat has been handled.
+    pub(crate) fn noted_report(&mut self, heartbeat: &WorkerHeartbeat) {
         if self.learns() {
-            let mark = (report.incarnation, self.now);
-            self.run_times.reported.insert(report.machine.clone(), mark);
+            let mark = (heartbeat.incarnation, self.now);
+            self.run_times
+                .last_heartbeats
+                .insert(heartbeat.machine.clone(), mark);
         }
     }
 
-    /// An attempt's end was heard here.
+    /// A heartbeat, or the cloud, showed here that an attempt ended.
     pub(crate) fn run_ended(&mut self, task: &TaskId, attempt: u64, outcome: AttemptOutcome) {
         if !self.learns() {
             return;
@@ -211,12 +220,16 @@
             return;
         };
         let until = match outcome {
-            AttemptOutcome::Terminated => self.run_times.reported.get(&machine).map_or(0, |r| r.1),
+            AttemptOutcome::Terminated => self
+                .run_times
+                .last_heartbeats
+                .get(&machine)
+                .map_or(0, |r| r.1),
             _ => self.now,
         };
         let own = until.saturating_sub(begun.at) as f64 / 1e3;
         let saves = spec.checkpoint_interval_s > 0.0;
-        let carried = self.run_times.carried.get(task).filter(|_| saves);
+        let carried = self.run_times.saved_progress.get(task).filter(|_| saves);
         let before = carried.map_or(Some(0.0), |c| c.secs);
         let exact = begun.exact && before.is_some();
         let secs = own + before.unwrap_or(0.0);
@@ -227,16 +240,16 @@
         };
         if saves
             && outcome == AttemptOutcome::Terminated
-            && self.run_times.carried.len() < ATTEMPTS_FOLLOWED
+            && self.run_times.saved_progress.len() < ATTEMPTS_FOLLOWED
         {
-            // Told to stop it saved all; lost with its machine, up to its last checkpoint.
+            // Stopped, it saved all its progress; lost with its machine, up to its last checkpoint.
             let kept = match assigned.stop.is_some() {
                 true => own,
                 false => (own / spec.checkpoint_interval_s).floor() * spec.checkpoint_interval_s,
             };
             let secs = before.filter(|_| begun.exact).map(|b| b + kept);
-            let carried = Carried { attempt, secs };
-            self.run_times.carried.insert(task.clone(), carried);
+            let carried = SavedProgress { attempt, secs };
+            self.run_times.saved_progress.insert(task.clone(), carried);
         }
         if secs > 0.0 && self.run_times.ended.len() < ATTEMPTS_FOLLOWED {
             let run = Run {
@@ -258,7 +271,7 @@
             let Some((run, machine)) = self.run_times.ended.remove(&(task.clone(), attempt)) else {
                 continue;
             };
-            let known = self.run_times.known.get(&run.job);
+            let known = self.run_times.estimates.get(&run.job);
             let expected = known.map_or(run.ln_secs(), |k| k.tasks.quantile(0.5));
             let done = run.end == End::Done;
             let excess = run.ln_secs() - expected;
@@ -284,7 +297,11 @@
         match self.cache.class_runs(&class) {
             Some(r) => {
                 let history = History::unpack(&r.packed).unwrap_or_else(|| {
-                    tracing::warn!(team = r.team, class = r.class, "damaged run times dropped");
+                    tracing::warn!(
+                        team = r.team,
+                        class = r.class,
+                        "stored run times damaged, ignored"
+                    );
                     History::default()
                 });
                 let (team, name) = (r.team.clone(), r.class.clone());
@@ -305,14 +322,17 @@
     /// Records what was counted, one class at a time, on its small share of the changes; not while
     /// these are short.
     pub(crate) fn record_run_times(&mut self) {
-        if !self.learns() || self.run_times.busy || self.now < self.run_times.record_at {
+        if !self.learns()
+            || self.run_times.recording_in_flight
+            || self.now < self.run_times.record_at
+        {
             return;
         }
-        let plenty = self.changes_left() * 2 >= self.writes.budget.most();
-        let quiet = |at: Millis| self.now >= at + THROTTLED_MS;
-        if !plenty
+        let is_budget_ample = self.changes_left() * 2 >= self.writes.budget.most();
+        let is_throttle_over = |at: Millis| self.now >= at + THROTTLED_MS;
+        if !is_budget_ample
             || self.write_back.results.len() > BACKLOG_RESULTS
-            || !self.writes.throttled_at.is_none_or(quiet)
+            || !self.writes.throttled_at.is_none_or(is_throttle_over)
         {
             return;
         }
@@ -340,7 +360,7 @@
         let rate = self.settings.write_rps.min(self.settings.next_write_rps) * LEARN_SHARE;
         let pause = draft.ops() as f64 * 1e3 / rate.max(1e-6);
         self.run_times.record_at = self.now + pause as Millis;
-        self.run_times.busy = true;
+        self.run_times.recording_in_flight = true;
         self.run_times.book.sent(class, &batches);
         let transaction = draft.finish();
         let purpose = PendingOperation::RecordRunTimes(class, batches);
@@ -353,26 +373,29 @@
         batches: Vec<Batch>,
         answer: &StateResponse,
     ) {
-        self.run_times.busy = false;
+        self.run_times.recording_in_flight = false;
         match answer {
             StateResponse::Committed { .. } => self.run_times.recorded += 1,
             StateResponse::Conflict { .. } | StateResponse::Unavailable => {
                 self.run_times.book.unsent(class, &batches)
             }
             // It may take effect yet: to send these again might count them twice.
-            _ => tracing::info!(jobs = batches.len(), "run times given up: no answer"),
+            _ => tracing::info!(
+                jobs = batches.len(),
+                "run times write unanswered, runs dropped"
+            ),
         }
     }
 
-    /// Works out anew what is to be known of these jobs, as far as it is old.
+    /// Computes estimates anew for waiting and running jobs, as far as they are outdated.
     pub(crate) fn look_at_run_times(&mut self) {
         let uses = self.settings.learned;
         if !(uses.learn && (uses.order || uses.due || uses.stops || uses.notice)) {
             return;
         }
         let now = self.now;
-        let fresh = |k: &Known| now < k.at + ESTIMATE_MS;
-        let stale = |id: &str| !self.run_times.known.get(id).is_some_and(fresh);
+        let fresh = |estimate: &JobEstimate| now < estimate.at + ESTIMATE_MS;
+        let stale = |id: &str| !self.run_times.estimates.get(id).is_some_and(fresh);
         let running = self.cache.counted().filter(|(_, c)| c.assigned > 0);
         let ids: BTreeSet<&str> = (self.cache.waiting_jobs())
             .map(|(id, ..)| id)
@@ -396,22 +419,22 @@
             let least_ms = (tasks.quantile(FEASIBLE_CHANCE).exp() * 1e3) as u64;
             let most_ms = (tasks.quantile(MOST_CHANCE).exp() * 1e3) as u64;
             let early_s = tasks.quantile(EARLY_CHANCE).exp();
-            if self.run_times.known.len() < ESTIMATES_KEPT {
-                let known = Known {
+            if self.run_times.estimates.len() < ESTIMATES_KEPT {
+                let known = JobEstimate {
                     at: now,
                     tasks,
                     least_ms,
                     most_ms,
                     early_s,
                 };
-                self.run_times.known.insert(spec.id, known);
+                self.run_times.estimates.insert(spec.id, known);
             }
         }
     }
 
-    /// Milliseconds that a job's tasks still take at the least.
+    /// Milliseconds that a job's tasks take at least.
     pub(crate) fn least_run_ms(&self, job: &str, spec: &JobSpec) -> u64 {
-        let known = self.run_times.known.get(job);
+        let known = self.run_times.estimates.get(job);
         match known.filter(|_| self.settings.learned.due) {
             Some(k) => k.least_ms,
             None => crate::jobs::dependencies::least_run_ms(spec),
@@ -421,7 +444,7 @@
     /// Milliseconds before it is due by which a job should start; none where jobs are not served in
     /// that order.
     pub(crate) fn start_before_ms(&self, job: &str) -> u64 {
-        let known = self.run_times.known.get(job);
+        let known = self.run_times.estimates.get(job);
         known
             .filter(|_| self.settings.learned.order)
             .map_or(0, |k| k.most_ms)
@@ -435,7 +458,7 @@
             .begun
             .get(task)
             .filter(|b| b.attempt == attempt)?;
-        let known = self.run_times.known.get(&task.job)?;
+        let known = self.run_times.estimates.get(&task.job)?;
         if !begun.runs && self.now < begun.at + START_TAKES_MS {
             return None;
         }
@@ -443,7 +466,7 @@
             true => begun.at,
             false => begun.at + START_TAKES_MS,
         };
-        let carried = self.run_times.carried.get(task).and_then(|c| c.secs);
+        let carried = self.run_times.saved_progress.get(task).and_then(|c| c.secs);
         let elapsed = (self.now - start) as f64 / 1e3 + carried.unwrap_or(0.0);
         if elapsed + ms as f64 / 1e3 < known.early_s {
             return Some(0.0);
@@ -479,15 +502,19 @@
             .retain(|task, b| cache.attempt(task, b.attempt).is_some());
         learned.ended.retain(|key, _| assigned(key));
         learned
-            .carried
+            .saved_progress
             .retain(|task, _| cache.open_job(&task.job).is_some());
-        learned.reported.retain(|id, _| cache.machine(id).is_some());
+        learned
+            .last_heartbeats
+            .retain(|id, _| cache.machine(id).is_some());
         learned.machines.retain(|id| cache.machine(id).is_some());
-        learned.known.retain(|job, _| cache.open_job(job).is_some());
+        learned
+            .estimates
+            .retain(|job, _| cache.open_job(job).is_some());
         if learned.counted + learned.recorded > 0 {
             let (runs, records) = (learned.counted, learned.recorded);
             let (classes, followed) = (learned.book.len(), learned.begun.len());
-            tracing::info!(runs, records, classes, followed, "run times");
+            tracing::info!(runs, records, classes, followed, "run times counted");
             (learned.counted, learned.recorded) = (0, 0);
         }
     }
--- a/crates/core/src/safety_checks.rs
+++ b/crates/core/src/safety_checks.rs
@@ -1,51 +1,51 @@
-//! What a controller must check before it decides anything after a start, after a pause, or when
-//! it takes over. docs/design.md has the table: which decision each check guards, what it costs, and
-//! what goes ahead without it. Each can be left out, in the world of the scenarios only, to show what
-//! it is for.
+//! Safety checks: what a controller verifies before it decides anything after a start, after a pause,
+//! or on a failover. The table in docs/design.md says which decision each check guards, what it
+//! costs, and what is not held up by it. Each can be switched off, in the simulation only, to show
+//! what it is for.
 
-/// All hold in the service: no settings file has them.
+/// Which checks are on. All are in the service: no settings file has them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Checks {
     /// Answers about open jobs, refusals and 404 rest on a read begun after the request.
     pub proof: bool,
-    /// What was held or known before it was paused is old.
+    /// What was held or known before a pause counts as outdated.
     pub gap: bool,
-    /// Claims wait until the watch has reached what the reading met.
+    /// Claims wait until the watch has reached the latest revision that the list read.
     pub caught_up: bool,
     /// Submissions wait for the machine types.
     pub machine_types: bool,
-    /// Formats are written that every member has on record.
+    /// Only formats are written that every controller has on record.
     pub format: bool,
-    /// Heartbeats wait for records that are current.
+    /// Heartbeats are held back until the cache is current.
     pub view: bool,
-    /// What a report shows without an assignment is stopped, or forgotten, only if the cache has reached
-    /// what its attempt rests on.
+    /// A task in a heartbeat without an assignment is stopped, or forgotten, only if the cache has
+    /// reached the revision of its attempt.
     pub fate: bool,
-    /// Claims go to machines that were heard since the start.
+    /// Tasks are claimed only for machines with a heartbeat since the start.
     pub heard: bool,
-    /// Instance requests, stops for others and deletions wait for a round of reports.
+    /// Instance requests, preemptions and deletions wait for a round of heartbeats.
     pub round: bool,
-    /// Instance requests count what is on its way.
+    /// Instance requests take into account the instances already requested.
     pub instance_requests: bool,
-    /// Nothing is placed in zones that are silent.
+    /// Nothing is placed in unreachable zones.
     pub zones: bool,
     /// Nothing is claimed by a controller that workers do not reach.
     pub workers: bool,
-    /// Copies of reports, and such as newer ones have overtaken, say nothing.
+    /// Repeated heartbeats, and those older than the latest, are no evidence.
     pub copies: bool,
-    /// Nothing is placed on machines that report and do not answer.
+    /// Nothing is placed on machines that send heartbeats and do not answer commands.
     pub heard_peers: bool,
     /// A controller that reaches neither the state service nor a peer sends users elsewhere.
     pub alone: bool,
-    /// While cancellations are told at their commit leases are renewed for a bounded time only.
+    /// While cancellations are answered at their commit, leases are renewed for a bounded time only.
     pub bounded: bool,
-    /// What waits does not wait for a transaction without an answer.
+    /// A transaction without a response holds up nothing.
     pub unanswered: bool,
-    /// What a transaction without an answer has done, as the cache shows, is carried on at once.
+    /// What a transaction without a response has changed, as the cache shows, is continued at once.
     pub doubt: bool,
     /// A newer incarnation in the answer to a direct command ends what was before.
     pub incarnation: bool,
-    /// Machines whose reports reach nobody get no work, and services move off them.
+    /// Machines whose heartbeats reach no controller get no tasks, and services are moved off them.
     pub mute: bool,
     /// Machines that nobody is known to have provisioned are recorded once they have answered.
     pub strangers: bool,
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a controller is told at its start: the platform's settings and the operators' own.
+//! A controller's settings: the platform's and the operators' own, read at its start.
 
 use crate::configuration::Policy;
 use crate::model::Millis;
@@ -6,34 +6,45 @@
 use crate::tuning::Tuning;
 use std::collections::BTreeMap;
 
+/// A controller's settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// This controller's name.
     pub controller: String,
     /// Names of all controllers, this one included, in order.
     pub controllers: Vec<String>,
+    /// Names of all zones.
     pub zones: Vec<String>,
-    /// That of this controller.
+    /// The zone of this controller.
     pub zone: String,
-    /// Those of all controllers, as far as they are known.
+    /// Zones by controller, as far as they are known.
     pub controller_zones: BTreeMap<String, String>,
     /// Teams and objectives: from the settings file until others are on record.
     pub policy: Policy,
+    /// Milliseconds between two heartbeats of a worker.
     pub report_ms: u64,
+    /// Milliseconds after which a worker's lease expires, unless a controller renews it.
     pub lease_ms: u64,
+    /// Milliseconds after which nothing of a job may be left that a user was told is cancelled.
     pub cancel_ms: u64,
-    /// The smaller of the state service's present limits and those announced, as is `max_transaction_changes`.
+    /// Bytes of a value at most: the smaller of the state service's present limit and the announced
+    /// one, as is `max_transaction_changes`.
     pub max_value_bytes: u64,
+    /// Changes of a transaction at most.
     pub max_transaction_changes: usize,
-    /// Changes a second that this controller may make to the state service, ...
+    /// Changes a second that this controller may make to the state service now, ...
     pub write_rps: f64,
-    /// ... and once the announced limits are in force.
+    /// ... and once the announced limits apply.
     pub next_write_rps: f64,
+    /// Milliseconds by which the times of day of two controllers may differ.
     pub clock_off_ms: u64,
+    /// Milliseconds after which an idle machine is deprovisioned, unless the policy says otherwise.
     pub idle_return_ms: u64,
-    /// How far the cloud's list may lag; at times it is twice that.
+    /// Milliseconds by which the cloud's list of instances may lag; at times it is twice that.
     pub list_lag_ms: u64,
+    /// What run times are learned and used for.
     pub learned: LearnedUse,
-    /// All of them hold, except in scenarios that show what one is for.
+    /// Safety checks: all of them are on, except in scenarios that show what one is for.
     pub checks: Checks,
     /// What experiments vary.
     pub tuning: Tuning,
@@ -55,14 +66,15 @@
 }
 
 impl Settings {
-    /// Milliseconds after which a machine's next report is overdue.
+    /// Milliseconds after which a worker's next heartbeat is overdue.
     pub fn report_due_ms(&self) -> Millis {
         self.report_ms * 5 / 4
     }
-    /// Milliseconds after which a machine with nothing to do is returned.
+    /// Milliseconds after which an idle machine is deprovisioned.
     pub fn idle_return_ms(&self) -> Millis {
         self.policy.idle_return_ms.unwrap_or(self.idle_return_ms)
     }
+    /// This controller's position among all, from 0.
     pub fn controller_index(&self) -> u64 {
         self.controllers
             .iter()
--- a/crates/core/src/state/key.rs
+++ b/crates/core/src/state/key.rs
@@ -1,38 +1,51 @@
-//! Keys of the shared records and the paths under which the state service has them.
+//! Keys of the shared records, and the paths under which the state service stores them.
 
-/// All keys of the project stand under this prefix; one watch follows them all.
+/// The prefix of all paths; one watch covers them all.
 pub const PREFIX: &str = "g/";
 
+/// The key of a shared record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
+    /// The shared term, the base of all fencing tokens.
     Term,
+    /// The cloud's machine types.
     MachineTypes,
+    /// What controllers share about provisioning.
     Provisioning,
+    /// A job, by its id.
     Job(String),
+    /// A chunk of a job's tasks, by the job's id and the chunk's number.
     Chunk(String, u32),
+    /// Tasks of a job per zone, by the job's id.
     ZoneSpread(String),
+    /// A machine, by its name.
     Machine(String),
+    /// What a team uses, by its name.
     Team(String),
+    /// A request for instances, by its number.
     InstanceRequest(u64),
-    /// Of a controller. Versions before format 2 pass over keys of this kind.
+    /// The latest format that a controller reads, by its name. Versions before format 2 ignore keys
+    /// of this kind.
     Format(String),
-    /// Once on record, cancellations are told when all tasks are gone; see `cancels`. Versions
-    /// before format 3 pass over it.
+    /// Once on record, cancellations are confirmed when all tasks are gone; see
+    /// `jobs::cancellation`. Versions before format 3 ignore it.
     CancellationConfirmation,
-    /// What is learned of a class's run times, by a hash of team and class. Versions before it came
-    /// pass over keys of this kind, and nothing rests on them.
+    /// What is known of a class's run times, by a hash of team and class. Versions that don't know
+    /// keys of this kind ignore them, and no decision depends on them.
     RunTimes(u64),
     /// The version of the configuration that is in force.
     Configuration,
     /// A page of a version of the configuration, by version and number.
     ConfigurationPage(u64, u32),
-    /// Once on record, configurations may be. Versions before format 4 pass over it, as over all keys of
+    /// Once on record, configurations may be. Versions before format 4 ignore it, as all keys of
     /// configurations.
     ConfigurationEnabled,
     /// The version of the configuration that a controller follows.
     ObservedVersion(String),
 }
 
+/// A name as a part of a path: bytes other than letters, digits, `-`, `_` and `.` as `~` and two
+/// hexadecimal digits.
 pub(crate) fn escape(s: &str) -> String {
     let mut out = String::with_capacity(s.len());
     for b in s.bytes() {
@@ -45,6 +58,7 @@
     out
 }
 
+/// The name that `escape` made a part of a path from; none for what it can't have made.
 pub(crate) fn unescape(s: &str) -> Option<String> {
     let mut out = Vec::with_capacity(s.len());
     let mut bytes = s.bytes();
@@ -61,6 +75,7 @@
 }
 
 impl Key {
+    /// The path under which the state service stores the record.
     pub fn path(&self) -> String {
         match self {
             Key::Term => "g/term".into(),
@@ -82,6 +97,7 @@
         }
     }
 
+    /// The key of a path; none for paths of no kind that this version knows.
     pub fn parse(path: &str) -> Option<Key> {
         let mut parts = path.strip_prefix(PREFIX)?.split('/');
         let kind = parts.next()?;
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -13,16 +13,23 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// How far a job is. `Done` and `Cancelled` are final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobPhase {
+    /// Accepted, with tasks to run.
     Open,
+    /// All its tasks are done.
     Done,
+    /// Cancelled by its user, or with a dependency.
     Cancelled,
 }
 
+/// An accepted job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// How far it is.
     pub phase: JobPhase,
+    /// How many tasks it has.
     pub tasks: u32,
     /// Tasks per chunk; the same for all controllers and for the job's whole life.
     pub chunk: u32,
@@ -31,17 +38,20 @@
     /// Time of day at which it was done or cancelled; 0 before.
     #[serde(default)]
     pub ended: WallMs,
-    /// Dropped once the job is over. Apart, so that the many that are over take little room.
+    /// What its user submitted; dropped once the job is over. Boxed, so that the many jobs that are
+    /// over take little memory.
     pub spec: Option<Box<JobSpec>>,
 }
 
 impl JobRecord {
+    /// What an open job asks for; none once it is over.
     pub fn open(&self) -> Option<&JobSpec> {
         match self.phase {
             JobPhase::Open => self.spec.as_deref(),
             _ => None,
         }
     }
+    /// Into how many chunks its tasks are divided.
     pub fn chunks(&self) -> u32 {
         self.tasks.div_ceil(self.chunk.max(1))
     }
@@ -49,6 +59,7 @@
     pub fn chunk_of(&self, index: u32) -> u32 {
         index / self.chunk.max(1)
     }
+    /// The record of the job when it ends in this phase, at time of day `wall`.
     pub fn over(&self, phase: JobPhase, wall: WallMs) -> JobRecord {
         JobRecord {
             phase,
@@ -59,26 +70,28 @@
     }
 }
 
-/// A task's claim on a machine. It stands in the task's chunk from the claim until its
-/// attempt is proven gone.
+/// A task's assignment to a machine. It is in the task's chunk from the claim until its attempt is
+/// proven gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assignment {
+    /// The machine's name.
     #[serde(rename = "m")]
     pub machine: String,
+    /// The attempt: the revision that the claim was conditional on.
     #[serde(rename = "a")]
     pub attempt: u64,
-    /// The heartbeat whose answer carries the start.
+    /// The heartbeat whose answer contains the start.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub reply_start: Option<HeartbeatPosition>,
-    /// The direct command that carries the start. One is sent at most.
+    /// The direct command that contains the start. One is sent at most.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub direct_start: Option<DirectStart>,
-    /// To be stopped, with this reason.
+    /// Set once the task is to be stopped: the reason.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub stop: Option<String>,
 }
 
-/// How an assignment's start gets to its worker.
+/// How the start of an assigned task is delivered to its worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StartDelivery {
     /// In the answer to this heartbeat.
@@ -88,7 +101,7 @@
 }
 
 impl Assignment {
-    /// How its start gets to its worker.
+    /// How its start is delivered to its worker.
     pub fn delivery(&self) -> StartDelivery {
         StartDelivery {
             reply: self.reply_start,
@@ -97,17 +110,22 @@
     }
 }
 
+/// How far a task is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
+    /// Waits for a machine.
     #[serde(rename = "w")]
     Pending,
+    /// Has succeeded; final.
     #[serde(rename = "d")]
     Done,
+    /// Is assigned to a machine.
     #[serde(rename = "b")]
     Assigned(Assignment),
 }
 
 impl TaskState {
+    /// The assignment of an assigned task.
     pub fn assignment(&self) -> Option<&Assignment> {
         match self {
             TaskState::Assigned(b) => Some(b),
@@ -116,16 +134,19 @@
     }
 }
 
+/// Consecutive tasks of a job, stored as one record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChunkRecord {
     /// Number of the first task in it.
     #[serde(rename = "i", default)]
     pub first: u32,
+    /// The state of each task, from the first on.
     #[serde(rename = "t")]
     pub tasks: Vec<TaskState>,
-    /// What its tasks use and of whose limit: stays known after the job is over.
+    /// The job's team, whose quota its tasks use: known after the job is over, as `resources` are.
     #[serde(rename = "o", default)]
     pub team: String,
+    /// What each task uses.
     #[serde(rename = "u", default)]
     pub resources: Resources,
     /// Machines on which tasks of this chunk failed, without repeats.
@@ -139,7 +160,7 @@
 }
 
 impl ChunkRecord {
-    /// What an absent record of chunk `n` means: all its tasks wait.
+    /// Chunk `n` before it is on record: all its tasks are pending.
     pub fn fresh(job: &JobRecord, spec: &JobSpec, n: u32) -> ChunkRecord {
         let first = n.saturating_mul(job.chunk);
         let len = job.tasks.saturating_sub(first).min(job.chunk);
@@ -151,6 +172,7 @@
             ..ChunkRecord::default()
         }
     }
+    /// How many of its tasks are done.
     pub fn done(&self) -> u32 {
         self.tasks.iter().filter(|t| **t == TaskState::Done).count() as u32
     }
@@ -159,10 +181,12 @@
         let tasks = self.tasks.iter().enumerate();
         tasks.filter_map(|(i, t)| Some((self.first + i as u32, t.assignment()?)))
     }
+    /// The assignment of a task, by its number in the job.
     pub fn assignment(&self, index: u32) -> Option<&Assignment> {
         let slot = index.checked_sub(self.first)?;
         self.tasks.get(slot as usize)?.assignment()
     }
+    /// The same, to be changed.
     pub fn assignment_mut(&mut self, index: u32) -> Option<&mut Assignment> {
         let slot = index.checked_sub(self.first)?;
         match self.tasks.get_mut(slot as usize)? {
@@ -170,7 +194,7 @@
             _ => None,
         }
     }
-    /// Bytes its value takes at most.
+    /// Bytes that its value takes at most.
     pub fn size(&self) -> usize {
         let tasks: usize = (self.tasks.iter())
             .map(|t| t.assignment().map_or(4, assignment_size))
@@ -180,43 +204,53 @@
     }
 }
 
-fn assignment_size(b: &Assignment) -> usize {
-    ASSIGNMENT_BYTES + b.machine.len() + b.stop.as_ref().map_or(0, |why| why.len() + 7)
+fn assignment_size(assignment: &Assignment) -> usize {
+    let stop = assignment.stop.as_ref();
+    ASSIGNMENT_BYTES + assignment.machine.len() + stop.map_or(0, |reason| reason.len() + 7)
 }
 
 /// Live tasks per zone, for jobs of several chunks whose zones depend on one another.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneSpreadRecord {
+    /// Tasks by zone.
     pub zones: BTreeMap<String, u32>,
 }
 
+/// Where a machine is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachinePhase {
-    /// Provisioned, not heard of yet.
+    /// Provisioned; no heartbeat received yet.
     Booting,
+    /// Its worker has sent heartbeats.
     Up,
-    /// Takes no new work: spot notice, sick, or about to be returned.
+    /// Gets no new tasks: spot notice, faulty, or about to be deprovisioned.
     Draining,
     /// Its deletion was committed; assignments stay until the cloud has answered 200.
     #[serde(rename = "Returning")]
     Deprovisioning,
 }
 
+/// A machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
+    /// Its machine type.
     #[serde(rename = "type")]
     pub type_name: String,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot instance.
     pub spot: bool,
+    /// Where it is in its life.
     pub phase: MachinePhase,
     /// Time of day at which the record was made.
     pub at: WallMs,
+    /// The address of its worker; empty before the first heartbeat.
     #[serde(default)]
     pub address: String,
     /// Jobs that failed on it since its last success.
     #[serde(default)]
     pub faults: Vec<String>,
-    /// By how much this machine's token stands above the shared term.
+    /// By how much this machine's fencing token exceeds the shared term.
     #[serde(default)]
     #[serde(rename = "raised")]
     pub token_offset: u64,
@@ -230,6 +264,7 @@
 }
 
 impl MachineRecord {
+    /// A machine without faults, whose address is not known yet.
     pub fn new(
         type_name: &str,
         zone: &str,
@@ -248,25 +283,27 @@
             token_offset: 0,
         }
     }
-    /// Heard of, and not about to be deleted.
+    /// Whether its worker has sent heartbeats, and its deletion is not committed.
     pub fn is_up(&self) -> bool {
         matches!(self.phase, MachinePhase::Up | MachinePhase::Draining)
     }
 }
 
-/// Processors and GPUs in use. As a record it is what each claim of a team with a limit
-/// writes, so that two of them can't both fit into what only one of them may take; what is in
-/// use is counted from the assignments.
+/// Processors and GPUs in use. Each claim of a team with a limit writes it as a record, so that of
+/// two claims that don't both fit into the limit one conflicts. What is in use is counted from the
+/// assignments.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamRecord {
+    /// Thousandths of processors.
     #[serde(alias = "c")]
     pub cpus: u64,
+    /// Thousandths of GPUs.
     #[serde(alias = "g")]
     pub gpus: u64,
 }
 
-/// The same from format 4 on. Versions that know limits from the settings file only can't read it: they
-/// keep to their older copy, and their claims for that team conflict for ever.
+/// The same from format 4 on. Versions that know limits from the settings file only can't read it:
+/// they keep the record that they had, and their claims for that team always conflict.
 #[derive(Serialize)]
 struct FencedTeam {
     #[serde(rename = "c")]
@@ -284,7 +321,7 @@
     }
 }
 
-/// An instance request request under way: committed before its name is used.
+/// A request for new instances: committed before its name is used with the cloud.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstanceRequestRecord {
     #[serde(rename = "type")]
@@ -295,19 +332,20 @@
     #[serde(rename = "node")]
     pub controller: String,
     pub at: WallMs,
-    /// The machines it brought. The record goes once each of them has one of its own.
+    /// The machines that it created. The record is removed once each of them has one of its own.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "hosts")]
     pub instances: Option<Vec<String>>,
 }
 
 impl InstanceRequestRecord {
+    /// The key of the offer that it asks for.
     pub fn offer(&self) -> String {
         offer_key(&self.type_name, &self.zone, self.spot)
     }
 }
 
-/// Names a type, zone and kind of machine that the cloud may offer.
+/// The key of an offer of the cloud: machine type, zone, spot or ordinary.
 pub fn offer_key(type_name: &str, zone: &str, spot: bool) -> String {
     format!(
         "{type_name}|{zone}|{}",
@@ -315,36 +353,41 @@
     )
 }
 
+/// What controllers share about provisioning.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningRecord {
-    /// Number of the next instance request request; numbers are never used twice.
+    /// Number of the next instance request; numbers are never used twice.
     pub next: u64,
-    /// Offers refused lately, until a time of day.
+    /// Offers that the cloud refused lately, each with the time of day until which it is not asked
+    /// for again.
     #[serde(default)]
     pub refused: BTreeMap<String, WallMs>,
 }
 
+/// The shared term.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TermRecord {
+    /// The base of all fencing tokens; only ever raised.
     pub term: u64,
 }
 
-/// From this record's revision on cancellations are told only when all tasks are gone. Written once,
-/// never changed.
+/// From this record's revision on cancellations are confirmed only once all tasks are gone. Written
+/// once, never changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CancellationConfirmationRecord {
-    /// The format that brought it.
+    /// The format that introduced it.
     #[serde(rename = "v")]
     pub version: u32,
 }
 
-/// What is learned of a class's run times.
+/// What is known of a class's run times.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunTimesRecord {
     /// As far as it fits; the key tells classes apart.
     pub team: String,
     pub class: String,
-    /// Time of day of the latest change, by which the least used go first.
+    /// Time of day of the latest change: when too many are kept, the one unchanged for longest is
+    /// removed.
     pub at: WallMs,
     #[serde(flatten)]
     pub packed: glenmount_runtime_estimates::history::Packed,
@@ -358,6 +401,7 @@
     pub machine_types: Vec<MachineType>,
 }
 
+/// A shared record of any kind; its key says which.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     Term(TermRecord),
@@ -378,7 +422,7 @@
     ObservedVersion(ObservedVersionRecord),
 }
 
-/// Reads a record by its key's kind.
+/// Parses a record as the kind that its key says.
 macro_rules! read_as {
     ($key:expr, $compact:expr, $read:expr) => {
         match $key {
@@ -407,7 +451,7 @@
 }
 
 impl Record {
-    /// As it is stored in a format.
+    /// The value as it is stored in a format.
     pub fn value(&self, format: u32) -> Value {
         let value = match self {
             Record::Term(r) => serde_json::to_value(r),
@@ -432,13 +476,14 @@
         value.unwrap_or(Value::Null)
     }
 
+    /// Parses a stored value; none if it is not a record of its key's kind.
     pub fn read(key: &Key, value: Value) -> Option<Record> {
         let compact = value.get("z").is_some();
         read_as!(key, compact, serde_json::from_value(value))
     }
 
-    /// The same from its text: without a tree of values between, since controllers read every change that
-    /// any of them makes.
+    /// The same from the value's text, without a tree of JSON values between: every controller reads
+    /// every change that any of them makes.
     pub fn read_text(key: &Key, text: &str) -> Option<Record> {
         #[derive(Deserialize)]
         struct Form {
--- a/crates/core/src/state/transaction.rs
+++ b/crates/core/src/state/transaction.rs
@@ -13,18 +13,19 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// A transaction: all conditions must hold, then all changes take effect as one.
+/// A compare-and-swap transaction: if all conditions hold, all changes take effect as one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CasTransaction {
+    /// Keys, with the revision that each must still have; 0: no record.
     pub conditions: Vec<(Key, u64)>,
-    /// `None` removes the key.
+    /// Keys and their new records; `None` removes the key.
     pub changes: Vec<(Key, Option<Record>)>,
     /// The format in which the records are stored.
     pub format: u32,
 }
 
 impl CasTransaction {
-    /// As the state service takes it.
+    /// The text that the state service takes.
     pub fn text(&self) -> String {
         let conditions: Vec<Value> = (self.conditions.iter())
             .map(|(key, mod_revision)| json!({"k": key.path(), "stamp": mod_revision}))
@@ -39,9 +40,10 @@
     }
 }
 
-/// Builds a transaction over the cached records. Whatever is read through it becomes a
-/// condition, so that the outcome rests on nothing that has changed meanwhile.
+/// Builds a transaction over the cached records. Whatever is read through it becomes a condition,
+/// so that the transaction commits only if nothing that it depends on has changed meanwhile.
 pub struct TransactionBuilder<'a> {
+    /// The cache that it is built over.
     pub cache: &'a StateCache,
     conditions: BTreeMap<Key, u64>,
     changes: BTreeMap<Key, Option<Record>>,
@@ -50,10 +52,11 @@
     /// Bytes of the changes, at most.
     bytes: usize,
     /// Changes that it may hold.
-    most: usize,
+    max_changes: usize,
 }
 
 impl<'a> TransactionBuilder<'a> {
+    /// A builder for as many changes as the state service takes.
     pub fn new(cache: &'a StateCache) -> TransactionBuilder<'a> {
         TransactionBuilder {
             cache,
@@ -61,13 +64,13 @@
             changes: BTreeMap::new(),
             claimed: BTreeMap::new(),
             bytes: 0,
-            most: usize::MAX,
+            max_changes: usize::MAX,
         }
     }
-    /// One that holds no more changes than can be sent at once.
-    pub fn limited(cache: &'a StateCache, most: usize) -> TransactionBuilder<'a> {
+    /// A builder for at most so many changes.
+    pub fn limited(cache: &'a StateCache, max_changes: usize) -> TransactionBuilder<'a> {
         TransactionBuilder {
-            most,
+            max_changes,
             ..TransactionBuilder::new(cache)
         }
     }
@@ -80,6 +83,7 @@
     pub fn rests_on_revision(&mut self, key: Key, mod_revision: u64) {
         self.conditions.entry(key).or_insert(mod_revision);
     }
+    /// A machine's record, which the transaction is then conditional on.
     pub fn machine(&mut self, id: &str) -> Option<MachineRecord> {
         let key = Key::Machine(id.to_string());
         self.rests_on(key.clone());
@@ -89,6 +93,7 @@
             None => self.cache.machine(id).cloned(),
         }
     }
+    /// The record of provisioning, which the transaction is then conditional on.
     pub fn fleet(&mut self) -> ProvisioningRecord {
         self.rests_on(Key::Provisioning);
         match self.changes.get(&Key::Provisioning) {
@@ -96,7 +101,8 @@
             _ => self.cache.fleet(),
         }
     }
-    /// Whether a job's failures say nothing of machines. Of a cancelled one it is not known.
+    /// Whether a job's failures are no evidence against machines: it seems to be at fault itself, or
+    /// that is not known, as of a cancelled one.
     pub fn suspect(&self, job: &str) -> bool {
         let Some(record) = self.cache.job(job) else {
             return true;
@@ -114,7 +120,7 @@
             JobPhase::Open => !succeeds && (fails || self.cache.suspect(job)),
         }
     }
-    /// A chunk as this draft sees it; none if it is neither on record nor drafted.
+    /// A chunk with the changes so far; none if it is neither on record nor added.
     pub fn chunk(&self, job: &str, n: u32) -> Option<&ChunkRecord> {
         match self.changes.get(&Key::Chunk(job.to_string(), n)) {
             Some(Some(Record::Chunk(c))) => Some(c),
@@ -122,12 +128,13 @@
             None => self.cache.chunk(job, n),
         }
     }
-    /// A task's assignment as this draft sees it.
+    /// A task's assignment with the changes so far.
     pub fn assignment(&self, task: &TaskId) -> Option<&Assignment> {
         let n = self.cache.job(&task.job)?.chunk_of(task.index);
         self.chunk(&task.job, n)?.assignment(task.index)
     }
-    /// A chunk to be changed; `fresh` makes one that is not on record yet.
+    /// A chunk to be changed; `fresh` makes one that is not on record yet. None if it can't be
+    /// written.
     pub fn chunk_mut(
         &mut self,
         job: &str,
@@ -147,6 +154,7 @@
             _ => None,
         }
     }
+    /// Writes a record, conditional on the cached one.
     pub fn put(&mut self, key: Key, record: Record) {
         if matches!(key, Key::Machine(_)) && self.cache.is_refused(&key) {
             return;
@@ -159,11 +167,12 @@
         };
         self.changes.insert(key, Some(record));
     }
+    /// Removes a record, conditional on the cached one.
     pub fn remove(&mut self, key: Key) {
         self.rests_on(key.clone());
         self.changes.insert(key, None);
     }
-    /// The team's usage with what this draft claims.
+    /// A team's usage with the claims so far.
     pub fn usage(&self, team: &str) -> TeamRecord {
         let mut usage = self.cache.usage(team);
         if let Some(more) = self.claimed.get(team) {
@@ -172,22 +181,26 @@
         }
         usage
     }
+    /// Adds a claim to a team's usage.
     pub fn use_more(&mut self, team: &str, resources: &Resources) {
         let claimed = self.claimed.entry(team.to_string()).or_default();
         claimed.cpus = claimed.cpus.saturating_add(resources.cpus);
         claimed.gpus = claimed.gpus.saturating_add(resources.gpus);
     }
+    /// Whether it holds no changes.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
+    /// Whether it changes this key.
     pub fn touches(&self, key: &Key) -> bool {
         self.changes.contains_key(key)
     }
+    /// How many changes it holds.
     pub fn ops(&self) -> usize {
         self.changes.len()
     }
-    /// Whether so many more changes and conditions, and so many bytes, keep the state
-    /// service's limits.
+    /// Whether so many more changes and conditions, and so many more bytes, keep the state service's
+    /// limits.
     pub fn has_room(
         &self,
         settings: &Settings,
@@ -195,16 +208,16 @@
         conditions: usize,
         bytes: usize,
     ) -> bool {
-        self.changes.len() + changes <= settings.max_transaction_changes.min(self.most)
+        self.changes.len() + changes <= settings.max_transaction_changes.min(self.max_changes)
             && self.conditions.len() + conditions
                 <= settings.max_transaction_changes * CONDITIONS_PER_OP
             && self.bytes + self.conditions.len() * KEY_BYTES + bytes <= TXN_BYTES
     }
-    /// A changed record became larger.
+    /// A record that it holds became larger by so many bytes.
     pub fn grow(&mut self, bytes: usize) {
         self.bytes += bytes;
     }
-    /// Takes out chunks that have become too large for a value, and names them with their size.
+    /// Removes chunks that have become too large for a value, and returns their keys and sizes.
     /// A chunk that a version before format 2 stored beyond the smaller of two limits is written
     /// again in that format as long as it does not grow: the larger limit holds while such a
     /// version serves. All else in the transaction goes ahead.
@@ -236,6 +249,7 @@
         }
         large
     }
+    /// The transaction.
     pub fn finish(self) -> CasTransaction {
         CasTransaction {
             format: self.cache.format(),
--- a/crates/core/src/token_bucket.rs
+++ b/crates/core/src/token_bucket.rs
@@ -1,55 +1,61 @@
-//! A controller's share of the state service's changes, as a bucket that fills steadily.
+//! A token bucket: limits the rate of changes that a controller makes to the state service.
 //!
-//! A transaction is only drafted when it can go at once. One that waited in line for its turn
-//! would meet records that have changed meanwhile, fail, and cost its changes all the same.
+//! A transaction is built only when it can be sent at once. One that waited in a queue would
+//! conflict with changes made meanwhile, and would use up tokens all the same.
 
 use crate::constants::MIN_CHANGES;
 use crate::model::Millis;
 
+/// Tokens, one for each change, refilled at a steady rate.
 pub struct TokenBucket {
-    per_ms: f64,
-    most: f64,
+    /// Tokens that are added in a millisecond.
+    rate_per_ms: f64,
+    /// Tokens that it holds when full.
+    capacity: f64,
+    /// Tokens that it holds; below zero when overdrawn.
     level: f64,
-    at: Millis,
+    /// When it was last refilled.
+    refilled_at: Millis,
 }
 
 impl TokenBucket {
-    /// `burst_s`: seconds' worth that may go at once.
+    /// A full bucket, for `per_s` changes a second. `burst_s`: seconds' worth that may be sent at once.
     pub fn new(per_s: f64, burst_s: f64, now: Millis) -> TokenBucket {
-        // However low the rate, it fills far enough for the least that is drafted.
-        let most = (per_s * burst_s).max(2.0 * MIN_CHANGES as f64);
+        // However low the rate, it holds enough for the smallest transaction that is built.
+        let capacity = (per_s * burst_s).max(2.0 * MIN_CHANGES as f64);
         TokenBucket {
-            per_ms: per_s / 1000.0,
-            most,
-            level: most,
-            at: now,
+            rate_per_ms: per_s / 1000.0,
+            capacity,
+            level: capacity,
+            refilled_at: now,
         }
     }
 
-    /// From now on it fills no faster than this.
+    /// From now on it is refilled with no more than `per_s` a second.
     pub fn slow_down(&mut self, per_s: f64) {
-        let part = per_s / 1000.0 / self.per_ms;
-        if part < 1.0 {
-            self.per_ms *= part;
-            self.most = (self.most * part).max(2.0 * MIN_CHANGES as f64);
+        let ratio = per_s / 1000.0 / self.rate_per_ms;
+        if ratio < 1.0 {
+            self.rate_per_ms *= ratio;
+            self.capacity = (self.capacity * ratio).max(2.0 * MIN_CHANGES as f64);
             self.level = self.level.min(0.0);
         }
     }
 
-    /// Changes that may be sent now, when the bucket has been filling `times` as fast as usual.
+    /// Changes that may be sent now, if it was refilled `times` as fast as usual.
     pub fn left(&mut self, now: Millis, times: f64) -> usize {
-        let passed = now.saturating_sub(self.at) as f64;
-        self.level = (self.level + passed * self.per_ms * times).min(self.most * times);
-        self.at = self.at.max(now);
+        let elapsed_ms = now.saturating_sub(self.refilled_at) as f64;
+        self.level =
+            (self.level + elapsed_ms * self.rate_per_ms * times).min(self.capacity * times);
+        self.refilled_at = self.refilled_at.max(now);
         self.level.max(0.0) as usize
     }
 
     /// Changes that it holds when full.
     pub fn most(&self) -> usize {
-        self.most as usize
+        self.capacity as usize
     }
 
-    /// What must go at once may overdraw it.
+    /// Uses up tokens for `n` changes; what must be sent at once may overdraw it.
     pub fn take(&mut self, n: usize) {
         self.level -= n as f64;
     }
--- a/crates/core/src/tuning.rs
+++ b/crates/core/src/tuning.rs
@@ -1,5 +1,5 @@
-//! Constants of the newer parts that measurements vary. The service runs with the defaults, which
-//! stand with their reasons in `constants`; only the world's experiments have others.
+//! Constants that measurements vary. The service runs with the defaults, whose reasons are in
+//! `constants`; only the simulation's experiments set others.
 
 use crate::constants::{
     DEFER_OVERLOAD_FACTOR, DEFER_SHARE, HANDOFF_MAX, HEARTBEATS_MISSED_MS,
@@ -8,22 +8,23 @@
 use crate::model::Millis;
 use serde::Deserialize;
 
+/// Constants that experiments vary.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
-    /// Milliseconds of silence, at the least, from which a peer is taken to be away.
+    /// Milliseconds without a heartbeat, at least, after which a peer counts as failed.
     #[serde(rename = "beats_missed_ms")]
     pub heartbeats_missed_ms: Millis,
-    /// Whether the end of a peer's link counts as a sign.
+    /// Whether the end of a peer's connection counts as evidence that it failed.
     pub link_ends: bool,
-    /// Whether machines are asked for starts that a lost peer claimed last.
+    /// Whether machines are asked for the starts that a failed peer claimed last.
     #[serde(rename = "carry_on")]
     pub recover_starts: bool,
-    /// Whether jobs are put off when not all can be done in time.
+    /// Whether jobs are deferred when not all can be done in time.
     pub put_off: bool,
-    /// How many times what there is must be asked for in time before any is put off, ...
+    /// How many times the capacity must be asked for in time before any job is deferred, ...
     pub put_off_from: f64,
-    /// ... and the share of what there is that is planned with then.
+    /// ... and the share of the capacity that is planned with then.
     pub put_off_share: f64,
     /// Share of a service's tasks that one machine gets while others serve it as well; 1 is no bound.
     #[serde(rename = "crowd_share")]
@@ -31,11 +32,11 @@
     /// Whether services that need not keep to half a zone are spread evenly over zones, and moved back to
     /// that after one was lost. It costs fetches, and more changes when all leases end at once.
     pub even_spread: bool,
-    /// Whether machines of lost zones are judged by what they hold.
+    /// Whether machines of failed zones are terminated depending on their tasks.
     pub lost_zones: bool,
     pub zone_unseen_ms: Millis,
     pub zone_late_ms: Millis,
-    /// Machines ended in one look at lost zones.
+    /// Machines terminated at most in one evaluation of failed zones.
     pub zone_ends: usize,
     /// Workers handed over between two heartbeats.
     #[serde(rename = "handover_max")]
