--- a/crates/core/src/state/formats.rs
+++ b/crates/core/src/state/formats.rs
@@ -9,8 +9,8 @@
 //! | format | what came with it | when what it replaced may be dropped |
 //! |---|---|---|
 //! | 1 | records as JSON objects throughout | once no site has chunks from before format 2: every chunk is gone with its job's last assignment, so a day after an upgrade |
-//! | 2 | compact chunks; jobs that await others (`dependencies`) | |
-//! | 3 | cancellations are told when all tasks are gone (`g/settled`); records as in 2 | |
+//! | 2 | compact chunks; jobs with dependencies | |
+//! | 3 | cancellations are confirmed when all tasks are gone (`g/settled`); records as in 2 | |
 //! | 4 | configurations on record (`g/configurable`); teams in a form that earlier versions can't read | |
 //!
 //! A compact chunk writes its tasks as words: `=N` tasks wait, `+N` are done, and an assignment is
@@ -33,9 +33,9 @@
 
 /// The format of a version that records none.
 pub const OLDEST: u32 = 1;
-/// From this one on chunks are compact and jobs may await others.
+/// From this one on chunks are compact and jobs may have dependencies.
 pub const PIPELINES: u32 = 2;
-/// From this one on cancellations are told when all tasks are gone.
+/// From this one on cancellations are confirmed when all tasks are gone.
 pub const CONFIRMED_CANCELLATION: u32 = 3;
 /// From this one on configurations may be on record.
 pub const STORED_CONFIGURATION: u32 = 4;
@@ -56,12 +56,13 @@
     first: u32,
     #[serde(rename = "z")]
     tasks: String,
-    /// What the names of all its machines begin with, and their lowest attempt.
+    /// The common prefix of the names of all its machines.
     #[serde(rename = "m", default, skip_serializing_if = "String::is_empty")]
     prefix: String,
+    /// The lowest of its attempts.
     #[serde(rename = "a", default)]
     attempt: u64,
-    /// The usual start.
+    /// The most frequent start delivery.
     #[serde(rename = "s", default, skip_serializing_if = "String::is_empty")]
     start: String,
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
@@ -89,6 +90,7 @@
     }
 }
 
+/// The delivery that a word stands for; none for what no version has written.
 fn read_delivery(word: &str) -> Option<StartDelivery> {
     if word == "n" {
         return Some(StartDelivery::default());
@@ -158,21 +160,16 @@
             let _ = match &same[0] {
                 TaskState::Pending => write!(words, "={n}"),
                 TaskState::Done => write!(words, "+{n}"),
-                TaskState::Assigned(b) => {
-                    let name = names.get(b.machine.as_str()).map_or("", |n| n.as_str());
-                    let mut word = format!(
-                        "{}:{}",
-                        name.get(prefix.len()..).unwrap_or(""),
-                        base36(b.attempt - attempt)
-                    );
-                    if Some(b.delivery()) != usual {
-                        word += &format!(":{}", delivery_word(b.delivery()));
+                TaskState::Assigned(assignment) => {
+                    let name = names.get(assignment.machine.as_str());
+                    let name = name.and_then(|name| name.get(prefix.len()..));
+                    let attempts_above = assignment.attempt - attempt;
+                    let mut word = format!("{}:{}", name.unwrap_or(""), base36(attempts_above));
+                    if Some(assignment.delivery()) != usual {
+                        word += &format!(":{}", delivery_word(assignment.delivery()));
                     }
-                    if let Some(at) = b
-                        .stop
-                        .as_ref()
-                        .and_then(|s| stops.iter().position(|x| x == s))
-                    {
+                    let stop = assignment.stop.as_ref();
+                    if let Some(at) = stop.and_then(|s| stops.iter().position(|x| x == s)) {
                         word += &format!("!{at}");
                     }
                     if n > 1 {
@@ -220,7 +217,7 @@
         Some((assignment, n))
     }
 
-    /// None for what no version has written.
+    /// The chunk that it stands for; none for what no version has written.
     pub(crate) fn read(self) -> Option<ChunkRecord> {
         let mut tasks = Vec::new();
         for word in self.tasks.split_ascii_whitespace() {
@@ -263,20 +260,20 @@
     fit.clamp(1, CHUNK_TASKS as u64) as u32
 }
 
-/// Whether a chunk can take one more assignment, all of which may still be armed anew or get a
-/// reason to stop.
+/// Whether a chunk can hold one more assignment, even if all of them get another start delivery or a
+/// reason to stop later.
 pub fn takes_one_more(
     chunk: &ChunkRecord,
     machine: &str,
     format: u32,
     max_value_bytes: u64,
 ) -> bool {
-    let most = max_value_bytes as usize;
+    let max_bytes = max_value_bytes as usize;
     let later = (chunk.assigned().count() + 1) * ASSIGNMENT_EDIT_BYTES;
     let plain = chunk.size() + ASSIGNMENT_BYTES + machine.len() + VALUE_SPARE_BYTES + later;
-    if plain <= most || format == OLDEST {
-        return plain <= most;
+    if plain <= max_bytes || format == OLDEST {
+        return plain <= max_bytes;
     }
     let now = stored_bytes(&Record::Chunk(chunk.clone()), format);
-    now + machine.len() + COMPACT_ASSIGNMENT_BYTES + later <= most
+    now + machine.len() + COMPACT_ASSIGNMENT_BYTES + later <= max_bytes
 }
