--- a/crates/core/src/configuration/rollout.rs
+++ b/crates/core/src/configuration/rollout.rs
@@ -55,12 +55,12 @@
         let is_confirmation_enabled = self.cache.mod_revision(&Key::CancellationConfirmation) > 0;
         if is_confirmation_enabled
             && !self.cache.is_configurable()
-            && !self.upgrade.configurable_busy
+            && !self.upgrade.configuration_enabling_in_flight
         {
             let mut draft = TransactionBuilder::new(&self.cache);
             self.draft_configuration_enabled(&mut draft);
             let transaction = draft.finish();
-            self.upgrade.configurable_busy = true;
+            self.upgrade.configuration_enabling_in_flight = true;
             self.commit(
                 transaction,
                 PendingOperation::EnableConfiguration,
--- a/crates/core/src/controller/upgrade.rs
+++ b/crates/core/src/controller/upgrade.rs
@@ -9,11 +9,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct Upgrade {
     /// The format that this controller reads.
-    pub format_busy: bool,
+    pub format_in_flight: bool,
     /// From when on cancellations are confirmed only when nothing is left of the job.
-    pub settle_busy: bool,
+    pub confirmation_in_flight: bool,
     /// That configurations may be on record.
-    pub configurable_busy: bool,
+    pub configuration_enabling_in_flight: bool,
     /// The first term is being written.
     pub term_in_flight: bool,
     /// The common format, and how many controllers lack the latest, as last logged.
@@ -37,7 +37,7 @@
     pub(super) fn record_format(&mut self) {
         self.log_format();
         let known = self.cache.format_of(&self.settings.controller);
-        if known >= formats::LATEST || self.upgrade.format_busy {
+        if known >= formats::LATEST || self.upgrade.format_in_flight {
             return;
         }
         let mut draft = TransactionBuilder::new(&self.cache);
@@ -45,7 +45,7 @@
         let key = Key::Format(self.settings.controller.clone());
         draft.put(key, Record::Format(FormatRecord { version }));
         let transaction = draft.finish();
-        self.upgrade.format_busy = true;
+        self.upgrade.format_in_flight = true;
         self.commit(
             transaction,
             PendingOperation::RecordFormat,
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -135,9 +135,9 @@
             PendingOperation::CancelDependents(jobs) => {
                 self.dependents_cancellation_written(&jobs, committed);
             }
-            PendingOperation::RecordFormat => self.upgrade.format_busy = false,
-            PendingOperation::ConfirmCancellations => self.upgrade.settle_busy = false,
-            PendingOperation::EnableConfiguration => self.upgrade.configurable_busy = false,
+            PendingOperation::RecordFormat => self.upgrade.format_in_flight = false,
+            PendingOperation::ConfirmCancellations => self.upgrade.confirmation_in_flight = false,
+            PendingOperation::EnableConfiguration => self.upgrade.configuration_enabling_in_flight = false,
             PendingOperation::RecordObservedVersion => {
                 self.configuration.version_recording_finished()
             }
