--- a/crates/core/src/workers/mod.rs
+++ b/crates/core/src/workers/mod.rs
@@ -1,9 +1,15 @@
 //! Workers: heartbeats in, reconciliation with the records, commands out, failure detection.
 
-pub(crate) mod heartbeats;
+mod commands;
+mod failure_detection;
+mod handoff;
+mod heartbeats;
+mod machine_updates;
 pub(crate) mod observations;
-pub(crate) mod reachability;
+mod reachability;
+mod reconciliation;
 pub(crate) mod registry;
-pub(crate) mod results;
+mod replies;
+mod results;
 pub(crate) mod starts;
 pub(crate) mod write_back;
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -1,9 +1,13 @@
 //! Whether workers reach this controller, as far as it can tell by itself.
 
 use crate::constants::{
-    COMMAND_LIMIT_MS, PARTITION_PROBE_INTERVAL_MS, PARTITION_UNANSWERED_COMMANDS,
+    COMMAND_LIMIT_MS, INBOUND_GAP_MS, PARTITION_PROBE_INTERVAL_MS, PARTITION_UNANSWERED_COMMANDS,
+    ZONE_MISSED_HEARTBEATS,
 };
+use crate::controller::Controller;
 use crate::model::Millis;
+use crate::peers::Peer;
+use rand::seq::SliceRandom;
 
 #[derive(Debug)]
 pub(crate) struct WorkerReachability {
@@ -70,3 +74,55 @@
         self.unanswered = 0;
     }
 }
+
+impl Controller {
+    /// Whether workers reach this controller, as far as can be told: cut off from them alone, it would
+    /// claim work whose starts never arrive, and draw users away from controllers that serve them.
+    pub(crate) fn workers_reachable(&self) -> bool {
+        let heard_peers =
+            |s: &Peer| s.heartbeat.workers_reachable && !s.heartbeat.workers.is_empty();
+        !self.workers.reachability.is_doubtful()
+            || !self.settings.checks.workers
+            || !self.fresh_peers().any(heard_peers)
+    }
+
+    /// Whether it may be this controller that a question did not get out of: it has heard no worker since,
+    /// while peers have. It took the first two or three machines that fell silent so for dead.
+    pub(super) fn may_be_partitioned(&self, asked: Millis) -> bool {
+        let elsewhere = self.fresh_peers().any(|s| {
+            let since = self.now - s.at;
+            let heard = s
+                .heartbeat
+                .workers
+                .iter()
+                .map(|worker| self.now - (worker.age_ms + since).min(self.now));
+            heard.max().is_some_and(|at| at > asked)
+        });
+        !self.workers_reachable() || self.workers.reachability.failed_alone(asked) && elsewhere
+    }
+
+    /// A worker has reported here, or answered.
+    pub(super) fn heard_worker(&mut self) {
+        let mut longest = INBOUND_GAP_MS;
+        if self.workers.reachability.gap(self.now) > INBOUND_GAP_MS {
+            let many =
+                self.settings.report_ms * ZONE_MISSED_HEARTBEATS / (self.load() as u64).max(1);
+            longest = longest.max(many.min(self.settings.report_due_ms()));
+        }
+        self.workers.reachability.heard(self.now, longest);
+    }
+
+    /// Cut off from the workers, a controller asks one of them now and then whether it is heard again.
+    pub(crate) fn probe_partition(&mut self) {
+        if !self.workers.reachability.asks(self.now) {
+            return;
+        }
+        let heard: Vec<&str> = (self.cache.machines())
+            .filter(|(id, m, _)| m.is_up() && self.recently_heard(id))
+            .map(|(id, ..)| id)
+            .collect();
+        if let Some(id) = heard.choose(&mut self.rng).map(|id| id.to_string()) {
+            self.send_command(id, Vec::new());
+        }
+    }
+}
--- a/crates/core/src/workers/write_back.rs
+++ b/crates/core/src/workers/write_back.rs
@@ -1,7 +1,7 @@
 //! Evidence that waits to be written to the state service.
 
 use crate::model::{Millis, TaskId};
-use crate::workers::heartbeats::MachineUpdate;
+use crate::workers::machine_updates::MachineUpdate;
 use crate::workers::results::EndedAttempt;
 use std::collections::{BTreeMap, BTreeSet};
 
