--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -8,6 +8,7 @@
     CloudOperation, CloudResponse, Controller, OperationId, PendingOperation, RequestClass,
 };
 use crate::model::{CloudInstance, CloudInstanceState, MachineType, Millis};
+use crate::workers::termination::TerminationReason;
 use crate::state::formats;
 use crate::state::{
     InstanceRequestRecord, Key, MachinePhase, MachineRecord, MachineTypesRecord,
@@ -240,7 +241,7 @@
                 None => self.observe_unmanaged(instance, lag_ms),
                 Some(MachinePhase::Deprovisioning) => {}
                 Some(_) if instance.state == CloudInstanceState::Failed => {
-                    self.mark_for_termination(&instance.name, "the cloud lists it as failed");
+                    self.mark_for_termination(&instance.name, TerminationReason::InstanceFailed);
                 }
                 Some(_) => {}
             }
--- a/crates/core/src/workers/commands.rs
+++ b/crates/core/src/workers/commands.rs
@@ -11,10 +11,10 @@
 impl Controller {
     /// How a start gets from here to a machine: by a direct command, unless the last one
     /// failed; then by the answer to a heartbeat.
-    pub(crate) fn delivery_for(&self, sight: &Liveness, m: &MachineRecord) -> Carrier {
-        let refused = sight.of.refused;
+    pub(crate) fn delivery_for(&self, liveness: &Liveness, m: &MachineRecord) -> Carrier {
+        let refused = liveness.observation.command_failed_at;
         let failed = refused.is_some_and(|at| self.now < at + COMMAND_PAUSE_MS);
-        let incarnation = sight.incarnation();
+        let incarnation = liveness.incarnation();
         let token = self.cache.term().map(|term| term + m.token_offset);
         match (token, incarnation) {
             (Some(token), Some(incarnation)) if !failed && !m.address.is_empty() => {
@@ -127,7 +127,7 @@
         match reach {
             CommandOutcome::Accepted | CommandOutcome::Refused => {
                 self.heard_worker();
-                self.workers.observations.note(&machine).answered = Some(self.now);
+                self.workers.observations.note(&machine).answered_at = Some(self.now);
             }
             CommandOutcome::NoAnswer => {
                 let zone = self.cache.machine(&machine).map(|m| &m.zone);
@@ -141,15 +141,15 @@
                 if !again && !zone.is_some_and(|z| self.is_zone_unreachable(z)) {
                     self.workers.reachability.handle_state_timeout();
                 }
-                self.workers.observations.note(&machine).unreached = Some(self.now);
+                self.workers.observations.note(&machine).unanswered_at = Some(self.now);
             }
             CommandOutcome::NotSent => {
-                self.workers.observations.note(&machine).asked = None;
+                self.workers.observations.note(&machine).probed_at = None;
             }
         }
         if reach != CommandOutcome::Accepted {
             tracing::debug!(machine, ?reach, "direct command failed");
-            self.workers.observations.note(&machine).refused = Some(self.now);
+            self.workers.observations.note(&machine).command_failed_at = Some(self.now);
         }
     }
 }
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -1,4 +1,5 @@
-//! Machines that fall silent, never come up, or idle: which are asked, and which are to be deleted.
+//! Machines that stop sending heartbeats, never come up, or idle: which of them are probed, and which are
+//! marked for termination.
 
 use crate::constants::{
     BOOT_GIVE_UP, BOOT_SPARE_MS, CANCEL_DELETE_SHARE, CANCEL_UNCONFIRMED_MS, CONTROLLER_STAGGER_MS,
@@ -9,21 +10,33 @@
 use crate::model::Millis;
 use crate::state::{JobPhase, MachinePhase, MachineRecord};
 use crate::workers::observations::{Liveness, MachineObservation};
+use crate::workers::termination::TerminationReason;
 use crate::zones::detector::MachineSurvey;
 use rand::seq::SliceRandom;
 use std::collections::BTreeMap;
 
+/// A machine whose heartbeat is overdue.
+struct OverdueMachine {
+    machine: String,
+    /// Whether it is to be deleted when a probe of it fails.
+    give_up: bool,
+}
+
+/// Machines to be deleted, with the reason, in the order in which they were found.
+type Terminations = Vec<(String, TerminationReason)>;
+
 impl Controller {
-    /// When any controller last got a machine's heartbeat, as far as is known here. A machine that
-    /// has just come up may have reported to a peer whose next heartbeat is still to come, so
-    /// this counts from when it was first seen up here.
-    pub(crate) fn last_heard_at(&self, sight: &Liveness) -> Millis {
-        let seen = sight.of.up.unwrap_or(self.now);
-        let own = sight.own.map_or(seen, |h| h.at.max(seen));
-        own.max(sight.told.map_or(0, |t| t.at))
+    /// When any controller last received a machine's heartbeat, as far as is known here. The first
+    /// heartbeat of a machine that has just come up may have gone to a peer whose next heartbeat is still to
+    /// come, so this counts from when the machine was first seen up here.
+    pub(crate) fn last_heard_at(&self, liveness: &Liveness) -> Millis {
+        let up_since = liveness.observation.up_since.unwrap_or(self.now);
+        let received = liveness.received;
+        let received_at = received.map_or(up_since, |heartbeat| heartbeat.at.max(up_since));
+        received_at.max(liveness.from_peers.map_or(0, |heartbeat| heartbeat.at))
     }
 
-    /// When any controller last got a heartbeat of it, if ever.
+    /// When any controller last received a heartbeat of a machine, if ever.
     pub(crate) fn last_worker_heartbeat(&self, id: &str) -> Option<Millis> {
         self.liveness(id).last_heartbeat_at()
     }
@@ -34,191 +47,231 @@
         self.silence_of(&self.liveness(id))
     }
 
-    pub(crate) fn silence_of(&self, sight: &Liveness) -> Millis {
-        let answered = sight.of.answered.unwrap_or(0);
-        self.now - self.last_heard_at(sight).max(answered)
+    /// The same of a machine whose liveness was looked up already.
+    pub(crate) fn silence_of(&self, liveness: &Liveness) -> Millis {
+        let answered_at = liveness.observation.answered_at.unwrap_or(0);
+        self.now - self.last_heard_at(liveness).max(answered_at)
     }
 
-    /// Milliseconds in which a worker finds another controller: whichever a machine reported to, it is
-    /// asked directly after that.
+    /// Milliseconds in which a worker finds another controller. After that a silent machine is probed,
+    /// whichever controller it reported to.
     pub(crate) fn unheard_limit_ms(&self) -> Millis {
         self.worker_failover_ms() + SILENCE_MARGIN_MS
     }
 
-    /// Machines that are overdue, and whether each is given up when a question to it fails.
+    /// Milliseconds between a worker's last heartbeat at one controller and its first at another.
+    pub(crate) fn worker_failover_ms(&self) -> Millis {
+        WORKER_FAILOVER_MS + self.settings.report_due_ms()
+    }
+
+    /// Whether any controller received one of the machine's last heartbeats.
+    pub(crate) fn recently_heard(&self, id: &str) -> bool {
+        self.recently_heard_of(&self.liveness(id))
+    }
+
+    /// The same of a machine whose liveness was looked up already.
+    pub(crate) fn recently_heard_of(&self, liveness: &Liveness) -> bool {
+        self.now - self.last_heard_at(liveness) < self.settings.report_ms * 5 / 2
+    }
+
+    /// Marks machines for termination: unreachable ones, ones that never came up, idle ones, and ones
+    /// that still hold a cancelled task when its time runs out.
+    pub(crate) fn detect_machine_failures(&mut self) {
+        let mut survey = self.survey_machines();
+        self.detect_zone_failures(std::mem::take(&mut survey.zones));
+        self.probe_overdue_machines(survey);
+        self.evacuate_failed_zones();
+        self.probe_unreachable_machines();
+        let mut terminations = Terminations::new();
+        self.find_uncancelled(&mut terminations);
+        self.find_idle_or_never_up(&mut terminations);
+        self.find_missing_instances(&mut terminations);
+        for (id, reason) in terminations {
+            self.mark_for_termination(&id, reason);
+        }
+    }
+
+    /// Machines that are overdue, in order of their names.
     ///
-    /// One that reported here is quickly given up: its heartbeat is overdue, a direct command sent
-    /// since has failed, and other machines that report here do so. A worker only turns to another
-    /// controller when this one fails it, so there is no need to wait for that. Were most of them silent,
-    /// this controller would be what is cut off.
+    /// One that reports here is quickly given up: its heartbeat is overdue, a direct command sent
+    /// since has failed, and other machines that report here do send heartbeats. A worker only turns to
+    /// another controller when this one fails it, so there is no need to wait for that. Were most of them
+    /// silent, this controller would be what is partitioned.
     ///
     /// One that no controller is known to have heard for as long as a worker needs to find another is not
     /// given up soon if they are many, since then it is rather the network. When peers can't be
-    /// reached, most machines are only heard by them; their answers tell those that live from those
+    /// reached, most machines are only heard by them; answers to probes tell those that live from those
     /// that don't.
-    fn overdue(&self, survey: MachineSurvey) -> BTreeMap<String, bool> {
-        let mut overdue = BTreeMap::new();
+    fn overdue_machines(&self, survey: MachineSurvey) -> Vec<OverdueMachine> {
+        let mut give_up = BTreeMap::new();
         let limit = self.unheard_limit_ms();
         if self.now - self.lifecycle.resumed_at >= limit + self.settings.report_ms {
-            let patience = match survey.unheard.len() * 3 <= survey.up {
+            let patience_ms = match survey.silent.len() * 3 <= survey.up {
                 true => limit,
                 false => limit.max(self.settings.lease_ms) * MASS_SILENCE_FACTOR,
             };
-            let given_up = |(id, silence)| (id, silence > patience);
-            overdue.extend(survey.unheard.into_iter().map(given_up));
+            for silent in survey.silent {
+                give_up.insert(silent.machine, silent.silence_ms > patience_ms);
+            }
         }
-        if survey.late_here.len() * 3 <= survey.here {
-            overdue.extend(survey.late_here.into_iter().map(|id| (id, true)));
+        if survey.overdue_here.len() * 3 <= survey.reporting_here {
+            give_up.extend(survey.overdue_here.into_iter().map(|id| (id, true)));
         }
+        let overdue = give_up.into_iter();
         overdue
+            .map(|(machine, give_up)| OverdueMachine { machine, give_up })
+            .collect()
     }
 
-    /// Milliseconds between a worker's last heartbeat at one controller and its first at another.
-    pub(crate) fn worker_failover_ms(&self) -> Millis {
-        WORKER_FAILOVER_MS + self.settings.report_due_ms()
-    }
-
-    pub(crate) fn recently_heard(&self, id: &str) -> bool {
-        self.recently_heard_of(&self.liveness(id))
-    }
-
-    pub(crate) fn recently_heard_of(&self, sight: &Liveness) -> bool {
-        self.now - self.last_heard_at(sight) < self.settings.report_ms * 5 / 2
+    /// Probes machines that are overdue, and marks those for termination that failed to answer.
+    fn probe_overdue_machines(&mut self, survey: MachineSurvey) {
+        let overdue_ms = self.settings.report_due_ms() + PROBE_AFTER_MS;
+        let mut probed_in_zone: BTreeMap<String, usize> = BTreeMap::new();
+        let mut overdue = self.overdue_machines(survey);
+        // Of an unreachable zone only a few are probed, each time others.
+        overdue.shuffle(&mut self.rng);
+        for OverdueMachine { machine, give_up } in overdue {
+            let record = self.cache.machine(&machine);
+            let zone = record.map_or(String::new(), |record| record.zone.clone());
+            let MachineObservation {
+                probed_at,
+                unanswered_at,
+                ..
+            } = self.workers.observations.of(&machine);
+            let overdue_at = self.now - self.silence(&machine) + overdue_ms;
+            let probe_failed =
+                unanswered_at.is_some_and(|at| at > overdue_at && self.now < at + PROBE_FRESH_MS);
+            let failed_at = unanswered_at.unwrap_or(0);
+            let is_unreachable = probe_failed && give_up && !self.may_be_partitioned(failed_at);
+            if is_unreachable && self.is_machine_silence(&zone, failed_at) {
+                self.mark_for_termination(&machine, TerminationReason::Unreachable);
+                continue;
+            }
+            let may_be_probed =
+                probed_at.is_none_or(|at| at < overdue_at || self.now >= at + PROBE_FRESH_MS);
+            if !may_be_probed {
+                continue;
+            }
+            if self.is_zone_unreachable(&zone) {
+                let probed = probed_in_zone.entry(zone).or_default();
+                if *probed >= ZONE_PROBES_MAX {
+                    continue;
+                }
+                *probed += 1;
+            }
+            self.probe(machine);
+        }
     }
 
-    /// Asks machines that have reported since they failed to answer whether they hear again.
+    /// Probes machines whose heartbeats arrive again after a direct command went unanswered: whether
+    /// commands reach them again as well.
     fn probe_unreachable_machines(&mut self) {
-        let back = |(id, m, _): &(&str, &MachineRecord, u64)| {
-            let sight = self.liveness(id);
-            let since = sight.of.silent_since();
-            m.is_up()
-                && since.is_some_and(|at| sight.last_heartbeat_at() >= Some(at))
-                && sight.of.may_be_asked(self.now)
-                && !self.is_zone_unreachable(&m.zone)
+        let reports_again = |(id, machine, _): &(&str, &MachineRecord, u64)| {
+            let liveness = self.liveness(id);
+            let silent_since = liveness.observation.silent_since();
+            machine.is_up()
+                && silent_since.is_some_and(|at| liveness.last_heartbeat_at() >= Some(at))
+                && liveness.observation.may_be_probed(self.now)
+                && !self.is_zone_unreachable(&machine.zone)
         };
-        let machines = self.cache.machines().filter(back);
+        let machines = self.cache.machines().filter(reports_again);
         let ids: Vec<String> = machines
             .map(|(id, ..)| id.to_string())
             .take(UNREACHABLE_PROBES_MAX)
             .collect();
         for id in ids {
-            self.workers.observations.note(&id).asked = Some(self.now);
-            self.send_command(id, Vec::new());
+            self.probe(id);
         }
     }
 
-    /// Finds machines to delete: silent ones, ones that never came up, idle ones, and ones
-    /// that still hold a cancelled task when its time runs out.
-    pub(crate) fn detect_machine_failures(&mut self) {
-        let mut survey = self.survey_machines();
-        self.detect_zone_failures(std::mem::take(&mut survey.zones));
-        let overdue_ms = self.settings.report_due_ms() + PROBE_AFTER_MS;
-        let mut asked_quiet: BTreeMap<String, usize> = BTreeMap::new();
-        let mut overdue: Vec<(String, bool)> = self.overdue(survey).into_iter().collect();
-        // Of a silent zone only a few are asked, each time others.
-        overdue.shuffle(&mut self.rng);
-        for (id, given_up) in overdue {
-            let zone = self.cache.machine(&id).map_or("", |m| m.zone.as_str());
-            let zone = zone.to_string();
-            let MachineObservation {
-                asked, unreached, ..
-            } = self.workers.observations.of(&id);
-            let heard = self.now - self.silence(&id);
-            let failed = unreached
-                .is_some_and(|at| at > heard + overdue_ms && self.now < at + PROBE_FRESH_MS);
-            let failed_at = unreached.unwrap_or(0);
-            let silent = failed && given_up && !self.may_be_partitioned(failed_at);
-            if silent && self.is_machine_silence(&zone, failed_at) {
-                self.mark_for_termination(&id, "silent, and not reached directly");
-            } else if asked
-                .is_none_or(|at| at < heard + overdue_ms || self.now >= at + PROBE_FRESH_MS)
-            {
-                if self.is_zone_unreachable(&zone) {
-                    let asked = asked_quiet.entry(zone).or_default();
-                    if *asked >= ZONE_PROBES_MAX {
-                        continue;
-                    }
-                    *asked += 1;
-                }
-                self.workers.observations.note(&id).asked = Some(self.now);
-                // No orders: only whether it answers.
-                self.send_command(id, Vec::new());
-            }
-        }
-        self.evacuate_failed_zones();
-        self.probe_unreachable_machines();
-        let mut condemned: Vec<(String, &'static str)> = Vec::new();
-        let told = (self.settings.cancel_ms as f64 * CANCEL_DELETE_SHARE) as u64;
+    /// Sends a machine a direct command without orders, to see whether it answers.
+    fn probe(&mut self, id: String) {
+        self.workers.observations.note(&id).probed_at = Some(self.now);
+        self.send_command(id, Vec::new());
+    }
+
+    /// Machines that still hold a cancelled task when the time for its cancellation runs out.
+    fn find_uncancelled(&self, terminations: &mut Terminations) {
+        let confirmed_after_ms = (self.settings.cancel_ms as f64 * CANCEL_DELETE_SHARE) as u64;
         for (job, counts) in self.cache.counted() {
-            let untold = self.cache.ending(job);
-            let after = if untold { CANCEL_UNCONFIRMED_MS } else { told };
-            let stuck = self.cache.job(job).is_some_and(|j| {
-                j.phase == JobPhase::Cancelled
+            let unconfirmed = self.cache.ending(job);
+            let after_ms = match unconfirmed {
+                true => CANCEL_UNCONFIRMED_MS,
+                false => confirmed_after_ms,
+            };
+            let timed_out = self.cache.job(job).is_some_and(|job| {
+                job.phase == JobPhase::Cancelled
                     && counts.assigned > 0
-                    && self.wall > j.ended + self.settings.clock_off_ms + after
+                    && self.wall > job.ended + self.settings.clock_off_ms + after_ms
             });
-            if stuck {
-                let assigned = self.cache.chunks_of(job).flat_map(|(_, c)| c.assigned());
-                for (_, b) in assigned.filter(|(_, b)| !untold || !self.is_spared(&b.machine)) {
-                    condemned.push((b.machine.clone(), "it still holds a cancelled task"));
+            if !timed_out {
+                continue;
+            }
+            let chunks = self.cache.chunks_of(job);
+            for (_, assignment) in chunks.flat_map(|(_, chunk)| chunk.assigned()) {
+                if !unconfirmed || !self.is_spared(&assignment.machine) {
+                    let reason = TerminationReason::HoldsCancelledTask;
+                    terminations.push((assignment.machine.clone(), reason));
                 }
             }
         }
-        for (id, m, _) in self.cache.machines() {
-            let of = self.workers.observations.note(id);
-            let since = *of.known.get_or_insert(self.now);
-            if m.is_up() {
-                of.up.get_or_insert(self.now);
+    }
+
+    /// Machines that have been idle for long, and machines that never came up. Notes since when
+    /// machines are known, up and idle.
+    fn find_idle_or_never_up(&mut self, terminations: &mut Terminations) {
+        for (id, machine, _) in self.cache.machines() {
+            let observation = self.workers.observations.note(id);
+            let first_seen_at = *observation.first_seen_at.get_or_insert(self.now);
+            if machine.is_up() {
+                observation.up_since.get_or_insert(self.now);
                 if self.cache.assigned_tasks(id) == 0 {
-                    let idle = *of.idle.get_or_insert(self.now);
-                    let keep = match m.phase {
+                    let idle_since = *observation.idle_since.get_or_insert(self.now);
+                    // Controllers take turns, so that not all of them record the deletion.
+                    let stagger_ms = self.settings.controller_index() * CONTROLLER_STAGGER_MS;
+                    let keep_ms = match machine.phase {
                         MachinePhase::Draining => 0,
-                        _ => {
-                            self.settings.idle_return_ms()
-                                + self.settings.controller_index() * CONTROLLER_STAGGER_MS
-                        }
+                        _ => self.settings.idle_return_ms() + stagger_ms,
                     };
-                    if self.now - idle > keep {
-                        condemned.push((id.to_string(), "nothing to do"));
+                    if self.now - idle_since > keep_ms {
+                        terminations.push((id.to_string(), TerminationReason::Idle));
                     }
                 } else {
-                    of.idle = None;
+                    observation.idle_since = None;
                 }
             }
-            if m.phase == MachinePhase::Booting
+            if machine.phase == MachinePhase::Booting
                 && !self.recently_reported(id)
-                && self.now - since > self.boot_patience(&m.type_name)
+                && self.now - first_seen_at > self.boot_limit_ms(&machine.type_name)
             {
-                condemned.push((id.to_string(), "it never came up"));
+                terminations.push((id.to_string(), TerminationReason::NeverCameUp));
             }
         }
-        for (n, h, _) in self.cache.instance_requests() {
-            let since = self
-                .provisioning
-                .request_known_since
-                .get(n)
-                .copied()
-                .unwrap_or(self.now);
-            if self.now - since > self.boot_patience(&h.type_name) {
-                let instances = h.instances.iter().flatten();
+    }
+
+    /// Instances that an instance request brought, and that never came up.
+    fn find_missing_instances(&self, terminations: &mut Terminations) {
+        for (number, request, _) in self.cache.instance_requests() {
+            let known_since = self.provisioning.request_known_since.get(number);
+            let known_since = known_since.copied().unwrap_or(self.now);
+            if self.now - known_since > self.boot_limit_ms(&request.type_name) {
+                let instances = request.instances.iter().flatten();
                 let missing = |id: &&String| self.on_its_way(id) && !self.recently_reported(id);
                 for id in instances.filter(missing) {
-                    condemned.push((id.clone(), "it never came up"));
+                    terminations.push((id.clone(), TerminationReason::NeverCameUp));
                 }
             }
         }
-        for (id, why) in condemned {
-            self.mark_for_termination(&id, why);
-        }
     }
 
-    /// Whether a machine has checked in, though its record may not say so yet.
+    /// Whether a machine has sent a heartbeat lately, though its record may not say so yet.
     fn recently_reported(&self, id: &str) -> bool {
         let fresh = |at: Millis| self.now < at + 2 * self.settings.lease_ms;
         self.last_worker_heartbeat(id).is_some_and(fresh)
     }
 
-    fn boot_patience(&self, type_name: &str) -> Millis {
+    /// Milliseconds that a machine of a type may take until its first heartbeat.
+    fn boot_limit_ms(&self, type_name: &str) -> Millis {
         let boot_s = self.machine_types.get(type_name).map_or(60.0, |t| t.boot_s);
         (boot_s * 1000.0 * BOOT_GIVE_UP) as u64 + BOOT_SPARE_MS
     }
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -109,28 +109,30 @@
     /// work there. It counts as unreached until it answers a question (`ask_unreached`).
     fn note_reachability(&mut self, report: &WorkerHeartbeat) {
         let id = &report.machine;
-        let sight = self.liveness(id);
+        let liveness = self.liveness(id);
         let half = self.settings.lease_ms / 2;
-        let lately = sight
+        let lately = liveness
             .last_heartbeat_at()
             .is_some_and(|at| self.now < at + half);
         if !lately {
             return;
         }
         // Its lease ended though controllers got its reports.
-        if sight
+        if liveness
             .incarnation()
             .is_some_and(|known| known < report.incarnation)
         {
-            self.workers.observations.note(id).unreached = Some(self.now);
+            self.workers.observations.note(id).unanswered_at = Some(self.now);
             return;
         }
         // It waited in vain for a controller that is well; one that was handed over comes at once.
         let waited = |at: Millis| self.now + WORKER_HANDOFF_MS >= at + WORKER_FAILOVER_MS;
-        let by = sight.told.filter(|t| !sight.reports_here() && waited(t.at));
+        let by = liveness
+            .from_peers
+            .filter(|t| !liveness.reports_here() && waited(t.at));
         let left = by.is_some_and(|t| self.peers.is_healthy(self.now, t.peer()));
-        if left && sight.of.may_be_asked(self.now) {
-            self.workers.observations.note(id).asked = Some(self.now);
+        if left && liveness.observation.may_be_probed(self.now) {
+            self.workers.observations.note(id).probed_at = Some(self.now);
             self.send_command(id.clone(), Vec::new());
         }
     }
--- a/crates/core/src/workers/machine_updates.rs
+++ b/crates/core/src/workers/machine_updates.rs
@@ -58,11 +58,11 @@
             return true;
         }
         let of = self.workers.observations.of(id);
-        if of.answered.is_some() {
+        if of.answered_at.is_some() {
             return true;
         }
-        if let (Some(token), true) = (self.fencing_token(id), of.may_be_asked(self.now)) {
-            self.workers.observations.note(id).asked = Some(self.now);
+        if let (Some(token), true) = (self.fencing_token(id), of.may_be_probed(self.now)) {
+            self.workers.observations.note(id).probed_at = Some(self.now);
             tracing::info!(
                 machine = id,
                 "nobody is known to have rented it: asked first"
--- a/crates/core/src/workers/mod.rs
+++ b/crates/core/src/workers/mod.rs
@@ -12,4 +12,5 @@
 mod replies;
 mod results;
 pub(crate) mod starts;
+pub(crate) mod termination;
 pub(crate) mod write_back;
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -1,5 +1,5 @@
-//! What this controller itself has noted of each machine, beside its heartbeats: one entry a machine, since
-//! it is looked at several times a second for every one of them.
+//! What this controller itself has noted of each machine besides its heartbeats, in one entry a machine:
+//! failure detection and scheduling read it several times a second for every machine.
 
 use crate::constants::UNREACHABLE_PROBE_INTERVAL_MS;
 use crate::controller::Controller;
@@ -8,83 +8,99 @@
 use crate::workers::registry::ReceivedHeartbeat;
 use foldhash::{HashMap, HashMapExt};
 
-/// Times at which something was noted of a machine, where it was.
+/// When something was last noted of a machine, `None` if it was not.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MachineObservation {
-    /// It was first seen on record.
-    pub known: Option<Millis>,
-    /// It was first seen up here.
-    pub up: Option<Millis>,
-    /// Nothing has been assigned to it since.
-    pub idle: Option<Millis>,
-    /// It answered a direct command.
-    pub answered: Option<Millis>,
-    /// It did not take a direct command.
-    pub refused: Option<Millis>,
-    /// It did not even answer one.
-    pub unreached: Option<Millis>,
-    /// Its heartbeat was overdue, and it was asked directly.
-    pub asked: Option<Millis>,
+    /// Its record was first seen.
+    pub first_seen_at: Option<Millis>,
+    /// Its record was first seen in phase up by this controller.
+    pub up_since: Option<Millis>,
+    /// No task has been assigned to it since.
+    pub idle_since: Option<Millis>,
+    /// It answered a direct command, if only by refusing it.
+    pub answered_at: Option<Millis>,
+    /// A direct command to it was refused, got no answer or could not be sent.
+    pub command_failed_at: Option<Millis>,
+    /// A direct command to it got no answer.
+    pub unanswered_at: Option<Millis>,
+    /// It was last sent an empty direct command to see whether it answers.
+    pub probed_at: Option<Millis>,
 }
 
 impl MachineObservation {
-    /// Since when it has answered no direct command, if the last one got no answer.
+    /// When its last direct command went unanswered, if it has answered none since.
     pub fn silent_since(&self) -> Option<Millis> {
-        self.unreached.filter(|at| self.answered < Some(*at))
+        self.unanswered_at.filter(|at| self.answered_at < Some(*at))
     }
-    /// Whether it was not asked just now.
-    pub fn may_be_asked(&self, now: Millis) -> bool {
-        self.asked
+
+    /// Whether its last probe is long enough ago for another.
+    pub fn may_be_probed(&self, now: Millis) -> bool {
+        self.probed_at
             .is_none_or(|at| now >= at + UNREACHABLE_PROBE_INTERVAL_MS)
     }
 }
 
-/// All that is known of a machine's life, looked up once: scheduling passes and judging ask for every part of
-/// it, of every machine.
+/// All that is known of whether a machine is alive, looked up once: scheduling passes and failure
+/// detection ask for every part of it, of every machine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Liveness<'a> {
-    pub own: Option<&'a ReceivedHeartbeat>,
-    pub told: Option<&'a PeerObservation>,
-    pub of: MachineObservation,
+    /// Its latest heartbeat that came to this controller.
+    pub received: Option<&'a ReceivedHeartbeat>,
+    /// Its latest heartbeat that a peer reported.
+    pub from_peers: Option<&'a PeerObservation>,
+    /// What this controller noted of it besides.
+    pub observation: MachineObservation,
 }
 
 impl Liveness<'_> {
-    /// When any controller last got a heartbeat of it, if ever.
+    /// When any controller last received a heartbeat of it, if ever.
     pub fn last_heartbeat_at(&self) -> Option<Millis> {
-        self.own.map(|h| h.at).max(self.told.map(|t| t.at))
+        let received_at = self.received.map(|heartbeat| heartbeat.at);
+        received_at.max(self.from_peers.map(|heartbeat| heartbeat.at))
     }
-    /// The latest sign of life that any controller is known to have had, if any: a heartbeat or an answer to
-    /// a direct command.
+
+    /// The latest sign of life that any controller is known to have had, if any: a heartbeat or an
+    /// answer to a direct command.
     pub fn latest(&self) -> Option<Millis> {
-        self.last_heartbeat_at().max(self.of.answered)
+        self.last_heartbeat_at().max(self.observation.answered_at)
     }
+
     /// Its latest incarnation.
     pub fn incarnation(&self) -> Option<u64> {
-        let own = self.own.map(|h| h.position.incarnation);
-        own.max(self.told.map(|t| t.position.incarnation))
+        let position = self.last_position();
+        position.map(|position| position.incarnation)
     }
-    /// Whether some controller has got this heartbeat of it already, or a later one.
+
+    /// Whether some controller has received this heartbeat of it already, or a later one.
     pub fn knows(&self, position: HeartbeatPosition) -> bool {
-        let own = self.own.map(|h| h.position);
-        let told = self.told.map(|t| t.position);
-        own.max(told).is_some_and(|known| position <= known)
+        self.last_position().is_some_and(|known| position <= known)
     }
+
     /// Whether its latest heartbeat, as far as is known, came to this controller.
     pub fn reports_here(&self) -> bool {
-        self.own.is_some_and(|h| !h.older_than(self.told))
+        self.received
+            .is_some_and(|heartbeat| !heartbeat.older_than(self.from_peers))
+    }
+
+    /// Position of its latest heartbeat; positions are ordered by incarnation first.
+    fn last_position(&self) -> Option<HeartbeatPosition> {
+        let received = self.received.map(|heartbeat| heartbeat.position);
+        received.max(self.from_peers.map(|heartbeat| heartbeat.position))
     }
 }
 
 impl Controller {
+    /// What is known here of whether a machine is alive.
     pub(crate) fn liveness(&self, id: &str) -> Liveness<'_> {
         Liveness {
-            own: self.workers.last_heartbeats.get(id),
-            told: self.peers.observation(id),
-            of: self.workers.observations.of(id),
+            received: self.workers.last_heartbeats.get(id),
+            from_peers: self.peers.observation(id),
+            observation: self.workers.observations.of(id),
         }
     }
 }
 
+/// What this controller noted of each machine.
 #[derive(Debug)]
 pub(crate) struct MachineObservations {
     machines: HashMap<String, MachineObservation>,
@@ -97,30 +113,38 @@
         }
     }
 
+    /// What was noted of a machine; nothing, if there is no entry.
     pub fn of(&self, id: &str) -> MachineObservation {
         self.machines.get(id).copied().unwrap_or_default()
     }
 
-    /// To note something of a machine. What is not on record is forgotten soon (`forget`).
+    /// The entry of a machine, to note something in it. Entries of machines without a record are soon
+    /// dropped by `forget`.
     pub fn note(&mut self, id: &str) -> &mut MachineObservation {
         // Names are only copied for machines that are new.
         if !self.machines.contains_key(id) {
             self.machines
                 .insert(id.to_string(), MachineObservation::default());
         }
-        self.machines.get_mut(id).expect("just put there")
+        self.machines
+            .get_mut(id)
+            .expect("the entry was inserted above")
     }
 
-    /// After a pause: what gave reason to act on machines dates from before.
+    /// Forgets what gave reason to act on machines: after a pause of this process it is out of date.
     pub fn reset_after_pause(&mut self) {
-        for of in self.machines.values_mut() {
-            (of.up, of.idle, of.asked, of.unreached) = (None, None, None, None);
+        for observation in self.machines.values_mut() {
+            observation.up_since = None;
+            observation.idle_since = None;
+            observation.probed_at = None;
+            observation.unanswered_at = None;
         }
     }
 
-    pub fn forget(&mut self, on_record: impl Fn(&str) -> bool) {
-        self.machines.retain(|id, _| on_record(id));
-        // A burst's entries are not held for ever.
+    /// Drops the entries of machines that have no record any more.
+    pub fn forget(&mut self, has_record: impl Fn(&str) -> bool) {
+        self.machines.retain(|id, _| has_record(id));
+        // Memory that a burst of machines needed is given back.
         if self.machines.capacity() > 4 * self.machines.len() + 64 {
             self.machines.shrink_to_fit();
         }
--- a/crates/core/src/workers/registry.rs
+++ b/crates/core/src/workers/registry.rs
@@ -6,6 +6,7 @@
 use crate::workers::observations::MachineObservations;
 use crate::workers::reachability::WorkerReachability;
 use crate::workers::starts::Starts;
+use crate::workers::termination::TerminationReason;
 use foldhash::{HashMap, HashMapExt, HashSet};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -61,8 +62,8 @@
     pub(crate) last_assigned_at: HashMap<String, Millis>,
     /// Until when machines fetch images for tasks that this controller placed there, about.
     pub(crate) fetching_until: HashMap<String, Millis>,
-    /// Machines whose deletion is to be committed, and why.
-    pub(crate) marked_for_termination: BTreeMap<String, &'static str>,
+    /// Machines whose deletion is to be recorded, and why.
+    pub(crate) marked_for_termination: BTreeMap<String, TerminationReason>,
     /// When failures were last looked for.
     pub(crate) failures_detected_at: Millis,
 }
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -13,6 +13,7 @@
 use crate::scheduling::claims::{self, AttemptOutcome};
 use crate::state::StartDelivery;
 use crate::state::{Assignment, Key, MachinePhase, MachineRecord, Record, TransactionBuilder};
+use crate::workers::termination::TerminationReason;
 use std::collections::BTreeMap;
 
 /// What became of an attempt, until that is recorded.
@@ -139,12 +140,12 @@
         }
         let mut returning = false;
         let some_seen = usize::from(!self.write_back.machine_updates.is_empty());
-        for (id, why) in lost {
+        for (id, reason) in lost {
             if !room(&draft, 1 + some_seen) {
                 full = true;
                 break;
             }
-            returning |= self.draft_deletion(&mut draft, id, why);
+            returning |= self.draft_deletion(&mut draft, id, *reason);
         }
         for (id, seen) in &self.write_back.machine_updates {
             if !room(&draft, 1) {
@@ -157,12 +158,12 @@
                 }
             }
         }
-        for (id, why) in idle {
+        for (id, reason) in idle {
             if !room(&draft, 1) {
                 full = true;
                 break;
             }
-            returning |= self.draft_deletion(&mut draft, id, why);
+            returning |= self.draft_deletion(&mut draft, id, *reason);
         }
         for id in &self.provisioning.deletion_confirmed {
             // No claim can follow: each rests on the record as it was while the machine was up.
@@ -188,7 +189,12 @@
     }
 
     /// Drafts that a machine is to be deleted; says whether there was need to.
-    fn draft_deletion(&self, draft: &mut TransactionBuilder, id: &str, why: &str) -> bool {
+    fn draft_deletion(
+        &self,
+        draft: &mut TransactionBuilder,
+        id: &str,
+        reason: TerminationReason,
+    ) -> bool {
         let Some(mut machine) = draft.machine(id).or_else(|| self.record_of_provisioned(id)) else {
             return false;
         };
@@ -196,7 +202,12 @@
             return false;
         }
         let assignments = self.cache.assigned_tasks(id);
-        tracing::info!(machine = id, assignments, why, "deleting");
+        tracing::info!(
+            machine = id,
+            assignments,
+            reason = reason.as_str(),
+            "deletion of machine to be recorded"
+        );
         machine.phase = MachinePhase::Deprovisioning;
         draft.put(Key::Machine(id.to_string()), Record::Machine(machine));
         true
@@ -327,18 +338,6 @@
         }
     }
 
-    /// Commits, with the next flush, that a machine is to be deleted. Its assignments stay until
-    /// that is proven.
-    pub(crate) fn mark_for_termination(&mut self, id: &str, why: &'static str) {
-        let phase = self.cache.machine(id).map(|m| m.phase);
-        if phase != Some(MachinePhase::Deprovisioning) {
-            self.workers
-                .marked_for_termination
-                .entry(id.to_string())
-                .or_insert(why);
-        }
-    }
-
     /// The record of a machine that an instance request brought and that was never heard of.
     fn record_of_provisioned(&self, id: &str) -> Option<MachineRecord> {
         let (_, instance_request, _) = self
--- a/crates/core/src/zones/detector/tests.rs
+++ b/crates/core/src/zones/detector/tests.rs
@@ -8,8 +8,8 @@
         machines,
         ..ZoneObservation::default()
     };
-    assert!(!of(ZONE_MIN_MACHINES - 1).tells() && of(ZONE_MIN_MACHINES).tells());
-    let waits = [ZONE_MIN_MACHINES, 60, 600].map(|n| of(n).patience(5_000));
+    assert!(!of(ZONE_MIN_MACHINES - 1).is_significant() && of(ZONE_MIN_MACHINES).is_significant());
+    let waits = [ZONE_MIN_MACHINES, 60, 600].map(|n| of(n).silence_limit_ms(5_000));
     assert_eq!(
         waits[0],
         2 * PEER_HEARTBEAT_MS + 6_250,
@@ -28,6 +28,10 @@
         overdue,
         ..ZoneObservation::default()
     };
-    assert!(!of(600, 0).late() && !of(600, 4).late() && of(600, 12).late());
-    assert!(!of(8, 2).late() && of(8, 3).late());
+    assert!(
+        !of(600, 0).has_enough_overdue()
+            && !of(600, 4).has_enough_overdue()
+            && of(600, 12).has_enough_overdue()
+    );
+    assert!(!of(8, 2).has_enough_overdue() && of(8, 3).has_enough_overdue());
 }
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -1,5 +1,5 @@
-//! Looks at the machines of lost zones: which of them are ended so that their work is placed
-//! elsewhere, in which order. The decision for each is `failures::verdict`.
+//! Evacuation of unreachable zones: which of their machines are deleted so that their tasks are placed
+//! elsewhere, and in which order. The decision for each machine is `failures::evacuation_reason`.
 
 use crate::constants::{
     ZONE_EVACUATION_INTERVAL_MS, ZONE_GIVE_UP_MS, ZONE_LATE_MS, ZONE_PROVISION_AHEAD_MS,
@@ -10,285 +10,384 @@
 use crate::scheduling::claims;
 use crate::scheduling::pending_work::PendingWork;
 use crate::state::{
-    Assignment, MachinePhase, MachineRecord, Placed, TransactionBuilder, ZoneSpreadRecord,
+    Assignment, JobRecord, MachinePhase, MachineRecord, Placed, TransactionBuilder,
+    ZoneSpreadRecord,
+};
+use crate::workers::termination::TerminationReason;
+use crate::zones::failures::{
+    evacuation_reason, AssignedWork, EvacuationReason, ZoneFailureKind, ZoneOutage,
 };
-use crate::zones::failures::{self, Holding, Kind, Lost, Why};
 use foldhash::{HashMap, HashMapExt};
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines alike in what jobs ask of them.
-struct Place {
-    kind: String,
+/// What is free on one reachable machine, and what jobs may ask of that machine.
+struct FreeCapacity {
+    machine_type: String,
     zone: String,
     spot: bool,
+    resources: Resources,
 }
 
-impl Place {
-    fn takes(&self, spec: &JobSpec, zone_room: &impl Fn(&str) -> u32) -> bool {
-        spec.allows(&self.kind, &self.zone, self.spot) && zone_room(&self.zone) > 0
-    }
+/// Capacity on reachable machines that is not reserved for tasks of machines looked at before.
+struct ReachableCapacity {
+    free: Vec<FreeCapacity>,
+    /// Jobs whose tasks fit nowhere.
+    jobs_without_capacity: BTreeSet<String>,
+    /// How many tasks of a job are in each zone, reserved capacity included.
+    zone_spread: HashMap<String, ZoneSpreadRecord>,
 }
 
-/// Room outside the lost zones, as far as it is not spoken for.
-struct Outside {
-    /// What is free on machines that can be reached.
-    free: Vec<(Place, Resources)>,
-    /// Jobs whose tasks find none.
-    none: BTreeSet<String>,
+/// Capacity reserved for one task.
+struct Reservation {
+    job: String,
+    /// Index in `ReachableCapacity::free`.
+    index: usize,
+    resources: Resources,
 }
 
-impl Outside {
-    /// Takes room for a task, if there is any where its job allows it: which.
-    fn take(&mut self, spec: &JobSpec, zone_room: impl Fn(&str) -> u32) -> Option<usize> {
-        if self.none.contains(&spec.id) {
+impl ReachableCapacity {
+    /// Reserves capacity for a task of a job outside its present zone, if there is any that its job
+    /// allows.
+    fn reserve(&mut self, job: &str, spec: &JobSpec, present_zone: &str) -> Option<Reservation> {
+        if self.jobs_without_capacity.contains(&spec.id) {
             return None;
         }
-        for (at, (place, room)) in self.free.iter_mut().enumerate() {
-            if room.fits(&spec.resources) && place.takes(spec, &zone_room) {
-                *room = room.less(&spec.resources);
-                return Some(at);
-            }
-        }
-        self.none.insert(spec.id.clone());
-        None
+        let spread = self.zone_spread.entry(job.to_string()).or_default();
+        let allowed = |capacity: &FreeCapacity| {
+            let FreeCapacity {
+                machine_type,
+                zone,
+                spot,
+                resources,
+            } = capacity;
+            resources.fits(&spec.resources)
+                && spec.allows(machine_type, zone, *spot)
+                && zone != present_zone
+                && claims::zone_room(spec, spread, zone) > 0
+        };
+        let Some(index) = self.free.iter().position(allowed) else {
+            self.jobs_without_capacity.insert(spec.id.clone());
+            return None;
+        };
+        let capacity = &mut self.free[index];
+        capacity.resources = capacity.resources.less(&spec.resources);
+        *spread.zones.entry(capacity.zone.clone()).or_default() += 1;
+        Some(Reservation {
+            job: job.to_string(),
+            index,
+            resources: spec.resources,
+        })
     }
 
-    fn give_back(&mut self, at: usize, resources: &Resources) {
-        if let Some((_, room)) = self.free.get_mut(at) {
-            *room = room.plus(resources);
+    /// Gives reserved capacity back.
+    fn release(&mut self, reservation: &Reservation) {
+        let Some(capacity) = self.free.get_mut(reservation.index) else {
+            return;
+        };
+        capacity.resources = capacity.resources.plus(&reservation.resources);
+        if let Some(spread) = self.zone_spread.get_mut(&reservation.job) {
+            let count = spread.zones.entry(capacity.zone.clone()).or_default();
+            *count = count.saturating_sub(1);
         }
     }
 }
 
-/// A machine that is to be ended, and what decides its turn: the first goes first.
+/// A machine that is to be deleted. Candidates are ordered by what decides which go first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
-    priority: std::cmp::Reverse<JobPriority>,
-    borrowed: bool,
-    due: WallMs,
+struct EvacuationCandidate {
+    urgency: Urgency,
     machine: String,
-    why: Why,
+    reason: EvacuationReason,
+}
+
+/// How urgent the most urgent task of a machine is; the most urgent is the least.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Urgency {
+    priority: Reverse<JobPriority>,
+    /// Whether all its tasks belong to teams that use more than their guaranteed share.
+    beyond_quota: bool,
+    /// The earliest time of day by which a task is to be done.
+    deadline: WallMs,
+}
+
+impl Urgency {
+    /// Less urgent than any task.
+    const NONE: Urgency = Urgency {
+        priority: Reverse(JobPriority::Low),
+        beyond_quota: true,
+        deadline: WallMs::MAX,
+    };
+
+    /// The more urgent in each respect.
+    fn merge(&mut self, other: Urgency) {
+        self.priority = self.priority.min(other.priority);
+        self.beyond_quota &= other.beyond_quota;
+        self.deadline = self.deadline.min(other.deadline);
+    }
+}
+
+/// What a machine of an unreachable zone holds.
+struct MachineWork {
+    tasks: Vec<AssignedWork>,
+    reservations: Vec<Reservation>,
+    urgency: Urgency,
+}
+
+/// Which machines of unreachable zones are to be deleted.
+#[derive(Default)]
+struct EvacuationPlan {
+    /// The most urgent first.
+    candidates: Vec<EvacuationCandidate>,
+    /// Machines that are to be deleted once there is capacity for what they hold.
+    provision_for: Vec<String>,
+    /// Number of machines that are marked for termination already.
+    already_marked: usize,
 }
 
 impl Controller {
-    /// Ends machines of lost zones whose work is better off elsewhere, so many at a time.
+    /// Deletes machines of unreachable zones whose tasks are better off elsewhere, a limited number at a
+    /// time, and provisions for what lacks capacity elsewhere.
     pub(crate) fn evacuate_failed_zones(&mut self) {
-        let off = !self.settings.tuning.lost_zones;
-        if off
+        if !self.settings.tuning.lost_zones
             || !self.zones.has_unreachable()
-            || self.now < self.zones.judged_at + ZONE_EVACUATION_INTERVAL_MS
+            || self.now < self.zones.evacuation_checked_at + ZONE_EVACUATION_INTERVAL_MS
         {
             return;
         }
-        self.zones.judged_at = self.now;
+        self.zones.evacuation_checked_at = self.now;
         if !self.has_heard_full_round() || !self.workers_reachable() {
             return;
         }
-        let (lease_ms, tuning) = (self.settings.lease_ms, self.settings.tuning);
-        let mut outside = self.outside();
-        let lost: BTreeMap<String, Lost> = (self.zones.signs.keys())
-            .filter_map(|zone| {
-                let ms = self.now - self.zones.lost_since(self.now, zone)?;
-                let kind = self.failure_kind(zone);
-                Some((zone.clone(), Lost { kind, ms }))
-            })
-            .collect();
-        let mut places: HashMap<String, ZoneSpreadRecord> = HashMap::new();
-        let mut turns: Vec<Turn> = Vec::new();
-        let mut foreseen: Vec<String> = Vec::new();
-        let mut waiting = 0;
-        for (id, m, _) in self.cache.machines() {
-            let Some(lost) = lost.get(&m.zone).filter(|_| m.is_up()) else {
+        let plan = self.plan_evacuation();
+        let limit = self.settings.tuning.zone_ends;
+        let limit = limit.saturating_sub(plan.already_marked);
+        for candidate in plan.candidates.into_iter().take(limit) {
+            let reason = TerminationReason::ZoneEvacuation(candidate.reason);
+            self.mark_for_termination(&candidate.machine, reason);
+        }
+        let work = self.pending_work_of(&plan.provision_for);
+        self.scale_out(&work);
+    }
+
+    /// Decides for each machine of an unreachable zone whether it is to be deleted.
+    fn plan_evacuation(&self) -> EvacuationPlan {
+        let tuning = &self.settings.tuning;
+        let outages = self.confirmed_outages();
+        let mut capacity = self.reachable_capacity();
+        let mut plan = EvacuationPlan::default();
+        for (id, machine, _) in self.cache.machines() {
+            let Some(outage) = outages.get(&machine.zone).filter(|_| machine.is_up()) else {
                 continue;
             };
             if self.workers.marked_for_termination.contains_key(id) {
-                waiting += 1;
+                plan.already_marked += 1;
                 continue;
             }
-            // What serves inside is left alone: nothing is to be worked out.
-            let serves = |(task, p): (&TaskId, &Placed)| {
-                let spec = self.cache.open_job(&task.job);
-                let service = spec.is_some_and(|s| s.kind == JobKind::Service);
-                service && !self.unseen(id, task, &p.assignment)
-            };
-            let left = lost.kind == Kind::Inside && lost.ms <= ZONE_GIVE_UP_MS;
-            if left && self.cache.assignments(id).any(serves) {
+            if self.is_left_to_serve(id, outage) {
                 continue;
             }
-            let (holds, taken, turn) = self.holdings(id, m, lost, &mut outside, &mut places);
-            match failures::evacuation_reason(lost, &holds, lease_ms, &tuning, self.wall) {
-                Some(why) => turns.push(Turn { why, ..turn }),
+            let work = self.work_on_machine(id, machine, outage, &mut capacity);
+            let lease_ms = self.settings.lease_ms;
+            match evacuation_reason(outage, &work.tasks, lease_ms, tuning, self.wall) {
+                Some(reason) => plan.candidates.push(EvacuationCandidate {
+                    urgency: work.urgency,
+                    machine: id.to_string(),
+                    reason,
+                }),
                 None => {
-                    // What only lacks room elsewhere, now or by the time that room is there.
-                    let ahead = Lost {
-                        ms: lost.ms + ZONE_PROVISION_AHEAD_MS,
-                        ..*lost
-                    };
-                    let roomy: Vec<Holding> = (holds.iter())
-                        .map(|h| Holding {
-                            elsewhere: true,
-                            ..h.clone()
-                        })
-                        .collect();
-                    let wall = self.wall + ZONE_PROVISION_AHEAD_MS;
-                    if foreseen.len() < tuning.zone_ends
-                        && failures::evacuation_reason(&ahead, &roomy, lease_ms, &tuning, wall)
-                            .is_some()
+                    if plan.provision_for.len() < tuning.zone_ends
+                        && self.lacks_only_capacity(outage, &work.tasks)
                     {
-                        foreseen.push(id.to_string());
+                        plan.provision_for.push(id.to_string());
                     }
-                    for (job, at, resources) in taken {
-                        outside.give_back(at, &resources);
-                        if let Some(places) = places.get_mut(&job) {
-                            let zone = outside.free[at].0.zone.clone();
-                            let n = places.zones.entry(zone).or_default();
-                            *n = n.saturating_sub(1);
-                        }
+                    for reservation in &work.reservations {
+                        capacity.release(reservation);
                     }
                 }
             }
         }
-        turns.sort();
-        for turn in turns
-            .into_iter()
-            .take(tuning.zone_ends.saturating_sub(waiting))
-        {
-            self.mark_for_termination(&turn.machine, turn.why.name());
-        }
-        let work = self.foreseen(&foreseen);
-        self.scale_out(&work);
+        plan.candidates.sort();
+        plan
+    }
+
+    /// Outages of zones that have been known for long enough to act on them.
+    fn confirmed_outages(&self) -> BTreeMap<String, ZoneOutage> {
+        let zones = self.zones.observations.keys();
+        zones
+            .filter_map(|zone| {
+                let since = self.zones.confirmed_unreachable_since(self.now, zone)?;
+                let outage = ZoneOutage {
+                    kind: self.failure_kind(zone),
+                    duration_ms: self.now - since,
+                };
+                Some((zone.clone(), outage))
+            })
+            .collect()
     }
 
-    /// The work of machines that are to be ended once there is room for it, as if it waited: what is
-    /// provisioned for it now is up by then.
-    fn foreseen(&self, machines: &[String]) -> Vec<PendingWork> {
+    /// Whether a machine is left alone for the service that it runs inside a partitioned zone: nothing
+    /// needs to be worked out for it then.
+    fn is_left_to_serve(&self, id: &str, outage: &ZoneOutage) -> bool {
+        let serves = |(task, placed): (&TaskId, &Placed)| {
+            let spec = self.cache.open_job(&task.job);
+            spec.is_some_and(|spec| spec.kind == JobKind::Service)
+                && !self.is_start_in_flight(id, task, &placed.assignment)
+        };
+        outage.kind == ZoneFailureKind::WithControllers
+            && outage.duration_ms <= ZONE_GIVE_UP_MS
+            && self.cache.assignments(id).any(serves)
+    }
+
+    /// Whether a machine would be deleted if there were capacity for its tasks elsewhere, now or by the time
+    /// that newly provisioned capacity is up.
+    fn lacks_only_capacity(&self, outage: &ZoneOutage, tasks: &[AssignedWork]) -> bool {
+        let outage = ZoneOutage {
+            duration_ms: outage.duration_ms + ZONE_PROVISION_AHEAD_MS,
+            ..*outage
+        };
+        let fitting = |task: &AssignedWork| AssignedWork {
+            fits_elsewhere: true,
+            ..task.clone()
+        };
+        let tasks: Vec<AssignedWork> = tasks.iter().map(fitting).collect();
+        let (lease_ms, tuning) = (self.settings.lease_ms, &self.settings.tuning);
+        let wall = self.wall + ZONE_PROVISION_AHEAD_MS;
+        evacuation_reason(&outage, &tasks, lease_ms, tuning, wall).is_some()
+    }
+
+    /// The tasks of machines that are to be deleted once there is capacity for them, as if they were
+    /// pending: what is provisioned for them now is up by then.
+    fn pending_work_of(&self, machines: &[String]) -> Vec<PendingWork> {
         let mut jobs: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
         for id in machines {
             for (task, _) in self.cache.assignments(id) {
                 jobs.entry(&task.job).or_default().push(task.index);
             }
         }
-        let work = jobs.into_iter().filter_map(|(id, indices)| {
+        let pending = |(id, indices): (&str, Vec<u32>)| {
             let job = self.cache.job(id)?;
             let spec = job.open()?;
-            let mut w = PendingWork::of(&self.cache, &self.settings, id, job, spec);
-            w.indices = indices.into();
-            Some(w)
-        });
-        let mut work: Vec<PendingWork> = work.collect();
+            let mut work = PendingWork::of(&self.cache, &self.settings, id, job, spec);
+            work.indices = indices.into();
+            Some(work)
+        };
+        let mut work: Vec<PendingWork> = jobs.into_iter().filter_map(pending).collect();
         work.sort_by(|a, b| a.urgency.cmp(&b.urgency).then(a.job.cmp(&b.job)));
         work
     }
 
-    /// What a machine holds, and the turn that its most urgent task gives it.
-    fn holdings(
+    /// What a machine holds, with capacity reserved elsewhere for what fits.
+    fn work_on_machine(
         &self,
         id: &str,
-        m: &MachineRecord,
-        lost: &Lost,
-        outside: &mut Outside,
-        places: &mut HashMap<String, ZoneSpreadRecord>,
-    ) -> (Vec<Holding>, Vec<(String, usize, Resources)>, Turn) {
-        let mut taken = Vec::new();
-        let mut turn = Turn {
-            priority: std::cmp::Reverse(JobPriority::Low),
-            borrowed: true,
-            due: WallMs::MAX,
-            machine: id.to_string(),
-            why: Why::Late,
+        machine: &MachineRecord,
+        outage: &ZoneOutage,
+        capacity: &mut ReachableCapacity,
+    ) -> MachineWork {
+        let mut work = MachineWork {
+            tasks: Vec::new(),
+            reservations: Vec::new(),
+            urgency: Urgency::NONE,
         };
-        let mut holds = Vec::new();
         for (task, placed) in self.cache.assignments(id) {
-            let (Some(job), Some(spec)) =
-                (self.cache.job(&task.job), self.cache.open_job(&task.job))
-            else {
+            let job = self.cache.job(&task.job);
+            let (Some(job), Some(spec)) = (job, self.cache.open_job(&task.job)) else {
                 continue;
             };
-            let unseen = self.unseen(id, task, &placed.assignment);
-            let run_ms = dependencies::run_ms(spec);
-            let ready_at = self.cache.ready_at(job);
-            let deadline = dependencies::deadline(job, spec);
-            let within = self
-                .settings
-                .policy
-                .goals
-                .get(&spec.class)
-                .into_iter()
-                .flatten();
-            let goals = within.map(|ms| ready_at + ms).chain(deadline);
-            let mut goals: Vec<WallMs> = goals.collect();
-            goals.sort();
-            let limited = spec.zone_affinity || spec.topology_spread;
-            let places = places.entry(task.job.clone()).or_insert_with(|| {
-                let draft = TransactionBuilder::new(&self.cache);
-                // A job that is to stay together moves as a whole: its other tasks are lost as well.
-                match spec.topology_spread && job.tasks > 1 {
-                    true => claims::zones_of(&draft, job, &task.job, &self.settings.zones),
-                    false => ZoneSpreadRecord::default(),
-                }
-            });
-            let room = |zone: &str| match zone == m.zone {
-                true => 0,
-                false => claims::zone_room(spec, places, zone),
-            };
-            let found = outside.take(spec, room);
-            if let Some(at) = found {
-                taken.push((task.job.clone(), at, spec.resources));
-                let zone = outside.free[at].0.zone.clone();
-                *places.zones.entry(zone).or_default() += 1;
+            if !capacity.zone_spread.contains_key(&task.job) {
+                let spread = self.zone_spread_of(&task.job, job, spec);
+                capacity.zone_spread.insert(task.job.clone(), spread);
             }
-            // Work of high rank finds room by stopping what is lower.
-            let elsewhere = found.is_some()
-                || !limited
-                    && spec.priority >= JobPriority::High
-                    && lost.ms > ZONE_LATE_MS
-                    && spec.zone.is_none();
-            let usage = self.cache.usage(&spec.team);
-            let team = self.settings.policy.teams.get(&spec.team);
-            let borrowed = team.is_none_or(|t| usage.cpus > t.cpus);
-            turn.priority = turn.priority.min(std::cmp::Reverse(spec.priority));
-            turn.borrowed &= borrowed;
-            turn.due = turn.due.min(goals.first().copied().unwrap_or(WallMs::MAX));
-            holds.push(Holding {
+            let reservation = capacity.reserve(&task.job, spec, &machine.zone);
+            let deadlines = self.deadlines_of(job, spec);
+            work.urgency.merge(Urgency {
+                priority: Reverse(spec.priority),
+                beyond_quota: self.is_beyond_quota(&spec.team),
+                deadline: deadlines.first().copied().unwrap_or(WallMs::MAX),
+            });
+            work.tasks.push(AssignedWork {
                 priority: spec.priority,
-                service: spec.kind == JobKind::Service,
-                unseen,
-                elsewhere,
-                goals,
-                run_ms,
+                is_service: spec.kind == JobKind::Service,
+                start_in_flight: self.is_start_in_flight(id, task, &placed.assignment),
+                fits_elsewhere: reservation.is_some() || may_preempt_elsewhere(spec, outage),
+                deadlines,
+                run_ms: dependencies::run_ms(spec),
             });
+            work.reservations.extend(reservation);
+        }
+        work
+    }
+
+    /// How a job's tasks are spread over zones, if that restricts where they may go.
+    fn zone_spread_of(&self, id: &str, job: &JobRecord, spec: &JobSpec) -> ZoneSpreadRecord {
+        // A job with zone affinity moves as a whole: its other tasks are unreachable as well.
+        if !spec.topology_spread || job.tasks <= 1 {
+            return ZoneSpreadRecord::default();
         }
-        (holds, taken, turn)
+        let draft = TransactionBuilder::new(&self.cache);
+        claims::zones_of(&draft, job, id, &self.settings.zones)
     }
 
-    /// Whether a task's start was on its way when its machine was last heard.
-    fn unseen(&self, id: &str, task: &TaskId, b: &Assignment) -> bool {
-        let last_sign = self.last_sign(id).unwrap_or(0);
-        self.workers
-            .starts
-            .unseen(&(task.clone(), b.attempt), last_sign)
+    /// Times of day by which a job is to be done, in ascending order: its class's service-level objectives
+    /// and its own deadline.
+    fn deadlines_of(&self, job: &JobRecord, spec: &JobSpec) -> Vec<WallMs> {
+        let ready_at = self.cache.ready_at(job);
+        let objectives_ms = self.settings.policy.goals.get(&spec.class);
+        let objectives_ms = objectives_ms.into_iter().flatten();
+        let deadlines = objectives_ms.map(|ms| ready_at + ms);
+        let mut deadlines: Vec<WallMs> =
+            deadlines.chain(dependencies::deadline(job, spec)).collect();
+        deadlines.sort();
+        deadlines
     }
 
-    fn outside(&self) -> Outside {
+    /// Whether a team uses more than its guaranteed share.
+    fn is_beyond_quota(&self, team: &str) -> bool {
+        let used = self.cache.usage(team);
+        let quota = self.settings.policy.teams.get(team);
+        quota.is_none_or(|quota| used.cpus > quota.cpus)
+    }
+
+    /// Whether a task's start was on its way when its machine last gave a sign of life.
+    fn is_start_in_flight(&self, id: &str, task: &TaskId, assignment: &Assignment) -> bool {
+        let last_sign_at = self.last_sign(id).unwrap_or(0);
+        let attempt = (task.clone(), assignment.attempt);
+        self.workers.starts.unseen(&attempt, last_sign_at)
+    }
+
+    /// What is free on machines that can be reached.
+    fn reachable_capacity(&self) -> ReachableCapacity {
         let mut free = Vec::new();
-        for (id, m, _) in self.cache.machines() {
-            let up = m.phase == MachinePhase::Up && self.reachable(id, &m.zone);
-            let Some(kind) = self.machine_types.get(&m.type_name).filter(|_| up) else {
+        for (id, machine, _) in self.cache.machines() {
+            let usable = machine.phase == MachinePhase::Up && self.reachable(id, &machine.zone);
+            let machine_type = self.machine_types.get(&machine.type_name);
+            let Some(machine_type) = machine_type.filter(|_| usable) else {
                 continue;
             };
-            let room = kind.room.less(&self.cache.used(id));
-            if room.cpus > 0 && !self.workers.marked_for_termination.contains_key(id) {
-                let place = Place {
-                    kind: m.type_name.clone(),
-                    zone: m.zone.clone(),
-                    spot: m.spot,
-                };
-                free.push((place, room));
+            let resources = machine_type.room.less(&self.cache.used(id));
+            if resources.cpus > 0 && !self.workers.marked_for_termination.contains_key(id) {
+                free.push(FreeCapacity {
+                    machine_type: machine.type_name.clone(),
+                    zone: machine.zone.clone(),
+                    spot: machine.spot,
+                    resources,
+                });
             }
         }
-        Outside {
+        ReachableCapacity {
             free,
-            none: BTreeSet::new(),
+            jobs_without_capacity: BTreeSet::new(),
+            zone_spread: HashMap::new(),
         }
     }
 }
+
+/// Whether a task gets capacity elsewhere by preempting tasks of lower priority.
+fn may_preempt_elsewhere(spec: &JobSpec, outage: &ZoneOutage) -> bool {
+    !spec.zone_affinity
+        && !spec.topology_spread
+        && spec.priority >= JobPriority::High
+        && outage.duration_ms > ZONE_LATE_MS
+        && spec.zone.is_none()
+}
