--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -11,6 +11,7 @@
 use crate::controller::{Controller, PendingOperation, RequestClass};
 use crate::model::{JobKind, Millis, TaskId};
 use crate::scheduling::claims::{self, AttemptOutcome};
+use crate::settings::Settings;
 use crate::state::StartDelivery;
 use crate::state::{Assignment, Key, MachinePhase, MachineRecord, Record, TransactionBuilder};
 use crate::workers::termination::TerminationReason;
@@ -26,166 +27,254 @@
     pub rests_on: Option<StartDelivery>,
 }
 
+/// Machines to be deleted, with the reasons.
+type MarkedMachines<'a> = Vec<(&'a String, &'a TerminationReason)>;
+
+/// A transaction of results while it is drafted.
+struct ResultsDraft<'a> {
+    builder: TransactionBuilder<'a>,
+    settings: &'a Settings,
+    /// Number of changes that results and starts leave to machines' records.
+    kept_for_machines: usize,
+    /// Whether something that waits did not fit.
+    is_full: bool,
+}
+
+impl ResultsDraft<'_> {
+    /// Whether so many more changes fit.
+    fn has_room(&self, changes: usize) -> bool {
+        let bytes = self.settings.max_value_bytes as usize + 2 * SMALL_RECORD_BYTES;
+        self.builder
+            .has_room(self.settings, changes, changes, bytes)
+    }
+
+    /// Whether so many more changes fit besides those kept for machines' records. The first always may use
+    /// these.
+    fn has_room_besides_machines(&self, changes: usize) -> bool {
+        let kept = match self.builder.is_empty() {
+            true => 0,
+            false => self.kept_for_machines,
+        };
+        self.has_room(changes + kept)
+    }
+}
+
 impl Controller {
-    /// Records what is waiting for it, in order of what others wait for most: results, starts
-    /// that a held heartbeat's answer shall carry, machines.
+    /// Records what is waiting for it, in order of what others wait for most: results, starts that go
+    /// into the answers to held heartbeats, machines.
     pub(crate) fn write_results(&mut self) {
+        let Some(changes_left) = self.changes_for_results() else {
+            return;
+        };
+        self.record_deleted();
+        self.drop_outdated_evidence();
+
+        let max_changes = self.max_result_changes(changes_left);
+        // When changes are short there are always results to fill a transaction. Machines that came up
+        // would never be recorded then, nor used, and be given up as never heard of; what ran on
+        // unreachable ones would not start anew, and cancelled tasks would outlive their time on others.
+        // Up to half of the changes are left to these.
+        let (in_use, idle) = self.machines_to_delete();
+        let waiting = in_use.len() + self.write_back.machine_updates.len();
+        let limit = max_changes.min(self.settings.max_transaction_changes);
+        let mut draft = ResultsDraft {
+            builder: TransactionBuilder::limited(&self.cache, max_changes),
+            settings: &self.settings,
+            kept_for_machines: waiting.min(limit / 2),
+            is_full: false,
+        };
+        let released = self.draft_results(&mut draft);
+        let reply_start = self.draft_reply_starts(&mut draft);
+        self.draft_checkpoints(&mut draft);
+        let kept_for_updates = usize::from(!self.write_back.machine_updates.is_empty());
+        let mut returning = self.draft_deletions(&mut draft, in_use, kept_for_updates);
+        self.draft_machine_updates(&mut draft);
+        returning |= self.draft_deletions(&mut draft, idle, 0);
+        self.draft_confirmed_deletions(&mut draft);
+
+        let is_full = draft.is_full;
+        let mut builder = draft.builder;
+        let large = builder.drop_oversized(self.settings.max_value_bytes);
+        if builder.is_empty() {
+            self.log_oversized(large);
+            return;
+        }
+        self.writes.pass_goes_first = true;
+        self.write_back.written_at = if is_full { 0 } else { self.now };
+        let transaction = builder.finish();
+        let purpose = PendingOperation::WriteResults {
+            reply_start,
+            returning,
+            released,
+        };
+        self.commit_assignments(transaction, purpose, RequestClass::Result);
+        self.log_oversized(large);
+    }
+
+    /// Number of changes that may be made now, if there may be something to record and a transaction for it
+    /// may be sent.
+    fn changes_for_results(&mut self) -> Option<usize> {
         if !self.sync.has_listed
             || !self.has_current_state()
             || self.cache.term().is_none()
             || !self.may_write()
             || self.now < self.write_back.written_at + RESULTS_WRITE_INTERVAL_MS
         {
-            return;
+            return None;
         }
-        let left = self.changes_left();
-        if left < self.min_changes() || self.writes.pass_goes_first && self.is_pass_due() {
-            return;
+        let pass_goes_first = self.writes.pass_goes_first && self.is_pass_due();
+        let changes_left = self.changes_left();
+        if changes_left < self.min_changes() || pass_goes_first {
+            return None;
         }
-        // Most events leave nothing to record: none of the below would draft anything.
-        if self.write_back.results.is_empty()
+        // Most events leave nothing to record.
+        let is_idle = self.write_back.results.is_empty()
             && self.write_back.checkpoints_due.is_empty()
             && self.write_back.machine_updates.is_empty()
             && self.workers.marked_for_termination.is_empty()
             && self.workers.held_heartbeats.is_empty()
-            && self.provisioning.deletion_confirmed.is_empty()
-        {
-            return;
-        }
-        self.record_deleted();
+            && self.provisioning.deletion_confirmed.is_empty();
+        (!is_idle).then_some(changes_left)
+    }
+
+    /// Drops evidence that the records contain by now, or that they have made irrelevant.
+    fn drop_outdated_evidence(&mut self) {
         let cache = &self.cache;
-        self.write_back.results.retain(|(task, at), ended| {
-            let assignment = cache.attempt(task, *at);
-            assignment.is_some_and(|b| {
-                ended
-                    .rests_on
-                    .is_none_or(|delivery| delivery == b.delivery())
+        self.write_back.results.retain(|(task, attempt), ended| {
+            let assignment = cache.attempt(task, *attempt);
+            assignment.is_some_and(|assignment| {
+                let delivery = ended.rests_on;
+                delivery.is_none_or(|delivery| delivery == assignment.delivery())
             })
         });
-        self.write_back.checkpoints_due.retain(|(task, at)| {
-            let assignment = cache.attempt(task, *at);
-            assignment.is_some_and(|b| b.stop.is_none())
+        self.write_back.checkpoints_due.retain(|(task, attempt)| {
+            let assignment = cache.attempt(task, *attempt);
+            assignment.is_some_and(|assignment| assignment.stop.is_none())
         });
-        let mut seen = std::mem::take(&mut self.write_back.machine_updates);
-        seen.retain(|id, seen| self.updated_record(id, seen).is_some());
-        self.write_back.machine_updates = seen;
+        let mut updates = std::mem::take(&mut self.write_back.machine_updates);
+        updates.retain(|id, update| self.updated_record(id, update).is_some());
+        self.write_back.machine_updates = updates;
+    }
 
-        // What waits for room must not wait for a long transaction as well.
-        let most = match self.scheduling.has_pending_work {
-            true => left.min(self.writes.max_result_changes / 2),
-            false => left.min(self.writes.max_result_changes),
-        };
-        let most = most.max(MIN_CHANGES);
-        let mut draft = TransactionBuilder::limited(&self.cache, most);
-        let settings = &self.settings;
-        let room = |draft: &TransactionBuilder, ops: usize| {
-            let bytes = settings.max_value_bytes as usize + 2 * SMALL_RECORD_BYTES;
-            draft.has_room(settings, ops, ops, bytes)
+    /// Number of changes that the next transaction of results may make.
+    fn max_result_changes(&self, changes_left: usize) -> usize {
+        // Tasks that wait for capacity must not wait for a long transaction as well.
+        let limit = match self.scheduling.has_pending_work {
+            true => self.writes.max_result_changes / 2,
+            false => self.writes.max_result_changes,
         };
-        let mut full = false;
-        let mut released = Vec::new();
-        // When changes are short there are always results to fill a transaction. Machines that came
-        // up would never be recorded then, nor used, and be given up as never heard of; what ran on
-        // dead ones would not start anew, and cancelled tasks would outlive their time on others.
-        // Up to half of the changes are left to these.
-        let (lost, idle): (Vec<_>, Vec<_>) = (self.workers.marked_for_termination.iter())
+        changes_left.min(limit).max(MIN_CHANGES)
+    }
+
+    /// Machines whose deletion is to be recorded: those with assignments, and those without.
+    fn machines_to_delete(&self) -> (MarkedMachines<'_>, MarkedMachines<'_>) {
+        let marked = self.workers.marked_for_termination.iter();
+        marked
             .filter(|(id, _)| {
-                let phase = self.cache.machine(id).map(|m| m.phase);
+                let phase = self.cache.machine(id).map(|machine| machine.phase);
                 phase != Some(MachinePhase::Deprovisioning)
             })
-            .partition(|(id, _)| self.cache.assigned_tasks(id) > 0);
-        let ops = most.min(settings.max_transaction_changes);
-        let share = (lost.len() + self.write_back.machine_updates.len()).min(ops / 2);
+            .partition(|(id, _)| self.cache.assigned_tasks(id) > 0)
+    }
+
+    /// Drafts that attempts have ended; returns which.
+    fn draft_results(&self, draft: &mut ResultsDraft) -> Vec<(TaskId, u64)> {
+        let mut released = Vec::new();
         for (task, attempt, outcome) in self.results_in_turn() {
-            let left = if draft.is_empty() { 0 } else { share };
-            if !room(
-                &draft,
-                claims::release_changes(&draft, task, outcome) + left,
-            ) {
-                full = true;
+            let changes = claims::release_changes(&draft.builder, task, outcome);
+            if !draft.has_room_besides_machines(changes) {
+                draft.is_full = true;
                 break;
             }
-            claims::release(&mut draft, task, attempt, outcome, self.wall);
+            claims::release(&mut draft.builder, task, attempt, outcome, self.wall);
             released.push((task.clone(), attempt));
         }
-        let mut reply_start = Vec::new();
+        released
+    }
+
+    /// Drafts that starts go into the answers to held heartbeats; returns the machines of these.
+    fn draft_reply_starts(&self, draft: &mut ResultsDraft) -> Vec<String> {
+        let mut machines = Vec::new();
         for (id, held) in &self.workers.held_heartbeats {
-            // As many as there is room for: a machine may lack hundreds of starts, which share
-            // the puts of a few chunks. What is left goes with its next heartbeat.
+            // As many as fit: a machine may lack hundreds of starts, which share the puts of a few
+            // chunks. The others go with its next heartbeat.
             let position = held.position();
             let mut any = false;
             for (task, attempt) in self.starts_for_reply(held) {
-                let known = self.chunk_key(&task).is_some_and(|key| draft.touches(&key));
-                let left = if draft.is_empty() { 0 } else { share };
-                if !room(&draft, usize::from(!known) + left) {
-                    full = true;
+                let key = self.chunk_key(&task);
+                let is_touched = key.is_some_and(|key| draft.builder.touches(&key));
+                if !draft.has_room_besides_machines(usize::from(!is_touched)) {
+                    draft.is_full = true;
                     break;
                 }
-                self.edit_assignment(&mut draft, &task, attempt, |b| {
-                    b.direct_start = None;
-                    b.reply_start = Some(position);
+                self.edit_assignment(&mut draft.builder, &task, attempt, |assignment| {
+                    assignment.direct_start = None;
+                    assignment.reply_start = Some(position);
                 });
                 any = true;
             }
             if any {
-                reply_start.push(id.clone());
+                machines.push(id.clone());
             }
         }
+        machines
+    }
+
+    /// Drafts that tasks are to be stopped to save a checkpoint before their machine is reclaimed.
+    fn draft_checkpoints(&self, draft: &mut ResultsDraft) {
         for (task, attempt) in &self.write_back.checkpoints_due {
-            if room(&draft, 1 + share) {
-                self.edit_assignment(&mut draft, task, *attempt, |b| {
-                    b.stop = Some("notice".into());
+            if draft.has_room(1 + draft.kept_for_machines) {
+                self.edit_assignment(&mut draft.builder, task, *attempt, |assignment| {
+                    assignment.stop = Some("notice".into());
                 });
             }
         }
-        let mut returning = false;
-        let some_seen = usize::from(!self.write_back.machine_updates.is_empty());
-        for (id, reason) in lost {
-            if !room(&draft, 1 + some_seen) {
-                full = true;
+    }
+
+    /// Drafts that machines are to be deleted, with `kept_free` changes left for others. Returns whether
+    /// any was.
+    fn draft_deletions(
+        &self,
+        draft: &mut ResultsDraft,
+        machines: MarkedMachines,
+        kept_free: usize,
+    ) -> bool {
+        let mut any = false;
+        for (id, reason) in machines {
+            if !draft.has_room(1 + kept_free) {
+                draft.is_full = true;
                 break;
             }
-            returning |= self.draft_deletion(&mut draft, id, *reason);
+            any |= self.draft_deletion(&mut draft.builder, id, *reason);
         }
-        for (id, seen) in &self.write_back.machine_updates {
-            if !room(&draft, 1) {
-                full = true;
+        any
+    }
+
+    /// Drafts what heartbeats give reason to change in machines' records.
+    fn draft_machine_updates(&self, draft: &mut ResultsDraft) {
+        for (id, update) in &self.write_back.machine_updates {
+            if !draft.has_room(1) {
+                draft.is_full = true;
                 break;
             }
-            if let Some(machine) = self.updated_record(id, seen) {
-                if !draft.touches(&Key::Machine(id.clone())) {
-                    draft.put(Key::Machine(id.clone()), Record::Machine(machine));
-                }
-            }
-        }
-        for (id, reason) in idle {
-            if !room(&draft, 1) {
-                full = true;
-                break;
+            let Some(machine) = self.updated_record(id, update) else {
+                continue;
+            };
+            let key = Key::Machine(id.clone());
+            if !draft.builder.touches(&key) {
+                draft.builder.put(key, Record::Machine(machine));
             }
-            returning |= self.draft_deletion(&mut draft, id, *reason);
         }
+    }
+
+    /// Drafts that records of machines are removed whose deletion the cloud has confirmed.
+    fn draft_confirmed_deletions(&self, draft: &mut ResultsDraft) {
         for id in &self.provisioning.deletion_confirmed {
             // No claim can follow: each rests on the record as it was while the machine was up.
-            if self.cache.assigned_tasks(id) == 0 && room(&draft, 1) {
-                draft.remove(Key::Machine(id.clone()));
+            if self.cache.assigned_tasks(id) == 0 && draft.has_room(1) {
+                draft.builder.remove(Key::Machine(id.clone()));
             }
         }
-        let large = draft.drop_oversized(self.settings.max_value_bytes);
-        if draft.is_empty() {
-            self.log_oversized(large);
-            return;
-        }
-        self.writes.pass_goes_first = true;
-        self.write_back.written_at = if full { 0 } else { self.now };
-        let transaction = draft.finish();
-        let purpose = PendingOperation::WriteResults {
-            reply_start,
-            returning,
-            released,
-        };
-        self.commit_assignments(transaction, purpose, RequestClass::Result);
-        self.log_oversized(large);
     }
 
     /// Drafts that a machine is to be deleted; says whether there was need to.
