--- a/crates/core/src/workers/commands.rs
+++ b/crates/core/src/workers/commands.rs
@@ -81,13 +81,14 @@
     /// Stops one assigned task at once, with time to save.
     pub(crate) fn send_stop(&mut self, id: &str, task: &TaskId) {
         let assignment = self.cache.assignment(id, task).map(|p| &p.assignment);
-        let Some((attempt, why)) = assignment.and_then(|b| Some((b.attempt, b.stop.as_deref()?)))
+        let Some((attempt, reason)) =
+            assignment.and_then(|b| Some((b.attempt, b.stop.as_deref()?)))
         else {
             return;
         };
         let grace_s = self.grace_s(&task.job);
         let task = task.clone();
-        tracing::info!(%task, machine = id, why, "stop sent");
+        tracing::info!(%task, machine = id, reason, "stop sent");
         let commands = vec![WorkerCommand::Stop {
             task,
             attempt,
@@ -123,8 +124,8 @@
         }
     }
 
-    pub(crate) fn handle_command_result(&mut self, machine: String, reach: CommandOutcome) {
-        match reach {
+    pub(crate) fn handle_command_result(&mut self, machine: String, outcome: CommandOutcome) {
+        match outcome {
             CommandOutcome::Accepted | CommandOutcome::Refused => {
                 self.heard_worker();
                 self.workers.observations.note(&machine).answered_at = Some(self.now);
@@ -147,8 +148,8 @@
                 self.workers.observations.note(&machine).probed_at = None;
             }
         }
-        if reach != CommandOutcome::Accepted {
-            tracing::debug!(machine, ?reach, "direct command failed");
+        if outcome != CommandOutcome::Accepted {
+            tracing::debug!(machine, ?outcome, "direct command failed");
             self.workers.observations.note(&machine).command_failed_at = Some(self.now);
         }
     }
--- a/crates/core/src/workers/handoff.rs
+++ b/crates/core/src/workers/handoff.rs
@@ -27,9 +27,9 @@
 
     /// The peer that a worker is to report to instead. Not while it has news: both controllers
     /// would record it.
-    pub(super) fn handoff_target(&mut self, report: &WorkerHeartbeat) -> Option<String> {
+    pub(super) fn handoff_target(&mut self, heartbeat: &WorkerHeartbeat) -> Option<String> {
         let exited = |t: &TaskStatus| matches!(t.phase, TaskPhase::Exited(_));
-        if report.notice_s.is_some() || report.tasks.iter().any(exited) {
+        if heartbeat.notice_s.is_some() || heartbeat.tasks.iter().any(exited) {
             return None;
         }
         self.peers.next_handoff()
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -9,7 +9,7 @@
 /// start to be recorded that its answer shall carry.
 pub(crate) struct HeldHeartbeat {
     pub request: RequestId,
-    pub report: WorkerHeartbeat,
+    pub heartbeat: WorkerHeartbeat,
     pub since: Millis,
     /// Nothing has been made of it yet.
     pub early: bool,
@@ -17,7 +17,7 @@
 
 impl HeldHeartbeat {
     pub fn position(&self) -> HeartbeatPosition {
-        self.report.position()
+        self.heartbeat.position()
     }
     /// Whether its answer can still carry a start.
     pub fn carries(&self, now: Millis) -> bool {
@@ -26,58 +26,62 @@
 }
 
 impl Controller {
-    pub(crate) fn receive_worker_heartbeat(&mut self, request: RequestId, report: WorkerHeartbeat) {
+    pub(crate) fn receive_worker_heartbeat(
+        &mut self,
+        request: RequestId,
+        heartbeat: WorkerHeartbeat,
+    ) {
         self.metrics.check_ins += 1;
-        let position = report.position();
+        let position = heartbeat.position();
         let at = self.now;
-        if self.settings.checks.copies && self.liveness(&report.machine).knows(position) {
+        if self.settings.checks.copies && self.liveness(&heartbeat.machine).knows(position) {
             // A copy, or one that a newer overtook: its worker waits for no answer, and it is no sign of
             // life. What it shows the newer one showed as well.
             self.worker(request, WorkerReply::Unavailable);
             return;
         }
-        self.note_reachability(&report);
-        match self.workers.last_heartbeats.get_mut(&report.machine) {
+        self.note_reachability(&heartbeat);
+        match self.workers.last_heartbeats.get_mut(&heartbeat.machine) {
             Some(heard) => (heard.at, heard.position) = (at, position),
             None => {
                 let heard = ReceivedHeartbeat { at, position };
                 self.workers
                     .last_heartbeats
-                    .insert(report.machine.clone(), heard);
+                    .insert(heartbeat.machine.clone(), heard);
             }
         }
-        self.peers.note_failover_of(&report.machine);
+        self.peers.note_failover_of(&heartbeat.machine);
         self.heard_worker();
-        match self.workers.zones_heard_at.get_mut(&report.zone) {
+        match self.workers.zones_heard_at.get_mut(&heartbeat.zone) {
             Some(at) => *at = self.now,
-            None if self.settings.zones.contains(&report.zone) => {
+            None if self.settings.zones.contains(&heartbeat.zone) => {
                 self.workers
                     .zones_heard_at
-                    .insert(report.zone.clone(), self.now);
+                    .insert(heartbeat.zone.clone(), self.now);
             }
             None => {}
         }
-        self.process_worker_heartbeat(request, report);
+        self.process_worker_heartbeat(request, heartbeat);
     }
 
     /// Answers a heartbeat, or holds it.
-    fn process_worker_heartbeat(&mut self, request: RequestId, report: WorkerHeartbeat) {
+    fn process_worker_heartbeat(&mut self, request: RequestId, heartbeat: WorkerHeartbeat) {
         if self.awaits_current_view() {
             // Just started, or awake again: the view will be current in a moment, while another
             // controller would be a second away.
-            self.hold_heartbeat(request, report, true);
+            self.hold_heartbeat(request, heartbeat, true);
             return;
         }
         if !self.has_current_state() {
-            let reply = self.reply_without_state(&report);
+            let reply = self.reply_without_state(&heartbeat);
             self.worker(request, reply);
             return;
         }
-        let Some(token) = self.fencing_token(&report.machine) else {
+        let Some(token) = self.fencing_token(&heartbeat.machine) else {
             self.worker(request, WorkerReply::Unavailable);
             return;
         };
-        if report.token > token {
+        if heartbeat.token > token {
             // Commands of a newer term than this controller knows: not entitled to answer.
             self.worker(request, WorkerReply::Unavailable);
             return;
@@ -89,9 +93,9 @@
                     controller: Some(controller),
                 },
             );
-        } else if self.reconcile(&report) {
-            self.hold_heartbeat(request, report, false);
-        } else if let Some(controller) = self.handoff_target(&report) {
+        } else if self.reconcile(&heartbeat) {
+            self.hold_heartbeat(request, heartbeat, false);
+        } else if let Some(controller) = self.handoff_target(&heartbeat) {
             self.worker(
                 request,
                 WorkerReply::Redirect {
@@ -99,16 +103,16 @@
                 },
             );
         } else {
-            let commands = self.commands(&report);
-            self.reply_orders(&report.machine, request, token, commands);
+            let commands = self.commands(&heartbeat);
+            self.reply_orders(&heartbeat.machine, request, token, commands);
         }
     }
 
     /// Notes what a heartbeat says of whether its machine hears any controller. One that does not goes on
-    /// reporting, and once its lease has ended it looks free: its reports alone are no reason to place
+    /// reporting, and once its lease has ended it looks free: its heartbeats alone are no reason to place
     /// work there. It counts as unreached until it answers a question (`ask_unreached`).
-    fn note_reachability(&mut self, report: &WorkerHeartbeat) {
-        let id = &report.machine;
+    fn note_reachability(&mut self, heartbeat: &WorkerHeartbeat) {
+        let id = &heartbeat.machine;
         let liveness = self.liveness(id);
         let half = self.settings.lease_ms / 2;
         let lately = liveness
@@ -117,10 +121,10 @@
         if !lately {
             return;
         }
-        // Its lease ended though controllers got its reports.
+        // Its lease ended though controllers received its heartbeats.
         if liveness
             .incarnation()
-            .is_some_and(|known| known < report.incarnation)
+            .is_some_and(|known| known < heartbeat.incarnation)
         {
             self.workers.observations.note(id).unanswered_at = Some(self.now);
             return;
@@ -147,10 +151,10 @@
                 && self.now < self.lifecycle.resumed_at + HEARTBEAT_HOLD_MS
     }
 
-    fn hold_heartbeat(&mut self, request: RequestId, report: WorkerHeartbeat, early: bool) {
-        let id = report.machine.clone();
+    fn hold_heartbeat(&mut self, request: RequestId, heartbeat: WorkerHeartbeat, early: bool) {
+        let id = heartbeat.machine.clone();
         if let Some(old) = self.workers.held_heartbeats.remove(&id) {
-            if old.position() > report.position() {
+            if old.position() > heartbeat.position() {
                 self.workers.held_heartbeats.insert(id, old);
                 self.worker(request, WorkerReply::Unavailable);
                 return;
@@ -163,7 +167,7 @@
             id,
             HeldHeartbeat {
                 request,
-                report,
+                heartbeat,
                 since,
                 early,
             },
@@ -184,7 +188,7 @@
             .collect();
         for id in early {
             if let Some(held) = self.workers.held_heartbeats.remove(&id) {
-                self.process_worker_heartbeat(held.request, held.report);
+                self.process_worker_heartbeat(held.request, held.heartbeat);
             }
         }
     }
--- a/crates/core/src/workers/machine_updates.rs
+++ b/crates/core/src/workers/machine_updates.rs
@@ -4,7 +4,7 @@
 use crate::model::WorkerHeartbeat;
 use crate::state::{InstanceRequestRecord, MachinePhase, MachineRecord};
 
-/// What a report says of the machine itself, as far as its record lacks it.
+/// What a heartbeat says of the machine itself, as far as its record lacks it.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct MachineUpdate {
     pub address: String,
@@ -16,39 +16,39 @@
     pub above: Option<u64>,
 }
 impl Controller {
-    /// Notes what a report gives reason to record of its machine.
-    pub(super) fn note_machine_update(&mut self, report: &WorkerHeartbeat, above: Option<u64>) {
-        if !self.is_known_machine(report) {
+    /// Notes what a heartbeat gives reason to record of its machine.
+    pub(super) fn note_machine_update(&mut self, heartbeat: &WorkerHeartbeat, above: Option<u64>) {
+        if !self.is_known_machine(heartbeat) {
             return;
         }
-        let (address, notice) = (&report.address, report.notice_s.is_some());
-        let known = self.cache.machine(&report.machine);
+        let (address, notice) = (&heartbeat.address, heartbeat.notice_s.is_some());
+        let known = self.cache.machine(&heartbeat.machine);
         if known.is_some_and(|m| self.record_changes(m, address, notice, above).is_none()) {
             return;
         }
         let seen = MachineUpdate {
-            address: report.address.clone(),
-            type_name: report.type_name.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
-            notice: report.notice_s.is_some(),
+            address: heartbeat.address.clone(),
+            type_name: heartbeat.type_name.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
+            notice: heartbeat.notice_s.is_some(),
             above,
         };
-        if self.updated_record(&report.machine, &seen).is_some() {
+        if self.updated_record(&heartbeat.machine, &seen).is_some() {
             if above.is_some() {
-                self.workers.starts.raise(&report.machine);
+                self.workers.starts.raise(&heartbeat.machine);
             }
             self.write_back
                 .machine_updates
-                .insert(report.machine.clone(), seen);
+                .insert(heartbeat.machine.clone(), seen);
         }
     }
 
     /// Whether a machine is on record, or known to have been provisioned. Any other must answer a question before it
-    /// is recorded: its report may be old, and the machine gone long since, which a controller that has just
+    /// is recorded: its heartbeat may be old, and the machine gone long since, which a controller that has just
     /// started does not know.
-    fn is_known_machine(&mut self, report: &WorkerHeartbeat) -> bool {
-        let id = &report.machine;
+    fn is_known_machine(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
+        let id = &heartbeat.machine;
         let rented =
             |h: &InstanceRequestRecord| h.instances.iter().flatten().any(|instance| instance == id);
         if !self.settings.checks.strangers
@@ -63,14 +63,11 @@
         }
         if let (Some(token), true) = (self.fencing_token(id), of.may_be_probed(self.now)) {
             self.workers.observations.note(id).probed_at = Some(self.now);
-            tracing::info!(
-                machine = id,
-                "nobody is known to have rented it: asked first"
-            );
+            tracing::info!(machine = id, "unmanaged instance, probed first");
             self.emit(Effect::Command {
                 machine: id.clone(),
-                address: report.address.clone(),
-                incarnation: report.incarnation,
+                address: heartbeat.address.clone(),
+                incarnation: heartbeat.incarnation,
                 token,
                 commands: Vec::new(),
             });
@@ -99,7 +96,7 @@
         self.workers.starts.raise(id);
     }
 
-    /// A machine's record with what a report says of it, if that changes it.
+    /// A machine's record with what a heartbeat says of it, if that changes it.
     pub(crate) fn updated_record(&self, id: &str, seen: &MachineUpdate) -> Option<MachineRecord> {
         let Some(record) = self.cache.machine(id) else {
             return (!self.workers.recently_deleted.contains(id)).then(|| MachineRecord {
@@ -122,7 +119,7 @@
         })
     }
 
-    /// What a report changes in a machine's record, if anything: its phase, and whether its token is
+    /// What a heartbeat changes in a machine's record, if anything: its phase, and whether its token is
     /// raised.
     fn record_changes(
         &self,
--- a/crates/core/src/workers/reconciliation.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -12,89 +12,113 @@
 use foldhash::HashMap;
 use std::collections::BTreeSet;
 
+/// What a heartbeat shows of the assignments of its machine.
+#[derive(Default)]
+struct Findings {
+    /// Attempts that run, if run times are learned.
+    running: Vec<(TaskId, u64)>,
+    /// Attempts that ended, and the delivery that the proof depends on, if on any.
+    ended: Vec<((TaskId, u64), AttemptOutcome, Option<StartDelivery>)>,
+    /// Attempts to be stopped so that they save a checkpoint.
+    checkpoints: Vec<(TaskId, u64)>,
+    /// The highest token of direct commands that were lost: the machine's must be raised above it.
+    fence_above: Option<u64>,
+    /// Whether a start has to go into the answer.
+    needs_start: bool,
+}
+
 impl Controller {
-    /// Notes what a report proves and what it gives reason to record. Says whether a start
-    /// has to go into its answer. Whatever it proves holds however old the report is.
-    pub(super) fn reconcile(&mut self, report: &WorkerHeartbeat) -> bool {
-        let id = &report.machine;
-        let position = report.position();
-        let reported: HashMap<(&TaskId, u64), TaskPhase> = (report.tasks.iter())
-            .map(|t| ((&t.task, t.attempt), t.phase))
+    /// Notes what a heartbeat proves and what it gives reason to record. Returns whether a start has to go
+    /// into its answer. What it proves holds however old it is.
+    pub(super) fn reconcile(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
+        let findings = self.compare_with_assignments(heartbeat);
+        for (task, attempt) in findings.running {
+            self.seen_running(&task, attempt, heartbeat);
+        }
+        for ((task, attempt), outcome, rests_on) in findings.ended {
+            self.note_attempt_ended(task, attempt, outcome, rests_on);
+        }
+        let mut checkpoints = findings.checkpoints;
+        if let Some(notice_s) = heartbeat.notice_s.filter(|_| self.settings.learned.notice) {
+            // What ends before the machine is reclaimed needs no stop, nor a start elsewhere.
+            let notice_ms = (notice_s * 1e3) as Millis;
+            let usable_ms = notice_ms.saturating_sub(NOTICE_SPARE_MS);
+            checkpoints.retain(|(task, attempt)| {
+                !self.about_to_end(task, *attempt, usable_ms, LIKELY_CHANCE)
+            });
+        }
+        self.write_back.checkpoints_due.extend(checkpoints);
+        self.noted_report(heartbeat);
+        self.note_machine_update(heartbeat, findings.fence_above);
+        findings.needs_start
+    }
+
+    /// Compares the tasks of a heartbeat with the assignments of its machine.
+    fn compare_with_assignments(&mut self, heartbeat: &WorkerHeartbeat) -> Findings {
+        let id = &heartbeat.machine;
+        let position = heartbeat.position();
+        let reported: HashMap<(&TaskId, u64), TaskPhase> = (heartbeat.tasks.iter())
+            .map(|task| ((&task.task, task.attempt), task.phase))
             .collect();
-        let mut ended: Vec<((TaskId, u64), AttemptOutcome, Option<StartDelivery>)> = Vec::new();
-        let mut saves: Vec<(TaskId, u64)> = Vec::new();
-        let learns = self.settings.learned.learn;
-        let mut running: Vec<(TaskId, u64)> = Vec::new();
-        let mut above = None;
-        let mut arm = false;
+        let mut findings = Findings::default();
         for (task, placed) in self.cache.assignments(id) {
-            let b = &placed.assignment;
+            let assignment = &placed.assignment;
             let spec = self.cache.open_job(&task.job);
-            let wanted = b.stop.is_none() && spec.is_some();
-            let phase = reported.get(&(task, b.attempt)).copied();
-            let barred = is_start_fenced(b, position, report.token);
-            let newer_session = outlived(b, position);
-            let outcome = match phase {
-                Some(TaskPhase::Exited(cause)) => Some(outcome_of(cause)),
-                None if newer_session || barred && !wanted => Some(AttemptOutcome::Terminated),
-                _ => None,
-            };
-            if phase == Some(TaskPhase::Running) {
-                self.metrics.runs(task, b.attempt, self.now);
-                if learns {
-                    running.push((task.clone(), b.attempt));
+            let phase = reported.get(&(task, assignment.attempt)).copied();
+            let is_running = phase == Some(TaskPhase::Running);
+            if is_running {
+                self.metrics.runs(task, assignment.attempt, self.now);
+                if self.settings.learned.learn {
+                    let attempt = (task.clone(), assignment.attempt);
+                    findings.running.push(attempt);
                 }
             }
-            let key = (task.clone(), b.attempt);
-            let lacks = match (b.direct_start, phase) {
+            let attempt = (task.clone(), assignment.attempt);
+            let is_start_lost = match (assignment.direct_start, phase) {
                 (_, Some(_)) => {
-                    self.workers.starts.shown(&key);
+                    self.workers.starts.shown(&attempt);
                     false
                 }
-                (Some(_), None) => self.workers.starts.is_missing(self.now, &key, id),
+                (Some(_), None) => self.workers.starts.is_missing(self.now, &attempt, id),
                 (None, None) => false,
             };
+            let is_fenced = is_start_fenced(assignment, position, heartbeat.token);
+            let is_wanted = assignment.stop.is_none() && spec.is_some();
+            let outcome = match phase {
+                Some(TaskPhase::Exited(cause)) => Some(outcome_of(cause)),
+                None if outlived(assignment, position) || is_fenced && !is_wanted => {
+                    Some(AttemptOutcome::Terminated)
+                }
+                _ => None,
+            };
             if let Some(outcome) = outcome {
-                let rests_on = phase.is_none().then_some(b.delivery());
-                ended.push((key, outcome, rests_on));
-            } else if phase == Some(TaskPhase::Running)
-                && report.notice_s.is_some()
-                && b.stop.is_none()
-                && spec.is_some_and(|s| s.checkpoint_interval_s > 0.0)
+                let rests_on = phase.is_none().then_some(assignment.delivery());
+                findings.ended.push((attempt, outcome, rests_on));
+            } else if is_running
+                && heartbeat.notice_s.is_some()
+                && assignment.stop.is_none()
+                && spec.is_some_and(|spec| spec.checkpoint_interval_s > 0.0)
             {
-                // The machine is about to be taken: what can save its progress does so now.
-                saves.push(key);
-            } else if phase.is_none() && barred {
-                arm = true;
-            } else if lacks {
-                // A direct command without a trace: raise the token so that it can't come
-                // late. Once the worker reports the new token, the start is barred.
-                above = above.max(b.direct_start.map(|start| start.token));
+                // The machine is about to be reclaimed: what can save its progress does so now.
+                findings.checkpoints.push(attempt);
+            } else if phase.is_none() && is_fenced {
+                findings.needs_start = true;
+            } else if is_start_lost {
+                // A direct command without a trace: raise the token so that it can't come late. Once the
+                // worker reports the new token, the start is fenced.
+                let token = assignment.direct_start.map(|start| start.token);
+                findings.fence_above = findings.fence_above.max(token);
             }
         }
-        for (task, attempt) in running {
-            self.seen_running(&task, attempt, report);
-        }
-        for ((task, attempt), outcome, rests_on) in ended {
-            self.note_attempt_ended(task, attempt, outcome, rests_on);
-        }
-        if let Some(notice_s) = report.notice_s.filter(|_| self.settings.learned.notice) {
-            // What ends before the machine is taken needs no stop, nor a start elsewhere.
-            let ms = ((notice_s * 1e3) as Millis).saturating_sub(NOTICE_SPARE_MS);
-            saves.retain(|(task, attempt)| !self.about_to_end(task, *attempt, ms, LIKELY_CHANCE));
-        }
-        self.write_back.checkpoints_due.extend(saves);
-        self.noted_report(report);
-        self.note_machine_update(report, above);
-        arm
+        findings
     }
 
     /// Notes what the answer to a direct command shows to have ended. What it does not show proves
     /// nothing: unlike a heartbeat it may overtake the answer to one, and a start in that.
-    pub(crate) fn process_command_response(&mut self, report: &WorkerHeartbeat) {
+    pub(crate) fn process_command_response(&mut self, heartbeat: &WorkerHeartbeat) {
         let mut shown = BTreeSet::new();
-        for t in &report.tasks {
-            let assigned = self.cache.assignment(&report.machine, &t.task);
+        for t in &heartbeat.tasks {
+            let assigned = self.cache.assignment(&heartbeat.machine, &t.task);
             let ours = assigned.is_some_and(|p| p.assignment.attempt == t.attempt);
             if ours {
                 let key = (t.task.clone(), t.attempt);
@@ -107,38 +131,39 @@
         }
         if self.settings.checks.incarnation {
             // A newer incarnation is a proof in an answer as well: its worker has killed and forgotten all that
-            // was before, and no start of an earlier one arrives any more. Machines whose reports reach
+            // was before, and no start of an earlier one arrives any more. Machines whose heartbeats reach
             // nobody show it in no other way.
-            let position = report.position();
-            let over: Vec<(TaskId, u64, StartDelivery)> = (self.cache.assignments(&report.machine))
-                .filter(|(_, p)| outlived(&p.assignment, position))
-                .map(|(task, p)| (task.clone(), &p.assignment))
-                .filter(|(task, b)| !shown.contains(&(task.clone(), b.attempt)))
-                .map(|(task, b)| (task, b.attempt, b.delivery()))
-                .collect();
+            let position = heartbeat.position();
+            let over: Vec<(TaskId, u64, StartDelivery)> =
+                (self.cache.assignments(&heartbeat.machine))
+                    .filter(|(_, p)| outlived(&p.assignment, position))
+                    .map(|(task, p)| (task.clone(), &p.assignment))
+                    .filter(|(task, b)| !shown.contains(&(task.clone(), b.attempt)))
+                    .map(|(task, b)| (task, b.attempt, b.delivery()))
+                    .collect();
             for (task, attempt, travel) in over {
                 self.note_attempt_ended(task, attempt, AttemptOutcome::Terminated, Some(travel));
             }
         }
         // A direct command without a trace is barred before it is sent anew.
         let mut above = None;
-        for (task, placed) in self.cache.assignments(&report.machine) {
+        for (task, placed) in self.cache.assignments(&heartbeat.machine) {
             let b = &placed.assignment;
             let key = (task.clone(), b.attempt);
             let Some(start) = b.direct_start.filter(|_| !shown.contains(&key)) else {
                 continue;
             };
-            if start.incarnation == report.incarnation
+            if start.incarnation == heartbeat.incarnation
                 && self
                     .workers
                     .starts
-                    .is_missing(self.now, &key, &report.machine)
+                    .is_missing(self.now, &key, &heartbeat.machine)
             {
                 above = above.max(Some(start.token));
             }
         }
-        if above.is_some() || self.cache.machine(&report.machine).is_none() {
-            self.note_machine_update(report, above);
+        if above.is_some() || self.cache.machine(&heartbeat.machine).is_none() {
+            self.note_machine_update(heartbeat, above);
         }
     }
 
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -15,11 +15,11 @@
         }
         let position = held.position();
         let shown = |task: &TaskId, attempt: u64| {
-            let mut tasks = held.report.tasks.iter();
+            let mut tasks = held.heartbeat.tasks.iter();
             tasks.any(|t| t.attempt == attempt && t.task == *task)
         };
         self.cache
-            .assignments(&held.report.machine)
+            .assignments(&held.heartbeat.machine)
             .filter(|(task, p)| {
                 let b = &p.assignment;
                 b.reply_start != Some(position)
@@ -29,18 +29,18 @@
                     // What was started in an earlier incarnation is gone, and on its way to be
                     // recorded as such: it must not be started once more under that attempt.
                     && !outlived(b, position)
-                    && is_start_fenced(b, position, held.report.token)
+                    && is_start_fenced(b, position, held.heartbeat.token)
             })
             .map(|(task, p)| (task.clone(), p.assignment.attempt))
             .collect()
     }
 
     /// What the worker is told, from records that are committed.
-    pub(super) fn commands(&self, report: &WorkerHeartbeat) -> Vec<WorkerCommand> {
-        let id = &report.machine;
-        let position = report.position();
+    pub(super) fn commands(&self, heartbeat: &WorkerHeartbeat) -> Vec<WorkerCommand> {
+        let id = &heartbeat.machine;
+        let position = heartbeat.position();
         let mut commands = Vec::new();
-        for t in &report.tasks {
+        for t in &heartbeat.tasks {
             let assignment = self.cache.assignment(id, &t.task).map(|p| &p.assignment);
             let assignment = assignment.filter(|b| b.attempt == t.attempt);
             if assignment.is_none() && !self.is_claim_outcome_known(&t.task, t.attempt) {
@@ -77,7 +77,7 @@
             let b = &p.assignment;
             if b.reply_start == Some(position)
                 && b.stop.is_none()
-                && !(report.tasks.iter()).any(|t| t.attempt == b.attempt && t.task == *task)
+                && !(heartbeat.tasks.iter()).any(|t| t.attempt == b.attempt && t.task == *task)
                 && self.cache.open_job(&task.job).is_some()
             {
                 commands.push(WorkerCommand::Start {
@@ -98,7 +98,7 @@
             && !held.early
             && self
                 .cache
-                .assignments(&held.report.machine)
+                .assignments(&held.heartbeat.machine)
                 .any(reply_start)
     }
 
@@ -109,7 +109,7 @@
         let Some(held) = self.workers.held_heartbeats.remove(id) else {
             return;
         };
-        let commands = self.commands(&held.report);
+        let commands = self.commands(&held.heartbeat);
         self.reply_orders(id, held.request, token, commands);
     }
 
@@ -150,7 +150,7 @@
                 && (self.sync.has_listed || self.now >= held.since + HEARTBEAT_HOLD_MS)
             {
                 if let Some(held) = self.workers.held_heartbeats.remove(&id) {
-                    let reply = self.reply_without_state(&held.report);
+                    let reply = self.reply_without_state(&held.heartbeat);
                     self.worker(held.request, reply);
                 }
                 continue;
