--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -1,4 +1,4 @@
-//! Whether workers reach this controller, as far as it can tell by itself.
+//! Whether workers reach this controller: one that is partitioned from them must not act on their silence.
 
 use crate::constants::{
     COMMAND_LIMIT_MS, INBOUND_GAP_MS, PARTITION_PROBE_INTERVAL_MS, PARTITION_UNANSWERED_COMMANDS,
@@ -9,16 +9,17 @@
 use crate::peers::Peer;
 use rand::seq::SliceRandom;
 
+/// Signs of whether this controller is partitioned from the workers.
 #[derive(Debug)]
 pub(crate) struct WorkerReachability {
     /// Direct commands without an answer since workers were last heard from, in a row.
     unanswered: u32,
-    /// When a worker last reported here, or answered.
+    /// When a worker's heartbeat or answer last came.
     heard_at: Millis,
-    /// Until when it was cut off from them, as a gap between these shows.
-    deaf_until: Millis,
-    /// When it last asked a machine whether it is heard again.
-    asked_at: Millis,
+    /// End of the last gap between these that was too long for chance.
+    inbound_lost_until: Millis,
+    /// When it last probed a machine to see whether the partition is over.
+    probed_at: Millis,
 }
 
 impl WorkerReachability {
@@ -26,8 +27,8 @@
         WorkerReachability {
             unanswered: 0,
             heard_at: now,
-            deaf_until: 0,
-            asked_at: now,
+            inbound_lost_until: 0,
+            probed_at: now,
         }
     }
 
@@ -36,10 +37,11 @@
         now - self.heard_at
     }
 
-    /// A worker has reported here, or answered. `longest`: the longest gap that is no sign of a cut.
+    /// A heartbeat or an answer of a worker has come. `longest`: the longest gap in milliseconds that is no
+    /// sign of a partition.
     pub fn heard(&mut self, now: Millis, longest: Millis) {
         if self.gap(now) > longest {
-            self.deaf_until = now;
+            self.inbound_lost_until = now;
         }
         (self.unanswered, self.heard_at) = (0, now);
     }
@@ -49,34 +51,34 @@
         self.unanswered = self.unanswered.saturating_add(1);
     }
 
-    /// Too many in a row did.
+    /// Whether too many direct commands in a row got no answer.
     pub fn is_doubtful(&self) -> bool {
         self.unanswered >= PARTITION_UNANSWERED_COMMANDS
     }
 
-    /// Whether a question that failed says nothing of its machine: no worker was heard since, or it was
-    /// sent in the last moments of a cut, and failed with the rest.
+    /// Whether a direct command that failed says nothing of its machine: no worker was heard since, or it was
+    /// sent in the last moments of a partition.
     pub fn failed_alone(&self, at: Millis) -> bool {
-        self.heard_at <= at || at <= self.deaf_until + 2 * COMMAND_LIMIT_MS
+        self.heard_at <= at || at <= self.inbound_lost_until + 2 * COMMAND_LIMIT_MS
     }
 
-    /// Whether to ask a machine now if it is heard again.
+    /// Whether to probe a machine now to see whether the partition is over.
     pub fn asks(&mut self, now: Millis) -> bool {
-        let asks = self.is_doubtful() && now >= self.asked_at + PARTITION_PROBE_INTERVAL_MS;
+        let asks = self.is_doubtful() && now >= self.probed_at + PARTITION_PROBE_INTERVAL_MS;
         if asks {
-            self.asked_at = now;
+            self.probed_at = now;
         }
         asks
     }
 
-    /// After a pause the silence was its own.
+    /// After a pause of this process missing answers were its own fault.
     pub fn reset_after_pause(&mut self) {
         self.unanswered = 0;
     }
 }
 
 impl Controller {
-    /// Whether workers reach this controller, as far as can be told: cut off from them alone, it would
+    /// Whether workers reach this controller, as far as can be told. Partitioned from them alone, it would
     /// claim work whose starts never arrive, and draw users away from controllers that serve them.
     pub(crate) fn workers_reachable(&self) -> bool {
         let heard_peers =
@@ -112,7 +114,7 @@
         self.workers.reachability.heard(self.now, longest);
     }
 
-    /// Cut off from the workers, a controller asks one of them now and then whether it is heard again.
+    /// While this controller is partitioned from the workers, probes one of them now and then.
     pub(crate) fn probe_partition(&mut self) {
         if !self.workers.reachability.asks(self.now) {
             return;
--- a/crates/core/src/workers/starts.rs
+++ b/crates/core/src/workers/starts.rs
@@ -1,5 +1,5 @@
-//! Starts on their way: claims on record, whoever made them, whose tasks no report has shown yet.
-//! These are what the standby of a lost controller has to carry on besides its workers.
+//! Starts in flight: recorded claims, whoever made them, whose tasks no heartbeat has shown yet.
+//! A peer that takes over from a failed controller has to see to these besides its workers.
 
 use crate::constants::{
     COMMAND_LIMIT_MS, FAILOVER_START_CHECKS_MAX, FAILOVER_START_CHECK_MS, PEER_HEARTBEAT_MS,
@@ -13,31 +13,36 @@
 /// An attempt of a task.
 pub(crate) type Attempt = (TaskId, u64);
 
+/// A start in flight.
 #[derive(Debug)]
 struct Start {
+    /// The machine that it goes to.
     machine: String,
     /// When its claim became known here.
     at: Millis,
 }
 
+/// The starts in flight, and those that seem to be lost.
 #[derive(Debug, Default)]
 pub(crate) struct Starts {
+    /// Claims that were seen in the records.
     followed: BTreeMap<Attempt, Start>,
-    /// Since when a directly commanded start has been missing from its machine's reports.
+    /// Since when a start by direct command has been missing from its machine's heartbeats.
     missing: HashMap<Attempt, Millis>,
-    /// When machines are asked for starts that a lost peer may not have sent, and from when on
-    /// these were claimed.
+    /// When machines are probed for starts that a failed peer may not have sent, and the earliest claim
+    /// of these.
     ask: Option<(Millis, Millis)>,
-    /// Machines that were asked.
+    /// Machines that were probed for them.
     asked: BTreeSet<String>,
     /// Machines whose token this controller has asked to be raised.
     raising: BTreeSet<String>,
-    /// Own claims whose transaction has no answer, and since when: they may have been carried out, or
-    /// may yet be, and nobody has sent their starts.
-    doubtful: BTreeMap<Attempt, Start>,
+    /// Own claims whose transaction has no answer, and since when: they may have been committed, or may
+    /// yet be, and nobody has sent their starts.
+    uncertain: BTreeMap<Attempt, Start>,
 }
 
 impl Starts {
+    /// The records show a claim.
     pub fn claimed(&mut self, now: Millis, task: &TaskId, attempt: u64, machine: &str) {
         if self.followed.len() < STARTS_TRACKED_MAX {
             let machine = machine.to_string();
@@ -46,19 +51,19 @@
         }
     }
 
-    /// A report shows it, in whatever phase.
+    /// A heartbeat shows it, in whatever phase.
     pub fn shown(&mut self, start: &Attempt) {
         self.followed.remove(start);
         self.missing.remove(start);
-        self.doubtful.remove(start);
+        self.uncertain.remove(start);
     }
 
     /// An own claim's transaction got no answer.
     pub fn doubt(&mut self, now: Millis, task: &TaskId, attempt: u64, machine: &str) {
-        if self.doubtful.len() < STARTS_TRACKED_MAX {
+        if self.uncertain.len() < STARTS_TRACKED_MAX {
             let start = (task.clone(), attempt);
             let machine = machine.to_string();
-            self.doubtful
+            self.uncertain
                 .entry(start)
                 .or_insert(Start { machine, at: now });
         }
@@ -66,39 +71,40 @@
 
     /// The answer came after all: its start is sent.
     pub fn answered(&mut self, task: &TaskId, attempt: u64) {
-        if !self.doubtful.is_empty() {
-            self.doubtful.remove(&(task.clone(), attempt));
+        if !self.uncertain.is_empty() {
+            self.uncertain.remove(&(task.clone(), attempt));
         }
     }
 
+    /// Whether there are own claims without an answer.
     pub fn has_doubts(&self) -> bool {
-        !self.doubtful.is_empty()
+        !self.uncertain.is_empty()
     }
 
-    /// Machines of doubtful starts that are assigned by now, each start told once, with the tokens under which
-    /// these would go. `token`: that of a start's assignment on a machine, if there is one.
+    /// Machines of uncertain claims that the records show by now, with the tokens of their starts; each claim
+    /// is returned once. `token`: that of a start's assignment on a machine, if there is one.
     pub fn found_assigned(
         &mut self,
         now: Millis,
         token: impl Fn(&Attempt, &str) -> Option<u64>,
     ) -> Vec<(String, u64)> {
         let mut found = Vec::new();
-        self.doubtful.retain(|start, s| {
-            let ripe = now >= s.at + UNCERTAIN_CLAIM_MARGIN_MS;
-            match token(start, &s.machine).filter(|_| ripe) {
+        self.uncertain.retain(|start, claim| {
+            let is_due = now >= claim.at + UNCERTAIN_CLAIM_MARGIN_MS;
+            match token(start, &claim.machine).filter(|_| is_due) {
                 Some(token) => {
-                    found.push((s.machine.clone(), token));
+                    found.push((claim.machine.clone(), token));
                     false
                 }
-                None => now < s.at + UNCERTAIN_CLAIM_MS,
+                None => now < claim.at + UNCERTAIN_CLAIM_MS,
             }
         });
         found
     }
 
-    /// A report lacks a start that went by a direct command. Whether that has lasted for so long
-    /// that it is barred and sent anew: from its claim on where that was seen, else from the first
-    /// report that lacked it.
+    /// A heartbeat lacks a start that went by a direct command. Returns whether that has lasted for so long
+    /// that it is to be fenced and sent anew: counted from its claim where that was seen, else from the first
+    /// heartbeat that lacked it.
     pub fn is_missing(&mut self, now: Millis, start: &Attempt, machine: &str) -> bool {
         let since = *self.missing.entry(start.clone()).or_insert(now);
         let patience = match self.asked.contains(machine) {
@@ -109,27 +115,27 @@
         now >= since + START_MISSING_MS || claimed.is_some_and(|at| now >= at + patience)
     }
 
-    /// Whether a start is on its way to a machine: claimed after that was last heard.
+    /// Whether a start is on its way to a machine: claimed after the last sign of life from there.
     pub fn unseen(&self, start: &Attempt, last_sign: Millis) -> bool {
         self.followed.get(start).is_some_and(|s| s.at >= last_sign)
     }
 
-    /// A peer is lost that was last heard at some time: what it claimed last may never have been
-    /// sent.
+    /// A peer has failed whose last heartbeat came at `heard_at`: starts that it claimed last may never have
+    /// been sent.
     pub fn peer_lost(&mut self, now: Millis, heard_at: Millis) {
         let from = heard_at.saturating_sub(PEER_HEARTBEAT_MS);
         let from = self.ask.map_or(from, |(_, known)| known.min(from));
         self.ask = Some((now + FAILOVER_START_CHECK_MS, from));
     }
 
-    /// Machines to be asked now whether such starts have arrived.
+    /// Machines to be probed now for starts of a failed peer.
     pub fn due_to_ask(&mut self, now: Millis) -> Vec<String> {
         let Some((_, from)) = self.ask.filter(|(at, _)| now >= *at) else {
             return Vec::new();
         };
         self.ask = None;
-        let those = self.followed.values().filter(|s| s.at >= from);
-        let machines: BTreeSet<String> = those.map(|s| s.machine.clone()).collect();
+        let claimed = self.followed.values().filter(|s| s.at >= from);
+        let machines: BTreeSet<String> = claimed.map(|s| s.machine.clone()).collect();
         self.asked = machines
             .into_iter()
             .take(FAILOVER_START_CHECKS_MAX)
@@ -137,19 +143,19 @@
         self.asked.iter().cloned().collect()
     }
 
-    /// A machine's token is to be raised so that a start is barred.
+    /// A machine's token is to be raised so that a start is fenced.
     pub fn raise(&mut self, machine: &str) {
         if self.raising.len() < STARTS_TRACKED_MAX {
             self.raising.insert(machine.to_string());
         }
     }
 
-    /// Its record shows the higher token: whether this controller asked for it.
+    /// A machine's record shows a higher token. Returns whether this controller asked for it.
     pub fn token_offset(&mut self, machine: &str) -> bool {
         self.raising.remove(machine)
     }
 
-    /// Forgets what is over, and what a report that came since must have shown.
+    /// Forgets starts that are no longer assigned, and those that a later heartbeat must have shown.
     pub fn forget(&mut self, assigned: impl Fn(&Attempt) -> bool, sign: impl Fn(&str) -> Millis) {
         self.followed.retain(|start, s| {
             assigned(start) && sign(&s.machine) < s.at + STARTS_REPORTED_WITHIN_MS
@@ -157,7 +163,7 @@
         self.missing.retain(|start, _| assigned(start));
     }
 
-    /// After a pause nothing that was noted says anything of now.
+    /// Forgets everything: after a pause of this process it is out of date.
     pub fn reset_after_pause(&mut self) {
         *self = Starts::default();
     }
