--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -35,7 +35,9 @@
     /// `CONFIRMED_CANCELLATION_TERM`. A worker that has seen such a token proves that to a controller without records.
     pub(crate) fn record_cancellation_confirmation(&mut self) {
         let confirmed_from = self.cache.mod_revision(&Key::CancellationConfirmation);
-        if self.upgrade.confirmation_in_flight || self.cache.format() < formats::CONFIRMED_CANCELLATION {
+        if self.upgrade.confirmation_in_flight
+            || self.cache.format() < formats::CONFIRMED_CANCELLATION
+        {
             return;
         }
         let mut builder = TransactionBuilder::new(&self.cache);
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -8,12 +8,12 @@
     CloudOperation, CloudResponse, Controller, OperationId, PendingOperation, RequestClass,
 };
 use crate::model::{CloudInstance, CloudInstanceState, MachineType, Millis};
-use crate::workers::termination::TerminationReason;
 use crate::state::formats;
 use crate::state::{
     InstanceRequestRecord, Key, MachinePhase, MachineRecord, MachineTypesRecord,
     ProvisioningRecord, Record, TransactionBuilder,
 };
+use crate::workers::termination::TerminationReason;
 use std::collections::BTreeSet;
 
 impl Controller {
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -137,7 +137,9 @@
             }
             PendingOperation::RecordFormat => self.upgrade.format_in_flight = false,
             PendingOperation::ConfirmCancellations => self.upgrade.confirmation_in_flight = false,
-            PendingOperation::EnableConfiguration => self.upgrade.configuration_enabling_in_flight = false,
+            PendingOperation::EnableConfiguration => {
+                self.upgrade.configuration_enabling_in_flight = false
+            }
             PendingOperation::RecordObservedVersion => {
                 self.configuration.version_recording_finished()
             }
