--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -5,8 +5,10 @@
 //! comes from a hash map, whose order differs between processes, is sorted first: the workers and images that
 //! a heartbeat names.
 
-use glenmount_core::controller::*;
-use glenmount_core::model::*;
+use glenmount_core::controller::{
+    CloudOperation, Effect, PeerHeartbeat, StateOperation, UserReply, WorkerReply,
+};
+use glenmount_core::model::{JobState, WorkerCommand};
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
--- /dev/null
+++ b/crates/simulation/src/fixtures.rs
@@ -0,0 +1,136 @@
+//! Settings, jobs and machine types for tests.
+
+use crate::World;
+use glenmount_core::configuration::Policy;
+use glenmount_core::model::{JobKind, JobPriority, JobSpec, MachineType, Resources, Team};
+use glenmount_core::safety_checks::Checks;
+use glenmount_core::settings::{LearnedUse, Settings};
+use glenmount_core::tuning::Tuning;
+use std::collections::BTreeMap;
+
+/// Run times learned, and used for all that they can be.
+pub fn every_use() -> LearnedUse {
+    LearnedUse {
+        learn: true,
+        order: true,
+        due: true,
+        stops: true,
+        notice: true,
+    }
+}
+
+pub fn settings(controller: &str, count: usize) -> Settings {
+    let mut teams = BTreeMap::new();
+    for (name, max) in [("blue", 12_000), ("red", 0)] {
+        teams.insert(
+            name.to_string(),
+            Team {
+                name: name.into(),
+                cpus: 8_000,
+                cpus_max: max,
+                gpus: 0,
+                gpus_max: 0,
+            },
+        );
+    }
+    Settings {
+        controller: controller.into(),
+        controllers: (0..count).map(|i| format!("node-{i}")).collect(),
+        zones: vec!["east".into(), "west".into()],
+        zone: "east".into(),
+        controller_zones: BTreeMap::new(),
+        policy: Policy {
+            teams,
+            goals: BTreeMap::from([("quick".to_string(), vec![60_000])]),
+            ..Policy::default()
+        },
+        report_ms: 1_500,
+        lease_ms: 10_000,
+        cancel_ms: 35_000,
+        max_value_bytes: 8 * 1024,
+        max_transaction_changes: 16,
+        write_rps: 50.0 / count as f64,
+        next_write_rps: 35.0 / count as f64,
+        clock_off_ms: 1_000,
+        idle_return_ms: 30_000,
+        list_lag_ms: 4_000,
+        learned: LearnedUse::default(),
+        checks: Checks::default(),
+        tuning: Tuning::default(),
+    }
+}
+
+pub fn job(id: &str, tasks: u32) -> JobSpec {
+    JobSpec {
+        id: id.into(),
+        class: "batch".into(),
+        team: "red".into(),
+        kind: JobKind::Array,
+        priority: JobPriority::Normal,
+        tasks,
+        resources: Resources {
+            cpus: 2_000,
+            gpus: 0,
+            ram: 1_000,
+        },
+        image: "img".into(),
+        image_gb: 1.0,
+        machine_types: None,
+        zone: None,
+        zone_affinity: false,
+        topology_spread: false,
+        spot: false,
+        estimate_s: 5.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
+        deadline_s: None,
+        dependencies: Vec::new(),
+    }
+}
+
+/// A job that awaits others.
+pub fn after(id: &str, tasks: u32, dependencies: &[&str]) -> JobSpec {
+    JobSpec {
+        dependencies: dependencies.iter().map(|a| a.to_string()).collect(),
+        ..job(id, tasks)
+    }
+}
+
+pub fn service(id: &str, tasks: u32) -> JobSpec {
+    JobSpec {
+        kind: JobKind::Service,
+        priority: JobPriority::Production,
+        ..job(id, tasks)
+    }
+}
+
+/// The same, of the team that has a limit.
+pub fn blue(spec: JobSpec) -> JobSpec {
+    JobSpec {
+        team: "blue".into(),
+        ..spec
+    }
+}
+
+/// Reports, leases and cancellations take as long as on the large fleets.
+pub fn long_leases(w: &mut World) {
+    let s = &mut w.settings;
+    (s.report_ms, s.lease_ms, s.cancel_ms) = (5_000, 26_500, 51_500);
+}
+
+pub(crate) fn kind(name: &str, cpus: u64) -> MachineType {
+    MachineType {
+        name: name.into(),
+        room: Resources {
+            cpus: cpus * 1_000,
+            gpus: 0,
+            ram: cpus * 4_000,
+        },
+        cache_gb: 20.0,
+        fetch_gb_per_s: 1.0,
+        price: cpus as f64 * 0.05,
+        spot_price: cpus as f64 * 0.01,
+        boot_s: 3.0,
+        zones: vec!["east".into(), "west".into()],
+    }
+}
--- a/crates/simulation/src/old.rs
+++ b/crates/simulation/src/old.rs
@@ -2,6 +2,7 @@
 //! node of that version reads and writes goes through them: it passes over fields it does not know
 //! and drops them when it writes a record anew.
 
+use glenmount_core::controller::{Event, StateAnswer, StateOp};
 use glenmount_core::state::formats::OLDEST;
 use glenmount_core::state::{Key, Record};
 use serde::de::DeserializeOwned;
@@ -218,3 +219,60 @@
 pub fn record(key: &Key, record: &Record) -> Option<Record> {
     Record::read(key, value(key, record.value(OLDEST))?)
 }
+
+/// What a node of the old version makes of records.
+pub(crate) fn seen_by_old(event: Event) -> Event {
+    match event {
+        Event::Watched { epoch, changes } => {
+            let seen = |(key, stamp, record): (Key, u64, Option<Record>)| match record {
+                Some(r) => Some((key.clone(), stamp, Some(self::record(&key, &r)?))),
+                None => Some((key, stamp, None)),
+            };
+            let changes = changes.into_iter().filter_map(seen).collect();
+            Event::Watched { epoch, changes }
+        }
+        Event::State {
+            token,
+            answer:
+                StateAnswer::Listed {
+                    items,
+                    last,
+                    more,
+                    epoch,
+                },
+        } => {
+            let seen = |(key, stamp, r): (Key, u64, Record)| {
+                let record = self::record(&key, &r)?;
+                Some((key, stamp, record))
+            };
+            let answer = StateAnswer::Listed {
+                items: items.into_iter().filter_map(seen).collect(),
+                last,
+                more,
+                epoch,
+            };
+            Event::State { token, answer }
+        }
+        event => event,
+    }
+}
+
+/// What a node of the old version sends: nothing of formats, and records in their old shape.
+pub(crate) fn sent_by_old(op: StateOp) -> Option<StateOp> {
+    let StateOp::Transaction(mut txn) = op else {
+        return Some(op);
+    };
+    let format = |(key, _): &(Key, Option<Record>)| matches!(key, Key::Format(_));
+    if txn.changes.iter().any(format) {
+        return None;
+    }
+    txn.conditions
+        .retain(|(key, _)| *key != Key::CancellationConfirmation);
+    txn.format = OLDEST;
+    for (key, record) in &mut txn.changes {
+        if let Some(r) = record {
+            *r = self::record(key, r).expect("what it writes is in its shape");
+        }
+    }
+    Some(StateOp::Transaction(txn))
+}
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -11,7 +11,7 @@
 };
 use glenmount_core::controller::{Event, StateOperation, StateResponse};
 use glenmount_core::model::JobSpec;
-use glenmount_core::state::*;
+use glenmount_core::state::{CasTransaction, ChunkRecord, Key, Record};
 use std::collections::BTreeMap;
 
 /// What operators have done.
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -2,8 +2,8 @@
 //! a second, a pause that doubles for a controller that was removed, retries, and polls every 5 s.
 
 use crate::World;
-use glenmount_core::controller::*;
-use glenmount_core::model::*;
+use glenmount_core::controller::{Controller, RequestId, UserReply};
+use glenmount_core::model::{JobSpec, JobState};
 use std::collections::BTreeMap;
 
 /// Milliseconds between two steps of users and balancer.
