--- a/crates/simulation/src/close_looks.rs
+++ b/crates/simulation/src/close_looks.rs
@@ -5,20 +5,20 @@
 
 /// What a user asks who looks closely.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Look {
+pub(crate) enum Look {
     Ask,
     SubmitAgain,
     Cancel,
 }
 
 /// Milliseconds within which users look again at what has just changed.
-pub(crate) const LOOKS_WITHIN_MS: u64 = 12;
+const LOOKS_WITHIN_MS: u64 = 12;
 
 /// Looks at each controller.
-pub(crate) const LOOKS: usize = 4;
+const LOOKS: usize = 4;
 
 /// One job in so many is called off at once after its acceptance.
-pub(crate) const CALLED_OFF_PART: u32 = 8;
+const CALLED_OFF_PART: u32 = 8;
 
 impl World {
     /// Users ask at all controllers, repeat the submission, and some call the job off.
@@ -26,16 +26,37 @@
         for n in 0..self.controllers.len() {
             for _ in 0..LOOKS {
                 let delay = self.rng.gen_range(0..LOOKS_WITHIN_MS);
-                self.at(delay, Act::Look(n, id.to_string(), Look::Ask));
+                self.at(
+                    delay,
+                    Act::Look {
+                        controller: n,
+                        job: id.to_string(),
+                        look: Look::Ask,
+                    },
+                );
             }
             let delay = self.rng.gen_range(0..LOOKS_WITHIN_MS);
-            self.at(delay, Act::Look(n, id.to_string(), Look::SubmitAgain));
+            self.at(
+                delay,
+                Act::Look {
+                    controller: n,
+                    job: id.to_string(),
+                    look: Look::SubmitAgain,
+                },
+            );
         }
         let over = self.told.get(id).is_some_and(|t| t.done);
         if over || accepted && self.rng.gen_ratio(1, CALLED_OFF_PART) {
             let n = self.rng.gen_range(0..self.controllers.len());
             let delay = self.rng.gen_range(0..LOOKS_WITHIN_MS);
-            self.at(delay, Act::Look(n, id.to_string(), Look::Cancel));
+            self.at(
+                delay,
+                Act::Look {
+                    controller: n,
+                    job: id.to_string(),
+                    look: Look::Cancel,
+                },
+            );
         }
     }
 
@@ -61,7 +82,14 @@
         if share > 0.0 && self.all_done(job) && self.chance(share) {
             for n in 0..self.controllers.len() {
                 let delay = self.rng.gen_range(0..600);
-                self.at(delay, Act::Look(n, job.to_string(), Look::Cancel));
+                self.at(
+                    delay,
+                    Act::Look {
+                        controller: n,
+                        job: job.to_string(),
+                        look: Look::Cancel,
+                    },
+                );
             }
         }
     }
--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -1,14 +1,15 @@
-//! Controllers: they start, end, stand still, and their effects are carried out.
+//! Controllers: how they start, end, stand still and handle events.
 
-use crate::{no_answer, seen_by_old, sent_by_old, Act, Fate, World, WALL0};
-use glenmount_core::constants::STATE_TIMEOUT_MS;
-use glenmount_core::controller::{
-    CloudResponse, CommandOutcome, Controller, Effect, Event, PeerHeartbeat, StateOperation,
-    StateResponse, UserReply, WorkerReply,
-};
-use glenmount_core::model::WorkerCommand;
+use crate::{seen_by_old, Act, ProcessId, World, WALL0};
+use glenmount_core::controller::{Controller, Event, PeerHeartbeat};
+use glenmount_core::settings::LearnedUse;
 use rand::Rng;
 
+/// Milliseconds between two ticks of a controller.
+const TICK_MS: u64 = 50;
+
+/// A place for a controller, whose processes follow one another in it.
+#[derive(Default)]
 pub struct ControllerSlot {
     pub controller: Option<Controller>,
     pub life: u32,
@@ -38,14 +39,119 @@
     pub first_start: Option<u64>,
 }
 
-pub(crate) fn slot_cut(slot: &ControllerSlot) -> bool {
-    slot.cut_from_workers || slot.mute
+/// In which order what waited for a controller that was paused is read, by connection.
+fn connection(event: &Event) -> u64 {
+    match event {
+        Event::WatchUpdate { .. } | Event::WatchGap => 0,
+        Event::State { .. } => 3,
+        Event::PeerHeartbeat(_) => 5,
+        Event::WorkerHeartbeat { .. } => 6,
+        _ => 7,
+    }
 }
 
 impl World {
-    /// Whether a controller has the old version in that life.
-    pub(crate) fn is_old(&self, n: usize, life: u32) -> bool {
-        life < self.controllers[n].new_from
+    /// The process that a controller has now, or had last.
+    pub(crate) fn process(&self, n: usize) -> ProcessId {
+        ProcessId {
+            controller: n,
+            incarnation: self.controllers[n].life,
+        }
+    }
+
+    /// Whether a process has not been followed by another.
+    pub(crate) fn runs(&self, process: ProcessId) -> bool {
+        self.process(process.controller) == process
+    }
+
+    /// Whether a process has the old version.
+    pub(crate) fn is_old(&self, process: ProcessId) -> bool {
+        process.incarnation < self.controllers[process.controller].new_from
+    }
+
+    /// A controller's time of day.
+    fn wall_clock(&self, n: usize) -> u64 {
+        WALL0 + self.now + self.clock_ahead[n]
+    }
+
+    /// A controller's process begins.
+    pub(crate) fn start_controller(&mut self, n: usize) {
+        self.send_kept_reports();
+        let mut settings = self.settings.clone();
+        settings.controller = self.settings.controllers[n].clone();
+        settings.zone = self.zone_of_controller(n);
+        let zone = |n: usize| {
+            (
+                self.settings.controllers[n].clone(),
+                self.zone_of_controller(n),
+            )
+        };
+        settings.controller_zones = (0..self.controllers.len()).map(zone).collect();
+        let process = self.process(n);
+        if self.is_old(process) {
+            (settings.max_value_bytes, settings.max_transaction_changes) = self.old_limits;
+            settings.learned = LearnedUse::default();
+        }
+        let seed = self.rng.gen();
+        let controller = Controller::new(settings, seed, self.now, self.wall_clock(n));
+        let slot = &mut self.controllers[n];
+        slot.controller = Some(controller);
+        slot.began = self.now;
+        (slot.first_ready, slot.first_accepted, slot.first_start) = (None, None, None);
+        self.at(1, Act::Tick(process));
+    }
+
+    pub(crate) fn tick(&mut self, process: ProcessId) {
+        let n = process.controller;
+        if !self.runs(process) || self.controllers[n].controller.is_none() {
+            return;
+        }
+        // A clock that was paused ticks once for all it missed.
+        if !self.frozen(n) {
+            self.controller(n, Event::Tick);
+        }
+        self.at(TICK_MS, Act::Tick(process));
+    }
+
+    /// Lets a controller handle an event, and carries out its effects.
+    pub(crate) fn controller(&mut self, n: usize, event: Event) {
+        if self.frozen(n) {
+            self.controllers[n].backlog.push(event);
+            return;
+        }
+        let (now, wall) = (self.now, self.wall_clock(n));
+        let process = self.process(n);
+        let old = self.is_old(process);
+        let slot = &mut self.controllers[n];
+        let Some(controller) = slot.controller.as_mut() else {
+            return;
+        };
+        let event = match old {
+            true => seen_by_old(event),
+            false => event,
+        };
+        let heartbeat = matches!(event, Event::PeerHeartbeat(_));
+        let begun = std::time::Instant::now();
+        let effects = controller.handle(now, wall, event);
+        let took = begun.elapsed();
+        self.spent += took;
+        if heartbeat {
+            self.heartbeats += 1;
+            self.spent_on_beats += took;
+        }
+        self.events += 1;
+        if slot.first_ready.is_none() && controller.ready() {
+            slot.first_ready = Some(now);
+        }
+        if let Some(digest) = &mut self.digest {
+            let ready = controller.ready();
+            for effect in &effects {
+                digest.add(n, now, effect, ready);
+            }
+        }
+        for effect in effects {
+            self.carry_out(process, effect);
+        }
     }
 
     /// Ends a controller, which comes back with the new version.
@@ -63,25 +169,25 @@
         slot.backlog.clear();
         self.ended_at[n] = self.now;
         self.at(back_after, Act::Restart(n));
-        // Its connections end with it.
-        let cut = slot_cut(&self.controllers[n]);
+        self.end_connections(n);
+    }
+
+    /// A process has ended: workers that wait for its answers and its peers are told so by its host.
+    fn end_connections(&mut self, n: usize) {
+        let cut = self.controllers[n].cut_from_workers || self.controllers[n].mute;
         let waiting: Vec<_> = (self.workers.values())
             .filter(|w| w.controller == n && !w.cut && !cut && self.reaches(n, &w.name))
             .filter_map(|w| Some((w.name.clone(), w.in_flight?)))
             .collect();
-        for (name, serial) in waiting {
+        for (worker, serial) in waiting {
             let delay = self.rng.gen_range(1..4);
-            self.at(delay, Act::GaveUp(name, serial));
+            self.at(delay, Act::GaveUp { worker, serial });
         }
         for m in (0..self.controllers.len()).filter(|m| *m != n) {
             if self.linked(n, m) {
-                let life = self.controllers[m].life;
                 let controller = self.settings.controllers[n].clone();
                 let delay = self.rng.gen_range(1..4);
-                self.at(
-                    delay,
-                    Act::Controller(m, life, Event::LinkEnded { controller }),
-                );
+                self.deliver(delay, self.process(m), Event::LinkEnded { controller });
             }
         }
     }
@@ -89,28 +195,39 @@
     /// Asks a controller to end in good order; it is back so long after it has.
     pub fn leave(&mut self, n: usize, back_after: u64) {
         self.controllers[n].back_after = back_after;
-        let life = self.controllers[n].life;
-        self.at(1, Act::Controller(n, life, Event::Shutdown));
+        self.deliver(1, self.process(n), Event::Shutdown);
     }
 
     /// Lets a heartbeat arrive at a controller, whoever made it.
     pub fn beat_to(&mut self, n: usize, heartbeat: PeerHeartbeat) {
-        let life = self.controllers[n].life;
-        self.at(1, Act::Controller(n, life, Event::PeerHeartbeat(heartbeat)));
+        self.deliver(1, self.process(n), Event::PeerHeartbeat(heartbeat));
     }
 
     /// The controller is paused, its clocks running on; what comes in waits for it.
     pub fn freeze(&mut self, n: usize, ms: u64) {
         let slot = &mut self.controllers[n];
         slot.frozen_until = slot.frozen_until.max(self.now + ms);
-        let life = slot.life;
-        self.at(ms, Act::Thaw(n, life));
+        self.at(ms, Act::Thaw(self.process(n)));
     }
 
     pub fn frozen(&self, n: usize) -> bool {
         self.now < self.controllers[n].frozen_until
     }
 
+    /// A controller goes on: each of its connections is read in order, but any of them first.
+    pub(crate) fn thaw(&mut self, process: ProcessId) {
+        let n = process.controller;
+        if !self.runs(process) || self.frozen(n) {
+            return;
+        }
+        let mut backlog = std::mem::take(&mut self.controllers[n].backlog);
+        let start = self.rng.gen_range(0..8);
+        backlog.sort_by_key(|event| (connection(event) + start) % 8);
+        for event in backlog {
+            self.controller(n, event);
+        }
+    }
+
     /// Where a controller stands: in the zones in turn, unless said otherwise.
     pub fn zone_of_controller(&self, n: usize) -> String {
         let zones = match self.controllers_in.is_empty() {
@@ -119,195 +236,4 @@
         };
         zones[n % zones.len()].clone()
     }
-
-    pub(crate) fn controller(&mut self, n: usize, event: Event) {
-        let (now, wall) = (self.now, WALL0 + self.now + self.clock_ahead[n]);
-        if self.frozen(n) {
-            self.controllers[n].backlog.push(event);
-            return;
-        }
-        let slot = &mut self.controllers[n];
-        let (life, old) = (slot.life, slot.life < slot.new_from);
-        let Some(controller) = slot.controller.as_mut() else {
-            return;
-        };
-        let event = match old {
-            true => seen_by_old(event),
-            false => event,
-        };
-        let heartbeat = matches!(event, Event::PeerHeartbeat(_));
-        let begun = std::time::Instant::now();
-        let effects = controller.handle(now, wall, event);
-        let took = begun.elapsed();
-        self.spent += took;
-        if heartbeat {
-            self.heartbeats += 1;
-            self.spent_on_beats += took;
-        }
-        self.events += 1;
-        if slot.first_ready.is_none() && controller.ready() {
-            slot.first_ready = Some(now);
-        }
-        if let Some(digest) = &mut self.digest {
-            let ready = controller.ready();
-            for effect in &effects {
-                digest.add(n, now, effect, ready);
-            }
-        }
-        for effect in effects {
-            match effect {
-                Effect::User { request, reply } => {
-                    if matches!(reply, UserReply::Accepted { .. }) {
-                        self.controllers[n].first_accepted.get_or_insert(now);
-                    }
-                    self.user_told(request, reply);
-                }
-                Effect::Worker { request, reply } => {
-                    let key = (n, life, request);
-                    if let Some((w, incarnation, serial)) = self.checkins.remove(&key) {
-                        let lost = self.mishaps.reply_lost;
-                        let slot = &self.controllers[n];
-                        let deaf = self.workers.get(&w).is_some_and(|w| w.deaf);
-                        let cut =
-                            slot.cut_from_workers || slot.mute || deaf || !self.reaches(n, &w);
-                        if cut || self.chance(lost) {
-                            if matches!(&reply, WorkerReply::Commands { commands, .. }
-                                if commands.iter().any(|o| matches!(o, WorkerCommand::Start { .. })))
-                            {
-                                self.lost_starts += 1;
-                            }
-                            continue;
-                        }
-                        let delay = self.rng.gen_range(1..6) + self.link_ms();
-                        self.at(delay, Act::Reply(w, incarnation, serial, reply));
-                    }
-                }
-                Effect::State { token, op, .. } => {
-                    let Some(op) = (if old { sent_by_old(op) } else { Some(op) }) else {
-                        let answer = StateResponse::Unavailable;
-                        self.at(5, Act::Controller(n, life, Event::State { token, answer }));
-                        continue;
-                    };
-                    if self.controllers[n].refused {
-                        let answer = StateResponse::Unavailable;
-                        self.at(5, Act::Controller(n, life, Event::State { token, answer }));
-                        continue;
-                    }
-                    self.controllers[n].sent +=
-                        u32::from(matches!(op, StateOperation::Transaction(_)));
-                    let transaction = matches!(op, StateOperation::Transaction(_));
-                    if self.controllers[n].cut_from_state || self.inside(n) {
-                        if self.inside(n) && transaction {
-                            let late = Act::State(n, life, token, op, Fate::Late(0));
-                            self.held_back.push(late);
-                        }
-                        if transaction {
-                            let event = Event::StateTimeout { token };
-                            self.at(STATE_TIMEOUT_MS, Act::Controller(n, life, event));
-                        }
-                        let event = Event::State {
-                            token,
-                            answer: StateResponse::NoAnswer,
-                        };
-                        self.at(1_200, Act::Controller(n, life, event));
-                        continue;
-                    }
-                    let mut fate = Fate::Normal;
-                    if transaction {
-                        let (lost, late) = (self.mishaps.txn_answer_lost, self.mishaps.txn_late);
-                        if self.chance(lost) {
-                            fate = Fate::AnswerLost;
-                        } else if self.chance(late) {
-                            fate = Fate::Late(self.rng.gen_range(1_300..20_000));
-                        }
-                    }
-                    self.state_request(n, life, token, op, fate);
-                }
-                Effect::Cloud { token, op } => {
-                    let lost = self.mishaps.cloud_lost;
-                    let lost = self.chance(lost);
-                    if self.inside(n) {
-                        let answer = CloudResponse::Failed;
-                        self.at(
-                            1_500,
-                            Act::Controller(n, life, Event::Cloud { token, answer }),
-                        );
-                        continue;
-                    }
-                    let delay = self.rng.gen_range(30..200);
-                    self.at(delay, Act::Cloud(n, life, token, op, lost));
-                }
-                Effect::Watch { since } => {
-                    self.controllers[n].watching = Some(since);
-                    self.at(3, Act::Watch(n, life));
-                }
-                Effect::Command {
-                    machine,
-                    incarnation,
-                    token,
-                    commands,
-                    ..
-                } => {
-                    let (lost, late) = (self.mishaps.command_lost, self.mishaps.command_late);
-                    let slot = &mut self.controllers[n];
-                    slot.sent += u32::from(!commands.is_empty());
-                    if commands
-                        .iter()
-                        .any(|o| matches!(o, WorkerCommand::Start { .. }))
-                    {
-                        slot.first_start.get_or_insert(now);
-                    }
-                    if !self.reaches(n, &machine) {
-                        let act = Act::Command(
-                            n,
-                            life,
-                            machine.clone(),
-                            incarnation,
-                            token,
-                            commands,
-                            true,
-                        );
-                        self.held_back.push(act);
-                        let event = no_answer(machine, CommandOutcome::NoAnswer);
-                        self.at(1_200, Act::Controller(n, life, event));
-                        continue;
-                    }
-                    let slot = &self.controllers[n];
-                    let deaf = self.workers.get(&machine).is_some_and(|w| w.deaf);
-                    if slot.cut_from_workers || slot.mute || deaf || self.chance(lost) {
-                        let event = no_answer(machine, CommandOutcome::NoAnswer);
-                        self.at(2_000, Act::Controller(n, life, event));
-                        continue;
-                    }
-                    let is_late = self.chance(late);
-                    let delay = match is_late {
-                        true => self.rng.gen_range(2_000..60_000),
-                        false => self.rng.gen_range(1..5) + self.link_ms(),
-                    };
-                    if is_late {
-                        let event = no_answer(machine.clone(), CommandOutcome::NoAnswer);
-                        self.at(2_000, Act::Controller(n, life, event));
-                    }
-                    let act = Act::Command(n, life, machine, incarnation, token, commands, is_late);
-                    self.at(delay, act);
-                }
-                Effect::Exit => {
-                    let back_after = self.controllers[n].back_after;
-                    self.at(2, Act::End(n, life, back_after));
-                }
-                Effect::PeerHeartbeat(heartbeat) => {
-                    self.beat_bytes = heartbeat.heard.iter().map(|h| h.0.len() + 12).sum();
-                    for m in 0..self.controllers.len() {
-                        if self.linked(n, m) {
-                            let life = self.controllers[m].life;
-                            self.at(
-                                3,
-                                Act::Controller(m, life, Event::PeerHeartbeat(heartbeat.clone())),
-                            );
-                        }
-                    }
-                }
-            }
-        }
-    }
 }
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -1,6 +1,8 @@
 //! Days of a site, described in TOML: what there is, what is asked, and what goes wrong when.
 
+use glenmount_core::model::JobPriority;
 use glenmount_core::safety_checks::Checks;
+use glenmount_core::tuning::Tuning;
 use serde::Deserialize;
 
 /// A file of `experiment`: days, and variants that each of them is played with.
@@ -24,7 +26,7 @@
     pub without: Vec<String>,
     /// Constants that are changed, by their names.
     #[serde(default)]
-    pub tuning: glenmount_core::tuning::Tuning,
+    pub tuning: Tuning,
     #[serde(default)]
     pub machines: Option<usize>,
     #[serde(default)]
@@ -269,54 +271,56 @@
     }
 }
 
+/// Refuses a number that is not between two bounds.
+fn within(field: &str, n: usize, least: usize, most: usize) -> Result<(), String> {
+    match (least..=most).contains(&n) {
+        true => Ok(()),
+        false => Err(format!("{field}: must be between {least} and {most}")),
+    }
+}
+
 impl Day {
     fn check(&self) -> Result<(), String> {
-        let within = |field: &str, n: usize, least: usize, most: usize| {
-            let fits = (least..=most).contains(&n);
-            let why = format!("{field}: must be between {least} and {most}");
-            fits.then_some(()).ok_or(why)
-        };
         within("machines", self.machines, 1, 10_000)?;
         within("nodes", self.controllers, 1, 7)?;
         within("zones", self.zones.len(), 1, 4)?;
         within("seconds", self.seconds as usize, 1, 7_200)?;
-        for class in &self.classes {
-            for team in &class.teams {
-                let known = self.teams.iter().any(|t| t.name == *team);
-                known
-                    .then_some(())
-                    .ok_or_else(|| format!("class {:?}: unknown team {team:?}", class.name))?;
-            }
-            if priority(&class.priority).is_none() {
-                return Err(format!("class {:?}: rank: unknown", class.name));
-            }
-            let fits = class.cpus > 0.0 && class.cpus <= 8.0 && class.tasks >= 1.0;
-            if !fits || class.teams.is_empty() {
-                return Err(format!("class {:?}: cpus, tasks or teams", class.name));
-            }
+        self.classes.iter().try_for_each(|c| self.check_class(c))?;
+        self.troubles.iter().try_for_each(|t| self.check_trouble(t))
+    }
+
+    fn check_class(&self, class: &Class) -> Result<(), String> {
+        let refuse = |why: String| Err(format!("class {:?}: {why}", class.name));
+        let known = |team: &String| self.teams.iter().any(|t| t.name == *team);
+        if let Some(team) = class.teams.iter().find(|team| !known(team)) {
+            return refuse(format!("unknown team {team:?}"));
+        }
+        if priority(&class.priority).is_none() {
+            return refuse("rank: unknown".into());
         }
-        for trouble in &self.troubles {
-            let zone = match &trouble.what {
-                What::ZoneCut { zone, .. } => Some(zone),
-                _ => None,
-            };
-            if zone.is_some_and(|z| !self.zones.contains(z)) {
-                return Err("trouble: unknown zone".into());
+        let fits = class.cpus > 0.0 && class.cpus <= 8.0 && class.tasks >= 1.0;
+        if !fits || class.teams.is_empty() {
+            return refuse("cpus, tasks or teams".into());
+        }
+        Ok(())
+    }
+
+    fn check_trouble(&self, trouble: &Trouble) -> Result<(), String> {
+        match &trouble.what {
+            What::ZoneCut { zone, .. } if !self.zones.contains(zone) => {
+                Err("trouble: unknown zone".into())
             }
-            let share = match &trouble.what {
-                What::LateWrites { share, .. } | What::LateReports { share, .. } => *share,
-                _ => 0.0,
-            };
-            if !(0.0..=1.0).contains(&share) {
-                return Err("trouble: share: must be between 0 and 1".into());
+            What::LateWrites { share, .. } | What::LateReports { share, .. }
+                if !(0.0..=1.0).contains(share) =>
+            {
+                Err("trouble: share: must be between 0 and 1".into())
             }
+            _ => Ok(()),
         }
-        Ok(())
     }
 }
 
-pub fn priority(name: &str) -> Option<glenmount_core::model::JobPriority> {
-    use glenmount_core::model::JobPriority;
+pub fn priority(name: &str) -> Option<JobPriority> {
     Some(match name {
         "low" => JobPriority::Low,
         "standard" => JobPriority::Normal,
--- a/crates/simulation/src/event_loop.rs
+++ b/crates/simulation/src/event_loop.rs
@@ -1,46 +1,98 @@
-//! The queue of events in simulated time, and what each of them does.
+//! The event loop: what is due when, in simulated time, and which part carries it out.
 
-use crate::{no_answer, Fate, Look, Worker, World, TOO_MANY_PAUSE_MS, WALL0};
-use glenmount_core::constants::STATE_TIMEOUT_MS;
-use glenmount_core::controller::{
-    CloudOperation, CloudResponse, CommandOutcome, Controller, Event, OperationId, StateOperation,
-    StateResponse, WorkerReply,
-};
-use glenmount_core::model::{
-    ExitCause, JobKind, TaskId, TaskPhase, WorkerCommand, WorkerHeartbeat,
-};
-use glenmount_core::settings::LearnedUse;
+use crate::workers::{Command, HeartbeatReply, TaskChange};
+use crate::{CloudRequest, Look, ProcessId, StateRequest, World};
+use glenmount_core::controller::Event;
+use glenmount_core::model::WorkerHeartbeat;
 use rand::Rng;
+use std::collections::BTreeMap;
 
+/// Something that is due at a time.
 #[derive(Clone, Debug)]
 pub(crate) enum Act {
-    Tick(usize, u32),
-    Controller(usize, u32, Event),
-    State(usize, u32, OperationId, StateOperation, Fate),
-    Watch(usize, u32),
-    Report(String),
-    Arrive(usize, WorkerHeartbeat, u64),
-    Reply(String, u64, u64, WorkerReply),
-    GaveUp(String, u64),
-    Lease(String),
-    Phase(String, TaskId, u64, TaskPhase),
-    Cloud(usize, u32, OperationId, CloudOperation, bool),
-    Boot(String),
-    Command(usize, u32, String, u64, u64, Vec<WorkerCommand>, bool),
+    /// A controller's process starts.
     Restart(usize),
-    Thaw(usize, u32),
+    Tick(ProcessId),
+    /// An event reaches a controller.
+    Controller {
+        process: ProcessId,
+        event: Event,
+    },
+    /// A controller that was paused goes on.
+    Thaw(ProcessId),
     /// A controller that was asked to end has nothing left to do.
-    End(usize, u32, u64),
+    End {
+        process: ProcessId,
+        back_after: u64,
+    },
+    /// A request reaches the state service.
+    State(StateRequest),
+    /// A controller's watch is told what has changed.
+    Watch(ProcessId),
+    /// A call reaches the cloud.
+    Cloud(CloudRequest),
+    /// A machine is up.
+    Boot(String),
+    /// A worker sends a report.
+    Report(String),
+    /// A worker's report reaches a controller.
+    Arrive {
+        controller: usize,
+        report: WorkerHeartbeat,
+        serial: u64,
+    },
+    /// The answer to a report reaches its worker.
+    Reply(HeartbeatReply),
+    /// A worker waits no longer for the answer to a report.
+    GaveUp {
+        worker: String,
+        serial: u64,
+    },
+    /// A worker's lease may have ended.
+    Lease(String),
+    /// A task on a worker goes from one phase to the next.
+    Phase(TaskChange),
+    /// Orders reach a worker directly.
+    Command(Command),
     /// A machine that hung goes on.
     GoesOn(String),
     /// Users look at a job that was just accepted, cancelled or done.
-    Look(usize, String, Look),
+    Look {
+        controller: usize,
+        job: String,
+        look: Look,
+    },
+}
+
+/// What is due, by time; of what is due at the same time, what was scheduled first.
+#[derive(Default)]
+pub(crate) struct EventQueue {
+    acts: BTreeMap<(u64, u64), Act>,
+    scheduled: u64,
+}
+
+impl EventQueue {
+    fn push(&mut self, due: u64, act: Act) {
+        self.scheduled += 1;
+        self.acts.insert((due, self.scheduled), act);
+    }
+
+    /// The next that is due by a time, and when it is.
+    fn pop_due(&mut self, by: u64) -> Option<(u64, Act)> {
+        let first = self.acts.first_entry()?;
+        let (due, _) = *first.key();
+        (due <= by).then(|| (due, first.remove()))
+    }
 }
 
 impl World {
     pub(crate) fn at(&mut self, delay: u64, act: Act) {
-        self.sequence += 1;
-        self.queue.insert((self.now + delay, self.sequence), act);
+        self.queue.push(self.now + delay, act);
+    }
+
+    /// Lets an event reach a controller's process, if that still runs then.
+    pub(crate) fn deliver(&mut self, delay: u64, process: ProcessId, event: Event) {
+        self.at(delay, Act::Controller { process, event });
     }
 
     pub(crate) fn chance(&mut self, p: f64) -> bool {
@@ -49,12 +101,8 @@
 
     pub fn run(&mut self, ms: u64) {
         let end = self.now + ms;
-        while let Some((&(at, n), _)) = self.queue.first_key_value() {
-            if at > end {
-                break;
-            }
-            let act = self.queue.remove(&(at, n)).unwrap();
-            self.now = at;
+        while let Some((due, act)) = self.queue.pop_due(end) {
+            self.now = due;
             self.act(act);
             if !self.unchecked {
                 self.check_rules();
@@ -72,308 +120,48 @@
         }
     }
 
-    pub(crate) fn act(&mut self, act: Act) {
+    fn act(&mut self, act: Act) {
         let Some(act) = self.unless_hung(act) else {
             return;
         };
         match act {
-            Act::GoesOn(name) => self.goes_on_after_hang(&name),
-            Act::Look(n, id, look) => self.look(n, &id, look),
-            Act::Restart(n) => {
-                self.send_kept_reports();
-                let mut settings = self.settings.clone();
-                settings.controller = self.settings.controllers[n].clone();
-                settings.zone = self.zone_of_controller(n);
-                let zone = |n: usize| {
-                    (
-                        self.settings.controllers[n].clone(),
-                        self.zone_of_controller(n),
-                    )
-                };
-                settings.controller_zones = (0..self.controllers.len()).map(zone).collect();
-                if self.is_old(n, self.controllers[n].life) {
-                    (settings.max_value_bytes, settings.max_transaction_changes) = self.old_limits;
-                    settings.learned = LearnedUse::default();
-                }
-                let seed = self.rng.gen();
-                let controller = Controller::new(
-                    settings,
-                    seed,
-                    self.now,
-                    WALL0 + self.now + self.clock_ahead[n],
-                );
-                let slot = &mut self.controllers[n];
-                slot.controller = Some(controller);
-                slot.began = self.now;
-                (slot.first_ready, slot.first_accepted, slot.first_start) = (None, None, None);
-                let life = slot.life;
-                self.at(1, Act::Tick(n, life));
-            }
-            Act::Tick(n, life) => {
-                if self.controllers[n].life == life && self.controllers[n].controller.is_some() {
-                    // A clock that was paused ticks once for all it missed.
-                    if !self.frozen(n) {
-                        self.controller(n, Event::Tick);
-                    }
-                    self.at(50, Act::Tick(n, life));
-                }
-            }
-            Act::End(n, life, back_after) => {
-                if self.controllers[n].life == life {
-                    self.crash(n, back_after);
-                }
-            }
-            Act::Thaw(n, life) => {
-                if self.controllers[n].life == life && !self.frozen(n) {
-                    // Each of its connections is read in order, but any of them first.
-                    let mut backlog = std::mem::take(&mut self.controllers[n].backlog);
-                    let start = self.rng.gen_range(0..8);
-                    let turn = |e: &Event| match e {
-                        Event::WatchUpdate { .. } | Event::WatchGap => 0,
-                        Event::State { .. } => 3,
-                        Event::PeerHeartbeat(_) => 5,
-                        Event::WorkerHeartbeat { .. } => 6,
-                        _ => 7,
-                    };
-                    backlog.sort_by_key(|e| (turn(e) + start) % 8);
-                    for event in backlog {
-                        self.controller(n, event);
-                    }
-                }
-            }
-            Act::Controller(n, life, event) => {
-                if self.controllers[n].life == life {
-                    self.controller(n, event);
-                }
-            }
-            Act::State(n, life, token, op, fate) => {
-                let down = self.state_down;
-                let changes = match &op {
-                    StateOperation::Transaction(transaction) => transaction.changes.len(),
-                    _ => 0,
-                };
-                if !down && !self.limited.state_takes(self.now, changes) {
-                    self.at(3, Act::Controller(n, life, Event::Throttled));
-                    self.at(TOO_MANY_PAUSE_MS, Act::State(n, life, token, op, fate));
-                    return;
-                }
-                let answer = match down {
-                    true => StateResponse::Unavailable,
-                    false => self.execute(op, self.is_old(n, life)),
-                };
-                if fate == Fate::Normal {
-                    let event = Event::State { token, answer };
-                    let slow = self.mishaps.answer_slow;
-                    let delay = match self.chance(slow) {
-                        true => self.rng.gen_range(3..1_000),
-                        false => 3,
-                    };
-                    if delay > STATE_TIMEOUT_MS && changes > 0 {
-                        let event = Event::StateTimeout { token };
-                        self.at(STATE_TIMEOUT_MS, Act::Controller(n, life, event));
-                    }
-                    self.at(delay, Act::Controller(n, life, event));
-                }
-            }
-            Act::Watch(n, life) => {
-                let slot = &self.controllers[n];
-                let Some(since) = slot.watching.filter(|_| slot.life == life) else {
-                    return;
-                };
-                let lags = self.now < slot.watch_lags_until;
-                if slot.cut_from_state || slot.refused || self.state_down || self.inside(n) || lags
-                {
-                    self.at(200, Act::Watch(n, life));
-                    return;
-                }
-                let from = self.log.partition_point(|(e, ..)| *e <= since);
-                let changes: Vec<_> = self.log[from..]
-                    .iter()
-                    .map(|(e, k, r)| (k.clone(), *e, r.clone()))
-                    .collect();
-                if !changes.is_empty() {
-                    let revision = self.revision;
-                    self.controllers[n].watching = Some(revision);
-                    self.controller(n, Event::WatchUpdate { revision, changes });
-                }
-            }
-            Act::Boot(name) => {
-                let now = self.now;
-                if let Some(w) = self.workers.get_mut(&name) {
-                    w.alive = true;
-                    w.lease_from = now;
-                    self.at(1, Act::Report(name.clone()));
-                    let lease = self.settings.lease_ms;
-                    self.at(lease + 1, Act::Lease(name));
-                }
-            }
-            Act::Lease(name) => {
-                let (now, lease) = (self.now, self.settings.lease_ms);
-                let Some(w) = self.workers.get(&name).filter(|w| w.alive) else {
-                    return;
-                };
-                let ends = w.lease_from + lease;
-                if now > ends {
-                    self.killed += w.live().count() as u32;
-                    self.all_off(&name);
-                    let w = self.workers.get_mut(&name).unwrap();
-                    w.incarnation += 1;
-                    w.tasks.clear();
-                    w.lease_from = now;
-                    w.in_flight = None;
-                    self.at(1, Act::Report(name.clone()));
-                    self.at(lease + 1, Act::Lease(name));
-                } else {
-                    self.at(ends + 1 - now, Act::Lease(name));
-                }
-            }
-            Act::Report(name) => self.send_report(&name),
-            Act::Arrive(n, report, serial) => {
-                let slot = &self.controllers[n];
-                if slot.cut_from_workers {
-                    return;
-                }
-                let here = |w: &&Worker| w.alive && w.controller == n;
-                let full = (self.limited.sockets)
-                    .is_some_and(|most| self.workers.values().filter(here).count() > most);
-                self.limited.no_socket += u32::from(full);
-                if slot.controller.is_none() || full {
-                    // Its host refuses the connection.
-                    self.at(1, Act::GaveUp(report.machine, serial));
-                    return;
-                }
-                let (now, frozen) = (self.now, self.frozen(n));
-                if let Some(w) = self.workers.get_mut(&report.machine).filter(|_| !frozen) {
-                    w.heard = (now, n);
-                }
-                let request = self.next_request;
-                self.next_request += 1;
-                let mark = (report.machine.clone(), report.incarnation, serial);
-                self.checkins.insert((n, slot.life, request), mark);
-                let report = Box::new(report);
-                self.controller(n, Event::WorkerHeartbeat { request, report });
-            }
-            Act::Reply(name, incarnation, serial, reply) => {
-                self.reply(&name, incarnation, serial, reply);
-            }
-            Act::GaveUp(name, serial) => {
-                let count = self.controllers.len();
-                let Some(w) = self.workers.get_mut(&name) else {
-                    return;
-                };
-                if w.in_flight == Some(serial) {
-                    w.in_flight = None;
-                    w.controller = (w.controller + 1) % count;
-                    self.at(1_000, Act::Report(name));
-                }
-            }
-            Act::Phase(name, task, attempt, phase) => {
-                let Some(w) = self.workers.get_mut(&name) else {
-                    return;
-                };
-                let class = &self.specs[&task.job].class;
-                let known = self.job_ms.get(&task.job).or(self.class_ms.get(class));
-                let mut run_ms = known.copied().unwrap_or(self.run_ms);
-                if self.slow.contains(&name) {
-                    run_ms *= 3;
-                }
-                let fails = w.fails_all || self.mistaken.contains(&task.job);
-                if !w.alive {
-                    return;
-                }
-                let Some(t) = w.tasks.get_mut(&(task.clone(), attempt)) else {
-                    return;
-                };
-                if matches!(t.phase, TaskPhase::Exited(_)) {
-                    return;
-                }
-                t.phase = phase;
-                if matches!(phase, TaskPhase::Exited(_)) {
-                    self.goes_off(&name, &task);
-                }
-                if phase == TaskPhase::Exited(ExitCause::Done) {
-                    self.done_tasks.insert(task.clone());
-                    self.ends(&task.job);
-                }
-                if phase == TaskPhase::Running {
-                    let now = self.now;
-                    self.ran_at.entry(task.job.clone()).or_insert(now);
-                    self.ran_since.insert((task.clone(), attempt), now);
-                    let spec = &self.specs[&task.job];
-                    if fails {
-                        let exit = TaskPhase::Exited(ExitCause::Error);
-                        self.at(300, Act::Phase(name.clone(), task, attempt, exit));
-                    } else if spec.kind == JobKind::Array {
-                        if spec.checkpoint_interval_s > 0.0 {
-                            let now = self.now;
-                            let done = self.progress.entry(task.clone()).or_insert((0, now));
-                            done.1 = now;
-                            run_ms = run_ms.saturating_sub(done.0);
-                        }
-                        let exit = TaskPhase::Exited(ExitCause::Done);
-                        self.at(run_ms, Act::Phase(name.clone(), task, attempt, exit));
-                    }
-                }
-                self.at(5, Act::Report(name));
-            }
-            Act::Command(n, life, machine, incarnation, token, commands, late) => {
-                let w = self.workers.get_mut(&machine);
-                let Some(w) = w.filter(|w| w.alive && (late || !w.cut)) else {
-                    let event = no_answer(machine, CommandOutcome::NoAnswer);
-                    self.at(2_000, Act::Controller(n, life, event));
-                    return;
-                };
-                if token < w.token || incarnation != w.incarnation {
-                    if late {
-                        return; // nobody waits for its answer any more
-                    }
-                    w.sequence += 1;
-                    let event = Event::CommandResult {
-                        report: Some(Box::new(self.report_of(&machine))),
-                        machine,
-                        reach: CommandOutcome::Refused,
-                    };
-                    self.at(2, Act::Controller(n, life, event));
-                    return;
-                }
-                let pause = self.settings.lease_ms / 2;
-                let may = w.token_said.is_none_or(|at| self.now >= at + pause);
-                if token > w.token && may {
-                    // It tells a higher token, now and then.
-                    w.token_said = Some(self.now);
-                    self.at(500, Act::Report(machine.clone()));
-                }
-                let w = self.workers.get_mut(&machine).unwrap();
-                w.token = token;
-                let probe = commands.is_empty();
-                let stops = commands
-                    .iter()
-                    .any(|o| matches!(o, WorkerCommand::Stop { .. }));
-                for order in commands {
-                    self.order(&machine, order);
-                }
-                if !late {
-                    self.workers.get_mut(&machine).unwrap().sequence += 1;
-                    let report = (stops || probe).then(|| Box::new(self.report_of(&machine)));
-                    let event = Event::CommandResult {
-                        machine,
-                        reach: CommandOutcome::Accepted,
-                        report,
-                    };
-                    self.at(2, Act::Controller(n, life, event));
-                }
-            }
-            Act::Cloud(n, life, token, op, lost) => {
-                let answer = match self.limited.cloud_takes(self.now) {
-                    true => self.cloud(op),
-                    false => CloudResponse::Failed,
-                };
-                let event = Event::Cloud {
-                    token,
-                    answer: if lost { CloudResponse::Failed } else { answer },
-                };
-                self.at(20, Act::Controller(n, life, event));
-            }
+            Act::Restart(n) => self.start_controller(n),
+            Act::Tick(process) => self.tick(process),
+            Act::Controller { process, event } => {
+                if self.runs(process) {
+                    self.controller(process.controller, event);
+                }
+            }
+            Act::Thaw(process) => self.thaw(process),
+            Act::End {
+                process,
+                back_after,
+            } => {
+                if self.runs(process) {
+                    self.crash(process.controller, back_after);
+                }
+            }
+            Act::State(request) => self.execute_request(request),
+            Act::Watch(process) => self.tell_watch(process),
+            Act::Cloud(request) => self.execute_cloud_request(request),
+            Act::Boot(worker) => self.machine_is_up(worker),
+            Act::Report(worker) => self.send_report(&worker),
+            Act::Arrive {
+                controller,
+                report,
+                serial,
+            } => self.receive_report(controller, report, serial),
+            Act::Reply(reply) => self.receive_reply(reply),
+            Act::GaveUp { worker, serial } => self.give_up_report(worker, serial),
+            Act::Lease(worker) => self.check_lease(worker),
+            Act::Phase(change) => self.change_task(change),
+            Act::Command(command) => self.receive_command(command),
+            Act::GoesOn(worker) => self.goes_on_after_hang(&worker),
+            Act::Look {
+                controller,
+                job,
+                look,
+            } => self.look(controller, &job, look),
         }
     }
 }
--- a/crates/simulation/src/hangs.rs
+++ b/crates/simulation/src/hangs.rs
@@ -1,8 +1,12 @@
 //! Machines that hang and go on later.
 
-use crate::{no_answer, Act, World};
+use crate::network::no_answer;
+use crate::{Act, World};
 use glenmount_core::controller::CommandOutcome;
 
+/// Milliseconds after which a controller gives up on a command to a machine that hangs.
+const COMMAND_TIMEOUT_MS: u64 = 1_200;
+
 impl World {
     /// Lets a machine hang: it executes nothing, reports nothing, and goes on later. What comes to it
     /// meanwhile waits.
@@ -22,19 +26,21 @@
     pub(crate) fn unless_hung(&mut self, act: Act) -> Option<Act> {
         let name = match &act {
             Act::Lease(_) if self.hung_leases_end => return Some(act),
-            Act::Reply(name, ..) | Act::GaveUp(name, _) | Act::Lease(name) => name,
-            Act::Phase(name, ..) | Act::Command(_, _, name, ..) => name,
+            Act::Reply(reply) => &reply.checkin.worker,
+            Act::GaveUp { worker, .. } | Act::Lease(worker) => worker,
+            Act::Phase(change) => &change.worker,
+            Act::Command(command) => &command.machine,
             _ => return Some(act),
         };
-        let name = name.clone();
-        if !self.hangs(&name) {
+        if !self.hangs(name) {
             return Some(act);
         }
+        let name = name.clone();
         let mut act = act;
-        if let Act::Command(n, life, _, _, _, _, late) = &mut act {
-            if !std::mem::replace(late, true) {
-                let event = no_answer(name.clone(), CommandOutcome::NoAnswer);
-                self.at(1_200, Act::Controller(*n, *life, event));
+        if let Act::Command(command) = &mut act {
+            if !std::mem::replace(&mut command.late, true) {
+                let silent = no_answer(name.clone(), CommandOutcome::NoAnswer);
+                self.deliver(COMMAND_TIMEOUT_MS, command.process, silent);
             }
         }
         if let Some(w) = self.workers.get_mut(&name) {
@@ -57,7 +63,7 @@
         // It gave up by its own clock what it waited for in vain.
         hung.sort_by_key(|act| match act {
             Act::Lease(_) => 0,
-            Act::GaveUp(..) => 1,
+            Act::GaveUp { .. } => 1,
             _ => 2,
         });
         for (i, act) in hung.into_iter().enumerate() {
--- a/crates/simulation/src/measure.rs
+++ b/crates/simulation/src/measure.rs
@@ -81,6 +81,18 @@
 }
 
 impl Served {
+    fn add(&mut self, other: &Served) {
+        self.jobs += other.jobs;
+        self.accepted += other.accepted;
+        self.started += other.started;
+        self.done += other.done;
+        self.in_time += other.in_time;
+        self.with_goal += other.with_goal;
+        self.tasks += other.tasks;
+        self.tasks_started += other.tasks_started;
+        self.tasks_done += other.tasks_done;
+    }
+
     /// The share that was served: of services those started, of others those done.
     pub fn share(&self, service: bool) -> f64 {
         let (n, of) = match service {
@@ -154,6 +166,31 @@
 
     /// Another play of the same day.
     pub fn add(&mut self, other: &Outcome) {
+        self.add_means(other);
+        self.add_served(other);
+        self.add_times(other);
+        self.plays += other.plays;
+        self.seconds += other.seconds;
+        self.submissions += other.submissions;
+        self.unanswered += other.unanswered;
+        self.told_later += other.told_later;
+        self.blind_ms += other.blind_ms;
+        self.killed_by_lease += other.killed_by_lease;
+        self.starts += other.starts;
+        self.tasks_done += other.tasks_done;
+        for (why, (count, ms)) in &other.stops {
+            let sum = self.stops.entry(why.clone()).or_default();
+            (sum.0, sum.1) = (sum.0 + count, sum.1 + ms);
+        }
+        self.deleted += other.deleted;
+        self.changes += other.changes;
+        self.conflicts += other.conflicts;
+        self.throttled += other.throttled;
+        self.no_socket += other.no_socket;
+    }
+
+    /// Figures of which the mean, the least or the most is told.
+    fn add_means(&mut self, other: &Outcome) {
         let (n, m) = (f64::from(self.plays), f64::from(other.plays));
         let mean = |a: f64, b: f64| (a * n + b * m) / (n + m);
         self.up = mean(self.up, other.up);
@@ -164,29 +201,20 @@
         self.us_per_event = mean(self.us_per_event, other.us_per_event);
         self.beat_kb = mean(self.beat_kb, other.beat_kb);
         self.crowded = self.crowded.max(other.crowded);
-        self.plays += other.plays;
-        self.seconds += other.seconds;
-        let add = |a: &mut Served, b: &Served| {
-            a.jobs += b.jobs;
-            a.accepted += b.accepted;
-            a.started += b.started;
-            a.done += b.done;
-            a.in_time += b.in_time;
-            a.with_goal += b.with_goal;
-            a.tasks += b.tasks;
-            a.tasks_started += b.tasks_started;
-            a.tasks_done += b.tasks_done;
-        };
+    }
+
+    fn add_served(&mut self, other: &Outcome) {
         for (name, (service, served)) in &other.classes {
-            let entry = self.classes.entry(name.clone());
-            add(
-                &mut entry.or_insert((*service, Served::default())).1,
-                served,
-            );
+            let of_class = self.classes.entry(name.clone());
+            let of_class = of_class.or_insert((*service, Served::default()));
+            of_class.1.add(served);
         }
         for (name, served) in &other.teams {
-            add(self.teams.entry(name.clone()).or_default(), served);
+            self.teams.entry(name.clone()).or_default().add(served);
         }
+    }
+
+    fn add_times(&mut self, other: &Outcome) {
         for (name, times) in &other.waits {
             self.waits.entry(name.clone()).or_default().add(times);
         }
@@ -202,21 +230,5 @@
         ] {
             a.add(b);
         }
-        self.submissions += other.submissions;
-        self.unanswered += other.unanswered;
-        self.told_later += other.told_later;
-        self.blind_ms += other.blind_ms;
-        self.killed_by_lease += other.killed_by_lease;
-        self.starts += other.starts;
-        self.tasks_done += other.tasks_done;
-        for (why, (count, ms)) in &other.stops {
-            let sum = self.stops.entry(why.clone()).or_default();
-            (sum.0, sum.1) = (sum.0 + count, sum.1 + ms);
-        }
-        self.deleted += other.deleted;
-        self.changes += other.changes;
-        self.conflicts += other.conflicts;
-        self.throttled += other.throttled;
-        self.no_socket += other.no_socket;
     }
 }
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -218,7 +218,6 @@
 
     /// A controller's watch can't go on: it reads all records again.
     pub fn watch_gap(&mut self, n: usize) {
-        let life = self.controllers[n].life;
-        self.at(1, crate::Act::Controller(n, life, Event::WatchGap));
+        self.deliver(1, self.process(n), Event::WatchGap);
     }
 }
--- /dev/null
+++ b/crates/simulation/src/play/figures.rs
@@ -0,0 +1,159 @@
+//! What is measured of a day: replicas each second, jobs at its end.
+
+use super::{ms, Play};
+use crate::measure::Served;
+use crate::users::User;
+use glenmount_core::model::{JobKind, JobSpec, TaskPhase};
+use std::collections::HashMap;
+use std::time::Duration;
+
+/// Milliseconds after which a service's replica should run.
+const UP_AFTER_MS: u64 = 15_000;
+/// Seconds of which the worst are told.
+const WORST_S: usize = 30;
+/// Milliseconds by which a job may be known to be done later than its goal.
+const GOAL_SLACK_MS: u64 = 5_000;
+
+/// The share of replicas that ran.
+fn share(of: &[(u64, u64)]) -> f64 {
+    let (up, wanted) = of.iter().fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
+    up as f64 / wanted.max(1) as f64
+}
+
+/// Cancelled before it could be done: counts for nothing.
+fn is_cancelled_early(user: &User, spec: &JobSpec) -> bool {
+    spec.kind == JobKind::Array && user.cancels()
+}
+
+/// What became of a job.
+struct Fate {
+    ran: bool,
+    tasks_done: u64,
+    /// Milliseconds within which it should have been done.
+    goal: Option<u64>,
+}
+
+/// Counts a job.
+fn count_job(served: &mut Served, user: &User, spec: &JobSpec, fate: &Fate) {
+    let service = spec.kind == JobKind::Service;
+    served.jobs += 1;
+    served.accepted += u32::from(user.accepted_at.is_some());
+    served.started += u32::from(fate.ran);
+    served.done += u32::from(user.done_at.is_some());
+    served.tasks += u64::from(spec.tasks);
+    served.tasks_done += fate.tasks_done;
+    served.tasks_started += match (service, fate.ran) {
+        (true, true) => u64::from(spec.tasks),
+        (true, false) => 0,
+        (false, ran) => fate.tasks_done.max(u64::from(ran)),
+    };
+    if let Some(goal) = fate.goal.filter(|_| !service) {
+        let due = user.asked_at + goal + GOAL_SLACK_MS;
+        served.with_goal += 1;
+        served.in_time += u32::from(user.done_at.is_some_and(|at| at <= due));
+    }
+}
+
+impl Play<'_> {
+    /// Once a second: replicas that run, of those that should.
+    pub(super) fn sample(&mut self, day: bool) {
+        if !self.counted() || !day {
+            return;
+        }
+        let mut running: HashMap<&str, u64> = HashMap::new();
+        let mut load = vec![0usize; self.day.controllers];
+        for worker in self.w.workers.values() {
+            load[worker.controller] += usize::from(worker.alive);
+            for ((task, _), state) in &worker.tasks {
+                if state.phase == TaskPhase::Running {
+                    *running.entry(task.job.as_str()).or_default() += 1;
+                }
+            }
+        }
+        let all: usize = load.iter().sum();
+        let most = load.iter().max().copied().unwrap_or(0) as f64 / all.max(1) as f64;
+        self.out.crowded = self.out.crowded.max(most);
+        let (mut up, mut wanted) = (0, 0);
+        for (id, user) in &self.users.users {
+            if self.should_run(id, user) {
+                wanted += u64::from(self.w.specs[id].tasks);
+                up += running.get(id.as_str()).copied().unwrap_or(0);
+            }
+        }
+        self.up.push((up, wanted));
+    }
+
+    /// Whether a job is a service all of whose replicas should run.
+    fn should_run(&self, id: &str, user: &User) -> bool {
+        let service = self.w.specs[id].kind == JobKind::Service;
+        let due = |at: u64| self.w.now > at + UP_AFTER_MS;
+        let asked = self.w.told.get(id).is_some_and(|t| t.asked_cancel);
+        service && user.accepted_at.is_some_and(due) && !asked && !user.cancelled
+    }
+
+    /// Adds all up at the day's end.
+    pub(super) fn count(&mut self, spent: Duration) {
+        self.count_jobs();
+        let out = &mut self.out;
+        (out.up, out.up_worst) = match self.up.iter().any(|(_, wanted)| *wanted > 0) {
+            true => {
+                let worst = self.up.windows(WORST_S).map(share).fold(1.0, f64::min);
+                (share(&self.up), worst)
+            }
+            false => (1.0, 1.0),
+        };
+        out.blind_ms = self.users.blind_ms;
+        out.killed_by_lease = self.w.killed;
+        out.starts = self.w.starts;
+        out.tasks_done = self.w.done_tasks.len() as u64;
+        out.stops = self.w.stops.clone();
+        out.deleted = self.w.deleted.len() as u32;
+        out.changes = self.w.changes;
+        out.conflicts = self.w.conflicts;
+        out.throttled = self.w.limited.refused;
+        out.no_socket = self.w.limited.no_socket;
+        out.us_per_event = self.w.spent.as_secs_f64() * 1e6 / self.w.events.max(1) as f64;
+        out.beat_kb = self.w.beat_bytes as f64 / 1024.0;
+        out.seconds = spent.as_secs();
+    }
+
+    fn count_jobs(&mut self) {
+        let warm = self.day.warm_s * 1_000;
+        let mut tasks_done: HashMap<&str, u64> = HashMap::new();
+        for task in &self.w.done_tasks {
+            *tasks_done.entry(task.job.as_str()).or_default() += 1;
+        }
+        let out = &mut self.out;
+        for (id, user) in &self.users.users {
+            let spec = &self.w.specs[id];
+            if user.asked_at < warm || is_cancelled_early(user, spec) {
+                continue;
+            }
+            let class = &self.day.classes[user.class];
+            out.submissions += 1;
+            out.unanswered += user.unanswered;
+            out.told_later += user.told_later;
+            if let Some(at) = user.accepted_at {
+                out.submitted.note(at - user.asked_at);
+            }
+            let ran_at = self.w.ran_at.get(id);
+            if let Some(at) = ran_at {
+                let times = out.waits.entry(class.name.clone()).or_default();
+                times.note(at.saturating_sub(user.asked_at));
+            }
+            let first_goal = class.within_s.first().map(|s| ms(*s));
+            let fate = Fate {
+                ran: ran_at.is_some(),
+                tasks_done: tasks_done.get(id.as_str()).copied().unwrap_or(0),
+                goal: first_goal.or(spec.deadline_s.map(ms)),
+            };
+            let service = spec.kind == JobKind::Service;
+            let of_class = out.classes.entry(class.name.clone());
+            let of_class = &mut of_class.or_insert((service, Served::default())).1;
+            let of_team = out.teams.entry(user.team.clone()).or_default();
+            for served in [of_class, of_team] {
+                count_job(served, user, spec, &fate);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/play/takeovers.rs
@@ -0,0 +1,150 @@
+//! What happens after a controller's end, and after a process's start.
+
+use super::Play;
+use crate::measure::Outcome;
+use crate::{Worker, World};
+use glenmount_core::controller::Controller;
+use glenmount_core::peers::tracker::PeerStatus;
+use std::collections::BTreeSet;
+
+/// Milliseconds for which a controller's end is followed.
+const FOLLOWED_MS: u64 = 60_000;
+/// Milliseconds after a process's start at which it is measured.
+const STARTED_MS: u64 = 20_000;
+
+/// A controller's end that is followed until its work is taken over.
+pub(super) struct Followed {
+    controller: usize,
+    at: u64,
+    /// Machines that reported to it and have not been heard since.
+    machines: BTreeSet<String>,
+    /// How many they were.
+    all: usize,
+    noticed: bool,
+    claimed: bool,
+    duty: bool,
+}
+
+impl Followed {
+    /// The end of a controller, now.
+    fn new(w: &World, controller: usize) -> Followed {
+        let there = w
+            .workers
+            .values()
+            .filter(|m| m.alive && m.controller == controller);
+        let machines: BTreeSet<String> = there.map(|m| m.name.clone()).collect();
+        Followed {
+            controller,
+            at: w.now,
+            all: machines.len(),
+            machines,
+            noticed: false,
+            claimed: false,
+            duty: false,
+        }
+    }
+
+    fn look(&mut self, w: &World, out: &mut Outcome) {
+        self.look_at_siblings(w, out);
+        self.look_at_machines(w, out);
+        self.look_for_claims(w, out);
+    }
+
+    /// Whether its peers have noticed it, and one does its duties.
+    fn look_at_siblings(&mut self, w: &World, out: &mut Outcome) {
+        let took = w.now - self.at;
+        let name = &w.settings.controllers[self.controller];
+        let lives = |n: usize| {
+            w.controllers[n]
+                .controller
+                .as_ref()
+                .filter(|_| !w.frozen(n))
+        };
+        let others = (0..w.controllers.len()).filter(|n| *n != self.controller);
+        let others: Vec<&Controller> = others.filter_map(lives).collect();
+        let away = |o: &&Controller| o.status_of(name).is_some_and(PeerStatus::is_away);
+        if !self.noticed && others.iter().any(away) {
+            self.noticed = true;
+            out.noticed.note(took);
+        }
+        if !self.duty && self.noticed && others.iter().any(|o| o.is_on_duty()) {
+            self.duty = true;
+            out.duty.note(took);
+        }
+    }
+
+    /// Which of its machines have been heard, and told to start something.
+    fn look_at_machines(&mut self, w: &World, out: &mut Outcome) {
+        let mut came = Vec::new();
+        for id in &self.machines {
+            match w.workers.get(id) {
+                Some(worker) if worker.heard.0 > self.at => {
+                    out.heard.note(worker.heard.0 - self.at);
+                    came.push(id.clone());
+                    if !self.claimed && worker.told_start > self.at {
+                        self.claimed = true;
+                        out.first_claim.note(worker.told_start - self.at);
+                    }
+                }
+                Some(worker) if worker.alive && !worker.cut => {}
+                _ => came.push(id.clone()),
+            }
+        }
+        for id in came {
+            self.machines.remove(&id);
+        }
+    }
+
+    /// A claim on a machine that was heard already.
+    fn look_for_claims(&mut self, w: &World, out: &mut Outcome) {
+        if self.claimed {
+            return;
+        }
+        let told = |m: &&Worker| m.heard.0 > self.at && m.told_start > self.at;
+        let starts = w.workers.values().filter(told).map(|m| m.told_start);
+        if let Some(at) = starts.min().filter(|_| self.all > 0) {
+            self.claimed = true;
+            out.first_claim.note(at - self.at);
+        }
+    }
+
+    fn is_over(&self, now: u64) -> bool {
+        let taken_over = self.machines.is_empty() && self.noticed && self.claimed && self.duty;
+        now >= self.at + FOLLOWED_MS || taken_over
+    }
+}
+
+impl Play<'_> {
+    pub(super) fn follow_end(&mut self, n: usize) {
+        self.followed.push(Followed::new(&self.w, n));
+    }
+
+    /// Looks at all that is followed.
+    pub(super) fn follow(&mut self) {
+        for followed in &mut self.followed {
+            followed.look(&self.w, &mut self.out);
+        }
+        let now = self.w.now;
+        self.followed.retain(|followed| !followed.is_over(now));
+        self.measure_starts();
+    }
+
+    /// What processes did in their first seconds.
+    fn measure_starts(&mut self) {
+        for (n, slot) in self.w.controllers.iter().enumerate() {
+            if slot.began <= self.began[n] || self.w.now < slot.began + STARTED_MS {
+                continue;
+            }
+            self.began[n] = slot.began;
+            for (at, times) in [
+                (slot.first_ready, &mut self.out.ready),
+                (slot.first_accepted, &mut self.out.accepted),
+                (slot.first_start, &mut self.out.claimed),
+            ] {
+                if let Some(at) = at {
+                    times.note(at - slot.began);
+                }
+            }
+        }
+    }
+}
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -1,6 +1,6 @@
 //! Requests of users, and what they were told.
 
-use crate::{Act, World};
+use crate::World;
 use glenmount_core::controller::{Event, RequestId, UserReply};
 use glenmount_core::model::{JobSpec, JobState};
 use std::collections::BTreeSet;
@@ -15,6 +15,30 @@
     pub asked_cancel: bool,
 }
 
+/// What of a job's life users were told.
+#[derive(Clone, Copy, PartialEq)]
+struct Milestones {
+    accepted: bool,
+    cancelled: bool,
+    done: bool,
+}
+
+impl Told {
+    fn milestones(&self) -> Milestones {
+        Milestones {
+            accepted: self.accepted,
+            cancelled: self.cancelled_at.is_some(),
+            done: self.done,
+        }
+    }
+}
+
+/// A request that waits for its answer: about which job, and when it was sent.
+pub(crate) struct Asked {
+    job: String,
+    at: u64,
+}
+
 /// Answers that were older than another which a controller gave while they were on their way: asked before it,
 /// given after it.
 #[derive(Clone, Copy, Debug, Default)]
@@ -54,10 +78,10 @@
     ) -> RequestId {
         let request = self.next_request;
         self.next_request += 1;
-        self.asked.insert(request, (n, id.to_string(), self.now));
-        let life = self.controllers[n].life;
+        let (job, at) = (id.to_string(), self.now);
+        self.asked.insert(request, Asked { job, at });
         if !self.inside(n) {
-            self.at(2, Act::Controller(n, life, event(request)));
+            self.deliver(2, self.process(n), event(request));
         }
         request
     }
@@ -107,69 +131,95 @@
         found
     }
 
+    /// A user gets an answer: it is held against all that users were told before.
     pub(crate) fn user_told(&mut self, request: RequestId, reply: UserReply) {
-        let Some((_, id, asked_at)) = self.asked.remove(&request) else {
+        let Some(asked) = self.asked.remove(&request) else {
             return;
         };
-        let all_done = self.all_done(&id);
-        let upstream = self.upstream(&id);
-        let above = || upstream.iter().filter_map(|a| self.told.get(a));
-        let asked_above = above().any(|t| t.asked_cancel);
-        let cancelled_above = above().filter_map(|t| t.cancelled_at).min();
-        let (now, cancel_ms) = (self.now, self.settings.cancel_ms);
-        let told = self.told.entry(id.clone()).or_default();
-        let before = (told.accepted, told.cancelled_at.is_some(), told.done);
+        let id = &asked.job;
+        let before = self.told.entry(id.clone()).or_default().milestones();
         match &reply {
-            UserReply::Accepted { .. } => {}
             UserReply::Status { state, .. } | UserReply::Cancelled { state, .. } => {
-                assert!(self.specs.contains_key(&id), "invented: {id}");
-                if *state == JobState::Done {
-                    assert!(all_done, "not_done: {id} called done");
-                    assert!(told.cancelled_at.is_none(), "went_back: {id}");
-                    told.done = true;
-                    told.done_at.get_or_insert(now);
-                } else if *state == JobState::Cancelled {
-                    assert!(!told.done, "went_back: {id} was done, now {state:?}");
-                } else if let Some(at) = told.done_at {
-                    let why = format!("went_back: {id} was done, now {state:?}");
-                    self.overlaps.older(asked_at, at, now, &why);
-                }
-                if *state == JobState::Cancelled {
-                    let asked = told.asked_cancel || asked_above;
-                    assert!(asked, "went_back: {id} cancelled by nobody");
-                    if told.cancelled_at.is_none() {
-                        told.cancelled_at = Some(now);
-                        self.rules.is_cancelled(&id, now + cancel_ms);
-                    }
-                } else {
-                    if let Some(at) = told.cancelled_at {
-                        let why = format!("went_back: {id} was cancelled, now {state:?}");
-                        self.overlaps.older(asked_at, at, now, &why);
-                    }
-                    let orphaned = cancelled_above.is_some_and(|at| now > at + cancel_ms);
-                    assert!(!orphaned, "orphaned: {id} is called {state:?}");
-                }
+                assert!(self.specs.contains_key(id), "invented: {id}");
+                self.check_state(&asked, *state);
             }
             UserReply::NotFound | UserReply::Rejected(_) => {
-                if let Some(at) = told.accepted_at {
+                if let Some(at) = self.told[id].accepted_at {
                     let why = format!("forgotten: {id}: {reply:?}");
-                    self.overlaps.older(asked_at, at, now, &why);
+                    self.overlaps.older(asked.at, at, self.now, &why);
                 }
             }
-            UserReply::RetryAfter { .. } => {}
+            UserReply::Accepted { .. } | UserReply::RetryAfter { .. } => {}
         }
         let known = matches!(
             reply,
             UserReply::Accepted { .. } | UserReply::Status { .. } | UserReply::Cancelled { .. }
         );
+        let now = self.now;
+        let told = self.told.entry(id.clone()).or_default();
         if known {
             told.accepted = true;
             told.accepted_at.get_or_insert(now);
         }
-        let after = (told.accepted, told.cancelled_at.is_some(), told.done);
+        let after = told.milestones();
         self.answers.insert(request, reply);
         if self.close_looks && after != before {
-            self.look_closely(&id, !before.0);
+            self.look_closely(id, !before.accepted);
+        }
+    }
+
+    /// Checks a state that a user is told, and keeps it in mind.
+    fn check_state(&mut self, asked: &Asked, state: JobState) {
+        match state {
+            JobState::Done => self.check_done(&asked.job),
+            JobState::Cancelled => self.check_cancelled(&asked.job),
+            JobState::Pending | JobState::Running => self.check_open(asked, state),
+        }
+        if state != JobState::Cancelled {
+            let id = &asked.job;
+            let upstream = self.upstream(id);
+            let told = upstream.iter().filter_map(|a| self.told.get(a));
+            let cancelled_above = told.filter_map(|t| t.cancelled_at).min();
+            let late = |at: u64| self.now > at + self.settings.cancel_ms;
+            let orphaned = cancelled_above.is_some_and(late);
+            assert!(!orphaned, "orphaned: {id} is called {state:?}");
+        }
+    }
+
+    fn check_done(&mut self, id: &str) {
+        assert!(self.all_done(id), "not_done: {id} called done");
+        let now = self.now;
+        let told = self.told.entry(id.to_string()).or_default();
+        assert!(told.cancelled_at.is_none(), "went_back: {id}");
+        told.done = true;
+        told.done_at.get_or_insert(now);
+    }
+
+    fn check_cancelled(&mut self, id: &str) {
+        let upstream = self.upstream(id);
+        let mut above = upstream.iter().filter_map(|a| self.told.get(a));
+        let asked_above = above.any(|t| t.asked_cancel);
+        let (now, state) = (self.now, JobState::Cancelled);
+        let told = self.told.entry(id.to_string()).or_default();
+        assert!(!told.done, "went_back: {id} was done, now {state:?}");
+        let asked = told.asked_cancel || asked_above;
+        assert!(asked, "went_back: {id} cancelled by nobody");
+        if told.cancelled_at.is_none() {
+            told.cancelled_at = Some(now);
+            self.rules.is_cancelled(id, now + self.settings.cancel_ms);
+        }
+    }
+
+    fn check_open(&mut self, asked: &Asked, state: JobState) {
+        let (id, now) = (&asked.job, self.now);
+        let told = &self.told[id];
+        if let Some(at) = told.done_at {
+            let why = format!("went_back: {id} was done, now {state:?}");
+            self.overlaps.older(asked.at, at, now, &why);
+        }
+        if let Some(at) = told.cancelled_at {
+            let why = format!("went_back: {id} was cancelled, now {state:?}");
+            self.overlaps.older(asked.at, at, now, &why);
         }
     }
 }
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,7 +1,10 @@
 //! The simulation: its parts, and how one is set up.
 
+use crate::event_loop::EventQueue;
+use crate::requests::Asked;
 use crate::rules::Rules;
 use crate::service::Limited;
+use crate::workers::SentReport;
 use crate::{digest, operator};
 use crate::{kind, settings, Act, ControllerSlot, Mishaps, Overlaps, Told, Worker};
 use glenmount_core::controller::{RequestId, UserReply};
@@ -14,11 +17,17 @@
 
 pub const WALL0: u64 = 1_700_000_000_000;
 
+/// One process of a controller. What was meant for an earlier one is lost.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct ProcessId {
+    pub controller: usize,
+    pub incarnation: u32,
+}
+
 pub struct World {
     pub now: u64,
     pub rng: SmallRng,
-    pub(crate) queue: BTreeMap<(u64, u64), Act>,
-    pub(crate) sequence: u64,
+    pub(crate) queue: EventQueue,
     pub controllers: Vec<ControllerSlot>,
     pub settings: Settings,
     /// The zones that have controllers, in turn; empty for all.
@@ -78,8 +87,8 @@
     pub mistaken: BTreeSet<String>,
     pub answers: BTreeMap<RequestId, UserReply>,
     /// Where a request was sent, about what, and when.
-    pub(crate) asked: HashMap<RequestId, (usize, String, u64)>,
-    pub(crate) checkins: HashMap<(usize, u32, RequestId), (String, u64, u64)>,
+    pub(crate) asked: HashMap<RequestId, Asked>,
+    pub(crate) checkins: HashMap<(ProcessId, RequestId), SentReport>,
     pub(crate) next_request: u64,
     pub mishaps: Mishaps,
     pub starts: u32,
@@ -134,8 +143,7 @@
         let mut w = World {
             now: 0,
             rng: SmallRng::seed_from_u64(seed),
-            queue: BTreeMap::new(),
-            sequence: 0,
+            queue: EventQueue::default(),
             controllers: Vec::new(),
             settings: settings("", controllers),
             controllers_in: Vec::new(),
@@ -204,26 +212,7 @@
             digest: None,
         };
         for i in 0..controllers {
-            w.controllers.push(ControllerSlot {
-                controller: None,
-                life: 0,
-                new_from: 0,
-                cut_from_state: false,
-                refused: false,
-                cut_from_workers: false,
-                cut_from_peers: false,
-                mute: false,
-                watching: None,
-                watch_lags_until: 0,
-                frozen_until: 0,
-                backlog: Vec::new(),
-                sent: 0,
-                back_after: 0,
-                began: 0,
-                first_ready: None,
-                first_accepted: None,
-                first_start: None,
-            });
+            w.controllers.push(ControllerSlot::default());
             w.at(i as u64 * 7, Act::Restart(i));
         }
         for i in 0..machines {
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -9,7 +9,14 @@
 /// Milliseconds between two steps of users and balancer.
 pub const STEP_MS: u64 = 20;
 const PROBE_MS: u64 = 1_000;
+/// Milliseconds for which a controller that was removed stays out, which doubles each time.
+const PAUSE_LEAST_MS: u64 = 3_000;
+const PAUSE_MOST_MS: u64 = 60_000;
+/// Milliseconds within which a removal counts as one more of the same.
+const REMOVED_AGAIN_MS: u64 = 120_000;
 const PASS_INTERVAL_MS: u64 = 5_000;
+/// Milliseconds after which a request that got no answer is sent again.
+const RETRY_MS: u64 = 1_000;
 const SUBMIT_WAITS_MS: u64 = 5_000;
 const POLL_WAITS_MS: u64 = 2_000;
 /// A submission is repeated for so long.
@@ -26,6 +33,31 @@
     pause_ms: u64,
 }
 
+impl Seen {
+    fn probe_succeeded(&mut self, now: u64) {
+        self.failures = 0;
+        self.successes += 1;
+        let paused = now < self.removed_at + self.pause_ms;
+        if !self.healthy && (!self.ever || self.successes >= 2 && !paused) {
+            (self.healthy, self.ever) = (true, true);
+        }
+    }
+
+    fn probe_failed(&mut self, now: u64) {
+        self.successes = 0;
+        self.failures += 1;
+        if self.healthy && self.failures >= 2 {
+            self.healthy = false;
+            let again = now < self.removed_at + REMOVED_AGAIN_MS;
+            self.pause_ms = match again {
+                true => (self.pause_ms * 2).clamp(PAUSE_LEAST_MS, PAUSE_MOST_MS),
+                false => PAUSE_LEAST_MS,
+            };
+            self.removed_at = now;
+        }
+    }
+}
+
 pub struct Balancer {
     controllers: Vec<Seen>,
     next_probe: Vec<u64>,
@@ -49,26 +81,9 @@
             self.next_probe[n] = w.now + PROBE_MS;
             let controller = w.controllers[n].controller.as_ref();
             let ok = !w.frozen(n) && controller.is_some_and(Controller::ready) && !w.unreachable(n);
-            let seen = &mut self.controllers[n];
-            if ok {
-                seen.failures = 0;
-                seen.successes += 1;
-                let paused = w.now < seen.removed_at + seen.pause_ms;
-                if !seen.healthy && (!seen.ever || seen.successes >= 2 && !paused) {
-                    (seen.healthy, seen.ever) = (true, true);
-                }
-            } else {
-                seen.successes = 0;
-                seen.failures += 1;
-                if seen.healthy && seen.failures >= 2 {
-                    seen.healthy = false;
-                    let again = w.now < seen.removed_at + 120_000;
-                    seen.pause_ms = match again {
-                        true => (seen.pause_ms * 2).clamp(3_000, 60_000),
-                        false => 3_000,
-                    };
-                    seen.removed_at = w.now;
-                }
+            match ok {
+                true => self.controllers[n].probe_succeeded(w.now),
+                false => self.controllers[n].probe_failed(w.now),
             }
         }
     }
@@ -124,6 +139,40 @@
     pub fn cancels(&self) -> bool {
         self.cancel_at.is_some()
     }
+
+    /// Milliseconds for which it waits for an answer.
+    fn patience_ms(&self) -> u64 {
+        match self.accepted_at {
+            None => SUBMIT_WAITS_MS,
+            Some(_) => POLL_WAITS_MS,
+        }
+    }
+
+    /// What it makes of an answer, or of none.
+    fn take_answer(&mut self, now: u64, reply: Option<UserReply>) {
+        self.next_at = now + RETRY_MS;
+        match reply {
+            Some(UserReply::Accepted { .. }) => {
+                self.accepted_at.get_or_insert(now);
+                self.next_at = now + PASS_INTERVAL_MS;
+            }
+            Some(UserReply::Status { state, .. } | UserReply::Cancelled { state, .. }) => {
+                self.accepted_at.get_or_insert(now);
+                self.next_at = now + PASS_INTERVAL_MS;
+                match state {
+                    JobState::Done => self.done_at = Some(now),
+                    JobState::Cancelled => self.cancelled = true,
+                    JobState::Pending | JobState::Running => {}
+                }
+            }
+            Some(UserReply::RetryAfter { after_s }) => {
+                self.told_later += u32::from(self.accepted_at.is_none());
+                self.next_at = now + 1_000 * u64::from(after_s.max(1));
+            }
+            Some(UserReply::NotFound | UserReply::Rejected(_)) => self.gave_up = true,
+            None => self.unanswered += u32::from(self.accepted_at.is_none()),
+        }
+    }
 }
 
 impl Users {
@@ -172,51 +221,30 @@
 }
 
 fn step(w: &mut World, balancer: &mut Balancer, id: &str, user: &mut User) {
-    if let Some((request, sent, n)) = user.request {
-        let patience = match user.accepted_at {
-            None => SUBMIT_WAITS_MS,
-            Some(_) => POLL_WAITS_MS,
-        };
-        let reply = w.answers.remove(&request);
-        let ended = w.controllers[n].controller.is_none() || w.ended_at[n] > sent;
-        if reply.is_none() && !ended && w.now < sent + patience {
-            return;
-        }
-        balancer.open[n] = balancer.open[n].saturating_sub(1);
-        user.request = None;
-        user.next_at = w.now + 1_000;
-        match reply {
-            Some(UserReply::Accepted { .. }) => {
-                user.accepted_at.get_or_insert(w.now);
-                user.next_at = w.now + PASS_INTERVAL_MS;
+    match user.request {
+        Some((request, sent, n)) => {
+            let reply = w.answers.remove(&request);
+            let ended = w.controllers[n].controller.is_none() || w.ended_at[n] > sent;
+            if reply.is_none() && !ended && w.now < sent + user.patience_ms() {
+                return;
             }
-            Some(UserReply::Status { state, .. } | UserReply::Cancelled { state, .. }) => {
-                user.accepted_at.get_or_insert(w.now);
-                user.next_at = w.now + PASS_INTERVAL_MS;
-                match state {
-                    JobState::Done => user.done_at = Some(w.now),
-                    JobState::Cancelled => user.cancelled = true,
-                    _ => {}
-                }
-            }
-            Some(UserReply::RetryAfter { after_s }) => {
-                user.told_later += u32::from(user.accepted_at.is_none());
-                user.next_at = w.now + 1_000 * u64::from(after_s.max(1));
-            }
-            Some(UserReply::NotFound | UserReply::Rejected(_)) => user.gave_up = true,
-            None => user.unanswered += u32::from(user.accepted_at.is_none()),
+            balancer.open[n] = balancer.open[n].saturating_sub(1);
+            user.request = None;
+            user.take_answer(w.now, reply);
         }
-        return;
-    }
-    if w.now < user.next_at {
-        return;
+        None if w.now >= user.next_at => send_next(w, balancer, id, user),
+        None => {}
     }
+}
+
+/// A user's next request, if a controller takes it.
+fn send_next(w: &mut World, balancer: &mut Balancer, id: &str, user: &mut User) {
     if user.accepted_at.is_none() && w.now > user.asked_at + GIVES_UP_MS {
         user.gave_up = true;
         return;
     }
     let Some(n) = balancer.pick(w) else {
-        user.next_at = w.now + 1_000;
+        user.next_at = w.now + RETRY_MS;
         return;
     };
     let cancels = user.cancel_at.is_some_and(|at| w.now >= at);
