--- a/crates/core/tests/allocations.rs
+++ b/crates/core/tests/allocations.rs
@@ -15,18 +15,18 @@
 
 #[test]
 fn a_check_in_without_news_allocates_little() {
-    let mut w = World::new(1, 1, 40);
-    w.settings.idle_return_ms = 3_600_000;
-    w.run(6_000);
+    let mut sim = Simulation::new(1, 1, 40);
+    sim.settings.idle_return_ms = 3_600_000;
+    sim.run(6_000);
     for i in 0..20 {
-        w.submit(0, service(&format!("j-{i}"), 4));
-        w.run(200);
+        sim.submit(0, service(&format!("j-{i}"), 4));
+        sim.run(200);
     }
-    w.until(30_000, "up", |w| {
-        (0..20).all(|i| w.running(&format!("j-{i}")) == 4)
+    sim.run_until(30_000, "up", |sim| {
+        (0..20).all(|i| sim.running(&format!("j-{i}")) == 4)
     });
-    w.run(20_000);
-    let mut reports: Vec<WorkerHeartbeat> = (w.workers.values())
+    sim.run(20_000);
+    let mut reports: Vec<WorkerHeartbeat> = (sim.workers.values())
         .map(|m| WorkerHeartbeat {
             machine: m.name.clone(),
             address: "10.0.0.9:9000".into(),
@@ -35,7 +35,7 @@
             spot: m.spot,
             incarnation: m.incarnation,
             sequence: m.sequence + 100,
-            token: m.token,
+            token: m.fencing_token,
             notice_s: None,
             tasks: (m.tasks.iter())
                 .map(|((task, attempt), t)| TaskStatus {
@@ -48,8 +48,8 @@
         .collect();
     let tasks: usize = reports.iter().map(|r| r.tasks.len()).sum();
     assert!(tasks >= 80, "{tasks} tasks run");
-    let (now, wall) = (w.now, WALL0 + w.now);
-    let controller = w.controllers[0].controller.as_mut().unwrap();
+    let (now, wall) = (sim.now_ms, START_TIME_MS + sim.now_ms);
+    let controller = sim.controllers[0].controller.as_mut().unwrap();
     // The first round has news: whatever it takes is not counted.
     let mut events = |sequence: u64| -> Vec<Event> {
         (reports.iter_mut())
--- a/crates/core/tests/checks.rs
+++ b/crates/core/tests/checks.rs
@@ -40,11 +40,11 @@
     assert!(why.contains(rule), "{why}");
 }
 
-fn world(checks: &Checks, seed: u64, controllers: usize, machines: usize) -> World {
-    let mut w = World::new(seed, controllers, machines);
-    w.settings.checks = *checks;
-    w.settings.idle_return_ms = 3_600_000;
-    w
+fn world(checks: &Checks, seed: u64, controllers: usize, machines: usize) -> Simulation {
+    let mut sim = Simulation::new(seed, controllers, machines);
+    sim.settings.checks = *checks;
+    sim.settings.idle_return_ms = 3_600_000;
+    sim
 }
 
 /// Accepted by one controller, asked about at another a moment later, before the watch has told that one.
@@ -52,12 +52,12 @@
 fn without_a_proof_an_accepted_job_is_not_found() {
     let cost = needs("proof", 0, |checks| {
         for seed in 0..12 {
-            let mut w = world(checks, 900 + seed, 3, 2);
-            w.run(4_000);
-            let r = w.submit(0, job("j-1", 1));
-            w.answer(r);
-            let r = w.status(1, "j-1");
-            w.answer(r);
+            let mut sim = world(checks, 900 + seed, 3, 2);
+            sim.run(4_000);
+            let r = sim.submit(0, job("j-1", 1));
+            sim.await_answer(r);
+            let r = sim.status(1, "j-1");
+            sim.await_answer(r);
         }
         0
     });
@@ -70,15 +70,15 @@
 fn without_the_gap_a_read_of_before_decides() {
     let cost = needs("gap", 0, |checks| {
         for seed in 0..6 {
-            let mut w = world(checks, 920 + seed, 3, 2);
-            w.run(4_000);
-            w.status(1, "j-1");
-            w.run(3);
-            w.freeze(1, 6_000);
-            w.run(1_000);
-            let r = w.submit(0, job("j-1", 1));
-            w.answer(r);
-            w.run(8_000);
+            let mut sim = world(checks, 920 + seed, 3, 2);
+            sim.run(4_000);
+            sim.status(1, "j-1");
+            sim.run(3);
+            sim.pause(1, 6_000);
+            sim.run(1_000);
+            let r = sim.submit(0, job("j-1", 1));
+            sim.await_answer(r);
+            sim.run(8_000);
         }
         0
     });
@@ -91,10 +91,10 @@
     let cost = needs("types", 0, |checks| {
         let mut refused = 0;
         for seed in 0..6 {
-            let mut w = world(checks, 940 + seed, 1, 2);
-            w.run(45);
-            let r = w.submit(0, job("j-1", 1));
-            refused += u64::from(matches!(w.answer(r), UserReply::Rejected(_)));
+            let mut sim = world(checks, 940 + seed, 1, 2);
+            sim.run(45);
+            let r = sim.submit(0, job("j-1", 1));
+            refused += u64::from(matches!(sim.await_answer(r), UserReply::Rejected(_)));
         }
         refused
     });
@@ -105,15 +105,15 @@
 #[test]
 fn without_formats_on_record_old_nodes_can_not_read_what_is_written() {
     let cost = needs("format", 0, |checks| {
-        let mut w = World::old(960, 3, 6);
-        w.settings.checks = *checks;
-        w.run(5_000);
-        w.upgrade(0, 500);
-        w.run(5_000);
+        let mut sim = Simulation::previous_version(960, 3, 6);
+        sim.settings.checks = *checks;
+        sim.run(5_000);
+        sim.upgrade(0, 500);
+        sim.run(5_000);
         for i in 0..6 {
-            w.submit(i % 3, job(&format!("j-{i}"), 4));
+            sim.submit(i % 3, job(&format!("j-{i}"), 4));
         }
-        w.until(60_000, "done", |w| w.done_tasks.len() == 24);
+        sim.run_until(60_000, "done", |sim| sim.completed_tasks.len() == 24);
         0
     });
     broke(cost, "old shape");
@@ -123,19 +123,23 @@
 #[test]
 fn without_waiting_for_the_view_workers_are_sent_round() {
     let cost = needs("view", 2, |checks| {
-        let mut w = world(checks, 965, 3, 30);
-        w.run(6_000);
-        w.submit(0, service("j-1", 20));
-        w.until(20_000, "up", |w| w.running("j-1") == 20);
+        let mut sim = world(checks, 965, 3, 30);
+        sim.run(6_000);
+        sim.submit(0, service("j-1", 20));
+        sim.run_until(20_000, "up", |sim| sim.running("j-1") == 20);
         // Longer readings, so that many check in meanwhile.
-        w.page = 2;
+        sim.state.page_size = 2;
         for n in 0..3 {
-            w.crash(n, 2_000);
+            sim.crash(n, 2_000);
         }
-        w.run(2_000);
-        let before: Vec<usize> = w.workers.values().map(|w| w.controller).collect();
-        w.run(1_500);
-        let after = w.workers.values().map(|w| w.controller);
+        sim.run(2_000);
+        let before: Vec<usize> = sim
+            .workers
+            .values()
+            .map(|worker| worker.controller)
+            .collect();
+        sim.run(1_500);
+        let after = sim.workers.values().map(|worker| worker.controller);
         after.zip(before).filter(|(a, b)| a != b).count() as u64
     });
     assert!(cost.is_ok_and(|moved| moved > 2));
@@ -148,18 +152,18 @@
     let cost = needs("fate", 0, |checks| {
         let mut wasted = 0;
         for seed in 0..10 {
-            let mut w = world(checks, 970 + seed, 2, 4);
-            w.run_ms = 20_000;
-            w.run(5_000);
-            for worker in w.workers.values_mut() {
+            let mut sim = world(checks, 970 + seed, 2, 4);
+            sim.workload.run_ms = 20_000;
+            sim.run(5_000);
+            for worker in sim.workers.values_mut() {
                 worker.controller = 1;
             }
-            w.run(3_000);
-            w.freeze(1, 900);
-            w.run(50);
-            w.submit(0, job("j-1", 6));
-            w.until(90_000, "done", |w| w.done_tasks.len() == 6);
-            wasted += u64::from(w.starts) - 6;
+            sim.run(3_000);
+            sim.pause(1, 900);
+            sim.run(50);
+            sim.submit(0, job("j-1", 6));
+            sim.run_until(90_000, "done", |sim| sim.completed_tasks.len() == 6);
+            wasted += u64::from(sim.metrics.starts) - 6;
         }
         wasted
     });
@@ -170,24 +174,24 @@
 #[test]
 fn without_being_heard_dead_machines_get_the_work() {
     let cost = needs("heard", 6_000, |checks| {
-        let mut w = world(checks, 980, 3, 30);
-        w.settings.report_ms = 5_000;
-        w.settings.lease_ms = 26_500;
-        w.capacity = 0;
-        w.run(9_000);
+        let mut sim = world(checks, 980, 3, 30);
+        sim.settings.report_ms = 5_000;
+        sim.settings.lease_ms = 26_500;
+        sim.cloud.capacity = 0;
+        sim.run(9_000);
         for n in 0..3 {
-            w.crash(n, 3_000);
+            sim.crash(n, 3_000);
         }
-        let names: Vec<String> = w.workers.keys().cloned().collect();
+        let names: Vec<String> = sim.workers.keys().cloned().collect();
         for name in names.iter().skip(8) {
-            w.kill_machine(name);
+            sim.kill_machine(name);
         }
-        w.run(3_500);
-        let r = w.submit(0, service("j-1", 16));
-        w.answer(r);
-        let at = w.now;
-        w.until(90_000, "up", |w| w.running("j-1") == 16);
-        w.now - at
+        sim.run(3_500);
+        let r = sim.submit(0, service("j-1", 16));
+        sim.await_answer(r);
+        let at = sim.now_ms;
+        sim.run_until(90_000, "up", |sim| sim.running("j-1") == 16);
+        sim.now_ms - at
     });
     assert!(cost.is_ok_and(|ms| ms > 6_000));
 }
@@ -196,20 +200,20 @@
 #[test]
 fn without_a_round_of_reports_what_is_there_is_rented_anew() {
     let cost = needs("round", 0, |checks| {
-        let mut w = world(checks, 985, 3, 40);
-        w.settings.report_ms = 5_000;
-        w.settings.lease_ms = 26_500;
-        w.run(9_000);
-        w.capacity = 40;
+        let mut sim = world(checks, 985, 3, 40);
+        sim.settings.report_ms = 5_000;
+        sim.settings.lease_ms = 26_500;
+        sim.run(9_000);
+        sim.cloud.capacity = 40;
         for n in 0..3 {
-            w.crash(n, 1_000);
+            sim.crash(n, 1_000);
         }
-        w.run(1_300);
-        let before = w.rented;
-        let r = w.submit(0, job("j-1", 60));
-        w.answer(r);
-        w.run(10_000);
-        u64::from(w.rented - before)
+        sim.run(1_300);
+        let before = sim.cloud.provisioned;
+        let r = sim.submit(0, job("j-1", 60));
+        sim.await_answer(r);
+        sim.run(10_000);
+        u64::from(sim.cloud.provisioned - before)
     });
     assert!(cost.is_ok_and(|rented| rented > 0));
 }
@@ -218,12 +222,12 @@
 #[test]
 fn without_rentals_under_way_the_same_is_rented_over_and_over() {
     let cost = needs("hires", 8, |checks| {
-        let mut w = world(checks, 990, 3, 0);
-        w.capacity = 60;
-        w.run(4_000);
-        w.submit(0, job("j-1", 12));
-        w.run(20_000);
-        u64::from(w.rented)
+        let mut sim = world(checks, 990, 3, 0);
+        sim.cloud.capacity = 60;
+        sim.run(4_000);
+        sim.submit(0, job("j-1", 12));
+        sim.run(20_000);
+        u64::from(sim.cloud.provisioned)
     });
     assert!(cost.is_ok_and(|rented| rented > 8));
 }
@@ -231,19 +235,19 @@
 #[test]
 fn without_silent_zones_work_waits_behind_the_cut() {
     let cost = needs("zones", 2_500, |checks| {
-        let mut w = world(checks, 995, 3, 40);
-        w.settings.report_ms = 5_000;
-        w.settings.lease_ms = 26_500;
-        w.settings.cancel_ms = 51_500;
-        w.capacity = 0;
-        w.run(9_000);
-        w.cut_zone("west", &[1]);
-        w.run(4_500);
-        let r = w.submit(0, service("j-1", 30));
-        w.answer(r);
-        let at = w.now;
-        w.until(90_000, "up", |w| w.running("j-1") == 30);
-        w.now - at
+        let mut sim = world(checks, 995, 3, 40);
+        sim.settings.report_ms = 5_000;
+        sim.settings.lease_ms = 26_500;
+        sim.settings.cancel_ms = 51_500;
+        sim.cloud.capacity = 0;
+        sim.run(9_000);
+        sim.partition_zone("west", &[1]);
+        sim.run(4_500);
+        let r = sim.submit(0, service("j-1", 30));
+        sim.await_answer(r);
+        let at = sim.now_ms;
+        sim.run_until(90_000, "up", |sim| sim.running("j-1") == 30);
+        sim.now_ms - at
     });
     assert!(cost.is_ok_and(|ms| ms > 2_500));
 }
@@ -254,14 +258,14 @@
     let cost = needs("workers", 12, |checks| {
         let mut token_offset = 0;
         for seed in 0..4 {
-            let mut w = world(checks, 1_000 + seed, 3, 12);
-            w.run(6_000);
-            w.controllers[0].cut_from_workers = true;
+            let mut sim = world(checks, 1_000 + seed, 3, 12);
+            sim.run(6_000);
+            sim.controllers[0].cut_from_workers = true;
             for i in 0..10 {
-                w.submit(0, job(&format!("j-{i}"), 2));
-                w.run(3_000);
+                sim.submit(0, job(&format!("j-{i}"), 2));
+                sim.run(3_000);
             }
-            let machines = w.store.values().filter_map(|(r, _)| match r {
+            let machines = sim.state.records.values().filter_map(|(r, _)| match r {
                 Record::Machine(m) => Some(m.token_offset),
                 _ => None,
             });
@@ -281,26 +285,26 @@
             let mut checks = *checks;
             // Machines count as heard at once, so that the claim follows the reading.
             (checks.heard, checks.round) = (false, false);
-            let mut w = world(&checks, 1_100 + seed, 2, 12);
-            w.capacity = 0;
-            w.page = 3;
-            w.run_ms = 60_000;
-            w.run(6_000);
+            let mut sim = world(&checks, 1_100 + seed, 2, 12);
+            sim.cloud.capacity = 0;
+            sim.state.page_size = 3;
+            sim.workload.run_ms = 60_000;
+            sim.run(6_000);
             for i in 0..12 {
-                w.submit(0, job(&format!("j-9{i}"), 1));
+                sim.submit(0, job(&format!("j-9{i}"), 1));
             }
-            w.run(2_000);
-            w.crash(1, 100);
-            w.run(100 + seed % 20);
+            sim.run(2_000);
+            sim.crash(1, 100);
+            sim.run(100 + seed % 20);
             let blue = |id: &str, priority| JobSpec {
                 team: "blue".into(),
                 priority,
                 ..job(id, 6)
             };
-            w.submit(0, blue("j-0", JobPriority::Normal));
-            w.run(4 + seed / 5 % 20);
-            w.submit(0, blue("j-1", JobPriority::High));
-            w.run(3_000);
+            sim.submit(0, blue("j-0", JobPriority::Normal));
+            sim.run(4 + seed / 5 % 20);
+            sim.submit(0, blue("j-1", JobPriority::High));
+            sim.run(3_000);
         }
         0
     });
@@ -312,34 +316,34 @@
 #[test]
 fn without_a_bound_what_an_old_version_cancelled_runs_on() {
     let cost = needs("bounded", 0, |checks| {
-        let mut w = World::old(43, 3, 4);
-        w.settings.checks = *checks;
-        w.run(9_000);
-        w.upgrade(0, 500);
-        w.run(4_000);
-        w.upgrade(1, 500);
-        (w.run_ms, w.capacity) = (600_000, 0);
-        w.run(9_000);
-        let r = w.submit(1, job("j-1", 4));
-        w.answer(r);
-        w.until(20_000, "runs", |w| w.running("j-1") == 4);
-        for worker in w.workers.values_mut() {
+        let mut sim = Simulation::previous_version(43, 3, 4);
+        sim.settings.checks = *checks;
+        sim.run(9_000);
+        sim.upgrade(0, 500);
+        sim.run(4_000);
+        sim.upgrade(1, 500);
+        (sim.workload.run_ms, sim.cloud.capacity) = (600_000, 0);
+        sim.run(9_000);
+        let r = sim.submit(1, job("j-1", 4));
+        sim.await_answer(r);
+        sim.run_until(20_000, "runs", |sim| sim.running("j-1") == 4);
+        for worker in sim.workers.values_mut() {
             worker.controller = 0;
         }
-        w.run(3_000);
-        w.controllers[0].refused = true;
+        sim.run(3_000);
+        sim.controllers[0].refused_by_state = true;
         for n in 1..3 {
-            w.controllers[n].cut_from_workers = true;
+            sim.controllers[n].cut_from_workers = true;
         }
-        w.run(100);
-        let r = w.cancel(1, "j-1");
-        assert!(matches!(w.answer(r), UserReply::Cancelled { .. }));
-        w.state_down = true;
+        sim.run(100);
+        let r = sim.cancel(1, "j-1");
+        assert!(matches!(sim.await_answer(r), UserReply::Cancelled { .. }));
+        sim.state.is_down = true;
         for _ in 0..100 {
-            for worker in w.workers.values_mut() {
+            for worker in sim.workers.values_mut() {
                 worker.controller = 0;
             }
-            w.run(500);
+            sim.run(500);
         }
         0
     });
@@ -350,20 +354,20 @@
 #[test]
 fn without_telling_copies_a_dead_machine_lives_on() {
     let cost = needs("copies", 15_000, |checks| {
-        let mut w = world(checks, 990, 3, 6);
-        w.run(9_000);
-        w.submit(0, service("j-1", 2));
-        w.until(10_000, "up", |w| w.running("j-1") == 2);
-        w.run(3_000);
-        let id = w.machine_of("j-1").unwrap();
-        let last = w.report_of(&id);
-        w.kill_machine(&id);
-        let from = w.now;
-        while w.running("j-1") < 2 && w.now < from + 60_000 {
-            (0..3).for_each(|n| w.report_again(n, &last));
-            w.run(700);
+        let mut sim = world(checks, 990, 3, 6);
+        sim.run(9_000);
+        sim.submit(0, service("j-1", 2));
+        sim.run_until(10_000, "up", |sim| sim.running("j-1") == 2);
+        sim.run(3_000);
+        let id = sim.machine_of("j-1").unwrap();
+        let last = sim.heartbeat_of(&id);
+        sim.kill_machine(&id);
+        let from = sim.now_ms;
+        while sim.running("j-1") < 2 && sim.now_ms < from + 60_000 {
+            (0..3).for_each(|n| sim.inject_heartbeat(n, &last));
+            sim.run(700);
         }
-        w.now - from
+        sim.now_ms - from
     });
     assert!(cost.is_ok_and(|ms| ms >= 60_000));
 }
@@ -372,24 +376,27 @@
 #[test]
 fn without_an_answer_machines_that_hear_nothing_get_the_work() {
     let cost = needs("hears", 12_000, |checks| {
-        let mut w = world(checks, 991, 3, 12);
-        (w.settings.report_ms, w.settings.lease_ms) = (5_000, 26_500);
-        w.capacity = 0;
-        w.run(15_000);
-        w.submit(0, service("j-1", 10));
-        let up = |w: &World| w.running("j-1") == 10;
-        w.until(20_000, "up", up);
-        let busy = w.workers.values().filter(|w| w.live().count() > 0);
-        let deaf: Vec<String> = busy.map(|w| w.name.clone()).take(3).collect();
+        let mut sim = world(checks, 991, 3, 12);
+        (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
+        sim.cloud.capacity = 0;
+        sim.run(15_000);
+        sim.submit(0, service("j-1", 10));
+        let up = |sim: &Simulation| sim.running("j-1") == 10;
+        sim.run_until(20_000, "up", up);
+        let busy = sim
+            .workers
+            .values()
+            .filter(|worker| worker.live_tasks().count() > 0);
+        let deaf: Vec<String> = busy.map(|worker| worker.name.clone()).take(3).collect();
         for name in deaf {
-            w.workers.get_mut(&name).unwrap().deaf = true;
+            sim.workers.get_mut(&name).unwrap().inbound_lost = true;
         }
-        w.until(40_000, "leases end", |w| !up(w));
-        let from = w.now;
-        while !up(&w) && w.now < from + 60_000 {
-            w.run(100);
+        sim.run_until(40_000, "leases end", |sim| !up(sim));
+        let from = sim.now_ms;
+        while !up(&sim) && sim.now_ms < from + 60_000 {
+            sim.run(100);
         }
-        w.now - from
+        sim.now_ms - from
     });
     assert!(cost.is_ok_and(|ms| ms > 12_000));
 }
@@ -398,22 +405,22 @@
 #[test]
 fn without_knowing_that_it_is_alone_a_node_keeps_its_users() {
     let cost = needs("alone", 6_000, |checks| {
-        let mut w = world(checks, 992, 3, 4);
-        w.run(9_000);
+        let mut sim = world(checks, 992, 3, 4);
+        sim.run(9_000);
         (
-            w.controllers[0].cut_from_state,
-            w.controllers[0].cut_from_peers,
+            sim.controllers[0].cut_from_state,
+            sim.controllers[0].cut_from_peers,
         ) = (true, true);
-        let from = w.now;
-        while w.controllers[0]
+        let from = sim.now_ms;
+        while sim.controllers[0]
             .controller
             .as_ref()
             .is_some_and(Controller::ready)
-            && w.now < from + 90_000
+            && sim.now_ms < from + 90_000
         {
-            w.run(100);
+            sim.run(100);
         }
-        w.now - from
+        sim.now_ms - from
     });
     assert!(cost.is_ok_and(|ms| ms >= 90_000));
 }
@@ -422,16 +429,16 @@
 #[test]
 fn without_passing_unanswered_transactions_all_wait_for_them() {
     let cost = needs("unanswered", 4, |checks| {
-        let mut w = world(checks, 993, 3, 12);
-        w.run(9_000);
-        w.mishaps.txn_late = 0.33;
+        let mut sim = world(checks, 993, 3, 12);
+        sim.run(9_000);
+        sim.network.faults.transaction_late = 0.33;
         let mut slow = 0;
         for i in 0..40 {
-            let at = w.now;
-            let r = w.submit(i % 3, job(&format!("j-{i}"), 2));
-            w.answer(r);
-            slow += u64::from(w.now > at + 1_000);
-            w.run(200);
+            let at = sim.now_ms;
+            let r = sim.submit(i % 3, job(&format!("j-{i}"), 2));
+            sim.await_answer(r);
+            slow += u64::from(sim.now_ms > at + 1_000);
+            sim.run(200);
         }
         slow
     });
@@ -442,9 +449,9 @@
 #[test]
 fn without_a_part_that_begins_the_largest_job_waits_for_a_quarter_of_an_hour() {
     let cost = needs("begins", 240_000, |checks| {
-        let mut w = world(checks, 994, 3, 4);
-        w.run(9_000);
-        (w.capacity, w.run_ms) = (0, 10_000);
+        let mut sim = world(checks, 994, 3, 4);
+        sim.run(9_000);
+        (sim.cloud.capacity, sim.workload.run_ms) = (0, 10_000);
         let of = |id: String, tasks: u32| JobSpec {
             class: "quick".into(),
             estimate_s: 10.0,
@@ -452,19 +459,19 @@
         };
         // There is more than room before it comes, or it may begin by luck.
         for i in 0..6 {
-            w.submit(i % 3, of(format!("j-0{i}"), 8));
+            sim.submit(i % 3, of(format!("j-0{i}"), 8));
         }
-        w.run(500);
-        w.submit(0, of("j-9".into(), 60));
-        let from = w.now;
+        sim.run(500);
+        sim.submit(0, of("j-9".into(), 60));
+        let from = sim.now_ms;
         for i in 0..200 {
-            w.submit(i % 3, of(format!("j-1{i:03}"), 8));
-            w.run(2_000);
-            if w.ran_at.contains_key("j-9") {
+            sim.submit(i % 3, of(format!("j-1{i:03}"), 8));
+            sim.run(2_000);
+            if sim.metrics.first_run_ms.contains_key("j-9") {
                 break;
             }
         }
-        w.now - from
+        sim.now_ms - from
     });
     assert!(cost.is_ok_and(|ms| ms > 240_000));
 }
@@ -474,19 +481,21 @@
 #[test]
 fn without_doubt_what_a_lost_answer_claimed_waits_for_a_report() {
     let cost = needs("doubt", 1_800, |checks| {
-        let mut w = world(checks, 996, 3, 12);
-        (w.settings.report_ms, w.settings.lease_ms) = (5_000, 26_500);
-        w.capacity = 0;
-        w.run(15_000);
-        w.mishaps.txn_answer_lost = 0.5;
+        let mut sim = world(checks, 996, 3, 12);
+        (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
+        sim.cloud.capacity = 0;
+        sim.run(15_000);
+        sim.network.faults.transaction_answer_lost = 0.5;
         let mut sum = 0;
         for i in 0..40 {
             let id = format!("j-{i}");
-            let from = w.now;
-            w.submit(i % 3, job(&id, 1));
-            w.until(60_000, "runs", |w| w.ran_at.contains_key(&id));
-            sum += w.ran_at[&id] - from;
-            w.run(300);
+            let from = sim.now_ms;
+            sim.submit(i % 3, job(&id, 1));
+            sim.run_until(60_000, "runs", |sim| {
+                sim.metrics.first_run_ms.contains_key(&id)
+            });
+            sum += sim.metrics.first_run_ms[&id] - from;
+            sim.run(300);
         }
         sum / 40
     });
@@ -497,23 +506,23 @@
 #[test]
 fn without_sessions_in_answers_what_a_lease_ended_stays_booked() {
     let cost = needs("session", 50_000, |checks| {
-        let mut w = world(checks, 997, 3, 12);
-        (w.settings.report_ms, w.settings.lease_ms) = (5_000, 26_500);
-        w.capacity = 0;
-        w.run(15_000);
-        w.submit(0, service("j-1", 10));
-        let up = |w: &World| w.running("j-1") == 10;
-        w.until(20_000, "up", up);
-        let busy: Vec<String> = w.machines_of("j-1").into_iter().take(5).collect();
+        let mut sim = world(checks, 997, 3, 12);
+        (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
+        sim.cloud.capacity = 0;
+        sim.run(15_000);
+        sim.submit(0, service("j-1", 10));
+        let up = |sim: &Simulation| sim.running("j-1") == 10;
+        sim.run_until(20_000, "up", up);
+        let busy: Vec<String> = sim.machines_of("j-1").into_iter().take(5).collect();
         for name in busy {
-            w.workers.get_mut(&name).unwrap().mute = true;
+            sim.workers.get_mut(&name).unwrap().outbound_lost = true;
         }
-        let from = w.now;
-        w.until(40_000, "leases end", |w| !up(w));
-        while !up(&w) && w.now < from + 120_000 {
-            w.run(100);
+        let from = sim.now_ms;
+        sim.run_until(40_000, "leases end", |sim| !up(sim));
+        while !up(&sim) && sim.now_ms < from + 120_000 {
+            sim.run(100);
         }
-        w.now - from
+        sim.now_ms - from
     });
     assert!(cost.is_ok_and(|ms| ms >= 120_000));
 }
@@ -522,24 +531,27 @@
 #[test]
 fn without_moves_off_mute_machines_services_end_with_their_leases() {
     let cost = needs("mute", 3_000, |checks| {
-        let mut w = world(checks, 998, 3, 14);
-        (w.settings.report_ms, w.settings.lease_ms) = (5_000, 26_500);
-        w.capacity = 0;
-        w.run(15_000);
+        let mut sim = world(checks, 998, 3, 14);
+        (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
+        sim.cloud.capacity = 0;
+        sim.run(15_000);
         for i in 0..3 {
-            w.submit(i % 3, service(&format!("j-{i}"), 3));
+            sim.submit(i % 3, service(&format!("j-{i}"), 3));
         }
-        let up = |w: &World| (0..3).all(|i| w.running(&format!("j-{i}")) == 3);
-        w.until(20_000, "up", up);
-        let busy = w.workers.values().filter(|w| w.live().count() > 0);
-        let mute: Vec<String> = busy.map(|w| w.name.clone()).take(3).collect();
+        let up = |sim: &Simulation| (0..3).all(|i| sim.running(&format!("j-{i}")) == 3);
+        sim.run_until(20_000, "up", up);
+        let busy = sim
+            .workers
+            .values()
+            .filter(|worker| worker.live_tasks().count() > 0);
+        let mute: Vec<String> = busy.map(|worker| worker.name.clone()).take(3).collect();
         for name in mute {
-            w.workers.get_mut(&name).unwrap().mute = true;
+            sim.workers.get_mut(&name).unwrap().outbound_lost = true;
         }
         let mut down = 0;
         for _ in 0..600 {
-            w.run(100);
-            down += if up(&w) { 0 } else { 100 };
+            sim.run(100);
+            down += if up(&sim) { 0 } else { 100 };
         }
         down
     });
@@ -553,29 +565,29 @@
     let cost = needs("strangers", 9_000, |checks| {
         let mut slowest = 0;
         for seed in 0..4 {
-            let mut w = world(checks, 1_300 + seed, 3, 12);
-            (w.settings.report_ms, w.settings.lease_ms) = (5_000, 26_500);
-            w.capacity = 0;
-            w.run(15_000);
-            w.mishaps.report_kept = 1.0;
-            w.run(10_000);
-            w.mishaps.report_kept = 0.0;
-            let names: Vec<String> = w.workers.keys().take(3).cloned().collect();
+            let mut sim = world(checks, 1_300 + seed, 3, 12);
+            (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
+            sim.cloud.capacity = 0;
+            sim.run(15_000);
+            sim.network.faults.heartbeat_kept = 1.0;
+            sim.run(10_000);
+            sim.network.faults.heartbeat_kept = 0.0;
+            let names: Vec<String> = sim.workers.keys().take(3).cloned().collect();
             for name in &names {
-                w.kill_machine(name);
+                sim.kill_machine(name);
             }
-            let gone = |w: &World| names.iter().all(|n| w.deleted.contains(n));
-            w.until(60_000, "deleted", gone);
-            w.capacity = 0;
-            w.run(3_000);
+            let gone = |sim: &Simulation| names.iter().all(|n| sim.cloud.deleted.contains(n));
+            sim.run_until(60_000, "deleted", gone);
+            sim.cloud.capacity = 0;
+            sim.run(3_000);
             for n in 0..3 {
-                w.crash(n, 400);
+                sim.crash(n, 400);
             }
-            w.run(1_500);
-            let from = w.now;
-            w.submit(0, service("j-1", 17));
-            w.until(90_000, "up", |w| w.running("j-1") == 17);
-            slowest = slowest.max(w.now - from);
+            sim.run(1_500);
+            let from = sim.now_ms;
+            sim.submit(0, service("j-1", 17));
+            sim.run_until(90_000, "up", |sim| sim.running("j-1") == 17);
+            slowest = slowest.max(sim.now_ms - from);
         }
         slowest
     });
@@ -587,16 +599,16 @@
 fn without_the_condition_a_claim_goes_by_an_older_limit() {
     let cost = needs("configured", 0, |checks| {
         for seed in 0..12 {
-            let mut w = world(checks, 980 + seed, 3, 8);
-            w.capacity = 0;
-            w.run(6_000);
-            w.run_ms = 3_600_000;
+            let mut sim = world(checks, 980 + seed, 3, 8);
+            sim.cloud.capacity = 0;
+            sim.run(6_000);
+            sim.workload.run_ms = 3_600_000;
             for round in 0..6 {
-                w.submit(round % 3, blue(job(&format!("j-{round}"), 3)));
-                w.run(2 + seed);
-                let settings = w.with_limit("blue", [2.0, 12.0][round % 2]);
-                w.configure(&settings).unwrap();
-                w.run(300);
+                sim.submit(round % 3, limited_team(job(&format!("j-{round}"), 3)));
+                sim.run(2 + seed);
+                let settings = sim.with_limit("blue", [2.0, 12.0][round % 2]);
+                sim.configure(&settings).unwrap();
+                sim.run(300);
             }
         }
         0
@@ -608,20 +620,20 @@
 #[test]
 fn without_following_a_new_team_is_unknown() {
     let cost = needs("configuration", 0, |checks| {
-        let mut w = world(checks, 990, 3, 6);
-        w.run(6_000);
-        let mut settings = w.policy_settings();
+        let mut sim = world(checks, 990, 3, 6);
+        sim.run(6_000);
+        let mut settings = sim.policy_settings();
         let mut green = settings.teams[0].clone();
         green.name = "green".into();
         settings.teams.push(green);
-        w.configure(&settings).unwrap();
-        w.run(2_000);
+        sim.configure(&settings).unwrap();
+        sim.run(2_000);
         let spec = JobSpec {
             team: "green".into(),
             ..job("j-1", 1)
         };
-        let r = w.submit(0, spec);
-        u64::from(matches!(w.answer(r), UserReply::Rejected(_)))
+        let r = sim.submit(0, spec);
+        u64::from(matches!(sim.await_answer(r), UserReply::Rejected(_)))
     });
     assert_eq!(cost, Ok(1));
 }
@@ -630,16 +642,16 @@
 #[test]
 fn without_evictions_a_lowered_limit_is_exceeded_for_good() {
     let cost = needs("eviction", 1, |checks| {
-        let mut w = world(checks, 995, 3, 8);
-        w.capacity = 0;
-        w.run(6_000);
-        w.run_ms = 3_600_000;
-        w.submit(0, blue(job("j-1", 6)));
-        w.until(10_000, "full", |w| w.running("j-1") == 6);
-        let settings = w.with_limit("blue", 2.0);
-        w.configure(&settings).unwrap();
-        w.run(20_000);
-        w.running("j-1") as u64
+        let mut sim = world(checks, 995, 3, 8);
+        sim.cloud.capacity = 0;
+        sim.run(6_000);
+        sim.workload.run_ms = 3_600_000;
+        sim.submit(0, limited_team(job("j-1", 6)));
+        sim.run_until(10_000, "full", |sim| sim.running("j-1") == 6);
+        let settings = sim.with_limit("blue", 2.0);
+        sim.configure(&settings).unwrap();
+        sim.run(20_000);
+        sim.running("j-1") as u64
     });
     assert_eq!(cost, Ok(6));
 }
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -9,7 +9,7 @@
 use glenmount_core::model::*;
 use glenmount_core::state::formats;
 use glenmount_core::state::*;
-use glenmount_simulation::operator::Refused;
+use glenmount_simulation::operator::ConfigureError;
 use glenmount_simulation::*;
 use rand::Rng;
 
@@ -18,30 +18,30 @@
     changes: 16,
 };
 
-fn world(seed: u64, controllers: usize, machines: usize) -> World {
-    let mut w = World::new(seed, controllers, machines);
-    w.settings.idle_return_ms = 3_600_000;
-    w.capacity = 0;
-    w.run(6_000);
-    w
+fn world(seed: u64, controllers: usize, machines: usize) -> Simulation {
+    let mut sim = Simulation::new(seed, controllers, machines);
+    sim.settings.idle_return_ms = 3_600_000;
+    sim.cloud.capacity = 0;
+    sim.run(6_000);
+    sim
 }
 
 /// Jobs of the limited team that take all of its 12 processors.
-fn fill_blue(w: &mut World) {
-    w.run_ms = 3_600_000;
-    let r = w.submit(0, blue(service("j-s", 2)));
-    w.answer(r);
+fn fill_blue(sim: &mut Simulation) {
+    sim.workload.run_ms = 3_600_000;
+    let r = sim.submit(0, limited_team(service("j-s", 2)));
+    sim.await_answer(r);
     let low = JobSpec {
         priority: JobPriority::Low,
-        ..blue(job("j-low", 2))
+        ..limited_team(job("j-low", 2))
     };
-    let r = w.submit(1, low);
-    w.answer(r);
-    w.until(10_000, "the first run", |w| {
-        w.running("j-s") + w.running("j-low") == 4
+    let r = sim.submit(1, low);
+    sim.await_answer(r);
+    sim.run_until(10_000, "the first run", |sim| {
+        sim.running("j-s") + sim.running("j-low") == 4
     });
-    w.submit(0, blue(job("j-normal", 9)));
-    w.until(10_000, "full", |w| w.running("j-normal") == 2);
+    sim.submit(0, limited_team(job("j-normal", 9)));
+    sim.run_until(10_000, "full", |sim| sim.running("j-normal") == 2);
 }
 
 fn team(name: &str, cpus_max: f64) -> TeamSettings {
@@ -54,130 +54,141 @@
     }
 }
 
-fn accepts(w: &mut World, n: usize, spec: JobSpec) -> bool {
-    let r = w.submit(n, spec);
-    matches!(w.answer(r), UserReply::Accepted { .. })
+fn accepts(sim: &mut Simulation, n: usize, spec: JobSpec) -> bool {
+    let r = sim.submit(n, spec);
+    matches!(sim.await_answer(r), UserReply::Accepted { .. })
 }
 
 #[test]
 fn nothing_on_record_is_as_the_settings_file_has_it_and_a_first_change_is_in_force_within_a_second()
 {
-    let mut w = world(1, 3, 8);
-    assert!(!w.store.contains_key(&Key::Configuration));
-    assert!(w.store.contains_key(&Key::ConfigurationEnabled) && w.all_follow(0));
-    let settings = w.with_limit("blue", 4.0);
-    assert_eq!(w.configure(&settings), Ok(1));
-    w.until(1_000, "in force", |w| w.all_follow(1));
-    w.until(1_000, "said on record", |w| {
-        let follows = |n: &String| match w.store.get(&Key::ObservedVersion(n.clone())) {
+    let mut sim = world(1, 3, 8);
+    assert!(!sim.state.records.contains_key(&Key::Configuration));
+    assert!(
+        sim.state.records.contains_key(&Key::ConfigurationEnabled) && sim.all_controllers_follow(0)
+    );
+    let settings = sim.with_limit("blue", 4.0);
+    assert_eq!(sim.configure(&settings), Ok(1));
+    sim.run_until(1_000, "in force", |sim| sim.all_controllers_follow(1));
+    sim.run_until(1_000, "said on record", |sim| {
+        let follows = |n: &String| match sim.state.records.get(&Key::ObservedVersion(n.clone())) {
             Some((Record::ObservedVersion(ObservedVersionRecord { version }), _)) => *version == 1,
             _ => false,
         };
-        w.settings.controllers.iter().all(follows)
+        sim.settings.controllers.iter().all(follows)
     });
     for n in 0..3 {
-        w.submit(n, blue(job(&format!("j-{n}"), 4)));
+        sim.submit(n, limited_team(job(&format!("j-{n}"), 4)));
     }
-    w.until(60_000, "done", |w| w.done_tasks.len() == 12);
-    w.check_records();
+    sim.run_until(60_000, "done", |sim| sim.completed_tasks.len() == 12);
+    sim.check_records();
 }
 
 /// What is above a limit that was lowered goes: the lowest rank and the youngest first, services last.
 #[test]
 fn a_lowered_limit_stops_the_least_important_until_the_rest_fits() {
-    let mut w = world(2, 3, 8);
-    fill_blue(&mut w);
-    let settings = w.with_limit("blue", 8.0);
-    w.configure(&settings).unwrap();
-    w.until(10_000, "the low ones go", |w| w.running("j-low") == 0);
-    w.run(5_000);
-    assert_eq!((w.running("j-s"), w.running("j-normal")), (2, 2));
-    assert_eq!(w.stops["limit"].0, 2);
-    let settings = w.with_limit("blue", 4.0);
-    w.configure(&settings).unwrap();
-    w.until(10_000, "batches go", |w| w.running("j-normal") == 0);
-    w.run(5_000);
-    assert_eq!(w.running("j-s"), 2);
-    let settings = w.with_limit("blue", 12.0);
-    w.configure(&settings).unwrap();
-    w.until(10_000, "all run again", |w| {
-        w.running("j-normal") + w.running("j-low") == 4
+    let mut sim = world(2, 3, 8);
+    fill_blue(&mut sim);
+    let settings = sim.with_limit("blue", 8.0);
+    sim.configure(&settings).unwrap();
+    sim.run_until(10_000, "the low ones go", |sim| sim.running("j-low") == 0);
+    sim.run(5_000);
+    assert_eq!((sim.running("j-s"), sim.running("j-normal")), (2, 2));
+    assert_eq!(sim.metrics.stops["limit"].0, 2);
+    let settings = sim.with_limit("blue", 4.0);
+    sim.configure(&settings).unwrap();
+    sim.run_until(10_000, "batches go", |sim| sim.running("j-normal") == 0);
+    sim.run(5_000);
+    assert_eq!(sim.running("j-s"), 2);
+    let settings = sim.with_limit("blue", 12.0);
+    sim.configure(&settings).unwrap();
+    sim.run_until(10_000, "all run again", |sim| {
+        sim.running("j-normal") + sim.running("j-low") == 4
     });
-    w.check_records();
+    sim.check_records();
 }
 
 /// With every team at its limit controllers end one after another while limits change.
 #[test]
 fn changes_while_teams_are_at_their_limits_and_nodes_end() {
     for seed in 0..4 {
-        let mut w = world(20 + seed, 3, 8);
-        fill_blue(&mut w);
+        let mut sim = world(20 + seed, 3, 8);
+        fill_blue(&mut sim);
         for step in 0..6 {
-            w.crash(step % 3, 700);
-            let settings = w.with_limit("blue", [6.0, 12.0][step % 2]);
-            w.configure(&settings).unwrap();
-            w.run(1_500);
+            sim.crash(step % 3, 700);
+            let settings = sim.with_limit("blue", [6.0, 12.0][step % 2]);
+            sim.configure(&settings).unwrap();
+            sim.run(1_500);
         }
-        let settings = w.with_limit("blue", 4.0);
-        let version = w.configure(&settings).unwrap();
-        w.until(8_000, "in force", |w| w.all_follow(version));
-        w.until(20_000, "it fits", |w| {
-            w.running("j-normal") + w.running("j-low") == 0
+        let settings = sim.with_limit("blue", 4.0);
+        let version = sim.configure(&settings).unwrap();
+        sim.run_until(8_000, "in force", |sim| sim.all_controllers_follow(version));
+        sim.run_until(20_000, "it fits", |sim| {
+            sim.running("j-normal") + sim.running("j-low") == 0
         });
-        assert_eq!(w.running("j-s"), 2, "seed {seed}");
-        w.check_records();
+        assert_eq!(sim.running("j-s"), 2, "seed {seed}");
+        sim.check_records();
     }
 }
 
 /// The answer is lost and the operator sends it again; a copy comes late, after another change.
 #[test]
 fn a_change_that_is_repeated_or_late_takes_effect_once() {
-    let mut w = world(3, 3, 6);
-    let settings = w.with_limit("blue", 6.0);
-    let transaction = w.draft_configuration(&settings).unwrap();
-    assert_eq!(w.commit_configuration(&transaction), Ok(1));
-    assert_eq!(w.commit_configuration(&transaction), Err(Refused::Conflict));
-    let settings = w.with_limit("blue", 8.0);
-    assert_eq!(w.configure(&settings), Ok(2));
-    w.run(5_000);
-    assert_eq!(w.commit_configuration(&transaction), Err(Refused::Conflict));
-    assert!(w.all_follow(2) && w.limit("blue") == Some(8_000));
+    let mut sim = world(3, 3, 6);
+    let settings = sim.with_limit("blue", 6.0);
+    let transaction = sim.draft_configuration(&settings).unwrap();
+    assert_eq!(sim.commit_configuration(&transaction), Ok(1));
+    assert_eq!(
+        sim.commit_configuration(&transaction),
+        Err(ConfigureError::Conflict)
+    );
+    let settings = sim.with_limit("blue", 8.0);
+    assert_eq!(sim.configure(&settings), Ok(2));
+    sim.run(5_000);
+    assert_eq!(
+        sim.commit_configuration(&transaction),
+        Err(ConfigureError::Conflict)
+    );
+    assert!(sim.all_controllers_follow(2) && sim.team_limit("blue") == Some(8_000));
 }
 
 #[test]
 fn of_two_operators_at_once_one_wins() {
-    let mut w = world(4, 3, 6);
-    let (first, second) = (w.with_limit("blue", 6.0), w.with_limit("blue", 8.0));
-    let first = w.draft_configuration(&first).unwrap();
-    let second = w.draft_configuration(&second).unwrap();
-    assert_eq!(w.commit_configuration(&first), Ok(1));
-    assert_eq!(w.commit_configuration(&second), Err(Refused::Conflict));
-    w.until(1_000, "in force", |w| w.all_follow(1));
-    assert_eq!(w.limit("blue"), Some(6_000));
+    let mut sim = world(4, 3, 6);
+    let (first, second) = (sim.with_limit("blue", 6.0), sim.with_limit("blue", 8.0));
+    let first = sim.draft_configuration(&first).unwrap();
+    let second = sim.draft_configuration(&second).unwrap();
+    assert_eq!(sim.commit_configuration(&first), Ok(1));
+    assert_eq!(
+        sim.commit_configuration(&second),
+        Err(ConfigureError::Conflict)
+    );
+    sim.run_until(1_000, "in force", |sim| sim.all_controllers_follow(1));
+    assert_eq!(sim.team_limit("blue"), Some(6_000));
 }
 
 /// Cut off from the state service alone, or refused, it comes back after three changes.
 #[test]
 fn a_node_that_was_cut_off_claims_nothing_by_an_older_limit() {
     for seed in 0..4 {
-        let mut w = world(30 + seed, 3, 8);
-        w.run_ms = 3_600_000;
+        let mut sim = world(30 + seed, 3, 8);
+        sim.workload.run_ms = 3_600_000;
         match seed % 2 {
-            0 => w.controllers[1].cut_from_state = true,
-            _ => w.controllers[1].refused = true,
+            0 => sim.controllers[1].cut_from_state = true,
+            _ => sim.controllers[1].refused_by_state = true,
         }
-        w.run(300);
-        w.submit(0, blue(job("j-1", 9)));
+        sim.run(300);
+        sim.submit(0, limited_team(job("j-1", 9)));
         for cpus in [10.0, 8.0, 2.0] {
-            let settings = w.with_limit("blue", cpus);
-            w.configure(&settings).unwrap();
-            w.run(2_500);
+            let settings = sim.with_limit("blue", cpus);
+            sim.configure(&settings).unwrap();
+            sim.run(2_500);
         }
-        w.heal();
-        w.until(8_000, "in force", |w| w.all_follow(3));
-        w.run(6_000);
-        assert_eq!(w.running("j-1"), 1, "seed {seed}");
-        w.check_records();
+        sim.heal_all();
+        sim.run_until(8_000, "in force", |sim| sim.all_controllers_follow(3));
+        sim.run(6_000);
+        assert_eq!(sim.running("j-1"), 1, "seed {seed}");
+        sim.check_records();
     }
 }
 
@@ -185,139 +196,142 @@
 #[test]
 fn a_reload_in_the_middle_of_changes_ends_with_the_latest() {
     for seed in 0..6 {
-        let mut w = world(40 + seed, 3, 8);
-        w.page = 2;
-        fill_blue(&mut w);
+        let mut sim = world(40 + seed, 3, 8);
+        sim.state.page_size = 2;
+        fill_blue(&mut sim);
         for step in 0..8 {
-            let settings = w.with_limit("blue", [6.0, 12.0][step % 2]);
-            w.watch_gap(step % 3);
-            w.run(3 + seed * 7);
-            w.configure(&settings).unwrap();
-            w.run(200);
+            let settings = sim.with_limit("blue", [6.0, 12.0][step % 2]);
+            sim.break_watch(step % 3);
+            sim.run(3 + seed * 7);
+            sim.configure(&settings).unwrap();
+            sim.run(200);
         }
-        w.until(5_000, "in force", |w| w.all_follow(8));
-        w.until(20_000, "full again", |w| {
-            w.running("j-s") + w.running("j-low") + w.running("j-normal") == 6
+        sim.run_until(5_000, "in force", |sim| sim.all_controllers_follow(8));
+        sim.run_until(20_000, "full again", |sim| {
+            sim.running("j-s") + sim.running("j-low") + sim.running("j-normal") == 6
         });
-        w.check_records();
+        sim.check_records();
     }
 }
 
 #[test]
 fn the_state_service_is_down_between_two_changes() {
-    let mut w = world(5, 3, 8);
-    fill_blue(&mut w);
-    let settings = w.with_limit("blue", 8.0);
-    w.configure(&settings).unwrap();
-    w.state_down = true;
-    let settings = w.with_limit("blue", 4.0);
-    assert_eq!(w.configure(&settings), Err(Refused::Unavailable));
-    w.run(9_000);
-    w.state_down = false;
-    assert_eq!(w.configure(&settings), Ok(2));
-    w.until(7_000, "in force", |w| w.all_follow(2));
-    w.until(15_000, "it fits", |w| {
-        w.running("j-low") + w.running("j-normal") == 0
+    let mut sim = world(5, 3, 8);
+    fill_blue(&mut sim);
+    let settings = sim.with_limit("blue", 8.0);
+    sim.configure(&settings).unwrap();
+    sim.state.is_down = true;
+    let settings = sim.with_limit("blue", 4.0);
+    assert_eq!(sim.configure(&settings), Err(ConfigureError::Unavailable));
+    sim.run(9_000);
+    sim.state.is_down = false;
+    assert_eq!(sim.configure(&settings), Ok(2));
+    sim.run_until(7_000, "in force", |sim| sim.all_controllers_follow(2));
+    sim.run_until(15_000, "it fits", |sim| {
+        sim.running("j-low") + sim.running("j-normal") == 0
     });
-    w.check_records();
+    sim.check_records();
 }
 
 /// The world holds each claim against the limit in force at its commit.
 #[test]
 fn a_change_between_a_claims_draft_and_its_commit_refuses_the_claim() {
     for seed in 0..8 {
-        let mut w = world(50 + seed, 3, 8);
-        w.run_ms = 3_600_000;
+        let mut sim = world(50 + seed, 3, 8);
+        sim.workload.run_ms = 3_600_000;
         for round in 0..4 {
             let id = format!("j-{round}");
-            w.submit(round % 3, blue(job(&id, 3)));
+            sim.submit(round % 3, limited_team(job(&id, 3)));
             // The claim is on its way within some milliseconds.
-            w.run(2 + seed);
-            let settings = w.with_limit("blue", [2.0, 12.0][round % 2]);
-            w.configure(&settings).unwrap();
-            w.run(400);
+            sim.run(2 + seed);
+            let settings = sim.with_limit("blue", [2.0, 12.0][round % 2]);
+            sim.configure(&settings).unwrap();
+            sim.run(400);
         }
-        let settings = w.with_limit("blue", 12.0);
-        w.configure(&settings).unwrap();
-        w.until(15_000, "full", |w| {
-            (0..4).map(|n| w.running(&format!("j-{n}"))).sum::<usize>() == 6
+        let settings = sim.with_limit("blue", 12.0);
+        sim.configure(&settings).unwrap();
+        sim.run_until(15_000, "full", |sim| {
+            (0..4)
+                .map(|n| sim.running(&format!("j-{n}")))
+                .sum::<usize>()
+                == 6
         });
-        w.check_records();
+        sim.check_records();
     }
 }
 
 #[test]
 fn a_limit_lowered_raised_and_lowered_within_a_second() {
-    let mut w = world(6, 3, 8);
-    fill_blue(&mut w);
+    let mut sim = world(6, 3, 8);
+    fill_blue(&mut sim);
     for cpus in [6.0, 12.0, 4.0] {
-        let settings = w.with_limit("blue", cpus);
-        w.configure(&settings).unwrap();
-        w.run(300);
+        let settings = sim.with_limit("blue", cpus);
+        sim.configure(&settings).unwrap();
+        sim.run(300);
     }
-    w.until(15_000, "it fits", |w| {
-        w.running("j-low") + w.running("j-normal") == 0
+    sim.run_until(15_000, "it fits", |sim| {
+        sim.running("j-low") + sim.running("j-normal") == 0
     });
-    w.run(3_000);
-    assert_eq!(w.running("j-s"), 2);
-    w.check_records();
+    sim.run(3_000);
+    assert_eq!(sim.running("j-s"), 2);
+    sim.check_records();
 }
 
 #[test]
 fn a_team_is_added_used_and_removed() {
-    let mut w = world(7, 3, 8);
+    let mut sim = world(7, 3, 8);
     let spec = |id: &str| JobSpec {
         team: "green".into(),
         ..job(id, 2)
     };
-    let r = w.submit(0, spec("j-0"));
-    assert!(matches!(w.answer(r), UserReply::Rejected(_)));
-    let before = w.policy_settings();
+    let r = sim.submit(0, spec("j-0"));
+    assert!(matches!(sim.await_answer(r), UserReply::Rejected(_)));
+    let before = sim.policy_settings();
     let mut settings = before.clone();
     settings.teams.push(team("green", 6.0));
     // A controller that the watch tells nothing says when to come back, never that the team is unknown.
-    w.lag_watch(2, 3_000);
-    w.configure(&settings).unwrap();
-    w.run(50);
-    let r = w.submit(2, spec("j-1"));
-    let reply = w.answer(r);
+    sim.delay_watch(2, 3_000);
+    sim.configure(&settings).unwrap();
+    sim.run(50);
+    let r = sim.submit(2, spec("j-1"));
+    let reply = sim.await_answer(r);
     assert!(!matches!(reply, UserReply::Rejected(_)), "{reply:?}");
     for n in 0..2 {
-        assert!(accepts(&mut w, n, spec(&format!("j-{}", n + 2))));
+        assert!(accepts(&mut sim, n, spec(&format!("j-{}", n + 2))));
     }
-    let refused = w.configure(&before).unwrap_err();
+    let refused = sim.configure(&before).unwrap_err();
     assert!(
-        matches!(&refused, Refused::Absurd(e) if e.field == "settings.teams.green"),
+        matches!(&refused, ConfigureError::Absurd(e) if e.field == "settings.teams.green"),
         "{refused:?}"
     );
-    w.until(30_000, "done", |w| {
-        w.job_phase("j-2") == Some(JobPhase::Done) && w.job_phase("j-3") == Some(JobPhase::Done)
+    sim.run_until(30_000, "done", |sim| {
+        sim.job_phase("j-2") == Some(JobPhase::Done) && sim.job_phase("j-3") == Some(JobPhase::Done)
     });
-    w.run(5_000);
-    assert_eq!(w.configure(&before), Ok(2));
-    w.run(1_000);
-    let r = w.submit(1, spec("j-9"));
-    assert!(matches!(w.answer(r), UserReply::Rejected(_)));
-    w.check_records();
+    sim.run(5_000);
+    assert_eq!(sim.configure(&before), Ok(2));
+    sim.run(1_000);
+    let r = sim.submit(1, spec("j-9"));
+    assert!(matches!(sim.await_answer(r), UserReply::Rejected(_)));
+    sim.check_records();
 }
 
 /// Three seconds behind, a controller neither claims nor accepts by what it knows.
 #[test]
 fn a_watch_that_lags_by_seconds_decides_nothing_old() {
-    let mut w = world(8, 3, 8);
-    fill_blue(&mut w);
+    let mut sim = world(8, 3, 8);
+    fill_blue(&mut sim);
     for n in 0..3 {
-        w.lag_watch(n, 3_000);
-        let settings = w.with_limit("blue", [8.0, 4.0, 6.0][n]);
-        w.configure(&settings).unwrap();
-        w.submit(n, blue(job(&format!("j-{n}"), 2)));
-        w.run(1_500);
+        sim.delay_watch(n, 3_000);
+        let settings = sim.with_limit("blue", [8.0, 4.0, 6.0][n]);
+        sim.configure(&settings).unwrap();
+        sim.submit(n, limited_team(job(&format!("j-{n}"), 2)));
+        sim.run(1_500);
     }
-    w.until(10_000, "in force", |w| w.all_follow(3));
-    w.until(15_000, "it fits", |w| {
-        w.running("j-s") + w.running("j-low") + w.running("j-normal") <= 3
+    sim.run_until(10_000, "in force", |sim| sim.all_controllers_follow(3));
+    sim.run_until(15_000, "it fits", |sim| {
+        sim.running("j-s") + sim.running("j-low") + sim.running("j-normal") <= 3
     });
-    w.check_records();
+    sim.check_records();
 }
 
 /// A page is gone, or of no form that is known: nothing is claimed and submissions are told to come back,
@@ -325,11 +339,11 @@
 #[test]
 fn what_can_not_be_read_stops_claims_and_refuses_nobody_for_good() {
     for damage in 0..3 {
-        let mut w = world(60 + damage, 3, 8);
-        let settings = w.with_limit("blue", 8.0);
-        w.configure(&settings).unwrap();
-        w.run(1_000);
-        let (current, _) = w.store[&Key::Configuration].clone();
+        let mut sim = world(60 + damage, 3, 8);
+        let settings = sim.with_limit("blue", 8.0);
+        sim.configure(&settings).unwrap();
+        sim.run(1_000);
+        let (current, _) = sim.state.records[&Key::Configuration].clone();
         let Record::Configuration(mut record) = current.clone() else {
             panic!("a configuration");
         };
@@ -339,34 +353,34 @@
             1 => record.pages = 3,
             _ => {
                 let page = Key::ConfigurationPage(record.version, 0);
-                w.put_record(
+                sim.put_record(
                     page,
                     Record::ConfigurationPage(ConfigurationPageRecord::default()),
                 );
             }
         }
-        w.put_record(Key::Configuration, Record::Configuration(record));
-        w.run(500);
-        let r = w.submit(0, job("j-1", 2));
-        let reply = w.answer(r);
+        sim.put_record(Key::Configuration, Record::Configuration(record));
+        sim.run(500);
+        let r = sim.submit(0, job("j-1", 2));
+        let reply = sim.await_answer(r);
         assert!(matches!(reply, UserReply::RetryAfter { .. }), "{reply:?}");
-        let r = w.submit(
+        let r = sim.submit(
             1,
             JobSpec {
                 team: "none".into(),
                 ..job("j-2", 1)
             },
         );
-        assert!(matches!(w.answer(r), UserReply::RetryAfter { .. }));
-        let starts = w.starts;
-        w.run(5_000);
-        assert_eq!(w.starts, starts);
+        assert!(matches!(sim.await_answer(r), UserReply::RetryAfter { .. }));
+        let starts = sim.metrics.starts;
+        sim.run(5_000);
+        assert_eq!(sim.metrics.starts, starts);
         // The operator goes back to what was there.
-        w.put_record(Key::Configuration, current);
-        w.run(1_000);
-        assert!(accepts(&mut w, 0, job("j-1", 2)));
-        w.until(20_000, "done", |w| {
-            w.job_phase("j-1") == Some(JobPhase::Done)
+        sim.put_record(Key::Configuration, current);
+        sim.run(1_000);
+        assert!(accepts(&mut sim, 0, job("j-1", 2)));
+        sim.run_until(20_000, "done", |sim| {
+            sim.job_phase("j-1") == Some(JobPhase::Done)
         });
     }
 }
@@ -374,26 +388,29 @@
 /// Until every controller reads configurations none can be put on record, whoever comes back old meanwhile.
 #[test]
 fn an_older_version_that_serves_keeps_configurations_off_the_records() {
-    let mut w = World::old(70, 3, 6);
-    w.run(5_000);
-    let settings = w.with_limit("blue", 6.0);
+    let mut sim = Simulation::previous_version(70, 3, 6);
+    sim.run(5_000);
+    let settings = sim.with_limit("blue", 6.0);
     for n in 0..3 {
-        assert_eq!(w.configure(&settings), Err(Refused::NotConfigurable));
-        w.upgrade(n, 500);
-        w.run(4_000);
+        assert_eq!(
+            sim.configure(&settings),
+            Err(ConfigureError::NotConfigurable)
+        );
+        sim.upgrade(n, 500);
+        sim.run(4_000);
         if n == 1 {
             // It ends before its turn and comes back old.
-            w.crash(2, 500);
-            w.run(6_000);
+            sim.crash(2, 500);
+            sim.run(6_000);
         }
     }
-    w.until(10_000, "configurable", |w| {
-        w.store.contains_key(&Key::ConfigurationEnabled)
+    sim.run_until(10_000, "configurable", |sim| {
+        sim.state.records.contains_key(&Key::ConfigurationEnabled)
     });
-    w.limits_fall();
-    assert_eq!(w.configure(&settings), Ok(1));
-    w.until(2_000, "in force", |w| w.all_follow(1));
-    w.check_records();
+    sim.lower_limits();
+    assert_eq!(sim.configure(&settings), Ok(1));
+    sim.run_until(2_000, "in force", |sim| sim.all_controllers_follow(1));
+    sim.check_records();
 }
 
 /// A process of an older version that is started after all others are new knows the limits of its file only.
@@ -406,10 +423,13 @@
     });
     let key = Key::Team("blue".into());
     let fenced = record.value(formats::STORED_CONFIGURATION);
-    assert_eq!(old::value(&key, fenced.clone()), None);
+    assert_eq!(previous_version::value(&key, fenced.clone()), None);
     assert_eq!(Record::read(&key, fenced), Some(record.clone()));
     let plain = record.value(formats::CONFIRMED_CANCELLATION);
-    assert_eq!(old::value(&key, plain.clone()), Some(plain.clone()));
+    assert_eq!(
+        previous_version::value(&key, plain.clone()),
+        Some(plain.clone())
+    );
     assert_eq!(Record::read(&key, plain), Some(record));
 }
 
@@ -486,15 +506,15 @@
 
 #[test]
 fn a_limit_below_what_was_accepted_is_refused_and_so_is_going_back_to_it() {
-    let mut w = world(9, 3, 8);
-    let first = w.with_limit("blue", 4.0);
-    w.configure(&first).unwrap();
-    let settings = w.with_limit("blue", 12.0);
-    w.configure(&settings).unwrap();
-    w.run(1_000);
-    assert!(accepts(&mut w, 0, blue(service("j-s", 4))));
-    let refused = w.configure(&first).unwrap_err();
-    let Refused::Absurd(error) = refused else {
+    let mut sim = world(9, 3, 8);
+    let first = sim.with_limit("blue", 4.0);
+    sim.configure(&first).unwrap();
+    let settings = sim.with_limit("blue", 12.0);
+    sim.configure(&settings).unwrap();
+    sim.run(1_000);
+    assert!(accepts(&mut sim, 0, limited_team(service("j-s", 4))));
+    let refused = sim.configure(&first).unwrap_err();
+    let ConfigureError::Absurd(error) = refused else {
         panic!("{refused:?}");
     };
     assert_eq!(error.field, "settings.teams.blue.cpus_max");
@@ -578,63 +598,65 @@
     let more = std::env::var("MEETINGS").ok().and_then(|n| n.parse().ok());
     for seed in 0..more.unwrap_or(12_u64) {
         eprintln!("seed {seed}");
-        let mut w = World::new(8_000 + seed, 3, 8);
-        w.run(7_000);
-        w.run_ms = 4_000;
+        let mut sim = Simulation::new(8_000 + seed, 3, 8);
+        sim.run(7_000);
+        sim.workload.run_ms = 4_000;
         let mut jobs = 0;
         for _ in 0..120 {
-            match w.rng.gen_range(0..14) {
+            match sim.rng.gen_range(0..14) {
                 0..=3 => {
                     let id = format!("j-{jobs}");
                     jobs += 1;
-                    let spec = match w.rng.gen_bool(0.2) {
+                    let spec = match sim.rng.gen_bool(0.2) {
                         true => service(&id, 1),
-                        false => job(&id, w.rng.gen_range(1..5)),
+                        false => job(&id, sim.rng.gen_range(1..5)),
                     };
-                    let n = w.rng.gen_range(0..3);
-                    w.submit(n, blue(spec));
+                    let n = sim.rng.gen_range(0..3);
+                    sim.submit(n, limited_team(spec));
                 }
                 4..=7 => {
-                    let cpus = [4.0, 6.0, 8.0, 12.0][w.rng.gen_range(0..4)];
-                    let settings = w.with_limit("blue", cpus);
+                    let cpus = [4.0, 6.0, 8.0, 12.0][sim.rng.gen_range(0..4)];
+                    let settings = sim.with_limit("blue", cpus);
                     // Refused where a service needs more, or while the service is down.
-                    let _ = w.configure(&settings);
+                    let _ = sim.configure(&settings);
                 }
                 8 => {
-                    let (n, back) = (w.rng.gen_range(0..3), w.rng.gen_range(100..3_000));
-                    w.crash(n, back);
+                    let (n, back) = (sim.rng.gen_range(0..3), sim.rng.gen_range(100..3_000));
+                    sim.crash(n, back);
                 }
                 9 => {
-                    let n = w.rng.gen_range(0..3);
-                    w.controllers[n].cut_from_state = !w.controllers[n].cut_from_state;
+                    let n = sim.rng.gen_range(0..3);
+                    sim.controllers[n].cut_from_state = !sim.controllers[n].cut_from_state;
                 }
                 10 => {
-                    let (n, ms) = (w.rng.gen_range(0..3), w.rng.gen_range(100..4_000));
-                    w.lag_watch(n, ms);
+                    let (n, ms) = (sim.rng.gen_range(0..3), sim.rng.gen_range(100..4_000));
+                    sim.delay_watch(n, ms);
                 }
                 11 => {
-                    let n = w.rng.gen_range(0..3);
-                    w.watch_gap(n);
+                    let n = sim.rng.gen_range(0..3);
+                    sim.break_watch(n);
                 }
                 12 => {
-                    w.mishaps = Mishaps {
-                        txn_late: [0.0, 0.2][w.rng.gen_range(0..2)],
-                        txn_answer_lost: [0.0, 0.2][w.rng.gen_range(0..2)],
-                        answer_slow: [0.0, 0.4][w.rng.gen_range(0..2)],
-                        ..Mishaps::default()
+                    sim.network.faults = FaultRates {
+                        transaction_late: [0.0, 0.2][sim.rng.gen_range(0..2)],
+                        transaction_answer_lost: [0.0, 0.2][sim.rng.gen_range(0..2)],
+                        answer_slow: [0.0, 0.4][sim.rng.gen_range(0..2)],
+                        ..FaultRates::default()
                     }
                 }
-                _ => w.state_down = !w.state_down,
+                _ => sim.state.is_down = !sim.state.is_down,
             }
-            let ms = w.rng.gen_range(5..900);
-            w.run(ms);
+            let ms = sim.rng.gen_range(5..900);
+            sim.run(ms);
         }
-        w.heal();
-        w.mishaps = Mishaps::default();
-        let settings = w.with_limit("blue", 12.0);
-        let version = w.configure(&settings).unwrap();
-        w.until(10_000, "in force", |w| w.all_follow(version));
-        w.run(20_000);
-        w.check_records();
+        sim.heal_all();
+        sim.network.faults = FaultRates::default();
+        let settings = sim.with_limit("blue", 12.0);
+        let version = sim.configure(&settings).unwrap();
+        sim.run_until(10_000, "in force", |sim| {
+            sim.all_controllers_follow(version)
+        });
+        sim.run(20_000);
+        sim.check_records();
     }
 }
--- a/crates/core/tests/learned.rs
+++ b/crates/core/tests/learned.rs
@@ -8,10 +8,10 @@
 use glenmount_runtime_estimates::history::History;
 use glenmount_simulation::*;
 
-fn learning(seed: u64, controllers: usize, machines: usize) -> World {
-    let mut w = World::new(seed, controllers, machines);
-    w.settings.learned = every_use();
-    w
+fn learning(seed: u64, controllers: usize, machines: usize) -> Simulation {
+    let mut sim = Simulation::new(seed, controllers, machines);
+    sim.settings.learned = all_estimate_uses();
+    sim
 }
 
 fn of_class(id: &str, tasks: u32, class: &str) -> JobSpec {
@@ -22,41 +22,45 @@
 }
 
 /// What is on record of a class of team red.
-fn recorded(w: &World, class: &str) -> Option<History> {
-    match w.store.get(&Key::RunTimes(class_id("red", class))) {
+fn recorded(sim: &Simulation, class: &str) -> Option<History> {
+    match sim
+        .state
+        .records
+        .get(&Key::RunTimes(class_id("red", class)))
+    {
         Some((Record::RunTimes(r), _)) => History::unpack(&r.packed),
         _ => None,
     }
 }
 
-fn runs(w: &World, class: &str) -> u64 {
-    recorded(w, class).map_or(0, |h| h.runs)
+fn runs(sim: &Simulation, class: &str) -> u64 {
+    recorded(sim, class).map_or(0, |h| h.runs)
 }
 
 /// Runs jobs one after the other, each until it is done on record.
-fn work(w: &mut World, from: u32, jobs: u32, tasks: u32, class: &str) {
+fn work(sim: &mut Simulation, from: u32, jobs: u32, tasks: u32, class: &str) {
     for n in from..from + jobs {
         let id = format!("j-{n}");
-        w.submit(
-            n as usize % w.settings.controllers.len(),
+        sim.submit(
+            n as usize % sim.settings.controllers.len(),
             of_class(&id, tasks, class),
         );
-        let done = |w: &World| w.job_phase(&id) == Some(JobPhase::Done);
-        w.until(120_000, "the job is done", done);
+        let done = |sim: &Simulation| sim.job_phase(&id) == Some(JobPhase::Done);
+        sim.run_until(120_000, "the job is done", done);
     }
 }
 
 #[test]
 fn three_nodes_that_hear_the_same_ends_record_each_run_once() {
-    let mut w = learning(1, 3, 6);
-    w.run(3_000);
+    let mut sim = learning(1, 3, 6);
+    sim.run(3_000);
     // Late and doubled reports show every controller the same ends.
-    w.mishaps.report_twice = 0.5;
-    w.mishaps.answer_slow = 0.2;
-    work(&mut w, 1, 12, 4, "batch");
-    w.mishaps = Mishaps::default();
-    w.run(120_000);
-    let history = recorded(&w, "batch").expect("on record");
+    sim.network.faults.heartbeat_duplicated = 0.5;
+    sim.network.faults.answer_slow = 0.2;
+    work(&mut sim, 1, 12, 4, "batch");
+    sim.network.faults = FaultRates::default();
+    sim.run(120_000);
+    let history = recorded(&sim, "batch").expect("on record");
     assert!(history.runs <= 48, "{} runs of 48", history.runs);
     assert!(history.runs >= 30, "{} runs of 48", history.runs);
     // Heard within half a second or so of what they took.
@@ -64,80 +68,80 @@
         let secs = j.mean.exp();
         assert!((4.2..6.2).contains(&secs), "{secs}");
     }
-    w.check_records();
+    sim.check_records();
 }
 
 #[test]
 fn lost_and_late_transactions_lose_runs_but_count_none_twice() {
     for seed in 0..6 {
-        let mut w = learning(seed, 3, 4);
-        w.run(3_000);
-        w.mishaps.txn_answer_lost = 0.1;
-        w.mishaps.txn_late = 0.1;
-        work(&mut w, 1, 10, 3, "batch");
-        w.mishaps = Mishaps::default();
-        w.run(150_000);
-        assert!(runs(&w, "batch") <= 30, "{} runs", runs(&w, "batch"));
-        assert!(runs(&w, "batch") >= 8, "{} runs", runs(&w, "batch"));
+        let mut sim = learning(seed, 3, 4);
+        sim.run(3_000);
+        sim.network.faults.transaction_answer_lost = 0.1;
+        sim.network.faults.transaction_late = 0.1;
+        work(&mut sim, 1, 10, 3, "batch");
+        sim.network.faults = FaultRates::default();
+        sim.run(150_000);
+        assert!(runs(&sim, "batch") <= 30, "{} runs", runs(&sim, "batch"));
+        assert!(runs(&sim, "batch") >= 8, "{} runs", runs(&sim, "batch"));
     }
 }
 
 #[test]
 fn a_node_that_dies_before_it_records_loses_little() {
-    let mut w = learning(3, 3, 6);
-    w.run(3_000);
-    work(&mut w, 1, 8, 4, "batch");
-    w.run(60_000);
-    let before = runs(&w, "batch");
-    work(&mut w, 20, 1, 4, "batch");
+    let mut sim = learning(3, 3, 6);
+    sim.run(3_000);
+    work(&mut sim, 1, 8, 4, "batch");
+    sim.run(60_000);
+    let before = runs(&sim, "batch");
+    work(&mut sim, 20, 1, 4, "batch");
     for n in 0..3 {
-        w.crash(n, 1_000);
+        sim.crash(n, 1_000);
     }
-    w.run(30_000);
-    assert!(runs(&w, "batch") >= before);
+    sim.run(30_000);
+    assert!(runs(&sim, "batch") >= before);
     // It goes on from what is on record.
-    work(&mut w, 30, 6, 4, "batch");
-    w.run(90_000);
-    assert!(runs(&w, "batch") > before, "nothing after {before}");
-    for slot in &w.controllers {
+    work(&mut sim, 30, 6, 4, "batch");
+    sim.run(90_000);
+    assert!(runs(&sim, "batch") > before, "nothing after {before}");
+    for slot in &sim.controllers {
         let controller = slot.controller.as_ref().expect("up");
         let known = controller.class_history("red", "batch").expect("read");
-        assert!(known.runs >= runs(&w, "batch"));
+        assert!(known.runs >= runs(&sim, "batch"));
     }
 }
 
 #[test]
 fn a_state_service_that_refuses_for_minutes_costs_no_run() {
-    let mut w = learning(4, 3, 6);
-    w.run(3_000);
-    work(&mut w, 1, 1, 4, "batch");
-    w.state_down = true;
-    w.run(180_000);
-    w.state_down = false;
-    w.run(5_000);
-    work(&mut w, 10, 4, 4, "batch");
-    w.run(120_000);
-    let runs = runs(&w, "batch");
+    let mut sim = learning(4, 3, 6);
+    sim.run(3_000);
+    work(&mut sim, 1, 1, 4, "batch");
+    sim.state.is_down = true;
+    sim.run(180_000);
+    sim.state.is_down = false;
+    sim.run(5_000);
+    work(&mut sim, 10, 4, 4, "batch");
+    sim.run(120_000);
+    let runs = runs(&sim, "batch");
     assert!((10..=20).contains(&runs), "{runs} of 20");
 }
 
 #[test]
 fn records_take_less_than_a_hundredth_of_the_changes() {
-    let mut w = learning(5, 3, 8);
-    w.run(3_000);
-    let (mut puts, mut last, begun) = (0, Vec::new(), w.now);
+    let mut sim = learning(5, 3, 8);
+    sim.run(3_000);
+    let (mut puts, mut last, begun) = (0, Vec::new(), sim.now_ms);
     for n in 0..40 {
         let class = format!("c{}", n % 8);
-        w.submit(n % 3, of_class(&format!("j-{}", n + 1), 2, &class));
-        w.run(4_000);
-        let stamps: Vec<u64> = (w.store.iter())
+        sim.submit(n % 3, of_class(&format!("j-{}", n + 1), 2, &class));
+        sim.run(4_000);
+        let stamps: Vec<u64> = (sim.state.records.iter())
             .filter(|(k, _)| matches!(k, Key::RunTimes(_)))
             .map(|(_, (_, mod_revision))| *mod_revision)
             .collect();
         puts += stamps.iter().filter(|s| !last.contains(*s)).count();
         last = stamps;
     }
-    let seconds = (w.now - begun) as f64 / 1e3;
+    let seconds = (sim.now_ms - begun) as f64 / 1e3;
     // The announced rate is 35 a second.
     let most = seconds * 35.0 * 0.01 + 3.0;
     assert!(puts > 5 && puts as f64 <= most, "{puts} in {seconds} s");
@@ -145,26 +149,29 @@
 
 #[test]
 fn smaller_values_hold_what_is_learned() {
-    let mut w = learning(6, 2, 4);
+    let mut sim = learning(6, 2, 4);
     (
-        w.settings.max_value_bytes,
-        w.settings.max_transaction_changes,
+        sim.settings.max_value_bytes,
+        sim.settings.max_transaction_changes,
     ) = (1_536, 3);
-    w.run(3_000);
+    sim.run(3_000);
     let class = "x".repeat(200);
-    work(&mut w, 1, 30, 1, &class);
-    w.run(90_000);
-    let history = recorded(&w, &class).expect("on record");
-    assert!(history.jobs().len() >= 20 && w.refused == 0);
+    work(&mut sim, 1, 30, 1, &class);
+    sim.run(90_000);
+    let history = recorded(&sim, &class).expect("on record");
+    assert!(history.jobs().len() >= 20 && sim.state.too_large == 0);
 }
 
 #[test]
 fn the_least_used_classes_go_first() {
-    let mut w = learning(7, 1, 4);
-    w.run(3_000);
-    work(&mut w, 1, 2, 2, "kept");
-    w.run(10_000);
-    let Some((Record::RunTimes(like), _)) = w.store.get(&Key::RunTimes(class_id("red", "kept")))
+    let mut sim = learning(7, 1, 4);
+    sim.run(3_000);
+    work(&mut sim, 1, 2, 2, "kept");
+    sim.run(10_000);
+    let Some((Record::RunTimes(like), _)) = sim
+        .state
+        .records
+        .get(&Key::RunTimes(class_id("red", "kept")))
     else {
         panic!("not on record");
     };
@@ -175,50 +182,51 @@
             class: format!("old{n}"),
             ..like.clone()
         };
-        w.put_record(Key::RunTimes(n), Record::RunTimes(old));
+        sim.put_record(Key::RunTimes(n), Record::RunTimes(old));
     }
-    w.run(2_000);
-    work(&mut w, 10, 2, 2, "fresh");
-    w.run(30_000);
-    let classes = w
-        .store
+    sim.run(2_000);
+    work(&mut sim, 10, 2, 2, "fresh");
+    sim.run(30_000);
+    let classes = sim
+        .state
+        .records
         .keys()
         .filter(|k| matches!(k, Key::RunTimes(_)))
         .count();
     assert!(classes <= CLASSES_KEPT + 1, "{classes}");
     assert!(
-        !w.store.contains_key(&Key::RunTimes(0)),
+        !sim.state.records.contains_key(&Key::RunTimes(0)),
         "the oldest is gone"
     );
-    assert!(runs(&w, "kept") > 0 && runs(&w, "fresh") > 0);
+    assert!(runs(&sim, "kept") > 0 && runs(&sim, "fresh") > 0);
 }
 
 #[test]
 fn a_damaged_record_is_passed_over_and_written_anew() {
-    let mut w = learning(8, 2, 4);
-    w.run(3_000);
-    work(&mut w, 1, 3, 2, "batch");
-    w.run(30_000);
+    let mut sim = learning(8, 2, 4);
+    sim.run(3_000);
+    work(&mut sim, 1, 3, 2, "batch");
+    sim.run(30_000);
     let key = Key::RunTimes(class_id("red", "batch"));
-    let Some((Record::RunTimes(record), _)) = w.store.get(&key) else {
+    let Some((Record::RunTimes(record), _)) = sim.state.records.get(&key) else {
         panic!("not on record");
     };
     let value = serde_json::to_string(&Record::RunTimes(record.clone()).value(3)).unwrap();
     let broken = value.replacen("\"n\":", "\"n\":9", 1);
     let broken = Record::read(&key, serde_json::from_str(&broken).unwrap()).expect("its shape");
-    w.put_record(key, broken);
-    w.run(1_000);
-    work(&mut w, 10, 3, 2, "batch");
-    w.run(60_000);
-    let history = recorded(&w, "batch").expect("sound again");
+    sim.put_record(key, broken);
+    sim.run(1_000);
+    work(&mut sim, 10, 3, 2, "batch");
+    sim.run(60_000);
+    let history = recorded(&sim, "batch").expect("sound again");
     assert!(history.runs > 0 && history.runs <= 12, "{}", history.runs);
 }
 
 #[test]
 fn saved_progress_counts_and_what_was_cut_short_is_not_short() {
-    let mut w = learning(9, 1, 1);
-    w.class_ms.insert("long".into(), 20_000);
-    w.run(3_000);
+    let mut sim = learning(9, 1, 1);
+    sim.workload.class_run_ms.insert("long".into(), 20_000);
+    sim.run(3_000);
     let long = JobSpec {
         checkpoint_interval_s: 1.0,
         checkpoint_duration_s: 0.1,
@@ -230,23 +238,23 @@
         priority: JobPriority::Low,
         ..of_class("j-1", 1, "long")
     };
-    w.capacity = 0;
-    w.submit(0, long);
-    w.until(20_000, "it runs", |w| w.running("j-1") == 1);
-    w.run(8_000);
+    sim.cloud.capacity = 0;
+    sim.submit(0, long);
+    sim.run_until(20_000, "it runs", |sim| sim.running("j-1") == 1);
+    sim.run(8_000);
     let urgent = JobSpec {
         priority: JobPriority::High,
         ..of_class("j-2", 1, "urgent")
     };
-    w.submit(0, urgent);
-    w.until(60_000, "urgent work is done", |w| {
-        w.job_phase("j-2") == Some(JobPhase::Done)
+    sim.submit(0, urgent);
+    sim.run_until(60_000, "urgent work is done", |sim| {
+        sim.job_phase("j-2") == Some(JobPhase::Done)
     });
-    w.until(90_000, "the long one too", |w| {
-        w.job_phase("j-1") == Some(JobPhase::Done)
+    sim.run_until(90_000, "the long one too", |sim| {
+        sim.job_phase("j-1") == Some(JobPhase::Done)
     });
-    w.run(20_000);
-    let history = recorded(&w, "long").expect("on record");
+    sim.run(20_000);
+    let history = recorded(&sim, "long").expect("on record");
     let job = history.jobs()[0];
     assert_eq!(job.runs, 1);
     let secs = job.mean.exp();
@@ -258,12 +266,12 @@
 
 #[test]
 fn machines_that_are_slow_do_not_spoil_a_class() {
-    let mut w = learning(10, 2, 4);
-    w.run(3_000);
-    w.slow.insert("n-000000".into());
-    work(&mut w, 1, 40, 8, "batch");
-    w.run(60_000);
-    let history = recorded(&w, "batch").expect("on record");
+    let mut sim = learning(10, 2, 4);
+    sim.run(3_000);
+    sim.workload.slow_machines.insert("n-000000".into());
+    work(&mut sim, 1, 40, 8, "batch");
+    sim.run(60_000);
+    let history = recorded(&sim, "batch").expect("on record");
     let mut late: Vec<f64> = history
         .jobs()
         .iter()
@@ -282,26 +290,26 @@
 fn through_a_rolling_upgrade_old_nodes_pass_over_what_is_learned() {
     let mut learned = 0;
     for seed in 11..19 {
-        let mut w = World::old(seed, 3, 6);
-        w.settings.learned.learn = true;
-        w.run(4_000);
-        work(&mut w, 1, 3, 3, "batch");
+        let mut sim = Simulation::previous_version(seed, 3, 6);
+        sim.settings.learned.learn = true;
+        sim.run(4_000);
+        work(&mut sim, 1, 3, 3, "batch");
         // One by one; in between both serve on the same records, and the new ones learn.
         for n in 0..3 {
-            w.upgrade(n, 1_000);
-            w.run(8_000);
+            sim.upgrade(n, 1_000);
+            sim.run(8_000);
             // Workers report to all three again.
-            for (i, worker) in w.workers.values_mut().enumerate() {
+            for (i, worker) in sim.workers.values_mut().enumerate() {
                 worker.controller = i % 3;
             }
-            w.run(3_000);
-            work(&mut w, 10 * (n as u32 + 1), 4, 3, "batch");
-            w.run(20_000);
-            learned += u32::from(n == 1 && runs(&w, "batch") > 0);
+            sim.run(3_000);
+            work(&mut sim, 10 * (n as u32 + 1), 4, 3, "batch");
+            sim.run(20_000);
+            learned += u32::from(n == 1 && runs(&sim, "batch") > 0);
         }
-        w.run(30_000);
-        assert!((1..=45).contains(&runs(&w, "batch")));
-        w.check_records();
+        sim.run(30_000);
+        assert!((1..=45).contains(&runs(&sim, "batch")));
+        sim.check_records();
     }
     assert!(learned >= 6, "learned beside an old node: {learned} of 8");
 }
@@ -309,11 +317,11 @@
 #[test]
 fn what_is_learned_may_vanish_at_any_time() {
     for seed in 20..24 {
-        let mut w = learning(seed, 3, 6);
-        w.run(3_000);
-        w.mishaps.txn_late = 0.05;
-        w.mishaps.report_late = 0.05;
-        w.mishaps.command_lost = 0.05;
+        let mut sim = learning(seed, 3, 6);
+        sim.run(3_000);
+        sim.network.faults.transaction_late = 0.05;
+        sim.network.faults.heartbeat_late = 0.05;
+        sim.network.faults.command_lost = 0.05;
         for n in 1..40u32 {
             let class = format!("c{}", n % 3);
             let spec = JobSpec {
@@ -321,25 +329,25 @@
                 estimate_s: [0.1, 500.0][n as usize % 2],
                 ..of_class(&format!("j-{n}"), 3, &class)
             };
-            w.submit(n as usize % 3, spec);
-            w.run(2_500);
+            sim.submit(n as usize % 3, spec);
+            sim.run(2_500);
             if n % 7 == 0 {
-                let keys: Vec<Key> = (w.store.keys())
+                let keys: Vec<Key> = (sim.state.records.keys())
                     .filter(|k| matches!(k, Key::RunTimes(_)))
                     .cloned()
                     .collect();
-                keys.into_iter().for_each(|k| w.remove_record(k));
+                keys.into_iter().for_each(|k| sim.remove_record(k));
             }
             if n % 11 == 0 {
-                w.crash(n as usize % 3, 1_500);
+                sim.crash(n as usize % 3, 1_500);
             }
         }
-        w.mishaps = Mishaps::default();
+        sim.network.faults = FaultRates::default();
         for n in 1..40 {
             let id = format!("j-{n}");
-            if w.job_phase(&id).is_some() {
-                w.until(200_000, "all that was accepted is done", |w| {
-                    w.job_phase(&id) == Some(JobPhase::Done)
+            if sim.job_phase(&id).is_some() {
+                sim.run_until(200_000, "all that was accepted is done", |sim| {
+                    sim.job_phase(&id) == Some(JobPhase::Done)
                 });
             }
         }
@@ -348,10 +356,10 @@
 
 #[test]
 fn work_about_to_end_is_not_stopped_for_others() {
-    let mut w = learning(12, 1, 2);
-    w.capacity = 0;
-    w.class_ms.insert("long".into(), 20_000);
-    w.run(3_000);
+    let mut sim = learning(12, 1, 2);
+    sim.cloud.capacity = 0;
+    sim.workload.class_run_ms.insert("long".into(), 20_000);
+    sim.run(3_000);
     let long = |id: &str| JobSpec {
         priority: JobPriority::Low,
         resources: Resources {
@@ -363,34 +371,36 @@
     };
     for n in 11..30 {
         let id = format!("j-{n}");
-        w.submit(0, long(&id));
-        w.until(90_000, "done", |w| w.job_phase(&id) == Some(JobPhase::Done));
+        sim.submit(0, long(&id));
+        sim.run_until(90_000, "done", |sim| {
+            sim.job_phase(&id) == Some(JobPhase::Done)
+        });
     }
     // 19 s into the next, of 20, urgent work arrives: room comes by itself.
-    w.submit(0, long("j-9"));
-    w.until(30_000, "it runs", |w| w.running("j-9") == 2);
-    w.run(19_000);
-    let starts = w.starts;
+    sim.submit(0, long("j-9"));
+    sim.run_until(30_000, "it runs", |sim| sim.running("j-9") == 2);
+    sim.run(19_000);
+    let starts = sim.metrics.starts;
     let urgent = JobSpec {
         priority: JobPriority::High,
         ..of_class("j-10", 1, "urgent")
     };
-    w.submit(0, urgent);
-    w.until(20_000, "urgent work runs", |w| w.running("j-10") == 1);
-    w.until(20_000, "the other is done", |w| {
-        w.job_phase("j-9") == Some(JobPhase::Done)
+    sim.submit(0, urgent);
+    sim.run_until(20_000, "urgent work runs", |sim| sim.running("j-10") == 1);
+    sim.run_until(20_000, "the other is done", |sim| {
+        sim.job_phase("j-9") == Some(JobPhase::Done)
     });
-    assert_eq!(w.starts, starts + 1, "nothing was started anew");
+    assert_eq!(sim.metrics.starts, starts + 1, "nothing was started anew");
 }
 
 #[test]
 fn of_two_jobs_due_at_once_the_longer_starts_first() {
     for order in [false, true] {
-        let mut w = learning(13, 1, 1);
-        w.settings.learned.order = order;
-        w.capacity = 0;
-        w.class_ms.insert("long".into(), 30_000);
-        w.run(3_000);
+        let mut sim = learning(13, 1, 1);
+        sim.settings.learned.order = order;
+        sim.cloud.capacity = 0;
+        sim.workload.class_run_ms.insert("long".into(), 30_000);
+        sim.run(3_000);
         let whole = |id: &str, class: &str, due: f64| JobSpec {
             resources: Resources {
                 cpus: 4_000,
@@ -403,35 +413,37 @@
         for n in 1..7 {
             for (id, class) in [(n * 10, "long"), (n * 10 + 1, "short")] {
                 let id = format!("j-{id}");
-                w.submit(0, whole(&id, class, 300.0));
-                w.until(90_000, "done", |w| w.job_phase(&id) == Some(JobPhase::Done));
+                sim.submit(0, whole(&id, class, 300.0));
+                sim.run_until(90_000, "done", |sim| {
+                    sim.job_phase(&id) == Some(JobPhase::Done)
+                });
             }
         }
         // Both wait for a machine that is taken; the short one came first.
-        w.submit(0, whole("j-100", "short", 300.0));
-        w.until(20_000, "it is taken", |w| w.running("j-100") == 1);
-        w.submit(0, whole("j-101", "short", 100.0));
-        w.run(500);
-        w.submit(0, whole("j-102", "long", 100.0));
-        let either = |w: &World| w.running("j-101") + w.running("j-102") == 1;
-        w.until(30_000, "one of them runs", either);
-        assert_eq!(w.running("j-102") == 1, order);
+        sim.submit(0, whole("j-100", "short", 300.0));
+        sim.run_until(20_000, "it is taken", |sim| sim.running("j-100") == 1);
+        sim.submit(0, whole("j-101", "short", 100.0));
+        sim.run(500);
+        sim.submit(0, whole("j-102", "long", 100.0));
+        let either = |sim: &Simulation| sim.running("j-101") + sim.running("j-102") == 1;
+        sim.run_until(30_000, "one of them runs", either);
+        assert_eq!(sim.running("j-102") == 1, order);
     }
 }
 
 #[test]
 fn clocks_that_wander_change_no_run_time() {
-    let mut w = learning(14, 3, 6);
-    w.run(3_000);
+    let mut sim = learning(14, 3, 6);
+    sim.run(3_000);
     for round in 0..10u64 {
         // Within what the settings allow; runs are timed by steady clocks.
         for n in 0..3 {
-            w.clock_ahead[n as usize] = (round * 331 + n * 457) % 1_000;
+            sim.clock_ahead_ms[n as usize] = (round * 331 + n * 457) % 1_000;
         }
-        work(&mut w, 1 + round as u32 * 10, 2, 3, "batch");
+        work(&mut sim, 1 + round as u32 * 10, 2, 3, "batch");
     }
-    w.run(90_000);
-    let history = recorded(&w, "batch").expect("on record");
+    sim.run(90_000);
+    let history = recorded(&sim, "batch").expect("on record");
     let jobs: Vec<_> = history.jobs().iter().filter(|j| j.runs > 0).collect();
     assert!(jobs.len() >= 10);
     for j in jobs {
--- a/crates/core/tests/quick_returns.rs
+++ b/crates/core/tests/quick_returns.rs
@@ -17,62 +17,78 @@
 }
 
 /// Three controllers, machines that all have reported, and services that run.
-fn busy(seed: u64) -> World {
-    let mut w = World::new(seed, 3, 30);
-    w.settings.idle_return_ms = 3_600_000;
-    w.settings.report_ms = 3_000;
-    w.settings.lease_ms = 14_000;
-    w.settings.cancel_ms = 44_000;
-    w.capacity = 0;
-    w.run(6_000);
+fn busy(seed: u64) -> Simulation {
+    let mut sim = Simulation::new(seed, 3, 30);
+    sim.settings.idle_return_ms = 3_600_000;
+    sim.settings.report_ms = 3_000;
+    sim.settings.lease_ms = 14_000;
+    sim.settings.cancel_ms = 44_000;
+    sim.cloud.capacity = 0;
+    sim.run(6_000);
     for i in 0..SERVICES {
-        w.submit(i % 3, service(&name(i), 3));
-        w.run(200);
+        sim.submit(i % 3, service(&name(i), 3));
+        sim.run(200);
     }
-    w.until(30_000, "up", up);
-    w
+    sim.run_until(30_000, "up", up);
+    sim
 }
 
-fn up(w: &World) -> bool {
-    (0..SERVICES).all(|i| w.running(&name(i)) == 3)
+fn up(sim: &Simulation) -> bool {
+    (0..SERVICES).all(|i| sim.running(&name(i)) == 3)
 }
 
 /// All services ran on, every worker is heard within two reports and a move, peers take each
 /// other for well, and an array goes through.
-fn unharmed(w: &mut World, what: &str) {
-    w.run(9_000);
-    assert!(up(w), "{what}: services");
-    let most = w.now.saturating_sub(2 * w.settings.report_ms);
-    let stranded = w.workers.values().filter(|m| m.heard.0 < most).count();
+fn unharmed(sim: &mut Simulation, what: &str) {
+    sim.run(9_000);
+    assert!(up(sim), "{what}: services");
+    let most = sim.now_ms.saturating_sub(2 * sim.settings.report_ms);
+    let stranded = sim
+        .workers
+        .values()
+        .filter(|m| m.last_heard.at_ms < most)
+        .count();
     assert_eq!(stranded, 0, "{what}: workers that nobody hears");
-    assert_eq!(w.killed, 0, "{what}: tasks ended by their lease");
-    assert!(w.deleted.is_empty(), "{what}: {:?}", w.deleted);
+    assert_eq!(
+        sim.metrics.killed_by_lease, 0,
+        "{what}: tasks ended by their lease"
+    );
+    assert!(
+        sim.cloud.deleted.is_empty(),
+        "{what}: {:?}",
+        sim.cloud.deleted
+    );
     for n in 0..3 {
-        let controller = w.controllers[n].controller.as_ref().expect("it is back");
+        let controller = sim.controllers[n].controller.as_ref().expect("it is back");
         assert!(controller.ready(), "{what}: node {n}");
         for m in (0..3).filter(|m| *m != n) {
-            let sign = controller.status_of(&w.settings.controllers[m]);
-            assert_eq!(sign, Some(PeerStatus::Healthy), "{what}: {m} to {n}");
+            let sign = controller.status_of(&sim.settings.controllers[m]);
+            assert_eq!(sign, Some(PeerStatus::Well), "{what}: {m} to {n}");
         }
     }
-    let id = format!("j-9{}", w.now);
-    w.submit(0, job(&id, 6));
-    w.until(30_000, what, |w| w.job_phase(&id) == Some(JobPhase::Done));
-    w.check_records();
+    let id = format!("j-9{}", sim.now_ms);
+    sim.submit(0, job(&id, 6));
+    sim.run_until(30_000, what, |sim| {
+        sim.job_phase(&id) == Some(JobPhase::Done)
+    });
+    sim.check_records();
 }
 
 #[test]
 fn one_two_or_all_are_back_at_once() {
     for (seed, back) in BACK.into_iter().enumerate() {
         for who in [&[1][..], &[0, 2], &[0, 1, 2]] {
-            let mut w = busy(200 + seed as u64);
-            let starts = w.starts;
+            let mut sim = busy(200 + seed as u64);
+            let starts = sim.metrics.starts;
             for n in who {
-                w.crash(*n, back);
+                sim.crash(*n, back);
             }
-            w.run(5_000);
-            assert_eq!(w.starts, starts, "back after {back}: {who:?}: started anew");
-            unharmed(&mut w, &format!("{who:?} back after {back}"));
+            sim.run(5_000);
+            assert_eq!(
+                sim.metrics.starts, starts,
+                "back after {back}: {who:?}: started anew"
+            );
+            unharmed(&mut sim, &format!("{who:?} back after {back}"));
         }
     }
 }
@@ -81,12 +97,12 @@
 #[test]
 fn the_same_one_ends_ten_times() {
     for (seed, back) in BACK.into_iter().enumerate() {
-        let mut w = busy(220 + seed as u64);
+        let mut sim = busy(220 + seed as u64);
         for end in 0..10 {
-            w.crash(1, back);
-            w.run(back + 40 * end);
+            sim.crash(1, back);
+            sim.run(back + 40 * end);
         }
-        unharmed(&mut w, &format!("ten times, back after {back}"));
+        unharmed(&mut sim, &format!("ten times, back after {back}"));
     }
 }
 
@@ -95,15 +111,15 @@
 fn in_the_middle_of_a_takeover_and_of_a_reading() {
     for (seed, back) in BACK.into_iter().enumerate() {
         for gap in [5, 30, 120, 600] {
-            let mut w = busy(240 + seed as u64);
-            w.crash(0, 2_000);
-            w.run(gap);
+            let mut sim = busy(240 + seed as u64);
+            sim.crash(0, 2_000);
+            sim.run(gap);
             // It does what the other did; the third has just begun to read all records.
-            w.crash(1, back);
-            w.run(back + 3);
-            w.crash(1, back);
-            w.run(2_500);
-            unharmed(&mut w, &format!("gap {gap}, back after {back}"));
+            sim.crash(1, back);
+            sim.run(back + 3);
+            sim.crash(1, back);
+            sim.run(2_500);
+            unharmed(&mut sim, &format!("gap {gap}, back after {back}"));
         }
     }
 }
@@ -112,15 +128,15 @@
 #[test]
 fn while_workers_are_handed_over() {
     for (seed, back) in BACK.into_iter().enumerate() {
-        let mut w = busy(260 + seed as u64);
-        w.crash(2, 9_000);
-        w.run(9_500);
+        let mut sim = busy(260 + seed as u64);
+        sim.crash(2, 9_000);
+        sim.run(9_500);
         // Its peers have all its workers, and give some back from now on.
         for _ in 0..6 {
-            w.run(700);
-            w.crash(2, back);
+            sim.run(700);
+            sim.crash(2, back);
         }
-        unharmed(&mut w, &format!("back after {back}"));
+        unharmed(&mut sim, &format!("back after {back}"));
     }
 }
 
@@ -129,33 +145,36 @@
 #[test]
 fn transactions_and_commands_of_the_old_life_come_late() {
     for (seed, back) in BACK.into_iter().enumerate() {
-        let mut w = busy(280 + seed as u64);
-        w.mishaps.txn_answer_lost = 0.3;
-        w.mishaps.txn_late = 0.3;
-        w.mishaps.command_late = 0.3;
-        w.mishaps.report_late = 0.2;
-        w.mishaps.report_twice = 0.3;
+        let mut sim = busy(280 + seed as u64);
+        sim.network.faults.transaction_answer_lost = 0.3;
+        sim.network.faults.transaction_late = 0.3;
+        sim.network.faults.command_late = 0.3;
+        sim.network.faults.heartbeat_late = 0.2;
+        sim.network.faults.heartbeat_duplicated = 0.3;
         for i in 0..6 {
             let id = format!("j-5{i}");
-            w.submit(i % 3, job(&id, 8));
-            w.run(40 + 30 * i as u64);
-            w.crash(i % 3, back);
-            w.run(back / 2);
+            sim.submit(i % 3, job(&id, 8));
+            sim.run(40 + 30 * i as u64);
+            sim.crash(i % 3, back);
+            sim.run(back / 2);
         }
-        w.run(2_000);
-        w.mishaps = Mishaps::default();
+        sim.run(2_000);
+        sim.network.faults = FaultRates::default();
         // An acceptance that was lost with the controller is asked again by its user.
         for i in 0..6 {
             let id = format!("j-5{i}");
-            w.submit((i + 1) % 3, job(&id, 8));
+            sim.submit((i + 1) % 3, job(&id, 8));
         }
-        w.until(90_000, "all done", |w| {
-            (0..6).all(|i| w.job_phase(&format!("j-5{i}")) == Some(JobPhase::Done))
+        sim.run_until(90_000, "all done", |sim| {
+            (0..6).all(|i| sim.job_phase(&format!("j-5{i}")) == Some(JobPhase::Done))
         });
-        let killed = w.killed;
-        w.run(12_000);
-        assert!(up(&w) && w.killed == killed, "back after {back}");
-        w.check_records();
+        let killed = sim.metrics.killed_by_lease;
+        sim.run(12_000);
+        assert!(
+            up(&sim) && sim.metrics.killed_by_lease == killed,
+            "back after {back}"
+        );
+        sim.check_records();
     }
 }
 
@@ -164,17 +183,17 @@
 #[test]
 fn a_machine_is_back_as_a_newer_session() {
     for (seed, back) in BACK.into_iter().enumerate() {
-        let mut w = busy(300 + seed as u64);
+        let mut sim = busy(300 + seed as u64);
         for round in 0..3 {
-            let machine = w.machine_of(&name(round)).expect("it runs somewhere");
-            w.restart_machine(&machine, back);
-            w.run(30);
+            let machine = sim.machine_of(&name(round)).expect("it runs somewhere");
+            sim.restart_machine(&machine, back);
+            sim.run(30);
             // A controller ends in the same moment, in every second round.
             if round == 1 {
-                w.crash(0, back);
+                sim.crash(0, back);
             }
-            w.until(20_000, "up again", up);
+            sim.run_until(20_000, "up again", up);
         }
-        unharmed(&mut w, &format!("machine back after {back}"));
+        unharmed(&mut sim, &format!("machine back after {back}"));
     }
 }
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -9,44 +9,49 @@
     println!("machines  events/s  us/event  node share  txns/s  changes/s  beat KB  us/beat");
     let mut per_event = Vec::new();
     for machines in [300, 1_250, 2_500, 5_000] {
-        let mut w = World::new(7, 3, machines);
-        w.unchecked = true;
-        w.settings.idle_return_ms = 3_600_000;
-        w.settings.report_ms = 5_000;
-        w.settings.lease_ms = 26_500;
-        w.settings.cancel_ms = 51_500;
-        w.settings.write_rps = 60.0;
-        w.settings.max_transaction_changes = 40;
-        w.settings.max_value_bytes = 16 * 1024;
-        w.capacity = 0;
-        w.run_ms = 40_000;
-        w.run(40_000);
+        let mut sim = Simulation::new(7, 3, machines);
+        sim.skip_invariants = true;
+        sim.settings.idle_return_ms = 3_600_000;
+        sim.settings.report_ms = 5_000;
+        sim.settings.lease_ms = 26_500;
+        sim.settings.cancel_ms = 51_500;
+        sim.settings.write_rps = 60.0;
+        sim.settings.max_transaction_changes = 40;
+        sim.settings.max_value_bytes = 16 * 1024;
+        sim.cloud.capacity = 0;
+        sim.workload.run_ms = 40_000;
+        sim.run(40_000);
         // A third of the machines in use, by services and batches, which come and go.
         let jobs = machines / 30;
         for i in 0..jobs {
-            w.submit(i % 3, service(&format!("j-{i}"), 10));
-            w.run(100);
+            sim.submit(i % 3, service(&format!("j-{i}"), 10));
+            sim.run(100);
         }
-        let begun = (w.events, w.spent, w.transactions, w.changes);
-        let heartbeats = (w.heartbeats, w.spent_on_beats);
+        let begun = (
+            sim.metrics.events,
+            sim.metrics.event_time,
+            sim.state.transactions,
+            sim.state.changes,
+        );
+        let heartbeats = (sim.metrics.heartbeats, sim.metrics.heartbeat_time);
         let seconds = 30;
         for i in 0..seconds {
             let id = format!("j-9{i:03}");
-            w.submit(i % 3, job(&id, (machines / 100) as u32));
-            w.run(1_000);
+            sim.submit(i % 3, job(&id, (machines / 100) as u32));
+            sim.run(1_000);
         }
-        let events = w.events - begun.0;
-        let spent = (w.spent - begun.1).as_secs_f64();
+        let events = sim.metrics.events - begun.0;
+        let spent = (sim.metrics.event_time - begun.1).as_secs_f64();
         let us = spent * 1e6 / events as f64;
         println!(
             "{machines:8}  {:8.0}  {us:8.1}  {:9.2}%  {:6.1}  {:9.1}  {:7.1}  {:7.0}",
             events as f64 / seconds as f64,
             spent * 100.0 / seconds as f64 / 3.0,
-            f64::from(w.transactions - begun.2) / seconds as f64,
-            f64::from(w.changes - begun.3) / seconds as f64,
-            w.beat_bytes as f64 / 1024.0,
-            (w.spent_on_beats - heartbeats.1).as_secs_f64() * 1e6
-                / (w.heartbeats - heartbeats.0) as f64,
+            f64::from(sim.state.transactions - begun.2) / seconds as f64,
+            f64::from(sim.state.changes - begun.3) / seconds as f64,
+            sim.metrics.heartbeat_bytes as f64 / 1024.0,
+            (sim.metrics.heartbeat_time - heartbeats.1).as_secs_f64() * 1e6
+                / (sim.metrics.heartbeats - heartbeats.0) as f64,
         );
         per_event.push(us / machines as f64);
     }
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -12,176 +12,191 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-fn phase(w: &World, id: &str, phase: JobPhase) -> bool {
-    w.job_phase(id) == Some(phase)
+fn phase(sim: &Simulation, id: &str, phase: JobPhase) -> bool {
+    sim.job_phase(id) == Some(phase)
 }
 
-fn upgraded(w: &World) -> bool {
-    let formats = w.store.keys().filter(|k| matches!(k, Key::Format(_)));
-    formats.count() == w.controllers.len()
+fn upgraded(sim: &Simulation) -> bool {
+    let formats = sim
+        .state
+        .records
+        .keys()
+        .filter(|k| matches!(k, Key::Format(_)));
+    formats.count() == sim.controllers.len()
 }
 
 /// Upgrades one controller after another, `gap` milliseconds apart.
-fn roll(w: &mut World, gap: u64) {
-    for n in 0..w.controllers.len() {
-        w.upgrade(n, 2_000);
-        w.run(gap);
+fn roll(sim: &mut Simulation, gap: u64) {
+    for n in 0..sim.controllers.len() {
+        sim.upgrade(n, 2_000);
+        sim.run(gap);
     }
-    w.until(10_000, "upgraded", upgraded);
+    sim.run_until(10_000, "upgraded", upgraded);
 }
 
 #[test]
 fn work_goes_on_through_a_roll_with_crashes_back_to_old_between() {
     for seed in 0..6 {
-        let mut w = World::old(seed, 3, 6);
-        w.run(4_000);
-        let r = w.submit(0, service("j-1", 3));
-        w.answer(r);
+        let mut sim = Simulation::previous_version(seed, 3, 6);
+        sim.run(4_000);
+        let r = sim.submit(0, service("j-1", 3));
+        sim.await_answer(r);
         for i in 2..8 {
-            let r = w.submit(i % 3, job(&format!("j-{i}"), 4));
-            w.answer(r);
+            let r = sim.submit(i % 3, job(&format!("j-{i}"), 4));
+            sim.await_answer(r);
         }
-        w.upgrade(0, 2_000);
-        w.run(9_000);
+        sim.upgrade(0, 2_000);
+        sim.run(9_000);
         // Not its turn yet: it comes back old.
-        w.crash(2, 2_000);
-        w.run(9_000);
-        let r = w.submit(0, after("j-8", 1, &["j-2"]));
+        sim.crash(2, 2_000);
+        sim.run(9_000);
+        let r = sim.submit(0, dependent_job("j-8", 1, &["j-2"]));
         assert!(
-            matches!(w.answer(r), UserReply::RetryAfter { after_s } if after_s > 1),
+            matches!(sim.await_answer(r), UserReply::RetryAfter { after_s } if after_s > 1),
             "an old node would start it at once"
         );
-        w.upgrade(1, 2_000);
-        w.run(1_000);
-        w.crash(1, 2_000);
-        w.run(9_000);
-        assert!(!upgraded(&w));
-        w.upgrade(2, 2_000);
-        w.until(15_000, "upgraded", upgraded);
-        w.run(500);
-        assert_eq!(w.running("j-1"), 3, "services stay up");
-        let r = w.submit(1, after("j-8", 1, &["j-2"]));
-        assert!(matches!(w.answer(r), UserReply::Accepted { .. }));
-        w.limits_fall();
-        w.until(60_000, "done", |w| {
-            (2..9).all(|i| phase(w, &format!("j-{i}"), JobPhase::Done))
+        sim.upgrade(1, 2_000);
+        sim.run(1_000);
+        sim.crash(1, 2_000);
+        sim.run(9_000);
+        assert!(!upgraded(&sim));
+        sim.upgrade(2, 2_000);
+        sim.run_until(15_000, "upgraded", upgraded);
+        sim.run(500);
+        assert_eq!(sim.running("j-1"), 3, "services stay up");
+        let r = sim.submit(1, dependent_job("j-8", 1, &["j-2"]));
+        assert!(matches!(sim.await_answer(r), UserReply::Accepted { .. }));
+        sim.lower_limits();
+        sim.run_until(60_000, "done", |sim| {
+            (2..9).all(|i| phase(sim, &format!("j-{i}"), JobPhase::Done))
         });
-        assert_eq!((w.starts, w.refused), (3 + 24 + 1, 0), "seed {seed}");
-        w.check_records();
+        assert_eq!(
+            (sim.metrics.starts, sim.state.too_large),
+            (3 + 24 + 1, 0),
+            "seed {seed}"
+        );
+        sim.check_records();
     }
 }
 
 /// A world in which old controllers have stored a chunk of 100 tasks with 80 assignments: twice the size
 /// that a value may have later.
-fn with_a_large_chunk(seed: u64) -> World {
-    let mut w = World::old(seed, 3, 40);
-    w.settings.idle_return_ms = 3_600_000;
-    w.capacity = 0;
-    w.run(4_000);
-    w.run_ms = 25_000;
-    w.submit(0, job("j-1", 100));
-    w.until(10_000, "80 run", |w| w.running("j-1") == 80);
-    let (chunk, _) = &w.store[&Key::Chunk("j-1".into(), 0)];
+fn with_a_large_chunk(seed: u64) -> Simulation {
+    let mut sim = Simulation::previous_version(seed, 3, 40);
+    sim.settings.idle_return_ms = 3_600_000;
+    sim.cloud.capacity = 0;
+    sim.run(4_000);
+    sim.workload.run_ms = 25_000;
+    sim.submit(0, job("j-1", 100));
+    sim.run_until(10_000, "80 run", |sim| sim.running("j-1") == 80);
+    let (chunk, _) = &sim.state.records[&Key::Chunk("j-1".into(), 0)];
     let bytes = formats::stored_bytes(chunk, formats::OLDEST) as u64;
     assert!(bytes > 3 * 1024, "{bytes} bytes");
-    w
+    sim
 }
 
 #[test]
 fn a_large_chunk_of_the_old_version_is_completed_after_the_limits_have_fallen() {
     for seed in 0..4 {
-        let mut w = with_a_large_chunk(seed);
-        roll(&mut w, 9_000);
-        w.limits_fall();
-        w.until(90_000, "done", |w| phase(w, "j-1", JobPhase::Done));
-        assert_eq!((w.starts, w.refused), (100, 0));
-        w.check_records();
+        let mut sim = with_a_large_chunk(seed);
+        roll(&mut sim, 9_000);
+        sim.lower_limits();
+        sim.run_until(90_000, "done", |sim| phase(sim, "j-1", JobPhase::Done));
+        assert_eq!((sim.metrics.starts, sim.state.too_large), (100, 0));
+        sim.check_records();
     }
 }
 
 #[test]
 fn results_of_a_large_chunk_are_recorded_while_both_versions_serve() {
-    let mut w = with_a_large_chunk(9);
-    w.upgrade(0, 2_000);
-    w.run(9_000);
-    w.upgrade(1, 2_000);
-    w.run(9_000);
+    let mut sim = with_a_large_chunk(9);
+    sim.upgrade(0, 2_000);
+    sim.run(9_000);
+    sim.upgrade(1, 2_000);
+    sim.run(9_000);
     // The last old controller stays away: its peers record what ends meanwhile.
-    w.crash(2, 60_000);
-    w.until(40_000, "all have started", |w| w.starts == 100);
-    w.until(45_000, "done", |w| phase(w, "j-1", JobPhase::Done));
-    assert!(!upgraded(&w));
-    assert_eq!(w.refused, 0);
-    w.check_records();
+    sim.crash(2, 60_000);
+    sim.run_until(40_000, "all have started", |sim| sim.metrics.starts == 100);
+    sim.run_until(45_000, "done", |sim| phase(sim, "j-1", JobPhase::Done));
+    assert!(!upgraded(&sim));
+    assert_eq!(sim.state.too_large, 0);
+    sim.check_records();
 }
 
 #[test]
 fn a_large_chunk_is_cancelled_and_its_tasks_stopped_after_the_limits_have_fallen() {
-    let mut w = with_a_large_chunk(5);
-    w.run_ms = 3_600_000;
-    roll(&mut w, 9_000);
-    w.limits_fall();
+    let mut sim = with_a_large_chunk(5);
+    sim.workload.run_ms = 3_600_000;
+    roll(&mut sim, 9_000);
+    sim.lower_limits();
     // First some are stopped for work of higher rank, each with a reason on record.
     let urgent = JobSpec {
         priority: JobPriority::High,
         ..job("j-2", 10)
     };
-    w.submit(1, urgent);
-    w.until(15_000, "room is made", |w| w.running("j-2") == 10);
-    let r = w.cancel(2, "j-1");
-    w.answer(r);
-    w.until(30_000, "gone", |w| {
-        w.running("j-1") == 0 && !w.store.contains_key(&Key::Chunk("j-1".into(), 0))
+    sim.submit(1, urgent);
+    sim.run_until(15_000, "room is made", |sim| sim.running("j-2") == 10);
+    let r = sim.cancel(2, "j-1");
+    sim.await_answer(r);
+    sim.run_until(30_000, "gone", |sim| {
+        sim.running("j-1") == 0 && !sim.state.records.contains_key(&Key::Chunk("j-1".into(), 0))
     });
-    assert_eq!(w.refused, 0);
-    w.check_records();
+    assert_eq!(sim.state.too_large, 0);
+    sim.check_records();
 }
 
 #[test]
 fn the_last_old_node_stores_a_large_chunk_a_moment_before_it_ends() {
-    let mut w = World::old(3, 3, 40);
-    w.settings.idle_return_ms = 3_600_000;
-    w.capacity = 0;
-    w.run(4_000);
-    w.run_ms = 25_000;
+    let mut sim = Simulation::previous_version(3, 3, 40);
+    sim.settings.idle_return_ms = 3_600_000;
+    sim.cloud.capacity = 0;
+    sim.run(4_000);
+    sim.workload.run_ms = 25_000;
     for n in [0, 1] {
-        w.upgrade(n, 2_000);
-        w.run(9_000);
+        sim.upgrade(n, 2_000);
+        sim.run(9_000);
     }
-    w.submit(2, job("j-1", 100));
-    w.until(15_000, "most run", |w| w.running("j-1") > 60);
-    w.upgrade(2, 2_000);
-    w.until(10_000, "upgraded", upgraded);
-    w.limits_fall();
-    w.until(120_000, "done", |w| phase(w, "j-1", JobPhase::Done));
-    assert_eq!(w.refused, 0);
-    w.check_records();
+    sim.submit(2, job("j-1", 100));
+    sim.run_until(15_000, "most run", |sim| sim.running("j-1") > 60);
+    sim.upgrade(2, 2_000);
+    sim.run_until(10_000, "upgraded", upgraded);
+    sim.lower_limits();
+    sim.run_until(120_000, "done", |sim| phase(sim, "j-1", JobPhase::Done));
+    assert_eq!(sim.state.too_large, 0);
+    sim.check_records();
 }
 
 #[test]
 fn a_record_that_the_state_service_refuses_holds_up_no_other() {
     // Its limits are smaller than announced: so many assignments at once don't fit.
-    let mut w = World::new(7, 2, 82);
-    w.settings.idle_return_ms = 3_600_000;
-    w.settings.max_value_bytes = 2 * 1024;
-    w.capacity = 0;
-    w.run(4_000);
-    w.limits = Some((420, 16));
+    let mut sim = Simulation::new(7, 2, 82);
+    sim.settings.idle_return_ms = 3_600_000;
+    sim.settings.max_value_bytes = 2 * 1024;
+    sim.cloud.capacity = 0;
+    sim.run(4_000);
+    sim.state.limits = Some(TransactionLimits {
+        max_value_bytes: 420,
+        changes: 16,
+    });
     let mut spec = job("j-1", 80);
     spec.resources.cpus = 4_000;
-    let r = w.submit(0, spec);
-    w.answer(r);
-    w.run(1_000);
-    let r = w.submit(1, job("j-2", 1));
-    w.answer(r);
-    w.until(20_000, "the other is done", |w| {
-        phase(w, "j-2", JobPhase::Done)
+    let r = sim.submit(0, spec);
+    sim.await_answer(r);
+    sim.run(1_000);
+    let r = sim.submit(1, job("j-2", 1));
+    sim.await_answer(r);
+    sim.run_until(20_000, "the other is done", |sim| {
+        phase(sim, "j-2", JobPhase::Done)
     });
-    w.run(60_000);
-    assert!((1..20).contains(&w.refused), "{} tries", w.refused);
-    w.limits = None;
-    w.until(90_000, "done after all", |w| {
-        phase(w, "j-1", JobPhase::Done)
+    sim.run(60_000);
+    assert!(
+        (1..20).contains(&sim.state.too_large),
+        "{} tries",
+        sim.state.too_large
+    );
+    sim.state.limits = None;
+    sim.run_until(90_000, "done after all", |sim| {
+        phase(sim, "j-1", JobPhase::Done)
     });
 }
 
@@ -229,7 +244,11 @@
         let text = Record::read_text(&key, &value.to_string());
         assert_eq!(text.as_ref(), Some(&record), "{path}: from its text");
         assert_eq!(record.value(formats::OLDEST), value, "{path}");
-        assert_eq!(old::value(&key, value.clone()), Some(value), "{path}");
+        assert_eq!(
+            previous_version::value(&key, value.clone()),
+            Some(value),
+            "{path}"
+        );
         // In the latest format it says the same.
         let again = Record::read(&key, record.value(formats::LATEST));
         assert_eq!(again, Some(record), "{path}");
@@ -240,7 +259,7 @@
 fn what_the_old_version_makes_of_new_records() {
     // Reasons for waiting until all are new: it drops whom a job awaits, and can't read a compact
     // chunk. A key of a kind it does not know it passes over.
-    let mut spec = after("j-000414", 1, &["j-000412"]);
+    let mut spec = dependent_job("j-000414", 1, &["j-000412"]);
     spec.dependencies.push("j-000413".into());
     let record = Record::Job(JobRecord {
         phase: JobPhase::Open,
@@ -251,11 +270,14 @@
         spec: Some(Box::new(spec)),
     });
     let key = Key::Job("j-000414".into());
-    let back = old::value(&key, record.value(formats::LATEST)).unwrap();
+    let back = previous_version::value(&key, record.value(formats::LATEST)).unwrap();
     assert!(back["spec"].get("awaits").is_none());
     let key = Key::parse(SAMPLES[2].0).unwrap();
     let chunk = Record::read(&key, serde_json::from_str(SAMPLES[2].1).unwrap()).unwrap();
-    assert_eq!(old::value(&key, chunk.value(formats::LATEST)), None);
+    assert_eq!(
+        previous_version::value(&key, chunk.value(formats::LATEST)),
+        None
+    );
     let compact = chunk.value(formats::LATEST)["z"].to_string();
     assert_eq!(compact, r#""=1 +1 1:0:d1.7 2:0!0""#);
     // Kept as written, should the way of writing change.
@@ -337,15 +359,21 @@
         phase: JobPhase::Open,
         tasks: 100_000,
         chunk: 100,
-        at: WALL0,
+        at: START_TIME_MS,
         ended: 0,
         spec: Some(Box::new(spec)),
     };
     fits("a job with the longest names", Record::Job(job(spec)));
-    let mut usual = after("j-000001", 100, &[]);
+    let mut usual = dependent_job("j-000001", 100, &[]);
     usual.dependencies = (0..130).map(|i| format!("j-{i:06}")).collect();
     fits("a job that awaits 130 others", Record::Job(job(usual)));
-    let mut machine = MachineRecord::new(&long(200), &long(200), true, MachinePhase::Up, WALL0);
+    let mut machine = MachineRecord::new(
+        &long(200),
+        &long(200),
+        true,
+        MachinePhase::Up,
+        START_TIME_MS,
+    );
     machine.address = long(100);
     machine.faults = vec!["j-123456789012345678".into(); FAULTS_KEPT];
     fits("a machine", Record::Machine(machine));
@@ -356,7 +384,7 @@
         spot: true,
         count: PROVISION_MAX_INSTANCES,
         controller: long(60),
-        at: WALL0,
+        at: START_TIME_MS,
         instances: Some(instances.collect()),
     };
     fits("a rental", Record::InstanceRequest(instance_request));
@@ -366,7 +394,12 @@
     };
     fits("places in 60 zones", Record::ZoneSpread(zones));
     let refused: BTreeMap<_, _> = (0..40)
-        .map(|i| (offer_key(&format!("type-{i:04}"), "capital", true), WALL0))
+        .map(|i| {
+            (
+                offer_key(&format!("type-{i:04}"), "capital", true),
+                START_TIME_MS,
+            )
+        })
         .collect();
     fits(
         "the fleet",
@@ -387,7 +420,7 @@
         tasks: tasks(n),
         team: "franquicias".into(),
         failed_on: vec!["n-000231".into(); FAULTY_MACHINES],
-        pause_until: WALL0,
+        pause_until: START_TIME_MS,
         ..ChunkRecord::default()
     };
     let n = formats::chunk_tasks(formats::LATEST, most as u64);
@@ -443,93 +476,98 @@
 fn a_roll_among_random_mishaps_breaks_no_rule() {
     let mut starts = 0;
     for seed in 0..10 {
-        let mut w = World::old(3_000 + seed, 3, 6);
-        w.capacity = 4;
-        w.run(4_000);
-        w.mishaps = Mishaps {
-            txn_answer_lost: 0.03,
-            txn_late: 0.03,
+        let mut sim = Simulation::previous_version(3_000 + seed, 3, 6);
+        sim.cloud.capacity = 4;
+        sim.run(4_000);
+        sim.network.faults = FaultRates {
+            transaction_answer_lost: 0.03,
+            transaction_late: 0.03,
             answer_slow: 0.05,
-            report_lost: 0.03,
+            heartbeat_lost: 0.03,
             reply_lost: 0.03,
-            cloud_lost: 0.1,
+            cloud_answer_lost: 0.1,
             command_lost: 0.05,
             command_late: 0.05,
-            ..Mishaps::default()
+            ..FaultRates::default()
         };
         let mut jobs: Vec<String> = Vec::new();
         let mut turn = 0;
         for step in 0..120 {
-            let n = w.rng.gen_range(0..3);
-            match w.rng.gen_range(0..12) {
+            let n = sim.rng.gen_range(0..3);
+            match sim.rng.gen_range(0..12) {
                 0..=3 => {
-                    let mut spec = job(&format!("j-{step}"), w.rng.gen_range(1..6));
-                    for _ in 0..w.rng.gen_range(0..3) {
-                        if !jobs.is_empty() && upgraded(&w) {
+                    let mut spec = job(&format!("j-{step}"), sim.rng.gen_range(1..6));
+                    for _ in 0..sim.rng.gen_range(0..3) {
+                        if !jobs.is_empty() && upgraded(&sim) {
                             spec.dependencies
-                                .push(jobs[w.rng.gen_range(0..jobs.len())].clone());
+                                .push(jobs[sim.rng.gen_range(0..jobs.len())].clone());
                         }
                     }
                     spec.dependencies.sort();
                     spec.dependencies.dedup();
-                    spec.spot = w.rng.gen_bool(0.5);
-                    spec.topology_spread = w.rng.gen_bool(0.2);
-                    if w.rng.gen_bool(0.4) {
+                    spec.spot = sim.rng.gen_bool(0.5);
+                    spec.topology_spread = sim.rng.gen_bool(0.2);
+                    if sim.rng.gen_bool(0.4) {
                         spec.team = "blue".into();
                     }
-                    let r = w.submit(n, spec.clone());
-                    w.run(400);
+                    let r = sim.submit(n, spec.clone());
+                    sim.run(400);
                     // Only accepted jobs are named.
-                    let accepted = |w: &World| w.store.contains_key(&Key::Job(spec.id.clone()));
-                    if w.answers.contains_key(&r) && accepted(&w) {
+                    let accepted = |sim: &Simulation| {
+                        sim.state.records.contains_key(&Key::Job(spec.id.clone()))
+                    };
+                    if sim.answers.contains_key(&r) && accepted(&sim) {
                         jobs.push(spec.id);
                     }
                 }
                 4 if !jobs.is_empty() => {
-                    let id = jobs[w.rng.gen_range(0..jobs.len())].clone();
-                    w.cancel(n, &id);
+                    let id = jobs[sim.rng.gen_range(0..jobs.len())].clone();
+                    sim.cancel(n, &id);
                 }
-                5 => w.crash(n, 4_000),
-                6 => w.controllers[n].cut_from_state = !w.controllers[n].cut_from_state,
-                7 => w.state_down = !w.state_down,
-                8 => w.freeze(n, 5_000),
+                5 => sim.crash(n, 4_000),
+                6 => sim.controllers[n].cut_from_state = !sim.controllers[n].cut_from_state,
+                7 => sim.state.is_down = !sim.state.is_down,
+                8 => sim.pause(n, 5_000),
                 9 if turn < 3 && step > 20 => {
-                    w.upgrade(turn, 4_000);
+                    sim.upgrade(turn, 4_000);
                     turn += 1;
                 }
                 _ => {
                     for id in jobs.clone() {
-                        let n = w.rng.gen_range(0..3);
-                        w.status(n, &id);
+                        let n = sim.rng.gen_range(0..3);
+                        sim.status(n, &id);
                     }
                 }
             }
-            if upgraded(&w) && w.rng.gen_bool(0.1) {
-                w.limits_fall();
+            if upgraded(&sim) && sim.rng.gen_bool(0.1) {
+                sim.lower_limits();
             }
-            let pause = w.rng.gen_range(100..2_000);
-            w.run(pause);
-            if w.rng.gen_bool(0.3) {
-                w.heal();
+            let pause = sim.rng.gen_range(100..2_000);
+            sim.run(pause);
+            if sim.rng.gen_bool(0.3) {
+                sim.heal_all();
             }
         }
-        w.mishaps = Mishaps::default();
-        w.heal();
-        w.capacity += 6;
+        sim.network.faults = FaultRates::default();
+        sim.heal_all();
+        sim.cloud.capacity += 6;
         for n in turn..3 {
-            w.upgrade(n, 1_000);
+            sim.upgrade(n, 1_000);
         }
-        w.until(30_000, "upgraded", upgraded);
-        w.limits_fall();
-        let over = |w: &World| jobs.iter().all(|id| !phase(w, id, JobPhase::Open));
-        w.until(400_000, "all end", over);
-        w.run(3_000);
-        w.check_records();
+        sim.run_until(30_000, "upgraded", upgraded);
+        sim.lower_limits();
+        let over = |sim: &Simulation| jobs.iter().all(|id| !phase(sim, id, JobPhase::Open));
+        sim.run_until(400_000, "all end", over);
+        sim.run(3_000);
+        sim.check_records();
         // A seed may draw few jobs; none draws hardly any, and together they start many.
-        let tasks: u32 = jobs.iter().map(|id| w.specs[id].tasks).sum();
-        let drawn = format!("seed {seed}: {} starts, {tasks} tasks", w.starts);
-        assert!(w.starts > 10 && w.starts * 2 >= tasks, "{drawn}");
-        starts += w.starts;
+        let tasks: u32 = jobs.iter().map(|id| sim.job_specs[id].tasks).sum();
+        let drawn = format!("seed {seed}: {} starts, {tasks} tasks", sim.metrics.starts);
+        assert!(
+            sim.metrics.starts > 10 && sim.metrics.starts * 2 >= tasks,
+            "{drawn}"
+        );
+        starts += sim.metrics.starts;
     }
     assert!(starts > 400, "{starts} starts");
 }
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,9 +1,12 @@
 //! Stand-in for the cloud: it provisions, lists and deletes machines.
 
-use crate::{ProcessId, World};
+use crate::fixtures::machine_type;
+use crate::{ProcessId, Simulation};
 use glenmount_core::controller::{CloudOperation, CloudResponse, Event, OperationId};
-use glenmount_core::model::{CloudInstance, CloudInstanceState};
+use glenmount_core::model::{CloudInstance, CloudInstanceState, MachineType};
 use rand::Rng;
+use std::collections::{BTreeSet, HashMap};
+use std::ops::Range;
 
 /// Milliseconds that an answer is on its way.
 const ANSWER_MS: u64 = 20;
@@ -20,11 +23,46 @@
     pub answer_lost: bool,
 }
 
-impl World {
+/// The cloud's machines and what is asked of it.
+pub struct Cloud {
+    /// Types of machines that can be provisioned.
+    pub machine_types: Vec<MachineType>,
+    /// Machines that can still be provisioned.
+    pub capacity: u32,
+    /// Machines that were provisioned since the start.
+    pub provisioned: u32,
+    /// Machines of each request for instances, by the request's name.
+    pub(crate) instance_requests: HashMap<String, Vec<String>>,
+    /// Machines that were deleted.
+    pub deleted: BTreeSet<String>,
+    /// Milliseconds in which machines come up.
+    pub boot_ms: Range<u64>,
+    /// This many of the next machines never come up.
+    pub stuck_boots: u32,
+    /// All calls fail.
+    pub is_down: bool,
+}
+
+impl Default for Cloud {
+    fn default() -> Cloud {
+        Cloud {
+            machine_types: vec![machine_type("small", 4), machine_type("large", 8)],
+            capacity: 6,
+            provisioned: 0,
+            instance_requests: HashMap::new(),
+            deleted: BTreeSet::new(),
+            boot_ms: 1_000..5_000,
+            stuck_boots: 0,
+            is_down: false,
+        }
+    }
+}
+
+impl Simulation {
     /// A call arrives.
     pub(crate) fn execute_cloud_request(&mut self, request: CloudRequest) {
-        let answer = match self.limited.cloud_takes(self.now) {
-            true => self.cloud(request.op),
+        let answer = match self.service_limits.admit_cloud_call(self.now_ms) {
+            true => self.execute_cloud_operation(request.op),
             false => CloudResponse::Failed,
         };
         let event = Event::Cloud {
@@ -37,26 +75,26 @@
         self.deliver(ANSWER_MS, request.process, event);
     }
 
-    fn cloud(&mut self, op: CloudOperation) -> CloudResponse {
-        if self.cloud_down {
+    fn execute_cloud_operation(&mut self, op: CloudOperation) -> CloudResponse {
+        if self.cloud.is_down {
             return CloudResponse::Failed;
         }
         match op {
-            CloudOperation::Types => CloudResponse::Types(self.machine_types.clone()),
+            CloudOperation::Types => CloudResponse::Types(self.cloud.machine_types.clone()),
             CloudOperation::Provision {
                 name,
                 type_name,
                 zone,
                 spot,
                 count,
-            } => match self.instance_requests.get(&name) {
+            } => match self.cloud.instance_requests.get(&name) {
                 Some(instances) => CloudResponse::Provisioned(instances.clone()),
                 None => {
-                    let instances = self.instance_request(&type_name, &zone, spot, count);
+                    let instances = self.provision(&type_name, &zone, spot, count);
                     if instances.is_empty() {
                         return CloudResponse::NoCapacity;
                     }
-                    self.instance_requests.insert(name, instances.clone());
+                    self.cloud.instance_requests.insert(name, instances.clone());
                     CloudResponse::Provisioned(instances)
                 }
             },
@@ -69,7 +107,7 @@
             CloudOperation::List { .. } => {
                 let instances = self.instances();
                 CloudResponse::Instances {
-                    instances: self.limited.list(self.now, instances),
+                    instances: self.service_limits.delay_list(self.now_ms, instances),
                     more: false,
                 }
             }
@@ -77,20 +115,14 @@
     }
 
     /// Boots so many machines, or as many as there are.
-    fn instance_request(
-        &mut self,
-        type_name: &str,
-        zone: &str,
-        spot: bool,
-        count: u32,
-    ) -> Vec<String> {
-        let count = count.min(self.capacity);
-        self.capacity -= count;
+    fn provision(&mut self, type_name: &str, zone: &str, spot: bool, count: u32) -> Vec<String> {
+        let count = count.min(self.cloud.capacity);
+        self.cloud.capacity -= count;
         (0..count)
             .map(|_| {
-                let mut boot = self.rng.gen_range(self.boot_ms.clone());
-                if self.stuck_boots > 0 {
-                    self.stuck_boots -= 1;
+                let mut boot = self.rng.gen_range(self.cloud.boot_ms.clone());
+                if self.cloud.stuck_boots > 0 {
+                    self.cloud.stuck_boots -= 1;
                     boot = STUCK_BOOT_MS;
                 }
                 self.boot_machine(type_name, zone, spot, boot)
@@ -99,20 +131,20 @@
     }
 
     fn delete_machine(&mut self, name: String) {
-        self.all_off(&name);
+        self.remove_all_placements(&name);
         if self.workers.remove(&name).is_some() {
-            self.capacity += 1;
+            self.cloud.capacity += 1;
         }
-        self.deleted.insert(name);
+        self.cloud.deleted.insert(name);
     }
 
     fn instances(&self) -> Vec<CloudInstance> {
-        let instance = |w: &crate::Worker| CloudInstance {
-            name: w.name.clone(),
+        let instance = |worker: &crate::Worker| CloudInstance {
+            name: worker.name.clone(),
             address: String::new(),
-            type_name: w.type_name.clone(),
-            zone: w.zone.clone(),
-            spot: w.spot,
+            type_name: worker.type_name.clone(),
+            zone: worker.zone.clone(),
+            spot: worker.spot,
             state: CloudInstanceState::Running,
             age_s: 100.0,
         };
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -59,7 +59,7 @@
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
     #[serde(rename = "trouble", default)]
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Fault>,
 }
 
 /// What the outside services take.
@@ -133,7 +133,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Trouble {
+pub struct Fault {
     pub at_s: f64,
     /// Again so many times, so often.
     #[serde(default)]
@@ -141,12 +141,12 @@
     #[serde(default)]
     pub every_s: f64,
     #[serde(flatten)]
-    pub what: What,
+    pub what: FaultKind,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum What {
+pub enum FaultKind {
     /// The busiest controllers end, and are back after some time.
     End {
         count: usize,
@@ -305,12 +305,12 @@
         Ok(())
     }
 
-    fn check_trouble(&self, trouble: &Trouble) -> Result<(), String> {
+    fn check_trouble(&self, trouble: &Fault) -> Result<(), String> {
         match &trouble.what {
-            What::ZoneCut { zone, .. } if !self.zones.contains(zone) => {
+            FaultKind::ZoneCut { zone, .. } if !self.zones.contains(zone) => {
                 Err("trouble: unknown zone".into())
             }
-            What::LateWrites { share, .. } | What::LateReports { share, .. }
+            FaultKind::LateWrites { share, .. } | FaultKind::LateReports { share, .. }
                 if !(0.0..=1.0).contains(share) =>
             {
                 Err("trouble: share: must be between 0 and 1".into())
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/day_runner.rs
@@ -1,22 +1,22 @@
 //! Plays a described day: users, troubles, and what is measured meanwhile.
 
-mod figures;
+mod failovers;
+mod faults;
+mod measurements;
 mod submissions;
-mod takeovers;
-mod troubles;
 
-use crate::day::{self, Day, Variant, What};
+use crate::day::{self, Day, FaultKind, Variant};
 use crate::digest::EffectDigest;
-use crate::measure::Outcome;
-use crate::service::Rate;
+use crate::outcome::Outcome;
+use crate::rate_limits::TokenBucket;
 use crate::users::{Users, STEP_MS};
-use crate::World;
+use crate::Simulation;
+use failovers::FailoverObservation;
+use faults::ActiveFault;
 use glenmount_core::model::{JobKind, Team};
 use glenmount_core::settings::Settings;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
-use takeovers::Followed;
-use troubles::Ongoing;
 
 /// Seconds after a day's last submission in which what is left may end.
 const DRAIN_S: u64 = 240;
@@ -25,9 +25,9 @@
 /// Records per page of a list.
 const PAGE: usize = 1_000;
 
-struct Play<'a> {
+struct DayRun<'a> {
     day: &'a Day,
-    w: World,
+    sim: Simulation,
     users: Users,
     rng: SmallRng,
     next_job: u32,
@@ -35,10 +35,10 @@
     next_at: Vec<f64>,
     /// By how much each class submits more often.
     factor: Vec<f64>,
-    followed: Vec<Followed>,
+    followed: Vec<FailoverObservation>,
     out: Outcome,
     /// Troubles that end at a time.
-    ongoing: Vec<(u64, Ongoing)>,
+    ongoing: Vec<(u64, ActiveFault)>,
     /// Replicas that ran and that should have, once a second.
     up: Vec<(u64, u64)>,
     /// When each controller's process began that was measured last.
@@ -60,10 +60,10 @@
     let mut day = day.clone();
     day.machines = variant.machines.unwrap_or(day.machines);
     day.controllers = variant.controllers.unwrap_or(day.controllers);
-    let mut play = Play::new(&day, variant, seed)?;
-    play.w.digest = digest;
+    let mut play = DayRun::new(&day, variant, seed)?;
+    play.sim.digest = digest;
     play.run();
-    Ok((play.out, play.w.digest))
+    Ok((play.out, play.sim.digest))
 }
 
 fn ms(s: f64) -> u64 {
@@ -106,37 +106,37 @@
 }
 
 /// What the state service and the cloud take on a day.
-fn apply_limits(w: &mut World, day: &Day) {
-    w.controllers_in = day.controllers_in.clone();
-    w.capacity = day.capacity;
-    w.page = PAGE;
-    w.limited.requests = Some(Rate::new(day.limits.state_rps, 1.0));
-    w.limited.changes = Some(Rate::new(day.limits.write_rps, 1.0));
-    w.limited.cloud = Some(Rate::new(day.limits.cloud_rps, 2.0));
-    w.limited.sockets = Some(day.limits.sockets);
-    w.limited.list_lag_ms = ms(day.limits.list_lag_s);
-    for kind in &mut w.machine_types {
+fn apply_limits(sim: &mut Simulation, day: &Day) {
+    sim.controller_zones = day.controllers_in.clone();
+    sim.cloud.capacity = day.capacity;
+    sim.state.page_size = PAGE;
+    sim.service_limits.state_requests = Some(TokenBucket::new(day.limits.state_rps, 1.0));
+    sim.service_limits.state_changes = Some(TokenBucket::new(day.limits.write_rps, 1.0));
+    sim.service_limits.cloud_calls = Some(TokenBucket::new(day.limits.cloud_rps, 2.0));
+    sim.service_limits.worker_connections = Some(day.limits.sockets);
+    sim.service_limits.list_lag_ms = ms(day.limits.list_lag_s);
+    for kind in &mut sim.cloud.machine_types {
         kind.zones = day.zones.clone();
     }
 }
 
 /// Boots a day's machines, of which every fourth is large, within one interval between reports.
-fn boot_machines(w: &mut World, day: &Day) {
+fn boot_machines(sim: &mut Simulation, day: &Day) {
     for i in 0..day.machines {
         let zone = &day.zones[i % day.zones.len()];
         let kind = if i % 4 == 0 { "large" } else { "small" };
         let delay = 10 + (i as u64 * 7) % ms(day.workers.report_s);
-        w.boot_machine(kind, zone, false, delay);
+        sim.boot_machine(kind, zone, false, delay);
     }
 }
 
-impl Play<'_> {
-    fn new<'a>(day: &'a Day, variant: &Variant, seed: u64) -> Result<Play<'a>, String> {
-        let mut w = World::new(seed, day.controllers, 0);
-        apply_settings(&mut w.settings, day, variant)?;
-        apply_limits(&mut w, day);
-        boot_machines(&mut w, day);
-        Ok(Play {
+impl DayRun<'_> {
+    fn new<'a>(day: &'a Day, variant: &Variant, seed: u64) -> Result<DayRun<'a>, String> {
+        let mut sim = Simulation::new(seed, day.controllers, 0);
+        apply_settings(&mut sim.settings, day, variant)?;
+        apply_limits(&mut sim, day);
+        boot_machines(&mut sim, day);
+        Ok(DayRun {
             users: Users::new(day.controllers),
             rng: SmallRng::seed_from_u64(seed ^ 0x5eed),
             next_job: 0,
@@ -151,13 +151,13 @@
             up: Vec::new(),
             began: vec![0; day.controllers],
             day,
-            w,
+            sim,
         })
     }
 
     /// The day's troubles and when each begins.
-    fn schedule(&self) -> Vec<(u64, What)> {
-        let mut troubles: Vec<(u64, What)> = Vec::new();
+    fn schedule(&self) -> Vec<(u64, FaultKind)> {
+        let mut troubles: Vec<(u64, FaultKind)> = Vec::new();
         for t in &self.day.troubles {
             for i in 0..t.times.max(1) {
                 troubles.push((ms(t.at_s + f64::from(i) * t.every_s), t.what.clone()));
@@ -171,37 +171,37 @@
         let begun = std::time::Instant::now();
         let mut troubles = self.schedule().into_iter().peekable();
         let end = self.day.seconds * 1_000;
-        while self.w.now < end + DRAIN_S * 1_000 {
-            while let Some((_, what)) = troubles.next_if(|(at, _)| *at <= self.w.now) {
+        while self.sim.now_ms < end + DRAIN_S * 1_000 {
+            while let Some((_, what)) = troubles.next_if(|(at, _)| *at <= self.sim.now_ms) {
                 self.begin(what);
             }
             self.end_troubles();
-            if self.w.now < end {
+            if self.sim.now_ms < end {
                 self.submit();
             }
-            self.users.step(&mut self.w);
-            self.w.run(STEP_MS);
+            self.users.step(&mut self.sim);
+            self.sim.run(STEP_MS);
             self.follow();
-            if self.w.now % 1_000 < STEP_MS {
-                self.sample(self.w.now < end);
+            if self.sim.now_ms % 1_000 < STEP_MS {
+                self.sample(self.sim.now_ms < end);
             }
-            if self.w.now > end && self.all_ended() {
+            if self.sim.now_ms > end && self.all_ended() {
                 break;
             }
         }
-        self.w.check_records();
+        self.sim.check_records();
         self.count(begun.elapsed());
     }
 
     fn all_ended(&self) -> bool {
         let open = |(id, u): (&String, &crate::users::User)| {
-            let service = self.w.specs[id].kind == JobKind::Service;
+            let service = self.sim.job_specs[id].kind == JobKind::Service;
             !(service || u.gave_up || u.cancelled || u.done_at.is_some())
         };
         !self.users.users.iter().any(open)
     }
 
     fn counted(&self) -> bool {
-        self.w.now >= self.day.warm_s * 1_000
+        self.sim.now_ms >= self.day.warm_s * 1_000
     }
 }
--- a/crates/simulation/src/play/takeovers.rs
+++ b/crates/simulation/src/day_runner/failovers.rs
@@ -1,8 +1,8 @@
 //! What happens after a controller's end, and after a process's start.
 
-use super::Play;
-use crate::measure::Outcome;
-use crate::{Worker, World};
+use super::DayRun;
+use crate::outcome::Outcome;
+use crate::{Simulation, Worker};
 use glenmount_core::controller::Controller;
 use glenmount_core::peers::tracker::PeerStatus;
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 const STARTED_MS: u64 = 20_000;
 
 /// A controller's end that is followed until its work is taken over.
-pub(super) struct Followed {
+pub(super) struct FailoverObservation {
     controller: usize,
     at: u64,
     /// Machines that reported to it and have not been heard since.
@@ -25,17 +25,17 @@
     duty: bool,
 }
 
-impl Followed {
+impl FailoverObservation {
     /// The end of a controller, now.
-    fn new(w: &World, controller: usize) -> Followed {
-        let there = w
+    fn new(sim: &Simulation, controller: usize) -> FailoverObservation {
+        let there = sim
             .workers
             .values()
             .filter(|m| m.alive && m.controller == controller);
         let machines: BTreeSet<String> = there.map(|m| m.name.clone()).collect();
-        Followed {
+        FailoverObservation {
             controller,
-            at: w.now,
+            at: sim.now_ms,
             all: machines.len(),
             machines,
             noticed: false,
@@ -44,23 +44,23 @@
         }
     }
 
-    fn look(&mut self, w: &World, out: &mut Outcome) {
-        self.look_at_siblings(w, out);
-        self.look_at_machines(w, out);
-        self.look_for_claims(w, out);
+    fn look(&mut self, sim: &Simulation, out: &mut Outcome) {
+        self.look_at_siblings(sim, out);
+        self.look_at_machines(sim, out);
+        self.look_for_claims(sim, out);
     }
 
     /// Whether its peers have noticed it, and one does its duties.
-    fn look_at_siblings(&mut self, w: &World, out: &mut Outcome) {
-        let took = w.now - self.at;
-        let name = &w.settings.controllers[self.controller];
+    fn look_at_siblings(&mut self, sim: &Simulation, out: &mut Outcome) {
+        let took = sim.now_ms - self.at;
+        let name = &sim.settings.controllers[self.controller];
         let lives = |n: usize| {
-            w.controllers[n]
+            sim.controllers[n]
                 .controller
                 .as_ref()
-                .filter(|_| !w.frozen(n))
+                .filter(|_| !sim.is_paused(n))
         };
-        let others = (0..w.controllers.len()).filter(|n| *n != self.controller);
+        let others = (0..sim.controllers.len()).filter(|n| *n != self.controller);
         let others: Vec<&Controller> = others.filter_map(lives).collect();
         let away = |o: &&Controller| o.status_of(name).is_some_and(PeerStatus::is_away);
         if !self.noticed && others.iter().any(away) {
@@ -74,19 +74,19 @@
     }
 
     /// Which of its machines have been heard, and told to start something.
-    fn look_at_machines(&mut self, w: &World, out: &mut Outcome) {
+    fn look_at_machines(&mut self, sim: &Simulation, out: &mut Outcome) {
         let mut came = Vec::new();
         for id in &self.machines {
-            match w.workers.get(id) {
-                Some(worker) if worker.heard.0 > self.at => {
-                    out.heard.note(worker.heard.0 - self.at);
+            match sim.workers.get(id) {
+                Some(worker) if worker.last_heard.at_ms > self.at => {
+                    out.heard.note(worker.last_heard.at_ms - self.at);
                     came.push(id.clone());
-                    if !self.claimed && worker.told_start > self.at {
+                    if !self.claimed && worker.last_start_ms > self.at {
                         self.claimed = true;
-                        out.first_claim.note(worker.told_start - self.at);
+                        out.first_claim.note(worker.last_start_ms - self.at);
                     }
                 }
-                Some(worker) if worker.alive && !worker.cut => {}
+                Some(worker) if worker.alive && !worker.disconnected => {}
                 _ => came.push(id.clone()),
             }
         }
@@ -96,12 +96,12 @@
     }
 
     /// A claim on a machine that was heard already.
-    fn look_for_claims(&mut self, w: &World, out: &mut Outcome) {
+    fn look_for_claims(&mut self, sim: &Simulation, out: &mut Outcome) {
         if self.claimed {
             return;
         }
-        let told = |m: &&Worker| m.heard.0 > self.at && m.told_start > self.at;
-        let starts = w.workers.values().filter(told).map(|m| m.told_start);
+        let told = |m: &&Worker| m.last_heard.at_ms > self.at && m.last_start_ms > self.at;
+        let starts = sim.workers.values().filter(told).map(|m| m.last_start_ms);
         if let Some(at) = starts.min().filter(|_| self.all > 0) {
             self.claimed = true;
             out.first_claim.note(at - self.at);
@@ -114,35 +114,35 @@
     }
 }
 
-impl Play<'_> {
+impl DayRun<'_> {
     pub(super) fn follow_end(&mut self, n: usize) {
-        self.followed.push(Followed::new(&self.w, n));
+        self.followed.push(FailoverObservation::new(&self.sim, n));
     }
 
     /// Looks at all that is followed.
     pub(super) fn follow(&mut self) {
         for followed in &mut self.followed {
-            followed.look(&self.w, &mut self.out);
+            followed.look(&self.sim, &mut self.out);
         }
-        let now = self.w.now;
+        let now = self.sim.now_ms;
         self.followed.retain(|followed| !followed.is_over(now));
         self.measure_starts();
     }
 
     /// What processes did in their first seconds.
     fn measure_starts(&mut self) {
-        for (n, slot) in self.w.controllers.iter().enumerate() {
-            if slot.began <= self.began[n] || self.w.now < slot.began + STARTED_MS {
+        for (n, slot) in self.sim.controllers.iter().enumerate() {
+            if slot.started_ms <= self.began[n] || self.sim.now_ms < slot.started_ms + STARTED_MS {
                 continue;
             }
-            self.began[n] = slot.began;
+            self.began[n] = slot.started_ms;
             for (at, times) in [
-                (slot.first_ready, &mut self.out.ready),
-                (slot.first_accepted, &mut self.out.accepted),
-                (slot.first_start, &mut self.out.claimed),
+                (slot.first_ready_ms, &mut self.out.ready),
+                (slot.first_accepted_ms, &mut self.out.accepted),
+                (slot.first_start_ms, &mut self.out.claimed),
             ] {
                 if let Some(at) = at {
-                    times.note(at - slot.began);
+                    times.note(at - slot.started_ms);
                 }
             }
         }
--- a/crates/simulation/src/play/figures.rs
+++ b/crates/simulation/src/day_runner/measurements.rs
@@ -1,7 +1,7 @@
 //! What is measured of a day: replicas each second, jobs at its end.
 
-use super::{ms, Play};
-use crate::measure::Served;
+use super::{ms, DayRun};
+use crate::outcome::Served;
 use crate::users::User;
 use glenmount_core::model::{JobKind, JobSpec, TaskPhase};
 use std::collections::HashMap;
@@ -26,7 +26,7 @@
 }
 
 /// What became of a job.
-struct Fate {
+struct JobOutcome {
     ran: bool,
     tasks_done: u64,
     /// Milliseconds within which it should have been done.
@@ -34,7 +34,7 @@
 }
 
 /// Counts a job.
-fn count_job(served: &mut Served, user: &User, spec: &JobSpec, fate: &Fate) {
+fn count_job(served: &mut Served, user: &User, spec: &JobSpec, fate: &JobOutcome) {
     let service = spec.kind == JobKind::Service;
     served.jobs += 1;
     served.accepted += u32::from(user.accepted_at.is_some());
@@ -54,7 +54,7 @@
     }
 }
 
-impl Play<'_> {
+impl DayRun<'_> {
     /// Once a second: replicas that run, of those that should.
     pub(super) fn sample(&mut self, day: bool) {
         if !self.counted() || !day {
@@ -62,7 +62,7 @@
         }
         let mut running: HashMap<&str, u64> = HashMap::new();
         let mut load = vec![0usize; self.day.controllers];
-        for worker in self.w.workers.values() {
+        for worker in self.sim.workers.values() {
             load[worker.controller] += usize::from(worker.alive);
             for ((task, _), state) in &worker.tasks {
                 if state.phase == TaskPhase::Running {
@@ -76,7 +76,7 @@
         let (mut up, mut wanted) = (0, 0);
         for (id, user) in &self.users.users {
             if self.should_run(id, user) {
-                wanted += u64::from(self.w.specs[id].tasks);
+                wanted += u64::from(self.sim.job_specs[id].tasks);
                 up += running.get(id.as_str()).copied().unwrap_or(0);
             }
         }
@@ -85,9 +85,13 @@
 
     /// Whether a job is a service all of whose replicas should run.
     fn should_run(&self, id: &str, user: &User) -> bool {
-        let service = self.w.specs[id].kind == JobKind::Service;
-        let due = |at: u64| self.w.now > at + UP_AFTER_MS;
-        let asked = self.w.told.get(id).is_some_and(|t| t.asked_cancel);
+        let service = self.sim.job_specs[id].kind == JobKind::Service;
+        let due = |at: u64| self.sim.now_ms > at + UP_AFTER_MS;
+        let asked = self
+            .sim
+            .user_views
+            .get(id)
+            .is_some_and(|t| t.cancel_requested);
         service && user.accepted_at.is_some_and(due) && !asked && !user.cancelled
     }
 
@@ -103,29 +107,30 @@
             false => (1.0, 1.0),
         };
         out.blind_ms = self.users.blind_ms;
-        out.killed_by_lease = self.w.killed;
-        out.starts = self.w.starts;
-        out.tasks_done = self.w.done_tasks.len() as u64;
-        out.stops = self.w.stops.clone();
-        out.deleted = self.w.deleted.len() as u32;
-        out.changes = self.w.changes;
-        out.conflicts = self.w.conflicts;
-        out.throttled = self.w.limited.refused;
-        out.no_socket = self.w.limited.no_socket;
-        out.us_per_event = self.w.spent.as_secs_f64() * 1e6 / self.w.events.max(1) as f64;
-        out.beat_kb = self.w.beat_bytes as f64 / 1024.0;
+        out.killed_by_lease = self.sim.metrics.killed_by_lease;
+        out.starts = self.sim.metrics.starts;
+        out.tasks_done = self.sim.completed_tasks.len() as u64;
+        out.stops = self.sim.metrics.stops.clone();
+        out.deleted = self.sim.cloud.deleted.len() as u32;
+        out.changes = self.sim.state.changes;
+        out.conflicts = self.sim.state.conflicts;
+        out.throttled = self.sim.service_limits.throttled;
+        out.no_socket = self.sim.service_limits.connections_refused;
+        out.us_per_event =
+            self.sim.metrics.event_time.as_secs_f64() * 1e6 / self.sim.metrics.events.max(1) as f64;
+        out.beat_kb = self.sim.metrics.heartbeat_bytes as f64 / 1024.0;
         out.seconds = spent.as_secs();
     }
 
     fn count_jobs(&mut self) {
         let warm = self.day.warm_s * 1_000;
         let mut tasks_done: HashMap<&str, u64> = HashMap::new();
-        for task in &self.w.done_tasks {
+        for task in &self.sim.completed_tasks {
             *tasks_done.entry(task.job.as_str()).or_default() += 1;
         }
         let out = &mut self.out;
         for (id, user) in &self.users.users {
-            let spec = &self.w.specs[id];
+            let spec = &self.sim.job_specs[id];
             if user.asked_at < warm || is_cancelled_early(user, spec) {
                 continue;
             }
@@ -136,13 +141,13 @@
             if let Some(at) = user.accepted_at {
                 out.submitted.note(at - user.asked_at);
             }
-            let ran_at = self.w.ran_at.get(id);
+            let ran_at = self.sim.metrics.first_run_ms.get(id);
             if let Some(at) = ran_at {
                 let times = out.waits.entry(class.name.clone()).or_default();
                 times.note(at.saturating_sub(user.asked_at));
             }
             let first_goal = class.within_s.first().map(|s| ms(*s));
-            let fate = Fate {
+            let fate = JobOutcome {
                 ran: ran_at.is_some(),
                 tasks_done: tasks_done.get(id.as_str()).copied().unwrap_or(0),
                 goal: first_goal.or(spec.deadline_s.map(ms)),
--- a/crates/simulation/src/play/submissions.rs
+++ b/crates/simulation/src/day_runner/submissions.rs
@@ -1,6 +1,6 @@
 //! What users submit, class by class.
 
-use super::{ms, Play};
+use super::{ms, DayRun};
 use crate::day::{self, Class};
 use glenmount_core::model::{JobKind, JobPriority, JobSpec, Resources};
 use rand::Rng;
@@ -43,11 +43,11 @@
     }
 }
 
-impl Play<'_> {
+impl DayRun<'_> {
     pub(super) fn submit(&mut self) {
-        let now_s = self.w.now as f64 / 1e3;
+        let now_s = self.sim.now_ms as f64 / 1e3;
         for (at, class) in self.day.classes.iter().enumerate() {
-            if self.w.now == 0 {
+            if self.sim.now_ms == 0 {
                 for _ in 0..class.initial {
                     self.ask(at, class);
                 }
@@ -82,15 +82,15 @@
         let cancelled = class.cancelled > 0.0 && self.rng.gen_bool(class.cancelled);
         // Services stay for a while, then their users cancel them.
         let cancel_at = match class.service {
-            true => Some(self.w.now + ms(run_s)),
-            false => cancelled.then(|| self.w.now + ms(run_s / 2.0)),
+            true => Some(self.sim.now_ms + ms(run_s)),
+            false => cancelled.then(|| self.sim.now_ms + ms(run_s / 2.0)),
         };
         let spec = JobSpec {
             team,
             image: format!("{}-{image}", class.name),
             ..spec_of(class, &id, tasks, estimate_s)
         };
-        self.w.job_ms.insert(id, ms(run_s));
-        self.users.wants(&mut self.w, at, spec, cancel_at);
+        self.sim.workload.job_run_ms.insert(id, ms(run_s));
+        self.users.wants(&mut self.sim, at, spec, cancel_at);
     }
 }
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -1,7 +1,7 @@
 //! A digest of all that controllers do: equal digests of two builds mean equal behaviour, to the last bit.
 //!
 //! Each effect is hashed in the order in which it is emitted and by what leaves the process (keys, record
-//! values, names of the wire), never by names of types or fields, so that renaming changes nothing. What
+//! values, names of the wire), never by names of types or fields, so that renaming changes nothing. FaultKind
 //! comes from a hash map, whose order differs between processes, is sorted first: the workers and images that
 //! a heartbeat names.
 
--- a/crates/simulation/src/effects.rs
+++ b/crates/simulation/src/effects.rs
@@ -1,9 +1,9 @@
 //! Effects of controllers: how each gets to its receiver, or does not.
 
-use crate::network::no_answer;
-use crate::state_store::{Fate, StateRequest};
+use crate::network::command_unanswered;
+use crate::state_store::{RequestFate, StateRequest};
 use crate::workers::{Command, HeartbeatReply};
-use crate::{sent_by_old, Act, CloudRequest, ProcessId, World};
+use crate::{operation_as_written, Action, CloudRequest, ProcessId, Simulation};
 use glenmount_core::constants::STATE_TIMEOUT_MS;
 use glenmount_core::controller::{
     CloudOperation, CloudResponse, CommandOutcome, Effect, Event, OperationId, PeerHeartbeat,
@@ -27,23 +27,25 @@
         .any(|o| matches!(o, WorkerCommand::Start { .. }))
 }
 
-impl World {
+impl Simulation {
     /// Carries out what a controller wants done.
-    pub(crate) fn carry_out(&mut self, process: ProcessId, effect: Effect) {
+    pub(crate) fn apply_effect(&mut self, process: ProcessId, effect: Effect) {
         let n = process.controller;
         match effect {
             Effect::User { request, reply } => {
                 if matches!(reply, UserReply::Accepted { .. }) {
-                    self.controllers[n].first_accepted.get_or_insert(self.now);
+                    self.controllers[n]
+                        .first_accepted_ms
+                        .get_or_insert(self.now_ms);
                 }
-                self.user_told(request, reply);
+                self.record_answer(request, reply);
             }
-            Effect::Worker { request, reply } => self.send_reply(process, request, reply),
-            Effect::State { token, op, .. } => self.send_state_op(process, token, op),
-            Effect::Cloud { token, op } => self.send_cloud_op(process, token, op),
+            Effect::Worker { request, reply } => self.send_heartbeat_reply(process, request, reply),
+            Effect::State { token, op, .. } => self.send_state_operation(process, token, op),
+            Effect::Cloud { token, op } => self.send_cloud_operation(process, token, op),
             Effect::Watch { since } => {
-                self.controllers[n].watching = Some(since);
-                self.at(3, Act::Watch(process));
+                self.controllers[n].watched_revision = Some(since);
+                self.schedule(3, Action::NotifyWatch(process));
             }
             Effect::Command {
                 machine,
@@ -53,97 +55,113 @@
                 ..
             } => self.send_command(Command {
                 process,
-                machine,
-                incarnation,
-                token,
+                worker: machine,
+                incarnation: incarnation,
+                fencing_token: token,
                 commands,
-                late: false,
+                answer_expired: false,
             }),
             Effect::Exit => {
-                let back_after = self.controllers[n].back_after;
-                let end = Act::End {
+                let restart_after_ms = self.controllers[n].restart_after_ms;
+                let end = Action::StopController {
                     process,
-                    back_after,
+                    restart_after_ms,
                 };
-                self.at(2, end);
+                self.schedule(2, end);
             }
-            Effect::PeerHeartbeat(heartbeat) => self.send_beat(n, &heartbeat),
+            Effect::PeerHeartbeat(heartbeat) => self.send_peer_heartbeat(n, &heartbeat),
         }
     }
 
     /// The answer to a worker's report.
-    fn send_reply(&mut self, process: ProcessId, request: RequestId, reply: WorkerReply) {
-        let Some(checkin) = self.checkins.remove(&(process, request)) else {
+    fn send_heartbeat_reply(&mut self, process: ProcessId, request: RequestId, reply: WorkerReply) {
+        let Some(heartbeat) = self.pending_heartbeats.remove(&(process, request)) else {
             return;
         };
-        if self.is_cut_from(process.controller, &checkin.worker)
-            || self.chance(self.mishaps.reply_lost)
+        if self.is_disconnected_from(process.controller, &heartbeat.worker)
+            || self.chance(self.network.faults.reply_lost)
         {
             if matches!(&reply, WorkerReply::Commands { commands, .. } if has_start(commands)) {
-                self.lost_starts += 1;
+                self.metrics.lost_starts += 1;
             }
             return;
         }
-        let delay = self.rng.gen_range(1..6) + self.link_ms();
-        self.at(delay, Act::Reply(HeartbeatReply { checkin, reply }));
+        let delay = self.rng.gen_range(1..6) + self.extra_latency_ms();
+        self.schedule(
+            delay,
+            Action::DeliverHeartbeatReply(HeartbeatReply { heartbeat, reply }),
+        );
     }
 
     /// Whether nothing of what a controller sends gets to a worker.
-    fn is_cut_from(&self, n: usize, worker: &str) -> bool {
+    fn is_disconnected_from(&self, n: usize, worker: &str) -> bool {
         let slot = &self.controllers[n];
-        let deaf = self.workers.get(worker).is_some_and(|w| w.deaf);
-        slot.cut_from_workers || slot.mute || deaf || !self.reaches(n, worker)
+        let deaf = self
+            .workers
+            .get(worker)
+            .is_some_and(|worker| worker.inbound_lost);
+        slot.cut_from_workers || slot.outbound_lost || deaf || !self.controller_reaches(n, worker)
     }
 
-    fn send_state_op(&mut self, process: ProcessId, token: OperationId, op: StateOperation) {
+    fn send_state_operation(&mut self, process: ProcessId, token: OperationId, op: StateOperation) {
         let n = process.controller;
-        let op = match self.is_old(process) {
-            true => sent_by_old(op),
+        let op = match self.is_previous_version(process) {
+            true => operation_as_written(op),
             false => Some(op),
         };
-        let Some(op) = op.filter(|_| !self.controllers[n].refused) else {
+        let Some(op) = op.filter(|_| !self.controllers[n].refused_by_state) else {
             let answer = StateResponse::Unavailable;
             self.deliver(5, process, Event::State { token, answer });
             return;
         };
         let transaction = matches!(op, StateOperation::Transaction(_));
-        self.controllers[n].sent += u32::from(transaction);
+        self.controllers[n].messages_sent += u32::from(transaction);
         let mut request = StateRequest {
             process,
             token,
             op,
-            fate: Fate::Normal,
+            fate: RequestFate::Normal,
         };
-        if self.controllers[n].cut_from_state || self.inside(n) {
+        if self.controllers[n].cut_from_state || self.is_partitioned(n) {
             self.hold_back_request(request);
             return;
         }
         if transaction {
-            let (lost, late) = (self.mishaps.txn_answer_lost, self.mishaps.txn_late);
+            let (lost, late) = (
+                self.network.faults.transaction_answer_lost,
+                self.network.faults.transaction_late,
+            );
             if self.chance(lost) {
-                request.fate = Fate::AnswerLost;
+                request.fate = RequestFate::AnswerLost;
             } else if self.chance(late) {
-                request.fate = Fate::Late(self.rng.gen_range(1_300..20_000));
+                request.fate = RequestFate::Late(self.rng.gen_range(1_300..20_000));
             }
         }
-        self.state_request(request);
+        self.send_state_request(request);
     }
 
     /// A request that does not get through: a transaction from a zone that is cut off does once that is over.
     fn hold_back_request(&mut self, request: StateRequest) {
         let (process, token) = (request.process, request.token);
         let transaction = matches!(request.op, StateOperation::Transaction(_));
-        if self.inside(process.controller) && transaction {
-            let fate = Fate::Late(0);
+        if self.is_partitioned(process.controller) && transaction {
+            let fate = RequestFate::Late(0);
             let late = StateRequest { fate, ..request };
-            self.held_back.push(Act::State(late));
+            self.network
+                .held_back
+                .push(Action::ExecuteStateRequest(late));
         }
-        self.state_times_out(process, token, transaction);
+        self.time_out_state_request(process, token, transaction);
     }
 
     /// A controller gets no answer from the state service, of which it learns in two steps if it waits for a
     /// transaction.
-    fn state_times_out(&mut self, process: ProcessId, token: OperationId, transaction: bool) {
+    fn time_out_state_request(
+        &mut self,
+        process: ProcessId,
+        token: OperationId,
+        transaction: bool,
+    ) {
         if transaction {
             self.deliver(STATE_TIMEOUT_MS, process, Event::StateTimeout { token });
         }
@@ -153,20 +171,20 @@
     }
 
     /// Sends a request to the state service.
-    pub(crate) fn state_request(&mut self, request: StateRequest) {
+    pub(crate) fn send_state_request(&mut self, request: StateRequest) {
         let delay = match request.fate {
-            Fate::Late(ms) => ms,
+            RequestFate::Late(ms) => ms,
             _ => self.rng.gen_range(2..10),
         };
-        if request.fate != Fate::Normal {
-            self.state_times_out(request.process, request.token, true);
+        if request.fate != RequestFate::Normal {
+            self.time_out_state_request(request.process, request.token, true);
         }
-        self.at(delay, Act::State(request));
+        self.schedule(delay, Action::ExecuteStateRequest(request));
     }
 
-    fn send_cloud_op(&mut self, process: ProcessId, token: OperationId, op: CloudOperation) {
-        let answer_lost = self.chance(self.mishaps.cloud_lost);
-        if self.inside(process.controller) {
+    fn send_cloud_operation(&mut self, process: ProcessId, token: OperationId, op: CloudOperation) {
+        let answer_lost = self.chance(self.network.faults.cloud_answer_lost);
+        if self.is_partitioned(process.controller) {
             let answer = CloudResponse::Failed;
             let event = Event::Cloud { token, answer };
             self.deliver(CLOUD_TIMEOUT_MS, process, event);
@@ -179,44 +197,46 @@
             op,
             answer_lost,
         };
-        self.at(delay, Act::Cloud(request));
+        self.schedule(delay, Action::ExecuteCloudRequest(request));
     }
 
     /// Orders that a controller sends to a worker directly.
     fn send_command(&mut self, mut command: Command) {
         let (process, n) = (command.process, command.process.controller);
-        let silent = no_answer(command.machine.clone(), CommandOutcome::NoAnswer);
+        let silent = command_unanswered(command.worker.clone(), CommandOutcome::NoAnswer);
         let slot = &mut self.controllers[n];
-        slot.sent += u32::from(!command.commands.is_empty());
+        slot.messages_sent += u32::from(!command.commands.is_empty());
         if has_start(&command.commands) {
-            slot.first_start.get_or_insert(self.now);
+            slot.first_start_ms.get_or_insert(self.now_ms);
         }
-        if !self.reaches(n, &command.machine) {
-            command.late = true;
-            self.held_back.push(Act::Command(command));
+        if !self.controller_reaches(n, &command.worker) {
+            command.answer_expired = true;
+            self.network.held_back.push(Action::DeliverCommand(command));
             self.deliver(CUT_COMMAND_TIMEOUT_MS, process, silent);
             return;
         }
-        if self.is_cut_from(n, &command.machine) || self.chance(self.mishaps.command_lost) {
+        if self.is_disconnected_from(n, &command.worker)
+            || self.chance(self.network.faults.command_lost)
+        {
             self.deliver(COMMAND_TIMEOUT_MS, process, silent);
             return;
         }
-        command.late = self.chance(self.mishaps.command_late);
-        let delay = match command.late {
+        command.answer_expired = self.chance(self.network.faults.command_late);
+        let delay = match command.answer_expired {
             true => self.rng.gen_range(2_000..60_000),
-            false => self.rng.gen_range(1..5) + self.link_ms(),
+            false => self.rng.gen_range(1..5) + self.extra_latency_ms(),
         };
-        if command.late {
+        if command.answer_expired {
             self.deliver(COMMAND_TIMEOUT_MS, process, silent);
         }
-        self.at(delay, Act::Command(command));
+        self.schedule(delay, Action::DeliverCommand(command));
     }
 
     /// A controller's heartbeat to its peers.
-    fn send_beat(&mut self, n: usize, heartbeat: &PeerHeartbeat) {
-        self.beat_bytes = heartbeat.heard.iter().map(|h| h.0.len() + 12).sum();
+    fn send_peer_heartbeat(&mut self, n: usize, heartbeat: &PeerHeartbeat) {
+        self.metrics.heartbeat_bytes = heartbeat.heard.iter().map(|h| h.0.len() + 12).sum();
         for m in 0..self.controllers.len() {
-            if self.linked(n, m) {
+            if self.peers_connected(n, m) {
                 self.deliver(3, self.process(m), Event::PeerHeartbeat(heartbeat.clone()));
             }
         }
--- a/crates/simulation/src/event_loop.rs
+++ b/crates/simulation/src/event_loop.rs
@@ -1,7 +1,7 @@
 //! The event loop: what is due when, in simulated time, and which part carries it out.
 
-use crate::workers::{Command, HeartbeatReply, TaskChange};
-use crate::{CloudRequest, Look, ProcessId, StateRequest, World};
+use crate::workers::{Command, HeartbeatReply, PhaseChange};
+use crate::{CloudRequest, FollowUp, ProcessId, Simulation, StateRequest};
 use glenmount_core::controller::Event;
 use glenmount_core::model::WorkerHeartbeat;
 use rand::Rng;
@@ -9,90 +9,90 @@
 
 /// Something that is due at a time.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
+pub(crate) enum Action {
     /// A controller's process starts.
-    Restart(usize),
+    StartController(usize),
     Tick(ProcessId),
     /// An event reaches a controller.
-    Controller {
+    DeliverEvent {
         process: ProcessId,
         event: Event,
     },
     /// A controller that was paused goes on.
-    Thaw(ProcessId),
+    ResumeController(ProcessId),
     /// A controller that was asked to end has nothing left to do.
-    End {
+    StopController {
         process: ProcessId,
-        back_after: u64,
+        restart_after_ms: u64,
     },
     /// A request reaches the state service.
-    State(StateRequest),
+    ExecuteStateRequest(StateRequest),
     /// A controller's watch is told what has changed.
-    Watch(ProcessId),
+    NotifyWatch(ProcessId),
     /// A call reaches the cloud.
-    Cloud(CloudRequest),
+    ExecuteCloudRequest(CloudRequest),
     /// A machine is up.
-    Boot(String),
+    StartWorker(String),
     /// A worker sends a report.
-    Report(String),
+    SendHeartbeat(String),
     /// A worker's report reaches a controller.
-    Arrive {
+    DeliverHeartbeat {
         controller: usize,
         report: WorkerHeartbeat,
         serial: u64,
     },
     /// The answer to a report reaches its worker.
-    Reply(HeartbeatReply),
+    DeliverHeartbeatReply(HeartbeatReply),
     /// A worker waits no longer for the answer to a report.
-    GaveUp {
+    TimeOutHeartbeat {
         worker: String,
         serial: u64,
     },
     /// A worker's lease may have ended.
-    Lease(String),
+    CheckLease(String),
     /// A task on a worker goes from one phase to the next.
-    Phase(TaskChange),
+    ChangePhase(PhaseChange),
     /// Orders reach a worker directly.
-    Command(Command),
+    DeliverCommand(Command),
     /// A machine that hung goes on.
-    GoesOn(String),
+    ResumeWorker(String),
     /// Users look at a job that was just accepted, cancelled or done.
-    Look {
+    FollowUp {
         controller: usize,
         job: String,
-        look: Look,
+        kind: FollowUp,
     },
 }
 
 /// What is due, by time; of what is due at the same time, what was scheduled first.
 #[derive(Default)]
 pub(crate) struct EventQueue {
-    acts: BTreeMap<(u64, u64), Act>,
-    scheduled: u64,
+    actions: BTreeMap<(u64, u64), Action>,
+    sequence: u64,
 }
 
 impl EventQueue {
-    fn push(&mut self, due: u64, act: Act) {
-        self.scheduled += 1;
-        self.acts.insert((due, self.scheduled), act);
+    fn push(&mut self, due: u64, act: Action) {
+        self.sequence += 1;
+        self.actions.insert((due, self.sequence), act);
     }
 
     /// The next that is due by a time, and when it is.
-    fn pop_due(&mut self, by: u64) -> Option<(u64, Act)> {
-        let first = self.acts.first_entry()?;
+    fn pop_due(&mut self, by: u64) -> Option<(u64, Action)> {
+        let first = self.actions.first_entry()?;
         let (due, _) = *first.key();
         (due <= by).then(|| (due, first.remove()))
     }
 }
 
-impl World {
-    pub(crate) fn at(&mut self, delay: u64, act: Act) {
-        self.queue.push(self.now + delay, act);
+impl Simulation {
+    pub(crate) fn schedule(&mut self, delay: u64, act: Action) {
+        self.queue.push(self.now_ms + delay, act);
     }
 
     /// Lets an event reach a controller's process, if that still runs then.
     pub(crate) fn deliver(&mut self, delay: u64, process: ProcessId, event: Event) {
-        self.at(delay, Act::Controller { process, event });
+        self.schedule(delay, Action::DeliverEvent { process, event });
     }
 
     pub(crate) fn chance(&mut self, p: f64) -> bool {
@@ -100,68 +100,68 @@
     }
 
     pub fn run(&mut self, ms: u64) {
-        let end = self.now + ms;
+        let end = self.now_ms + ms;
         while let Some((due, act)) = self.queue.pop_due(end) {
-            self.now = due;
-            self.act(act);
-            if !self.unchecked {
-                self.check_rules();
+            self.now_ms = due;
+            self.perform(act);
+            if !self.skip_invariants {
+                self.check_invariants();
             }
         }
-        self.now = end;
+        self.now_ms = end;
     }
 
     /// Runs until something holds, or fails after so many milliseconds.
-    pub fn until(&mut self, ms: u64, what: &str, mut holds: impl FnMut(&World) -> bool) {
-        let end = self.now + ms;
+    pub fn run_until(&mut self, ms: u64, what: &str, mut holds: impl FnMut(&Simulation) -> bool) {
+        let end = self.now_ms + ms;
         while !holds(self) {
-            assert!(self.now < end, "in vain at {}: {what}", self.now);
+            assert!(self.now_ms < end, "in vain at {}: {what}", self.now_ms);
             self.run(10);
         }
     }
 
-    fn act(&mut self, act: Act) {
-        let Some(act) = self.unless_hung(act) else {
+    fn perform(&mut self, act: Action) {
+        let Some(act) = self.unless_stalled(act) else {
             return;
         };
         match act {
-            Act::Restart(n) => self.start_controller(n),
-            Act::Tick(process) => self.tick(process),
-            Act::Controller { process, event } => {
-                if self.runs(process) {
-                    self.controller(process.controller, event);
+            Action::StartController(n) => self.start_controller(n),
+            Action::Tick(process) => self.tick(process),
+            Action::DeliverEvent { process, event } => {
+                if self.is_current(process) {
+                    self.handle(process.controller, event);
                 }
             }
-            Act::Thaw(process) => self.thaw(process),
-            Act::End {
+            Action::ResumeController(process) => self.resume_controller(process),
+            Action::StopController {
                 process,
-                back_after,
+                restart_after_ms,
             } => {
-                if self.runs(process) {
-                    self.crash(process.controller, back_after);
+                if self.is_current(process) {
+                    self.crash(process.controller, restart_after_ms);
                 }
             }
-            Act::State(request) => self.execute_request(request),
-            Act::Watch(process) => self.tell_watch(process),
-            Act::Cloud(request) => self.execute_cloud_request(request),
-            Act::Boot(worker) => self.machine_is_up(worker),
-            Act::Report(worker) => self.send_report(&worker),
-            Act::Arrive {
+            Action::ExecuteStateRequest(request) => self.execute_state_request(request),
+            Action::NotifyWatch(process) => self.notify_watch(process),
+            Action::ExecuteCloudRequest(request) => self.execute_cloud_request(request),
+            Action::StartWorker(worker) => self.start_worker(worker),
+            Action::SendHeartbeat(worker) => self.send_heartbeat(&worker),
+            Action::DeliverHeartbeat {
                 controller,
                 report,
                 serial,
-            } => self.receive_report(controller, report, serial),
-            Act::Reply(reply) => self.receive_reply(reply),
-            Act::GaveUp { worker, serial } => self.give_up_report(worker, serial),
-            Act::Lease(worker) => self.check_lease(worker),
-            Act::Phase(change) => self.change_task(change),
-            Act::Command(command) => self.receive_command(command),
-            Act::GoesOn(worker) => self.goes_on_after_hang(&worker),
-            Act::Look {
+            } => self.receive_heartbeat(controller, report, serial),
+            Action::DeliverHeartbeatReply(reply) => self.receive_heartbeat_reply(reply),
+            Action::TimeOutHeartbeat { worker, serial } => self.time_out_heartbeat(worker, serial),
+            Action::CheckLease(worker) => self.check_lease(worker),
+            Action::ChangePhase(change) => self.change_phase(change),
+            Action::DeliverCommand(command) => self.receive_command(command),
+            Action::ResumeWorker(worker) => self.resume_worker(&worker),
+            Action::FollowUp {
                 controller,
                 job,
-                look,
-            } => self.look(controller, &job, look),
+                kind,
+            } => self.send_follow_up(controller, &job, kind),
         }
     }
 }
--- a/crates/simulation/src/fixtures.rs
+++ b/crates/simulation/src/fixtures.rs
@@ -1,6 +1,6 @@
 //! Settings, jobs and machine types for tests.
 
-use crate::World;
+use crate::Simulation;
 use glenmount_core::configuration::Policy;
 use glenmount_core::model::{JobKind, JobPriority, JobSpec, MachineType, Resources, Team};
 use glenmount_core::safety_checks::Checks;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Run times learned, and used for all that they can be.
-pub fn every_use() -> LearnedUse {
+pub fn all_estimate_uses() -> LearnedUse {
     LearnedUse {
         learn: true,
         order: true,
@@ -89,7 +89,7 @@
 }
 
 /// A job that awaits others.
-pub fn after(id: &str, tasks: u32, dependencies: &[&str]) -> JobSpec {
+pub fn dependent_job(id: &str, tasks: u32, dependencies: &[&str]) -> JobSpec {
     JobSpec {
         dependencies: dependencies.iter().map(|a| a.to_string()).collect(),
         ..job(id, tasks)
@@ -105,7 +105,7 @@
 }
 
 /// The same, of the team that has a limit.
-pub fn blue(spec: JobSpec) -> JobSpec {
+pub fn limited_team(spec: JobSpec) -> JobSpec {
     JobSpec {
         team: "blue".into(),
         ..spec
@@ -113,12 +113,12 @@
 }
 
 /// Reports, leases and cancellations take as long as on the large fleets.
-pub fn long_leases(w: &mut World) {
-    let s = &mut w.settings;
+pub fn use_long_leases(sim: &mut Simulation) {
+    let s = &mut sim.settings;
     (s.report_ms, s.lease_ms, s.cancel_ms) = (5_000, 26_500, 51_500);
 }
 
-pub(crate) fn kind(name: &str, cpus: u64) -> MachineType {
+pub(crate) fn machine_type(name: &str, cpus: u64) -> MachineType {
     MachineType {
         name: name.into(),
         room: Resources {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -2,42 +2,49 @@
 //! in simulated time, with seeded chance. It checks the rules of the protocol at every step, and
 //! plays fleets of thousands of machines in seconds.
 
-mod close_looks;
 mod cloud;
 mod controllers;
 pub mod day;
+pub mod day_runner;
 pub mod digest;
 mod effects;
 mod event_loop;
 mod fixtures;
-mod hangs;
+mod follow_ups;
 mod invariants;
-pub mod measure;
+mod metrics;
 mod network;
-pub mod old;
 pub mod operator;
-pub mod play;
+pub mod outcome;
+mod placements;
+pub mod previous_version;
 pub mod random_faults;
+pub mod rate_limits;
 mod requests;
-mod rules;
-pub mod service;
 mod simulation;
+mod stalls;
+mod starvation;
 mod state_store;
 pub mod users;
-mod waits;
 mod workers;
+mod workload;
 
-pub(crate) use close_looks::Look;
+pub use cloud::Cloud;
 pub(crate) use cloud::CloudRequest;
 pub use controllers::ControllerSlot;
-pub(crate) use event_loop::Act;
-pub(crate) use fixtures::kind;
-pub use fixtures::{after, blue, every_use, job, long_leases, service, settings};
-pub use network::Mishaps;
-pub(crate) use old::{seen_by_old, sent_by_old};
-pub use requests::{Overlaps, Told};
+pub(crate) use event_loop::Action;
+pub use fixtures::{
+    all_estimate_uses, dependent_job, job, limited_team, service, settings, use_long_leases,
+};
+pub(crate) use follow_ups::FollowUp;
+pub use metrics::Metrics;
+pub use network::{FaultRates, Network};
+pub(crate) use previous_version::{event_as_read, operation_as_written};
+pub use requests::{Overlaps, UserView};
 pub(crate) use simulation::ProcessId;
-pub use simulation::{World, WALL0};
+pub use simulation::{Simulation, START_TIME_MS};
+pub use starvation::StarvationTracker;
 pub(crate) use state_store::StateRequest;
-pub use waits::Waits;
-pub use workers::{Task, Worker};
+pub use state_store::{StateStore, TransactionLimits};
+pub use workers::{Heard, Task, Worker};
+pub use workload::Workload;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,28 +1,51 @@
 //! Connections: which are cut, and which messages are lost or late.
 
-use crate::World;
+use crate::{Action, Simulation};
 use glenmount_core::controller::{CommandOutcome, Event};
+use glenmount_core::model::WorkerHeartbeat;
 use rand::Rng;
+use std::collections::BTreeSet;
 
 /// Chances of faults per message, between 0 and 1.
 #[derive(Default, Clone)]
-pub struct Mishaps {
-    pub txn_answer_lost: f64,
-    pub txn_late: f64,
+pub struct FaultRates {
+    pub transaction_answer_lost: f64,
+    pub transaction_late: f64,
     /// An answer is overtaken by the watch, by up to a second.
     pub answer_slow: f64,
-    pub report_lost: f64,
-    pub report_late: f64,
-    pub report_twice: f64,
+    pub heartbeat_lost: f64,
+    pub heartbeat_late: f64,
+    pub heartbeat_duplicated: f64,
     /// A copy is kept for the next controller that begins: all controllers get it then.
-    pub report_kept: f64,
+    pub heartbeat_kept: f64,
     pub reply_lost: f64,
-    pub cloud_lost: f64,
+    pub cloud_answer_lost: f64,
     pub command_lost: f64,
     pub command_late: f64,
 }
 
-pub(crate) fn no_answer(machine: String, reach: CommandOutcome) -> Event {
+/// A zone that nothing gets into or out of.
+struct ZonePartition {
+    zone: String,
+    /// Controllers inside.
+    controllers: BTreeSet<usize>,
+}
+
+/// Connections between the parts.
+#[derive(Default)]
+pub struct Network {
+    /// Which messages are lost or late.
+    pub faults: FaultRates,
+    /// Milliseconds that a message between a controller and a worker takes longer, at most.
+    pub max_extra_latency_ms: u64,
+    partition: Option<ZonePartition>,
+    /// What was sent into or out of the zone that is cut off: it arrives once that is over.
+    pub(crate) held_back: Vec<Action>,
+    /// Copies of heartbeats that are sent again once a controller starts.
+    pub(crate) kept_heartbeats: Vec<WorkerHeartbeat>,
+}
+
+pub(crate) fn command_unanswered(machine: String, reach: CommandOutcome) -> Event {
     Event::CommandResult {
         machine,
         reach,
@@ -30,68 +53,78 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Whether what a controller sends to a peer gets there.
-    pub(crate) fn linked(&self, n: usize, m: usize) -> bool {
+    pub(crate) fn peers_connected(&self, n: usize, m: usize) -> bool {
         let cut = |n: usize| self.controllers[n].cut_from_peers;
         m != n
             && !cut(n)
             && !cut(m)
-            && !self.controllers[n].mute
-            && self.inside(n) == self.inside(m)
+            && !self.controllers[n].outbound_lost
+            && self.is_partitioned(n) == self.is_partitioned(m)
     }
 
     /// Cuts a zone off with these controllers inside.
-    pub fn cut_zone(&mut self, zone: &str, inside: &[usize]) {
-        self.zone_cut = Some((zone.into(), inside.iter().copied().collect()));
+    pub fn partition_zone(&mut self, zone: &str, inside: &[usize]) {
+        self.network.partition = Some(ZonePartition {
+            zone: zone.into(),
+            controllers: inside.iter().copied().collect(),
+        });
     }
 
     /// Ends the cut: what was sent across arrives now.
-    pub fn join_zone(&mut self) {
-        self.zone_cut = None;
-        for act in std::mem::take(&mut self.held_back) {
+    pub fn heal_zone(&mut self) {
+        self.network.partition = None;
+        for act in std::mem::take(&mut self.network.held_back) {
             let delay = self.rng.gen_range(1..60);
-            self.at(delay, act);
+            self.schedule(delay, act);
         }
     }
 
     /// Whether a controller is cut off, with its zone, from all that belongs to the region.
-    pub(crate) fn inside(&self, n: usize) -> bool {
-        let cut = self.zone_cut.as_ref();
-        cut.is_some_and(|(_, inside)| inside.contains(&n))
+    pub(crate) fn is_partitioned(&self, n: usize) -> bool {
+        let partition = self.network.partition.as_ref();
+        partition.is_some_and(|p| p.controllers.contains(&n))
     }
 
     /// Whether users do not reach a controller.
-    pub fn unreachable(&self, n: usize) -> bool {
-        self.inside(n) || self.controllers[n].mute
+    pub fn is_unreachable(&self, n: usize) -> bool {
+        self.is_partitioned(n) || self.controllers[n].outbound_lost
     }
 
-    pub(crate) fn reaches(&self, n: usize, machine: &str) -> bool {
-        let Some((zone, inside)) = &self.zone_cut else {
+    pub(crate) fn controller_reaches(&self, n: usize, machine: &str) -> bool {
+        let Some(partition) = &self.network.partition else {
             return true;
         };
-        let there = self.workers.get(machine).map(|w| w.zone == *zone);
-        there == Some(inside.contains(&n))
+        let there = self
+            .workers
+            .get(machine)
+            .map(|worker| worker.zone == partition.zone);
+        there == Some(partition.controllers.contains(&n))
     }
 
     /// Ends all outages and cuts.
-    pub fn heal(&mut self) {
-        self.join_zone();
-        (self.state_down, self.cloud_down) = (false, false);
+    pub fn heal_all(&mut self) {
+        self.heal_zone();
+        (self.state.is_down, self.cloud.is_down) = (false, false);
         for slot in &mut self.controllers {
             slot.cut_from_state = false;
-            slot.refused = false;
+            slot.refused_by_state = false;
             slot.cut_from_workers = false;
             slot.cut_from_peers = false;
-            slot.mute = false;
+            slot.outbound_lost = false;
         }
         for worker in self.workers.values_mut() {
-            (worker.cut, worker.deaf, worker.mute) = (false, false, false);
+            (
+                worker.disconnected,
+                worker.inbound_lost,
+                worker.outbound_lost,
+            ) = (false, false, false);
         }
     }
 
-    pub(crate) fn link_ms(&mut self) -> u64 {
-        match self.slow_links_ms {
+    pub(crate) fn extra_latency_ms(&mut self) -> u64 {
+        match self.network.max_extra_latency_ms {
             0 => 0,
             most => self.rng.gen_range(0..most),
         }
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -4,7 +4,7 @@
 //! From a change's commit on no claim may exceed a lowered limit. What was claimed before counts as in use
 //! until it is proven gone, and may still start.
 
-use crate::World;
+use crate::Simulation;
 use glenmount_core::configuration::{
     self, ChangeLimits, ConfigurationError, ConfigurationPageRecord, Policy, PolicySettings,
     TeamSettings,
@@ -16,16 +16,16 @@
 
 /// What operators have done.
 #[derive(Default)]
-pub struct Configured {
+pub struct OperatorState {
     /// The configuration in force, once one is on record.
     policy: Option<Policy>,
     /// Thousandths of processors that teams had claimed when their limit was lowered below that.
-    claimed_before: BTreeMap<String, u64>,
+    cpus_before_lowering: BTreeMap<String, u64>,
 }
 
 /// Why a change did not come into force.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum ConfigureError {
     Absurd(ConfigurationError),
     /// Not every controller reads configurations yet.
     NotConfigurable,
@@ -34,10 +34,10 @@
     Unavailable,
 }
 
-impl World {
+impl Simulation {
     /// The limit of a team's processors that is in force; none for a team that there is not.
-    pub fn limit(&self, team: &str) -> Option<u64> {
-        let policy = self.configured.policy.as_ref();
+    pub fn team_limit(&self, team: &str) -> Option<u64> {
+        let policy = self.operator.policy.as_ref();
         let policy = policy.unwrap_or(&self.settings.policy);
         policy.teams.get(team).map(|team| team.cpus_max)
     }
@@ -45,23 +45,23 @@
     /// A task went on a machine: its team is within its limit, or within what it had claimed before that
     /// was lowered.
     pub(crate) fn check_quota(&self, team: &str, used: u64) {
-        let limit = self.limit(team).unwrap_or(0);
-        let claimed = self.configured.claimed_before.get(team).copied();
+        let limit = self.team_limit(team).unwrap_or(0);
+        let claimed = self.operator.cpus_before_lowering.get(team).copied();
         let most = claimed.unwrap_or(0).max(limit);
         assert!(limit == 0 || used <= most, "quota: {team} uses {used}");
     }
 
     /// A transaction is about to take effect: if it claims for a team, that is within the limit in force.
     pub(crate) fn check_claims(&mut self, transaction: &CasTransaction) {
-        if self.configured.policy.is_none() {
+        if self.operator.policy.is_none() {
             return;
         }
-        self.forget_what_is_gone();
+        self.release_lowered();
         let mut more: BTreeMap<String, i64> = BTreeMap::new();
         for (key, record) in &transaction.changes {
             let cpus =
                 |chunk: &ChunkRecord| chunk.assigned().count() as i64 * chunk.resources.cpus as i64;
-            if let Some((Record::Chunk(old), _)) = self.store.get(key) {
+            if let Some((Record::Chunk(old), _)) = self.state.records.get(key) {
                 *more.entry(old.team.clone()).or_default() -= cpus(old);
             }
             if let Some(Record::Chunk(new)) = record {
@@ -75,7 +75,7 @@
         let assigned = self.assigned_cpus();
         for (team, cpus) in more {
             let after = assigned.get(&team).copied().unwrap_or(0) as i64 + cpus;
-            let limit = self.limit(&team).unwrap_or(0) as i64;
+            let limit = self.team_limit(&team).unwrap_or(0) as i64;
             assert!(
                 limit == 0 || after <= limit,
                 "quota: {team} claims {after} of {limit}"
@@ -84,22 +84,22 @@
     }
 
     /// What was claimed before a limit was lowered falls with what is released.
-    fn forget_what_is_gone(&mut self) {
-        if self.configured.claimed_before.is_empty() {
+    fn release_lowered(&mut self) {
+        if self.operator.cpus_before_lowering.is_empty() {
             return;
         }
         let assigned = self.assigned_cpus();
-        let mut before = std::mem::take(&mut self.configured.claimed_before);
+        let mut before = std::mem::take(&mut self.operator.cpus_before_lowering);
         before.retain(|team, claimed| {
             *claimed = (*claimed).min(assigned.get(team).copied().unwrap_or(0));
-            *claimed > self.limit(team).unwrap_or(0)
+            *claimed > self.team_limit(team).unwrap_or(0)
         });
-        self.configured.claimed_before = before;
+        self.operator.cpus_before_lowering = before;
     }
 
     /// The settings in force, to be changed and applied.
     pub fn policy_settings(&self) -> PolicySettings {
-        let policy = self.configured.policy.as_ref();
+        let policy = self.operator.policy.as_ref();
         let teams = policy.unwrap_or(&self.settings.policy).teams.values();
         let cpus = |milli: u64| milli as f64 / 1e3;
         let teams = teams.map(|team| TeamSettings {
@@ -132,20 +132,25 @@
     pub fn draft_configuration(
         &self,
         settings: &PolicySettings,
-    ) -> Result<CasTransaction, Refused> {
+    ) -> Result<CasTransaction, ConfigureError> {
         let configurable = self
-            .store
+            .state
+            .records
             .get(&Key::ConfigurationEnabled)
             .map(|(_, mod_revision)| *mod_revision);
-        let configurable = configurable.ok_or(Refused::NotConfigurable)?;
-        let policy = settings.policy().map_err(Refused::Absurd)?;
-        let open = self.store.values().filter_map(|(record, _)| match record {
-            Record::Job(job) => job.open(),
-            _ => None,
-        });
+        let configurable = configurable.ok_or(ConfigureError::NotConfigurable)?;
+        let policy = settings.policy().map_err(ConfigureError::Absurd)?;
+        let open = self
+            .state
+            .records
+            .values()
+            .filter_map(|(record, _)| match record {
+                Record::Job(job) => job.open(),
+                _ => None,
+            });
         let open: Vec<&JobSpec> = open.collect();
-        configuration::review(&policy, open.into_iter()).map_err(Refused::Absurd)?;
-        let current = match self.store.get(&Key::Configuration) {
+        configuration::review(&policy, open.into_iter()).map_err(ConfigureError::Absurd)?;
+        let current = match self.state.records.get(&Key::Configuration) {
             Some((Record::Configuration(record), mod_revision)) => Some((record, *mod_revision)),
             _ => None,
         };
@@ -153,49 +158,54 @@
             max_value_bytes: self.settings.max_value_bytes as usize,
             changes: self.settings.max_transaction_changes,
         };
-        let at = crate::WALL0 + self.now;
+        let at = crate::START_TIME_MS + self.now_ms;
         configuration::change(settings, current, configurable, limits, at, "")
-            .map_err(Refused::Absurd)
+            .map_err(ConfigureError::Absurd)
     }
 
     /// An operator's transaction arrives at the state service.
-    pub fn commit_configuration(&mut self, transaction: &CasTransaction) -> Result<u64, Refused> {
-        if self.state_down {
-            return Err(Refused::Unavailable);
+    pub fn commit_configuration(
+        &mut self,
+        transaction: &CasTransaction,
+    ) -> Result<u64, ConfigureError> {
+        if self.state.is_down {
+            return Err(ConfigureError::Unavailable);
         }
-        match self.execute(StateOperation::Transaction(transaction.clone()), false) {
-            StateResponse::Committed { .. } => Ok(self.take_configuration()),
-            StateResponse::Conflict { .. } => Err(Refused::Conflict),
+        match self.execute_state_operation(StateOperation::Transaction(transaction.clone()), false)
+        {
+            StateResponse::Committed { .. } => Ok(self.apply_configuration()),
+            StateResponse::Conflict { .. } => Err(ConfigureError::Conflict),
             other => panic!("{other:?}"),
         }
     }
 
     /// Puts a configuration on record; returns its version.
-    pub fn configure(&mut self, settings: &PolicySettings) -> Result<u64, Refused> {
+    pub fn configure(&mut self, settings: &PolicySettings) -> Result<u64, ConfigureError> {
         let transaction = self.draft_configuration(settings)?;
         self.commit_configuration(&transaction)
     }
 
     /// Another configuration is in force: what was claimed above its limits may stay until it is gone.
-    fn take_configuration(&mut self) -> u64 {
-        let Some((Record::Configuration(record), _)) = self.store.get(&Key::Configuration) else {
+    fn apply_configuration(&mut self) -> u64 {
+        let Some((Record::Configuration(record), _)) = self.state.records.get(&Key::Configuration)
+        else {
             panic!("a configuration is on record");
         };
         let version = record.version;
         let pages: Vec<ConfigurationPageRecord> = (0..record.pages)
             .filter_map(
-                |n| match self.store.get(&Key::ConfigurationPage(version, n)) {
+                |n| match self.state.records.get(&Key::ConfigurationPage(version, n)) {
                     Some((Record::ConfigurationPage(page), _)) => Some(page.clone()),
                     _ => None,
                 },
             )
             .collect();
         let settings = configuration::settings_of(&pages);
-        self.configured.policy = settings.policy().ok();
+        self.operator.policy = settings.policy().ok();
         for (team, claimed) in self.assigned_cpus() {
-            let limit = self.limit(&team).unwrap_or(0);
+            let limit = self.team_limit(&team).unwrap_or(0);
             if limit > 0 && claimed > limit {
-                let before = self.configured.claimed_before.entry(team).or_default();
+                let before = self.operator.cpus_before_lowering.entry(team).or_default();
                 *before = claimed.max(*before);
             }
         }
@@ -203,7 +213,7 @@
     }
 
     /// Whether all controllers that run follow a version.
-    pub fn all_follow(&self, version: u64) -> bool {
+    pub fn all_controllers_follow(&self, version: u64) -> bool {
         let mut controllers = self
             .controllers
             .iter()
@@ -212,12 +222,12 @@
     }
 
     /// A controller's watch tells nothing for so long.
-    pub fn lag_watch(&mut self, n: usize, ms: u64) {
-        self.controllers[n].watch_lags_until = self.now + ms;
+    pub fn delay_watch(&mut self, n: usize, ms: u64) {
+        self.controllers[n].watch_delayed_until_ms = self.now_ms + ms;
     }
 
     /// A controller's watch can't go on: it reads all records again.
-    pub fn watch_gap(&mut self, n: usize) {
+    pub fn break_watch(&mut self, n: usize) {
         self.deliver(1, self.process(n), Event::WatchGap);
     }
 }
--- a/crates/simulation/src/measure.rs
+++ b/crates/simulation/src/outcome.rs
@@ -7,17 +7,17 @@
 
 /// Milliseconds, told apart to a hundredth.
 #[derive(Clone)]
-pub struct Times(Histogram<u32>);
+pub struct Durations(Histogram<u32>);
 
-impl Default for Times {
-    fn default() -> Times {
-        Times(Histogram::new_with_bounds(1, 3_600_000, 2).expect("the bounds are fixed"))
+impl Default for Durations {
+    fn default() -> Durations {
+        Durations(Histogram::new_with_bounds(1, 3_600_000, 2).expect("the bounds are fixed"))
     }
 }
 
 /// What of them is written down, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Spread {
+pub struct DurationSummary {
     pub count: u64,
     pub p50: u64,
     pub p90: u64,
@@ -25,25 +25,25 @@
     pub max: u64,
 }
 
-impl Serialize for Times {
+impl Serialize for Durations {
     fn serialize<S: serde::Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
         self.spread().serialize(s)
     }
 }
 
-impl Times {
+impl Durations {
     pub fn note(&mut self, ms: u64) {
         self.0.saturating_record(ms.max(1));
     }
-    pub fn add(&mut self, other: &Times) {
+    pub fn add(&mut self, other: &Durations) {
         self.0.add(&other.0).expect("the bounds are the same");
     }
-    pub fn spread(&self) -> Spread {
+    pub fn spread(&self) -> DurationSummary {
         let at = |q| self.0.value_at_quantile(q);
         if self.0.is_empty() {
-            return Spread::default();
+            return DurationSummary::default();
         }
-        Spread {
+        DurationSummary {
             count: self.0.len(),
             p50: at(0.5),
             p90: at(0.9),
@@ -115,23 +115,23 @@
     /// Replicas of services that ran, of those that should have; and in the worst 30 s.
     pub up: f64,
     pub up_worst: f64,
-    pub submitted: Times,
+    pub submitted: Durations,
     pub submissions: u32,
     pub unanswered: u32,
     pub told_later: u32,
     /// Milliseconds in which the balancer had no healthy controller.
     pub blind_ms: u64,
     // From a controller's end
-    pub noticed: Times,
-    pub heard: Times,
-    pub first_claim: Times,
-    pub duty: Times,
+    pub noticed: Durations,
+    pub heard: Durations,
+    pub first_claim: Durations,
+    pub duty: Durations,
     // From a process's start
-    pub ready: Times,
-    pub accepted: Times,
-    pub claimed: Times,
+    pub ready: Durations,
+    pub accepted: Durations,
+    pub claimed: Durations,
     /// From a job's submission to its first task, per class.
-    pub waits: BTreeMap<String, Times>,
+    pub waits: BTreeMap<String, Durations>,
     pub killed_by_lease: u32,
     pub starts: u32,
     pub tasks_done: u64,
