--- a/crates/simulation/src/old.rs
+++ b/crates/simulation/src/previous_version.rs
@@ -1,8 +1,8 @@
 //! The shapes in which the version before format 2 stores records, copied as it had them. What a
-//! node of that version reads and writes goes through them: it passes over fields it does not know
+//! controller of that version reads and writes goes through them: it passes over fields it does not know
 //! and drops them when it writes a record anew.
 
-use glenmount_core::controller::{Event, StateAnswer, StateOp};
+use glenmount_core::controller::{Event, StateOperation, StateResponse};
 use glenmount_core::state::formats::OLDEST;
 use glenmount_core::state::{Key, Record};
 use serde::de::DeserializeOwned;
@@ -11,20 +11,20 @@
 use std::collections::BTreeMap;
 
 #[derive(Serialize, Deserialize)]
-enum Phase {
+enum JobPhase {
     Open,
     Done,
     Cancelled,
 }
 
 #[derive(Serialize, Deserialize)]
-enum Shape {
+enum JobKind {
     Array,
     Service,
 }
 
 #[derive(Serialize, Deserialize)]
-enum Rank {
+enum JobPriority {
     Low,
     Normal,
     High,
@@ -32,7 +32,7 @@
 }
 
 #[derive(Default, Serialize, Deserialize)]
-struct Room {
+struct Resources {
     c: u64,
     #[serde(default)]
     g: u64,
@@ -44,26 +44,34 @@
     id: String,
     class: String,
     team: String,
-    shape: Shape,
-    rank: Rank,
+    #[serde(rename = "shape")]
+    kind: JobKind,
+    #[serde(rename = "rank")]
+    priority: JobPriority,
     tasks: u32,
-    need: Room,
+    #[serde(rename = "need")]
+    resources: Resources,
     image: String,
     image_gb: f64,
-    types: Option<Vec<String>>,
+    #[serde(rename = "types")]
+    machine_types: Option<Vec<String>>,
     zone: Option<String>,
-    together: bool,
-    scatter: bool,
+    #[serde(rename = "together")]
+    zone_affinity: bool,
+    #[serde(rename = "scatter")]
+    topology_spread: bool,
     spot: bool,
     estimate_s: f64,
-    checkpoint_s: f64,
-    save_s: f64,
+    #[serde(rename = "checkpoint_s")]
+    checkpoint_interval_s: f64,
+    #[serde(rename = "save_s")]
+    checkpoint_duration_s: f64,
     deadline_s: Option<f64>,
 }
 
 #[derive(Serialize, Deserialize)]
 struct Job {
-    phase: Phase,
+    phase: JobPhase,
     tasks: u32,
     chunk: u32,
     at: u64,
@@ -73,7 +81,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Booking {
+struct Assignment {
     m: String,
     a: u64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -91,7 +99,7 @@
     #[serde(rename = "d")]
     Done,
     #[serde(rename = "b")]
-    Booked(Booking),
+    Assigned(Assignment),
 }
 
 #[derive(Serialize, Deserialize)]
@@ -102,7 +110,7 @@
     #[serde(default)]
     o: String,
     #[serde(default)]
-    u: Room,
+    u: Resources,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     f: Vec<String>,
     #[serde(default)]
@@ -121,7 +129,8 @@
     Booting,
     Up,
     Draining,
-    Returning,
+    #[serde(rename = "Returning")]
+    Deprovisioning,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -137,7 +146,8 @@
     #[serde(default)]
     faults: Vec<String>,
     #[serde(default)]
-    raised: u64,
+    #[serde(rename = "raised")]
+    token_offset: u64,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -153,10 +163,12 @@
     zone: String,
     spot: bool,
     count: u32,
-    node: String,
+    #[serde(rename = "node")]
+    controller: String,
     at: u64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    hosts: Option<Vec<String>>,
+    #[serde(rename = "hosts")]
+    instances: Option<Vec<String>>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -173,13 +185,14 @@
 
 #[derive(Serialize, Deserialize)]
 struct Types {
-    types: Vec<Type>,
+    #[serde(rename = "types")]
+    machine_types: Vec<Type>,
 }
 
 #[derive(Serialize, Deserialize)]
 struct Type {
     name: String,
-    room: Room,
+    room: Resources,
     cache_gb: f64,
     fetch_gb_per_s: f64,
     price: f64,
@@ -220,36 +233,36 @@
     Record::read(key, value(key, record.value(OLDEST))?)
 }
 
-/// What a node of the old version makes of records.
-pub(crate) fn seen_by_old(event: Event) -> Event {
+/// What a controller of the old version makes of records.
+pub(crate) fn event_as_read(event: Event) -> Event {
     match event {
-        Event::Watched { epoch, changes } => {
-            let seen = |(key, stamp, record): (Key, u64, Option<Record>)| match record {
-                Some(r) => Some((key.clone(), stamp, Some(self::record(&key, &r)?))),
-                None => Some((key, stamp, None)),
+        Event::WatchUpdate { revision, changes } => {
+            let seen = |(key, mod_revision, record): (Key, u64, Option<Record>)| match record {
+                Some(r) => Some((key.clone(), mod_revision, Some(self::record(&key, &r)?))),
+                None => Some((key, mod_revision, None)),
             };
             let changes = changes.into_iter().filter_map(seen).collect();
-            Event::Watched { epoch, changes }
+            Event::WatchUpdate { revision, changes }
         }
         Event::State {
             token,
             answer:
-                StateAnswer::Listed {
+                StateResponse::Listed {
                     items,
                     last,
                     more,
-                    epoch,
+                    revision,
                 },
         } => {
-            let seen = |(key, stamp, r): (Key, u64, Record)| {
+            let seen = |(key, mod_revision, r): (Key, u64, Record)| {
                 let record = self::record(&key, &r)?;
-                Some((key, stamp, record))
+                Some((key, mod_revision, record))
             };
-            let answer = StateAnswer::Listed {
+            let answer = StateResponse::Listed {
                 items: items.into_iter().filter_map(seen).collect(),
                 last,
                 more,
-                epoch,
+                revision,
             };
             Event::State { token, answer }
         }
@@ -257,22 +270,23 @@
     }
 }
 
-/// What a node of the old version sends: nothing of formats, and records in their old shape.
-pub(crate) fn sent_by_old(op: StateOp) -> Option<StateOp> {
-    let StateOp::Transaction(mut txn) = op else {
+/// What a controller of the old version sends: nothing of formats, and records in their old shape.
+pub(crate) fn operation_as_written(op: StateOperation) -> Option<StateOperation> {
+    let StateOperation::Transaction(mut transaction) = op else {
         return Some(op);
     };
     let format = |(key, _): &(Key, Option<Record>)| matches!(key, Key::Format(_));
-    if txn.changes.iter().any(format) {
+    if transaction.changes.iter().any(format) {
         return None;
     }
-    txn.conditions
+    transaction
+        .conditions
         .retain(|(key, _)| *key != Key::CancellationConfirmation);
-    txn.format = OLDEST;
-    for (key, record) in &mut txn.changes {
+    transaction.format = OLDEST;
+    for (key, record) in &mut transaction.changes {
         if let Some(r) = record {
             *r = self::record(key, r).expect("what it writes is in its shape");
         }
     }
-    Some(StateOp::Transaction(txn))
+    Some(StateOperation::Transaction(transaction))
 }
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -1,7 +1,7 @@
 //! Users of a played day, and the balancer between them and the controllers, by the protocol: probes once
 //! a second, a pause that doubles for a controller that was removed, retries, and polls every 5 s.
 
-use crate::World;
+use crate::Simulation;
 use glenmount_core::controller::{Controller, RequestId, UserReply};
 use glenmount_core::model::{JobSpec, JobState};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 
 /// One controller, as the balancer sees it.
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct Backend {
     healthy: bool,
     ever: bool,
     failures: u32,
@@ -33,7 +33,7 @@
     pause_ms: u64,
 }
 
-impl Seen {
+impl Backend {
     fn probe_succeeded(&mut self, now: u64) {
         self.failures = 0;
         self.successes += 1;
@@ -58,38 +58,40 @@
     }
 }
 
-pub struct Balancer {
-    controllers: Vec<Seen>,
+pub struct LoadBalancer {
+    controllers: Vec<Backend>,
     next_probe: Vec<u64>,
     open: Vec<usize>,
 }
 
-impl Balancer {
-    fn new(controllers: usize) -> Balancer {
-        Balancer {
-            controllers: vec![Seen::default(); controllers],
+impl LoadBalancer {
+    fn new(controllers: usize) -> LoadBalancer {
+        LoadBalancer {
+            controllers: vec![Backend::default(); controllers],
             next_probe: (0..controllers as u64).map(|n| n * 300).collect(),
             open: vec![0; controllers],
         }
     }
 
-    fn probe(&mut self, w: &World) {
+    fn probe(&mut self, sim: &Simulation) {
         for n in 0..self.controllers.len() {
-            if w.now < self.next_probe[n] {
+            if sim.now_ms < self.next_probe[n] {
                 continue;
             }
-            self.next_probe[n] = w.now + PROBE_MS;
-            let controller = w.controllers[n].controller.as_ref();
-            let ok = !w.frozen(n) && controller.is_some_and(Controller::ready) && !w.unreachable(n);
+            self.next_probe[n] = sim.now_ms + PROBE_MS;
+            let controller = sim.controllers[n].controller.as_ref();
+            let ok = !sim.is_paused(n)
+                && controller.is_some_and(Controller::ready)
+                && !sim.is_unreachable(n);
             match ok {
-                true => self.controllers[n].probe_succeeded(w.now),
-                false => self.controllers[n].probe_failed(w.now),
+                true => self.controllers[n].probe_succeeded(sim.now_ms),
+                false => self.controllers[n].probe_failed(sim.now_ms),
             }
         }
     }
 
     /// A healthy controller that takes the connection.
-    fn pick(&mut self, w: &World) -> Option<usize> {
+    fn pick(&mut self, sim: &Simulation) -> Option<usize> {
         let mut those: Vec<usize> = (0..self.controllers.len())
             .filter(|n| self.controllers[*n].healthy)
             .collect();
@@ -97,7 +99,7 @@
         let n = *those
             .iter()
             .take(3)
-            .find(|n| w.controllers[**n].controller.is_some() && !w.unreachable(**n))?;
+            .find(|n| sim.controllers[**n].controller.is_some() && !sim.is_unreachable(**n))?;
         self.open[n] += 1;
         Some(n)
     }
@@ -127,7 +129,7 @@
 }
 
 pub struct Users {
-    pub balancer: Balancer,
+    pub balancer: LoadBalancer,
     pub users: BTreeMap<String, User>,
     open: Vec<String>,
     /// Steps in which no controller was healthy.
@@ -178,83 +180,90 @@
 impl Users {
     pub fn new(controllers: usize) -> Users {
         Users {
-            balancer: Balancer::new(controllers),
+            balancer: LoadBalancer::new(controllers),
             users: BTreeMap::new(),
             open: Vec::new(),
             blind_ms: 0,
         }
     }
 
-    pub fn wants(&mut self, w: &mut World, class: usize, spec: JobSpec, cancel_at: Option<u64>) {
+    pub fn wants(
+        &mut self,
+        sim: &mut Simulation,
+        class: usize,
+        spec: JobSpec,
+        cancel_at: Option<u64>,
+    ) {
         let id = spec.id.clone();
         let user = User {
             class,
             team: spec.team.clone(),
-            asked_at: w.now,
+            asked_at: sim.now_ms,
             accepted_at: None,
             done_at: None,
             gave_up: false,
             cancel_at,
             cancelled: false,
             request: None,
-            next_at: w.now,
+            next_at: sim.now_ms,
             unanswered: 0,
             told_later: 0,
         };
-        w.specs.insert(id.clone(), spec);
+        sim.job_specs.insert(id.clone(), spec);
         self.users.insert(id.clone(), user);
         self.open.push(id);
     }
 
     /// Whether there was a healthy controller since a time: what nobody could have taken is counted apart.
-    pub fn step(&mut self, w: &mut World) {
-        self.balancer.probe(w);
+    pub fn step(&mut self, sim: &mut Simulation) {
+        self.balancer.probe(sim);
         self.blind_ms += STEP_MS * u64::from(!self.balancer.any_healthy());
         let mut open = std::mem::take(&mut self.open);
         open.retain(|id| {
             let user = self.users.get_mut(id).expect("it is known");
-            step(w, &mut self.balancer, id, user);
+            step(sim, &mut self.balancer, id, user);
             !(user.gave_up || user.cancelled || user.done_at.is_some())
         });
         self.open = open;
     }
 }
 
-fn step(w: &mut World, balancer: &mut Balancer, id: &str, user: &mut User) {
+fn step(sim: &mut Simulation, balancer: &mut LoadBalancer, id: &str, user: &mut User) {
     match user.request {
         Some((request, sent, n)) => {
-            let reply = w.answers.remove(&request);
-            let ended = w.controllers[n].controller.is_none() || w.ended_at[n] > sent;
-            if reply.is_none() && !ended && w.now < sent + user.patience_ms() {
+            let reply = sim.answers.remove(&request);
+            let ended = sim.controllers[n].controller.is_none()
+                || sim.controllers[n].last_stopped_ms > sent;
+            if reply.is_none() && !ended && sim.now_ms < sent + user.patience_ms() {
                 return;
             }
             balancer.open[n] = balancer.open[n].saturating_sub(1);
             user.request = None;
-            user.take_answer(w.now, reply);
+            user.take_answer(sim.now_ms, reply);
         }
-        None if w.now >= user.next_at => send_next(w, balancer, id, user),
+        None if sim.now_ms >= user.next_at => send_next(sim, balancer, id, user),
         None => {}
     }
 }
 
 /// A user's next request, if a controller takes it.
-fn send_next(w: &mut World, balancer: &mut Balancer, id: &str, user: &mut User) {
-    if user.accepted_at.is_none() && w.now > user.asked_at + GIVES_UP_MS {
+fn send_next(sim: &mut Simulation, balancer: &mut LoadBalancer, id: &str, user: &mut User) {
+    if user.accepted_at.is_none() && sim.now_ms > user.asked_at + GIVES_UP_MS {
         user.gave_up = true;
         return;
     }
-    let Some(n) = balancer.pick(w) else {
-        user.next_at = w.now + RETRY_MS;
+    let Some(n) = balancer.pick(sim) else {
+        user.next_at = sim.now_ms + RETRY_MS;
         return;
     };
-    let cancels = user.cancel_at.is_some_and(|at| w.now >= at);
+    let cancels = user.cancel_at.is_some_and(|at| sim.now_ms >= at);
     let request = match user.accepted_at {
         None => {
-            let spec = w.specs[id].clone();
-            w.submit(n, spec)
+            let spec = sim.job_specs[id].clone();
+            sim.submit(n, spec)
         }
-        Some(_) if cancels => w.cancel(n, id),
-        Some(_) => w.status(n, id),
+        Some(_) if cancels => sim.cancel(n, id),
+        Some(_) => sim.status(n, id),
     };
-    user.request = Some((request, w.now, n));
+    user.request = Some((request, sim.now_ms, n));
 }
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -5,10 +5,10 @@
 mod tasks;
 
 pub(crate) use commands::Command;
-pub(crate) use heartbeats::{HeartbeatReply, SentReport};
-pub(crate) use tasks::TaskChange;
+pub(crate) use heartbeats::{HeartbeatReply, PendingHeartbeat};
+pub(crate) use tasks::PhaseChange;
 
-use crate::{Act, World};
+use crate::{Action, Simulation};
 use glenmount_core::model::{TaskId, TaskPhase};
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -17,6 +17,13 @@
     pub phase: TaskPhase,
 }
 
+/// When a controller last got a heartbeat of a worker, and which controller.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Heard {
+    pub at_ms: u64,
+    pub by: usize,
+}
+
 #[derive(Default)]
 pub struct Worker {
     pub name: String,
@@ -25,34 +32,34 @@
     pub spot: bool,
     pub incarnation: u64,
     pub sequence: u64,
-    pub token: u64,
+    pub fencing_token: u64,
     /// When it last told a higher token.
-    pub(crate) token_said: Option<u64>,
-    pub lease_from: u64,
+    pub(crate) token_reported_ms: Option<u64>,
+    pub lease_renewed_ms: u64,
     pub tasks: BTreeMap<(TaskId, u64), Task>,
-    pub(crate) in_flight: Option<u64>,
-    pub(crate) sent_at: u64,
-    pub(crate) serial: u64,
+    pub(crate) pending_heartbeat: Option<u64>,
+    pub(crate) heartbeat_sent_ms: u64,
+    pub(crate) last_heartbeat: u64,
     pub controller: usize,
     pub alive: bool,
     /// When a controller last got a heartbeat of it, and which.
-    pub heard: (u64, usize),
+    pub last_heard: Heard,
     /// When it was last told to start something.
-    pub told_start: u64,
-    pub cut: bool,
+    pub last_start_ms: u64,
+    pub disconnected: bool,
     /// Its reports arrive; answers and commands to it are lost.
-    pub deaf: bool,
+    pub inbound_lost: bool,
     /// Its reports reach no controller; commands to it arrive, and so do their answers.
-    pub mute: bool,
+    pub outbound_lost: bool,
     /// Until when it hangs, and what comes to it meanwhile.
-    pub(crate) hangs_until: u64,
-    pub(crate) hung: Vec<Act>,
-    pub fails_all: bool,
-    pub notice_s: Option<f64>,
+    pub(crate) stalled_until_ms: u64,
+    pub(crate) deferred: Vec<Action>,
+    pub fails_tasks: bool,
+    pub termination_notice_s: Option<f64>,
 }
 
 impl Worker {
-    pub fn live(&self) -> impl Iterator<Item = &(TaskId, u64)> {
+    pub fn live_tasks(&self) -> impl Iterator<Item = &(TaskId, u64)> {
         self.tasks
             .iter()
             .filter(|(_, t)| !matches!(t.phase, TaskPhase::Exited(_)))
@@ -60,83 +67,83 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn boot_machine(&mut self, type_name: &str, zone: &str, spot: bool, delay: u64) -> String {
-        let name = format!("n-{:06}", self.rented);
-        self.rented += 1;
+        let name = format!("n-{:06}", self.cloud.provisioned);
+        self.cloud.provisioned += 1;
         let worker = Worker {
             name: name.clone(),
             type_name: type_name.into(),
             zone: zone.into(),
             spot,
             incarnation: 1,
-            lease_from: self.now + delay,
+            lease_renewed_ms: self.now_ms + delay,
             controller: self.rng.gen_range(0..self.settings.controllers.len()),
             ..Worker::default()
         };
         self.workers.insert(name.clone(), worker);
-        self.at(delay, Act::Boot(name.clone()));
+        self.schedule(delay, Action::StartWorker(name.clone()));
         name
     }
 
     /// A machine is up: its worker begins to report.
-    pub(crate) fn machine_is_up(&mut self, name: String) {
-        let now = self.now;
-        if let Some(w) = self.workers.get_mut(&name) {
-            w.alive = true;
-            w.lease_from = now;
-            self.at(1, Act::Report(name.clone()));
-            self.at(self.settings.lease_ms + 1, Act::Lease(name));
+    pub(crate) fn start_worker(&mut self, name: String) {
+        let now = self.now_ms;
+        if let Some(worker) = self.workers.get_mut(&name) {
+            worker.alive = true;
+            worker.lease_renewed_ms = now;
+            self.schedule(1, Action::SendHeartbeat(name.clone()));
+            self.schedule(self.settings.lease_ms + 1, Action::CheckLease(name));
         }
     }
 
     /// A machine's process ends, with all its tasks, and is back so long after, as a newer incarnation.
     pub fn restart_machine(&mut self, name: &str, back_after: u64) {
-        self.all_off(name);
-        if let Some(w) = self.workers.get_mut(name) {
-            w.incarnation += 1;
-            w.tasks.clear();
-            w.in_flight = None;
-            w.lease_from = self.now + back_after;
-            self.at(back_after, Act::Report(name.to_string()));
+        self.remove_all_placements(name);
+        if let Some(worker) = self.workers.get_mut(name) {
+            worker.incarnation += 1;
+            worker.tasks.clear();
+            worker.pending_heartbeat = None;
+            worker.lease_renewed_ms = self.now_ms + back_after;
+            self.schedule(back_after, Action::SendHeartbeat(name.to_string()));
         }
     }
 
     pub fn kill_machine(&mut self, name: &str) {
-        self.all_off(name);
-        if let Some(w) = self.workers.get_mut(name) {
-            w.alive = false;
-            w.tasks.clear();
+        self.remove_all_placements(name);
+        if let Some(worker) = self.workers.get_mut(name) {
+            worker.alive = false;
+            worker.tasks.clear();
         }
     }
 
     /// Ends a worker's tasks if its lease has ended.
     pub(crate) fn check_lease(&mut self, name: String) {
-        let (now, lease) = (self.now, self.settings.lease_ms);
-        let Some(w) = self.workers.get(&name).filter(|w| w.alive) else {
+        let (now, lease) = (self.now_ms, self.settings.lease_ms);
+        let Some(worker) = self.workers.get(&name).filter(|worker| worker.alive) else {
             return;
         };
-        let ends = w.lease_from + lease;
+        let ends = worker.lease_renewed_ms + lease;
         if now <= ends {
-            self.at(ends + 1 - now, Act::Lease(name));
+            self.schedule(ends + 1 - now, Action::CheckLease(name));
             return;
         }
-        self.killed += w.live().count() as u32;
-        self.all_off(&name);
-        if let Some(w) = self.workers.get_mut(&name) {
-            w.incarnation += 1;
-            w.tasks.clear();
-            w.lease_from = now;
-            w.in_flight = None;
+        self.metrics.killed_by_lease += worker.live_tasks().count() as u32;
+        self.remove_all_placements(&name);
+        if let Some(worker) = self.workers.get_mut(&name) {
+            worker.incarnation += 1;
+            worker.tasks.clear();
+            worker.lease_renewed_ms = now;
+            worker.pending_heartbeat = None;
         }
-        self.at(1, Act::Report(name.clone()));
-        self.at(lease + 1, Act::Lease(name));
+        self.schedule(1, Action::SendHeartbeat(name.clone()));
+        self.schedule(lease + 1, Action::CheckLease(name));
     }
 
     pub fn running(&self, job: &str) -> usize {
         self.workers
             .values()
-            .flat_map(|w| w.tasks.iter())
+            .flat_map(|worker| worker.tasks.iter())
             .filter(|((t, _), s)| t.job == job && s.phase == TaskPhase::Running)
             .count()
     }
@@ -144,14 +151,14 @@
     pub fn machine_of(&self, job: &str) -> Option<String> {
         self.workers
             .values()
-            .find(|w| w.live().any(|(t, _)| t.job == job))
-            .map(|w| w.name.clone())
+            .find(|worker| worker.live_tasks().any(|(t, _)| t.job == job))
+            .map(|worker| worker.name.clone())
     }
 
     /// Machines on which a job's tasks are.
     pub fn machines_of(&self, job: &str) -> Vec<String> {
-        let holds = |w: &&Worker| w.live().any(|(t, _)| t.job == job);
+        let holds = |worker: &&Worker| worker.live_tasks().any(|(t, _)| t.job == job);
         let those = self.workers.values().filter(holds);
-        those.map(|w| w.name.clone()).collect()
+        those.map(|worker| worker.name.clone()).collect()
     }
 }
--- a/crates/simulation/src/workers/commands.rs
+++ b/crates/simulation/src/workers/commands.rs
@@ -1,7 +1,7 @@
 //! Commands: orders that controllers send to workers directly.
 
-use crate::network::no_answer;
-use crate::{Act, ProcessId, World};
+use crate::network::command_unanswered;
+use crate::{Action, ProcessId, Simulation};
 use glenmount_core::controller::{CommandOutcome, Event};
 use glenmount_core::model::WorkerCommand;
 
@@ -14,29 +14,31 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Command {
     pub process: ProcessId,
-    pub machine: String,
+    pub worker: String,
     pub incarnation: u64,
-    pub token: u64,
+    pub fencing_token: u64,
     pub commands: Vec<WorkerCommand>,
     /// Its sender waits no longer for an answer.
-    pub late: bool,
+    pub answer_expired: bool,
 }
 
-impl World {
+impl Simulation {
     /// Orders arrive at a worker.
     pub(crate) fn receive_command(&mut self, command: Command) {
-        let late = command.late;
-        let w = self.workers.get_mut(&command.machine);
-        let Some(w) = w.filter(|w| w.alive && (late || !w.cut)) else {
-            let silent = no_answer(command.machine, CommandOutcome::NoAnswer);
+        let late = command.answer_expired;
+        let worker = self.workers.get_mut(&command.worker);
+        let Some(worker) = worker.filter(|worker| worker.alive && (late || !worker.disconnected))
+        else {
+            let silent = command_unanswered(command.worker, CommandOutcome::NoAnswer);
             self.deliver(TIMEOUT_MS, command.process, silent);
             return;
         };
-        if command.token < w.token || command.incarnation != w.incarnation {
+        if command.fencing_token < worker.fencing_token || command.incarnation != worker.incarnation
+        {
             if !late {
                 self.answer_command(
                     command.process,
-                    command.machine,
+                    command.worker,
                     CommandOutcome::Refused,
                     true,
                 );
@@ -44,23 +46,25 @@
             return;
         }
         let pause = self.settings.lease_ms / 2;
-        let may = w.token_said.is_none_or(|at| self.now >= at + pause);
-        let tells = command.token > w.token && may;
-        w.token = command.token;
+        let may = worker
+            .token_reported_ms
+            .is_none_or(|at| self.now_ms >= at + pause);
+        let tells = command.fencing_token > worker.fencing_token && may;
+        worker.fencing_token = command.fencing_token;
         if tells {
             // It tells a higher token, now and then.
-            w.token_said = Some(self.now);
-            self.at(500, Act::Report(command.machine.clone()));
+            worker.token_reported_ms = Some(self.now_ms);
+            self.schedule(500, Action::SendHeartbeat(command.worker.clone()));
         }
         let stops = |o: &WorkerCommand| matches!(o, WorkerCommand::Stop { .. });
         let reports = command.commands.is_empty() || command.commands.iter().any(stops);
         for order in command.commands {
-            self.order(&command.machine, order);
+            self.execute_order(&command.worker, order);
         }
         if !late {
             self.answer_command(
                 command.process,
-                command.machine,
+                command.worker,
                 CommandOutcome::Accepted,
                 reports,
             );
@@ -75,10 +79,10 @@
         reach: CommandOutcome,
         reports: bool,
     ) {
-        if let Some(w) = self.workers.get_mut(&machine) {
-            w.sequence += 1;
+        if let Some(worker) = self.workers.get_mut(&machine) {
+            worker.sequence += 1;
         }
-        let report = reports.then(|| Box::new(self.report_of(&machine)));
+        let report = reports.then(|| Box::new(self.heartbeat_of(&machine)));
         let event = Event::CommandResult {
             machine,
             reach,
--- a/crates/simulation/src/workers/heartbeats.rs
+++ b/crates/simulation/src/workers/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Reports of workers: how they get to controllers, and their answers back.
 
-use super::Worker;
-use crate::{Act, World};
+use super::{Heard, Worker};
+use crate::{Action, Simulation};
 use glenmount_core::controller::{Event, WorkerReply};
 use glenmount_core::model::{TaskStatus, WorkerHeartbeat};
 use rand::Rng;
@@ -19,7 +19,7 @@
 
 /// A report that a controller has got and not answered.
 #[derive(Clone, Debug)]
-pub(crate) struct SentReport {
+pub(crate) struct PendingHeartbeat {
     pub worker: String,
     pub incarnation: u64,
     pub serial: u64,
@@ -28,25 +28,25 @@
 /// The answer to a report.
 #[derive(Clone, Debug)]
 pub(crate) struct HeartbeatReply {
-    pub checkin: SentReport,
+    pub heartbeat: PendingHeartbeat,
     pub reply: WorkerReply,
 }
 
-impl World {
+impl Simulation {
     /// What a machine would report now.
-    pub fn report_of(&self, machine: &str) -> WorkerHeartbeat {
-        let w = &self.workers[machine];
+    pub fn heartbeat_of(&self, machine: &str) -> WorkerHeartbeat {
+        let worker = &self.workers[machine];
         WorkerHeartbeat {
-            machine: w.name.clone(),
+            machine: worker.name.clone(),
             address: "10.0.0.9:9000".into(),
-            type_name: w.type_name.clone(),
-            zone: w.zone.clone(),
-            spot: w.spot,
-            incarnation: w.incarnation,
-            sequence: w.sequence,
-            token: w.token,
-            notice_s: w.notice_s,
-            tasks: w
+            type_name: worker.type_name.clone(),
+            zone: worker.zone.clone(),
+            spot: worker.spot,
+            incarnation: worker.incarnation,
+            sequence: worker.sequence,
+            token: worker.fencing_token,
+            notice_s: worker.termination_notice_s,
+            tasks: worker
                 .tasks
                 .iter()
                 .map(|((task, attempt), t)| TaskStatus {
@@ -59,21 +59,21 @@
     }
 
     /// Lets an old report of a machine, without tasks, arrive at a controller now.
-    pub fn old_report(&mut self, n: usize, machine: &str, sequence: u64) {
+    pub fn inject_stale_heartbeat(&mut self, n: usize, machine: &str, sequence: u64) {
         let report = WorkerHeartbeat {
             sequence,
             notice_s: None,
             tasks: Vec::new(),
-            ..self.report_of(machine)
+            ..self.heartbeat_of(machine)
         };
-        self.report_again(n, &report);
+        self.inject_heartbeat(n, &report);
     }
 
     /// Lets a report arrive at a controller once more, as it was.
-    pub fn report_again(&mut self, n: usize, report: &WorkerHeartbeat) {
-        self.at(
+    pub fn inject_heartbeat(&mut self, n: usize, report: &WorkerHeartbeat) {
+        self.schedule(
             1,
-            Act::Arrive {
+            Action::DeliverHeartbeat {
                 controller: n,
                 report: report.clone(),
                 serial: 0,
@@ -81,132 +81,148 @@
         );
     }
 
-    pub(crate) fn send_report(&mut self, name: &str) {
-        let Some(w) = self.workers.get_mut(name) else {
+    pub(crate) fn send_heartbeat(&mut self, name: &str) {
+        let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if !w.alive || w.in_flight.is_some() {
+        if !worker.alive || worker.pending_heartbeat.is_some() {
             return;
         }
-        if w.hangs_until > 0 {
-            w.hung.push(Act::Report(name.to_string()));
+        if worker.stalled_until_ms > 0 {
+            worker
+                .deferred
+                .push(Action::SendHeartbeat(name.to_string()));
             return;
         }
-        w.sequence += 1;
-        w.serial += 1;
-        let serial = w.serial;
-        w.in_flight = Some(serial);
-        w.sent_at = self.now;
+        worker.sequence += 1;
+        worker.last_heartbeat += 1;
+        let serial = worker.last_heartbeat;
+        worker.pending_heartbeat = Some(serial);
+        worker.heartbeat_sent_ms = self.now_ms;
         let worker = name.to_string();
-        self.at(REPORT_TIMEOUT_MS, Act::GaveUp { worker, serial });
-        self.carry_report(name, serial);
+        self.schedule(
+            REPORT_TIMEOUT_MS,
+            Action::TimeOutHeartbeat { worker, serial },
+        );
+        self.transmit_heartbeat(name, serial);
     }
 
     /// A worker's report is on its way, if it gets through.
-    fn carry_report(&mut self, name: &str, serial: u64) {
-        let mishaps = self.mishaps.clone();
-        let w = &self.workers[name];
-        let (controller, cut) = (w.controller, w.cut || w.mute);
-        let report = self.report_of(name);
-        let arrive = |report: Report| Act::Arrive {
+    fn transmit_heartbeat(&mut self, name: &str, serial: u64) {
+        let mishaps = self.network.faults.clone();
+        let worker = &self.workers[name];
+        let (controller, cut) = (
+            worker.controller,
+            worker.disconnected || worker.outbound_lost,
+        );
+        let report = self.heartbeat_of(name);
+        let arrive = |report: Report| Action::DeliverHeartbeat {
             controller,
             report,
             serial,
         };
-        if !self.reaches(controller, name) {
-            self.held_back.push(arrive(report));
+        if !self.controller_reaches(controller, name) {
+            self.network.held_back.push(arrive(report));
             return;
         }
-        if cut || self.chance(mishaps.report_lost) {
+        if cut || self.chance(mishaps.heartbeat_lost) {
             return;
         }
-        if self.chance(mishaps.report_kept) {
-            self.kept_reports.push(report.clone());
+        if self.chance(mishaps.heartbeat_kept) {
+            self.network.kept_heartbeats.push(report.clone());
         }
-        if self.chance(mishaps.report_twice) {
+        if self.chance(mishaps.heartbeat_duplicated) {
             let late = self.rng.gen_range(500..30_000);
-            self.at(late, arrive(report.clone()));
+            self.schedule(late, arrive(report.clone()));
         }
-        let delay = match self.chance(mishaps.report_late) {
+        let delay = match self.chance(mishaps.heartbeat_late) {
             true => self.rng.gen_range(3_000..40_000),
-            false => self.rng.gen_range(1..5) + self.link_ms(),
+            false => self.rng.gen_range(1..5) + self.extra_latency_ms(),
         };
-        self.at(delay, arrive(report));
+        self.schedule(delay, arrive(report));
     }
 
     /// Old reports reach every controller just as one begins.
-    pub(crate) fn send_kept_reports(&mut self) {
-        let kept = std::mem::take(&mut self.kept_reports);
+    pub(crate) fn send_kept_heartbeats(&mut self) {
+        let kept = std::mem::take(&mut self.network.kept_heartbeats);
         for report in kept.into_iter().rev().take(KEPT_MOST) {
             for controller in 0..self.controllers.len() {
                 let delay = self.rng.gen_range(0..KEPT_WITHIN_MS);
-                let arrive = Act::Arrive {
+                let arrive = Action::DeliverHeartbeat {
                     controller,
                     report: report.clone(),
                     serial: 0,
                 };
-                self.at(delay, arrive);
+                self.schedule(delay, arrive);
             }
         }
     }
 
     /// A report arrives at a controller.
-    pub(crate) fn receive_report(&mut self, n: usize, report: WorkerHeartbeat, serial: u64) {
+    pub(crate) fn receive_heartbeat(&mut self, n: usize, report: WorkerHeartbeat, serial: u64) {
         if self.controllers[n].cut_from_workers {
             return;
         }
-        let here = |w: &&Worker| w.alive && w.controller == n;
-        let full = (self.limited.sockets)
+        let here = |worker: &&Worker| worker.alive && worker.controller == n;
+        let full = (self.service_limits.worker_connections)
             .is_some_and(|most| self.workers.values().filter(here).count() > most);
-        self.limited.no_socket += u32::from(full);
+        self.service_limits.connections_refused += u32::from(full);
         if self.controllers[n].controller.is_none() || full {
             // Its host refuses the connection.
             let worker = report.machine;
-            self.at(1, Act::GaveUp { worker, serial });
+            self.schedule(1, Action::TimeOutHeartbeat { worker, serial });
             return;
         }
-        let (now, frozen) = (self.now, self.frozen(n));
-        if let Some(w) = self.workers.get_mut(&report.machine).filter(|_| !frozen) {
-            w.heard = (now, n);
+        let (now, frozen) = (self.now_ms, self.is_paused(n));
+        if let Some(worker) = self.workers.get_mut(&report.machine).filter(|_| !frozen) {
+            worker.last_heard = Heard { at_ms: now, by: n };
         }
         let request = self.next_request;
         self.next_request += 1;
-        let checkin = SentReport {
+        let checkin = PendingHeartbeat {
             worker: report.machine.clone(),
             incarnation: report.incarnation,
             serial,
         };
-        self.checkins.insert((self.process(n), request), checkin);
+        self.pending_heartbeats
+            .insert((self.process(n), request), checkin);
         let report = Box::new(report);
-        self.controller(n, Event::WorkerHeartbeat { request, report });
+        self.handle(n, Event::WorkerHeartbeat { request, report });
     }
 
     /// The answer to a report arrives at its worker.
-    pub(crate) fn receive_reply(&mut self, HeartbeatReply { checkin, reply }: HeartbeatReply) {
+    pub(crate) fn receive_heartbeat_reply(
+        &mut self,
+        HeartbeatReply {
+            heartbeat: checkin,
+            reply,
+        }: HeartbeatReply,
+    ) {
         let name = checkin.worker;
-        let Some(w) = self.workers.get_mut(&name) else {
+        let Some(worker) = self.workers.get_mut(&name) else {
             return;
         };
         // The worker drops what comes after it gave up, or from an earlier incarnation.
-        let expected = w.in_flight == Some(checkin.serial) && w.incarnation == checkin.incarnation;
-        if !w.alive || w.cut || !expected {
+        let expected = worker.pending_heartbeat == Some(checkin.serial)
+            && worker.incarnation == checkin.incarnation;
+        if !worker.alive || worker.disconnected || !expected {
             return;
         }
-        w.in_flight = None;
+        worker.pending_heartbeat = None;
         match reply {
             WorkerReply::Commands { token, commands } => {
-                if token < w.token {
+                if token < worker.fencing_token {
                     return;
                 }
-                w.token = token;
+                worker.fencing_token = token;
                 // The lease counts from when the answered report was sent.
-                w.lease_from = w.sent_at;
+                worker.lease_renewed_ms = worker.heartbeat_sent_ms;
                 for order in commands {
-                    self.order(&name, order);
+                    self.execute_order(&name, order);
                 }
                 let report_ms = self.settings.report_ms;
                 let wait = self.rng.gen_range(report_ms * 3 / 4..report_ms * 5 / 4);
-                self.at(wait, Act::Report(name));
+                self.schedule(wait, Action::SendHeartbeat(name));
             }
             WorkerReply::Redirect {
                 controller: Some(controller),
@@ -217,27 +233,27 @@
                     .iter()
                     .position(|n| *n == controller)
                 {
-                    w.controller = i;
+                    worker.controller = i;
                 }
-                self.at(REDIRECT_MS, Act::Report(name));
+                self.schedule(REDIRECT_MS, Action::SendHeartbeat(name));
             }
             _ => {
-                w.controller = (w.controller + 1) % self.settings.controllers.len();
-                self.at(RETRY_MS, Act::Report(name));
+                worker.controller = (worker.controller + 1) % self.settings.controllers.len();
+                self.schedule(RETRY_MS, Action::SendHeartbeat(name));
             }
         }
     }
 
     /// A worker got no answer to a report, and turns to the next controller.
-    pub(crate) fn give_up_report(&mut self, name: String, serial: u64) {
+    pub(crate) fn time_out_heartbeat(&mut self, name: String, serial: u64) {
         let count = self.controllers.len();
-        let Some(w) = self.workers.get_mut(&name) else {
+        let Some(worker) = self.workers.get_mut(&name) else {
             return;
         };
-        if w.in_flight == Some(serial) {
-            w.in_flight = None;
-            w.controller = (w.controller + 1) % count;
-            self.at(RETRY_MS, Act::Report(name));
+        if worker.pending_heartbeat == Some(serial) {
+            worker.pending_heartbeat = None;
+            worker.controller = (worker.controller + 1) % count;
+            self.schedule(RETRY_MS, Action::SendHeartbeat(name));
         }
     }
 }
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -1,7 +1,7 @@
 //! Described days: what is read, what is refused, and that a play measures what happened.
 
 use glenmount_simulation::day::Experiment;
-use glenmount_simulation::play::play;
+use glenmount_simulation::day_runner::play;
 
 const DAY: &str = r#"
 [[day]]
--- a/crates/xtask/src/digest.rs
+++ b/crates/xtask/src/digest.rs
@@ -5,8 +5,7 @@
 use glenmount_simulation::day::{Day, Experiment, Variant};
 use glenmount_simulation::digest::EffectDigest;
 use glenmount_simulation::random_faults::{self, STEPS};
-use glenmount_simulation::{every_use, play, World};
-use std::fmt;
+use glenmount_simulation::{all_estimate_uses, day_runner, Simulation};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -54,20 +53,19 @@
     fn play(&self) -> Result<EffectDigest, DigestError> {
         match self {
             Run::RandomFaults { seed, machines } => {
-                let prepare = |world: &mut World| {
+                let prepare = |world: &mut Simulation| {
                     world.digest = Some(EffectDigest::default());
                     if seed % LEARNING_PART == 0 {
-                        world.settings.learned = every_use();
+                        world.settings.learned = all_estimate_uses();
                     }
                 };
                 let run = random_faults::play_on(*seed, *machines, STEPS, prepare);
-                run.world.digest.ok_or(DigestError::Missing)
+                run.simulation.digest.ok_or("no digest was kept".into())
             }
             Run::Day { day, variant } => {
                 let digest = Some(EffectDigest::default());
-                let (_, digest) = play::play_digested(day, variant, 1, digest)
-                    .map_err(|e| DigestError::Play(e.to_string()))?;
-                digest.ok_or(DigestError::Missing)
+                let (_, digest) = day_runner::play_digested(day, variant, 1, digest)?;
+                digest.ok_or("no digest was kept".into())
             }
         }
     }
