--- a/crates/core/tests/allocations.rs
+++ b/crates/core/tests/allocations.rs
@@ -1,8 +1,8 @@
 //! What a heartbeat allocates in the core: exact, and so bounded here, unlike its time.
 
-use glenmount_core::controller::*;
-use glenmount_core::model::*;
-use glenmount_simulation::*;
+use glenmount_core::controller::{Effect, Event, WorkerReply};
+use glenmount_core::model::{TaskStatus, WorkerHeartbeat};
+use glenmount_simulation::{service, Simulation, START_TIME_MS};
 
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
--- /dev/null
+++ b/crates/core/tests/scenarios/cancellations.rs
@@ -0,0 +1,106 @@
+//! Cancellations: starts in flight, lost state service, machines that keep a cancelled task.
+
+use crate::common::started;
+use glenmount_core::controller::UserReply;
+use glenmount_core::model::JobState;
+use glenmount_core::state::{Key, Record};
+use glenmount_simulation::service;
+
+#[test]
+fn a_cancellation_reaches_a_start_that_is_in_flight() {
+    for delay in [0, 3, 8, 15, 30, 60, 150, 700] {
+        let mut sim = started(10, 3, 2);
+        let r = sim.submit(0, service("j-1", 3));
+        sim.await_answer(r);
+        sim.run(delay);
+        let r = sim.cancel(1, "j-1");
+        assert!(matches!(
+            sim.await_answer(r),
+            UserReply::Cancelled {
+                state: JobState::Cancelled,
+                ..
+            }
+        ));
+        sim.run(5_000);
+        assert_eq!(sim.running("j-1"), 0);
+        let r = sim.status(2, "j-1");
+        assert!(matches!(
+            sim.await_answer(r),
+            UserReply::Status {
+                state: JobState::Cancelled,
+                ..
+            }
+        ));
+        sim.run(40_000);
+        sim.check_records();
+    }
+}
+
+#[test]
+fn a_cancelled_task_ends_in_time_though_its_node_is_cut_from_state() {
+    // With peers reachable, workers are handed over; alone, the controller stops renewing.
+    for alone in [false, true] {
+        let mut sim = started(11, 3, 2);
+        sim.submit(0, service("j-1", 3));
+        sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 3);
+        let n = 0;
+        for worker in sim.workers.values_mut() {
+            worker.controller = n;
+        }
+        sim.run(3_000);
+        sim.controllers[n].cut_from_state = true;
+        sim.controllers[n].cut_from_peers = alone;
+        sim.run(3_000);
+        // Told when to come back while its machines are not heard, the user repeats the request.
+        let told = (0..10).any(|_| {
+            let r = sim.cancel(1, "j-1");
+            let told = matches!(sim.await_answer(r), UserReply::Cancelled { .. });
+            sim.run(2_000);
+            told
+        });
+        assert!(told, "alone: {alone}");
+        sim.run(36_000);
+        assert_eq!(sim.running("j-1"), 0, "alone: {alone}");
+    }
+}
+
+#[test]
+fn a_report_from_before_the_start_is_no_proof_that_it_never_arrived() {
+    let mut sim = started(22, 2, 1);
+    let mut spec = service("j-1", 1);
+    spec.team = "blue".into();
+    sim.submit(0, spec);
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
+    let name = sim.machine_of("j-1").unwrap();
+    sim.workers.get_mut(&name).unwrap().disconnected = true;
+    let r = sim.cancel(0, "j-1");
+    sim.await_answer(r);
+    for n in 0..2 {
+        sim.inject_stale_heartbeat(n, &name, 1);
+    }
+    sim.run(500);
+    let Some((Record::Chunk(c), _)) = sim.state.records.get(&Key::Chunk("j-1".into(), 0)) else {
+        panic!("the chunk has a record");
+    };
+    assert_eq!(
+        c.assignment(0).map(|b| &b.machine),
+        Some(&name),
+        "the task still runs and still counts"
+    );
+}
+
+#[test]
+fn a_machine_that_keeps_a_cancelled_task_is_deleted() {
+    let mut sim = started(12, 2, 1);
+    sim.submit(0, service("j-1", 1));
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
+    let name = sim.machine_of("j-1").unwrap();
+    // Reports arrive, answers do not: the worker's lease would run out, but later.
+    for slot in &mut sim.controllers {
+        slot.cut_from_workers = true;
+    }
+    let r = sim.cancel(0, "j-1");
+    sim.await_answer(r);
+    sim.run(34_000);
+    assert!(sim.cloud.deleted.contains(&name) || sim.running("j-1") == 0);
+}
--- /dev/null
+++ b/crates/core/tests/scenarios/controller_failures.rs
@@ -0,0 +1,331 @@
+//! Controllers that crash, pause or lose their connections.
+
+use crate::common::{
+    cancel_until_confirmed, is_answered, is_done, is_running, started, without_scale_in,
+};
+use glenmount_core::controller::{Controller, UserReply};
+use glenmount_core::model::JobState;
+use glenmount_core::state::JobPhase;
+use glenmount_simulation::{job, service, use_long_leases, Simulation};
+
+#[test]
+fn a_claimant_that_crashes_leaves_its_booking_to_the_others() {
+    for delay in [3, 8, 12, 20, 40, 200, 900] {
+        let mut sim = started(6, 3, 2);
+        let r = sim.submit(0, job("j-1", 2));
+        sim.await_answer(r);
+        sim.run(delay);
+        sim.crash(0, 20_000);
+        sim.run_until(30_000, "done", |sim| is_done(sim, "j-1"));
+        sim.check_records();
+    }
+}
+
+#[test]
+fn a_node_that_restarts_makes_no_machine_seem_silent() {
+    // Its first heartbeat has heard of nothing. Peers must remember what it said before.
+    for seed in 0..6 {
+        let mut sim = started(600 + seed, 3, 6);
+        sim.settings.idle_return_ms = 600_000;
+        for worker in sim.workers.values_mut() {
+            worker.controller = 0;
+        }
+        sim.submit(0, service("j-1", 6));
+        sim.run(30_000);
+        sim.crash(0, 3_500);
+        sim.run(20_000);
+        assert_eq!(sim.metrics.starts, 6);
+        let used = sim
+            .workers
+            .values()
+            .filter(|worker| !worker.tasks.is_empty());
+        assert!(used.count() > 0 && sim.running("j-1") == 6);
+    }
+}
+
+#[test]
+fn a_node_cut_from_the_workers_deletes_none_of_them() {
+    // All machines fall silent to it at once and none can be asked: it is the controller that is
+    // cut off. They turn to its peers.
+    let mut sim = started(25, 3, 6);
+    sim.settings.idle_return_ms = 600_000;
+    for worker in sim.workers.values_mut() {
+        worker.controller = 0;
+    }
+    sim.submit(0, service("j-1", 6));
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 6);
+    sim.controllers[0].cut_from_workers = true;
+    sim.run(40_000);
+    assert_eq!(sim.metrics.starts, 6);
+    assert!(sim
+        .workers
+        .values()
+        .filter(|worker| !worker.tasks.is_empty())
+        .all(|worker| worker.incarnation == 1));
+}
+
+#[test]
+fn siblings_that_cant_be_reached_cost_no_machine() {
+    // Each controller hears a third of the machines and nothing of the others. It asks these, and
+    // they answer. Found when 600 healthy machines were deleted within 30 s as silent.
+    let mut sim = started(28, 3, 9);
+    sim.submit(0, service("j-1", 9));
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 9);
+    let busy = |sim: &Simulation| {
+        let workers = sim
+            .workers
+            .values()
+            .filter(|worker| !worker.tasks.is_empty());
+        workers
+            .map(|worker| worker.name.clone())
+            .collect::<Vec<_>>()
+    };
+    let used = busy(&sim);
+    for slot in &mut sim.controllers {
+        slot.cut_from_peers = true;
+    }
+    sim.run(90_000);
+    assert_eq!((sim.metrics.starts, busy(&sim)), (9, used));
+    // One that does die meanwhile is still found.
+    let name = sim.machine_of("j-1").unwrap();
+    sim.kill_machine(&name);
+    sim.run_until(30_000, "runs elsewhere", |sim| sim.running("j-1") == 9);
+    assert!(sim.cloud.deleted.contains(&name));
+}
+
+#[test]
+fn a_node_that_starts_while_the_cloud_is_down_takes_jobs() {
+    let mut sim = started(30, 2, 2);
+    sim.cloud.is_down = true;
+    sim.crash(0, 1_000);
+    sim.crash(1, 1_000);
+    sim.run(2_000);
+    assert!(sim
+        .controllers
+        .iter()
+        .all(|s| s.controller.as_ref().is_some_and(|n| n.ready())));
+    let r = sim.submit(0, job("j-1", 1));
+    assert_eq!(
+        sim.await_answer(r),
+        UserReply::Accepted { job: "j-1".into() }
+    );
+    sim.run_until(20_000, "done", |sim| is_done(sim, "j-1"));
+}
+
+#[test]
+fn a_node_that_starts_hears_from_siblings_where_images_are() {
+    let mut sim = started(31, 2, 2);
+    sim.submit(1, job("j-1", 2));
+    sim.run_until(20_000, "done", |sim| is_done(sim, "j-1"));
+    sim.crash(0, 1_000);
+    sim.run(6_000);
+    let controller = sim.controllers[0].controller.as_ref().expect("it is back");
+    let machines = sim.workers.keys();
+    assert!(machines
+        .into_iter()
+        .any(|m| controller.cache.has_image(m, "img")));
+}
+
+#[test]
+fn all_nodes_restart_and_nothing_is_lost() {
+    let mut sim = started(15, 3, 3);
+    sim.submit(0, service("j-1", 2));
+    sim.submit(1, job("j-2", 4));
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 2);
+    for n in 0..3 {
+        sim.crash(n, 4_000);
+    }
+    sim.run(6_000);
+    sim.run_until(40_000, "goes on", |sim| {
+        sim.running("j-1") == 2 && is_done(sim, "j-2")
+    });
+    assert!(
+        sim.workers.values().all(|worker| worker.incarnation == 1),
+        "no lease lapsed"
+    );
+    assert_eq!(sim.metrics.starts, 6);
+    sim.check_records();
+}
+
+/// A controller that is paused wakes with heartbeats, answers and heartbeats from before in its queues. It
+/// must neither delete machines that reported elsewhere meanwhile nor act on its old view.
+#[test]
+fn a_node_that_stood_still_acts_on_nothing_it_held() {
+    for ms in [5_000, 20_000, 70_000] {
+        let mut sim = without_scale_in(62, 3, 6);
+        sim.cloud.capacity = 0;
+        sim.workload.run_ms = 4_000;
+        sim.submit(1, service("j-1", 3));
+        sim.run_until(10_000, "up", |sim| sim.running("j-1") == 3);
+        sim.submit(0, job("j-2", 12));
+        sim.run(30);
+        sim.pause(0, ms);
+        sim.run(2_000);
+        let r = sim.cancel(1, "j-2");
+        assert!(matches!(sim.await_answer(r), UserReply::Cancelled { .. }));
+        sim.submit(2, job("j-3", 6));
+        let late = sim.status(0, "j-2");
+        let r = sim.submit(0, job("j-4", 1));
+        sim.run_until(ms, "awake", |sim| !sim.is_paused(0));
+        let sent = sim.controllers[0].messages_sent;
+        sim.run(1);
+        assert_eq!(
+            sim.controllers[0].messages_sent, sent,
+            "nothing goes out before its view is current"
+        );
+        assert!(
+            matches!(sim.await_answer(r), UserReply::RetryAfter { .. }),
+            "told to come back"
+        );
+        assert!(matches!(
+            sim.await_answer(late),
+            UserReply::RetryAfter { .. }
+                | UserReply::Status {
+                    state: JobState::Cancelled,
+                    ..
+                }
+        ));
+        sim.run_until(30_000, "done", |sim| is_done(sim, "j-3"));
+        sim.run(20_000);
+        assert!(
+            sim.cloud.deleted.is_empty(),
+            "{:?} after {ms} ms",
+            sim.cloud.deleted
+        );
+        assert_eq!(sim.running("j-1"), 3);
+        assert!(
+            sim.controllers[0].controller.as_ref().unwrap().ready(),
+            "it serves again"
+        );
+        sim.check_records();
+    }
+}
+
+#[test]
+fn all_nodes_stand_still_and_nothing_is_lost() {
+    let mut sim = without_scale_in(63, 3, 6);
+    sim.cloud.capacity = 0;
+    sim.submit(0, service("j-1", 3));
+    sim.submit(1, job("j-2", 4));
+    sim.run_until(10_000, "up", |sim| sim.running("j-1") == 3);
+    for (n, ms) in [(0, 30_000), (1, 32_000), (2, 30_500)] {
+        sim.pause(n, ms);
+    }
+    sim.run(33_000);
+    sim.run_until(30_000, "up again", |sim| sim.running("j-1") == 3);
+    sim.run_until(30_000, "done", |sim| is_done(sim, "j-2"));
+    sim.run(20_000);
+    assert!(sim.cloud.deleted.is_empty(), "{:?}", sim.cloud.deleted);
+    sim.check_records();
+}
+
+/// While a controller is paused its peers carry on with all of it: workers, claims assigned and
+/// never commanded, the state service's changes.
+#[test]
+fn siblings_carry_on_the_claims_of_a_node_that_stands_still() {
+    for after in [14, 18, 22, 26, 30] {
+        let mut sim = started(64, 3, 4);
+        sim.submit(0, service("j-1", 2));
+        sim.run(after);
+        sim.pause(0, 120_000);
+        let r = sim.submit(1, service("j-1", 2));
+        sim.await_answer(r);
+        sim.run_until(20_000, "up", |sim| sim.running("j-1") == 2);
+        assert!(sim.is_paused(0));
+    }
+}
+
+/// One-way or not, a controller that workers do not reach claims nothing once it has noticed, deletes
+/// nothing, and sends users elsewhere; it serves again when that is over.
+#[test]
+fn a_node_that_workers_do_not_reach_leaves_the_work_to_its_siblings() {
+    for mute in [false, true] {
+        let mut sim = without_scale_in(65, 3, 6);
+        sim.cloud.capacity = 0;
+        sim.controllers[0].cut_from_workers = !mute;
+        sim.controllers[0].outbound_lost = mute;
+        for i in 0..6 {
+            sim.submit(0, job(&format!("j-{i}"), 2));
+            sim.run(3_000);
+        }
+        let ready = |sim: &Simulation| sim.controllers[0].controller.as_ref().unwrap().ready();
+        assert!(!ready(&sim), "users are sent to others");
+        sim.run_until(20_000, "done", |sim| {
+            (0..6).all(|i| is_done(sim, &format!("j-{i}")))
+        });
+        assert!(sim.cloud.deleted.is_empty(), "{:?}", sim.cloud.deleted);
+        sim.heal_all();
+        sim.run_until(10_000, "ready again", |sim| ready(sim));
+    }
+}
+
+/// After a cut or a freeze all workers sit at the controllers they turned to.
+#[test]
+fn workers_are_shared_out_again_after_a_node_was_away() {
+    let mut sim = without_scale_in(66, 3, 60);
+    sim.pause(0, 12_000);
+    sim.run(14_000);
+    let at = |sim: &Simulation, n| {
+        sim.workers
+            .values()
+            .filter(|worker| worker.controller == n)
+            .count()
+    };
+    assert!(at(&sim, 0) < 10, "they have turned to others");
+    sim.run_until(40_000, "shared out", |sim| (0..3).all(|n| at(sim, n) >= 12));
+    sim.run(10_000);
+    assert!((0..3).all(|n| at(&sim, n) >= 12), "and it stays so");
+}
+
+/// A controller that loses the state service and its peers, not its workers and users: it asks the
+/// balancer to send users elsewhere, and its workers find the others, where what is cancelled ends and
+/// what is done is known. Both while it is cut off and after.
+#[test]
+fn a_node_cut_off_alone_keeps_neither_users_nor_workers() {
+    for long in [false, true] {
+        let mut sim = Simulation::new(80, 3, 9);
+        if long {
+            use_long_leases(&mut sim);
+        }
+        sim.run(15_000);
+        for i in 0..6 {
+            sim.submit(i % 3, job(&format!("j-{i}"), 2));
+        }
+        sim.submit(1, service("j-s", 6));
+        sim.run_until(20_000, "up", |sim| is_running(sim, "j-s"));
+        for worker in sim.workers.values_mut() {
+            worker.controller = 0;
+        }
+        sim.run(6_000);
+        let slot = &mut sim.controllers[0];
+        (slot.cut_from_state, slot.cut_from_peers) = (true, true);
+        let ready = |sim: &Simulation| {
+            sim.controllers[0]
+                .controller
+                .as_ref()
+                .is_some_and(Controller::ready)
+        };
+        let from = sim.now_ms;
+        sim.run_until(10_000, "users are sent elsewhere", |sim| !ready(sim));
+        if long {
+            sim.run_until(10_000, "workers are", |sim| {
+                sim.workers.values().all(|worker| worker.controller != 0)
+            });
+            assert!(sim.now_ms < from + 15_000);
+        }
+        let r = sim.submit(1, job("j-n", 3));
+        sim.await_answer(r);
+        let told = cancel_until_confirmed(&mut sim, 2, "j-s", 60_000);
+        assert!(told.is_some(), "cancelled");
+        sim.run_until(90_000, "done", |sim| {
+            (0..6).all(|i| sim.job_phase(&format!("j-{i}")) == Some(JobPhase::Done))
+                && sim.job_phase("j-n") == Some(JobPhase::Done)
+        });
+        sim.run(60_000);
+        sim.heal_all();
+        sim.run_until(10_000, "ready", ready);
+        assert!((0..6).all(|i| is_answered(&mut sim, 0, &format!("j-{i}"))));
+        sim.run(10_000);
+        sim.check_records();
+    }
+}
--- a/crates/core/tests/pipelines.rs
+++ b/crates/core/tests/scenarios/dependencies.rs
@@ -1,22 +1,13 @@
-//! Stories of jobs that await other jobs. The world checks at every step that no task starts before
-//! the jobs that its job needs are done, and that what needs a cancelled job is not called pending
-//! or running for longer than a cancellation may take.
+//! Jobs that depend on other jobs. The simulation checks at every step that no task starts before the dependencies
+//! of its job are complete, and that a dependent of a cancelled job is not called pending or running for longer
+//! than a cancellation may take.
 
-use glenmount_core::controller::*;
+use crate::common::{has_phase, started};
+use glenmount_core::controller::UserReply;
 use glenmount_core::jobs::dependencies;
-use glenmount_core::model::*;
-use glenmount_core::state::*;
-use glenmount_simulation::*;
-
-fn settled(seed: u64, controllers: usize, machines: usize) -> Simulation {
-    let mut sim = Simulation::new(seed, controllers, machines);
-    sim.run(4_000);
-    sim
-}
-
-fn phase(sim: &Simulation, id: &str, phase: JobPhase) -> bool {
-    sim.job_phase(id) == Some(phase)
-}
+use glenmount_core::model::{JobPriority, JobSpec, JobState};
+use glenmount_core::state::{JobPhase, JobRecord, Key, Record, StateCache};
+use glenmount_simulation::{dependent_job, job, service, Simulation};
 
 fn state(sim: &mut Simulation, n: usize, id: &str) -> JobState {
     let request = sim.status(n, id);
@@ -40,12 +31,28 @@
     accept(sim, 0, dependent_job("j-4", 2, &["j-2", "j-3"]));
 }
 
+fn copy_of(jobs: &[(JobSpec, u64)]) -> StateCache {
+    let mut cache = StateCache::default();
+    for (i, (spec, at)) in jobs.iter().enumerate() {
+        let record = JobRecord {
+            phase: JobPhase::Open,
+            tasks: spec.tasks,
+            chunk: 10,
+            at: *at,
+            ended: 0,
+            spec: Some(Box::new(spec.clone())),
+        };
+        cache.put(Key::Job(spec.id.clone()), i as u64 + 1, Record::Job(record));
+    }
+    cache
+}
+
 #[test]
 fn a_diamond_is_done_in_order() {
-    let mut sim = settled(1, 3, 4);
+    let mut sim = started(1, 3, 4);
     diamond(&mut sim);
     assert_eq!(state(&mut sim, 1, "j-4"), JobState::Pending);
-    sim.run_until(60_000, "done", |sim| phase(sim, "j-4", JobPhase::Done));
+    sim.run_until(60_000, "done", |sim| has_phase(sim, "j-4", JobPhase::Done));
     let ends = |sim: &Simulation, id: &str| match &sim.state.records[&Key::Job(id.into())] {
         (Record::Job(j), _) => j.ended,
         _ => 0,
@@ -69,7 +76,7 @@
         first.resources.cpus = 100;
         accept(&mut sim, 0, first);
         accept(&mut sim, 0, dependent_job("j-2", 1, &["j-1"]));
-        sim.run_until(60_000, "done", |sim| phase(sim, "j-1", JobPhase::Done));
+        sim.run_until(60_000, "done", |sim| has_phase(sim, "j-1", JobPhase::Done));
         // A fetch takes up to 0.9 s, the poll that it must not wait for 5.
         sim.run_until(2_000, "the next runs", |sim| sim.running("j-2") == 1);
     }
@@ -79,19 +86,19 @@
 fn a_job_just_accepted_elsewhere_may_be_named() {
     // The other controller has not heard of it when it is asked: it must find out, not refuse.
     for seed in 0..10 {
-        let mut sim = settled(20 + seed, 2, 2);
+        let mut sim = started(20 + seed, 2, 2);
         let first = sim.submit(0, job("j-1", 1));
         sim.await_answer(first);
         accept(&mut sim, 1, dependent_job("j-2", 1, &["j-1"]));
-        sim.run_until(30_000, "done", |sim| phase(sim, "j-2", JobPhase::Done));
+        sim.run_until(30_000, "done", |sim| has_phase(sim, "j-2", JobPhase::Done));
     }
 }
 
 #[test]
 fn what_may_be_named_and_what_not() {
-    let mut sim = settled(2, 2, 2);
+    let mut sim = started(2, 2, 2);
     accept(&mut sim, 0, job("j-1", 1));
-    sim.run_until(20_000, "done", |sim| phase(sim, "j-1", JobPhase::Done));
+    sim.run_until(20_000, "done", |sim| has_phase(sim, "j-1", JobPhase::Done));
     accept(&mut sim, 0, service("j-2", 1));
     let never = [
         dependent_job("j-8", 1, &["j-7"]),
@@ -108,7 +115,7 @@
         );
     }
     accept(&mut sim, 1, dependent_job("j-3", 1, &["j-1"]));
-    sim.run_until(20_000, "done", |sim| phase(sim, "j-3", JobPhase::Done));
+    sim.run_until(20_000, "done", |sim| has_phase(sim, "j-3", JobPhase::Done));
     // Asked once more it is known, whatever it names now.
     let request = sim.submit(0, dependent_job("j-3", 1, &["j-7"]));
     assert!(matches!(
@@ -126,7 +133,7 @@
 
 #[test]
 fn a_job_that_names_a_cancelled_one_is_accepted_and_cancelled() {
-    let mut sim = settled(3, 3, 2);
+    let mut sim = started(3, 3, 2);
     accept(&mut sim, 0, job("j-1", 1));
     let request = sim.cancel(0, "j-1");
     sim.await_answer(request);
@@ -135,14 +142,14 @@
     accept(&mut sim, 2, dependent_job("j-3", 1, &["j-2"]));
     assert_eq!(state(&mut sim, 0, "j-3"), JobState::Cancelled);
     sim.run_until(10_000, "on record", |sim| {
-        phase(sim, "j-3", JobPhase::Cancelled)
+        has_phase(sim, "j-3", JobPhase::Cancelled)
     });
 }
 
 #[test]
 fn a_cancellation_half_way_takes_what_needs_it_though_its_node_dies() {
     for seed in 0..8 {
-        let mut sim = settled(40 + seed, 3, 3);
+        let mut sim = started(40 + seed, 3, 3);
         accept(&mut sim, 0, job("j-1", 1));
         accept(&mut sim, 1, dependent_job("j-2", 1, &["j-1"]));
         accept(&mut sim, 2, dependent_job("j-3", 1, &["j-2"]));
@@ -154,10 +161,10 @@
         // Others say so before their own records do.
         assert_eq!(state(&mut sim, 1, "j-4"), JobState::Cancelled);
         sim.run_until(10_000, "cancelled on record", |sim| {
-            phase(sim, "j-3", JobPhase::Cancelled) && phase(sim, "j-4", JobPhase::Cancelled)
+            has_phase(sim, "j-3", JobPhase::Cancelled) && has_phase(sim, "j-4", JobPhase::Cancelled)
         });
         sim.run_until(30_000, "others go on", |sim| {
-            phase(sim, "j-5", JobPhase::Done)
+            has_phase(sim, "j-5", JobPhase::Done)
         });
         sim.check_records();
     }
@@ -167,7 +174,7 @@
 fn a_cancellation_that_meets_the_last_result_is_one_or_the_other() {
     let (mut done, mut cancelled) = (0, 0);
     for ms in (4_800..5_100).step_by(5) {
-        let mut sim = settled(60, 2, 2);
+        let mut sim = started(60, 2, 2);
         accept(&mut sim, 0, job("j-1", 1));
         accept(&mut sim, 1, dependent_job("j-2", 1, &["j-1"]));
         sim.run_until(20_000, "runs", |sim| sim.running("j-1") == 1);
@@ -179,12 +186,12 @@
                 ..
             } => {
                 done += 1;
-                sim.run_until(20_000, "done", |sim| phase(sim, "j-2", JobPhase::Done));
+                sim.run_until(20_000, "done", |sim| has_phase(sim, "j-2", JobPhase::Done));
             }
             UserReply::Cancelled { .. } => {
                 cancelled += 1;
                 sim.run_until(20_000, "cancelled", |sim| {
-                    phase(sim, "j-2", JobPhase::Cancelled)
+                    has_phase(sim, "j-2", JobPhase::Cancelled)
                 });
             }
             other => panic!("{other:?}"),
@@ -195,7 +202,7 @@
 
 #[test]
 fn a_job_that_waits_holds_nothing_of_its_teams_limit() {
-    let mut sim = settled(4, 2, 6);
+    let mut sim = started(4, 2, 6);
     sim.workload.run_ms = 8_000;
     let blue = |spec: JobSpec| JobSpec {
         team: "blue".into(),
@@ -208,14 +215,14 @@
     sim.run_until(4_000, "the limit is used", |sim| {
         sim.running("j-1") + sim.running("j-3") == 6
     });
-    sim.run_until(60_000, "done", |sim| phase(sim, "j-2", JobPhase::Done));
+    sim.run_until(60_000, "done", |sim| has_phase(sim, "j-2", JobPhase::Done));
     sim.check_records();
 }
 
 #[test]
 fn late_and_lost_answers_of_the_state_service_break_no_pipeline() {
     for seed in 0..12 {
-        let mut sim = settled(80 + seed, 3, 4);
+        let mut sim = started(80 + seed, 3, 4);
         sim.network.faults.transaction_answer_lost = 0.2;
         sim.network.faults.transaction_late = 0.2;
         sim.network.faults.answer_slow = 0.3;
@@ -235,14 +242,14 @@
         }
         let request = sim.cancel(seed as usize % 3, "j-4");
         sim.await_answer(request);
-        sim.run_until(120_000, "done", |sim| phase(sim, "j-3", JobPhase::Done));
+        sim.run_until(120_000, "done", |sim| has_phase(sim, "j-3", JobPhase::Done));
         sim.check_records();
     }
 }
 
 #[test]
 fn a_wide_tree_is_cancelled_with_few_changes_after_an_outage() {
-    let mut sim = settled(5, 3, 2);
+    let mut sim = started(5, 3, 2);
     sim.workload.run_ms = 3_600_000;
     accept(&mut sim, 0, job("j-1", 1));
     for i in 10..40 {
@@ -270,7 +277,7 @@
         );
     }
     sim.run_until(10_000, "on record", |sim| {
-        (10..40).all(|i| phase(sim, &format!("j-{i}"), JobPhase::Cancelled))
+        (10..40).all(|i| has_phase(sim, &format!("j-{i}"), JobPhase::Cancelled))
     });
     let spent = sim.state.changes - changes;
     assert!(spent < 80, "{spent} changes for 31 jobs");
@@ -280,7 +287,7 @@
 #[test]
 fn earlier_stages_count_as_urgent_as_the_last() {
     // One machine; the pipeline's first job is of low rank and came last.
-    let mut sim = settled(6, 1, 1);
+    let mut sim = started(6, 1, 1);
     sim.cloud.capacity = 0;
     sim.submit(0, job("j-1", 2));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 2);
@@ -297,34 +304,19 @@
         ..dependent_job("j-5", 1, &["j-4"])
     };
     accept(&mut sim, 0, last);
-    let first =
-        |sim: &Simulation| phase(sim, "j-3", JobPhase::Done) || phase(sim, "j-2", JobPhase::Done);
+    let first = |sim: &Simulation| {
+        has_phase(sim, "j-3", JobPhase::Done) || has_phase(sim, "j-2", JobPhase::Done)
+    };
     sim.run_until(40_000, "one of them", first);
     assert!(
-        phase(&sim, "j-3", JobPhase::Done),
+        has_phase(&sim, "j-3", JobPhase::Done),
         "the pipeline goes first"
     );
     sim.run_until(60_000, "all", |sim| {
-        phase(sim, "j-5", JobPhase::Done) && phase(sim, "j-2", JobPhase::Done)
+        has_phase(sim, "j-5", JobPhase::Done) && has_phase(sim, "j-2", JobPhase::Done)
     });
 }
 
-fn copy_of(jobs: &[(JobSpec, u64)]) -> StateCache {
-    let mut cache = StateCache::default();
-    for (i, (spec, at)) in jobs.iter().enumerate() {
-        let record = JobRecord {
-            phase: JobPhase::Open,
-            tasks: spec.tasks,
-            chunk: 10,
-            at: *at,
-            ended: 0,
-            spec: Some(Box::new(spec.clone())),
-        };
-        cache.put(Key::Job(spec.id.clone()), i as u64 + 1, Record::Job(record));
-    }
-    cache
-}
-
 #[test]
 fn rank_and_deadline_are_passed_upstream_by_every_way() {
     let last = JobSpec {
@@ -343,7 +335,7 @@
         (slow, 2_000),
         (last, 3_000),
     ]);
-    let pulls = dependencies::pulls(&cache, &|_, spec| dependencies::least_run_ms(spec));
+    let pulls = pipelines::pulls(&cache, &|_, spec| pipelines::least_run_ms(spec));
     // Of 5 and 50 s that a job is estimated to run, six tenths must do.
     let due = |id: &str| pulls[id].due.unwrap();
     assert_eq!((due("j-2"), due("j-3")), (100_000, 100_000));
@@ -363,8 +355,7 @@
     ]);
     assert!(cache.blocked("j-1") && cache.waiting_jobs().next().is_none());
     assert!(
-        !dependencies::pulls(&cache, &|_, spec| dependencies::least_run_ms(spec))
-            .contains_key("j-2")
+        !pipelines::pulls(&cache, &|_, spec| pipelines::least_run_ms(spec)).contains_key("j-2")
     );
     let over = cache.job("j-1").unwrap().over(JobPhase::Cancelled, 9);
     cache.put(Key::Job("j-1".into()), 9, Record::Job(over));
--- a/crates/core/tests/standby.rs
+++ b/crates/core/tests/scenarios/failover.rs
@@ -1,9 +1,8 @@
-//! Short scenarios of controllers that end, stand still and come back, one after another and while others take
-//! over from them.
+//! Controllers that end, pause and return, one after another and while others take over from them.
 
-use glenmount_core::controller::*;
-use glenmount_core::peers::PeerStatus;
-use glenmount_simulation::*;
+use glenmount_core::controller::{Controller, ControllerStatus, PeerHeartbeat, UserReply};
+use glenmount_core::peers::tracker::PeerStatus;
+use glenmount_simulation::{job, service, Simulation, Worker, START_TIME_MS};
 
 /// So many controllers and machines, with the times of a large fleet.
 fn large(seed: u64, controllers: usize, machines: usize) -> Simulation {
--- /dev/null
+++ b/crates/core/tests/scenarios/priorities.rs
@@ -0,0 +1,199 @@
+//! Order of work: priorities, preemption, objectives, capacity reserved for services.
+
+use crate::common::{is_done, started, without_scale_in};
+use glenmount_core::model::{JobPriority, JobSpec};
+use glenmount_core::state::JobPhase;
+use glenmount_simulation::{job, service, Simulation};
+
+#[test]
+fn work_of_lower_rank_is_stopped_when_that_starts_what_waits() {
+    let mut sim = started(29, 3, 3);
+    sim.cloud.capacity = 0;
+    sim.workload.run_ms = 60_000;
+    sim.submit(0, job("j-1", 6));
+    sim.run_until(6_000, "all machines are full", |sim| {
+        sim.running("j-1") == 6
+    });
+    let mut urgent = job("j-2", 2);
+    urgent.priority = JobPriority::High;
+    sim.submit(1, urgent);
+    sim.run_until(4_000, "the urgent runs", |sim| sim.running("j-2") == 2);
+    assert_eq!(sim.running("j-1"), 4, "no more are stopped than needed");
+    let mut equal = job("j-3", 2);
+    equal.priority = JobPriority::High;
+    sim.submit(2, equal);
+    sim.run(4_000);
+    assert_eq!(sim.running("j-2"), 2, "equals are left alone");
+    sim.run_until(300_000, "all done", |sim| {
+        ["j-1", "j-2", "j-3"].iter().all(|id| is_done(sim, id))
+    });
+    sim.check_records();
+}
+
+#[test]
+fn what_can_still_meet_its_goal_goes_before_what_is_late_anyway() {
+    let mut sim = started(31, 1, 1);
+    sim.cloud.capacity = 0;
+    sim.workload.run_ms = 20_000;
+    for (i, pause) in [(0, 0), (1, 0), (2, 0), (3, 62_000), (4, 100)] {
+        sim.run(pause);
+        let mut spec = job(&format!("j-{i}"), 2);
+        spec.class = "quick".into();
+        spec.tasks = if i < 3 { 4 } else { 1 };
+        sim.submit(0, spec);
+    }
+    // The third job is past its goal of a minute; the fourth, accepted later, is not.
+    sim.run_until(60_000, "the fourth is done", |sim| is_done(sim, "j-3"));
+    assert!(!is_done(&sim, "j-2"));
+}
+
+#[test]
+fn a_batch_leaves_room_for_the_next_service() {
+    let mut sim = started(26, 3, 10);
+    sim.cloud.capacity = 0;
+    sim.workload.run_ms = 40_000;
+    let mut small = service("j-1", 2);
+    small.resources.cpus = 1_000;
+    sim.submit(0, small.clone());
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 2);
+    sim.submit(1, job("j-2", 40));
+    sim.run(5_000);
+    assert!(sim.running("j-2") >= 14, "most of the machines work");
+    small.id = "j-3".into();
+    sim.submit(2, small);
+    sim.run_until(1_500, "the next service runs at once", |sim| {
+        sim.running("j-3") == 2
+    });
+}
+
+#[test]
+fn urgent_work_does_not_wait_for_the_room_that_is_kept_for_services() {
+    // What is free is kept back, and used to count as room that it could have: nothing was stopped
+    // for it, and it waited for two minutes.
+    let mut sim = started(26, 3, 10);
+    sim.cloud.capacity = 0;
+    sim.workload.run_ms = 100_000;
+    let mut small = service("j-1", 2);
+    small.resources.cpus = 1_000;
+    sim.submit(0, small.clone());
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 2);
+    sim.submit(1, job("j-2", 40));
+    sim.run(4_000);
+    assert!(sim.running("j-2") < 19, "some room is kept");
+    let urgent = JobSpec {
+        priority: JobPriority::High,
+        ..job("j-3", 2)
+    };
+    sim.submit(2, urgent);
+    sim.run_until(4_000, "the urgent runs", |sim| sim.running("j-3") == 2);
+    small.id = "j-4".into();
+    sim.submit(0, small);
+    sim.run_until(1_500, "and a service", |sim| sim.running("j-4") == 2);
+    sim.check_records();
+}
+
+#[test]
+fn a_small_site_keeps_nothing_back() {
+    let mut sim = started(27, 1, 1);
+    sim.cloud.capacity = 0;
+    sim.submit(0, service("j-1", 1));
+    sim.submit(0, job("j-2", 1));
+    sim.run_until(20_000, "done", |sim| is_done(sim, "j-2"));
+}
+
+/// Work that had waited for two minutes took the room that stops had made for urgent work, which had more
+/// stopped, and so on: docs/incidents/stops-for-nothing.md.
+#[test]
+fn urgent_work_is_not_stopped_for_by_what_it_made_room_for() {
+    let mut sim = without_scale_in(1_400, 3, 24);
+    sim.cloud.capacity = 0;
+    sim.workload.run_ms = 20_000;
+    // A service whose room is kept, and far more batches than there is room for.
+    sim.submit(0, service("j-1", 2));
+    sim.run(2_000);
+    for i in 0..14 {
+        sim.submit(i % 3, job(&format!("j-1{i:02}"), 40));
+    }
+    sim.run(135_000);
+    let urgent = JobSpec {
+        priority: JobPriority::High,
+        ..job("j-2", 6)
+    };
+    let at = sim.now_ms;
+    let r = sim.submit(1, urgent);
+    sim.await_answer(r);
+    sim.run_until(60_000, "runs", |sim| sim.running("j-2") == 6);
+    assert!(sim.now_ms < at + 8_000, "{} ms", sim.now_ms - at);
+    sim.run(10_000);
+    let stopped = sim.metrics.stops.get("preempted").map_or(0, |s| s.0);
+    assert!(stopped <= 12, "{stopped} stops for 6 tasks");
+    sim.check_records();
+}
+
+/// Jobs that can be in time keep coming, more than there is room for; one that has no goal still gets
+/// its turn.
+#[test]
+fn nothing_is_put_off_for_ever() {
+    let mut sim = without_scale_in(1_410, 3, 4);
+    sim.cloud.capacity = 0;
+    sim.workload.run_ms = 10_000;
+    let urgent = |i: u64| JobSpec {
+        deadline_s: Some(120.0),
+        estimate_s: 10.0,
+        ..job(&format!("j-1{i:04}"), 6)
+    };
+    for i in 0..10 {
+        sim.submit(0, urgent(i));
+    }
+    sim.run(1_000);
+    sim.submit(1, job("j-2", 2));
+    for i in 10..200 {
+        sim.submit((i % 3) as usize, urgent(i));
+        sim.run(5_000);
+        if is_done(&sim, "j-2") {
+            break;
+        }
+    }
+    assert!(is_done(&sim, "j-2"), "it waits at {} ms", sim.now_ms);
+    let ran = sim.metrics.first_run_ms["j-2"];
+    assert!(ran < 240_000, "some of it begins before that: {ran} ms");
+    assert!(
+        sim.now_ms > 600_000,
+        "the others were short of room: {} ms",
+        sim.now_ms
+    );
+}
+
+/// A class asks for far more than there is, for minutes. Its small jobs go first, as most are in time
+/// then; but its largest begin as well, within four minutes.
+#[test]
+fn the_largest_jobs_begin_though_there_is_never_room_for_all() {
+    for seed in 0..3 {
+        let mut sim = Simulation::new(130 + seed, 3, 6);
+        sim.run(9_000);
+        (sim.cloud.capacity, sim.workload.run_ms) = (0, 10_000);
+        let of = |id: String, tasks: u32| JobSpec {
+            class: "quick".into(),
+            estimate_s: 10.0,
+            ..job(&id, tasks)
+        };
+        let mut large = Vec::new();
+        for i in 0..120 {
+            if i % 12 == 0 && i < 60 {
+                large.push((format!("j-9{i:03}"), sim.now_ms));
+                sim.submit(0, of(format!("j-9{i:03}"), 60));
+            }
+            sim.submit(i % 3, of(format!("j-1{i:03}"), 6));
+            sim.run(3_000);
+        }
+        for (id, at) in &large {
+            let ran = sim.metrics.first_run_ms.get(id).copied();
+            let waited = ran.map(|ran| ran - at);
+            assert!(waited.is_some_and(|ms| ms <= 240_000), "{id}: {waited:?}");
+        }
+        let small =
+            (0..120).filter(|i| sim.job_phase(&format!("j-1{i:03}")) == Some(JobPhase::Done));
+        let small = small.count();
+        assert!((30..120).contains(&small), "{small} small ones are done");
+    }
+}
--- /dev/null
+++ b/crates/core/tests/scenarios/provisioning.rs
@@ -0,0 +1,116 @@
+//! Provisioning of machines: one request of all controllers, lost answers, machines that never boot.
+
+use crate::common::{is_done, is_over, started, time_to_confirm_cancel};
+use glenmount_simulation::{job, service, use_long_leases, FaultRates, Simulation};
+
+#[test]
+fn nothing_to_run_on_leads_to_one_rental_that_three_nodes_agree_on() {
+    let mut sim = started(16, 3, 0);
+    sim.submit(0, job("j-1", 2));
+    sim.submit(1, job("j-2", 2));
+    sim.run_until(40_000, "done", |sim| {
+        is_done(sim, "j-1") && is_done(sim, "j-2")
+    });
+    assert!(
+        sim.cloud.provisioned <= 3,
+        "{} machines for eight processors",
+        sim.cloud.provisioned
+    );
+    sim.run(60_000);
+    assert_eq!(sim.workers.len(), 0, "returned when idle");
+    sim.check_records();
+}
+
+#[test]
+fn a_rental_without_an_answer_is_asked_again_by_the_same_name() {
+    let mut sim = started(17, 3, 0);
+    sim.network.faults.cloud_answer_lost = 1.0;
+    sim.submit(0, job("j-1", 2));
+    sim.run(3_000);
+    sim.network.faults.cloud_answer_lost = 0.0;
+    sim.run_until(60_000, "done", |sim| is_done(sim, "j-1"));
+    assert_eq!(sim.cloud.provisioned, 1);
+    sim.check_records();
+}
+
+#[test]
+fn the_node_that_rented_crashes_and_another_takes_the_machine_up() {
+    let mut sim = started(18, 3, 0);
+    let r = sim.submit(0, job("j-1", 2));
+    sim.await_answer(r);
+    sim.run(15);
+    sim.crash(0, 60_000);
+    sim.run_until(40_000, "done", |sim| is_done(sim, "j-1"));
+    sim.check_records();
+}
+
+/// A provisioned machine that does not come up in time is not waited for, and given up later on.
+#[test]
+fn work_does_not_wait_for_a_boot_that_never_ends() {
+    let mut sim = started(72, 3, 0);
+    sim.cloud.stuck_boots = 1;
+    sim.submit(0, job("j-1", 2));
+    sim.run_until(25_000, "done on another", |sim| is_done(sim, "j-1"));
+    sim.run_until(40_000, "given up", |sim| {
+        sim.cloud.deleted.contains("n-000000")
+    });
+    assert!(
+        sim.cloud.provisioned <= 3,
+        "{} rented",
+        sim.cloud.provisioned
+    );
+}
+
+/// New machines are up within two seconds and get work at once while writes lag, and the controller that most
+/// report to ends: each is used or returned, nothing runs twice, and what is provisioned stays near what is asked.
+#[test]
+fn new_machines_are_up_within_two_seconds_while_writes_lag() {
+    for seed in 0..8_u64 {
+        let mut sim = Simulation::new(2_400 + seed, 3, 2);
+        if seed % 2 == 0 {
+            use_long_leases(&mut sim);
+        }
+        sim.run(9_000);
+        (sim.cloud.capacity, sim.cloud.boot_ms, sim.workload.run_ms) = (60, 30..2_000, 20_000);
+        (
+            sim.network.faults.transaction_late,
+            sim.network.faults.transaction_answer_lost,
+        ) = (0.25, 0.1);
+        if seed % 4 >= 2 {
+            sim.network.faults.cloud_answer_lost = 0.3;
+        }
+        for j in 0..6 {
+            sim.submit(j % 3, job(&format!("j-{j}"), 6));
+        }
+        sim.submit(1, service("j-s", 4));
+        sim.run(1_200 + 300 * (seed % 3));
+        sim.crash((seed % 3) as usize, [200, 3_000][seed as usize % 2]);
+        sim.run(1_500);
+        sim.crash(((seed + 1) % 3) as usize, 400);
+        let (start, rented) = (sim.now_ms, sim.cloud.provisioned);
+        sim.run_until(120_000, "runs", |sim| {
+            (0..6).all(|j| sim.metrics.first_run_ms.contains_key(&format!("j-{j}")))
+                && sim.running("j-s") == 4
+        });
+        sim.network.faults = FaultRates::default();
+        sim.run_until(240_000, "done", |sim| {
+            (0..6).all(|j| is_over(sim, &format!("j-{j}")))
+        });
+        // 40 tasks of 2 processors take 20 of the small machines, or 10 of the large.
+        assert!(
+            sim.cloud.provisioned <= 2 + 20 * 2,
+            "seed {seed}: {rented}, {} rented",
+            sim.cloud.provisioned
+        );
+        assert!(sim.now_ms < start + 240_000);
+        time_to_confirm_cancel(&mut sim, 0, "j-s").expect("told");
+        // All of them are on record or returned: what nothing needs is given back.
+        sim.run(sim.settings.idle_return_ms + 120_000);
+        let left = sim.workers.len();
+        assert!(
+            left <= 4,
+            "seed {seed}: {left} machines are left with nothing to do"
+        );
+        sim.check_records();
+    }
+}
--- a/crates/core/tests/quick_returns.rs
+++ b/crates/core/tests/scenarios/quick_restarts.rs
@@ -1,15 +1,15 @@
-//! Short scenarios of processes that end and are back within a fraction of a second, before anybody has
-//! missed them: old connections, late copies of old messages and repeats of what was carried out meet
-//! the new life. No start is given twice (the world checks every rule at each step), no worker is
-//! stranded, and nothing that was learned of the old life is held against the new one.
+//! Processes that end and are back within a fraction of a second, before anybody has missed them: old connections,
+//! late copies of old messages and repeats of committed requests meet the new incarnation. No start is given twice,
+//! no worker is stranded, and nothing learned of the old incarnation is held against the new one.
 
 use glenmount_core::peers::PeerStatus;
 use glenmount_core::state::JobPhase;
-use glenmount_simulation::*;
+use glenmount_simulation::{job, service, FaultRates, Simulation};
 
 /// Milliseconds after which a process is back: from less than an end takes to be told to about as
 /// long as heartbeats are missed.
 const BACK: [u64; 6] = [20, 60, 150, 300, 500, 900];
+
 const SERVICES: usize = 6;
 
 fn name(i: usize) -> String {
--- /dev/null
+++ b/crates/core/tests/scenarios/rescheduling.rs
@@ -0,0 +1,99 @@
+//! Rescheduling: machines that are drained because their tasks fit elsewhere.
+
+use crate::common::started;
+use glenmount_core::model::{JobSpec, Resources};
+use glenmount_core::state::JobPhase;
+use glenmount_simulation::{job, service, Simulation};
+
+#[test]
+fn a_dear_machine_is_emptied_and_returned_when_its_services_fit_elsewhere() {
+    let mut sim = started(28, 3, 0);
+    sim.cloud.capacity = 0;
+    for slot in 0..3 {
+        sim.crash(slot, 10);
+    }
+    sim.settings.idle_return_ms = 600_000;
+    let dear = sim.boot_machine("large", "east", false, 10);
+    sim.run(4_000);
+    let mut small = service("j-1", 1);
+    small.resources.cpus = 500;
+    sim.submit(0, small);
+    sim.run_until(10_000, "runs", |sim| {
+        sim.machine_of("j-1").as_deref() == Some(dear.as_str())
+    });
+    for i in 0..2 {
+        sim.boot_machine("small", "east", false, 10 + i);
+    }
+    // The images come with work: a short service on each.
+    sim.run(3_000);
+    for worker in 1..3 {
+        let mut fill = service(&format!("j-{}", worker + 1), 1);
+        fill.resources.cpus = 3_500;
+        fill.machine_types = Some(vec!["small".into()]);
+        sim.submit(0, fill);
+    }
+    sim.run(5_000);
+    sim.cancel(0, "j-2");
+    sim.cancel(0, "j-3");
+    sim.run_until(200_000, "moved", |sim| {
+        sim.cloud.deleted.contains(&dear) && sim.running("j-1") == 1
+    });
+    sim.check_records();
+}
+
+/// On the large fleet services stayed spread over hundreds of machines for as long as they ran: one
+/// task moved every two seconds, whatever the size. That was a fifth of a day's cost.
+#[test]
+fn a_large_site_is_emptied_as_quickly_as_a_small_one() {
+    let mut sim = Simulation::new(77, 2, 160);
+    sim.skip_invariants = true;
+    sim.settings.write_rps = 100.0;
+    sim.settings.next_write_rps = 100.0;
+    sim.cloud.capacity = 0;
+    sim.workload.class_run_ms.insert("long".into(), 40_000);
+    sim.run(5_000);
+    let resources = |cpus: u64| Resources {
+        cpus,
+        gpus: 0,
+        ram: 1_000,
+    };
+    for n in 0..2 {
+        let spec = JobSpec {
+            class: "long".into(),
+            resources: resources(3_000),
+            ..job(&format!("j-{}", n + 1), 80)
+        };
+        sim.submit(n, spec);
+    }
+    sim.run_until(20_000, "each machine is in use", |sim| {
+        sim.running("j-1") + sim.running("j-2") == 160
+    });
+    for n in 0..160 {
+        let spec = JobSpec {
+            resources: resources(1_000),
+            ..service(&format!("j-{}", 100 + n), 1)
+        };
+        sim.submit(n % 2, spec);
+    }
+    let up = |sim: &Simulation| {
+        (0..160)
+            .filter(|n| sim.running(&format!("j-{}", 100 + n)) > 0)
+            .count()
+    };
+    sim.run_until(30_000, "each has a service", |sim| up(sim) == 160);
+    sim.run_until(60_000, "the rest is done", |sim| {
+        sim.job_phase("j-2") == Some(JobPhase::Done)
+    });
+    sim.run(75_000);
+    let before = sim.workers.len();
+    let mut least = usize::MAX;
+    for _ in 0..60 {
+        sim.run(1_000);
+        least = least.min(up(&sim));
+    }
+    let emptied = before - sim.workers.len();
+    assert!(emptied >= 24, "{emptied} of {before} in a minute");
+    // Some eight at a time at this size: the others serve.
+    assert!(least >= 140, "{least} services up");
+    sim.run_until(30_000, "all are up again", |sim| up(sim) >= 156);
+}
--- a/crates/core/tests/learned.rs
+++ b/crates/core/tests/scenarios/runtime_estimates.rs
@@ -1,12 +1,12 @@
-//! Stories of learned run times: what controllers observe, that nothing counts twice, what they survive,
-//! and that nothing rests on them.
+//! Run-time estimates: what controllers observe, that no run counts twice, what survives, and that nothing
+//! depends on them.
 
-use glenmount_core::model::*;
-use glenmount_core::state::*;
+use glenmount_core::model::{JobPriority, JobSpec, Resources};
+use glenmount_core::state::{JobPhase, Key, Record, RunTimesRecord};
 use glenmount_runtime_estimates::book::class_id;
 use glenmount_runtime_estimates::constants::CLASSES_KEPT;
 use glenmount_runtime_estimates::history::History;
-use glenmount_simulation::*;
+use glenmount_simulation::{all_estimate_uses, job, FaultRates, Simulation};
 
 fn learning(seed: u64, controllers: usize, machines: usize) -> Simulation {
     let mut sim = Simulation::new(seed, controllers, machines);
--- /dev/null
+++ b/crates/core/tests/scenarios/storage_formats.rs
@@ -0,0 +1,285 @@
+//! Storage formats: records of the previous version, the compact form of chunks, and sizes of records.
+
+use glenmount_core::constants::{FAULTS_KEPT, FAULTY_MACHINES, PROVISION_MAX_INSTANCES};
+use glenmount_core::model::JobSpec;
+use glenmount_core::state::formats::{self, FormatRecord};
+use glenmount_core::state::{
+    offer_key, Assignment, ChunkRecord, InstanceRequestRecord, JobPhase, JobRecord, Key,
+    MachinePhase, MachineRecord, ProvisioningRecord, Record, TaskState, ZoneSpreadRecord,
+};
+use glenmount_simulation::{dependent_job, job, previous_version, START_TIME_MS};
+use rand::Rng;
+use serde_json::Value;
+use std::collections::BTreeMap;
+
+/// As the version before format 2 writes them.
+const SAMPLES: [(&str, &str); 10] = [
+    (
+        "g/job/j-000412",
+        r#"{"at":1700000000000,"chunk":100,"ended":0,"phase":"Open","spec":{"checkpoint_s":0.0,"class":"reach","deadline_s":90.0,"estimate_s":40.0,"id":"j-000412","image":"img-07","image_gb":1.5,"need":{"c":2000,"g":0,"r":3200},"rank":"Normal","save_s":0.0,"scatter":true,"shape":"Array","spot":true,"tasks":3,"team":"hub","together":false,"types":["g8"],"zone":null},"tasks":3}"#,
+    ),
+    (
+        "g/job/j-000413",
+        r#"{"at":1700000000000,"chunk":100,"ended":1700000009000,"phase":"Done","spec":null,"tasks":3}"#,
+    ),
+    (
+        "g/chunk/j-000412/0000",
+        r#"{"f":["n-000230"],"i":0,"n":1,"o":"hub","p":1700000001000,"t":["w","d",{"b":{"a":41,"d":[1,7],"m":"n-000231"}},{"b":{"a":41,"m":"n-000232","s":[2,88],"x":"preempted"}}],"u":{"c":2000,"g":0,"r":3200}}"#,
+    ),
+    ("g/place/j-000412", r#"{"zones":{"a":2}}"#),
+    (
+        "g/machine/n-000231",
+        r#"{"address":"10.1.0.232:9000","at":1700000000500,"faults":["j-000398"],"phase":"Up","raised":1,"spot":true,"type":"g8","zone":"a"}"#,
+    ),
+    ("g/team/hub", r#"{"cpus":4000,"gpus":0}"#),
+    (
+        "g/hire/00000017",
+        r#"{"at":1700000000000,"count":2,"hosts":["n-000231","n-000232"],"node":"bothy-0","spot":true,"type":"g8","zone":"a"}"#,
+    ),
+    (
+        "g/fleet",
+        r#"{"next":18,"refused":{"g8|a|spot":1700000015000}}"#,
+    ),
+    ("g/term", r#"{"term":1}"#),
+    (
+        "g/types",
+        r#"{"types":[{"boot_s":45.0,"cache_gb":200.0,"fetch_gb_per_s":1.0,"name":"g8","price":12.0,"room":{"c":96000,"g":8000,"r":1024000},"spot_price":4.5,"zones":["a"]}]}"#,
+    ),
+];
+
+#[test]
+fn what_the_old_version_stored_is_read_and_written_back_the_same() {
+    for (path, text) in SAMPLES {
+        let key = Key::parse(path).unwrap();
+        let value: Value = serde_json::from_str(text).unwrap();
+        let record = Record::read(&key, value.clone()).expect(path);
+        let text = Record::read_text(&key, &value.to_string());
+        assert_eq!(text.as_ref(), Some(&record), "{path}: from its text");
+        assert_eq!(record.value(formats::OLDEST), value, "{path}");
+        assert_eq!(
+            previous_version::value(&key, value.clone()),
+            Some(value),
+            "{path}"
+        );
+        // In the latest format it says the same.
+        let again = Record::read(&key, record.value(formats::LATEST));
+        assert_eq!(again, Some(record), "{path}");
+    }
+}
+
+#[test]
+fn what_the_old_version_makes_of_new_records() {
+    // Reasons for waiting until all are new: it drops whom a job awaits, and can't read a compact
+    // chunk. A key of a kind it does not know it passes over.
+    let mut spec = dependent_job("j-000414", 1, &["j-000412"]);
+    spec.dependencies.push("j-000413".into());
+    let record = Record::Job(JobRecord {
+        phase: JobPhase::Open,
+        tasks: 1,
+        chunk: 1,
+        at: 0,
+        ended: 0,
+        spec: Some(Box::new(spec)),
+    });
+    let key = Key::Job("j-000414".into());
+    let back = previous_version::value(&key, record.value(formats::LATEST)).unwrap();
+    assert!(back["spec"].get("awaits").is_none());
+    let key = Key::parse(SAMPLES[2].0).unwrap();
+    let chunk = Record::read(&key, serde_json::from_str(SAMPLES[2].1).unwrap()).unwrap();
+    assert_eq!(
+        previous_version::value(&key, chunk.value(formats::LATEST)),
+        None
+    );
+    let compact = chunk.value(formats::LATEST)["z"].to_string();
+    assert_eq!(compact, r#""=1 +1 1:0:d1.7 2:0!0""#);
+    // Kept as written, should the way of writing change.
+    let text = r#"{"i":0,"z":"=1 +1 1:0:d1.7 2:0!0","m":"n-00023","a":41,"s":"s2.88","x":["preempted"],"o":"hub","u":{"c":2000,"g":0,"r":3200},"f":["n-000230"],"n":1,"p":1700000001000}"#;
+    let read = Record::read(&key, serde_json::from_str(text).unwrap());
+    assert_eq!(read, Some(chunk));
+    let format = Key::Format("a node".into());
+    assert_eq!(Key::parse(&format.path()), Some(format.clone()));
+    let record = Record::Format(FormatRecord { version: 2 });
+    assert_eq!(Record::read(&format, record.value(2)), Some(record));
+}
+
+#[test]
+fn a_compact_chunk_reads_back_whatever_it_holds() {
+    use rand::SeedableRng;
+    let mut rng = rand::rngs::SmallRng::seed_from_u64(1);
+    let names = ["n-000231", "n-000232", "n-1", "", "a b:c*2!~", "=3", "é"];
+    for _ in 0..2_000 {
+        let mut pair = |most: u64| {
+            let some = rng.gen_bool(0.5);
+            some.then(|| (rng.gen_range(0..most), rng.gen_range(0..u64::MAX)))
+        };
+        let (reply_start, direct_start) = (pair(3), pair(u64::MAX));
+        let tasks = (0..rng.gen_range(0..30))
+            .map(|_| match rng.gen_range(0..4) {
+                0 => TaskState::Pending,
+                1 => TaskState::Done,
+                n => TaskState::Assigned(Assignment {
+                    machine: names[rng.gen_range(0..names.len())].into(),
+                    attempt: [5, 5, 77, u64::MAX][rng.gen_range(0..4)],
+                    reply_start: reply_start.filter(|_| n == 2),
+                    direct_start,
+                    stop: rng.gen_bool(0.2).then(|| "preempted".to_string()),
+                }),
+            })
+            .collect();
+        let chunk = Record::Chunk(ChunkRecord {
+            first: 100,
+            tasks,
+            team: "blue \"1\"".into(),
+            ..ChunkRecord::default()
+        });
+        let key = Key::Chunk("j-1".into(), 1);
+        let value = chunk.value(formats::LATEST);
+        assert_eq!(Record::read(&key, value.clone()), Some(chunk), "{value}");
+    }
+    let key = Key::Chunk("j-1".into(), 0);
+    for z in [
+        "x",
+        "=",
+        "=-1",
+        "+999999999",
+        "a:b:c",
+        "a:1!0",
+        "a:1*x",
+        "é",
+    ] {
+        let value = serde_json::json!({"z": z});
+        assert_eq!(Record::read(&key, value), None, "{z}");
+    }
+}
+
+#[test]
+fn every_kind_of_record_at_its_greatest_fits_into_2_kib() {
+    let most = 2 * 1024;
+    let fits = |what: &str, record: Record| {
+        let bytes = formats::stored_bytes(&record, formats::LATEST);
+        assert!(bytes <= most, "{what}: {bytes} bytes");
+    };
+    let long = |n: usize| "x".repeat(n);
+    let spec = JobSpec {
+        class: long(200),
+        team: long(200),
+        image: long(200),
+        dependencies: (0..36).map(|i| format!("j-{i:018}")).collect(),
+        ..job("j-123456789012345678", 100_000)
+    };
+    let job = |spec| JobRecord {
+        phase: JobPhase::Open,
+        tasks: 100_000,
+        chunk: 100,
+        at: START_TIME_MS,
+        ended: 0,
+        spec: Some(Box::new(spec)),
+    };
+    fits("a job with the longest names", Record::Job(job(spec)));
+    let mut usual = dependent_job("j-000001", 100, &[]);
+    usual.dependencies = (0..130).map(|i| format!("j-{i:06}")).collect();
+    fits("a job that awaits 130 others", Record::Job(job(usual)));
+    let mut machine = MachineRecord::new(
+        &long(200),
+        &long(200),
+        true,
+        MachinePhase::Up,
+        START_TIME_MS,
+    );
+    machine.address = long(100);
+    machine.faults = vec!["j-123456789012345678".into(); FAULTS_KEPT];
+    fits("a machine", Record::Machine(machine));
+    let instances = (0..PROVISION_MAX_INSTANCES).map(|i| format!("n-{:06}", 999_000 + i));
+    let instance_request = InstanceRequestRecord {
+        type_name: long(200),
+        zone: long(200),
+        spot: true,
+        count: PROVISION_MAX_INSTANCES,
+        controller: long(60),
+        at: START_TIME_MS,
+        instances: Some(instances.collect()),
+    };
+    fits("a rental", Record::InstanceRequest(instance_request));
+    let zones = (0..60).map(|i| (format!("zone-{i:04}"), 100_000));
+    let zones = ZoneSpreadRecord {
+        zones: zones.collect(),
+    };
+    fits("places in 60 zones", Record::ZoneSpread(zones));
+    let refused: BTreeMap<_, _> = (0..40)
+        .map(|i| {
+            (
+                offer_key(&format!("type-{i:04}"), "capital", true),
+                START_TIME_MS,
+            )
+        })
+        .collect();
+    fits(
+        "the fleet",
+        Record::Provisioning(ProvisioningRecord { next: 9, refused }),
+    );
+    let tasks = |n: u32| {
+        let assignment = |i: u32| Assignment {
+            machine: format!("n-{:06}", 1_000 + i * 37),
+            attempt: 100_000 + i as u64 * 531,
+            reply_start: Some((1 + i as u64 % 3, 1_000 + i as u64)),
+            direct_start: None,
+            stop: Some("preempted".into()),
+        };
+        let assigned = (0..n).map(|i| TaskState::Assigned(assignment(i)));
+        assigned.collect::<Vec<_>>()
+    };
+    let chunk = |n: u32| ChunkRecord {
+        tasks: tasks(n),
+        team: "franquicias".into(),
+        failed_on: vec!["n-000231".into(); FAULTY_MACHINES],
+        pause_until: START_TIME_MS,
+        ..ChunkRecord::default()
+    };
+    let n = formats::chunk_tasks(formats::LATEST, most as u64);
+    assert!(n > 80, "{n} tasks of a new job");
+    fits(
+        "a chunk, all booked and to be stopped",
+        Record::Chunk(chunk(n)),
+    );
+}
+
+#[test]
+fn a_chunk_is_never_claimed_beyond_what_can_still_be_written() {
+    // Names that have nothing in common take the most room.
+    let limit = 2 * 1024;
+    for format in [formats::OLDEST, formats::LATEST] {
+        let mut chunk = ChunkRecord {
+            tasks: vec![TaskState::Pending; 100],
+            team: "blue".into(),
+            ..ChunkRecord::default()
+        };
+        let mut assigned = 0;
+        for i in 0..100usize {
+            let machine = format!("{}{}", (b'a' + (i % 26) as u8) as char, "y".repeat(i % 30));
+            if !formats::takes_one_more(&chunk, &machine, format, limit) {
+                break;
+            }
+            chunk.tasks[i] = TaskState::Assigned(Assignment {
+                machine,
+                attempt: 1_000_000 - i as u64 * 7_919,
+                reply_start: None,
+                direct_start: Some((1, 1)),
+                stop: None,
+            });
+            assigned += 1;
+        }
+        // Then each is armed anew, and is to be stopped.
+        for task in &mut chunk.tasks {
+            if let TaskState::Assigned(b) = task {
+                (b.reply_start, b.direct_start) = (Some((2, 1_234)), None);
+                b.stop = Some("preempted".into());
+            }
+        }
+        let bytes = formats::stored_bytes(&Record::Chunk(chunk), format) as u64;
+        assert!(
+            bytes <= limit,
+            "format {format}: {assigned} make {bytes} bytes"
+        );
+        assert!(assigned > 15, "format {format}: {assigned}");
+    }
+}
--- /dev/null
+++ b/crates/core/tests/scenarios/worker_failures.rs
@@ -0,0 +1,218 @@
+//! Workers and machines that fail: death, expired leases, partitions, termination notices, failing tasks.
+
+use crate::common::{is_done, started, without_scale_in};
+use glenmount_core::controller::UserReply;
+use glenmount_core::state::JobPhase;
+use glenmount_simulation::{job, service, Simulation};
+
+#[test]
+fn a_worker_whose_lease_lapsed_gets_its_work_anew() {
+    let mut sim = started(7, 2, 1);
+    sim.submit(0, service("j-1", 1));
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
+    let name = sim.machine_of("j-1").unwrap();
+    // The limit for silence lies below the lease: keep the cloud away to see the incarnation.
+    sim.cloud.is_down = true;
+    sim.workers.get_mut(&name).unwrap().disconnected = true;
+    sim.run(14_000);
+    assert_eq!(sim.workers[&name].incarnation, 2);
+    assert_eq!(sim.running("j-1"), 0);
+    sim.workers.get_mut(&name).unwrap().disconnected = false;
+    sim.cloud.is_down = false;
+    sim.run_until(60_000, "runs again", |sim| sim.running("j-1") == 1);
+    sim.check_records();
+}
+
+#[test]
+fn a_dead_machine_is_deleted_and_its_service_moves() {
+    let mut sim = started(8, 3, 3);
+    sim.submit(0, service("j-1", 1));
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
+    let name = sim.machine_of("j-1").unwrap();
+    sim.kill_machine(&name);
+    sim.run_until(25_000, "runs elsewhere", |sim| sim.running("j-1") == 1);
+    assert!(sim.cloud.deleted.contains(&name), "deletion is the proof");
+    sim.check_records();
+}
+
+#[test]
+fn a_dead_machine_is_noticed_before_a_worker_could_have_moved() {
+    let mut sim = started(24, 1, 5);
+    sim.submit(0, service("j-1", 1));
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
+    let name = sim.machine_of("j-1").unwrap();
+    sim.kill_machine(&name);
+    sim.run_until(6_000, "runs elsewhere", |sim| sim.running("j-1") == 1);
+}
+
+#[test]
+fn a_machine_that_dies_with_the_node_it_reported_to_is_found_before_its_lease_ends() {
+    let mut sim = started(30, 3, 6);
+    sim.settings.idle_return_ms = 600_000;
+    for worker in sim.workers.values_mut() {
+        worker.controller = 0;
+    }
+    sim.submit(1, service("j-1", 1));
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
+    sim.run(2_000);
+    let name = sim.machine_of("j-1").unwrap();
+    sim.kill_machine(&name);
+    sim.crash(0, 60_000);
+    sim.run_until(11_500, "runs elsewhere", |sim| sim.running("j-1") == 1);
+}
+
+#[test]
+fn a_machine_that_dies_while_all_nodes_are_away_is_found() {
+    // None of them has heard of it since, so none knows its incarnation.
+    let mut sim = without_scale_in(24, 3, 2);
+    sim.submit(0, job("j-1", 1));
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
+    let machine = sim.machine_of("j-1").unwrap();
+    for n in 0..3 {
+        sim.crash(n, 4_000);
+    }
+    sim.kill_machine(&machine);
+    sim.run_until(60_000, "done elsewhere", |sim| is_done(sim, "j-1"));
+    assert!(sim.cloud.deleted.contains(&machine));
+    sim.check_records();
+}
+
+#[test]
+fn a_machine_behind_a_cut_runs_nothing_twice() {
+    // The worker goes on behind the cut; only its deletion frees the task.
+    let mut sim = started(9, 3, 3);
+    sim.submit(0, service("j-1", 2));
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 2);
+    let name = sim.machine_of("j-1").unwrap();
+    sim.workers.get_mut(&name).unwrap().disconnected = true;
+    sim.run(40_000);
+    assert_eq!(sim.running("j-1"), 2);
+    sim.check_records();
+}
+
+#[test]
+fn a_machine_that_fails_everything_is_found_and_spared() {
+    let mut sim = started(19, 2, 3);
+    let sick = "n-000000".to_string();
+    sim.workers.get_mut(&sick).unwrap().fails_tasks = true;
+    for i in 0..4 {
+        sim.submit(0, job(&format!("j-{i}"), 3));
+    }
+    sim.run_until(90_000, "all done", |sim| {
+        (0..4).all(|i| is_done(sim, &format!("j-{i}")))
+    });
+    sim.run_until(60_000, "deleted", |sim| {
+        sim.cloud.deleted.contains("n-000000")
+    });
+}
+
+#[test]
+fn a_faulty_job_backs_off_and_does_not_ruin_machines() {
+    let mut sim = started(20, 2, 4);
+    sim.cloud.capacity = 0;
+    for worker in sim.workers.values_mut() {
+        worker.fails_tasks = true;
+    }
+    sim.submit(0, job("j-1", 1));
+    sim.run(60_000);
+    assert!(sim.metrics.starts < 25, "{} starts", sim.metrics.starts);
+    for worker in sim.workers.values_mut() {
+        worker.fails_tasks = false;
+    }
+    sim.submit(0, job("j-2", 1));
+    sim.run_until(60_000, "others run", |sim| is_done(sim, "j-2"));
+}
+
+#[test]
+fn under_notice_a_task_that_can_save_goes_on_elsewhere() {
+    let mut sim = started(32, 2, 2);
+    sim.workload.run_ms = 20_000;
+    let mut spec = job("j-1", 1);
+    (spec.checkpoint_interval_s, spec.checkpoint_duration_s) = (5.0, 1.0);
+    sim.submit(0, spec);
+    sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
+    let name = sim.machine_of("j-1").unwrap();
+    sim.workers.get_mut(&name).unwrap().termination_notice_s = Some(20.0);
+    sim.run_until(8_000, "runs elsewhere", |sim| {
+        sim.running("j-1") == 1 && sim.machine_of("j-1").as_ref() != Some(&name)
+    });
+    sim.run_until(60_000, "done", |sim| is_done(sim, "j-1"));
+}
+
+#[test]
+fn a_machine_under_notice_gets_nothing_new() {
+    let mut sim = started(21, 2, 2);
+    sim.workers
+        .get_mut("n-000000")
+        .unwrap()
+        .termination_notice_s = Some(20.0);
+    sim.run(4_000);
+    sim.submit(0, job("j-1", 2));
+    sim.run_until(20_000, "done", |sim| is_done(sim, "j-1"));
+    assert!(sim
+        .workers
+        .get("n-000000")
+        .is_none_or(|worker| worker.tasks.is_empty()));
+}
+
+/// Jobs started twice on machines with many tasks: of two starts that a lapsed lease had ended, one
+/// was sent again in the answer to a heartbeat, under the same attempt, while the proof that it was
+/// gone still waited to be recorded; then the task was given to another machine as well.
+#[test]
+fn what_ended_with_its_lease_is_not_started_again_as_the_same_attempt() {
+    for seed in 0..6 {
+        let mut sim = Simulation::new(80 + seed, 3, 60);
+        sim.settings.idle_return_ms = 3_600_000;
+        sim.run(5_000);
+        for i in 0..30 {
+            sim.submit(i % 3, service(&format!("j-{i}"), 4));
+            sim.run(200);
+        }
+        let up = |sim: &Simulation| (0..30).all(|i| sim.running(&format!("j-{i}")) == 4);
+        sim.run_until(40_000, "up", up);
+        // Few changes a second: proofs wait long.
+        sim.settings.write_rps = 4.0;
+        for n in 0..3 {
+            sim.crash(n, 13_000);
+        }
+        sim.run(13_000);
+        sim.run_until(90_000, "up again", up);
+    }
+}
+
+/// Jobs submitted with a mistake fail everywhere until they are cancelled. They must not make
+/// healthy machines look sick, nor take the room of others; nor must a job be taken for one that
+/// only met sick machines.
+#[test]
+fn jobs_with_a_mistake_ruin_no_machines_and_starve_nobody() {
+    let mut sim = without_scale_in(69, 3, 8);
+    sim.cloud.capacity = 0;
+    for id in ["j-1", "j-2", "j-3"] {
+        sim.workload.failing_jobs.insert(id.into());
+        sim.submit(0, job(id, 6));
+        sim.run(1_500);
+    }
+    sim.run(40_000);
+    let (starts, rented) = (sim.metrics.starts, sim.cloud.provisioned);
+    sim.run(40_000);
+    assert!(
+        sim.metrics.starts < starts + 20,
+        "{} more",
+        sim.metrics.starts - starts
+    );
+    assert_eq!(sim.cloud.provisioned, rented, "nothing is rented for them");
+    assert!(sim.cloud.deleted.is_empty(), "{:?}", sim.cloud.deleted);
+    sim.submit(1, job("j-4", 12));
+    sim.run_until(20_000, "others run", |sim| is_done(sim, "j-4"));
+    for id in ["j-1", "j-2", "j-3"] {
+        assert_eq!(sim.job_phase(id), Some(JobPhase::Open));
+        let r = sim.cancel(2, id);
+        assert!(matches!(sim.await_answer(r), UserReply::Cancelled { .. }));
+    }
+    for name in ["n-000000", "n-000001", "n-000002"] {
+        sim.workers.get_mut(name).unwrap().fails_tasks = true;
+    }
+    sim.submit(0, job("j-5", 16));
+    sim.run_until(60_000, "done", |sim| is_done(sim, "j-5"));
+    sim.check_records();
+}
--- a/crates/core/tests/lost_zones.rs
+++ b/crates/core/tests/scenarios/zone_evacuation.rs
@@ -1,9 +1,8 @@
-//! Short scenarios of zones that are lost and come back: what is left there, what goes elsewhere, and in
-//! which order. The world checks every rule at each step.
+//! Zones that are lost and return: what stays there, what moves elsewhere, and in which order.
 
-use glenmount_core::model::*;
-use glenmount_core::state::JobPhase;
-use glenmount_simulation::*;
+use crate::common::is_done;
+use glenmount_core::model::JobSpec;
+use glenmount_simulation::{job, service, Simulation};
 
 fn fleet(seed: u64, machines: usize, controllers_in: &[&str]) -> Simulation {
     let mut sim = Simulation::new(seed, 3, 0);
@@ -21,10 +20,6 @@
     sim
 }
 
-fn done(sim: &Simulation, id: &str) -> bool {
-    sim.job_phase(id) == Some(JobPhase::Done)
-}
-
 fn in_zone(sim: &Simulation, job: &str, zone: &str) -> usize {
     let there = sim.workers.values().filter(|m| m.zone == zone);
     there
@@ -42,6 +37,19 @@
     sim.run_until(20_000, "full", |sim| sim.running("j-90") == tasks as usize);
 }
 
+fn even(seed: u64, machines: usize) -> Simulation {
+    let mut sim = fleet(seed, 0, &["east"]);
+    sim.settings.tuning.even_spread = true;
+    for n in 0..3 {
+        sim.crash(n, 100);
+    }
+    for i in 0..machines {
+        sim.boot_machine("small", ["east", "west"][i % 2], false, 200 + i as u64 * 13);
+    }
+    sim.run(9_000);
+    sim
+}
+
 /// A service whose first start was on its way into the cut used to wait for its end: up to 307 s.
 #[test]
 fn starts_that_never_arrived_go_elsewhere_within_seconds() {
@@ -91,7 +99,7 @@
     assert!(behind > 5);
     let asked = sim.now_ms;
     sim.partition_zone("west", &[1]);
-    sim.run_until(115_000, "done in time", |sim| done(sim, "j-2"));
+    sim.run_until(115_000, "done in time", |sim| is_done(sim, "j-2"));
     assert!(sim.now_ms < asked + 115_000);
     assert_eq!(sim.running("j-1"), 12, "what serves inside goes on");
     let ended = sim.cloud.deleted.len();
@@ -118,7 +126,7 @@
     assert!(sim.cloud.deleted.is_empty(), "{:?}", sim.cloud.deleted);
     sim.heal_zone();
     // The results from inside count: nothing ran twice.
-    sim.run_until(10_000, "done", |sim| done(sim, "j-2"));
+    sim.run_until(10_000, "done", |sim| is_done(sim, "j-2"));
     assert_eq!(sim.metrics.starts, 24 + 12);
     sim.check_records();
 }
@@ -232,7 +240,7 @@
     }
     sim.run(20_000);
     assert_eq!(sim.running("j-1"), 20);
-    assert!((0..3).all(|r| (0..4).all(|i| done(&sim, &format!("j-{r}{i}")))));
+    assert!((0..3).all(|r| (0..4).all(|i| is_done(&sim, &format!("j-{r}{i}")))));
     assert!(sim.cloud.deleted.len() <= 6, "{:?}", sim.cloud.deleted);
     sim.check_records();
 }
@@ -258,7 +266,7 @@
         sim.run(40_000);
         sim.heal_zone();
         sim.run_until(40_000, "all is there", |sim| {
-            sim.running("j-1") == 20 && done(sim, "j-2")
+            sim.running("j-1") == 20 && is_done(sim, "j-2")
         });
         sim.run(10_000);
         sim.check_records();
@@ -282,23 +290,12 @@
     sim.await_answer(r);
     sim.run(20_000);
     sim.heal_zone();
-    sim.run_until(120_000, "done", |sim| done(sim, "j-1") && done(sim, "j-3"));
+    sim.run_until(120_000, "done", |sim| {
+        is_done(sim, "j-1") && is_done(sim, "j-3")
+    });
     sim.check_records();
 }
 
-fn even(seed: u64, machines: usize) -> Simulation {
-    let mut sim = fleet(seed, 0, &["east"]);
-    sim.settings.tuning.even_spread = true;
-    for n in 0..3 {
-        sim.crash(n, 100);
-    }
-    for i in 0..machines {
-        sim.boot_machine("small", ["east", "west"][i % 2], false, 200 + i as u64 * 13);
-    }
-    sim.run(9_000);
-    sim
-}
-
 /// After a zone was lost its services all run in the other: they go back a few at a time, and none is ever
 /// short of more than one task.
 #[test]
--- a/crates/core/tests/zones.rs
+++ b/crates/core/tests/scenarios/zone_partitions.rs
@@ -1,14 +1,14 @@
-//! Short scenarios of zones that are cut off from everything, with a controller inside.
+//! Zones that are cut off from everything else, with a controller inside or without.
 
 use glenmount_core::constants::CONFIRMED_CANCELLATION_TERM;
-use glenmount_core::controller::*;
-use glenmount_core::model::*;
-use glenmount_core::state::*;
-use glenmount_simulation::*;
+use glenmount_core::controller::UserReply;
+use glenmount_core::model::{JobSpec, JobState};
+use glenmount_core::state::{JobPhase, Key, Record};
+use glenmount_simulation::{dependent_job, job, service, Simulation, Worker};
 
 /// No machine is returned for having nothing to do, none is provisioned, and leases are long enough to find
 /// another controller.
-fn long_leases(sim: &mut Simulation) {
+fn configure_fleet(sim: &mut Simulation) {
     sim.settings.idle_return_ms = 3_600_000;
     sim.settings.report_ms = 5_000;
     sim.settings.lease_ms = 26_500;
@@ -19,7 +19,7 @@
 /// Machines in both zones.
 fn fleet(seed: u64, machines: usize) -> Simulation {
     let mut sim = Simulation::new(seed, 3, machines);
-    long_leases(&mut sim);
+    configure_fleet(&mut sim);
     sim.run(9_000);
     sim
 }
@@ -31,6 +31,10 @@
     }
 }
 
+fn up(sim: &Simulation, id: &str, tasks: usize) -> bool {
+    sim.running(id) == tasks
+}
+
 /// rutazona-central-fleet's zone day: 440 of some 600 machines of a zone that was cut off were deleted
 /// in the first 14 s, since at first less than a third of all were overdue.
 #[test]
@@ -114,10 +118,6 @@
     sim.check_records();
 }
 
-fn up(sim: &Simulation, id: &str, tasks: usize) -> bool {
-    sim.running(id) == tasks
-}
-
 /// The controller inside used to stop renewing after `cancel_s - lease_s - 5 s`, since a job might have been
 /// cancelled outside, so everything in the zone died though nothing was wrong with it.
 #[test]
@@ -265,7 +265,7 @@
 fn cancellations_told_by_the_old_version_are_in_time_behind_a_cut() {
     for delay in [0, 100, 900, 1_800, 2_600, 3_300, 4_200, 6_000, 9_000] {
         let mut sim = Simulation::previous_version(760 + delay, 3, 24);
-        long_leases(&mut sim);
+        configure_fleet(&mut sim);
         sim.run(9_000);
         for i in 0..6 {
             sim.submit(0, scattered(&format!("j-{i}"), 2));
@@ -318,7 +318,7 @@
 #[test]
 fn a_node_that_restarts_inside_a_cut_during_an_upgrade_renews_nothing() {
     let mut sim = Simulation::previous_version(781, 3, 24);
-    long_leases(&mut sim);
+    configure_fleet(&mut sim);
     sim.run(9_000);
     sim.submit(0, scattered("j-1", 8));
     sim.run_until(20_000, "up", |sim| up(sim, "j-1", 8));
@@ -376,7 +376,7 @@
     for zones in [2, 1] {
         let mut sim = Simulation::new(790, 3, 12);
         sim.settings.zones.truncate(zones);
-        long_leases(&mut sim);
+        configure_fleet(&mut sim);
         if zones == 1 {
             for worker in sim.workers.values_mut() {
                 worker.zone = "east".into();
@@ -406,7 +406,7 @@
 fn workers_that_find_no_other_node_are_kept() {
     let mut sim = Simulation::new(791, 3, 12);
     sim.settings.zones.truncate(1);
-    long_leases(&mut sim);
+    configure_fleet(&mut sim);
     for worker in sim.workers.values_mut() {
         worker.zone = "east".into();
     }
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -1,7 +1,7 @@
 //! What a controller does by the number of machines. A measurement, run by hand:
 //! `cargo test --release -p glenmount-core --test sizes -- --ignored --nocapture`
 
-use glenmount_simulation::*;
+use glenmount_simulation::{job, service, Simulation};
 
 #[test]
 #[ignore = "a measurement of minutes"]
