--- a/crates/core/tests/allocations.rs
+++ b/crates/core/tests/allocations.rs
@@ -14,7 +14,7 @@
 const BYTES: f64 = 900.0;
 
 #[test]
-fn a_check_in_without_news_allocates_little() {
+fn a_heartbeat_without_news_allocates_little() {
     let mut sim = Simulation::new(1, 1, 40);
     sim.settings.idle_return_ms = 3_600_000;
     sim.run(6_000);
--- a/crates/core/tests/scenarios/cancellations.rs
+++ b/crates/core/tests/scenarios/cancellations.rs
@@ -7,7 +7,7 @@
 use glenmount_simulation::service;
 
 #[test]
-fn a_cancellation_reaches_a_start_that_is_in_flight() {
+fn a_cancellation_reaches_a_start_in_flight() {
     for delay in [0, 3, 8, 15, 30, 60, 150, 700] {
         let mut sim = started(10, 3, 2);
         let r = sim.submit(0, service("j-1", 3));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_cancelled_task_ends_in_time_though_its_node_is_cut_from_state() {
+fn a_cancelled_task_stops_in_time_although_its_controller_lost_the_state_service() {
     // With peers reachable, workers are handed over; alone, the controller stops renewing.
     for alone in [false, true] {
         let mut sim = started(11, 3, 2);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_report_from_before_the_start_is_no_proof_that_it_never_arrived() {
+fn a_heartbeat_from_before_the_start_does_not_prove_that_it_never_arrived() {
     let mut sim = started(22, 2, 1);
     let mut spec = service("j-1", 1);
     spec.team = "blue".into();
--- a/crates/core/tests/scenarios/cancellations_under_faults.rs
+++ b/crates/core/tests/scenarios/cancellations_under_faults.rs
@@ -36,7 +36,7 @@
 /// then it is down for all for longer than `cancel_s`, while workers go on reporting to the first.
 /// The world checks at every step that nothing of what was told to be cancelled is left in time.
 #[test]
-fn refused_alone_then_down_for_all() {
+fn cancellations_hold_when_one_controller_is_refused_before_an_outage() {
     let (mut told, mut least) = (0, u64::MAX);
     let refused_before = [10, 1_000, 4_000, 30_000];
     let cases = (0..60).map(|i| (i % 2 == 0, i / 2 % 2 == 0, i / 4 % 3, ALSO[i / 12 % 5], i));
@@ -129,7 +129,7 @@
 /// It is no solution to confirm hardly anything: with one controller refused, and the machines reachable,
 /// cancellations are told as soon as without that.
 #[test]
-fn cancellations_are_told_as_soon_while_one_node_is_refused() {
+fn cancellations_are_confirmed_as_fast_while_one_controller_is_refused() {
     for linked in [true, false] {
         let mut waits = [Vec::new(), Vec::new()];
         for (refused, waits) in waits.iter_mut().enumerate() {
@@ -164,7 +164,7 @@
 /// and cancel what nobody submitted while the state service is down. All get an answer at once or are
 /// told when to come back, others are served meanwhile, and nothing is invented.
 #[test]
-fn floods_of_cancellations_hold_up_nobody() {
+fn a_flood_of_cancellations_blocks_no_other_request() {
     let mut sim = Simulation::new(180, 3, 6);
     sim.run(9_000);
     sim.workload.run_ms = 600_000;
@@ -230,7 +230,7 @@
 /// Cancelled tasks on machines that hang and go on, inside their lease and after it, with starts and halts that
 /// were on their way meanwhile: nothing of them is left when it is told, nor starts after.
 #[test]
-fn cancelled_tasks_on_machines_that_hang_and_go_on() {
+fn cancelled_tasks_on_stalled_workers_do_not_run_on() {
     for seed in 0..12_u64 {
         let mut sim = Simulation::new(3_600 + seed, 3, 8);
         if seed % 2 == 0 {
@@ -273,7 +273,7 @@
 /// Jobs are cancelled in the seconds in which one controller's work changes hands: at every 50 ms from before its
 /// end to after its return, as it leaves in good order, ends, or is away for a moment.
 #[test]
-fn jobs_are_cancelled_while_work_changes_hands() {
+fn jobs_are_cancelled_during_a_handoff() {
     let mut slowest = 0;
     for way in 0..4 {
         let mut sim = Simulation::new(2_300 + way, 3, 20);
--- a/crates/core/tests/scenarios/configuration_changes.rs
+++ b/crates/core/tests/scenarios/configuration_changes.rs
@@ -28,8 +28,7 @@
 }
 
 #[test]
-fn nothing_on_record_is_as_the_settings_file_has_it_and_a_first_change_is_in_force_within_a_second()
-{
+fn the_settings_file_applies_until_a_first_change_is_in_force_within_a_second() {
     let mut sim = fixed_fleet(1, 3, 8);
     assert!(!sim.state.records.contains_key(&Key::Configuration));
     assert!(
@@ -54,7 +53,7 @@
 
 /// What is above a limit that was lowered goes: the lowest rank and the youngest first, services last.
 #[test]
-fn a_lowered_limit_stops_the_least_important_until_the_rest_fits() {
+fn a_lowered_limit_evicts_the_lowest_priority_until_the_rest_fits() {
     let mut sim = fixed_fleet(2, 3, 8);
     fill_blue(&mut sim);
     let settings = sim.with_limit("blue", 8.0);
@@ -78,7 +77,7 @@
 
 /// With every team at its limit controllers end one after another while limits change.
 #[test]
-fn changes_while_teams_are_at_their_limits_and_nodes_end() {
+fn limits_change_while_teams_are_at_them_and_controllers_fail() {
     for seed in 0..4 {
         let mut sim = fixed_fleet(20 + seed, 3, 8);
         fill_blue(&mut sim);
@@ -101,7 +100,7 @@
 
 /// The answer is lost and the operator sends it again; a copy comes late, after another change.
 #[test]
-fn a_change_that_is_repeated_or_late_takes_effect_once() {
+fn a_repeated_or_late_change_takes_effect_once() {
     let mut sim = fixed_fleet(3, 3, 6);
     let settings = sim.with_limit("blue", 6.0);
     let transaction = sim.draft_configuration(&settings).unwrap();
@@ -121,7 +120,7 @@
 }
 
 #[test]
-fn of_two_operators_at_once_one_wins() {
+fn one_of_two_concurrent_operators_wins() {
     let mut sim = fixed_fleet(4, 3, 6);
     let (first, second) = (sim.with_limit("blue", 6.0), sim.with_limit("blue", 8.0));
     let first = sim.draft_configuration(&first).unwrap();
@@ -137,7 +136,7 @@
 
 /// Cut off from the state service alone, or refused, it comes back after three changes.
 #[test]
-fn a_node_that_was_cut_off_claims_nothing_by_an_older_limit() {
+fn a_partitioned_controller_claims_nothing_by_a_stale_limit() {
     for seed in 0..4 {
         let mut sim = fixed_fleet(30 + seed, 3, 8);
         sim.workload.run_ms = 3_600_000;
@@ -162,7 +161,7 @@
 
 /// The records are read anew, page by page, while changes go on.
 #[test]
-fn a_reload_in_the_middle_of_changes_ends_with_the_latest() {
+fn a_relist_during_changes_ends_with_the_latest() {
     for seed in 0..6 {
         let mut sim = fixed_fleet(40 + seed, 3, 8);
         sim.state.page_size = 2;
@@ -183,7 +182,7 @@
 }
 
 #[test]
-fn the_state_service_is_down_between_two_changes() {
+fn changes_before_and_after_a_state_service_outage_take_effect() {
     let mut sim = fixed_fleet(5, 3, 8);
     fill_blue(&mut sim);
     let settings = sim.with_limit("blue", 8.0);
@@ -203,7 +202,7 @@
 
 /// The world holds each claim against the limit in force at its commit.
 #[test]
-fn a_change_between_a_claims_draft_and_its_commit_refuses_the_claim() {
+fn a_change_between_draft_and_commit_of_a_claim_rejects_the_claim() {
     for seed in 0..8 {
         let mut sim = fixed_fleet(50 + seed, 3, 8);
         sim.workload.run_ms = 3_600_000;
@@ -229,7 +228,7 @@
 }
 
 #[test]
-fn a_limit_lowered_raised_and_lowered_within_a_second() {
+fn a_limit_can_be_lowered_raised_and_lowered_within_a_second() {
     let mut sim = fixed_fleet(6, 3, 8);
     fill_blue(&mut sim);
     for cpus in [6.0, 12.0, 4.0] {
@@ -246,7 +245,7 @@
 }
 
 #[test]
-fn a_team_is_added_used_and_removed() {
+fn a_team_can_be_added_used_and_removed() {
     let mut sim = fixed_fleet(7, 3, 8);
     let spec = |id: &str| JobSpec {
         team: "green".into(),
@@ -285,7 +284,7 @@
 
 /// Three seconds behind, a controller neither claims nor accepts by what it knows.
 #[test]
-fn a_watch_that_lags_by_seconds_decides_nothing_old() {
+fn a_watch_that_lags_by_seconds_decides_nothing_stale() {
     let mut sim = fixed_fleet(8, 3, 8);
     fill_blue(&mut sim);
     for n in 0..3 {
@@ -304,8 +303,8 @@
 
 /// Random changes among random faults: the world checks the rules, and each claim against the limit in force.
 #[test]
-fn random_changes_among_mishaps_break_no_rule() {
-    let more = std::env::var("MEETINGS").ok().and_then(|n| n.parse().ok());
+fn random_changes_under_message_faults_break_no_invariant() {
+    let more = std::env::var("SEEDS").ok().and_then(|n| n.parse().ok());
     for seed in 0..more.unwrap_or(12_u64) {
         eprintln!("seed {seed}");
         let mut sim = Simulation::new(8_000 + seed, 3, 8);
--- a/crates/core/tests/scenarios/configuration_records.rs
+++ b/crates/core/tests/scenarios/configuration_records.rs
@@ -20,7 +20,7 @@
 /// A page is gone, or of no form that is known: nothing is claimed and submissions are told to come back,
 /// until there is a configuration that can be read.
 #[test]
-fn what_can_not_be_read_stops_claims_and_refuses_nobody_for_good() {
+fn an_unreadable_configuration_stops_claims_and_rejects_no_job() {
     for damage in 0..3 {
         let mut sim = fixed_fleet(60 + damage, 3, 8);
         let settings = sim.with_limit("blue", 8.0);
@@ -70,7 +70,7 @@
 
 /// Until every controller reads configurations none can be put on record, whoever comes back old meanwhile.
 #[test]
-fn an_older_version_that_serves_keeps_configurations_off_the_records() {
+fn configurations_are_not_recorded_while_an_older_version_runs() {
     let mut sim = Simulation::previous_version(70, 3, 6);
     sim.run(5_000);
     let settings = sim.with_limit("blue", 6.0);
@@ -99,7 +99,7 @@
 /// A process of an older version that is started after all others are new knows the limits of its file only.
 /// It can't read what claims of a limited team have written since, so its own for that team conflict.
 #[test]
-fn an_older_version_does_not_read_what_new_claims_write() {
+fn an_older_version_cannot_read_records_of_new_claims() {
     let record = Record::Team(TeamRecord {
         cpus: 4_000,
         gpus: 0,
@@ -118,7 +118,7 @@
 
 /// 350 and 700 teams: the pages fit into small values, one transaction holds them, and they read back.
 #[test]
-fn a_change_of_any_size_is_one_transaction_or_refused() {
+fn a_change_of_any_size_is_one_transaction_or_rejected() {
     let settings = |teams: usize| PolicySettings {
         idle_return_s: Some(60.0),
         teams: (0..teams)
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn what_is_absurd_is_refused_by_the_field() {
+fn invalid_settings_are_rejected_by_field() {
     let check = |change: fn(&mut PolicySettings)| {
         let mut settings = PolicySettings {
             teams: vec![team_settings("a", 4.0), team_settings("b", 0.0)],
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_limit_below_what_was_accepted_is_refused_and_so_is_going_back_to_it() {
+fn a_limit_below_accepted_jobs_is_rejected_also_as_a_rollback() {
     let mut sim = fixed_fleet(9, 3, 8);
     let first = sim.with_limit("blue", 4.0);
     sim.configure(&first).unwrap();
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn versions_kept_are_bounded_and_their_pages_named_when_they_go() {
+fn kept_versions_are_bounded_and_their_pages_are_deleted() {
     let settings = PolicySettings {
         teams: vec![team_settings("a", 4.0)],
         ..PolicySettings::default()
@@ -242,7 +242,7 @@
 
 /// Values that are truncated, foreign or huge are no records; nothing panics on them.
 #[test]
-fn damaged_records_are_passed_over() {
+fn damaged_records_are_skipped() {
     let record = Record::Configuration(ConfigurationVersionRecord {
         form: 1,
         version: 7,
--- a/crates/core/tests/scenarios/controller_failures.rs
+++ b/crates/core/tests/scenarios/controller_failures.rs
@@ -9,7 +9,7 @@
 use glenmount_simulation::{job, service, use_long_leases, Simulation};
 
 #[test]
-fn a_claimant_that_crashes_leaves_its_booking_to_the_others() {
+fn assignments_of_a_crashed_controller_are_completed_by_its_peers() {
     for delay in [3, 8, 12, 20, 40, 200, 900] {
         let mut sim = started(6, 3, 2);
         let r = sim.submit(0, job("j-1", 2));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_node_that_restarts_makes_no_machine_seem_silent() {
+fn a_restarted_controller_takes_no_machine_for_silent() {
     // Its first heartbeat has heard of nothing. Peers must remember what it said before.
     for seed in 0..6 {
         let mut sim = started(600 + seed, 3, 6);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_node_cut_from_the_workers_deletes_none_of_them() {
+fn a_controller_cut_off_from_workers_deletes_no_machine() {
     // All machines fall silent to it at once and none can be asked: it is the controller that is
     // cut off. They turn to its peers.
     let mut sim = started(25, 3, 6);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn siblings_that_cant_be_reached_cost_no_machine() {
+fn unreachable_peers_cost_no_machine() {
     // Each controller hears a third of the machines and nothing of the others. It asks these, and
     // they answer. Found when 600 healthy machines were deleted within 30 s as silent.
     let mut sim = started(28, 3, 9);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_node_that_starts_while_the_cloud_is_down_takes_jobs() {
+fn a_controller_that_starts_during_a_cloud_outage_accepts_jobs() {
     let mut sim = started(30, 2, 2);
     sim.cloud.is_down = true;
     sim.crash(0, 1_000);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_node_that_starts_hears_from_siblings_where_images_are() {
+fn a_started_controller_learns_cached_images_from_its_peers() {
     let mut sim = started(31, 2, 2);
     sim.submit(1, job("j-1", 2));
     sim.run_until(20_000, "done", |sim| is_done(sim, "j-1"));
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn all_nodes_restart_and_nothing_is_lost() {
+fn a_restart_of_all_controllers_loses_nothing() {
     let mut sim = started(15, 3, 3);
     sim.submit(0, service("j-1", 2));
     sim.submit(1, job("j-2", 4));
@@ -150,7 +150,7 @@
 /// A controller that is paused wakes with heartbeats, answers and heartbeats from before in its queues. It
 /// must neither delete machines that reported elsewhere meanwhile nor act on its old view.
 #[test]
-fn a_node_that_stood_still_acts_on_nothing_it_held() {
+fn a_paused_controller_acts_on_no_stale_input() {
     for ms in [5_000, 20_000, 70_000] {
         let mut sim = without_scale_in(62, 3, 6);
         sim.cloud.capacity = 0;
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn all_nodes_stand_still_and_nothing_is_lost() {
+fn a_pause_of_all_controllers_loses_nothing() {
     let mut sim = without_scale_in(63, 3, 6);
     sim.cloud.capacity = 0;
     sim.submit(0, service("j-1", 3));
@@ -222,7 +222,7 @@
 /// While a controller is paused its peers carry on with all of it: workers, claims assigned and
 /// never commanded, the state service's changes.
 #[test]
-fn siblings_carry_on_the_claims_of_a_node_that_stands_still() {
+fn peers_complete_the_claims_of_a_paused_controller() {
     for after in [14, 18, 22, 26, 30] {
         let mut sim = started(64, 3, 4);
         sim.submit(0, service("j-1", 2));
@@ -238,7 +238,7 @@
 /// One-way or not, a controller that workers do not reach claims nothing once it has noticed, deletes
 /// nothing, and sends users elsewhere; it serves again when that is over.
 #[test]
-fn a_node_that_workers_do_not_reach_leaves_the_work_to_its_siblings() {
+fn a_controller_that_workers_cannot_reach_leaves_work_to_its_peers() {
     for mute in [false, true] {
         let mut sim = without_scale_in(65, 3, 6);
         sim.cloud.capacity = 0;
@@ -261,7 +261,7 @@
 
 /// After a cut or a freeze all workers sit at the controllers they turned to.
 #[test]
-fn workers_are_shared_out_again_after_a_node_was_away() {
+fn workers_are_rebalanced_after_a_controller_was_away() {
     let mut sim = without_scale_in(66, 3, 60);
     sim.pause(0, 12_000);
     sim.run(14_000);
@@ -281,7 +281,7 @@
 /// balancer to send users elsewhere, and its workers find the others, where what is cancelled ends and
 /// what is done is known. Both while it is cut off and after.
 #[test]
-fn a_node_cut_off_alone_keeps_neither_users_nor_workers() {
+fn an_isolated_controller_keeps_neither_users_nor_workers() {
     for long in [false, true] {
         let mut sim = Simulation::new(80, 3, 9);
         if long {
--- a/crates/core/tests/scenarios/dependencies.rs
+++ b/crates/core/tests/scenarios/dependencies.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_diamond_is_done_in_order() {
+fn a_diamond_of_jobs_completes_in_order() {
     let mut sim = started(1, 3, 4);
     diamond(&mut sim);
     assert_eq!(state(&mut sim, 1, "j-4"), JobState::Pending);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn the_end_of_a_job_of_several_chunks_starts_what_awaits_it() {
+fn completion_of_a_chunked_job_starts_its_dependents() {
     // On a single controller nothing else causes a scheduling pass then: the next stage would wait for the poll.
     for seed in 0..5 {
         let mut sim = Simulation::new(30 + seed, 1, 4);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_job_just_accepted_elsewhere_may_be_named() {
+fn a_job_just_accepted_by_another_controller_can_be_a_dependency() {
     // The other controller has not heard of it when it is asked: it must find out, not refuse.
     for seed in 0..10 {
         let mut sim = started(20 + seed, 2, 2);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn what_may_be_named_and_what_not() {
+fn unknown_unending_and_own_dependencies_are_rejected() {
     let mut sim = started(2, 2, 2);
     accept(&mut sim, 0, job("j-1", 1));
     sim.run_until(20_000, "done", |sim| has_phase(sim, "j-1", JobPhase::Done));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_job_that_names_a_cancelled_one_is_accepted_and_cancelled() {
+fn a_job_that_depends_on_a_cancelled_one_is_accepted_and_cancelled() {
     let mut sim = started(3, 3, 2);
     accept(&mut sim, 0, job("j-1", 1));
     let request = sim.cancel(0, "j-1");
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_cancellation_half_way_takes_what_needs_it_though_its_node_dies() {
+fn a_cancellation_cascades_although_its_controller_dies() {
     for seed in 0..8 {
         let mut sim = started(40 + seed, 3, 3);
         accept(&mut sim, 0, job("j-1", 1));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_cancellation_that_meets_the_last_result_is_one_or_the_other() {
+fn a_cancellation_concurrent_with_the_last_result_is_atomic() {
     let (mut done, mut cancelled) = (0, 0);
     for ms in (4_800..5_100).step_by(5) {
         let mut sim = started(60, 2, 2);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_job_that_waits_holds_nothing_of_its_teams_limit() {
+fn a_waiting_job_uses_no_quota() {
     let mut sim = started(4, 2, 6);
     sim.workload.run_ms = 8_000;
     let blue = |spec: JobSpec| JobSpec {
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn late_and_lost_answers_of_the_state_service_break_no_pipeline() {
+fn late_and_lost_transactions_break_no_dependency() {
     for seed in 0..12 {
         let mut sim = started(80 + seed, 3, 4);
         sim.network.faults.transaction_answer_lost = 0.2;
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_wide_tree_is_cancelled_with_few_changes_after_an_outage() {
+fn a_wide_tree_is_cancelled_with_few_writes_after_an_outage() {
     let mut sim = started(5, 3, 2);
     sim.workload.run_ms = 3_600_000;
     accept(&mut sim, 0, job("j-1", 1));
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn earlier_stages_count_as_urgent_as_the_last() {
+fn earlier_stages_inherit_the_priority_of_the_last() {
     // One machine; the pipeline's first job is of low rank and came last.
     let mut sim = started(6, 1, 1);
     sim.cloud.capacity = 0;
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn rank_and_deadline_are_passed_upstream_by_every_way() {
+fn priority_and_deadline_are_inherited_along_every_path() {
     let last = JobSpec {
         priority: JobPriority::High,
         deadline_s: Some(100.0),
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn records_in_a_circle_are_not_served_and_do_no_harm() {
+fn cyclic_records_are_not_scheduled_and_do_no_harm() {
     // Users can't make one; were it on record all the same, nothing may go round for ever.
     let mut cache = copy_of(&[
         (dependent_job("j-1", 1, &["j-3"]), 0),
--- a/crates/core/tests/scenarios/failover.rs
+++ b/crates/core/tests/scenarios/failover.rs
@@ -67,7 +67,7 @@
 
 /// Silence used to be all that told it: 2.5 s, in which its duties and its share were nobody's.
 #[test]
-fn the_end_of_a_node_is_known_at_once_and_its_duties_go_on() {
+fn the_end_of_a_controller_is_detected_at_once_and_its_duties_move() {
     let mut sim = fleet(1, 3, 60);
     busy(&mut sim);
     assert_eq!(duties(&sim), 1);
@@ -87,7 +87,7 @@
 
 /// What a claimant did not get to send used to wait for two reports and a raised token: some 15 s.
 #[test]
-fn starts_that_a_lost_node_claimed_and_did_not_send_are_carried_on() {
+fn unsent_starts_of_a_failed_controller_are_completed() {
     let mut late = 0;
     for seed in 0..8 {
         let mut sim = fleet(20 + seed, 3, 30);
@@ -106,7 +106,7 @@
 
 /// The controller that takes over ends as well, at every distance from the first.
 #[test]
-fn two_of_three_end_one_after_the_other() {
+fn two_of_three_controllers_fail_in_succession() {
     for (seed, gap) in [30, 100, 300, 1_000, 3_000, 7_000, 12_000, 30_000]
         .iter()
         .enumerate()
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_node_that_takes_over_stands_still_or_loses_the_state_service() {
+fn the_successor_is_paused_or_loses_the_state_service() {
     for trouble in 0..3 {
         let mut sim = fleet(60 + trouble, 3, 30);
         busy(&mut sim);
@@ -144,7 +144,7 @@
 
 /// One controller carries the whole fleet for a minute.
 #[test]
-fn all_end_and_one_comes_back_long_before_the_others() {
+fn one_controller_returns_long_before_its_peers() {
     let mut sim = fleet(70, 3, 60);
     busy(&mut sim);
     sim.crash(0, 65_000);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_roll_during_an_outage_and_one_during_a_takeover() {
+fn rolling_restarts_survive_an_outage_and_a_failover() {
     for outage in [true, false] {
         let mut sim = fleet(80, 3, 30);
         busy(&mut sim);
@@ -191,7 +191,7 @@
 
 /// Two members that are named by the settings start late, and go again.
 #[test]
-fn members_join_and_leave() {
+fn controllers_join_and_leave() {
     let mut sim = large(90, 5, 40);
     sim.run(200);
     sim.crash(3, 40_000);
@@ -211,7 +211,7 @@
 
 /// Clocks off by all that they may be, and heartbeats held for as long as they count.
 #[test]
-fn clocks_off_by_their_bound_change_nothing() {
+fn clocks_off_by_the_allowed_skew_change_nothing() {
     let mut sim = fleet(100, 3, 30);
     let off = sim.settings.clock_off_ms;
     sim.clock_ahead_ms = vec![0, 2 * off, off];
@@ -230,7 +230,7 @@
 /// Links are cut in one place: both sides suspect the other, the third hears both. Nothing is lost, and
 /// no more than two do the duties.
 #[test]
-fn two_nodes_that_suspect_each_other_do_no_harm() {
+fn two_controllers_that_suspect_each_other_do_no_harm() {
     let mut sim = fleet(110, 3, 30);
     busy(&mut sim);
     sim.controllers[0].cut_from_peers = true;
@@ -256,7 +256,7 @@
 /// A controller that is asked to end hands over its workers and answers what it holds: nobody waits for an
 /// answer that never comes, and no worker for its next controller.
 #[test]
-fn a_node_that_is_asked_to_end_leaves_nothing_behind() {
+fn a_graceful_shutdown_leaves_nothing_behind() {
     let mut sim = fleet(120, 3, 45);
     busy(&mut sim);
     let there: Vec<String> = (sim.workers.values())
@@ -291,7 +291,7 @@
 
 /// Heartbeats of strangers, of earlier lives, from the future, repeated and far too large.
 #[test]
-fn bad_beats_change_nothing() {
+fn invalid_peer_heartbeats_change_nothing() {
     let mut sim = fleet(130, 3, 30);
     busy(&mut sim);
     let now = START_TIME_MS + sim.now_ms;
--- a/crates/core/tests/scenarios/failover_under_load.rs
+++ b/crates/core/tests/scenarios/failover_under_load.rs
@@ -9,7 +9,7 @@
 /// Jobs of two or three tasks that end far apart, while controllers hand over and back, all end, and one of
 /// them is back within a second.
 #[test]
-fn tasks_that_end_far_apart_across_changes_of_nodes() {
+fn results_survive_controller_changes_between_tasks_of_a_job() {
     for seed in 0..4 {
         let mut sim = Simulation::new(120 + seed, 3, 6);
         sim.run(9_000);
@@ -45,7 +45,7 @@
 /// Jobs bound to one zone, arrays too, lose machines there, with and without room left in the zone, and with
 /// new machines to be had there only.
 #[test]
-fn jobs_bound_to_one_zone_lose_machines() {
+fn jobs_bound_to_a_zone_survive_the_loss_of_machines() {
     for seed in 0..9_u64 {
         let mut sim = Simulation::new(3_300 + seed, 3, 16);
         if seed % 2 == 0 {
@@ -101,7 +101,7 @@
 /// All controllers are away for longer than a lease: what ran has ended, and is run once more; nothing that was
 /// accepted is forgotten, nothing that was cancelled runs.
 #[test]
-fn all_nodes_are_away_for_longer_than_a_lease() {
+fn work_recovers_after_all_controllers_were_down_longer_than_a_lease() {
     for seed in 0..6_u64 {
         let mut sim = Simulation::new(3_400 + seed, 3, 12);
         if seed % 2 == 0 {
@@ -138,7 +138,7 @@
 /// Controllers end ten times in two minutes, one after another, also inside an outage, while jobs of two or three
 /// tasks end far apart and some are called off.
 #[test]
-fn nodes_end_ten_times_in_two_minutes() {
+fn work_completes_while_controllers_fail_ten_times_in_two_minutes() {
     for seed in 0..5_u64 {
         let mut sim = Simulation::new(3_500 + seed, 3, 12);
         if seed % 2 == 0 {
--- a/crates/core/tests/scenarios/message_faults.rs
+++ b/crates/core/tests/scenarios/message_faults.rs
@@ -7,7 +7,7 @@
 use glenmount_simulation::{job, service, use_long_leases, FaultRates, Simulation};
 
 #[test]
-fn a_lost_start_is_sent_again_only_after_the_next_check_in() {
+fn a_lost_start_is_resent_only_after_the_next_heartbeat() {
     let mut lost = 0;
     for seed in 0..40 {
         let mut sim = started(70 + seed, 2, 1);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_direct_start_that_comes_minutes_late_starts_nothing() {
+fn a_start_command_that_arrives_minutes_late_is_fenced() {
     // The command is given up and arrives up to a minute later, when the task has run
     // elsewhere or again, or was cancelled: a raised token makes the worker refuse it.
     for seed in 0..8 {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_claimant_that_crashes_before_its_command_delays_the_task_only() {
+fn lost_start_commands_only_delay_the_tasks() {
     let mut sim = started(23, 3, 2);
     sim.network.faults.command_lost = 1.0;
     sim.submit(0, job("j-1", 2));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn late_repeated_and_lost_check_ins_break_nothing() {
+fn late_duplicated_and_lost_heartbeats_break_no_invariant() {
     for seed in 0..6 {
         let mut sim = started(100 + seed, 3, 4);
         sim.network.faults = FaultRates {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn transactions_that_apply_late_or_unanswered_break_nothing() {
+fn late_and_unanswered_transactions_break_no_invariant() {
     for seed in 0..6 {
         let mut sim = started(200 + seed, 3, 4);
         sim.network.faults.transaction_answer_lost = 0.15;
@@ -96,7 +96,7 @@
 /// inc-619c: a heartbeat that should have carried more starts than a transaction has changes
 /// carried none, so a guest's array of tiny tasks never ended.
 #[test]
-fn a_machine_that_missed_many_starts_gets_them_with_its_check_ins() {
+fn many_lost_starts_are_resent_in_answers_to_heartbeats() {
     let mut sim = started(61, 2, 1);
     sim.cloud.capacity = 0;
     let mut spec = job("j-1", 40);
@@ -110,7 +110,7 @@
 /// that made it arrives. Taken up then, it stood in the cache for good: every later transaction
 /// that rested on it was lost.
 #[test]
-fn an_answer_that_the_watch_has_overtaken_changes_nothing() {
+fn an_answer_overtaken_by_the_watch_changes_nothing() {
     for seed in 0..4 {
         let mut sim = started(70 + seed, 3, 6);
         sim.workload.run_ms = 300;
@@ -131,7 +131,7 @@
 /// A third of the transactions get no answer and are carried out seconds later, after newer ones:
 /// what can be sent anew is, so users and work wait for a part of a second rather than for these.
 #[test]
-fn transactions_without_an_answer_hold_up_nobody() {
+fn unanswered_transactions_block_no_other_work() {
     let (mut slow, mut asked, mut took) = (0, 0, 0);
     for seed in 0..4 {
         let mut sim = Simulation::new(90 + seed, 3, 12);
@@ -165,7 +165,7 @@
 /// Copies of old reports: of a machine that has died none is a sign of life, and none takes the place
 /// of a heartbeat that waits for its answer.
 #[test]
-fn copies_of_reports_are_no_signs_of_life() {
+fn duplicated_heartbeats_are_no_signs_of_life() {
     for seed in 0..4 {
         let mut sim = Simulation::new(100 + seed, 3, 6);
         sim.run(9_000);
@@ -193,7 +193,7 @@
 /// controllers that have just started and remember none: nothing is taken for running that is not, nothing
 /// that runs is stopped, and all is done once.
 #[test]
-fn reports_of_earlier_sessions_and_attempts_come_again() {
+fn heartbeats_of_earlier_incarnations_and_attempts_are_ignored() {
     for seed in 0..6 {
         let mut sim = Simulation::new(140 + seed, 3, 4);
         sim.run(9_000);
@@ -241,7 +241,7 @@
 /// Commands and their answers are held up for seconds, for machines that stand still meanwhile and go
 /// on: what comes then was barred, or is what was meant.
 #[test]
-fn commands_held_up_for_seconds_reach_machines_that_go_on() {
+fn delayed_commands_to_stalled_workers_are_fenced() {
     for seed in 0..6 {
         let mut sim = Simulation::new(160 + seed, 3, 5);
         sim.run(9_000);
@@ -273,7 +273,7 @@
 /// A transaction is carried out at once and only its answer is lost, while other controllers read what it wrote:
 /// what waits for it goes on within the time that users allow.
 #[test]
-fn what_waits_for_a_lost_answer_goes_on() {
+fn work_that_waits_for_a_lost_answer_continues() {
     let (mut accepted, mut started, mut told, mut known) = (vec![], vec![], vec![], vec![]);
     for seed in 0..6 {
         let mut sim = Simulation::new(2_100 + seed, 3, 16);
@@ -329,7 +329,7 @@
 /// An old report reaches every controller just as a new one begins. Of a machine that has died since it is no sign
 /// of life for long, of one that lives it ends and starts nothing.
 #[test]
-fn an_old_report_reaches_every_node_as_one_begins() {
+fn stale_heartbeats_at_a_controller_start_are_harmless() {
     for seed in 0..8_u64 {
         let mut sim = Simulation::new(2_500 + seed, 3, 12);
         if seed % 2 == 0 {
--- a/crates/core/tests/scenarios/one_way_partitions.rs
+++ b/crates/core/tests/scenarios/one_way_partitions.rs
@@ -8,7 +8,7 @@
 /// images: what is placed there does not start. Others have room, so all is up soon after the leases
 /// have ended, and nothing waits for the deaf ones.
 #[test]
-fn what_ran_on_machines_that_hear_nothing_is_soon_up_elsewhere() {
+fn tasks_of_workers_without_inbound_messages_restart_elsewhere() {
     let mut worst = 0;
     for seed in 0..6 {
         let mut sim = Simulation::new(60 + seed, 3, 12);
@@ -52,7 +52,7 @@
 /// The controller that all machines report to ends while half of them can't be reached, or do not hear the
 /// next one's answer, for less than their leases allow: nothing that runs there ends, or runs twice.
 #[test]
-fn a_node_ends_while_machines_with_long_tasks_hear_nothing() {
+fn a_controller_fails_while_workers_with_long_tasks_receive_nothing() {
     for (seed, deaf) in (0..6).flat_map(|seed| [(seed, true), (seed, false)]) {
         let mut sim = Simulation::new(150 + seed, 3, 8);
         use_long_leases(&mut sim);
@@ -89,7 +89,7 @@
 /// Machines whose reports reach nobody answer direct commands all the same. They get no work that their
 /// lease would end; what they serve is up elsewhere before that, and what they run is known to be over.
 #[test]
-fn services_leave_machines_whose_reports_reach_nobody() {
+fn services_move_off_workers_whose_heartbeats_are_lost() {
     let mut worst = 0;
     for seed in 0..6_u64 {
         let mut sim = Simulation::new(3_000 + seed, 3, 16);
@@ -136,7 +136,7 @@
 /// A whole part of the fleet, or all of it, reaches nobody for longer than a lease: what is provisioned meanwhile
 /// stays within what the lost work needs, and all is served after.
 #[test]
-fn mute_fleets_lead_to_no_renting_without_bound() {
+fn lost_heartbeats_of_a_fleet_lead_to_bounded_provisioning() {
     for (seed, share) in (0..6_u64).flat_map(|seed| [(seed, 2), (seed, 1)]) {
         let mut sim = Simulation::new(3_100 + seed, 3, 24);
         use_long_leases(&mut sim);
@@ -172,7 +172,7 @@
 /// Jobs on machines whose reports reach nobody are called off: halts reach these, and their answers show what has
 /// ended, so users are told as soon as anywhere.
 #[test]
-fn cancellations_of_what_runs_on_mute_machines_are_told_as_soon() {
+fn cancellations_on_workers_with_lost_heartbeats_are_confirmed_as_fast() {
     let mut waits = Vec::new();
     for seed in 0..4_u64 {
         let mut sim = Simulation::new(4_100 + seed, 3, 12);
--- a/crates/core/tests/scenarios/placement.rs
+++ b/crates/core/tests/scenarios/placement.rs
@@ -5,7 +5,7 @@
 use glenmount_simulation::{job, service};
 
 #[test]
-fn two_nodes_that_claim_the_same_work_start_it_once() {
+fn controllers_that_claim_the_same_task_start_it_once() {
     for seed in 0..10 {
         let mut sim = started(seed, 3, 4);
         for i in 0..6 {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn scattered_and_joined_jobs_keep_to_their_zones() {
+fn topology_spread_and_zone_affinity_are_respected() {
     for seed in 0..6 {
         let mut sim = started(400 + seed, 3, 6);
         sim.cloud.capacity = 0;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_long_job_is_cut_into_chunks_that_appear_when_needed() {
+fn a_large_array_is_stored_in_chunks_created_on_demand() {
     let mut sim = started(13, 2, 4);
     sim.workload.run_ms = 100;
     sim.settings.idle_return_ms = 600_000;
@@ -65,7 +65,7 @@
 /// Room that is free, but where its image would be fetched for seconds, used to be taken at once,
 /// though a batch's task on a machine with the image could be stopped in half of one.
 #[test]
-fn a_service_starts_where_its_image_is_though_a_batch_must_leave() {
+fn a_service_preempts_a_batch_to_start_where_its_image_is_cached() {
     let mut sim = without_scale_in(90, 1, 4);
     sim.cloud.capacity = 0;
     sim.workload.run_ms = 120_000;
--- a/crates/core/tests/scenarios/priorities.rs
+++ b/crates/core/tests/scenarios/priorities.rs
@@ -6,7 +6,7 @@
 use glenmount_simulation::{job, service, Simulation};
 
 #[test]
-fn work_of_lower_rank_is_stopped_when_that_starts_what_waits() {
+fn tasks_of_lower_priority_are_preempted_for_pending_ones() {
     let mut sim = started(29, 3, 3);
     sim.cloud.capacity = 0;
     sim.workload.run_ms = 60_000;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_can_still_meet_its_goal_goes_before_what_is_late_anyway() {
+fn jobs_that_can_still_meet_their_objective_precede_late_ones() {
     let mut sim = started(31, 1, 1);
     sim.cloud.capacity = 0;
     sim.workload.run_ms = 20_000;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_batch_leaves_room_for_the_next_service() {
+fn a_batch_leaves_capacity_for_the_next_service() {
     let mut sim = started(26, 3, 10);
     sim.cloud.capacity = 0;
     sim.workload.run_ms = 40_000;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn urgent_work_does_not_wait_for_the_room_that_is_kept_for_services() {
+fn urgent_jobs_do_not_wait_for_capacity_reserved_for_services() {
     // What is free is kept back, and used to count as room that it could have: nothing was stopped
     // for it, and it waited for two minutes.
     let mut sim = started(26, 3, 10);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_small_site_keeps_nothing_back() {
+fn a_small_site_reserves_no_capacity() {
     let mut sim = started(27, 1, 1);
     sim.cloud.capacity = 0;
     sim.submit(0, service("j-1", 1));
@@ -104,7 +104,7 @@
 /// Work that had waited for two minutes took the room that stops had made for urgent work, which had more
 /// stopped, and so on: docs/incidents/stops-for-nothing.md.
 #[test]
-fn urgent_work_is_not_stopped_for_by_what_it_made_room_for() {
+fn capacity_freed_by_preemption_is_not_taken_by_other_jobs() {
     let mut sim = without_scale_in(1_400, 3, 24);
     sim.cloud.capacity = 0;
     sim.workload.run_ms = 20_000;
@@ -133,7 +133,7 @@
 /// Jobs that can be in time keep coming, more than there is room for; one that has no goal still gets
 /// its turn.
 #[test]
-fn nothing_is_put_off_for_ever() {
+fn no_job_is_deferred_forever() {
     let mut sim = without_scale_in(1_410, 3, 4);
     sim.cloud.capacity = 0;
     sim.workload.run_ms = 10_000;
@@ -167,7 +167,7 @@
 /// A class asks for far more than there is, for minutes. Its small jobs go first, as most are in time
 /// then; but its largest begin as well, within four minutes.
 #[test]
-fn the_largest_jobs_begin_though_there_is_never_room_for_all() {
+fn the_largest_jobs_begin_under_permanent_overload() {
     for seed in 0..3 {
         let mut sim = Simulation::new(130 + seed, 3, 6);
         sim.run(9_000);
--- a/crates/core/tests/scenarios/provisioning.rs
+++ b/crates/core/tests/scenarios/provisioning.rs
@@ -4,7 +4,7 @@
 use glenmount_simulation::{job, service, use_long_leases, FaultRates, Simulation};
 
 #[test]
-fn nothing_to_run_on_leads_to_one_rental_that_three_nodes_agree_on() {
+fn controllers_agree_on_one_instance_request() {
     let mut sim = started(16, 3, 0);
     sim.submit(0, job("j-1", 2));
     sim.submit(1, job("j-2", 2));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_rental_without_an_answer_is_asked_again_by_the_same_name() {
+fn an_unanswered_instance_request_is_retried_by_the_same_name() {
     let mut sim = started(17, 3, 0);
     sim.network.faults.cloud_answer_lost = 1.0;
     sim.submit(0, job("j-1", 2));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_node_that_rented_crashes_and_another_takes_the_machine_up() {
+fn machines_provisioned_by_a_crashed_controller_are_adopted() {
     let mut sim = started(18, 3, 0);
     let r = sim.submit(0, job("j-1", 2));
     sim.await_answer(r);
@@ -46,7 +46,7 @@
 
 /// A provisioned machine that does not come up in time is not waited for, and given up later on.
 #[test]
-fn work_does_not_wait_for_a_boot_that_never_ends() {
+fn tasks_do_not_wait_for_a_machine_that_never_boots() {
     let mut sim = started(72, 3, 0);
     sim.cloud.stuck_boots = 1;
     sim.submit(0, job("j-1", 2));
@@ -64,7 +64,7 @@
 /// New machines are up within two seconds and get work at once while writes lag, and the controller that most
 /// report to ends: each is used or returned, nothing runs twice, and what is provisioned stays near what is asked.
 #[test]
-fn new_machines_are_up_within_two_seconds_while_writes_lag() {
+fn machines_that_boot_within_two_seconds_are_used_while_writes_are_late() {
     for seed in 0..8_u64 {
         let mut sim = Simulation::new(2_400 + seed, 3, 2);
         if seed % 2 == 0 {
--- a/crates/core/tests/scenarios/quick_restarts.rs
+++ b/crates/core/tests/scenarios/quick_restarts.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn one_two_or_all_are_back_at_once() {
+fn one_two_or_all_controllers_restart_at_once() {
     for (seed, back) in BACK.into_iter().enumerate() {
         for who in [&[1][..], &[0, 2], &[0, 1, 2]] {
             let mut sim = busy(200 + seed as u64);
@@ -95,7 +95,7 @@
 
 /// What counts lives must not mix them up, nor wait longer each time.
 #[test]
-fn the_same_one_ends_ten_times() {
+fn one_controller_restarts_ten_times() {
     for (seed, back) in BACK.into_iter().enumerate() {
         let mut sim = busy(220 + seed as u64);
         for end in 0..10 {
@@ -108,7 +108,7 @@
 
 /// The controller that takes over ends as well, and both are back before the failover is done.
 #[test]
-fn in_the_middle_of_a_takeover_and_of_a_reading() {
+fn a_controller_restarts_during_a_failover_and_a_relist() {
     for (seed, back) in BACK.into_iter().enumerate() {
         for gap in [5, 30, 120, 600] {
             let mut sim = busy(240 + seed as u64);
@@ -126,7 +126,7 @@
 
 /// A worker that is sent to a controller finds it gone, or in its next life.
 #[test]
-fn while_workers_are_handed_over() {
+fn a_controller_restarts_during_a_handoff_of_workers() {
     for (seed, back) in BACK.into_iter().enumerate() {
         let mut sim = busy(260 + seed as u64);
         sim.crash(2, 9_000);
@@ -143,7 +143,7 @@
 /// What the old life asked for is carried out in the new one's time, or was and is not known to have
 /// been: claims, results and cancellations under way at the end.
 #[test]
-fn transactions_and_commands_of_the_old_life_come_late() {
+fn messages_of_an_earlier_incarnation_arrive_late() {
     for (seed, back) in BACK.into_iter().enumerate() {
         let mut sim = busy(280 + seed as u64);
         sim.network.faults.transaction_answer_lost = 0.3;
@@ -181,7 +181,7 @@
 /// A machine's own process is back as a newer incarnation: its tasks are gone, which that proves; they
 /// are started anew, and nothing of the machine's silence is held against it.
 #[test]
-fn a_machine_is_back_as_a_newer_session() {
+fn a_worker_restarts_with_a_newer_incarnation() {
     for (seed, back) in BACK.into_iter().enumerate() {
         let mut sim = busy(300 + seed as u64);
         for round in 0..3 {
--- a/crates/core/tests/scenarios/quotas.rs
+++ b/crates/core/tests/scenarios/quotas.rs
@@ -24,7 +24,7 @@
 /// A guest fills the site with work beyond its guarantee; a team within its own does not wait for
 /// it, nor is more of it stopped than that takes, nor does a guest stop anybody's.
 #[test]
-fn a_team_within_its_guarantee_gets_back_what_others_borrow() {
+fn a_team_within_its_guaranteed_share_reclaims_borrowed_capacity() {
     let mut sim = without_scale_in(67, 3, 4);
     sim.cloud.capacity = 0;
     sim.workload.run_ms = 40_000;
@@ -59,7 +59,7 @@
 /// with work that is not urgent. What is stopped for it gives it room; the urgent work does not take that again,
 /// to be stopped once more, and so on.
 #[test]
-fn what_is_stopped_for_a_guarantee_does_not_take_the_room_again() {
+fn tasks_preempted_for_a_guaranteed_share_do_not_retake_the_capacity() {
     for seed in 0..6_u64 {
         let mut sim = Simulation::new(3_900 + seed, 3, 4);
         sim.run(9_000);
@@ -93,7 +93,7 @@
 /// change. The world holds what runs against the limit at each start; once all is over nothing waits beside
 /// room for longer than a round of reports and a few seconds.
 #[test]
-fn teams_at_their_limit_while_machines_of_cancelled_jobs_hang() {
+fn quota_of_cancelled_jobs_on_stalled_workers_is_released_in_time() {
     for seed in 0..8_u64 {
         let mut sim = Simulation::new(2_200 + seed, 3, 14);
         if seed % 2 == 0 {
--- a/crates/core/tests/scenarios/random_faults.rs
+++ b/crates/core/tests/scenarios/random_faults.rs
@@ -9,13 +9,13 @@
 
 /// Seeds of random meetings, each some minutes long.
 fn seeds() -> u64 {
-    let more = std::env::var("MEETINGS").ok();
+    let more = std::env::var("SEEDS").ok();
     more.and_then(|n| n.parse().ok()).unwrap_or(12)
 }
 
 /// Everything at once, by chance: the rules are checked at every step.
 #[test]
-fn random_mishaps_break_no_rule() {
+fn random_message_faults_break_no_invariant() {
     for seed in 0..20 {
         let mut sim = started(1_000 + seed, 3, 4);
         sim.cloud.capacity = 4;
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn random_meetings_break_no_rule() {
+fn random_combined_faults_break_no_invariant() {
     let from: u64 = std::env::var("FROM")
         .ok()
         .and_then(|n| n.parse().ok())
--- a/crates/core/tests/scenarios/requests.rs
+++ b/crates/core/tests/scenarios/requests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_job_runs_from_submission_to_done() {
+fn a_job_runs_from_submission_to_completion() {
     let mut sim = started(1, 3, 2);
     let r = sim.submit(0, job("j-1", 4));
     assert_eq!(
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_repeated_submission_gets_the_current_state_and_runs_once() {
+fn a_repeated_submission_is_idempotent() {
     let mut sim = started(2, 2, 2);
     let (a, b) = (sim.submit(0, job("j-1", 1)), sim.submit(1, job("j-1", 1)));
     let (a, b) = (sim.await_answer(a), sim.await_answer(b));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn what_can_never_run_is_refused_and_the_unknown_is_not_found() {
+fn infeasible_jobs_are_rejected_and_unknown_jobs_are_not_found() {
     let mut sim = started(3, 2, 1);
     let mut unknown_team = job("j-1", 1);
     unknown_team.team = "green".into();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_status_is_never_older_than_what_another_node_said() {
+fn a_status_is_never_older_than_an_answer_of_another_controller() {
     // The watch of controller 1 hangs while controller 0 accepts and cancels: controller 1 must not answer
     // from its old copy, neither 404 nor running.
     let mut sim = started(4, 2, 2);
@@ -109,7 +109,7 @@
 /// A cancellation, a question, a repeated submission at every few milliseconds around the end of a job's last
 /// task, with no other trouble.
 #[test]
-fn requests_at_the_very_end_of_a_jobs_last_task() {
+fn requests_at_the_completion_of_the_last_task_are_consistent() {
     let (mut done, mut cancelled) = (0, 0);
     for what in 0..3 {
         let mut sim = Simulation::new(3_200 + what, 3, 24);
@@ -169,7 +169,7 @@
 /// Odd requests at every controller: repeats of unfinished jobs say their state, cancelling what is done says done,
 /// what can never run is refused and stays unknown, whatever else happens.
 #[test]
-fn odd_requests_get_the_answers_of_the_protocol() {
+fn unusual_requests_get_the_answers_of_the_protocol() {
     for seed in 0..4_u64 {
         let mut sim = Simulation::new(3_800 + seed, 3, 8);
         sim.run(9_000);
@@ -245,7 +245,7 @@
 /// job was accepted, ended or confirmed as cancelled; some cancel at once, or at the very end. The world
 /// holds each answer, at the moment it is given, against all that any controller gave before.
 #[test]
-fn no_node_answers_something_older() {
+fn no_controller_gives_an_older_answer() {
     let all = [
         Beside::Nothing,
         Beside::SlowAnswers,
--- a/crates/core/tests/scenarios/rescheduling.rs
+++ b/crates/core/tests/scenarios/rescheduling.rs
@@ -6,7 +6,7 @@
 use glenmount_simulation::{job, service, Simulation};
 
 #[test]
-fn a_dear_machine_is_emptied_and_returned_when_its_services_fit_elsewhere() {
+fn an_expensive_machine_is_drained_and_deprovisioned_when_its_services_fit_elsewhere() {
     let mut sim = started(28, 3, 0);
     sim.cloud.capacity = 0;
     for slot in 0..3 {
@@ -44,7 +44,7 @@
 /// On the large fleet services stayed spread over hundreds of machines for as long as they ran: one
 /// task moved every two seconds, whatever the size. That was a fifth of a day's cost.
 #[test]
-fn a_large_site_is_emptied_as_quickly_as_a_small_one() {
+fn a_large_fleet_is_consolidated_as_quickly_as_a_small_one() {
     let mut sim = Simulation::new(77, 2, 160);
     sim.skip_invariants = true;
     sim.settings.write_rps = 100.0;
--- a/crates/core/tests/scenarios/rolling_upgrade.rs
+++ b/crates/core/tests/scenarios/rolling_upgrade.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn work_goes_on_through_a_roll_with_crashes_back_to_old_between() {
+fn work_continues_through_an_upgrade_with_crashes_to_the_previous_version() {
     for seed in 0..6 {
         let mut sim = Simulation::previous_version(seed, 3, 6);
         sim.run(4_000);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_large_chunk_of_the_old_version_is_completed_after_the_limits_have_fallen() {
+fn a_large_chunk_of_the_previous_version_completes_under_lowered_limits() {
     for seed in 0..4 {
         let mut sim = with_a_large_chunk(seed);
         upgrade_all(&mut sim, 9_000);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn results_of_a_large_chunk_are_recorded_while_both_versions_serve() {
+fn results_of_a_large_chunk_are_recorded_while_both_versions_run() {
     let mut sim = with_a_large_chunk(9);
     sim.upgrade(0, 2_000);
     sim.run(9_000);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_large_chunk_is_cancelled_and_its_tasks_stopped_after_the_limits_have_fallen() {
+fn a_large_chunk_is_cancelled_under_lowered_limits() {
     let mut sim = with_a_large_chunk(5);
     sim.workload.run_ms = 3_600_000;
     upgrade_all(&mut sim, 9_000);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn the_last_old_node_stores_a_large_chunk_a_moment_before_it_ends() {
+fn the_last_controller_of_the_previous_version_stores_a_large_chunk_before_it_ends() {
     let mut sim = Simulation::previous_version(3, 3, 40);
     sim.settings.idle_return_ms = 3_600_000;
     sim.cloud.capacity = 0;
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_record_that_the_state_service_refuses_holds_up_no_other() {
+fn a_record_rejected_by_the_state_service_blocks_no_other() {
     // Its limits are smaller than announced: so many assignments at once don't fit.
     let mut sim = Simulation::new(7, 2, 82);
     sim.settings.idle_return_ms = 3_600_000;
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_roll_among_random_mishaps_breaks_no_rule() {
+fn an_upgrade_under_random_faults_breaks_no_invariant() {
     let mut starts = 0;
     for seed in 0..10 {
         let mut sim = Simulation::previous_version(3_000 + seed, 3, 6);
--- a/crates/core/tests/scenarios/runtime_estimates.rs
+++ b/crates/core/tests/scenarios/runtime_estimates.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn three_nodes_that_hear_the_same_ends_record_each_run_once() {
+fn controllers_that_see_the_same_completions_record_each_run_once() {
     let mut sim = learning(1, 3, 6);
     sim.run(3_000);
     // Late and doubled reports show every controller the same ends.
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_node_that_dies_before_it_records_loses_little() {
+fn a_controller_that_dies_before_it_records_loses_few_runs() {
     let mut sim = learning(3, 3, 6);
     sim.run(3_000);
     work(&mut sim, 1, 8, 4, "batch");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_state_service_that_refuses_for_minutes_costs_no_run() {
+fn a_state_service_outage_of_minutes_costs_no_run() {
     let mut sim = learning(4, 3, 6);
     sim.run(3_000);
     work(&mut sim, 1, 1, 4, "batch");
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn records_take_less_than_a_hundredth_of_the_changes() {
+fn records_take_less_than_a_hundredth_of_the_writes() {
     let mut sim = learning(5, 3, 8);
     sim.run(3_000);
     let (mut puts, mut last, begun) = (0, Vec::new(), sim.now_ms);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn smaller_values_hold_what_is_learned() {
+fn estimates_fit_into_smaller_values() {
     let mut sim = learning(6, 2, 4);
     (
         sim.settings.max_value_bytes,
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn the_least_used_classes_go_first() {
+fn the_least_recently_used_classes_are_evicted_first() {
     let mut sim = learning(7, 1, 4);
     sim.run(3_000);
     work(&mut sim, 1, 2, 2, "kept");
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_damaged_record_is_passed_over_and_written_anew() {
+fn a_damaged_record_is_skipped_and_rewritten() {
     let mut sim = learning(8, 2, 4);
     sim.run(3_000);
     work(&mut sim, 1, 3, 2, "batch");
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn saved_progress_counts_and_what_was_cut_short_is_not_short() {
+fn checkpointed_progress_counts_towards_the_run_time() {
     let mut sim = learning(9, 1, 1);
     sim.workload.class_run_ms.insert("long".into(), 20_000);
     sim.run(3_000);
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn machines_that_are_slow_do_not_spoil_a_class() {
+fn slow_machines_do_not_distort_a_class() {
     let mut sim = learning(10, 2, 4);
     sim.run(3_000);
     sim.workload.slow_machines.insert("n-000000".into());
@@ -287,7 +287,7 @@
 /// Which controller counts a run is a matter of chance: one seed alone, of which one in ten learns nothing
 /// while an old controller serves, says little.
 #[test]
-fn through_a_rolling_upgrade_old_nodes_pass_over_what_is_learned() {
+fn the_previous_version_ignores_estimates_during_a_rolling_upgrade() {
     let mut learned = 0;
     for seed in 11..19 {
         let mut sim = Simulation::previous_version(seed, 3, 6);
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn what_is_learned_may_vanish_at_any_time() {
+fn estimates_may_vanish_at_any_time() {
     for seed in 20..24 {
         let mut sim = learning(seed, 3, 6);
         sim.run(3_000);
@@ -355,7 +355,7 @@
 }
 
 #[test]
-fn work_about_to_end_is_not_stopped_for_others() {
+fn tasks_about_to_complete_are_not_preempted() {
     let mut sim = learning(12, 1, 2);
     sim.cloud.capacity = 0;
     sim.workload.class_run_ms.insert("long".into(), 20_000);
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn of_two_jobs_due_at_once_the_longer_starts_first() {
+fn the_longer_of_two_jobs_with_the_same_deadline_starts_first() {
     for order in [false, true] {
         let mut sim = learning(13, 1, 1);
         sim.settings.learned.order = order;
@@ -432,7 +432,7 @@
 }
 
 #[test]
-fn clocks_that_wander_change_no_run_time() {
+fn clock_drift_changes_no_run_time() {
     let mut sim = learning(14, 3, 6);
     sim.run(3_000);
     for round in 0..10u64 {
--- a/crates/core/tests/scenarios/safety_guards.rs
+++ b/crates/core/tests/scenarios/safety_guards.rs
@@ -8,7 +8,7 @@
 
 /// Accepted by one controller, asked about at another a moment later, before the watch has told that one.
 #[test]
-fn without_a_proof_an_accepted_job_is_not_found() {
+fn without_linearizable_reads_an_accepted_job_is_not_found() {
     let cost = assert_needed("proof", 0, |checks| {
         for seed in 0..12 {
             let mut sim = guarded(checks, 900 + seed, 3, 2);
@@ -26,7 +26,7 @@
 /// Asked about before a controller was paused; meanwhile the job was accepted elsewhere. The read that it
 /// had begun is old when its answer is taken up.
 #[test]
-fn without_the_gap_a_read_of_before_decides() {
+fn without_pause_detection_a_stale_read_decides() {
     let cost = assert_needed("gap", 0, |checks| {
         for seed in 0..6 {
             let mut sim = guarded(checks, 920 + seed, 3, 2);
@@ -46,7 +46,7 @@
 
 /// Submitted to the first controller of a site, 40 ms after its start.
 #[test]
-fn without_types_a_job_that_fits_is_refused_for_good() {
+fn without_machine_types_a_feasible_job_is_rejected() {
     let cost = assert_needed("types", 0, |checks| {
         let mut refused = 0;
         for seed in 0..6 {
@@ -62,7 +62,7 @@
 
 /// One controller of three has the new version: what it writes must be read by the others.
 #[test]
-fn without_formats_on_record_old_nodes_can_not_read_what_is_written() {
+fn without_recorded_formats_the_previous_version_cannot_read_records() {
     let cost = assert_needed("format", 0, |checks| {
         let mut sim = Simulation::previous_version(960, 3, 6);
         sim.settings.checks = *checks;
@@ -80,7 +80,7 @@
 
 /// All controllers come back at once: workers that find one should stay.
 #[test]
-fn without_waiting_for_the_view_workers_are_sent_round() {
+fn without_a_synced_peer_view_workers_are_redirected_repeatedly() {
     let cost = assert_needed("view", 2, |checks| {
         let mut sim = guarded(checks, 965, 3, 30);
         sim.run(6_000);
@@ -107,7 +107,7 @@
 /// A controller is paused for less than what counts as a gap; then a worker's report is read before the
 /// news that a peer claimed what it runs.
 #[test]
-fn without_the_fate_of_an_attempt_running_tasks_are_stopped() {
+fn without_the_outcome_of_an_attempt_running_tasks_are_stopped() {
     let cost = assert_needed("fate", 0, |checks| {
         let mut wasted = 0;
         for seed in 0..10 {
@@ -131,7 +131,7 @@
 
 /// All controllers come back: most machines have not reported yet, and are there all the same.
 #[test]
-fn without_a_round_of_reports_what_is_there_is_rented_anew() {
+fn without_a_round_of_heartbeats_existing_machines_are_provisioned_again() {
     let cost = assert_needed("round", 0, |checks| {
         let mut sim = guarded(checks, 985, 3, 40);
         sim.settings.report_ms = 5_000;
@@ -153,7 +153,7 @@
 
 /// What has been provisioned takes its time to come up.
 #[test]
-fn without_rentals_under_way_the_same_is_rented_over_and_over() {
+fn without_pending_requests_instances_are_provisioned_repeatedly() {
     let cost = assert_needed("hires", 8, |checks| {
         let mut sim = guarded(checks, 990, 3, 0);
         sim.cloud.capacity = 60;
@@ -168,7 +168,7 @@
 /// While the records are read page by page a peer claims all that a team may have, after the page of
 /// the chunks and before that of the team; what is more urgent comes next.
 #[test]
-fn without_catching_up_a_team_exceeds_its_limit() {
+fn without_catching_up_with_the_watch_a_team_exceeds_its_limit() {
     let cost = assert_needed("caught_up", 0, |checks| {
         for seed in 0..100 {
             let mut checks = *checks;
@@ -202,7 +202,7 @@
 
 /// A third of the transactions is carried out late. Those that come after do not wait for them.
 #[test]
-fn without_passing_unanswered_transactions_all_wait_for_them() {
+fn without_bypassing_unanswered_transactions_all_work_waits_for_them() {
     let cost = assert_needed("unanswered", 4, |checks| {
         let mut sim = guarded(checks, 993, 3, 12);
         sim.run(9_000);
@@ -222,7 +222,7 @@
 
 /// A class asks for more than there is all the time. Milliseconds until its largest job begins.
 #[test]
-fn without_a_part_that_begins_the_largest_job_waits_for_a_quarter_of_an_hour() {
+fn without_partial_starts_the_largest_job_waits_for_a_quarter_of_an_hour() {
     let cost = assert_needed("begins", 240_000, |checks| {
         let mut sim = guarded(checks, 994, 3, 4);
         sim.run(9_000);
@@ -254,7 +254,7 @@
 /// Claims are carried out at once and the answers of half of them are lost. Milliseconds until their tasks run, in
 /// the mean.
 #[test]
-fn without_doubt_what_a_lost_answer_claimed_waits_for_a_report() {
+fn without_refencing_doubtful_claims_wait_for_a_heartbeat() {
     let cost = assert_needed("doubt", 1_800, |checks| {
         let mut sim = guarded(checks, 996, 3, 12);
         (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
@@ -279,7 +279,7 @@
 
 /// The limit falls while a claim is on its way: without the condition it takes effect all the same.
 #[test]
-fn without_the_condition_a_claim_goes_by_an_older_limit() {
+fn without_the_configuration_condition_a_claim_uses_a_stale_limit() {
     let cost = assert_needed("configured", 0, |checks| {
         for seed in 0..12 {
             let mut sim = guarded(checks, 980 + seed, 3, 8);
@@ -301,7 +301,7 @@
 
 /// A controller that goes on by its settings file refuses a new team's jobs for good.
 #[test]
-fn without_following_a_new_team_is_unknown() {
+fn without_following_configurations_a_new_team_is_unknown() {
     let cost = assert_needed("configuration", 0, |checks| {
         let mut sim = guarded(checks, 990, 3, 6);
         sim.run(6_000);
@@ -323,7 +323,7 @@
 
 /// What ran above a limit that was lowered goes on for as long as it takes.
 #[test]
-fn without_evictions_a_lowered_limit_is_exceeded_for_good() {
+fn without_evictions_a_lowered_limit_stays_exceeded() {
     let cost = assert_needed("eviction", 1, |checks| {
         let mut sim = guarded(checks, 995, 3, 8);
         sim.cloud.capacity = 0;
--- a/crates/core/tests/scenarios/starvation.rs
+++ b/crates/core/tests/scenarios/starvation.rs
@@ -12,9 +12,9 @@
 /// for 90 s beside a machine that fits and has room while its team is under its limit: by the world's own sum
 /// of what is where.
 #[test]
-fn nothing_waits_beside_room_once_troubles_are_over() {
+fn no_job_waits_despite_capacity_after_faults() {
     let mut worst = (0, 0);
-    let seeds = std::env::var("MEETINGS").ok().and_then(|n| n.parse().ok());
+    let seeds = std::env::var("SEEDS").ok().and_then(|n| n.parse().ok());
     for seed in std::env::var("FROM")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -128,7 +128,7 @@
 /// Urgent work of the same team, and of others, asks for more than there is all the time. What is not urgent
 /// begins within four minutes all the same, and what has begun is not stopped for it again and again.
 #[test]
-fn what_urgent_work_never_leaves_room_for_begins_within_four_minutes() {
+fn jobs_crowded_out_by_urgent_work_begin_within_four_minutes() {
     for seed in 0..3_u64 {
         let mut sim = Simulation::new(4_000 + seed, 3, 5);
         sim.run(9_000);
--- a/crates/core/tests/scenarios/state_outages.rs
+++ b/crates/core/tests/scenarios/state_outages.rs
@@ -6,7 +6,7 @@
 use glenmount_simulation::{job, service, FaultRates, Simulation};
 
 #[test]
-fn a_state_outage_costs_no_lease_and_no_task() {
+fn a_state_service_outage_costs_no_lease_and_no_task() {
     let mut sim = started(14, 3, 2);
     sim.submit(0, service("j-1", 3));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 3);
@@ -32,7 +32,7 @@
 /// The state service answers slowly, refuses one controller, then is down for all for longer than `cancel_s`;
 /// meanwhile users cancel and ask. Once it is over each has an answer within 75 s.
 #[test]
-fn every_question_is_answered_once_an_outage_is_over() {
+fn every_request_is_answered_after_an_outage() {
     for seed in 0..3 {
         let mut sim = Simulation::new(110 + seed, 3, 8);
         sim.run(9_000);
--- a/crates/core/tests/scenarios/storage_formats.rs
+++ b/crates/core/tests/scenarios/storage_formats.rs
@@ -48,7 +48,7 @@
 ];
 
 #[test]
-fn what_the_old_version_stored_is_read_and_written_back_the_same() {
+fn records_of_the_previous_version_round_trip() {
     for (path, text) in SAMPLES {
         let key = Key::parse(path).unwrap();
         let value: Value = serde_json::from_str(text).unwrap();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn what_the_old_version_makes_of_new_records() {
+fn the_previous_version_drops_or_rejects_new_fields() {
     // Reasons for waiting until all are new: it drops whom a job awaits, and can't read a compact
     // chunk. A key of a kind it does not know it passes over.
     let mut spec = dependent_job("j-000414", 1, &["j-000412"]);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_compact_chunk_reads_back_whatever_it_holds() {
+fn a_compact_chunk_round_trips() {
     use rand::SeedableRng;
     let mut rng = rand::rngs::SmallRng::seed_from_u64(1);
     let names = ["n-000231", "n-000232", "n-1", "", "a b:c*2!~", "=3", "é"];
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn every_kind_of_record_at_its_greatest_fits_into_2_kib() {
+fn every_record_at_its_largest_fits_into_2_kib() {
     let most = 2 * 1024;
     let fits = |what: &str, record: Record| {
         let bytes = formats::stored_bytes(&record, formats::LATEST);
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_chunk_is_never_claimed_beyond_what_can_still_be_written() {
+fn a_chunk_is_never_claimed_beyond_what_can_be_written() {
     // Names that have nothing in common take the most room.
     let limit = 2 * 1024;
     for format in [formats::OLDEST, formats::LATEST] {
--- a/crates/core/tests/scenarios/worker_failures.rs
+++ b/crates/core/tests/scenarios/worker_failures.rs
@@ -6,7 +6,7 @@
 use glenmount_simulation::{job, service, Simulation};
 
 #[test]
-fn a_worker_whose_lease_lapsed_gets_its_work_anew() {
+fn tasks_of_an_expired_lease_are_restarted() {
     let mut sim = started(7, 2, 1);
     sim.submit(0, service("j-1", 1));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_dead_machine_is_noticed_before_a_worker_could_have_moved() {
+fn a_dead_machine_is_detected_before_a_worker_could_reconnect() {
     let mut sim = started(24, 1, 5);
     sim.submit(0, service("j-1", 1));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_machine_that_dies_with_the_node_it_reported_to_is_found_before_its_lease_ends() {
+fn a_machine_that_dies_with_its_controller_is_detected_before_its_lease_expires() {
     let mut sim = started(30, 3, 6);
     sim.settings.idle_return_ms = 600_000;
     for worker in sim.workers.values_mut() {
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_machine_that_dies_while_all_nodes_are_away_is_found() {
+fn a_machine_that_dies_while_all_controllers_are_down_is_detected() {
     // None of them has heard of it since, so none knows its incarnation.
     let mut sim = without_scale_in(24, 3, 2);
     sim.submit(0, job("j-1", 1));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_machine_behind_a_cut_runs_nothing_twice() {
+fn a_partitioned_machine_runs_no_task_twice() {
     // The worker goes on behind the cut; only its deletion frees the task.
     let mut sim = started(9, 3, 3);
     sim.submit(0, service("j-1", 2));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_machine_that_fails_everything_is_found_and_spared() {
+fn a_machine_on_which_every_task_fails_is_quarantined_and_deleted() {
     let mut sim = started(19, 2, 3);
     let sick = "n-000000".to_string();
     sim.workers.get_mut(&sick).unwrap().fails_tasks = true;
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_faulty_job_backs_off_and_does_not_ruin_machines() {
+fn a_failing_job_backs_off_and_quarantines_no_machine() {
     let mut sim = started(20, 2, 4);
     sim.cloud.capacity = 0;
     for worker in sim.workers.values_mut() {
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn under_notice_a_task_that_can_save_goes_on_elsewhere() {
+fn a_checkpointing_task_moves_on_a_termination_notice() {
     let mut sim = started(32, 2, 2);
     sim.workload.run_ms = 20_000;
     let mut spec = job("j-1", 1);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_machine_under_notice_gets_nothing_new() {
+fn a_machine_with_a_termination_notice_gets_no_new_task() {
     let mut sim = started(21, 2, 2);
     sim.workers
         .get_mut("n-000000")
@@ -159,7 +159,7 @@
 /// was sent again in the answer to a heartbeat, under the same attempt, while the proof that it was
 /// gone still waited to be recorded; then the task was given to another machine as well.
 #[test]
-fn what_ended_with_its_lease_is_not_started_again_as_the_same_attempt() {
+fn a_task_of_an_expired_lease_is_not_restarted_as_the_same_attempt() {
     for seed in 0..6 {
         let mut sim = Simulation::new(80 + seed, 3, 60);
         sim.settings.idle_return_ms = 3_600_000;
@@ -184,7 +184,7 @@
 /// healthy machines look sick, nor take the room of others; nor must a job be taken for one that
 /// only met sick machines.
 #[test]
-fn jobs_with_a_mistake_ruin_no_machines_and_starve_nobody() {
+fn failing_jobs_quarantine_no_machines_and_starve_nobody() {
     let mut sim = without_scale_in(69, 3, 8);
     sim.cloud.capacity = 0;
     for id in ["j-1", "j-2", "j-3"] {
--- a/crates/core/tests/scenarios/worker_guards.rs
+++ b/crates/core/tests/scenarios/worker_guards.rs
@@ -7,7 +7,7 @@
 
 /// Half of the machines die while all controllers are away. Which, a controller that comes back can't know.
 #[test]
-fn without_being_heard_dead_machines_get_the_work() {
+fn without_liveness_dead_machines_are_assigned_tasks() {
     let cost = assert_needed("heard", 6_000, |checks| {
         let mut sim = guarded(checks, 980, 3, 30);
         sim.settings.report_ms = 5_000;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn without_silent_zones_work_waits_behind_the_cut() {
+fn without_zone_failure_detection_work_waits_in_a_partitioned_zone() {
     let cost = assert_needed("zones", 2_500, |checks| {
         let mut sim = guarded(checks, 995, 3, 40);
         sim.settings.report_ms = 5_000;
@@ -53,7 +53,7 @@
 
 /// Each claim that goes nowhere costs its machine a raised token, and its task the time for that.
 #[test]
-fn without_own_reach_of_workers_claims_go_nowhere() {
+fn without_worker_reachability_claims_are_not_delivered() {
     let cost = assert_needed("workers", 12, |checks| {
         let mut token_offset = 0;
         for seed in 0..4 {
@@ -78,7 +78,7 @@
 /// The state service refuses a controller alone, a peer confirms a cancellation, then it is down for all; the
 /// halts were lost, and the worker reports to the refused one. Both old and new versions serve.
 #[test]
-fn without_a_bound_what_an_old_version_cancelled_runs_on() {
+fn without_a_bound_tasks_cancelled_by_the_previous_version_run_on() {
     let cost = assert_needed("bounded", 0, |checks| {
         let mut sim = Simulation::previous_version(43, 3, 4);
         sim.settings.checks = *checks;
@@ -116,7 +116,7 @@
 
 /// Copies of a dead machine's last report go on arriving.
 #[test]
-fn without_telling_copies_a_dead_machine_lives_on() {
+fn without_duplicate_detection_a_dead_machine_stays_alive() {
     let cost = assert_needed("copies", 15_000, |checks| {
         let mut sim = guarded(checks, 990, 3, 6);
         sim.run(9_000);
@@ -138,7 +138,7 @@
 
 /// Half of the machines hear nothing, and look free once their leases have ended.
 #[test]
-fn without_an_answer_machines_that_hear_nothing_get_the_work() {
+fn without_confirmed_delivery_workers_without_inbound_messages_get_tasks() {
     let cost = assert_needed("hears", 12_000, |checks| {
         let mut sim = guarded(checks, 991, 3, 12);
         (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
@@ -167,7 +167,7 @@
 
 /// Milliseconds in which a controller that is cut off alone goes on drawing users.
 #[test]
-fn without_knowing_that_it_is_alone_a_node_keeps_its_users() {
+fn without_isolation_detection_a_controller_keeps_its_users() {
     let cost = assert_needed("alone", 6_000, |checks| {
         let mut sim = guarded(checks, 992, 3, 4);
         sim.run(9_000);
@@ -191,7 +191,7 @@
 
 /// Half of the machines reach no controller for much longer than a lease, which are too many to be moved off.
 #[test]
-fn without_sessions_in_answers_what_a_lease_ended_stays_booked() {
+fn without_incarnations_in_answers_expired_tasks_stay_assigned() {
     let cost = assert_needed("session", 50_000, |checks| {
         let mut sim = guarded(checks, 997, 3, 12);
         (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
@@ -216,7 +216,7 @@
 
 /// Some machines reach no controller. Milliseconds in which a service lacks a task.
 #[test]
-fn without_moves_off_mute_machines_services_end_with_their_leases() {
+fn without_moves_off_workers_with_lost_heartbeats_services_end_with_their_leases() {
     let cost = assert_needed("mute", 3_000, |checks| {
         let mut sim = guarded(checks, 998, 3, 14);
         (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
@@ -248,7 +248,7 @@
 /// Reports of machines that died, and were deleted, reach controllers that have just started. Milliseconds until a
 /// service is up that needs most of what there is.
 #[test]
-fn without_asking_strangers_work_goes_to_machines_that_are_gone() {
+fn without_probing_unknown_machines_work_goes_to_deleted_ones() {
     let cost = assert_needed("strangers", 9_000, |checks| {
         let mut slowest = 0;
         for seed in 0..4 {
--- a/crates/core/tests/scenarios/write_budget.rs
+++ b/crates/core/tests/scenarios/write_budget.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn hundreds_of_machines_cost_few_changes_and_quiet_ones_none() {
+fn idle_heartbeats_cost_no_writes_and_tasks_cost_few() {
     // The state service takes 50 changes a second from all controllers together.
     let mut sim = started(29, 3, 300);
     sim.settings.idle_return_ms = 600_000;
@@ -136,7 +136,7 @@
 /// All controllers were down for longer than leases last: what is lost is recorded and claimed anew
 /// in large transactions, since the state service's changes are what its return waits for.
 #[test]
-fn what_was_lost_with_all_leases_comes_back_with_few_changes() {
+fn recovery_from_expiry_of_all_leases_takes_few_writes() {
     let mut sim = without_scale_in(68, 3, 200);
     for i in 0..60 {
         sim.submit(i % 3, service(&format!("j-{i}"), 5));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn machines_that_come_up_are_recorded_though_results_would_fill_every_transaction() {
+fn new_machines_are_recorded_while_results_fill_transactions() {
     let mut sim = short_of_changes(31);
     let recorded = Key::Machine(sim.boot_machine("large", "east", false, 100));
     sim.run_until(6_000, "the new machine is on record", |sim| {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_dead_machine_is_deleted_though_results_would_fill_every_transaction() {
+fn a_dead_machine_is_deleted_while_results_fill_transactions() {
     let mut sim = short_of_changes(32);
     let machine = sim.machine_of("j-900").unwrap();
     sim.kill_machine(&machine);
@@ -186,7 +186,7 @@
 /// Users ask many times as often: one read of the revision serves all that wait, and polls change
 /// nothing.
 #[test]
-fn a_storm_of_polls_costs_few_reads_and_no_change() {
+fn a_storm_of_status_requests_costs_few_reads_and_no_write() {
     let mut sim = without_scale_in(71, 3, 4);
     sim.submit(0, service("j-1", 2));
     sim.run_until(10_000, "up", |sim| sim.running("j-1") == 2);
@@ -210,7 +210,7 @@
 /// One-task jobs come four a second for five minutes, a quarter of them are cancelled, at the changes a second
 /// of the smallest deployment, and after a while at fewer.
 #[test]
-fn one_task_jobs_come_four_a_second_for_minutes() {
+fn a_flood_of_one_task_jobs_is_served_within_the_write_budget() {
     let mut sim = Simulation::new(2_600, 3, 24);
     sim.run(9_000);
     (sim.cloud.capacity, sim.workload.run_ms) = (10, 4_000);
--- a/crates/core/tests/scenarios/zone_evacuation.rs
+++ b/crates/core/tests/scenarios/zone_evacuation.rs
@@ -52,7 +52,7 @@
 
 /// A service whose first start was on its way into the cut used to wait for its end: up to 307 s.
 #[test]
-fn starts_that_never_arrived_go_elsewhere_within_seconds() {
+fn undelivered_starts_move_to_other_zones_within_seconds() {
     for seed in 0..4 {
         let mut sim = fleet(1 + seed, 40, &["east", "west"]);
         sim.run(seed * 400);
@@ -76,7 +76,7 @@
 /// Batches behind a cut of minutes are run anew where they can still be in time; what serves inside is
 /// left alone.
 #[test]
-fn batches_move_when_waiting_would_miss_their_goal_and_services_stay() {
+fn batches_move_if_waiting_would_miss_their_objective_and_services_stay() {
     let mut sim = fleet(10, 40, &["east", "west"]);
     sim.settings.policy.goals.clear();
     let scattered = JobSpec {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn without_room_outside_nothing_is_ended() {
+fn nothing_is_stopped_without_capacity_in_other_zones() {
     let mut sim = fleet(20, 24, &["east", "west"]);
     sim.workload.run_ms = 10_000;
     outside_is_full(&mut sim, 24);
@@ -134,7 +134,7 @@
 /// No controller is inside: all ends with its leases. What may be elsewhere starts there; what may not is back
 /// when the zone is, on the machines that are still there.
 #[test]
-fn a_zone_without_a_node_loses_what_runs_there_and_no_more() {
+fn a_partitioned_zone_without_a_controller_loses_only_its_own_tasks() {
     let mut sim = fleet(30, 40, &["east"]);
     sim.submit(0, service("j-1", 24));
     let scattered = JobSpec {
@@ -164,7 +164,7 @@
 
 /// What will be dead when its leases end is provisioned for before that: a boot takes as long.
 #[test]
-fn room_is_rented_ahead_of_its_need() {
+fn capacity_is_provisioned_before_the_leases_of_a_zone_expire() {
     let mut sim = fleet(35, 40, &["east"]);
     sim.submit(1, service("j-1", 20));
     sim.run_until(20_000, "up", |sim| sim.running("j-1") == 20);
@@ -189,7 +189,7 @@
 
 /// Usage stays assigned until it is proven gone: a team at its limit would wait for the end of the cut.
 #[test]
-fn a_team_at_its_limit_gets_its_room_back() {
+fn a_team_at_its_limit_recovers_its_quota() {
     let mut sim = fleet(40, 24, &["east"]);
     let blue = |id: &str, tasks| JobSpec {
         team: "blue".into(),
@@ -219,7 +219,7 @@
 
 /// Cut for 35 s, back for 15, again and again: each time the same is found to be there.
 #[test]
-fn a_zone_that_flaps_costs_few_machines() {
+fn a_flapping_zone_costs_few_machines() {
     let mut sim = fleet(50, 40, &["east", "west"]);
     sim.workload.run_ms = 15_000;
     let scattered = JobSpec {
@@ -247,7 +247,7 @@
 
 /// The other zone is lost while the first comes back.
 #[test]
-fn a_second_loss_during_the_return_is_ridden_out() {
+fn the_loss_of_a_second_zone_during_recovery_is_survived() {
     for seed in 0..3 {
         let mut sim = fleet(60 + seed, 40, &["east", "west"]);
         sim.workload.run_ms = 15_000;
@@ -275,7 +275,7 @@
 
 /// What matters most goes first, and the others' changes are not starved by it.
 #[test]
-fn services_of_a_dead_zone_go_before_its_batches() {
+fn services_of_a_failed_zone_precede_its_batches() {
     let mut sim = fleet(70, 60, &["east"]);
     sim.workload.run_ms = 60_000;
     sim.submit(0, job("j-1", 30));
@@ -299,7 +299,7 @@
 /// After a zone was lost its services all run in the other: they go back a few at a time, and none is ever
 /// short of more than one task.
 #[test]
-fn services_go_back_to_an_even_spread_one_task_at_a_time() {
+fn services_return_to_an_even_spread_one_task_at_a_time() {
     let mut sim = even(80, 60);
     for i in 0..5 {
         sim.submit(i % 3, service(&format!("j-{i}"), 4));
--- a/crates/core/tests/scenarios/zone_partitions.rs
+++ b/crates/core/tests/scenarios/zone_partitions.rs
@@ -38,7 +38,7 @@
 /// rutazona-central-fleet's zone day: 440 of some 600 machines of a zone that was cut off were deleted
 /// in the first 14 s, since at first less than a third of all were overdue.
 #[test]
-fn machines_of_a_zone_that_is_cut_off_are_not_taken_for_dead() {
+fn machines_of_a_partitioned_zone_are_not_taken_for_dead() {
     for seed in 0..3 {
         let mut sim = fleet(700 + seed, 40);
         for i in 0..8 {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_machine_that_dies_in_a_zone_that_is_heard_is_still_found_at_once() {
+fn a_dead_machine_in_a_reachable_zone_is_detected_at_once() {
     let mut sim = fleet(710, 40);
     sim.submit(0, service("j-1", 1));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
@@ -77,7 +77,7 @@
 /// A zone that is dead, not cut off: its controller is heard, none of its machines is. What ran there starts
 /// elsewhere, and in the end all its machines are given up. It used to wait for four minutes.
 #[test]
-fn what_ran_in_a_zone_that_is_dead_starts_elsewhere() {
+fn tasks_of_a_failed_zone_start_elsewhere() {
     let mut sim = fleet(711, 24);
     sim.submit(0, service("j-1", 24));
     sim.run_until(20_000, "runs", |sim| sim.running("j-1") == 24);
@@ -98,7 +98,7 @@
 
 /// Nothing new is put where it can't be started, or provisioned where it would come up unheard.
 #[test]
-fn nothing_is_placed_or_rented_in_a_silent_zone() {
+fn nothing_is_placed_or_provisioned_in_an_unreachable_zone() {
     let mut sim = fleet(712, 24);
     sim.submit(1, service("j-1", 12));
     sim.run_until(20_000, "runs", |sim| sim.running("j-1") == 12);
@@ -121,7 +121,7 @@
 /// The controller inside used to stop renewing after `cancel_s - lease_s - 5 s`, since a job might have been
 /// cancelled outside, so everything in the zone died though nothing was wrong with it.
 #[test]
-fn a_zone_rides_out_a_cut_that_lasts_longer_than_a_cancellation_may() {
+fn a_zone_survives_a_partition_longer_than_the_cancellation_bound() {
     for seed in 0..3 {
         let mut sim = fleet(720 + seed, 24);
         sim.submit(0, scattered("j-1", 20));
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_cancellation_is_told_at_once_where_all_is_well() {
+fn a_cancellation_is_confirmed_at_once_without_faults() {
     let mut sim = fleet(730, 8);
     sim.submit(0, service("j-1", 6));
     sim.run_until(20_000, "up", |sim| up(sim, "j-1", 6));
@@ -155,7 +155,7 @@
 /// What runs in a zone that is cut off can't be stopped: its user is told so at once, nobody says
 /// that it is cancelled, and in the end its machines are deleted for it.
 #[test]
-fn a_cancellation_behind_a_cut_is_told_when_its_machines_are_deleted() {
+fn a_cancellation_in_a_partitioned_zone_is_confirmed_once_its_machines_are_deleted() {
     let mut sim = fleet(731, 24);
     sim.workload.run_ms = 600_000;
     let long = JobSpec {
@@ -232,7 +232,7 @@
 /// Told in the last moments before the cut, with nobody left outside to delete anything, and a cut
 /// that lasts for minutes: whatever was told must hold. The world checks it at every step.
 #[test]
-fn what_was_told_just_before_a_cut_holds_though_nobody_is_left_outside() {
+fn a_cancellation_confirmed_just_before_a_partition_holds_without_controllers_outside() {
     let mut told = 0;
     for delay in [0, 2, 5, 9, 14, 20, 30, 60, 150, 300, 450, 600] {
         let mut sim = fleet(740 + delay, 24);
@@ -262,7 +262,7 @@
 /// Older versions tell a cancellation at its commit. Whenever the last of them is replaced, and
 /// whenever the cut begins, nothing of it may run on inside.
 #[test]
-fn cancellations_told_by_the_old_version_are_in_time_behind_a_cut() {
+fn cancellations_by_the_previous_version_hold_in_a_partitioned_zone() {
     for delay in [0, 100, 900, 1_800, 2_600, 3_300, 4_200, 6_000, 9_000] {
         let mut sim = Simulation::previous_version(760 + delay, 3, 24);
         configure_fleet(&mut sim);
@@ -297,7 +297,7 @@
 /// one that crashes. It comes back without records, but its workers' tokens prove that renewing is
 /// safe, so it starts nothing and loses nothing.
 #[test]
-fn a_node_that_restarts_inside_a_cut_keeps_its_zone_alive() {
+fn a_controller_restarted_in_a_partitioned_zone_renews_its_leases() {
     for away in [2_000, 8_000] {
         let mut sim = fleet(780 + away, 24);
         sim.submit(0, scattered("j-1", 8));
@@ -316,7 +316,7 @@
 
 /// Before everything that older versions told has ended, no token says that it may.
 #[test]
-fn a_node_that_restarts_inside_a_cut_during_an_upgrade_renews_nothing() {
+fn a_controller_restarted_in_a_partitioned_zone_during_an_upgrade_renews_no_lease() {
     let mut sim = Simulation::previous_version(781, 3, 24);
     configure_fleet(&mut sim);
     sim.run(9_000);
@@ -333,7 +333,7 @@
 
 /// A cancellation that the old version told is still being carried out when all have the new one.
 #[test]
-fn the_term_is_raised_once_nothing_is_left_of_what_was_told_before() {
+fn the_term_is_raised_once_earlier_cancellations_are_complete() {
     let mut sim = Simulation::previous_version(782, 2, 8);
     sim.settings.idle_return_ms = 3_600_000;
     sim.cloud.capacity = 0;
@@ -372,7 +372,7 @@
 /// Cut off from state service and peers alone, a controller must not keep workers that its peers
 /// would serve, however long it lasts.
 #[test]
-fn a_node_cut_off_alone_sends_its_workers_to_others() {
+fn an_isolated_controller_redirects_its_workers() {
     for zones in [2, 1] {
         let mut sim = Simulation::new(790, 3, 12);
         sim.settings.zones.truncate(zones);
@@ -403,7 +403,7 @@
 /// The same with a zone that is cut off where all are in one zone: those sent away find no other
 /// controller in time to lose nothing.
 #[test]
-fn workers_that_find_no_other_node_are_kept() {
+fn workers_without_another_controller_are_kept() {
     let mut sim = Simulation::new(791, 3, 12);
     sim.settings.zones.truncate(1);
     configure_fleet(&mut sim);
@@ -424,7 +424,7 @@
 
 /// One cancelled task on a machine with sixty others: the user waits for the end of the cut.
 #[test]
-fn a_machine_behind_a_cut_is_not_deleted_for_one_cancelled_task_among_others() {
+fn a_partitioned_machine_is_not_deleted_for_one_cancelled_task_among_others() {
     let mut sim = fleet(732, 16);
     let zoned = |id: &str| {
         let mut spec = service(id, 8);
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -5,7 +5,7 @@
 
 #[test]
 #[ignore = "a measurement of minutes"]
-fn cost_by_size() {
+fn cost_by_fleet_size() {
     println!("machines  events/s  us/event  node share  txns/s  changes/s  beat KB  us/beat");
     let mut per_event = Vec::new();
     for machines in [300, 1_250, 2_500, 5_000] {
