--- a/crates/core/tests/scenarios/cancellations_under_faults.rs
+++ b/crates/core/tests/scenarios/cancellations_under_faults.rs
@@ -34,7 +34,7 @@
 
 /// The state service refuses the controller that all workers report to; another confirms a cancellation;
 /// then it is down for all for longer than `cancel_s`, while workers go on reporting to the first.
-/// The world checks at every step that nothing of what was told to be cancelled is left in time.
+/// The simulation checks at every step that nothing of what was told to be cancelled is left in time.
 #[test]
 fn cancellations_hold_when_one_controller_is_refused_before_an_outage() {
     let (mut told, mut least) = (0, u64::MAX);
@@ -70,7 +70,7 @@
             worker.controller = 0;
             worker.disconnected = also == Also::MachinesHang && i % 3 == 0;
         }
-        // The halts that the other sends arrive, or none does, nor do workers reach the others.
+        // The stops that the other sends arrive, or none does, nor do workers reach the others.
         sim.network.faults.command_lost = f64::from(u8::from(halts == 1));
         for n in 1..3 {
             sim.controllers[n].cut_from_workers = halts == 2;
@@ -227,7 +227,7 @@
     sim.check_records();
 }
 
-/// Cancelled tasks on machines that hang and go on, inside their lease and after it, with starts and halts that
+/// Cancelled tasks on machines that hang and go on, inside their lease and after it, with starts and stops that
 /// were on their way meanwhile: nothing of them is left when it is told, nor starts after.
 #[test]
 fn cancelled_tasks_on_stalled_workers_do_not_run_on() {
--- a/crates/core/tests/scenarios/configuration_changes.rs
+++ b/crates/core/tests/scenarios/configuration_changes.rs
@@ -200,7 +200,7 @@
     sim.check_records();
 }
 
-/// The world holds each claim against the limit in force at its commit.
+/// The simulation holds each claim against the limit in force at its commit.
 #[test]
 fn a_change_between_draft_and_commit_of_a_claim_rejects_the_claim() {
     for seed in 0..8 {
@@ -268,7 +268,7 @@
     }
     let refused = sim.configure(&before).unwrap_err();
     assert!(
-        matches!(&refused, ConfigureError::Absurd(e) if e.field == "settings.teams.green"),
+        matches!(&refused, ConfigureError::Invalid(e) if e.field == "settings.teams.green"),
         "{refused:?}"
     );
     sim.run_until(30_000, "done", |sim| {
@@ -301,7 +301,7 @@
     sim.check_records();
 }
 
-/// Random changes among random faults: the world checks the rules, and each claim against the limit in force.
+/// Random changes among random faults: the simulation checks the rules, and each claim against the limit in force.
 #[test]
 fn random_changes_under_message_faults_break_no_invariant() {
     let more = std::env::var("SEEDS").ok().and_then(|n| n.parse().ok());
--- a/crates/core/tests/scenarios/configuration_records.rs
+++ b/crates/core/tests/scenarios/configuration_records.rs
@@ -75,10 +75,7 @@
     sim.run(5_000);
     let settings = sim.with_limit("blue", 6.0);
     for n in 0..3 {
-        assert_eq!(
-            sim.configure(&settings),
-            Err(ConfigureError::NotConfigurable)
-        );
+        assert_eq!(sim.configure(&settings), Err(ConfigureError::Unsupported));
         sim.upgrade(n, 500);
         sim.run(4_000);
         if n == 1 {
@@ -200,7 +197,7 @@
     sim.run(1_000);
     assert!(is_accepted(&mut sim, 0, limited_team(service("j-s", 4))));
     let refused = sim.configure(&first).unwrap_err();
-    let ConfigureError::Absurd(error) = refused else {
+    let ConfigureError::Invalid(error) = refused else {
         panic!("{refused:?}");
     };
     assert_eq!(error.field, "settings.teams.blue.cpus_max");
--- a/crates/core/tests/scenarios/controller_failures.rs
+++ b/crates/core/tests/scenarios/controller_failures.rs
@@ -147,7 +147,7 @@
     sim.check_records();
 }
 
-/// A controller that is paused wakes with heartbeats, answers and heartbeats from before in its queues. It
+/// A controller that is paused wakes with heartbeats of workers and peers and answers from before in its queues. It
 /// must neither delete machines that reported elsewhere meanwhile nor act on its old view.
 #[test]
 fn a_paused_controller_acts_on_no_stale_input() {
--- a/crates/core/tests/scenarios/failover.rs
+++ b/crates/core/tests/scenarios/failover.rs
@@ -1,7 +1,7 @@
 //! Controllers that end, pause and return, one after another and while others take over from them.
 
 use glenmount_core::controller::{Controller, ControllerStatus, PeerHeartbeat, UserReply};
-use glenmount_core::peers::tracker::PeerStatus;
+use glenmount_core::peers::PeerStatus;
 use glenmount_simulation::{job, service, Simulation, Worker, START_TIME_MS};
 
 /// So many controllers and machines, with the times of a large fleet.
@@ -82,7 +82,7 @@
         sim.workers.values().all(|m| m.last_heard.at_ms > at)
     });
     unharmed(&mut sim);
-    assert_eq!(sign(&sim, 1, 0), Some(PeerStatus::Well));
+    assert_eq!(sign(&sim, 1, 0), Some(PeerStatus::Healthy));
 }
 
 /// What a claimant did not get to send used to wait for two reports and a raised token: some 15 s.
@@ -219,7 +219,7 @@
     busy(&mut sim);
     for n in 0..3 {
         for m in (0..3).filter(|m| *m != n) {
-            assert_eq!(sign(&sim, n, m), Some(PeerStatus::Well));
+            assert_eq!(sign(&sim, n, m), Some(PeerStatus::Healthy));
         }
     }
     sim.crash(1, 5_000);
@@ -238,7 +238,7 @@
         sim.run(1_000);
         assert!(duties(&sim) <= 2);
     }
-    assert_ne!(sign(&sim, 1, 0), Some(PeerStatus::Well));
+    assert_ne!(sign(&sim, 1, 0), Some(PeerStatus::Healthy));
     let away = sign(&sim, 1, 0).unwrap();
     assert!(away.is_away(), "{away:?}");
     sim.submit(0, job("j-30", 4));
@@ -248,7 +248,7 @@
     sim.run(3_000);
     assert_eq!(
         (sign(&sim, 1, 0), duties(&sim)),
-        (Some(PeerStatus::Well), 1)
+        (Some(PeerStatus::Healthy), 1)
     );
     unharmed(&mut sim);
 }
@@ -319,7 +319,7 @@
     for heartbeat in bad {
         sim.inject_peer_heartbeat(1, heartbeat);
         sim.run(20);
-        assert_eq!(sign(&sim, 1, 0), Some(PeerStatus::Well));
+        assert_eq!(sign(&sim, 1, 0), Some(PeerStatus::Healthy));
     }
     assert_eq!(duties(&sim), 1);
     unharmed(&mut sim);
--- a/crates/core/tests/scenarios/guard_harness.rs
+++ b/crates/core/tests/scenarios/guard_harness.rs
@@ -1,7 +1,7 @@
 //! Runs a scenario with all safety guards, and with one left out.
 
 use glenmount_core::safety_checks::Checks;
-use glenmount_simulation::day::leave_out;
+use glenmount_simulation::day::disable_check;
 use glenmount_simulation::Simulation;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
@@ -16,12 +16,12 @@
     })
 }
 
-/// With all checks the scenario costs at most so much; without the one it breaks a rule or costs more.
+/// With all checks the scenario costs at most so much; without the one it breaks an invariant or costs more.
 pub fn assert_needed(check: &str, most: u64, story: impl Fn(&Checks) -> u64) -> Cost {
     let with = outcome_of(&Checks::default(), &story);
     assert!(with.as_ref().is_ok_and(|c| *c <= most), "{check}: {with:?}");
     let mut checks = Checks::default();
-    leave_out(&mut checks, check).unwrap();
+    disable_check(&mut checks, check).unwrap();
     let without = outcome_of(&checks, &story);
     assert!(
         !without.as_ref().is_ok_and(|c| *c <= most),
--- a/crates/core/tests/scenarios/message_faults.rs
+++ b/crates/core/tests/scenarios/message_faults.rs
@@ -238,7 +238,7 @@
     }
 }
 
-/// Commands and their answers are held up for seconds, for machines that stand still meanwhile and go
+/// Commands and their answers are held up for seconds, for machines that are paused meanwhile and go
 /// on: what comes then was barred, or is what was meant.
 #[test]
 fn delayed_commands_to_stalled_workers_are_fenced() {
--- a/crates/core/tests/scenarios/one_way_partitions.rs
+++ b/crates/core/tests/scenarios/one_way_partitions.rs
@@ -6,7 +6,7 @@
 
 /// Machines whose reports arrive and that hear nothing lose their leases, look free, and have the
 /// images: what is placed there does not start. Others have room, so all is up soon after the leases
-/// have ended, and nothing waits for the deaf ones.
+/// have ended, and nothing waits for them.
 #[test]
 fn tasks_of_workers_without_inbound_messages_restart_elsewhere() {
     let mut worst = 0;
@@ -169,7 +169,7 @@
     }
 }
 
-/// Jobs on machines whose reports reach nobody are called off: halts reach these, and their answers show what has
+/// Jobs on machines whose reports reach nobody are called off: stops reach these, and their answers show what has
 /// ended, so users are told as soon as anywhere.
 #[test]
 fn cancellations_on_workers_with_lost_heartbeats_are_confirmed_as_fast() {
--- a/crates/core/tests/scenarios/placement.rs
+++ b/crates/core/tests/scenarios/placement.rs
@@ -76,7 +76,7 @@
     let warm = sim.machine_of("j-1").unwrap();
     sim.cancel(0, "j-1");
     sim.run(3_000);
-    // A batch on every machine, room for one more task on one without the image.
+    // A batch on every machine, capacity for one more task on one without the image.
     sim.submit(0, job("j-2", 7));
     sim.run_until(10_000, "runs", |sim| sim.running("j-2") == 7);
     first.id = "j-3".into();
--- a/crates/core/tests/scenarios/priorities.rs
+++ b/crates/core/tests/scenarios/priorities.rs
@@ -68,7 +68,7 @@
 
 #[test]
 fn urgent_jobs_do_not_wait_for_capacity_reserved_for_services() {
-    // What is free is kept back, and used to count as room that it could have: nothing was stopped
+    // What is free is reserved, and used to count as room that it could have: nothing was stopped
     // for it, and it waited for two minutes.
     let mut sim = started(26, 3, 10);
     sim.cloud.capacity = 0;
@@ -108,7 +108,7 @@
     let mut sim = without_scale_in(1_400, 3, 24);
     sim.cloud.capacity = 0;
     sim.workload.run_ms = 20_000;
-    // A service whose room is kept, and far more batches than there is room for.
+    // A service whose room is kept, and far more batches than there is capacity for.
     sim.submit(0, service("j-1", 2));
     sim.run(2_000);
     for i in 0..14 {
@@ -130,7 +130,7 @@
     sim.check_records();
 }
 
-/// Jobs that can be in time keep coming, more than there is room for; one that has no goal still gets
+/// Jobs that can be in time keep coming, more than there is capacity for; one that has no goal still gets
 /// its turn.
 #[test]
 fn no_job_is_deferred_forever() {
--- a/crates/core/tests/scenarios/quick_restarts.rs
+++ b/crates/core/tests/scenarios/quick_restarts.rs
@@ -63,7 +63,7 @@
         assert!(controller.ready(), "{what}: node {n}");
         for m in (0..3).filter(|m| *m != n) {
             let sign = controller.status_of(&sim.settings.controllers[m]);
-            assert_eq!(sign, Some(PeerStatus::Well), "{what}: {m} to {n}");
+            assert_eq!(sign, Some(PeerStatus::Healthy), "{what}: {m} to {n}");
         }
     }
     let id = format!("j-9{}", sim.now_ms);
@@ -140,7 +140,7 @@
     }
 }
 
-/// What the old life asked for is carried out in the new one's time, or was and is not known to have
+/// What the old incarnation asked for is carried out in the new one's time, or was and is not known to have
 /// been: claims, results and cancellations under way at the end.
 #[test]
 fn messages_of_an_earlier_incarnation_arrive_late() {
--- a/crates/core/tests/scenarios/quotas.rs
+++ b/crates/core/tests/scenarios/quotas.rs
@@ -90,8 +90,8 @@
 }
 
 /// Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and controllers
-/// change. The world holds what runs against the limit at each start; once all is over nothing waits beside
-/// room for longer than a round of reports and a few seconds.
+/// change. The simulation holds what runs against the limit at each start; once all is over nothing waits beside
+/// capacity for longer than a round of reports and a few seconds.
 #[test]
 fn quota_of_cancelled_jobs_on_stalled_workers_is_released_in_time() {
     for seed in 0..8_u64 {
--- a/crates/core/tests/scenarios/requests.rs
+++ b/crates/core/tests/scenarios/requests.rs
@@ -92,7 +92,7 @@
 
 #[test]
 fn a_status_is_never_older_than_an_answer_of_another_controller() {
-    // The watch of controller 1 hangs while controller 0 accepts and cancels: controller 1 must not answer
+    // The watch of controller 1 is stalled while controller 0 accepts and cancels: controller 1 must not answer
     // from its old copy, neither 404 nor running.
     let mut sim = started(4, 2, 2);
     sim.controllers[1].cut_from_state = true;
@@ -107,7 +107,7 @@
 }
 
 /// A cancellation, a question, a repeated submission at every few milliseconds around the end of a job's last
-/// task, with no other trouble.
+/// task, with no other fault.
 #[test]
 fn requests_at_the_completion_of_the_last_task_are_consistent() {
     let (mut done, mut cancelled) = (0, 0);
@@ -242,7 +242,7 @@
 }
 
 /// Users ask at all controllers, again and again within milliseconds, and repeat the submission, right after a
-/// job was accepted, ended or confirmed as cancelled; some cancel at once, or at the very end. The world
+/// job was accepted, ended or confirmed as cancelled; some cancel at once, or at the very end. The simulation
 /// holds each answer, at the moment it is given, against all that any controller gave before.
 #[test]
 fn no_controller_gives_an_older_answer() {
--- a/crates/core/tests/scenarios/rolling_upgrade.rs
+++ b/crates/core/tests/scenarios/rolling_upgrade.rs
@@ -30,7 +30,7 @@
     sim.run_until(10_000, "upgraded", upgraded);
 }
 
-/// A world in which old controllers have stored a chunk of 100 tasks with 80 assignments: twice the size
+/// A simulation in which old controllers have stored a chunk of 100 tasks with 80 assignments: twice the size
 /// that a value may have later.
 fn with_a_large_chunk(seed: u64) -> Simulation {
     let mut sim = Simulation::previous_version(seed, 3, 40);
--- a/crates/core/tests/scenarios/starvation.rs
+++ b/crates/core/tests/scenarios/starvation.rs
@@ -8,8 +8,8 @@
 };
 use rand::Rng;
 
-/// More work than room, urgent and not, over slow links, with some troubles. Once these are over no job waits
-/// for 90 s beside a machine that fits and has room while its team is under its limit: by the world's own sum
+/// More work than room, urgent and not, over slow links, with some faults. Once these are over no job waits
+/// for 90 s beside a machine that fits and has capacity while its team is under its limit: by the simulation's own sum
 /// of what is where.
 #[test]
 fn no_job_waits_despite_capacity_after_faults() {
--- a/crates/core/tests/scenarios/worker_guards.rs
+++ b/crates/core/tests/scenarios/worker_guards.rs
@@ -76,7 +76,7 @@
 }
 
 /// The state service refuses a controller alone, a peer confirms a cancellation, then it is down for all; the
-/// halts were lost, and the worker reports to the refused one. Both old and new versions serve.
+/// stops were lost, and the worker reports to the refused one. Both old and new versions serve.
 #[test]
 fn without_a_bound_tasks_cancelled_by_the_previous_version_run_on() {
     let cost = assert_needed("bounded", 0, |checks| {
--- a/crates/core/tests/scenarios/zone_partitions.rs
+++ b/crates/core/tests/scenarios/zone_partitions.rs
@@ -230,7 +230,7 @@
 }
 
 /// Told in the last moments before the cut, with nobody left outside to delete anything, and a cut
-/// that lasts for minutes: whatever was told must hold. The world checks it at every step.
+/// that lasts for minutes: whatever was told must hold. The simulation checks it at every step.
 #[test]
 fn a_cancellation_confirmed_just_before_a_partition_holds_without_controllers_outside() {
     let mut told = 0;
@@ -331,7 +331,7 @@
     sim.run_until(40_000, "up again", |sim| up(sim, "j-1", 8));
 }
 
-/// A cancellation that the old version told is still being carried out when all have the new one.
+/// A cancellation that the previous version told is still being carried out when all have the new one.
 #[test]
 fn the_term_is_raised_once_earlier_cancellations_are_complete() {
     let mut sim = Simulation::previous_version(782, 2, 8);
--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers: how they start, end, stand still and handle events.
+//! Controllers: how they start, end, are paused and handle events.
 
 use crate::{event_as_read, Action, ProcessId, Simulation, START_TIME_MS};
 use glenmount_core::controller::{Controller, Event, PeerHeartbeat};
@@ -11,14 +11,19 @@
 /// A place for a controller, whose processes follow one another in it.
 #[derive(Default)]
 pub struct ControllerSlot {
+    /// The controller, unless its process is down.
     pub controller: Option<Controller>,
+    /// Number of processes before the present one.
     pub incarnation: u32,
-    /// From this life on it has the new version; before, one that knows only format 1.
+    /// From this incarnation on it has the new version; before, one that knows only format 1.
     pub(crate) upgraded_from: u32,
+    /// Requests to the state service get no answer, and its watch tells nothing.
     pub cut_from_state: bool,
     /// The state service answers it alone with 503.
     pub refused_by_state: bool,
+    /// No worker reaches it, nor does it reach any.
     pub cut_from_workers: bool,
+    /// It and its peers do not reach each other.
     pub cut_from_peers: bool,
     /// What the controller sends does not get through, to workers and peers; what it gets does.
     pub outbound_lost: bool,
@@ -36,8 +41,11 @@
     pub last_stopped_ms: u64,
     /// When its process began, and from when on it was ready, accepted a job, and sent a start.
     pub started_ms: u64,
+    /// When its process was ready first.
     pub first_ready_ms: Option<u64>,
+    /// When its process accepted its first job.
     pub first_accepted_ms: Option<u64>,
+    /// When its process sent its first start.
     pub first_start_ms: Option<u64>,
 }
 
@@ -66,7 +74,7 @@
         self.process(process.controller) == process
     }
 
-    /// Whether a process has the old version.
+    /// Whether a process has the previous version.
     pub(crate) fn is_previous_version(&self, process: ProcessId) -> bool {
         process.incarnation < self.controllers[process.controller].upgraded_from
     }
@@ -169,6 +177,7 @@
             .min(self.controllers[n].upgraded_from);
     }
 
+    /// Ends a controller's process; the next one starts after so many milliseconds.
     pub fn crash(&mut self, n: usize, back_after: u64) {
         let slot = &mut self.controllers[n];
         slot.controller = None;
@@ -225,6 +234,7 @@
         self.schedule(ms, Action::ResumeController(self.process(n)));
     }
 
+    /// Whether a controller is paused.
     pub fn is_paused(&self, n: usize) -> bool {
         self.now_ms < self.controllers[n].paused_until_ms
     }
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -9,6 +9,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
+    /// The days, each of which is played.
     #[serde(rename = "day")]
     pub days: Vec<Day>,
     /// None: as the service runs.
@@ -16,81 +17,109 @@
     pub variants: Vec<Variant>,
 }
 
-/// What is left out or changed. Only the world has this.
+/// What is left out or changed. Only the simulation has this.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
+    /// Name, unique within its kind.
     pub name: String,
     /// Checks that are left out, by their names.
-    #[serde(default)]
-    pub without: Vec<String>,
+    #[serde(rename = "without", default)]
+    pub disabled_checks: Vec<String>,
     /// Constants that are changed, by their names.
     #[serde(default)]
     pub tuning: Tuning,
+    /// Machines at the start.
     #[serde(default)]
     pub machines: Option<usize>,
-    #[serde(default)]
-    #[serde(rename = "nodes")]
+    /// Controllers.
+    #[serde(rename = "nodes", default)]
     pub controllers: Option<usize>,
 }
 
+/// A day of a site.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Day {
+    /// Name, unique within its kind.
     pub name: String,
+    /// Seconds in which jobs are submitted.
     pub seconds: u64,
     /// Seconds before anything is counted.
-    pub warm_s: u64,
+    #[serde(rename = "warm_s")]
+    pub warmup_s: u64,
+    /// Machines at the start.
     pub machines: usize,
     /// Machines that the cloud has beyond these.
     #[serde(default)]
     pub capacity: u32,
+    /// Controllers.
     #[serde(rename = "nodes")]
     pub controllers: usize,
+    /// Names of the zones.
     pub zones: Vec<String>,
     /// Zones that have controllers, in turn; all of them if not said.
-    #[serde(default)]
-    #[serde(rename = "nodes_in")]
-    pub controllers_in: Vec<String>,
+    #[serde(rename = "nodes_in", default)]
+    pub controller_zones: Vec<String>,
+    /// Limits of the state service and the cloud.
     pub limits: Limits,
+    /// Intervals and bounds of workers.
     pub workers: Workers,
+    /// Teams, by their names.
     #[serde(rename = "team")]
     pub teams: Vec<Team>,
+    /// Classes of jobs.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
+    /// Faults.
     #[serde(rename = "trouble", default)]
-    pub troubles: Vec<Fault>,
+    pub faults: Vec<Fault>,
 }
 
 /// What the outside services take.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
+    /// Requests to the state service, a second.
     pub state_rps: f64,
+    /// Changes of the state service, a second.
     pub write_rps: f64,
+    /// Calls to the cloud, a second.
     pub cloud_rps: f64,
+    /// Seconds by which the cloud's list lags.
     pub list_lag_s: f64,
+    /// Largest value in KiB.
     pub value_kb: f64,
+    /// Changes of a transaction, at most.
     #[serde(rename = "txn_ops")]
-    pub max_transaction_changes: usize,
+    pub transaction_changes: usize,
     /// Workers' connections that a controller holds at most.
-    pub sockets: usize,
+    #[serde(rename = "sockets")]
+    pub worker_connections: usize,
 }
 
+/// Intervals and bounds of workers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workers {
-    pub report_s: f64,
+    /// Seconds between two heartbeats.
+    #[serde(rename = "report_s")]
+    pub heartbeat_s: f64,
+    /// Seconds after which the lease of a worker expires.
     pub lease_s: f64,
+    /// Seconds within which cancelled tasks have ended.
     pub cancel_s: f64,
 }
 
+/// A team and its quota.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
+    /// Name, unique within its kind.
     pub name: String,
     /// Processors; 0 is none.
     pub cpus: f64,
+    /// Most processors at a time; 0 is no limit.
     pub cpus_max: f64,
 }
 
@@ -98,124 +127,177 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
+    /// Name, unique within its kind.
     pub name: String,
+    /// Teams, by their names.
     pub teams: Vec<String>,
+    /// Its jobs are services, which run until they are cancelled.
     #[serde(default)]
     pub service: bool,
     /// `low`, `standard`, `high` or `critical`.
     #[serde(rename = "rank")]
     pub priority: String,
+    /// Median number of tasks.
     pub tasks: f64,
+    /// Most tasks of a job.
     #[serde(default)]
     pub tasks_max: Option<u32>,
+    /// Median run time in seconds.
     pub run_s: f64,
+    /// Processors of a task.
     pub cpus: f64,
     /// Jobs a second, and at the start.
     pub rate: f64,
+    /// Jobs submitted at the start.
     #[serde(default)]
     pub initial: u32,
     /// Seconds within which its jobs should be done.
-    #[serde(default)]
-    pub within_s: Vec<f64>,
+    #[serde(rename = "within_s", default)]
+    pub objectives_s: Vec<f64>,
     /// Due so many times its run time and 10 s after its submission.
-    #[serde(default)]
-    pub deadline: Option<f64>,
+    #[serde(rename = "deadline", default)]
+    pub deadline_factor: Option<f64>,
+    /// Tasks may run on spot machines.
     #[serde(default)]
     pub spot: bool,
+    /// Tasks are spread over the zones.
     #[serde(default)]
     #[serde(rename = "scatter")]
     pub topology_spread: bool,
+    /// Number of images.
     #[serde(default)]
     pub images: Option<u32>,
     /// Share of its jobs that are cancelled half way.
-    #[serde(default)]
-    pub cancelled: f64,
+    #[serde(rename = "cancelled", default)]
+    pub cancelled_share: f64,
 }
 
+/// A fault and when it begins.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Fault {
+    /// Seconds after the day's start.
     pub at_s: f64,
     /// Again so many times, so often.
     #[serde(default)]
     pub times: u32,
+    /// Seconds between two repetitions.
     #[serde(default)]
     pub every_s: f64,
+    /// What goes wrong.
     #[serde(flatten)]
     pub what: FaultKind,
 }
 
+/// What goes wrong.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum FaultKind {
     /// The busiest controllers end, and are back after some time.
-    End {
+    #[serde(rename = "end")]
+    Crash {
+        /// How many.
         count: usize,
+        /// Seconds until the next process starts.
         back_s: f64,
     },
     /// The busiest controller is asked to end.
-    Leave {
+    #[serde(rename = "leave")]
+    ShutDown {
+        /// Seconds until the next process starts.
         back_s: f64,
     },
-    Freeze {
+    /// The busiest controllers are paused.
+    #[serde(rename = "freeze")]
+    Pause {
+        /// How many.
         count: usize,
+        /// Seconds that it lasts.
         for_s: f64,
     },
+    /// The busiest controller loses the state service.
     CutState {
+        /// Seconds that it lasts.
         for_s: f64,
     },
+    /// The busiest controller loses its workers.
     CutWorkers {
+        /// Seconds that it lasts.
         for_s: f64,
     },
+    /// The busiest controller loses its peers.
     CutPeers {
+        /// Seconds that it lasts.
         for_s: f64,
     },
+    /// The state service is down.
     StateOutage {
+        /// Seconds that it lasts.
         for_s: f64,
     },
+    /// A zone is cut off from everything else, with the controllers in it.
     ZoneCut {
+        /// The zone.
         zone: String,
+        /// Seconds that it lasts.
         for_s: f64,
     },
+    /// Machines die.
     MachinesDie {
+        /// How many.
         count: usize,
     },
     /// They lose the network.
     MachinesCut {
+        /// How many.
         count: usize,
+        /// Seconds that it lasts.
         for_s: f64,
     },
     /// The busiest controller loses the state service and its peers, not its workers or users.
     CutAlone {
+        /// Seconds that it lasts.
         for_s: f64,
     },
     /// The state service answers the busiest controller alone with 503.
     RefuseState {
+        /// Seconds that it lasts.
         for_s: f64,
     },
     /// Answers and commands to these machines are lost; their reports arrive.
-    Deaf {
+    #[serde(rename = "deaf")]
+    InboundLost {
+        /// How many.
         count: usize,
+        /// Seconds that it lasts.
         for_s: f64,
     },
     /// That share of transactions gets no answer and is carried out seconds later.
     LateWrites {
+        /// Share between 0 and 1.
         share: f64,
+        /// Seconds that it lasts.
         for_s: f64,
     },
     /// Of that share of the reports a copy arrives again later.
     LateReports {
+        /// Share between 0 and 1.
         share: f64,
+        /// Seconds that it lasts.
         for_s: f64,
     },
+    /// A class submits more jobs.
     Burst {
+        /// The class.
         class: String,
+        /// By how much more often its jobs are submitted.
         factor: f64,
+        /// Seconds that it lasts.
         for_s: f64,
     },
 }
 
 /// Leaves a check out, by its name.
-pub fn leave_out(checks: &mut Checks, name: &str) -> Result<(), String> {
+pub fn disable_check(checks: &mut Checks, name: &str) -> Result<(), String> {
     let check = match name {
         "proof" => &mut checks.proof,
         "gap" => &mut checks.gap,
@@ -249,6 +331,10 @@
 }
 
 impl Experiment {
+    /// Parses and checks a file.
+    ///
+    /// # Errors
+    /// Names the day, the class and the field that is wrong.
     pub fn read(text: &str) -> Result<Experiment, String> {
         let mut read: Experiment = toml::from_str(text).map_err(|e| e.to_string())?;
         if read.variants.is_empty() {
@@ -259,8 +345,8 @@
         }
         for variant in &read.variants {
             let mut checks = Checks::default();
-            for name in &variant.without {
-                leave_out(&mut checks, name)?;
+            for name in &variant.disabled_checks {
+                disable_check(&mut checks, name)?;
             }
         }
         for day in &read.days {
@@ -286,7 +372,7 @@
         within("zones", self.zones.len(), 1, 4)?;
         within("seconds", self.seconds as usize, 1, 7_200)?;
         self.classes.iter().try_for_each(|c| self.check_class(c))?;
-        self.troubles.iter().try_for_each(|t| self.check_trouble(t))
+        self.faults.iter().try_for_each(|t| self.check_trouble(t))
     }
 
     fn check_class(&self, class: &Class) -> Result<(), String> {
@@ -295,7 +381,7 @@
         if let Some(team) = class.teams.iter().find(|team| !known(team)) {
             return refuse(format!("unknown team {team:?}"));
         }
-        if priority(&class.priority).is_none() {
+        if parse_priority(&class.priority).is_none() {
             return refuse("rank: unknown".into());
         }
         let fits = class.cpus > 0.0 && class.cpus <= 8.0 && class.tasks >= 1.0;
@@ -320,7 +406,8 @@
     }
 }
 
-pub fn priority(name: &str) -> Option<JobPriority> {
+/// The job priority that a class names, if there is such.
+pub fn parse_priority(name: &str) -> Option<JobPriority> {
     Some(match name {
         "low" => JobPriority::Low,
         "standard" => JobPriority::Normal,
--- a/crates/simulation/src/day_runner.rs
+++ b/crates/simulation/src/day_runner.rs
@@ -1,4 +1,4 @@
-//! Plays a described day: users, troubles, and what is measured meanwhile.
+//! Plays a described day: users, faults, and what is measured meanwhile.
 
 mod failovers;
 mod faults;
@@ -32,26 +32,26 @@
     rng: SmallRng,
     next_job: u32,
     /// Seconds at which each class submits its next job.
-    next_at: Vec<f64>,
+    next_submission_s: Vec<f64>,
     /// By how much each class submits more often.
-    factor: Vec<f64>,
-    followed: Vec<FailoverObservation>,
-    out: Outcome,
-    /// Troubles that end at a time.
-    ongoing: Vec<(u64, ActiveFault)>,
+    rate_factors: Vec<f64>,
+    failovers: Vec<FailoverObservation>,
+    outcome: Outcome,
+    /// Faults that end at a time.
+    active_faults: Vec<(u64, ActiveFault)>,
     /// Replicas that ran and that should have, once a second.
-    up: Vec<(u64, u64)>,
+    replica_samples: Vec<(u64, u64)>,
     /// When each controller's process began that was measured last.
-    began: Vec<u64>,
+    measured_starts_ms: Vec<u64>,
 }
 
 /// Plays a day once.
-pub fn play(day: &Day, variant: &Variant, seed: u64) -> Result<Outcome, String> {
-    Ok(play_digested(day, variant, seed, None)?.0)
+pub fn run_day(day: &Day, variant: &Variant, seed: u64) -> Result<Outcome, String> {
+    Ok(run_day_with_digest(day, variant, seed, None)?.0)
 }
 
 /// The same; hashes what the controllers do, if given a digest.
-pub fn play_digested(
+pub fn run_day_with_digest(
     day: &Day,
     variant: &Variant,
     seed: u64,
@@ -63,33 +63,38 @@
     let mut play = DayRun::new(&day, variant, seed)?;
     play.sim.digest = digest;
     play.run();
-    Ok((play.out, play.sim.digest))
+    Ok((play.outcome, play.sim.digest))
 }
 
-fn ms(s: f64) -> u64 {
+fn to_ms(s: f64) -> u64 {
     (s * 1e3) as u64
 }
 
 /// The settings of a day's controllers.
 fn apply_settings(settings: &mut Settings, day: &Day, variant: &Variant) -> Result<(), String> {
-    for name in &variant.without {
-        day::leave_out(&mut settings.checks, name)?;
+    for name in &variant.disabled_checks {
+        day::disable_check(&mut settings.checks, name)?;
     }
     settings.tuning = variant.tuning;
     settings.zones = day.zones.clone();
-    settings.report_ms = ms(day.workers.report_s);
-    settings.lease_ms = ms(day.workers.lease_s);
-    settings.cancel_ms = ms(day.workers.cancel_s);
-    settings.max_value_bytes = ms(day.limits.value_kb * 1.024);
-    settings.max_transaction_changes = day.limits.max_transaction_changes;
+    settings.report_ms = to_ms(day.workers.heartbeat_s);
+    settings.lease_ms = to_ms(day.workers.lease_s);
+    settings.cancel_ms = to_ms(day.workers.cancel_s);
+    settings.max_value_bytes = to_ms(day.limits.value_kb * 1.024);
+    settings.max_transaction_changes = day.limits.transaction_changes;
     settings.write_rps = day.limits.write_rps / day.controllers as f64;
     settings.next_write_rps = settings.write_rps;
-    settings.list_lag_ms = ms(day.limits.list_lag_s);
+    settings.list_lag_ms = to_ms(day.limits.list_lag_s);
     settings.idle_return_ms = IDLE_RETURN_MS;
     let teams = day.teams.iter().map(|t| (t.name.clone(), team(t)));
     settings.policy.teams = teams.collect();
-    let goals = day.classes.iter().filter(|c| !c.within_s.is_empty());
-    let goals = goals.map(|c| (c.name.clone(), c.within_s.iter().map(|s| ms(*s)).collect()));
+    let goals = day.classes.iter().filter(|c| !c.objectives_s.is_empty());
+    let goals = goals.map(|c| {
+        (
+            c.name.clone(),
+            c.objectives_s.iter().map(|s| to_ms(*s)).collect(),
+        )
+    });
     settings.policy.goals = goals.collect();
     Ok(())
 }
@@ -107,14 +112,14 @@
 
 /// What the state service and the cloud take on a day.
 fn apply_limits(sim: &mut Simulation, day: &Day) {
-    sim.controller_zones = day.controllers_in.clone();
+    sim.controller_zones = day.controller_zones.clone();
     sim.cloud.capacity = day.capacity;
     sim.state.page_size = PAGE;
     sim.service_limits.state_requests = Some(TokenBucket::new(day.limits.state_rps, 1.0));
     sim.service_limits.state_changes = Some(TokenBucket::new(day.limits.write_rps, 1.0));
     sim.service_limits.cloud_calls = Some(TokenBucket::new(day.limits.cloud_rps, 2.0));
-    sim.service_limits.worker_connections = Some(day.limits.sockets);
-    sim.service_limits.list_lag_ms = ms(day.limits.list_lag_s);
+    sim.service_limits.worker_connections = Some(day.limits.worker_connections);
+    sim.service_limits.list_lag_ms = to_ms(day.limits.list_lag_s);
     for kind in &mut sim.cloud.machine_types {
         kind.zones = day.zones.clone();
     }
@@ -125,7 +130,7 @@
     for i in 0..day.machines {
         let zone = &day.zones[i % day.zones.len()];
         let kind = if i % 4 == 0 { "large" } else { "small" };
-        let delay = 10 + (i as u64 * 7) % ms(day.workers.report_s);
+        let delay = 10 + (i as u64 * 7) % to_ms(day.workers.heartbeat_s);
         sim.boot_machine(kind, zone, false, delay);
     }
 }
@@ -140,27 +145,27 @@
             users: Users::new(day.controllers),
             rng: SmallRng::seed_from_u64(seed ^ 0x5eed),
             next_job: 0,
-            next_at: vec![0.0; day.classes.len()],
-            factor: vec![1.0; day.classes.len()],
-            followed: Vec::new(),
-            out: Outcome {
+            next_submission_s: vec![0.0; day.classes.len()],
+            rate_factors: vec![1.0; day.classes.len()],
+            failovers: Vec::new(),
+            outcome: Outcome {
                 plays: 1,
                 ..Outcome::default()
             },
-            ongoing: Vec::new(),
-            up: Vec::new(),
-            began: vec![0; day.controllers],
+            active_faults: Vec::new(),
+            replica_samples: Vec::new(),
+            measured_starts_ms: vec![0; day.controllers],
             day,
             sim,
         })
     }
 
-    /// The day's troubles and when each begins.
+    /// The day's faults and when each begins.
     fn schedule(&self) -> Vec<(u64, FaultKind)> {
         let mut troubles: Vec<(u64, FaultKind)> = Vec::new();
-        for t in &self.day.troubles {
+        for t in &self.day.faults {
             for i in 0..t.times.max(1) {
-                troubles.push((ms(t.at_s + f64::from(i) * t.every_s), t.what.clone()));
+                troubles.push((to_ms(t.at_s + f64::from(i) * t.every_s), t.what.clone()));
             }
         }
         troubles.sort_by_key(|(at, _)| *at);
@@ -173,35 +178,35 @@
         let end = self.day.seconds * 1_000;
         while self.sim.now_ms < end + DRAIN_S * 1_000 {
             while let Some((_, what)) = troubles.next_if(|(at, _)| *at <= self.sim.now_ms) {
-                self.begin(what);
+                self.begin_fault(what);
             }
-            self.end_troubles();
+            self.end_faults();
             if self.sim.now_ms < end {
                 self.submit();
             }
             self.users.step(&mut self.sim);
             self.sim.run(STEP_MS);
-            self.follow();
+            self.observe_failovers();
             if self.sim.now_ms % 1_000 < STEP_MS {
-                self.sample(self.sim.now_ms < end);
+                self.sample_replicas(self.sim.now_ms < end);
             }
             if self.sim.now_ms > end && self.all_ended() {
                 break;
             }
         }
         self.sim.check_records();
-        self.count(begun.elapsed());
+        self.compute_outcome(begun.elapsed());
     }
 
     fn all_ended(&self) -> bool {
         let open = |(id, u): (&String, &crate::users::User)| {
             let service = self.sim.job_specs[id].kind == JobKind::Service;
-            !(service || u.gave_up || u.cancelled || u.done_at.is_some())
+            !(service || u.gave_up || u.cancelled || u.completed_ms.is_some())
         };
         !self.users.users.iter().any(open)
     }
 
     fn counted(&self) -> bool {
-        self.sim.now_ms >= self.day.warm_s * 1_000
+        self.sim.now_ms >= self.day.warmup_s * 1_000
     }
 }
--- a/crates/simulation/src/day_runner/failovers.rs
+++ b/crates/simulation/src/day_runner/failovers.rs
@@ -4,7 +4,7 @@
 use crate::outcome::Outcome;
 use crate::{Simulation, Worker};
 use glenmount_core::controller::Controller;
-use glenmount_core::peers::tracker::PeerStatus;
+use glenmount_core::peers::PeerStatus;
 use std::collections::BTreeSet;
 
 /// Milliseconds for which a controller's end is followed.
@@ -15,14 +15,14 @@
 /// A controller's end that is followed until its work is taken over.
 pub(super) struct FailoverObservation {
     controller: usize,
-    at: u64,
+    failed_ms: u64,
     /// Machines that reported to it and have not been heard since.
-    machines: BTreeSet<String>,
+    pending_workers: BTreeSet<String>,
     /// How many they were.
-    all: usize,
-    noticed: bool,
-    claimed: bool,
-    duty: bool,
+    workers: usize,
+    is_detected: bool,
+    has_start: bool,
+    has_duty: bool,
 }
 
 impl FailoverObservation {
@@ -32,15 +32,15 @@
             .workers
             .values()
             .filter(|m| m.alive && m.controller == controller);
-        let machines: BTreeSet<String> = there.map(|m| m.name.clone()).collect();
+        let pending_workers: BTreeSet<String> = there.map(|m| m.name.clone()).collect();
         FailoverObservation {
             controller,
-            at: sim.now_ms,
-            all: machines.len(),
-            machines,
-            noticed: false,
-            claimed: false,
-            duty: false,
+            failed_ms: sim.now_ms,
+            workers: pending_workers.len(),
+            pending_workers,
+            is_detected: false,
+            has_start: false,
+            has_duty: false,
         }
     }
 
@@ -52,7 +52,7 @@
 
     /// Whether its peers have noticed it, and one does its duties.
     fn look_at_siblings(&mut self, sim: &Simulation, out: &mut Outcome) {
-        let took = sim.now_ms - self.at;
+        let took = sim.now_ms - self.failed_ms;
         let name = &sim.settings.controllers[self.controller];
         let lives = |n: usize| {
             sim.controllers[n]
@@ -63,27 +63,29 @@
         let others = (0..sim.controllers.len()).filter(|n| *n != self.controller);
         let others: Vec<&Controller> = others.filter_map(lives).collect();
         let away = |o: &&Controller| o.status_of(name).is_some_and(PeerStatus::is_away);
-        if !self.noticed && others.iter().any(away) {
-            self.noticed = true;
-            out.noticed.note(took);
+        if !self.is_detected && others.iter().any(away) {
+            self.is_detected = true;
+            out.failure_detection.record(took);
         }
-        if !self.duty && self.noticed && others.iter().any(|o| o.is_on_duty()) {
-            self.duty = true;
-            out.duty.note(took);
+        if !self.has_duty && self.is_detected && others.iter().any(|o| o.is_on_duty()) {
+            self.has_duty = true;
+            out.duty_takeover.record(took);
         }
     }
 
     /// Which of its machines have been heard, and told to start something.
     fn look_at_machines(&mut self, sim: &Simulation, out: &mut Outcome) {
         let mut came = Vec::new();
-        for id in &self.machines {
+        for id in &self.pending_workers {
             match sim.workers.get(id) {
-                Some(worker) if worker.last_heard.at_ms > self.at => {
-                    out.heard.note(worker.last_heard.at_ms - self.at);
+                Some(worker) if worker.last_heard.at_ms > self.failed_ms => {
+                    out.worker_reconnection
+                        .record(worker.last_heard.at_ms - self.failed_ms);
                     came.push(id.clone());
-                    if !self.claimed && worker.last_start_ms > self.at {
-                        self.claimed = true;
-                        out.first_claim.note(worker.last_start_ms - self.at);
+                    if !self.has_start && worker.last_start_ms > self.failed_ms {
+                        self.has_start = true;
+                        out.first_start_after_failure
+                            .record(worker.last_start_ms - self.failed_ms);
                     }
                 }
                 Some(worker) if worker.alive && !worker.disconnected => {}
@@ -91,58 +93,65 @@
             }
         }
         for id in came {
-            self.machines.remove(&id);
+            self.pending_workers.remove(&id);
         }
     }
 
     /// A claim on a machine that was heard already.
     fn look_for_claims(&mut self, sim: &Simulation, out: &mut Outcome) {
-        if self.claimed {
+        if self.has_start {
             return;
         }
-        let told = |m: &&Worker| m.last_heard.at_ms > self.at && m.last_start_ms > self.at;
+        let told =
+            |m: &&Worker| m.last_heard.at_ms > self.failed_ms && m.last_start_ms > self.failed_ms;
         let starts = sim.workers.values().filter(told).map(|m| m.last_start_ms);
-        if let Some(at) = starts.min().filter(|_| self.all > 0) {
-            self.claimed = true;
-            out.first_claim.note(at - self.at);
+        if let Some(at) = starts.min().filter(|_| self.workers > 0) {
+            self.has_start = true;
+            out.first_start_after_failure.record(at - self.failed_ms);
         }
     }
 
     fn is_over(&self, now: u64) -> bool {
-        let taken_over = self.machines.is_empty() && self.noticed && self.claimed && self.duty;
-        now >= self.at + FOLLOWED_MS || taken_over
+        let taken_over =
+            self.pending_workers.is_empty() && self.is_detected && self.has_start && self.has_duty;
+        now >= self.failed_ms + FOLLOWED_MS || taken_over
     }
 }
 
 impl DayRun<'_> {
-    pub(super) fn follow_end(&mut self, n: usize) {
-        self.followed.push(FailoverObservation::new(&self.sim, n));
+    pub(super) fn observe_failure(&mut self, n: usize) {
+        self.failovers.push(FailoverObservation::new(&self.sim, n));
     }
 
     /// Looks at all that is followed.
-    pub(super) fn follow(&mut self) {
-        for followed in &mut self.followed {
-            followed.look(&self.sim, &mut self.out);
+    pub(super) fn observe_failovers(&mut self) {
+        for followed in &mut self.failovers {
+            followed.look(&self.sim, &mut self.outcome);
         }
         let now = self.sim.now_ms;
-        self.followed.retain(|followed| !followed.is_over(now));
+        self.failovers.retain(|followed| !followed.is_over(now));
         self.measure_starts();
     }
 
     /// What processes did in their first seconds.
     fn measure_starts(&mut self) {
         for (n, slot) in self.sim.controllers.iter().enumerate() {
-            if slot.started_ms <= self.began[n] || self.sim.now_ms < slot.started_ms + STARTED_MS {
+            if slot.started_ms <= self.measured_starts_ms[n]
+                || self.sim.now_ms < slot.started_ms + STARTED_MS
+            {
                 continue;
             }
-            self.began[n] = slot.started_ms;
+            self.measured_starts_ms[n] = slot.started_ms;
             for (at, times) in [
-                (slot.first_ready_ms, &mut self.out.ready),
-                (slot.first_accepted_ms, &mut self.out.accepted),
-                (slot.first_start_ms, &mut self.out.claimed),
+                (slot.first_ready_ms, &mut self.outcome.time_to_ready),
+                (
+                    slot.first_accepted_ms,
+                    &mut self.outcome.time_to_first_acceptance,
+                ),
+                (slot.first_start_ms, &mut self.outcome.time_to_first_start),
             ] {
                 if let Some(at) = at {
-                    times.note(at - slot.started_ms);
+                    times.record(at - slot.started_ms);
                 }
             }
         }
--- a/crates/simulation/src/day_runner/faults.rs
+++ b/crates/simulation/src/day_runner/faults.rs
@@ -1,11 +1,11 @@
-//! Troubles of a day: how each begins, and how those end that last for some time.
+//! Faults of a day: how each begins, and how those end that last for some time.
 
-use super::{ms, DayRun};
+use super::{to_ms, DayRun};
 use crate::day::FaultKind;
 use rand::seq::SliceRandom;
 use std::collections::BTreeMap;
 
-/// A trouble that lasts for some time.
+/// A fault that lasts for some time.
 pub(super) enum ActiveFault {
     CutState(usize),
     CutWorkers(usize),
@@ -35,7 +35,7 @@
         controllers
     }
 
-    fn some_machines(&mut self, count: usize) -> Vec<String> {
+    fn draw_machines(&mut self, count: usize) -> Vec<String> {
         let alive = self.sim.workers.values().filter(|worker| worker.alive);
         let mut names: Vec<String> = alive.map(|worker| worker.name.clone()).collect();
         names.shuffle(&mut self.rng);
@@ -43,51 +43,61 @@
         names
     }
 
-    /// A trouble begins.
-    pub(super) fn begin(&mut self, what: FaultKind) {
+    /// A fault begins.
+    pub(super) fn begin_fault(&mut self, what: FaultKind) {
         let busiest = self.busiest();
         match (what, busiest.first().copied()) {
-            (FaultKind::End { count, back_s }, _) => {
+            (FaultKind::Crash { count, back_s }, _) => {
                 for n in busiest.into_iter().take(count) {
-                    self.follow_end(n);
-                    self.sim.crash(n, ms(back_s));
+                    self.observe_failure(n);
+                    self.sim.crash(n, to_ms(back_s));
                 }
             }
-            (FaultKind::Leave { back_s }, Some(n)) => self.sim.shut_down(n, ms(back_s)),
-            (FaultKind::Freeze { count, for_s }, _) => {
+            (FaultKind::ShutDown { back_s }, Some(n)) => self.sim.shut_down(n, to_ms(back_s)),
+            (FaultKind::Pause { count, for_s }, _) => {
                 for n in busiest.into_iter().take(count) {
-                    self.sim.pause(n, ms(for_s));
+                    self.sim.pause(n, to_ms(for_s));
                 }
             }
-            (FaultKind::CutState { for_s }, Some(n)) => self.last(for_s, ActiveFault::CutState(n)),
+            (FaultKind::CutState { for_s }, Some(n)) => {
+                self.begin_lasting_fault(for_s, ActiveFault::CutState(n))
+            }
             (FaultKind::CutWorkers { for_s }, Some(n)) => {
-                self.last(for_s, ActiveFault::CutWorkers(n))
+                self.begin_lasting_fault(for_s, ActiveFault::CutWorkers(n))
+            }
+            (FaultKind::CutPeers { for_s }, Some(n)) => {
+                self.begin_lasting_fault(for_s, ActiveFault::CutPeers(n))
+            }
+            (FaultKind::CutAlone { for_s }, Some(n)) => {
+                self.begin_lasting_fault(for_s, ActiveFault::CutAlone(n))
             }
-            (FaultKind::CutPeers { for_s }, Some(n)) => self.last(for_s, ActiveFault::CutPeers(n)),
-            (FaultKind::CutAlone { for_s }, Some(n)) => self.last(for_s, ActiveFault::CutAlone(n)),
             (FaultKind::RefuseState { for_s }, Some(n)) => {
-                self.last(for_s, ActiveFault::RefuseState(n))
+                self.begin_lasting_fault(for_s, ActiveFault::RefuseState(n))
+            }
+            (FaultKind::StateOutage { for_s }, _) => {
+                self.begin_lasting_fault(for_s, ActiveFault::StateOutage)
+            }
+            (FaultKind::ZoneCut { zone, for_s }, _) => {
+                self.begin_lasting_fault(for_s, ActiveFault::ZoneCut(zone))
             }
-            (FaultKind::StateOutage { for_s }, _) => self.last(for_s, ActiveFault::StateOutage),
-            (FaultKind::ZoneCut { zone, for_s }, _) => self.last(for_s, ActiveFault::ZoneCut(zone)),
             (FaultKind::MachinesDie { count }, _) => {
-                for name in self.some_machines(count) {
+                for name in self.draw_machines(count) {
                     self.sim.kill_machine(&name);
                 }
             }
             (FaultKind::MachinesCut { count, for_s }, _) => {
-                let names = self.some_machines(count);
-                self.last(for_s, ActiveFault::MachinesCut(names));
+                let names = self.draw_machines(count);
+                self.begin_lasting_fault(for_s, ActiveFault::MachinesCut(names));
             }
-            (FaultKind::Deaf { count, for_s }, _) => {
-                let names = self.some_machines(count);
-                self.last(for_s, ActiveFault::Deaf(names));
+            (FaultKind::InboundLost { count, for_s }, _) => {
+                let names = self.draw_machines(count);
+                self.begin_lasting_fault(for_s, ActiveFault::Deaf(names));
             }
             (FaultKind::LateWrites { share, for_s }, _) => {
-                self.last(for_s, ActiveFault::LateWrites(share))
+                self.begin_lasting_fault(for_s, ActiveFault::LateWrites(share))
             }
             (FaultKind::LateReports { share, for_s }, _) => {
-                self.last(for_s, ActiveFault::LateReports(share));
+                self.begin_lasting_fault(for_s, ActiveFault::LateReports(share));
             }
             (
                 FaultKind::Burst {
@@ -99,32 +109,33 @@
             ) => {
                 let class = self.day.classes.iter().position(|c| c.name == class);
                 if let Some(class) = class {
-                    self.last(for_s, ActiveFault::Burst { class, factor });
+                    self.begin_lasting_fault(for_s, ActiveFault::Burst { class, factor });
                 }
             }
             (_, None) => {}
         }
     }
 
-    /// Begins a trouble that lasts for so many seconds.
-    fn last(&mut self, for_s: f64, trouble: ActiveFault) {
-        self.set(&trouble, true);
-        self.ongoing.push((self.sim.now_ms + ms(for_s), trouble));
+    /// Begins a fault that lasts for so many seconds.
+    fn begin_lasting_fault(&mut self, for_s: f64, trouble: ActiveFault) {
+        self.set_fault(&trouble, true);
+        self.active_faults
+            .push((self.sim.now_ms + to_ms(for_s), trouble));
     }
 
-    /// Ends the troubles whose time is over.
-    pub(super) fn end_troubles(&mut self) {
+    /// Ends the faults whose time is over.
+    pub(super) fn end_faults(&mut self) {
         let now = self.sim.now_ms;
-        let ongoing = std::mem::take(&mut self.ongoing);
+        let ongoing = std::mem::take(&mut self.active_faults);
         let (over, last): (Vec<_>, Vec<_>) = ongoing.into_iter().partition(|(at, _)| *at <= now);
-        self.ongoing = last;
+        self.active_faults = last;
         for (_, trouble) in over {
-            self.set(&trouble, false);
+            self.set_fault(&trouble, false);
         }
     }
 
-    /// Puts a trouble in force, or takes it back.
-    fn set(&mut self, trouble: &ActiveFault, on: bool) {
+    /// Puts a fault in force, or takes it back.
+    fn set_fault(&mut self, trouble: &ActiveFault, on: bool) {
         let sim = &mut self.sim;
         match trouble {
             ActiveFault::CutState(n) => sim.controllers[*n].cut_from_state = on,
@@ -163,10 +174,10 @@
                 sim.network.faults.heartbeat_duplicated = if on { *share } else { 0.0 }
             }
             ActiveFault::Burst { class, factor } if on => {
-                self.factor[*class] *= factor;
-                self.next_at[*class] = sim.now_ms as f64 / 1e3;
+                self.rate_factors[*class] *= factor;
+                self.next_submission_s[*class] = sim.now_ms as f64 / 1e3;
             }
-            ActiveFault::Burst { class, factor } => self.factor[*class] /= factor,
+            ActiveFault::Burst { class, factor } => self.rate_factors[*class] /= factor,
         }
     }
 }
--- a/crates/simulation/src/effects.rs
+++ b/crates/simulation/src/effects.rs
@@ -13,7 +13,7 @@
 use rand::Rng;
 
 /// Milliseconds after which a controller gives up on a request to the state service.
-const STATE_TIMEOUT_MS: u64 = 1_200;
+const STATE_REQUEST_GIVE_UP_MS: u64 = 1_200;
 /// Milliseconds after which a controller gives up on a call to the cloud.
 const CLOUD_TIMEOUT_MS: u64 = 1_500;
 /// Milliseconds after which a controller gives up on a command that does not get through.
@@ -167,7 +167,7 @@
         }
         let answer = StateResponse::NoAnswer;
         let event = Event::State { token, answer };
-        self.deliver(STATE_TIMEOUT_MS, process, event);
+        self.deliver(STATE_REQUEST_GIVE_UP_MS, process, event);
     }
 
     /// Sends a request to the state service.
@@ -234,7 +234,11 @@
 
     /// A controller's heartbeat to its peers.
     fn send_peer_heartbeat(&mut self, n: usize, heartbeat: &PeerHeartbeat) {
-        self.metrics.heartbeat_bytes = heartbeat.heard.iter().map(|h| h.0.len() + 12).sum();
+        self.metrics.heartbeat_bytes = heartbeat
+            .workers
+            .iter()
+            .map(|worker| worker.machine.len() + 12)
+            .sum();
         for m in 0..self.controllers.len() {
             if self.peers_connected(n, m) {
                 self.deliver(3, self.process(m), Event::PeerHeartbeat(heartbeat.clone()));
--- a/crates/simulation/src/event_loop.rs
+++ b/crates/simulation/src/event_loop.rs
@@ -54,7 +54,7 @@
     ChangePhase(PhaseChange),
     /// Orders reach a worker directly.
     DeliverCommand(Command),
-    /// A machine that hung goes on.
+    /// A machine that were stalled goes on.
     ResumeWorker(String),
     /// Users look at a job that was just accepted, cancelled or done.
     FollowUp {
@@ -99,6 +99,7 @@
         p > 0.0 && self.rng.gen_bool(p)
     }
 
+    /// Runs for so many milliseconds.
     pub fn run(&mut self, ms: u64) {
         let end = self.now_ms + ms;
         while let Some((due, act)) = self.queue.pop_due(end) {
--- a/crates/simulation/src/fixtures.rs
+++ b/crates/simulation/src/fixtures.rs
@@ -19,6 +19,7 @@
     }
 }
 
+/// Settings of one of several controllers, with a team `blue` that has a limit and a team `red` that has none.
 pub fn settings(controller: &str, count: usize) -> Settings {
     let mut teams = BTreeMap::new();
     for (name, max) in [("blue", 12_000), ("red", 0)] {
@@ -60,6 +61,7 @@
     }
 }
 
+/// An array of tasks of the team `red` that take two processors each.
 pub fn job(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
@@ -96,6 +98,7 @@
     }
 }
 
+/// A service of the team `red`.
 pub fn service(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         kind: JobKind::Service,
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -142,6 +142,7 @@
         used
     }
 
+    /// The phase of a job on record.
     pub fn job_phase(&self, id: &str) -> Option<JobPhase> {
         match self.state.records.get(&Key::Job(id.into())) {
             Some((Record::Job(j), _)) => Some(j.phase),
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,6 +1,13 @@
-//! A world in memory for scenarios and measurements: controllers, state service, cloud, workers and users
-//! in simulated time, with seeded chance. It checks the rules of the protocol at every step, and
-//! plays fleets of thousands of machines in seconds.
+//! Deterministic simulation of controllers, state service, cloud, workers and users in memory, with fault injection.
+//!
+//! Everything runs in one thread and in simulated time, and all chance comes from one seed: the same seed and the
+//! same calls give the same run. The invariants of the protocol are checked at every step, and fleets of thousands
+//! of machines are played in seconds.
+//!
+//! [`Simulation`] is the entry point: tests submit jobs, inject faults and run until something holds.
+//! [`day_runner`] plays described days ([`day`]) and measures them ([`outcome`]).
+
+#![warn(missing_docs)]
 
 mod cloud;
 mod controllers;
--- a/crates/simulation/src/metrics.rs
+++ b/crates/simulation/src/metrics.rs
@@ -24,9 +24,11 @@
     pub overlaps: Overlaps,
     /// Events that controllers handled, and the time that this took.
     pub events: u64,
+    /// Time that controllers took to handle events.
     pub event_time: Duration,
     /// Heartbeats of peers among these events, and the time that these took.
     pub heartbeats: u64,
+    /// Time that controllers took to handle heartbeats of peers.
     pub heartbeat_time: Duration,
     /// Approximate size in bytes of the last heartbeat between controllers.
     pub heartbeat_bytes: usize,
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -9,18 +9,27 @@
 /// Chances of faults per message, between 0 and 1.
 #[derive(Default, Clone)]
 pub struct FaultRates {
+    /// A transaction is committed, but its answer is lost.
     pub transaction_answer_lost: f64,
+    /// A transaction is committed seconds later, when its sender has given up.
     pub transaction_late: f64,
     /// An answer is overtaken by the watch, by up to a second.
     pub answer_slow: f64,
+    /// A worker's heartbeat is lost.
     pub heartbeat_lost: f64,
+    /// A worker's heartbeat arrives seconds later.
     pub heartbeat_late: f64,
+    /// A worker's heartbeat arrives twice, the second time up to half a minute later.
     pub heartbeat_duplicated: f64,
     /// A copy is kept for the next controller that begins: all controllers get it then.
     pub heartbeat_kept: f64,
+    /// The reply to a heartbeat is lost.
     pub reply_lost: f64,
+    /// A call to the cloud is executed, but its sender is told that it failed.
     pub cloud_answer_lost: f64,
+    /// A command to a worker is lost.
     pub command_lost: f64,
+    /// A command to a worker arrives up to a minute later.
     pub command_late: f64,
 }
 
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -26,11 +26,13 @@
 /// Why a change did not come into force.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ConfigureError {
-    Absurd(ConfigurationError),
+    /// The settings are refused, by their field.
+    Invalid(ConfigurationError),
     /// Not every controller reads configurations yet.
-    NotConfigurable,
+    Unsupported,
     /// Another operator was first.
     Conflict,
+    /// The state service is down.
     Unavailable,
 }
 
@@ -138,8 +140,8 @@
             .records
             .get(&Key::ConfigurationEnabled)
             .map(|(_, mod_revision)| *mod_revision);
-        let configurable = configurable.ok_or(ConfigureError::NotConfigurable)?;
-        let policy = settings.policy().map_err(ConfigureError::Absurd)?;
+        let configurable = configurable.ok_or(ConfigureError::Unsupported)?;
+        let policy = settings.policy().map_err(ConfigureError::Invalid)?;
         let open = self
             .state
             .records
@@ -149,7 +151,7 @@
                 _ => None,
             });
         let open: Vec<&JobSpec> = open.collect();
-        configuration::review(&policy, open.into_iter()).map_err(ConfigureError::Absurd)?;
+        configuration::review(&policy, open.into_iter()).map_err(ConfigureError::Invalid)?;
         let current = match self.state.records.get(&Key::Configuration) {
             Some((Record::Configuration(record), mod_revision)) => Some((record, *mod_revision)),
             _ => None,
@@ -160,7 +162,7 @@
         };
         let at = crate::START_TIME_MS + self.now_ms;
         configuration::change(settings, current, configurable, limits, at, "")
-            .map_err(ConfigureError::Absurd)
+            .map_err(ConfigureError::Invalid)
     }
 
     /// An operator's transaction arrives at the state service.
--- a/crates/simulation/src/previous_version.rs
+++ b/crates/simulation/src/previous_version.rs
@@ -229,11 +229,12 @@
     }
 }
 
+/// A record as that version reads it and would write it again; none for what it cannot read.
 pub fn record(key: &Key, record: &Record) -> Option<Record> {
     Record::read(key, value(key, record.value(OLDEST))?)
 }
 
-/// What a controller of the old version makes of records.
+/// What a controller of the previous version makes of records.
 pub(crate) fn event_as_read(event: Event) -> Event {
     match event {
         Event::WatchUpdate { revision, changes } => {
@@ -270,7 +271,7 @@
     }
 }
 
-/// What a controller of the old version sends: nothing of formats, and records in their old shape.
+/// What a controller of the previous version sends: nothing of formats, and records in their old shape.
 pub(crate) fn operation_as_written(op: StateOperation) -> Option<StateOperation> {
     let StateOperation::Transaction(mut transaction) = op else {
         return Some(op);
--- a/crates/simulation/src/random_faults.rs
+++ b/crates/simulation/src/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults that fall together: jobs come and go while controllers end, stand still and are cut off, machines
+//! Random faults that fall together: jobs come and go while controllers end, are paused and are cut off, machines
 //! hang or restart, and messages are lost, late or doubled. The same seed gives the same run.
 
 use crate::{job, service, use_long_leases, FaultRates, Simulation};
@@ -11,6 +11,7 @@
 
 /// A run whose faults are still in force.
 pub struct RandomFaults {
+    /// The simulation at the end of the run.
     pub simulation: Simulation,
     /// Jobs that were submitted, whether they were accepted or not.
     pub jobs: Vec<String>,
@@ -23,7 +24,7 @@
     play_on(seed, machines, steps, |_| {})
 }
 
-/// The same in a world that is prepared first.
+/// The same in a simulation that is prepared first.
 pub fn play_on(
     seed: u64,
     machines: usize,
--- a/crates/simulation/src/rate_limits.rs
+++ b/crates/simulation/src/rate_limits.rs
@@ -8,26 +8,28 @@
 pub struct TokenBucket {
     per_s: f64,
     burst_s: f64,
-    level: f64,
-    at: u64,
+    tokens: f64,
+    refilled_ms: u64,
 }
 
 impl TokenBucket {
+    /// A full bucket.
     pub fn new(per_s: f64, burst_s: f64) -> TokenBucket {
         TokenBucket {
             per_s,
             burst_s,
-            level: per_s * burst_s,
-            at: 0,
+            tokens: per_s * burst_s,
+            refilled_ms: 0,
         }
     }
+    /// Takes so many tokens, if there are as many.
     pub fn try_take(&mut self, now: u64, n: f64) -> bool {
-        let passed = (now - self.at) as f64 / 1e3;
-        self.at = now;
-        self.level = (self.level + passed * self.per_s).min(self.per_s * self.burst_s);
-        let fits = self.level >= n;
+        let passed = (now - self.refilled_ms) as f64 / 1e3;
+        self.refilled_ms = now;
+        self.tokens = (self.tokens + passed * self.per_s).min(self.per_s * self.burst_s);
+        let fits = self.tokens >= n;
         if fits {
-            self.level -= n;
+            self.tokens -= n;
         }
         fits
     }
@@ -36,8 +38,11 @@
 /// Absent: without limit.
 #[derive(Default)]
 pub struct ServiceLimits {
+    /// Requests to the state service.
     pub state_requests: Option<TokenBucket>,
+    /// Changes in transactions.
     pub state_changes: Option<TokenBucket>,
+    /// Calls to the cloud.
     pub cloud_calls: Option<TokenBucket>,
     /// Workers' connections that a controller holds.
     pub worker_connections: Option<usize>,
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -5,13 +5,20 @@
 use glenmount_core::model::{JobSpec, JobState};
 use std::collections::BTreeSet;
 
+/// What users were told about a job.
 #[derive(Default)]
 pub struct UserView {
+    /// Whether it was accepted.
     pub accepted: bool,
+    /// When users were first told that it is accepted.
     pub accepted_ms: Option<u64>,
+    /// When users were first told that it is cancelled.
     pub cancelled_ms: Option<u64>,
+    /// Whether users were told that it is done.
     pub completed: bool,
+    /// When users were first told that it is done.
     pub completed_ms: Option<u64>,
+    /// Whether a user asked to cancel it.
     pub cancel_requested: bool,
 }
 
@@ -43,6 +50,7 @@
 /// given after it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Overlaps {
+    /// How many.
     pub answers: u32,
     /// Milliseconds at most by which the newer one was given earlier.
     pub longest_ms: u64,
@@ -87,6 +95,7 @@
         request
     }
 
+    /// A user submits a job to a controller.
     pub fn submit(&mut self, n: usize, spec: JobSpec) -> RequestId {
         let id = spec.id.clone();
         self.job_specs.insert(id.clone(), spec.clone());
@@ -96,11 +105,13 @@
         })
     }
 
+    /// A user asks a controller for the status of a job.
     pub fn status(&mut self, n: usize, id: &str) -> RequestId {
         let job = id.to_string();
         self.request(n, id, |request| Event::Status { request, job })
     }
 
+    /// A user asks a controller to cancel a job.
     pub fn cancel(&mut self, n: usize, id: &str) -> RequestId {
         self.user_views
             .entry(id.to_string())
--- a/crates/simulation/src/stalls.rs
+++ b/crates/simulation/src/stalls.rs
@@ -4,11 +4,11 @@
 use crate::{Action, Simulation};
 use glenmount_core::controller::CommandOutcome;
 
-/// Milliseconds after which a controller gives up on a command to a machine that hangs.
+/// Milliseconds after which a controller gives up on a command to a machine that is stalled.
 const COMMAND_TIMEOUT_MS: u64 = 1_200;
 
 impl Simulation {
-    /// Lets a machine hang: it executes nothing, reports nothing, and goes on later. What comes to it
+    /// Lets a machine hang: it executes nothing, reports nothing, and resumes later. What comes to it
     /// meanwhile waits.
     pub fn stall(&mut self, machine: &str, ms: u64) {
         let until = self.now_ms + ms;
@@ -18,13 +18,14 @@
         }
     }
 
+    /// Whether a machine is stalled.
     pub fn is_stalled(&self, machine: &str) -> bool {
         self.workers
             .get(machine)
             .is_some_and(|worker| worker.stalled_until_ms > 0)
     }
 
-    /// What a machine that hangs would do or get waits until it goes on.
+    /// What a machine that is stalled would do or get waits until it goes on.
     pub(crate) fn unless_stalled(&mut self, act: Action) -> Option<Action> {
         let name = match &act {
             Action::CheckLease(_) if self.stalled_leases_expire => return Some(act),
--- a/crates/simulation/src/starvation.rs
+++ b/crates/simulation/src/starvation.rs
@@ -1,20 +1,22 @@
-//! Jobs that wait beside room.
+//! Jobs that wait despite capacity.
 
 use crate::Simulation;
 use glenmount_core::model::{JobSpec, Resources, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Since when jobs have waited though a machine that fits has room and their team is under its limit: by the
+/// Since when jobs have waited though a machine that fits has capacity and their team is under its limit: by the
 /// world's own sum of what runs, not by the records.
 #[derive(Debug, Default)]
 pub struct StarvationTracker {
     pub(crate) since_ms: BTreeMap<String, u64>,
     /// Milliseconds, and the job that waited so long.
     pub longest_ms: u64,
+    /// The job that waited longest.
     pub job: String,
 }
 
 impl StarvationTracker {
+    /// Looks at what waits now.
     pub fn observe(&mut self, sim: &Simulation) {
         let waiting = sim.jobs_waiting_despite_capacity();
         self.since_ms.retain(|id, _| waiting.contains(id));
@@ -28,7 +30,7 @@
 }
 
 impl Simulation {
-    /// Jobs of which a task waits although a machine that it may use has room for it, and its team is under
+    /// Jobs of which a task waits although a machine that it may use has capacity for it, and its team is under
     /// its limit.
     pub fn jobs_waiting_despite_capacity(&self) -> BTreeSet<String> {
         let mut waiting = BTreeSet::new();
--- a/crates/simulation/src/state_store.rs
+++ b/crates/simulation/src/state_store.rs
@@ -39,7 +39,9 @@
 /// Largest value in bytes, and most changes of one transaction.
 #[derive(Clone, Copy, Debug)]
 pub struct TransactionLimits {
+    /// Largest value in bytes.
     pub max_value_bytes: u64,
+    /// Changes of one transaction.
     pub changes: usize,
 }
 
@@ -70,6 +72,7 @@
     pub too_large: u32,
     /// Transactions, and changes in them, whether they were committed or not.
     pub transactions: u32,
+    /// Changes of one transaction.
     pub changes: u32,
     /// Transactions of which a condition did not hold.
     pub conflicts: u32,
@@ -109,6 +112,7 @@
         self.commit_single(key, Some(record));
     }
 
+    /// Somebody else removes a record.
     pub fn remove_record(&mut self, key: Key) {
         self.commit_single(key, None);
     }
@@ -270,7 +274,7 @@
     }
 
     /// Checks that a transaction keeps to the limits that its sender was told, and that while one controller has
-    /// the old version all is written in the old shape. Returns the bytes of its largest value.
+    /// the previous version all is written in the old shape. Returns the bytes of its largest value.
     fn check_limits_and_format(
         &self,
         transaction: &CasTransaction,
@@ -291,7 +295,7 @@
             let size = value.to_string().len() as u64;
             let before = (self.state.records.get(key))
                 .map_or(0, |(r, _)| r.value(OLDEST).to_string().len() as u64);
-            // A chunk of the old version's may be written as large as it is.
+            // A chunk of the previous version's may be written as large as it is.
             let shrinks = transaction.format == OLDEST && size <= before;
             assert!(
                 size <= limits.max_value_bytes || shrinks,
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -13,52 +13,72 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
+/// An attempt of a task on a worker.
 pub struct Task {
+    /// Its phase.
     pub phase: TaskPhase,
 }
 
 /// When a controller last got a heartbeat of a worker, and which controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Heard {
+    /// When.
     pub at_ms: u64,
+    /// The controller.
     pub by: usize,
 }
 
+/// A worker and its machine.
 #[derive(Default)]
 pub struct Worker {
+    /// Name of the machine.
     pub name: String,
+    /// Type of the machine.
     pub type_name: String,
+    /// Zone of the machine.
     pub zone: String,
+    /// It is a spot machine.
     pub spot: bool,
+    /// Number of the worker's process.
     pub incarnation: u64,
+    /// Sequence number of its last heartbeat.
     pub sequence: u64,
+    /// Highest fencing token that it has seen.
     pub fencing_token: u64,
     /// When it last told a higher token.
     pub(crate) token_reported_ms: Option<u64>,
+    /// Since when its lease runs.
     pub lease_renewed_ms: u64,
+    /// Attempts of tasks that it has not forgotten.
     pub tasks: BTreeMap<(TaskId, u64), Task>,
     pub(crate) pending_heartbeat: Option<u64>,
     pub(crate) heartbeat_sent_ms: u64,
     pub(crate) last_heartbeat: u64,
+    /// The controller that it sends heartbeats to.
     pub controller: usize,
+    /// Its machine is up.
     pub alive: bool,
     /// When a controller last got a heartbeat of it, and which.
     pub last_heard: Heard,
     /// When it was last told to start something.
     pub last_start_ms: u64,
+    /// It has no connection to any controller.
     pub disconnected: bool,
     /// Its reports arrive; answers and commands to it are lost.
     pub inbound_lost: bool,
     /// Its reports reach no controller; commands to it arrive, and so do their answers.
     pub outbound_lost: bool,
-    /// Until when it hangs, and what comes to it meanwhile.
+    /// Until when it is stalled, and what comes to it meanwhile.
     pub(crate) stalled_until_ms: u64,
     pub(crate) deferred: Vec<Action>,
+    /// Every task fails on it.
     pub fails_tasks: bool,
+    /// Seconds until the cloud takes the machine away, if it has said so.
     pub termination_notice_s: Option<f64>,
 }
 
 impl Worker {
+    /// Attempts that have not ended.
     pub fn live_tasks(&self) -> impl Iterator<Item = &(TaskId, u64)> {
         self.tasks
             .iter()
@@ -68,6 +88,7 @@
 }
 
 impl Simulation {
+    /// A machine of a type comes up after so many milliseconds. Returns its name.
     pub fn boot_machine(&mut self, type_name: &str, zone: &str, spot: bool, delay: u64) -> String {
         let name = format!("n-{:06}", self.cloud.provisioned);
         self.cloud.provisioned += 1;
@@ -109,6 +130,7 @@
         }
     }
 
+    /// A machine dies.
     pub fn kill_machine(&mut self, name: &str) {
         self.remove_all_placements(name);
         if let Some(worker) = self.workers.get_mut(name) {
@@ -140,6 +162,7 @@
         self.schedule(lease + 1, Action::CheckLease(name));
     }
 
+    /// How many tasks of a job run.
     pub fn running(&self, job: &str) -> usize {
         self.workers
             .values()
@@ -148,6 +171,7 @@
             .count()
     }
 
+    /// A machine on which a task of a job is.
     pub fn machine_of(&self, job: &str) -> Option<String> {
         self.workers
             .values()
--- a/crates/simulation/src/workers/heartbeats.rs
+++ b/crates/simulation/src/workers/heartbeats.rs
@@ -116,7 +116,7 @@
             worker.disconnected || worker.outbound_lost,
         );
         let report = self.heartbeat_of(name);
-        let arrive = |report: Report| Action::DeliverHeartbeat {
+        let arrive = |report: WorkerHeartbeat| Action::DeliverHeartbeat {
             controller,
             report,
             serial,
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -1,7 +1,7 @@
 //! Described days: what is read, what is refused, and that a play measures what happened.
 
 use glenmount_simulation::day::Experiment;
-use glenmount_simulation::day_runner::play;
+use glenmount_simulation::day_runner::run_day;
 
 const DAY: &str = r#"
 [[day]]
@@ -40,22 +40,22 @@
 #[test]
 fn a_small_day_is_played_and_measured() {
     let read = Experiment::read(DAY).unwrap();
-    let once = || play(&read.days[0], &read.variants[0], 3).unwrap();
+    let once = || run_day(&read.days[0], &read.variants[0], 3).unwrap();
     let (a, b) = (once(), once());
     assert_eq!((a.starts, a.changes), (b.starts, b.changes), "it repeats");
     assert!(a.failed().is_empty(), "{:?}", a.failed());
-    let noticed = a.noticed.spread();
+    let noticed = a.failure_detection.summary();
     assert!(noticed.count == 1 && noticed.max <= 60, "{noticed:?}");
-    let heard = a.heard.spread();
+    let heard = a.worker_reconnection.summary();
     assert!(heard.count >= 8 && heard.p99 < 4_500, "{heard:?}");
-    assert_eq!((a.duty.spread().count, a.killed_by_lease), (1, 0));
-    assert!(a.up > 0.95 && a.submissions > 20);
+    assert_eq!((a.duty_takeover.summary().count, a.killed_by_lease), (1, 0));
+    assert!(a.replica_availability > 0.95 && a.submissions > 20);
     let sort = &a.classes["sort"].1;
     assert_eq!(sort.jobs, sort.done);
     let mut sum = a.clone();
     sum.add(&b);
     assert_eq!((sum.plays, sum.starts), (2, 2 * a.starts));
-    assert_eq!(sum.noticed.spread().count, 2);
+    assert_eq!(sum.failure_detection.summary().count, 2);
 }
 
 /// An instance request whose outcome could not be recorded in a controller's first seconds was asked again at a time
@@ -66,9 +66,9 @@
         .replace("rate = 1.0", "rate = 6.0")
         .replace("run_s = 4.0", "run_s = 200.0");
     let read = Experiment::read(&flood).unwrap();
-    let outcome = play(&read.days[0], &read.variants[0], 3).unwrap();
+    let outcome = run_day(&read.days[0], &read.variants[0], 3).unwrap();
     assert_eq!(outcome.failed(), ["class sort", "team red"]);
-    assert!(outcome.up > 0.95, "services go on");
+    assert!(outcome.replica_availability > 0.95, "services go on");
 }
 
 #[test]
--- a/crates/xtask/src/digest.rs
+++ b/crates/xtask/src/digest.rs
@@ -64,7 +64,7 @@
             }
             Run::Day { day, variant } => {
                 let digest = Some(EffectDigest::default());
-                let (_, digest) = day_runner::play_digested(day, variant, 1, digest)?;
+                let (_, digest) = day_runner::run_day_with_digest(day, variant, 1, digest)?;
                 digest.ok_or("no digest was kept".into())
             }
         }
