--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -62,10 +62,10 @@
 
 impl Simulation {
     /// The process that a controller has now, or had last.
-    pub(crate) fn process(&self, n: usize) -> ProcessId {
+    pub(crate) fn process(&self, controller: usize) -> ProcessId {
         ProcessId {
-            controller: n,
-            incarnation: self.controllers[n].incarnation,
+            controller,
+            incarnation: self.controllers[controller].incarnation,
         }
     }
 
@@ -80,32 +80,32 @@
     }
 
     /// A controller's time of day.
-    fn wall_clock(&self, n: usize) -> u64 {
-        START_TIME_MS + self.now_ms + self.clock_ahead_ms[n]
+    fn wall_clock(&self, controller: usize) -> u64 {
+        START_TIME_MS + self.now_ms + self.clock_ahead_ms[controller]
     }
 
     /// A controller's process begins.
-    pub(crate) fn start_controller(&mut self, n: usize) {
+    pub(crate) fn start_controller(&mut self, controller: usize) {
         self.send_kept_heartbeats();
         let mut settings = self.settings.clone();
-        settings.controller = self.settings.controllers[n].clone();
-        settings.zone = self.zone_of_controller(n);
-        let zone = |n: usize| {
+        settings.controller = self.settings.controllers[controller].clone();
+        settings.zone = self.zone_of_controller(controller);
+        let zone = |controller: usize| {
             (
-                self.settings.controllers[n].clone(),
-                self.zone_of_controller(n),
+                self.settings.controllers[controller].clone(),
+                self.zone_of_controller(controller),
             )
         };
         settings.controller_zones = (0..self.controllers.len()).map(zone).collect();
-        let process = self.process(n);
+        let process = self.process(controller);
         if self.is_previous_version(process) {
             settings.max_value_bytes = self.state.previous_limits.max_value_bytes;
             settings.max_transaction_changes = self.state.previous_limits.changes;
             settings.learned = LearnedUse::default();
         }
         let seed = self.rng.gen();
-        let controller = Controller::new(settings, seed, self.now_ms, self.wall_clock(n));
-        let slot = &mut self.controllers[n];
+        let controller = Controller::new(settings, seed, self.now_ms, self.wall_clock(controller));
+        let slot = &mut self.controllers[controller];
         slot.controller = Some(controller);
         slot.started_ms = self.now_ms;
         (
@@ -117,27 +117,27 @@
     }
 
     pub(crate) fn tick(&mut self, process: ProcessId) {
-        let n = process.controller;
-        if !self.is_current(process) || self.controllers[n].controller.is_none() {
+        let controller = process.controller;
+        if !self.is_current(process) || self.controllers[controller].controller.is_none() {
             return;
         }
         // A clock that was paused ticks once for all it missed.
-        if !self.is_paused(n) {
-            self.handle(n, Event::Tick);
+        if !self.is_paused(controller) {
+            self.handle(controller, Event::Tick);
         }
         self.schedule(TICK_MS, Action::Tick(process));
     }
 
     /// Lets a controller handle an event, and carries out its effects.
-    pub(crate) fn handle(&mut self, n: usize, event: Event) {
-        if self.is_paused(n) {
-            self.controllers[n].backlog.push(event);
+    pub(crate) fn handle(&mut self, controller: usize, event: Event) {
+        if self.is_paused(controller) {
+            self.controllers[controller].backlog.push(event);
             return;
         }
-        let (now, wall) = (self.now_ms, self.wall_clock(n));
-        let process = self.process(n);
+        let (now, wall) = (self.now_ms, self.wall_clock(controller));
+        let process = self.process(controller);
         let old = self.is_previous_version(process);
-        let slot = &mut self.controllers[n];
+        let slot = &mut self.controllers[controller];
         let Some(controller) = slot.controller.as_mut() else {
             return;
         };
@@ -161,7 +161,7 @@
         if let Some(digest) = &mut self.digest {
             let ready = controller.ready();
             for effect in &effects {
-                digest.add(n, now, effect, ready);
+                digest.add(controller, now, effect, ready);
             }
         }
         for effect in effects {
@@ -170,16 +170,16 @@
     }
 
     /// Ends a controller, which comes back with the new version.
-    pub fn upgrade(&mut self, n: usize, back_after: u64) {
-        self.crash(n, back_after);
-        self.controllers[n].upgraded_from = self.controllers[n]
+    pub fn upgrade(&mut self, controller: usize, restart_after_ms: u64) {
+        self.crash(controller, restart_after_ms);
+        self.controllers[controller].upgraded_from = self.controllers[controller]
             .incarnation
-            .min(self.controllers[n].upgraded_from);
+            .min(self.controllers[controller].upgraded_from);
     }
 
     /// Ends a controller's process; the next one starts after so many milliseconds.
-    pub fn crash(&mut self, n: usize, back_after: u64) {
-        let slot = &mut self.controllers[n];
+    pub fn crash(&mut self, controller: usize, restart_after_ms: u64) {
+        let slot = &mut self.controllers[controller];
         slot.controller = None;
         slot.incarnation += 1;
         slot.watched_revision = None;
@@ -187,19 +187,20 @@
         slot.backlog.clear();
         slot.last_stopped_ms = self.now_ms;
 
-        self.schedule(back_after, Action::StartController(n));
-        self.close_connections(n);
+        self.schedule(restart_after_ms, Action::StartController(controller));
+        self.close_connections(controller);
     }
 
     /// A process has ended: workers that wait for its answers and its peers are told so by its host.
-    fn close_connections(&mut self, n: usize) {
-        let cut = self.controllers[n].cut_from_workers || self.controllers[n].outbound_lost;
+    fn close_connections(&mut self, controller: usize) {
+        let cut = self.controllers[controller].cut_from_workers
+            || self.controllers[controller].outbound_lost;
         let waiting: Vec<_> = (self.workers.values())
             .filter(|worker| {
-                worker.controller == n
+                worker.controller == controller
                     && !worker.disconnected
                     && !cut
-                    && self.controller_reaches(n, &worker.name)
+                    && self.controller_reaches(controller, &worker.name)
             })
             .filter_map(|worker| Some((worker.name.clone(), worker.pending_heartbeat?)))
             .collect();
@@ -207,58 +208,58 @@
             let delay = self.rng.gen_range(1..4);
             self.schedule(delay, Action::TimeOutHeartbeat { worker, serial });
         }
-        for m in (0..self.controllers.len()).filter(|m| *m != n) {
-            if self.peers_connected(n, m) {
-                let controller = self.settings.controllers[n].clone();
+        for peer in (0..self.controllers.len()).filter(|peer| *peer != controller) {
+            if self.peers_connected(controller, peer) {
+                let controller = self.settings.controllers[controller].clone();
                 let delay = self.rng.gen_range(1..4);
-                self.deliver(delay, self.process(m), Event::LinkEnded { controller });
+                self.deliver(delay, self.process(peer), Event::LinkEnded { controller });
             }
         }
     }
 
     /// Asks a controller to end in good order; it is back so long after it has.
-    pub fn shut_down(&mut self, n: usize, back_after: u64) {
-        self.controllers[n].restart_after_ms = back_after;
-        self.deliver(1, self.process(n), Event::Shutdown);
+    pub fn shut_down(&mut self, controller: usize, restart_after_ms: u64) {
+        self.controllers[controller].restart_after_ms = restart_after_ms;
+        self.deliver(1, self.process(controller), Event::Shutdown);
     }
 
     /// Lets a heartbeat arrive at a controller, whoever made it.
-    pub fn inject_peer_heartbeat(&mut self, n: usize, heartbeat: PeerHeartbeat) {
-        self.deliver(1, self.process(n), Event::PeerHeartbeat(heartbeat));
+    pub fn inject_peer_heartbeat(&mut self, controller: usize, heartbeat: PeerHeartbeat) {
+        self.deliver(1, self.process(controller), Event::PeerHeartbeat(heartbeat));
     }
 
     /// The controller is paused, its clocks running on; what comes in waits for it.
-    pub fn pause(&mut self, n: usize, ms: u64) {
-        let slot = &mut self.controllers[n];
+    pub fn pause(&mut self, controller: usize, ms: u64) {
+        let slot = &mut self.controllers[controller];
         slot.paused_until_ms = slot.paused_until_ms.max(self.now_ms + ms);
-        self.schedule(ms, Action::ResumeController(self.process(n)));
+        self.schedule(ms, Action::ResumeController(self.process(controller)));
     }
 
     /// Whether a controller is paused.
-    pub fn is_paused(&self, n: usize) -> bool {
-        self.now_ms < self.controllers[n].paused_until_ms
+    pub fn is_paused(&self, controller: usize) -> bool {
+        self.now_ms < self.controllers[controller].paused_until_ms
     }
 
     /// A controller goes on: each of its connections is read in order, but any of them first.
     pub(crate) fn resume_controller(&mut self, process: ProcessId) {
-        let n = process.controller;
-        if !self.is_current(process) || self.is_paused(n) {
+        let controller = process.controller;
+        if !self.is_current(process) || self.is_paused(controller) {
             return;
         }
-        let mut backlog = std::mem::take(&mut self.controllers[n].backlog);
+        let mut backlog = std::mem::take(&mut self.controllers[controller].backlog);
         let start = self.rng.gen_range(0..8);
         backlog.sort_by_key(|event| (connection(event) + start) % 8);
         for event in backlog {
-            self.handle(n, event);
+            self.handle(controller, event);
         }
     }
 
     /// Where a controller stands: in the zones in turn, unless said otherwise.
-    pub fn zone_of_controller(&self, n: usize) -> String {
+    pub fn zone_of_controller(&self, controller: usize) -> String {
         let zones = match self.controller_zones.is_empty() {
             true => &self.settings.zones,
             false => &self.controller_zones,
         };
-        zones[n % zones.len()].clone()
+        zones[controller % zones.len()].clone()
     }
 }
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -1,5 +1,9 @@
 //! Days of a site, described in TOML: what there is, what is asked, and what goes wrong when.
 
+mod validation;
+
+pub use validation::{DayError, InvalidDay};
+
 use glenmount_core::model::JobPriority;
 use glenmount_core::safety_checks::Checks;
 use glenmount_core::tuning::Tuning;
@@ -297,7 +301,10 @@
 }
 
 /// Leaves a check out, by its name.
-pub fn disable_check(checks: &mut Checks, name: &str) -> Result<(), String> {
+///
+/// # Errors
+/// There is no such check.
+pub fn disable_check(checks: &mut Checks, name: &str) -> Result<(), DayError> {
     let check = match name {
         "proof" => &mut checks.proof,
         "gap" => &mut checks.gap,
@@ -324,88 +331,12 @@
         "configuration" => &mut checks.configuration,
         "configured" => &mut checks.configured,
         "eviction" => &mut checks.eviction,
-        other => return Err(format!("without: there is no check {other:?}")),
+        other => return Err(DayError::UnknownCheck(other.to_string())),
     };
     *check = false;
     Ok(())
 }
 
-impl Experiment {
-    /// Parses and checks a file.
-    ///
-    /// # Errors
-    /// Names the day, the class and the field that is wrong.
-    pub fn read(text: &str) -> Result<Experiment, String> {
-        let mut read: Experiment = toml::from_str(text).map_err(|e| e.to_string())?;
-        if read.variants.is_empty() {
-            read.variants.push(Variant {
-                name: "as it is".into(),
-                ..Variant::default()
-            });
-        }
-        for variant in &read.variants {
-            let mut checks = Checks::default();
-            for name in &variant.disabled_checks {
-                disable_check(&mut checks, name)?;
-            }
-        }
-        for day in &read.days {
-            day.check()
-                .map_err(|e| format!("day {:?}: {e}", day.name))?;
-        }
-        Ok(read)
-    }
-}
-
-/// Refuses a number that is not between two bounds.
-fn within(field: &str, n: usize, least: usize, most: usize) -> Result<(), String> {
-    match (least..=most).contains(&n) {
-        true => Ok(()),
-        false => Err(format!("{field}: must be between {least} and {most}")),
-    }
-}
-
-impl Day {
-    fn check(&self) -> Result<(), String> {
-        within("machines", self.machines, 1, 10_000)?;
-        within("nodes", self.controllers, 1, 7)?;
-        within("zones", self.zones.len(), 1, 4)?;
-        within("seconds", self.seconds as usize, 1, 7_200)?;
-        self.classes.iter().try_for_each(|c| self.check_class(c))?;
-        self.faults.iter().try_for_each(|t| self.check_trouble(t))
-    }
-
-    fn check_class(&self, class: &Class) -> Result<(), String> {
-        let refuse = |why: String| Err(format!("class {:?}: {why}", class.name));
-        let known = |team: &String| self.teams.iter().any(|t| t.name == *team);
-        if let Some(team) = class.teams.iter().find(|team| !known(team)) {
-            return refuse(format!("unknown team {team:?}"));
-        }
-        if parse_priority(&class.priority).is_none() {
-            return refuse("rank: unknown".into());
-        }
-        let fits = class.cpus > 0.0 && class.cpus <= 8.0 && class.tasks >= 1.0;
-        if !fits || class.teams.is_empty() {
-            return refuse("cpus, tasks or teams".into());
-        }
-        Ok(())
-    }
-
-    fn check_trouble(&self, trouble: &Fault) -> Result<(), String> {
-        match &trouble.what {
-            FaultKind::ZoneCut { zone, .. } if !self.zones.contains(zone) => {
-                Err("trouble: unknown zone".into())
-            }
-            FaultKind::LateWrites { share, .. } | FaultKind::LateReports { share, .. }
-                if !(0.0..=1.0).contains(share) =>
-            {
-                Err("trouble: share: must be between 0 and 1".into())
-            }
-            _ => Ok(()),
-        }
-    }
-}
-
 /// The job priority that a class names, if there is such.
 pub fn parse_priority(name: &str) -> Option<JobPriority> {
     Some(match name {
--- a/crates/simulation/src/day_runner.rs
+++ b/crates/simulation/src/day_runner.rs
@@ -5,7 +5,7 @@
 mod measurements;
 mod submissions;
 
-use crate::day::{self, Day, FaultKind, Variant};
+use crate::day::{self, Day, DayError, FaultKind, Variant};
 use crate::digest::EffectDigest;
 use crate::outcome::Outcome;
 use crate::rate_limits::TokenBucket;
@@ -46,7 +46,7 @@
 }
 
 /// Plays a day once.
-pub fn run_day(day: &Day, variant: &Variant, seed: u64) -> Result<Outcome, String> {
+pub fn run_day(day: &Day, variant: &Variant, seed: u64) -> Result<Outcome, DayError> {
     Ok(run_day_with_digest(day, variant, seed, None)?.0)
 }
 
@@ -56,7 +56,7 @@
     variant: &Variant,
     seed: u64,
     digest: Option<EffectDigest>,
-) -> Result<(Outcome, Option<EffectDigest>), String> {
+) -> Result<(Outcome, Option<EffectDigest>), DayError> {
     let mut day = day.clone();
     day.machines = variant.machines.unwrap_or(day.machines);
     day.controllers = variant.controllers.unwrap_or(day.controllers);
@@ -71,7 +71,7 @@
 }
 
 /// The settings of a day's controllers.
-fn apply_settings(settings: &mut Settings, day: &Day, variant: &Variant) -> Result<(), String> {
+fn apply_settings(settings: &mut Settings, day: &Day, variant: &Variant) -> Result<(), DayError> {
     for name in &variant.disabled_checks {
         day::disable_check(&mut settings.checks, name)?;
     }
@@ -136,7 +136,7 @@
 }
 
 impl DayRun<'_> {
-    fn new<'a>(day: &'a Day, variant: &Variant, seed: u64) -> Result<DayRun<'a>, String> {
+    fn new<'a>(day: &'a Day, variant: &Variant, seed: u64) -> Result<DayRun<'a>, DayError> {
         let mut sim = Simulation::new(seed, day.controllers, 0);
         apply_settings(&mut sim.settings, day, variant)?;
         apply_limits(&mut sim, day);
--- a/crates/simulation/src/effects.rs
+++ b/crates/simulation/src/effects.rs
@@ -30,11 +30,11 @@
 impl Simulation {
     /// Carries out what a controller wants done.
     pub(crate) fn apply_effect(&mut self, process: ProcessId, effect: Effect) {
-        let n = process.controller;
+        let controller = process.controller;
         match effect {
             Effect::User { request, reply } => {
                 if matches!(reply, UserReply::Accepted { .. }) {
-                    self.controllers[n]
+                    self.controllers[controller]
                         .first_accepted_ms
                         .get_or_insert(self.now_ms);
                 }
@@ -44,7 +44,7 @@
             Effect::State { token, op, .. } => self.send_state_operation(process, token, op),
             Effect::Cloud { token, op } => self.send_cloud_operation(process, token, op),
             Effect::Watch { since } => {
-                self.controllers[n].watched_revision = Some(since);
+                self.controllers[controller].watched_revision = Some(since);
                 self.schedule(3, Action::NotifyWatch(process));
             }
             Effect::Command {
@@ -62,14 +62,14 @@
                 answer_expired: false,
             }),
             Effect::Exit => {
-                let restart_after_ms = self.controllers[n].restart_after_ms;
+                let restart_after_ms = self.controllers[controller].restart_after_ms;
                 let end = Action::StopController {
                     process,
                     restart_after_ms,
                 };
                 self.schedule(2, end);
             }
-            Effect::PeerHeartbeat(heartbeat) => self.send_peer_heartbeat(n, &heartbeat),
+            Effect::PeerHeartbeat(heartbeat) => self.send_peer_heartbeat(controller, &heartbeat),
         }
     }
 
@@ -94,35 +94,38 @@
     }
 
     /// Whether nothing of what a controller sends gets to a worker.
-    fn is_disconnected_from(&self, n: usize, worker: &str) -> bool {
-        let slot = &self.controllers[n];
+    fn is_disconnected_from(&self, controller: usize, worker: &str) -> bool {
+        let slot = &self.controllers[controller];
         let deaf = self
             .workers
             .get(worker)
             .is_some_and(|worker| worker.inbound_lost);
-        slot.cut_from_workers || slot.outbound_lost || deaf || !self.controller_reaches(n, worker)
+        slot.cut_from_workers
+            || slot.outbound_lost
+            || deaf
+            || !self.controller_reaches(controller, worker)
     }
 
     fn send_state_operation(&mut self, process: ProcessId, token: OperationId, op: StateOperation) {
-        let n = process.controller;
+        let controller = process.controller;
         let op = match self.is_previous_version(process) {
             true => operation_as_written(op),
             false => Some(op),
         };
-        let Some(op) = op.filter(|_| !self.controllers[n].refused_by_state) else {
+        let Some(op) = op.filter(|_| !self.controllers[controller].refused_by_state) else {
             let answer = StateResponse::Unavailable;
             self.deliver(5, process, Event::State { token, answer });
             return;
         };
         let transaction = matches!(op, StateOperation::Transaction(_));
-        self.controllers[n].messages_sent += u32::from(transaction);
+        self.controllers[controller].messages_sent += u32::from(transaction);
         let mut request = StateRequest {
             process,
             token,
             op,
             fate: RequestFate::Normal,
         };
-        if self.controllers[n].cut_from_state || self.is_partitioned(n) {
+        if self.controllers[controller].cut_from_state || self.is_partitioned(controller) {
             self.hold_back_request(request);
             return;
         }
@@ -202,20 +205,20 @@
 
     /// Orders that a controller sends to a worker directly.
     fn send_command(&mut self, mut command: Command) {
-        let (process, n) = (command.process, command.process.controller);
+        let (process, controller) = (command.process, command.process.controller);
         let silent = command_unanswered(command.worker.clone(), CommandOutcome::NoAnswer);
-        let slot = &mut self.controllers[n];
+        let slot = &mut self.controllers[controller];
         slot.messages_sent += u32::from(!command.commands.is_empty());
         if has_start(&command.commands) {
             slot.first_start_ms.get_or_insert(self.now_ms);
         }
-        if !self.controller_reaches(n, &command.worker) {
+        if !self.controller_reaches(controller, &command.worker) {
             command.answer_expired = true;
             self.network.held_back.push(Action::DeliverCommand(command));
             self.deliver(CUT_COMMAND_TIMEOUT_MS, process, silent);
             return;
         }
-        if self.is_disconnected_from(n, &command.worker)
+        if self.is_disconnected_from(controller, &command.worker)
             || self.chance(self.network.faults.command_lost)
         {
             self.deliver(COMMAND_TIMEOUT_MS, process, silent);
@@ -233,15 +236,15 @@
     }
 
     /// A controller's heartbeat to its peers.
-    fn send_peer_heartbeat(&mut self, n: usize, heartbeat: &PeerHeartbeat) {
-        self.metrics.heartbeat_bytes = heartbeat
-            .workers
-            .iter()
-            .map(|worker| worker.machine.len() + 12)
-            .sum();
-        for m in 0..self.controllers.len() {
-            if self.peers_connected(n, m) {
-                self.deliver(3, self.process(m), Event::PeerHeartbeat(heartbeat.clone()));
+    fn send_peer_heartbeat(&mut self, controller: usize, heartbeat: &PeerHeartbeat) {
+        self.metrics.heartbeat_bytes = heartbeat.heard.iter().map(|h| h.0.len() + 12).sum();
+        for peer in 0..self.controllers.len() {
+            if self.peers_connected(controller, peer) {
+                self.deliver(
+                    3,
+                    self.process(peer),
+                    Event::PeerHeartbeat(heartbeat.clone()),
+                );
             }
         }
     }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -64,13 +64,13 @@
 
 impl Simulation {
     /// Whether what a controller sends to a peer gets there.
-    pub(crate) fn peers_connected(&self, n: usize, m: usize) -> bool {
-        let cut = |n: usize| self.controllers[n].cut_from_peers;
-        m != n
-            && !cut(n)
-            && !cut(m)
-            && !self.controllers[n].outbound_lost
-            && self.is_partitioned(n) == self.is_partitioned(m)
+    pub(crate) fn peers_connected(&self, controller: usize, peer: usize) -> bool {
+        let cut = |controller: usize| self.controllers[controller].cut_from_peers;
+        peer != controller
+            && !cut(controller)
+            && !cut(peer)
+            && !self.controllers[controller].outbound_lost
+            && self.is_partitioned(controller) == self.is_partitioned(peer)
     }
 
     /// Cuts a zone off with these controllers inside.
@@ -91,17 +91,17 @@
     }
 
     /// Whether a controller is cut off, with its zone, from all that belongs to the region.
-    pub(crate) fn is_partitioned(&self, n: usize) -> bool {
+    pub(crate) fn is_partitioned(&self, controller: usize) -> bool {
         let partition = self.network.partition.as_ref();
-        partition.is_some_and(|p| p.controllers.contains(&n))
+        partition.is_some_and(|p| p.controllers.contains(&controller))
     }
 
     /// Whether users do not reach a controller.
-    pub fn is_unreachable(&self, n: usize) -> bool {
-        self.is_partitioned(n) || self.controllers[n].outbound_lost
+    pub fn is_unreachable(&self, controller: usize) -> bool {
+        self.is_partitioned(controller) || self.controllers[controller].outbound_lost
     }
 
-    pub(crate) fn controller_reaches(&self, n: usize, machine: &str) -> bool {
+    pub(crate) fn controller_reaches(&self, controller: usize, machine: &str) -> bool {
         let Some(partition) = &self.network.partition else {
             return true;
         };
@@ -109,7 +109,7 @@
             .workers
             .get(machine)
             .map(|worker| worker.zone == partition.zone);
-        there == Some(partition.controllers.contains(&n))
+        there == Some(partition.controllers.contains(&controller))
     }
 
     /// Ends all outages and cuts.
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -80,7 +80,7 @@
 impl Simulation {
     pub(crate) fn request(
         &mut self,
-        n: usize,
+        controller: usize,
         id: &str,
         event: impl FnOnce(RequestId) -> Event,
     ) -> RequestId {
@@ -89,36 +89,36 @@
         let (job, sent_ms) = (id.to_string(), self.now_ms);
         self.pending_requests
             .insert(request, PendingRequest { job, sent_ms });
-        if !self.is_partitioned(n) {
-            self.deliver(2, self.process(n), event(request));
+        if !self.is_partitioned(controller) {
+            self.deliver(2, self.process(controller), event(request));
         }
         request
     }
 
     /// A user submits a job to a controller.
-    pub fn submit(&mut self, n: usize, spec: JobSpec) -> RequestId {
+    pub fn submit(&mut self, controller: usize, spec: JobSpec) -> RequestId {
         let id = spec.id.clone();
         self.job_specs.insert(id.clone(), spec.clone());
-        self.request(n, &id, |request| Event::Submit {
+        self.request(controller, &id, |request| Event::Submit {
             request,
             spec: Box::new(spec),
         })
     }
 
     /// A user asks a controller for the status of a job.
-    pub fn status(&mut self, n: usize, id: &str) -> RequestId {
+    pub fn status(&mut self, controller: usize, id: &str) -> RequestId {
         let job = id.to_string();
-        self.request(n, id, |request| Event::Status { request, job })
+        self.request(controller, id, |request| Event::Status { request, job })
     }
 
     /// A user asks a controller to cancel a job.
-    pub fn cancel(&mut self, n: usize, id: &str) -> RequestId {
+    pub fn cancel(&mut self, controller: usize, id: &str) -> RequestId {
         self.user_views
             .entry(id.to_string())
             .or_default()
             .cancel_requested = true;
         let job = id.to_string();
-        self.request(n, id, |request| Event::Cancel { request, job })
+        self.request(controller, id, |request| Event::Cancel { request, job })
     }
 
     /// Sends a request and runs until it is answered.
--- a/crates/simulation/src/state_store.rs
+++ b/crates/simulation/src/state_store.rs
@@ -120,8 +120,8 @@
     fn commit_single(&mut self, key: Key, record: Option<Record>) {
         self.state.revision += 1;
         self.store_change(key, record);
-        for n in 0..self.controllers.len() {
-            self.schedule(3, Action::NotifyWatch(self.process(n)));
+        for controller in 0..self.controllers.len() {
+            self.schedule(3, Action::NotifyWatch(self.process(controller)));
         }
     }
 
@@ -264,9 +264,9 @@
             }
             self.store_change(key, record);
         }
-        for n in 0..self.controllers.len() {
+        for controller in 0..self.controllers.len() {
             let delay = self.rng.gen_range(2..8);
-            self.schedule(delay, Action::NotifyWatch(self.process(n)));
+            self.schedule(delay, Action::NotifyWatch(self.process(controller)));
         }
         StateResponse::Committed {
             revision: self.state.revision,
@@ -286,8 +286,8 @@
         );
         let most = limits.changes * CONDITIONS_PER_CHANGE;
         assert!(transaction.conditions.len() <= most, "too many conditions");
-        let all_new =
-            !(0..self.controllers.len()).any(|n| self.is_previous_version(self.process(n)));
+        let all_new = !(0..self.controllers.len())
+            .any(|controller| self.is_previous_version(self.process(controller)));
         let mut largest = 0;
         for (key, record) in &transaction.changes {
             let Some(record) = record else { continue };
@@ -315,8 +315,8 @@
 
     /// Tells a controller's watch what has changed since it was told last.
     pub(crate) fn notify_watch(&mut self, process: ProcessId) {
-        let n = process.controller;
-        let slot = &self.controllers[n];
+        let controller = process.controller;
+        let slot = &self.controllers[controller];
         let Some(since) = slot.watched_revision.filter(|_| self.is_current(process)) else {
             return;
         };
@@ -324,7 +324,7 @@
         if slot.cut_from_state
             || slot.refused_by_state
             || self.state.is_down
-            || self.is_partitioned(n)
+            || self.is_partitioned(controller)
             || lags
         {
             self.schedule(WATCH_RETRY_MS, Action::NotifyWatch(process));
@@ -337,8 +337,8 @@
             .collect();
         if !changes.is_empty() {
             let revision = self.state.revision;
-            self.controllers[n].watched_revision = Some(revision);
-            self.handle(n, Event::WatchUpdate { revision, changes });
+            self.controllers[controller].watched_revision = Some(revision);
+            self.handle(controller, Event::WatchUpdate { revision, changes });
         }
     }
 }
--- a/crates/simulation/src/workers/heartbeats.rs
+++ b/crates/simulation/src/workers/heartbeats.rs
@@ -59,22 +59,22 @@
     }
 
     /// Lets an old report of a machine, without tasks, arrive at a controller now.
-    pub fn inject_stale_heartbeat(&mut self, n: usize, machine: &str, sequence: u64) {
+    pub fn inject_stale_heartbeat(&mut self, controller: usize, machine: &str, sequence: u64) {
         let report = WorkerHeartbeat {
             sequence,
             notice_s: None,
             tasks: Vec::new(),
             ..self.heartbeat_of(machine)
         };
-        self.inject_heartbeat(n, &report);
+        self.inject_heartbeat(controller, &report);
     }
 
     /// Lets a report arrive at a controller once more, as it was.
-    pub fn inject_heartbeat(&mut self, n: usize, report: &WorkerHeartbeat) {
+    pub fn inject_heartbeat(&mut self, controller: usize, report: &WorkerHeartbeat) {
         self.schedule(
             1,
             Action::DeliverHeartbeat {
-                controller: n,
+                controller,
                 report: report.clone(),
                 serial: 0,
             },
@@ -159,23 +159,31 @@
     }
 
     /// A report arrives at a controller.
-    pub(crate) fn receive_heartbeat(&mut self, n: usize, report: WorkerHeartbeat, serial: u64) {
-        if self.controllers[n].cut_from_workers {
+    pub(crate) fn receive_heartbeat(
+        &mut self,
+        controller: usize,
+        report: WorkerHeartbeat,
+        serial: u64,
+    ) {
+        if self.controllers[controller].cut_from_workers {
             return;
         }
-        let here = |worker: &&Worker| worker.alive && worker.controller == n;
+        let here = |worker: &&Worker| worker.alive && worker.controller == controller;
         let full = (self.service_limits.worker_connections)
             .is_some_and(|most| self.workers.values().filter(here).count() > most);
         self.service_limits.connections_refused += u32::from(full);
-        if self.controllers[n].controller.is_none() || full {
+        if self.controllers[controller].controller.is_none() || full {
             // Its host refuses the connection.
             let worker = report.machine;
             self.schedule(1, Action::TimeOutHeartbeat { worker, serial });
             return;
         }
-        let (now, frozen) = (self.now_ms, self.is_paused(n));
+        let (now, frozen) = (self.now_ms, self.is_paused(controller));
         if let Some(worker) = self.workers.get_mut(&report.machine).filter(|_| !frozen) {
-            worker.last_heard = Heard { at_ms: now, by: n };
+            worker.last_heard = Heard {
+                at_ms: now,
+                by: controller,
+            };
         }
         let request = self.next_request;
         self.next_request += 1;
@@ -185,9 +193,9 @@
             serial,
         };
         self.pending_heartbeats
-            .insert((self.process(n), request), checkin);
+            .insert((self.process(controller), request), checkin);
         let report = Box::new(report);
-        self.handle(n, Event::WorkerHeartbeat { request, report });
+        self.handle(controller, Event::WorkerHeartbeat { request, report });
     }
 
     /// The answer to a report arrives at its worker.
@@ -231,7 +239,7 @@
                     .settings
                     .controllers
                     .iter()
-                    .position(|n| *n == controller)
+                    .position(|controller| *controller == controller)
                 {
                     worker.controller = i;
                 }
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -89,10 +89,10 @@
     for (from, to, named) in cases {
         let text = DAY.replace(from, to);
         assert_ne!(text, DAY);
-        let error = Experiment::read(&text).unwrap_err();
+        let error = Experiment::read(&text).unwrap_err().to_string();
         assert!(error.contains(named), "{to}: {error}");
     }
     let variant = format!("{DAY}\n[[variant]]\nname = \"x\"\nwithout = [\"all\"]\n");
-    let error = Experiment::read(&variant).unwrap_err();
+    let error = Experiment::read(&variant).unwrap_err().to_string();
     assert!(error.contains("no check \"all\""), "{error}");
 }
--- a/crates/xtask/src/digest.rs
+++ b/crates/xtask/src/digest.rs
@@ -64,7 +64,8 @@
             }
             Run::Day { day, variant } => {
                 let digest = Some(EffectDigest::default());
-                let (_, digest) = day_runner::run_day_with_digest(day, variant, 1, digest)?;
+                let (_, digest) = day_runner::run_day_with_digest(day, variant, 1, digest)
+                    .map_err(|e| e.to_string())?;
                 digest.ok_or("no digest was kept".into())
             }
         }
