--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -8,10 +8,10 @@
 /// Milliseconds between two ticks of a controller.
 const TICK_MS: u64 = 50;
 
-/// A place for a controller, whose processes follow one another in it.
+/// A controller: its process, if it runs, and its connections.
 #[derive(Default)]
 pub struct ControllerSlot {
-    /// The controller, unless its process is down.
+    /// Its process, if it runs.
     pub controller: Option<Controller>,
     /// Number of processes before the present one.
     pub incarnation: u32,
@@ -116,6 +116,7 @@
         self.schedule(1, Action::Tick(process));
     }
 
+    /// A controller's clock ticks.
     pub(crate) fn tick(&mut self, process: ProcessId) {
         let controller = process.controller;
         if !self.is_current(process) || self.controllers[controller].controller.is_none() {
@@ -223,7 +224,7 @@
         self.deliver(1, self.process(controller), Event::Shutdown);
     }
 
-    /// Lets a heartbeat arrive at a controller, whoever made it.
+    /// Delivers a peer heartbeat to a controller, whoever made it.
     pub fn inject_peer_heartbeat(&mut self, controller: usize, heartbeat: PeerHeartbeat) {
         self.deliver(1, self.process(controller), Event::PeerHeartbeat(heartbeat));
     }
--- a/crates/simulation/src/effects.rs
+++ b/crates/simulation/src/effects.rs
@@ -174,7 +174,7 @@
     }
 
     /// Sends a request to the state service.
-    pub(crate) fn send_state_request(&mut self, request: StateRequest) {
+    fn send_state_request(&mut self, request: StateRequest) {
         let delay = match request.fate {
             RequestFate::Late(ms) => ms,
             _ => self.rng.gen_range(2..10),
--- a/crates/simulation/src/event_loop.rs
+++ b/crates/simulation/src/event_loop.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Something that is due at a time.
+/// Something that happens at a time.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
     /// A controller's process starts.
@@ -18,7 +18,7 @@
         process: ProcessId,
         event: Event,
     },
-    /// A controller that was paused goes on.
+    /// A paused controller resumes.
     ResumeController(ProcessId),
     /// A controller that was asked to end has nothing left to do.
     StopController {
@@ -72,9 +72,9 @@
 }
 
 impl EventQueue {
-    fn push(&mut self, due: u64, act: Action) {
+    fn push(&mut self, due: u64, action: Action) {
         self.sequence += 1;
-        self.actions.insert((due, self.sequence), act);
+        self.actions.insert((due, self.sequence), action);
     }
 
     /// The next that is due by a time, and when it is.
@@ -86,6 +86,7 @@
 }
 
 impl Simulation {
+    /// Schedules an action in so many milliseconds.
     pub(crate) fn schedule(&mut self, delay: u64, act: Action) {
         self.queue.push(self.now_ms + delay, act);
     }
@@ -95,6 +96,7 @@
         self.schedule(delay, Action::DeliverEvent { process, event });
     }
 
+    /// Draws whether something of a probability happens; draws nothing at a probability of zero.
     pub(crate) fn chance(&mut self, p: f64) -> bool {
         p > 0.0 && self.rng.gen_bool(p)
     }
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold at each step.
+//! Invariants of the protocol, checked at every step, and of the records.
 
 use crate::Simulation;
 use glenmount_core::model::TaskId;
@@ -6,6 +6,8 @@
 use std::collections::BTreeMap;
 
 impl Simulation {
+    /// Checks that a task may start on a machine: it runs nowhere else, its dependencies are complete, and machine
+    /// and zone are allowed.
     pub(crate) fn check_start(&self, machine: &str, task: &TaskId) {
         let spec = &self.job_specs[&task.job];
         let worker = &self.workers[machine];
@@ -48,7 +50,7 @@
         }
     }
 
-    /// A task is on its machine from now on.
+    /// Notes that a task is on a machine, and checks the quota of its team.
     pub(crate) fn add_placement(&mut self, machine: &str, task: &TaskId) {
         let spec = &self.job_specs[&task.job];
         self.placements.add(machine, task, spec);
@@ -58,11 +60,13 @@
         }
     }
 
+    /// Notes that a task has ended on a machine.
     pub(crate) fn remove_placement(&mut self, machine: &str, task: &TaskId) {
         self.placements
             .remove(machine, task, &self.job_specs[&task.job]);
     }
 
+    /// Notes that all tasks of a machine have ended.
     pub(crate) fn remove_all_placements(&mut self, machine: &str) {
         let live: Vec<TaskId> = (self.workers.get(machine).into_iter())
             .flat_map(|worker| worker.live_tasks().map(|(t, _)| t.clone()))
@@ -72,13 +76,14 @@
         }
     }
 
+    /// Checks that no task of a cancelled job runs after the time by which it must have ended.
     pub(crate) fn check_invariants(&self) {
         if let Some((task, machine)) = self.placements.overdue_task(self.now_ms) {
             panic!("ran_cancelled: {task} on {machine}");
         }
     }
 
-    /// What must hold among the records themselves at any time.
+    /// Checks what must hold among the records, and that synced caches of controllers agree with them.
     pub fn check_records(&self) {
         for (key, (record, _)) in &self.state.records {
             let (Key::Chunk(id, _), Record::Chunk(c)) = (key, record) else {
@@ -128,6 +133,7 @@
         }
     }
 
+    /// Thousandths of processors that are assigned on record, by team.
     pub(crate) fn assigned_cpus(&self) -> BTreeMap<String, u64> {
         let mut used: BTreeMap<String, u64> = BTreeMap::new();
         for team in self.settings.policy.teams.keys() {
@@ -150,6 +156,7 @@
         }
     }
 
+    /// Whether all tasks of a job have completed.
     pub(crate) fn is_complete(&self, id: &str) -> bool {
         self.job_specs.get(id).is_some_and(|s| {
             (0..s.tasks).all(|index| {
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! Connections: which are cut, and which messages are lost or late.
+//! Connections: partitions, and messages that are lost or late.
 
 use crate::{Action, Simulation};
 use glenmount_core::controller::{CommandOutcome, Event};
@@ -6,7 +6,7 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// Chances of faults per message, between 0 and 1.
+/// Probability of each fault per message, between 0 and 1.
 #[derive(Default, Clone)]
 pub struct FaultRates {
     /// A transaction is committed, but its answer is lost.
--- a/crates/simulation/src/rate_limits.rs
+++ b/crates/simulation/src/rate_limits.rs
@@ -1,9 +1,9 @@
-//! What the outside services take: requests and changes a second, calls, how late lists are.
+//! Limits of the state service, the cloud and controllers: rates, connections and lag of lists.
 
 use glenmount_core::model::CloudInstance;
 use std::collections::VecDeque;
 
-/// A bucket that holds one second's worth, as the services allow.
+/// A token bucket.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     per_s: f64,
@@ -22,6 +22,7 @@
             refilled_ms: 0,
         }
     }
+
     /// Takes so many tokens, if there are as many.
     pub fn try_take(&mut self, now: u64, n: f64) -> bool {
         let passed = (now - self.refilled_ms) as f64 / 1e3;
@@ -35,7 +36,7 @@
     }
 }
 
-/// Absent: without limit.
+/// Limits of what the services take; absent ones are unlimited.
 #[derive(Default)]
 pub struct ServiceLimits {
     /// Requests to the state service.
@@ -71,6 +72,8 @@
         self.throttled += u32::from(!takes);
         takes
     }
+
+    /// Whether the cloud takes a call now.
     pub(crate) fn admit_cloud_call(&mut self, now: u64) -> bool {
         let takes = self
             .cloud_calls
@@ -79,6 +82,7 @@
         self.throttled += u32::from(!takes);
         takes
     }
+
     /// The list as it was some time ago.
     pub(crate) fn delay_list(
         &mut self,
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of users, and what they were told.
+//! Requests of users, and the check of every answer against all that users were told before.
 
 use crate::Simulation;
 use glenmount_core::controller::{Event, RequestId, UserReply};
@@ -59,7 +59,7 @@
 impl Overlaps {
     /// An answer says less than one that was given before. It may only if it was asked for before that:
     /// the two were on their way together, and no controller can know what another is just about to say.
-    pub(crate) fn note_older_answer(&mut self, asked_at: u64, told_at: u64, now: u64, why: &str) {
+    fn note_older_answer(&mut self, asked_at: u64, told_at: u64, now: u64, why: &str) {
         assert!(
             asked_at < told_at,
             "{why}, asked at {asked_at}, told at {told_at}"
@@ -74,8 +74,8 @@
     }
 }
 
-/// Milliseconds for which an answer may be on its way: controllers give up on polls after as many.
-pub(crate) const OVERLAP_MOST_MS: u64 = 1_500;
+/// Milliseconds that an answer may be on its way: users wait as long for the answer to a status request.
+const OVERLAP_MOST_MS: u64 = 1_500;
 
 impl Simulation {
     pub(crate) fn request(
@@ -133,7 +133,7 @@
     }
 
     /// All jobs that a job needs, directly or through others.
-    pub(crate) fn upstream(&self, id: &str) -> BTreeSet<String> {
+    fn upstream(&self, id: &str) -> BTreeSet<String> {
         let mut found = BTreeSet::new();
         let mut next = vec![id.to_string()];
         while let Some(id) = next.pop() {
--- a/crates/simulation/src/stalls.rs
+++ b/crates/simulation/src/stalls.rs
@@ -1,4 +1,4 @@
-//! Machines that hang and go on later.
+//! Stalled machines: they do nothing for some time and resume later, with what reached them meanwhile.
 
 use crate::network::command_unanswered;
 use crate::{Action, Simulation};
@@ -8,8 +8,8 @@
 const COMMAND_TIMEOUT_MS: u64 = 1_200;
 
 impl Simulation {
-    /// Lets a machine hang: it executes nothing, reports nothing, and resumes later. What comes to it
-    /// meanwhile waits.
+    /// Stalls a machine for so many milliseconds: it executes nothing and sends no heartbeats. What reaches it
+    /// meanwhile is deferred.
     pub fn stall(&mut self, machine: &str, ms: u64) {
         let until = self.now_ms + ms;
         if let Some(worker) = self.workers.get_mut(machine).filter(|worker| worker.alive) {
@@ -25,34 +25,34 @@
             .is_some_and(|worker| worker.stalled_until_ms > 0)
     }
 
-    /// What a machine that is stalled would do or get waits until it goes on.
-    pub(crate) fn unless_stalled(&mut self, act: Action) -> Option<Action> {
-        let name = match &act {
-            Action::CheckLease(_) if self.stalled_leases_expire => return Some(act),
+    /// Defers an action of or for a stalled machine until it resumes; returns any other.
+    pub(crate) fn unless_stalled(&mut self, action: Action) -> Option<Action> {
+        let name = match &action {
+            Action::CheckLease(_) if self.stalled_leases_expire => return Some(action),
             Action::DeliverHeartbeatReply(reply) => &reply.heartbeat.worker,
             Action::TimeOutHeartbeat { worker, .. } | Action::CheckLease(worker) => worker,
             Action::ChangePhase(change) => &change.worker,
             Action::DeliverCommand(command) => &command.worker,
-            _ => return Some(act),
+            _ => return Some(action),
         };
         if !self.is_stalled(name) {
-            return Some(act);
+            return Some(action);
         }
         let name = name.clone();
-        let mut act = act;
-        if let Action::DeliverCommand(command) = &mut act {
+        let mut action = action;
+        if let Action::DeliverCommand(command) = &mut action {
             if !std::mem::replace(&mut command.answer_expired, true) {
                 let silent = command_unanswered(name.clone(), CommandOutcome::NoAnswer);
                 self.deliver(COMMAND_TIMEOUT_MS, command.process, silent);
             }
         }
         if let Some(worker) = self.workers.get_mut(&name) {
-            worker.deferred.push(act);
+            worker.deferred.push(action);
         }
         None
     }
 
-    /// Its lease may have ended meanwhile: then nothing that came is carried out.
+    /// A stalled machine resumes. Its lease may have expired meanwhile: then no deferred order is executed.
     pub(crate) fn resume_worker(&mut self, name: &str) {
         let now = self.now_ms;
         let Some(worker) = self.workers.get_mut(name) else {
@@ -62,15 +62,15 @@
             return;
         }
         worker.stalled_until_ms = 0;
-        let mut hung = std::mem::take(&mut worker.deferred);
-        // It gave up by its own clock what it waited for in vain.
-        hung.sort_by_key(|act| match act {
+        let mut deferred = std::mem::take(&mut worker.deferred);
+        // By its own clock it has timed out what it waited for.
+        deferred.sort_by_key(|action| match action {
             Action::CheckLease(_) => 0,
             Action::TimeOutHeartbeat { .. } => 1,
             _ => 2,
         });
-        for (i, act) in hung.into_iter().enumerate() {
-            self.schedule(i as u64 / 4, act);
+        for (i, action) in deferred.into_iter().enumerate() {
+            self.schedule(i as u64 / 4, action);
         }
         self.schedule(1, Action::SendHeartbeat(name.to_string()));
     }
--- a/crates/simulation/src/starvation.rs
+++ b/crates/simulation/src/starvation.rs
@@ -1,15 +1,15 @@
-//! Jobs that wait despite capacity.
+//! Jobs that wait although there is capacity for them.
 
 use crate::Simulation;
 use glenmount_core::model::{JobSpec, Resources, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Since when jobs have waited though a machine that fits has capacity and their team is under its limit: by the
-/// world's own sum of what runs, not by the records.
+/// Since when jobs have waited although a machine has capacity for them and their team is under its limit, by what
+/// really runs and not by the records.
 #[derive(Debug, Default)]
 pub struct StarvationTracker {
     pub(crate) since_ms: BTreeMap<String, u64>,
-    /// Milliseconds, and the job that waited so long.
+    /// Longest wait in milliseconds.
     pub longest_ms: u64,
     /// The job that waited longest.
     pub job: String,
@@ -35,21 +35,25 @@
     pub fn jobs_waiting_despite_capacity(&self) -> BTreeSet<String> {
         let mut waiting = BTreeSet::new();
         let open = |id: &str| match self.user_views.get(id) {
-            Some(t) => t.accepted && !t.cancel_requested && !t.completed,
+            Some(view) => view.accepted && !view.cancel_requested && !view.completed,
             None => false,
         };
         for (id, spec) in self.job_specs.iter().filter(|(id, _)| open(id)) {
-            let (on, done) = (
+            let (running, completed) = (
                 self.placements.machines_of_job(id).count(),
                 self.completed_tasks_of(id),
             );
             let used = self.placements.cpus_used(&spec.team) + spec.resources.cpus;
-            let under = self
+            let is_under_limit = self
                 .team_limit(&spec.team)
                 .is_some_and(|limit| limit == 0 || used <= limit);
-            let ready = spec.dependencies.iter().all(|a| self.is_complete(a));
-            let plain = !spec.zone_affinity && !spec.topology_spread;
-            if on + done >= spec.tasks as usize || !under || !ready || !plain {
+            let is_ready = spec.dependencies.iter().all(|a| self.is_complete(a));
+            let is_unconstrained = !spec.zone_affinity && !spec.topology_spread;
+            if running + completed >= spec.tasks as usize
+                || !is_under_limit
+                || !is_ready
+                || !is_unconstrained
+            {
                 continue;
             }
             if self
@@ -63,15 +67,17 @@
         waiting
     }
 
-    pub(crate) fn completed_tasks_of(&self, id: &str) -> usize {
+    /// Number of completed tasks of a job.
+    fn completed_tasks_of(&self, id: &str) -> usize {
         let job = id.to_string();
         let from = TaskId { job, index: 0 };
         let of = self.completed_tasks.range(from..);
         of.take_while(|t| t.job == id).count()
     }
 
-    pub(crate) fn has_capacity_for(&self, m: &crate::Worker, spec: &JobSpec) -> bool {
-        let well = m.alive
+    /// Whether a task of a job could start on a worker now.
+    fn has_capacity_for(&self, m: &crate::Worker, spec: &JobSpec) -> bool {
+        let is_healthy = m.alive
             && !m.disconnected
             && !m.inbound_lost
             && !m.outbound_lost
@@ -85,7 +91,8 @@
         let used = m.live_tasks().fold(Resources::default(), |sum, (t, _)| {
             sum.plus(&self.job_specs[&t.job].resources)
         });
-        well && m.termination_notice_s.is_none()
+        is_healthy
+            && m.termination_notice_s.is_none()
             && spec.allows(&m.type_name, &m.zone, m.spot)
             && kind.is_some_and(|k| k.room.less(&used).fits(&spec.resources))
     }
