--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -38,7 +38,7 @@
 "#;
 
 #[test]
-fn a_small_day_is_played_and_measured() {
+fn a_small_day_is_run_and_measured() {
     let read = Experiment::read(DAY).unwrap();
     let once = || run_day(&read.days[0], &read.variants[0], 3).unwrap();
     let (a, b) = (once(), once());
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn absurd_days_are_refused_by_their_fields() {
+fn invalid_days_are_rejected_by_field() {
     let cases = [
         ("machines = 40", "machines = 0", "machines"),
         ("nodes = 3", "nodes = 9", "nodes"),
