--- a/crates/core/tests/scenarios/dependencies.rs
+++ b/crates/core/tests/scenarios/dependencies.rs
@@ -335,7 +335,7 @@
         (slow, 2_000),
         (last, 3_000),
     ]);
-    let pulls = pipelines::pulls(&cache, &|_, spec| pipelines::least_run_ms(spec));
+    let pulls = dependencies::pulls(&cache, &|_, spec| dependencies::least_run_ms(spec));
     // Of 5 and 50 s that a job is estimated to run, six tenths must do.
     let due = |id: &str| pulls[id].due.unwrap();
     assert_eq!((due("j-2"), due("j-3")), (100_000, 100_000));
@@ -355,7 +355,8 @@
     ]);
     assert!(cache.blocked("j-1") && cache.waiting_jobs().next().is_none());
     assert!(
-        !pipelines::pulls(&cache, &|_, spec| pipelines::least_run_ms(spec)).contains_key("j-2")
+        !dependencies::pulls(&cache, &|_, spec| dependencies::least_run_ms(spec))
+            .contains_key("j-2")
     );
     let over = cache.job("j-1").unwrap().over(JobPhase::Cancelled, 9);
     cache.put(Key::Job("j-1".into()), 9, Record::Job(over));
--- a/crates/core/tests/scenarios/storage_formats.rs
+++ b/crates/core/tests/scenarios/storage_formats.rs
@@ -120,8 +120,8 @@
                 n => TaskState::Assigned(Assignment {
                     machine: names[rng.gen_range(0..names.len())].into(),
                     attempt: [5, 5, 77, u64::MAX][rng.gen_range(0..4)],
-                    reply_start: reply_start.filter(|_| n == 2),
-                    direct_start,
+                    reply_start: reply_start.filter(|_| n == 2).map(Into::into),
+                    direct_start: direct_start.map(Into::into),
                     stop: rng.gen_bool(0.2).then(|| "preempted".to_string()),
                 }),
             })
@@ -221,7 +221,7 @@
         let assignment = |i: u32| Assignment {
             machine: format!("n-{:06}", 1_000 + i * 37),
             attempt: 100_000 + i as u64 * 531,
-            reply_start: Some((1 + i as u64 % 3, 1_000 + i as u64)),
+            reply_start: Some((1 + i as u64 % 3, 1_000 + i as u64).into()),
             direct_start: None,
             stop: Some("preempted".into()),
         };
@@ -263,7 +263,7 @@
                 machine,
                 attempt: 1_000_000 - i as u64 * 7_919,
                 reply_start: None,
-                direct_start: Some((1, 1)),
+                direct_start: Some((1, 1).into()),
                 stop: None,
             });
             assigned += 1;
@@ -271,7 +271,7 @@
         // Then each is armed anew, and is to be stopped.
         for task in &mut chunk.tasks {
             if let TaskState::Assigned(b) = task {
-                (b.reply_start, b.direct_start) = (Some((2, 1_234)), None);
+                (b.reply_start, b.direct_start) = (Some((2, 1_234).into()), None);
                 b.stop = Some("preempted".into());
             }
         }
--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -104,9 +104,9 @@
             settings.learned = LearnedUse::default();
         }
         let seed = self.rng.gen();
-        let controller = Controller::new(settings, seed, self.now_ms, self.wall_clock(controller));
+        let running = Controller::new(settings, seed, self.now_ms, self.wall_clock(controller));
         let slot = &mut self.controllers[controller];
-        slot.controller = Some(controller);
+        slot.controller = Some(running);
         slot.started_ms = self.now_ms;
         (
             slot.first_ready_ms,
@@ -139,7 +139,7 @@
         let process = self.process(controller);
         let old = self.is_previous_version(process);
         let slot = &mut self.controllers[controller];
-        let Some(controller) = slot.controller.as_mut() else {
+        let Some(running) = slot.controller.as_mut() else {
             return;
         };
         let event = match old {
@@ -148,7 +148,7 @@
         };
         let heartbeat = matches!(event, Event::PeerHeartbeat(_));
         let begun = std::time::Instant::now();
-        let effects = controller.handle(now, wall, event);
+        let effects = running.handle(now, wall, event);
         let took = begun.elapsed();
         self.metrics.event_time += took;
         if heartbeat {
@@ -156,11 +156,11 @@
             self.metrics.heartbeat_time += took;
         }
         self.metrics.events += 1;
-        if slot.first_ready_ms.is_none() && controller.ready() {
+        if slot.first_ready_ms.is_none() && running.ready() {
             slot.first_ready_ms = Some(now);
         }
         if let Some(digest) = &mut self.digest {
-            let ready = controller.ready();
+            let ready = running.ready();
             for effect in &effects {
                 digest.add(controller, now, effect, ready);
             }
--- a/crates/simulation/src/effects.rs
+++ b/crates/simulation/src/effects.rs
@@ -237,7 +237,11 @@
 
     /// A controller's heartbeat to its peers.
     fn send_peer_heartbeat(&mut self, controller: usize, heartbeat: &PeerHeartbeat) {
-        self.metrics.heartbeat_bytes = heartbeat.heard.iter().map(|h| h.0.len() + 12).sum();
+        self.metrics.heartbeat_bytes = heartbeat
+            .workers
+            .iter()
+            .map(|worker| worker.machine.len() + 12)
+            .sum();
         for peer in 0..self.controllers.len() {
             if self.peers_connected(controller, peer) {
                 self.deliver(
--- a/crates/simulation/src/workers/heartbeats.rs
+++ b/crates/simulation/src/workers/heartbeats.rs
@@ -233,13 +233,13 @@
                 self.schedule(wait, Action::SendHeartbeat(name));
             }
             WorkerReply::Redirect {
-                controller: Some(controller),
+                controller: Some(target),
             } => {
                 if let Some(i) = self
                     .settings
                     .controllers
                     .iter()
-                    .position(|controller| *controller == controller)
+                    .position(|controller| *controller == target)
                 {
                     worker.controller = i;
                 }
--- a/crates/xtask/src/digest.rs
+++ b/crates/xtask/src/digest.rs
@@ -6,6 +6,7 @@
 use glenmount_simulation::digest::EffectDigest;
 use glenmount_simulation::random_faults::{self, STEPS};
 use glenmount_simulation::{all_estimate_uses, day_runner, Simulation};
+use std::fmt;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -60,13 +61,13 @@
                     }
                 };
                 let run = random_faults::play_on(*seed, *machines, STEPS, prepare);
-                run.simulation.digest.ok_or("no digest was kept".into())
+                run.simulation.digest.ok_or(DigestError::Missing)
             }
             Run::Day { day, variant } => {
                 let digest = Some(EffectDigest::default());
                 let (_, digest) = day_runner::run_day_with_digest(day, variant, 1, digest)
-                    .map_err(|e| e.to_string())?;
-                digest.ok_or("no digest was kept".into())
+                    .map_err(|e| DigestError::Play(e.to_string()))?;
+                digest.ok_or(DigestError::Missing)
             }
         }
     }
--- a/crates/xtask/src/experiment/files.rs
+++ b/crates/xtask/src/experiment/files.rs
@@ -3,18 +3,18 @@
 use super::plot::plot;
 use super::{table, ExperimentError, Played};
 use crate::file_error::FileError;
-use glenmount_simulation::measure::{Outcome, Times};
+use glenmount_simulation::outcome::{Durations, Outcome};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::path::Path;
 
 /// The kinds of times that are plotted: the file's name, and where an outcome has them.
-type TimesOf = fn(&Outcome) -> &Times;
+type TimesOf = fn(&Outcome) -> &Durations;
 const PLOTTED: [(&str, TimesOf); 4] = [
-    ("noticed", |o| &o.noticed),
-    ("heard", |o| &o.heard),
-    ("first-claim", |o| &o.first_claim),
-    ("submitted", |o| &o.submitted),
+    ("noticed", |o| &o.failure_detection),
+    ("heard", |o| &o.worker_reconnection),
+    ("first-claim", |o| &o.first_start_after_failure),
+    ("submitted", |o| &o.time_to_acceptance),
 ];
 
 /// Writes the table, the figures as JSON, and one plot of each kind of time with a curve per variant.
@@ -44,7 +44,12 @@
         for (kind, times) in &PLOTTED {
             let curves = variants
                 .iter()
-                .map(|p| (p.variant.clone(), times(&p.outcome).curve()))
+                .map(|p| {
+                    (
+                        p.variant.clone(),
+                        times(&p.outcome).cumulative_distribution(),
+                    )
+                })
                 .filter(|(_, curve)| curve.len() > 1);
             let curves: Vec<(String, Vec<(f64, f64)>)> = curves.collect();
             if !curves.is_empty() {
--- a/crates/xtask/src/experiment/mod.rs
+++ b/crates/xtask/src/experiment/mod.rs
@@ -12,8 +12,8 @@
 
 use crate::file_error::FileError;
 use glenmount_simulation::day::{Day, Experiment, Variant};
-use glenmount_simulation::measure::Outcome;
-use glenmount_simulation::play;
+use glenmount_simulation::day_runner;
+use glenmount_simulation::outcome::Outcome;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::any::Any;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -139,7 +139,7 @@
 impl Job {
     fn play(&self) -> Result<Result<Outcome, ExperimentError>, BrokenRule> {
         // A broken rule is an assertion of the simulation's.
-        let once = || play::play(&self.day, &self.variant, self.seed);
+        let once = || day_runner::run_day(&self.day, &self.variant, self.seed);
         match catch_unwind(AssertUnwindSafe(once)) {
             Ok(outcome) => Ok(outcome.map_err(|e| ExperimentError::Play(e.to_string()))),
             Err(panic) => {
--- a/crates/xtask/src/experiment/table.rs
+++ b/crates/xtask/src/experiment/table.rs
@@ -1,7 +1,7 @@
 //! What was played, as text.
 
 use super::Played;
-use glenmount_simulation::measure::{Outcome, Times};
+use glenmount_simulation::outcome::{Durations, Outcome};
 use std::fmt::Write as _;
 
 /// One row a day and variant, then what was served.
@@ -47,8 +47,8 @@
 
 fn write_row(text: &mut String, p: &Played) {
     let o = &p.outcome;
-    let two = |t: &Times| {
-        let s = t.spread();
+    let two = |t: &Durations| {
+        let s = t.summary();
         format!("{}/{} ({})", s.p50, s.p99, s.count)
     };
     let _ = writeln!(
@@ -57,13 +57,13 @@
         p.day,
         p.variant,
         o.plays,
-        o.up,
-        o.up_worst,
-        two(&o.noticed),
-        two(&o.heard),
-        two(&o.first_claim),
-        two(&o.duty),
-        o.submitted.spread().p99,
+        o.replica_availability,
+        o.worst_replica_availability,
+        two(&o.failure_detection),
+        two(&o.worker_reconnection),
+        two(&o.first_start_after_failure),
+        two(&o.duty_takeover),
+        o.time_to_acceptance.summary().p99,
         o.unanswered,
         o.killed_by_lease,
         o.us_per_event
@@ -72,8 +72,12 @@
 
 /// Starts of processes, submissions and tasks.
 fn write_totals(text: &mut String, o: &Outcome) {
-    let start = |t: &Times| t.spread();
-    let (ready, accepted, claimed) = (start(&o.ready), start(&o.accepted), start(&o.claimed));
+    let start = |t: &Durations| t.summary();
+    let (ready, accepted, claimed) = (
+        start(&o.time_to_ready),
+        start(&o.time_to_first_acceptance),
+        start(&o.time_to_first_start),
+    );
     let _ = writeln!(
             text,
             "  starts of a process: ready {}/{}, first acceptance {}/{}, first start {}/{} ms (p50/p99 of {})",
@@ -82,12 +86,12 @@
     let _ = writeln!(
             text,
             "  submissions: {} ({} told to come back, {} unanswered, balancer blind {} ms), most workers at one node {:.2}",
-            o.submissions, o.told_later, o.unanswered, o.blind_ms, o.crowded
+            o.submissions, o.retry_replies, o.unanswered, o.no_healthy_controller_ms, o.max_worker_share
         );
     let _ = writeln!(
             text,
             "  tasks: {} started, {} done, {} ended with a lease; {} machines deleted; {} changes, {} conflicts, {} refused; no socket {}",
-            o.starts, o.tasks_done, o.killed_by_lease, o.deleted, o.changes, o.conflicts, o.throttled, o.no_socket
+            o.starts, o.tasks_done, o.killed_by_lease, o.deleted, o.changes, o.conflicts, o.throttled, o.connections_refused
         );
 }
 
@@ -101,9 +105,13 @@
         );
     }
     for (name, (service, s)) in &o.classes {
-        let waits = o.waits.get(name).map(Times::spread).unwrap_or_default();
+        let waits = o
+            .time_to_first_task
+            .get(name)
+            .map(Durations::summary)
+            .unwrap_or_default();
         let share = s.share(*service);
-        let in_time = match s.with_goal {
+        let in_time = match s.with_objective {
             0 => String::new(),
             n => format!(", in time {:.3}", f64::from(s.in_time) / f64::from(n)),
         };
