--- /dev/null
+++ b/crates/glenmount/src/peer/links.rs
@@ -0,0 +1,42 @@
+//! Which peers are connected to this controller.
+
+use std::collections::HashMap;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+/// Links by which each peer tells its heartbeats: its end shows when the last of them ends.
+#[derive(Clone, Default)]
+pub(super) struct Links(Arc<Mutex<HashMap<String, usize>>>);
+
+/// One link, from the first heartbeat on that named its peer.
+pub(super) struct Link {
+    links: Links,
+    controller: String,
+}
+
+impl Links {
+    fn all(&self) -> MutexGuard<'_, HashMap<String, usize>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+    pub(super) fn begins(&self, controller: &str) -> Link {
+        *self.all().entry(controller.to_string()).or_default() += 1;
+        Link {
+            links: self.clone(),
+            controller: controller.to_string(),
+        }
+    }
+}
+
+impl Link {
+    /// The peer, if this was its last link.
+    pub(super) fn ends(self) -> Option<String> {
+        let mut links = self.links.all();
+        let left = links.get_mut(&self.controller)?;
+        *left -= 1;
+        if *left > 0 {
+            return None;
+        }
+        links.remove(&self.controller);
+        drop(links);
+        Some(self.controller)
+    }
+}
--- /dev/null
+++ b/crates/glenmount/src/wire/tests.rs
@@ -0,0 +1,169 @@
+//! The published messages, read and written.
+
+use super::{command, report, submission, user_reply, worker_reply};
+use glenmount_core::controller::{UserReply, WorkerReply};
+use glenmount_core::model::{ExitCause, JobPriority, JobState, TaskId, TaskPhase, WorkerCommand};
+use serde_json::{json, Value};
+
+fn good() -> Value {
+    json!({"nameId":"j-000412","jobclass":"train","owner":"vision","shape":"array",
+        "rank":"high","drops":16,"vcpus":8.0,"accelerators":1.0,"ramGb":64.0,
+        "bundle":"img-07","pullGb":6.2,"flavours":["g8"],"yard":null,"together":true,
+        "scatter":false,"reclaimable":true,"expectS":240.0,"snapshotS":30.0,"flushS":4.0,
+        "dueS":900.0,"unheard":1})
+}
+
+#[test]
+fn a_submission_is_read_and_each_fault_is_found() {
+    let spec = submission(good().to_string().as_bytes()).unwrap();
+    assert_eq!(
+        (spec.tasks, spec.resources.cpus, spec.priority),
+        (16, 8000, JobPriority::High)
+    );
+    let faults = [
+        ("nameId", json!("x-1")),
+        ("nameId", Value::Null),
+        ("vcpus", json!(0.0)),
+        ("vcpus", json!(-1)),
+        ("ramGb", json!(0)),
+        ("accelerators", json!(-0.5)),
+        ("drops", json!(1.5)),
+        ("drops", json!(0)),
+        ("drops", json!(100_001)),
+        ("shape", json!("group")),
+        ("rank", json!("top")),
+        ("together", Value::Null),
+        ("expectS", Value::Null),
+        ("flavours", json!("g8")),
+        ("dueS", json!("soon")),
+        ("awaits", json!("j-1")),
+        ("awaits", json!([1])),
+        ("awaits", json!(["j-1", "x-2"])),
+    ];
+    for (field, value) in faults {
+        let mut body = good();
+        body[field] = value.clone();
+        assert!(
+            submission(body.to_string().as_bytes()).is_err(),
+            "{field} = {value}"
+        );
+    }
+    for body in ["", "[]", "7", "{", "null"] {
+        assert!(submission(body.as_bytes()).is_err(), "{body}");
+    }
+    for field in ["pullGb", "accelerators", "expectS", "snapshotS", "flushS"] {
+        let mut body = good();
+        body[field] = json!(0);
+        assert!(submission(body.to_string().as_bytes()).is_ok(), "{field}");
+    }
+    let dependencies = |value: Value| {
+        let mut body = good();
+        body["awaits"] = value;
+        submission(body.to_string().as_bytes())
+            .unwrap()
+            .dependencies
+    };
+    assert!(spec.dependencies.is_empty() && dependencies(Value::Null).is_empty());
+    assert!(dependencies(json!([])).is_empty());
+    assert_eq!(dependencies(json!(["j-2", "j-1", "j-2"])), ["j-1", "j-2"]);
+    for field in ["nameId", "drops", "scatter", "flushS"] {
+        let mut body = good();
+        body.as_object_mut().unwrap().remove(field);
+        assert!(submission(body.to_string().as_bytes()).is_err(), "{field}");
+    }
+}
+
+#[test]
+fn what_is_said_is_as_published() {
+    let read = |text: &str| serde_json::from_str::<Value>(text).unwrap();
+    let task = TaskId::parse("j-000412/4").unwrap();
+    let attempt = 2;
+    let told = [
+        WorkerCommand::Start {
+            task: task.clone(),
+            attempt,
+        },
+        WorkerCommand::Stop {
+            task: task.clone(),
+            attempt,
+            grace_s: 10.0,
+        },
+        WorkerCommand::Forget { task, attempt },
+    ];
+    let verbs = json!([{"verb":"start","drop":"j-000412/4","try":2},
+        {"verb":"halt","drop":"j-000412/4","try":2,"leewayS":10.0},
+        {"verb":"forget","drop":"j-000412/4","try":2}]);
+    assert_eq!(
+        read(&command(1, 41, &told)),
+        json!({"fence":41,"tenure":1,"orders":verbs})
+    );
+    let reply = |r| {
+        let (status, body) = worker_reply(&r);
+        (status, read(&body))
+    };
+    let commands = WorkerReply::Commands {
+        token: 41,
+        commands: told.to_vec(),
+    };
+    assert_eq!(reply(commands), (200, json!({"fence":41,"orders":verbs})));
+    let away = |controller: Option<&str>| WorkerReply::Redirect {
+        controller: controller.map(Into::into),
+    };
+    assert_eq!(reply(away(Some("b-2"))), (421, json!({"steward":"b-2"})));
+    assert_eq!(reply(away(None)), (421, json!({})));
+    assert_eq!(reply(WorkerReply::Unavailable).0, 503);
+    let user = |r| {
+        let (status, body, after) = user_reply(&r);
+        (status, read(&body), after)
+    };
+    let job = || "j-000412".to_string();
+    let state = UserReply::Status {
+        job: job(),
+        state: JobState::Running,
+        done: 3,
+        running: 13,
+    };
+    assert_eq!(
+        user(state),
+        (
+            200,
+            json!({"nameId":"j-000412","standing":"running","done":3,"running":13}),
+            None
+        )
+    );
+    let accepted = UserReply::Accepted { job: job() };
+    assert_eq!(
+        user(accepted),
+        (201, json!({"nameId":"j-000412","standing":"pending"}), None)
+    );
+    let cancelled = UserReply::Cancelled {
+        job: job(),
+        state: JobState::Cancelled,
+    };
+    assert_eq!(
+        user(cancelled),
+        (200, json!({"nameId":"j-000412","standing":"aborted"}), None)
+    );
+    let never = UserReply::Rejected("no \"team\"".into());
+    assert_eq!(user(never), (422, json!({"error":"no \"team\""}), None));
+    assert_eq!(user(UserReply::RetryAfter { after_s: 5 }).2, Some(5));
+}
+
+#[test]
+fn a_check_in_is_read_with_causes() {
+    let body = json!({"host":"n-1","address":"10.1.0.2:9000","flavour":"g8","yard":"a",
+        "reclaimable":true,"tenure":1,"tally":88,"fence":41,
+        "drops":[{"drop":"j-000412/3","try":2,"standing":"running"},
+                 {"drop":"j-000398/0","try":1,"standing":"exited","cause":"no_room"}]});
+    let r = report(body.to_string().as_bytes()).unwrap();
+    assert_eq!(r.tasks[0].task.index, 3);
+    assert_eq!(r.tasks[1].phase, TaskPhase::Exited(ExitCause::NoResources));
+    assert!(report(b"{}").is_err());
+    // Nothing is learned from a machine that counts wrongly: what comes after would look old.
+    for (field, value) in [("tenure", 0), ("tenure", u64::MAX), ("tally", u64::MAX)] {
+        let mut body = body.clone();
+        body[field] = value.into();
+        let why = report(body.to_string().as_bytes()).unwrap_err();
+        assert!(why.starts_with(field), "{why}");
+    }
+}
