--- a/crates/glenmount/src/main.rs
+++ b/crates/glenmount/src/main.rs
@@ -60,8 +60,8 @@
 
 fn load(args: &Args) -> Result<Config, String> {
     let operator = match &args.operator_settings {
-        Some(path) => settings::operator(&read(path)?)?,
-        None => settings::Operator::default(),
+        Some(path) => settings::operator(&read(path)?).map_err(|e| e.to_string())?,
+        None => settings::OperatorSettings::default(),
     };
     settings::config(&read(&args.config)?, &operator)
         .map_err(|e| format!("{}: {e}", args.config.display()))
@@ -181,14 +181,13 @@
 
     let state = state::client(
         state::connection(config.state),
-        config.state_rps,
-        config.state_write_rps,
+        config.state_rates,
         events_in.clone(),
     );
     let changes = state::watch(state::connection(config.state), events_in.clone());
     let cloud = cloud::client(
         cloud::connection(config.cloud),
-        config.cloud_rps,
+        config.cloud_requests_per_s,
         events_in.clone(),
     );
 
@@ -197,8 +196,13 @@
     let begun = Instant::now();
     let seed = RandomState::new().build_hasher().finish();
     let node_name = config.core.controller.clone();
-    for (field, value, needs) in &config.scarce {
-        tracing::info!(field, value, needs, "scarce: what there is is served");
+    for resource in &config.scarce {
+        tracing::info!(
+            field = resource.field,
+            value = resource.value,
+            needs = resource.needs,
+            "scarce: what there is is served"
+        );
     }
     let mut controller = Controller::new(config.core, seed, 0, wall_ms());
     let mut answers: HashMap<u64, oneshot::Sender<Reached>> = HashMap::new();
--- a/crates/glenmount/src/server.rs
+++ b/crates/glenmount/src/server.rs
@@ -120,7 +120,7 @@
                         let spec = Box::new(spec);
                         self.call(|request| Event::Submit { request, spec }).await
                     }
-                    Err(why) => error(400, &why),
+                    Err(why) => error(400, &why.to_string()),
                 }
             }
             ("GET", ["v2", "runs", id]) => {
@@ -149,6 +149,7 @@
                             .await
                     }
                     Err(why) => {
+                        let why = why.to_string();
                         tracing::error!(why, "unreadable check-in");
                         error(400, &why)
                     }
--- a/crates/glenmount/src/settings/mod.rs
+++ b/crates/glenmount/src/settings/mod.rs
@@ -5,165 +5,176 @@
 mod operator;
 mod quota;
 
-pub use operator::{operator, Operator};
+pub use checks::SettingsError;
+pub use operator::{operator, OperatorSettings};
+pub use quota::ScarceResource;
 
-use checks::{check, rate, seconds};
-use file::File;
-use glenmount_core::configuration::PolicySettings;
-use glenmount_core::constants::{CLOUD_SHARE, IDLE_RETURN_MS, TXN_OPS_LEAST, VALUE_KB_LEAST};
+use crate::state::Rates;
+use checks::{check, rate, seconds_as_ms};
+use file::{Params, SettingsFile};
+use glenmount_core::configuration::{Policy, PolicySettings};
+use glenmount_core::constants::CLOUD_SHARE;
 use glenmount_core::safety_checks::Checks;
-use glenmount_core::settings::{LearnedUse, Settings};
-use operator::{learned, tuning};
+use glenmount_core::settings::Settings;
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+/// Milliseconds that clocks may differ by at most.
+const CLOCK_OFF_MOST_MS: f64 = 3.6e6;
+
 /// All that the program needs to know to run.
 #[derive(Debug)]
 pub struct Config {
+    /// What the core needs to know.
     pub core: Settings,
+    /// Where users, workers and health checks connect to.
     pub client_listen: SocketAddr,
+    /// Where peers connect to.
     pub cluster_listen: SocketAddr,
-    /// Other controllers' names and addresses.
+    /// The peers' names, and where they listen.
     pub peers: Vec<(String, SocketAddr)>,
+    /// The cloud's address.
     pub cloud: SocketAddr,
+    /// The state store's address.
     pub state: SocketAddr,
-    /// This controller's shares of the services' budgets, per second.
-    pub state_rps: f64,
-    pub state_write_rps: f64,
-    pub cloud_rps: f64,
+    /// The rates at which the state store may be asked. Of requests this is this controller's share,
+    /// of changes that of all: the core keeps its share, and takes that of peers that can't use theirs.
+    pub state_rates: Rates,
+    /// This controller's share of the cloud's rate.
+    pub cloud_requests_per_s: f64,
+    /// Sockets that may be open.
     pub sockets: u32,
-    /// Fields by which this controller is smaller than it needs to be: value and need of each.
-    pub scarce: Vec<(&'static str, f64, f64)>,
+    /// What this controller has less of than it needs.
+    pub scarce: Vec<ScarceResource>,
 }
 
-pub fn config(text: &str, operator: &Operator) -> Result<Config, String> {
-    let file: File = toml::from_str(text).map_err(|e| e.to_string().replace('\n', " "))?;
-    let p = &file.settings;
-    check(!file.member.is_empty(), "member", "must not be empty")?;
-    check(
-        (1..=64).contains(&p.count),
-        "settings.count",
-        "must be between 1 and 64",
-    )?;
-    check(!p.zones.is_empty(), "settings.zones", "must name a zone")?;
-    let mut controllers: Vec<String> = file.peers.iter().map(|s| s.member.clone()).collect();
-    check(
-        !controllers.contains(&file.member),
-        "siblings.member",
-        "must not name this node itself",
-    )?;
-    controllers.push(file.member.clone());
-    controllers.sort();
-    controllers.dedup();
-    check(
-        controllers.len() == p.count as usize,
-        "siblings",
-        "must name settings.count - 1 different nodes",
-    )?;
-    let policy = PolicySettings {
-        idle_return_s: None,
-        teams: p.teams.clone(),
-        objectives: p.objectives.clone(),
-    };
-    let policy = policy.policy()?;
-    let report_ms = seconds("settings.workers.report_s", p.workers.report_s, 0.1)?;
-    let lease_ms = seconds("settings.workers.lease_s", p.workers.lease_s, 1.0)?;
-    let cancel_ms = seconds("settings.workers.cancel_s", p.workers.cancel_s, 1.0)?;
-    check(
-        lease_ms > report_ms,
-        "settings.workers.lease_s",
-        "must be longer than report_s",
-    )?;
-    check(
-        p.clock_off_ms.is_finite() && (0.0..=3.6e6).contains(&p.clock_off_ms),
-        "settings.clock_off_ms",
-        "must be between 0 and 3600000",
-    )?;
-    let ops = |field: &str, ops: u32| {
-        let rule = format!("must be at least {TXN_OPS_LEAST}: a claim writes three records");
-        check(ops >= TXN_OPS_LEAST, field, &rule)
-    };
-    let kib = |field: &str, kb: f64| {
-        let rule = format!("must be between {VALUE_KB_LEAST} and 1024");
-        let ok = kb.is_finite() && (VALUE_KB_LEAST..=1024.0).contains(&kb);
-        check(ok, field, &rule)
-    };
-    let now = &p.state;
-    ops("settings.state.txn_ops", now.max_transaction_changes)?;
-    kib("settings.state.value_kb", now.value_kb)?;
-    let write_rps = rate("settings.state.write_rps", now.write_rps)?;
-    let (mut max_transaction_changes, mut value_kb, mut next_rps) =
-        (now.max_transaction_changes, now.value_kb, write_rps);
-    if let Some(next) = &now.next {
-        if let Some(n) = next.max_transaction_changes {
-            ops("settings.state.next.txn_ops", n)?;
-            max_transaction_changes = max_transaction_changes.min(n);
-        }
-        if let Some(kb) = next.value_kb {
-            kib("settings.state.next.value_kb", kb)?;
-            value_kb = value_kb.min(kb);
-        }
-        if let Some(rps) = next.write_rps {
-            next_rps = next_rps.min(rate("settings.state.next.write_rps", rps)?);
-        }
-    }
-    p.quota.check()?;
-    let list_lag_ms = seconds("settings.cloud.list_lag_s", p.cloud.list_lag_s, 0.0)?;
-    let idle_return_ms = match operator.idle_return_s {
-        Some(s) => seconds("operator-settings.idle-return-s", s, 1.0)?,
-        None => IDLE_RETURN_MS,
-    };
-    let learned_use = match &operator.learned_run_times {
-        Some(xml) => learned(xml)?,
-        None => LearnedUse::default(),
-    };
-    let share = 1.0 / p.count as f64;
-    let here = file
-        .location
-        .iter()
-        .map(|z| (file.member.clone(), z.clone()));
-    let there = file.peers.iter();
-    let there = there.filter_map(|s| Some((s.member.clone(), s.location.clone()?)));
-    let controller_zones = here.chain(there).collect();
+/// Reads and checks the platform's settings file.
+///
+/// # Errors
+/// The first setting that is missing or out of range, in this file or in the operators' own.
+pub fn config(text: &str, operator: &OperatorSettings) -> Result<Config, SettingsError> {
+    let file = SettingsFile::parse(text)?;
+    let params = &file.settings;
+    let controllers = file.controllers()?;
+    let policy = policy(params)?;
+    let intervals = params.workers.check()?;
+    check_clock(params.clock_off_ms)?;
+    let limits = params.state.check()?;
+    params.quota.check()?;
+    let list_lag_ms = seconds_as_ms("settings.cloud.list_lag_s", params.cloud.list_lag_s, 0.0)?;
+    let idle_return_ms = operator.idle_return_ms()?;
+    let learned = operator.learned_use()?;
+    let share = 1.0 / params.count as f64;
     Ok(Config {
         core: Settings {
             checks: Checks::default(),
-            tuning: tuning(operator)?,
-            controller: file.member,
-            controllers,
-            zones: p.zones.clone(),
-            zone: file.location.unwrap_or_default(),
-            controller_zones,
+            tuning: operator.tuning()?,
+            controller: file.member.clone(),
+            controllers: controllers,
+            zones: params.zones.clone(),
+            zone: file.location.clone().unwrap_or_default(),
+            controller_zones: file.zones_by_controller(),
             policy,
-            report_ms,
-            lease_ms,
-            cancel_ms,
-            max_value_bytes: (value_kb * 1024.0) as u64,
-            max_transaction_changes: max_transaction_changes as usize,
-            write_rps: write_rps * share,
-            next_write_rps: next_rps * share,
-            clock_off_ms: p.clock_off_ms as u64,
+            report_ms: intervals.report_ms,
+            lease_ms: intervals.lease_ms,
+            cancel_ms: intervals.cancel_ms,
+            max_value_bytes: limits.max_value_bytes,
+            max_transaction_changes: limits.transaction_ops,
+            write_rps: limits.changes_per_s * share,
+            next_write_rps: limits.next_changes_per_s * share,
+            clock_off_ms: params.clock_off_ms as u64,
             idle_return_ms,
             list_lag_ms,
-            learned: learned_use,
+            learned,
         },
         client_listen: file.client_listen,
         cluster_listen: file.cluster_listen,
-        peers: file
-            .peers
-            .into_iter()
-            .map(|s| (s.member, s.peer_addr))
-            .collect(),
+        peers: file.peers(),
         cloud: file.outside.cloud,
         state: file.outside.state,
-        state_rps: rate("settings.state.rps", p.state.rps)? * share,
-        // The core keeps its share, and takes that of peers that can't use theirs.
-        state_write_rps: write_rps,
+        state_rates: Rates {
+            requests_per_s: rate("settings.state.rps", params.state.rps)? * share,
+            changes_per_s: limits.changes_per_s,
+        },
         // Mostly a single controller deals with the cloud; when several do, a refusal is asked again.
-        cloud_rps: rate("settings.cloud.rps", p.cloud.rps)? * share.max(CLOUD_SHARE),
-        sockets: p.quota.sockets,
-        scarce: p.quota.scarce(),
+        cloud_requests_per_s: rate("settings.cloud.rps", params.cloud.rps)?
+            * share.max(CLOUD_SHARE),
+        sockets: params.quota.sockets,
+        scarce: params.quota.scarce(),
     })
 }
 
+/// Teams and objectives, which hold until others are on record.
+fn policy(params: &Params) -> Result<Policy, SettingsError> {
+    let settings = PolicySettings {
+        idle_return_s: None,
+        teams: params.teams.clone(),
+        objectives: params.objectives.clone(),
+    };
+    let policy = settings.policy();
+    policy.map_err(|error| SettingsError::Field {
+        field: error.field,
+        rule: error.problem,
+    })
+}
+
+fn check_clock(clock_off_ms: f64) -> Result<(), SettingsError> {
+    check(
+        (0.0..=CLOCK_OFF_MOST_MS).contains(&clock_off_ms),
+        "settings.clock_off_ms",
+        "must be between 0 and 3600000",
+    )
+}
+
+impl SettingsFile {
+    /// The names of all controllers, this one included, in order.
+    fn controllers(&self) -> Result<Vec<String>, SettingsError> {
+        let params = &self.settings;
+        check(!self.member.is_empty(), "member", "must not be empty")?;
+        check(
+            (1..=64).contains(&params.count),
+            "settings.count",
+            "must be between 1 and 64",
+        )?;
+        check(
+            !params.zones.is_empty(),
+            "settings.zones",
+            "must name a zone",
+        )?;
+        let peers = self.peers.iter().map(|peer| peer.member.clone());
+        let mut controllers: Vec<String> = peers.collect();
+        check(
+            !controllers.contains(&self.member),
+            "siblings.member",
+            "must not name this node itself",
+        )?;
+        controllers.push(self.member.clone());
+        controllers.sort();
+        controllers.dedup();
+        check(
+            controllers.len() == params.count as usize,
+            "siblings",
+            "must name settings.count - 1 different nodes",
+        )?;
+        Ok(controllers)
+    }
+
+    fn peers(&self) -> Vec<(String, SocketAddr)> {
+        let peers = self.peers.iter();
+        peers
+            .map(|peer| (peer.member.clone(), peer.peer_addr))
+            .collect()
+    }
+
+    /// The zones of all controllers, as far as they are known.
+    fn zones_by_controller(&self) -> BTreeMap<String, String> {
+        let own = (&self.member, &self.location);
+        let peers = self.peers.iter().map(|peer| (&peer.member, &peer.location));
+        let all = std::iter::once(own).chain(peers);
+        all.filter_map(|(controller, zone)| Some((controller.clone(), zone.clone()?)))
+            .collect()
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/glenmount/src/settings/operator.rs
+++ b/crates/glenmount/src/settings/operator.rs
@@ -1,81 +1,103 @@
 //! The operators' own settings.
 
-use super::checks::check;
+use super::checks::{check, seconds_as_ms, SettingsError};
+use glenmount_core::constants::IDLE_RETURN_MS;
 use glenmount_core::settings::LearnedUse;
 use glenmount_core::tuning::Tuning;
 use serde::Deserialize;
 
 /// Operators' own settings. Every one has a default; see `deploy/operator-settings.xml`.
+///
+/// What is expected stands in texts of errors that operators see, as below.
 #[derive(Debug, Default, Deserialize)]
-#[serde(default, rename = "operator-settings")]
-pub struct Operator {
+#[serde(default, rename = "operator-settings", expecting = "struct Operator")]
+pub struct OperatorSettings {
+    /// Seconds after which a machine with nothing to do is returned.
     #[serde(rename = "idle-return-s")]
-    pub(super) idle_return_s: Option<f64>,
+    idle_return_s: Option<f64>,
+    /// Run times are learned where this stands.
     #[serde(rename = "learned-run-times")]
-    pub(super) learned_run_times: Option<LearnedXml>,
-    /// Whether machines of lost zones are ended for what they hold.
+    learned_run_times: Option<LearnedRunTimes>,
+    /// Whether machines of lost zones are terminated for what they hold.
     #[serde(rename = "end-machines-of-lost-zones")]
-    lost_zones: Option<bool>,
+    evacuates_lost_zones: Option<bool>,
     /// Whether services are spread evenly over zones, and moved back to that after one was lost.
     #[serde(rename = "even-spread-over-zones")]
-    even_spread: Option<bool>,
-    /// Whether the largest jobs are put off when not all can be in time.
+    spreads_evenly: Option<bool>,
+    /// Whether the largest jobs are deferred when not all can be in time.
     #[serde(rename = "put-off-jobs")]
-    put_off: Option<bool>,
+    defers_jobs: Option<bool>,
     /// The share of a service's tasks that one machine gets while others serve it as well.
     #[serde(rename = "service-share-per-machine")]
-    machine_share_of_service: Option<f64>,
+    service_share_per_machine: Option<f64>,
 }
 
-/// The newer parts' switches; the rest of what experiments vary stays as it is.
-pub(super) fn tuning(operator: &Operator) -> Result<Tuning, String> {
-    let usual = Tuning::default();
-    let machine_share_of_service = operator
-        .machine_share_of_service
-        .unwrap_or(usual.machine_share_of_service);
-    check(
-        machine_share_of_service > 0.0 && machine_share_of_service <= 1.0,
-        "operator-settings.service-share-per-machine",
-        "must be above 0 and at most 1",
-    )?;
-    Ok(Tuning {
-        lost_zones: operator.lost_zones.unwrap_or(usual.lost_zones),
-        put_off: operator.put_off.unwrap_or(usual.put_off),
-        even_spread: operator.even_spread.unwrap_or(usual.even_spread),
-        machine_share_of_service,
-        ..usual
-    })
-}
-
-/// Run times are learned where this stands, and used for what it names.
+/// What learned run times are used for, by name.
 #[derive(Debug, Default, Deserialize)]
-#[serde(default)]
-pub(super) struct LearnedXml {
+#[serde(default, expecting = "struct LearnedXml")]
+struct LearnedRunTimes {
     #[serde(rename = "for")]
     uses: Vec<String>,
 }
 
-pub(super) fn learned(xml: &LearnedXml) -> Result<LearnedUse, String> {
-    let mut learned = LearnedUse {
-        learn: true,
-        ..LearnedUse::default()
-    };
-    for what in &xml.uses {
-        match what.as_str() {
-            "order" => learned.order = true,
-            "due" => learned.due = true,
-            "stops" => learned.stops = true,
-            "notice" => learned.notice = true,
-            _ => {
-                return Err(format!(
-                    "operator-settings.learned-run-times.for: must be order, due, stops or notice, not {what:?}"
-                ))
+/// Reads the operators' settings file.
+///
+/// # Errors
+/// The text is not XML, or a value is of the wrong type.
+pub fn operator(xml: &str) -> Result<OperatorSettings, SettingsError> {
+    Ok(quick_xml::de::from_str(xml)?)
+}
+
+impl OperatorSettings {
+    /// Milliseconds after which a machine with nothing to do is returned.
+    pub fn idle_return_ms(&self) -> Result<u64, SettingsError> {
+        match self.idle_return_s {
+            Some(seconds) => seconds_as_ms("operator-settings.idle-return-s", seconds, 1.0),
+            None => Ok(IDLE_RETURN_MS),
+        }
+    }
+
+    /// Whether run times are learned, and what for.
+    pub fn learned_use(&self) -> Result<LearnedUse, SettingsError> {
+        let mut learned = LearnedUse::default();
+        let Some(run_times) = &self.learned_run_times else {
+            return Ok(learned);
+        };
+        learned.learn = true;
+        for name in &run_times.uses {
+            match name.as_str() {
+                "order" => learned.order = true,
+                "due" => learned.due = true,
+                "stops" => learned.stops = true,
+                "notice" => learned.notice = true,
+                _ => {
+                    return Err(SettingsError::Field {
+                        field: "operator-settings.learned-run-times.for".into(),
+                        rule: format!("must be order, due, stops or notice, not {name:?}"),
+                    })
+                }
             }
         }
+        Ok(learned)
     }
-    Ok(learned)
-}
 
-pub fn operator(xml: &str) -> Result<Operator, String> {
-    quick_xml::de::from_str(xml).map_err(|e| format!("operator settings: {e}"))
+    /// The newer parts' switches; the rest of what experiments vary stays as it is.
+    pub fn tuning(&self) -> Result<Tuning, SettingsError> {
+        let default = Tuning::default();
+        let machine_share_of_service = self
+            .service_share_per_machine
+            .unwrap_or(default.machine_share_of_service);
+        check(
+            machine_share_of_service > 0.0 && machine_share_of_service <= 1.0,
+            "operator-settings.service-share-per-machine",
+            "must be above 0 and at most 1",
+        )?;
+        Ok(Tuning {
+            lost_zones: self.evacuates_lost_zones.unwrap_or(default.lost_zones),
+            put_off: self.defers_jobs.unwrap_or(default.put_off),
+            even_spread: self.spreads_evenly.unwrap_or(default.even_spread),
+            machine_share_of_service,
+            ..default
+        })
+    }
 }
--- a/crates/glenmount/src/settings/tests.rs
+++ b/crates/glenmount/src/settings/tests.rs
@@ -1,7 +1,7 @@
 //! Both settings files: what is read, and what is refused.
 
 use super::quota::Quota;
-use super::{config, operator, Operator};
+use super::{config, operator, OperatorSettings};
 use glenmount_core::tuning::Tuning;
 
 const SAMPLE: &str = r#"
@@ -44,10 +44,10 @@
 
 #[test]
 fn reads_settings_and_ignores_unknown_fields() {
-    let c = config(SAMPLE, &Operator::default()).unwrap();
+    let c = config(SAMPLE, &OperatorSettings::default()).unwrap();
     assert_eq!(c.core.controllers, ["a-0", "a-1"]);
     assert_eq!(c.core.policy.teams["t"].cpus_max, 4000);
-    assert_eq!(c.state_rps, 50.0);
+    assert_eq!(c.state_rates.requests_per_s, 50.0);
 }
 
 #[test]
@@ -66,12 +66,12 @@
     };
     for field in ["cpu_share", "ram_mb"] {
         for absurd in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e9] {
-            let error = quota(field, absurd).check().unwrap_err();
+            let error = quota(field, absurd).check().unwrap_err().to_string();
             assert!(error.contains(field), "{absurd}: {error}");
         }
         let scarce = quota(field, 0.005);
         assert!(scarce.check().is_ok());
-        assert!(scarce.scarce()[0].0.ends_with(field));
+        assert!(scarce.scarce()[0].field.ends_with(field));
         let missing = Quota {
             sockets: 100,
             cpu_share: None,
@@ -85,7 +85,7 @@
         cpu_share: None,
         ram_mb: None,
     };
-    assert!(none.check().unwrap_err().contains("sockets"));
+    assert!(none.check().unwrap_err().to_string().contains("sockets"));
 }
 
 #[test]
@@ -112,7 +112,9 @@
         ),
     ];
     for (from, to, field) in cases {
-        let error = config(&SAMPLE.replace(from, to), &Operator::default()).unwrap_err();
+        let error = config(&SAMPLE.replace(from, to), &OperatorSettings::default())
+            .unwrap_err()
+            .to_string();
         assert!(error.contains(field), "{error}");
         assert!(!error.contains('\n'));
     }
@@ -123,7 +125,7 @@
     let next = "value_kb = 8.0\n next = { value_kb = 2.0, txn_ops = 40, write_rps = 30.0 }";
     let c = config(
         &SAMPLE.replace("value_kb = 8.0", next),
-        &Operator::default(),
+        &OperatorSettings::default(),
     )
     .unwrap();
     assert_eq!(
@@ -154,7 +156,10 @@
         SAMPLE,
         &operator(&xml.replace("due", "everything")).unwrap(),
     );
-    assert!(error.unwrap_err().contains("learned-run-times.for"));
+    assert!(error
+        .unwrap_err()
+        .to_string()
+        .contains("learned-run-times.for"));
     // The shown file has the defaults.
     let shown = include_str!("../../../../deploy/operator-settings.xml");
     let c = config(SAMPLE, &operator(shown).unwrap()).unwrap();
@@ -167,9 +172,14 @@
     assert!(c.core.tuning.even_spread && c.core.tuning.put_off);
     assert!(!t.lost_zones && !t.put_off && t.machine_share_of_service == 1.0);
     let error = config(SAMPLE, &operator(&shown.replace(">0.5<", ">0<")).unwrap());
-    assert!(error.unwrap_err().contains("service-share-per-machine"));
+    assert!(error
+        .unwrap_err()
+        .to_string()
+        .contains("service-share-per-machine"));
     let xml = "<operator-settings><idle-return-s>-1</idle-return-s></operator-settings>";
-    let error = config(SAMPLE, &operator(xml).unwrap()).unwrap_err();
+    let error = config(SAMPLE, &operator(xml).unwrap())
+        .unwrap_err()
+        .to_string();
     assert!(error.contains("idle-return-s"), "{error}");
     assert!(
         operator("<operator-settings><idle-return-s>x</idle-return-s></operator-settings>")
--- a/crates/glenmount/src/state.rs
+++ b/crates/glenmount/src/state.rs
@@ -174,13 +174,17 @@
     }
 }
 
+/// Rates at which the state store may be asked.
+#[derive(Clone, Copy, Debug)]
+pub struct Rates {
+    /// Requests a second.
+    pub requests_per_s: f64,
+    /// Changes a second.
+    pub changes_per_s: f64,
+}
+
 /// Starts the actor; work is sent to the returned channel, outcomes go to the core.
-pub fn client(
-    http: Http,
-    rps: f64,
-    write_rps: f64,
-    core: mpsc::Sender<Event>,
-) -> mpsc::Sender<Job> {
+pub fn client(http: Http, rates: Rates, core: mpsc::Sender<Event>) -> mpsc::Sender<Job> {
     let (jobs_in, mut jobs) = mpsc::channel::<Job>(LINE);
     let (inner_in, mut inner) = mpsc::unbounded_channel::<Message>();
     let forward = inner_in.clone();
@@ -193,8 +197,8 @@
     });
     tokio::spawn(async move {
         let http = Arc::new(http);
-        let mut requests = Budget::new(rps, 0.9);
-        let mut writes = Budget::new(write_rps, 0.9);
+        let mut requests = Budget::new(rates.requests_per_s, 0.9);
+        let mut writes = Budget::new(rates.changes_per_s, 0.9);
         let mut lines: [VecDeque<Job>; 4] = Default::default();
         let mut in_flight = 0;
         let mut takes_ms: f64 = 0.0;
--- a/crates/glenmount/src/tests/settings_forms.rs
+++ b/crates/glenmount/src/tests/settings_forms.rs
@@ -1,7 +1,7 @@
 //! The platform's settings file and the operators' own.
 
 use super::check_lines;
-use crate::settings::{self, Config, Operator};
+use crate::settings::{self, Config, OperatorSettings};
 
 const ALL: &str = include_str!("../../tests/samples/settings_all.toml");
 const LEAST: &str = include_str!("../../tests/samples/settings_least.toml");
@@ -10,6 +10,8 @@
 fn show(config: &Config) -> String {
     let core = &config.core;
     let (learned, tuning, policy) = (&core.learned, &core.tuning, &core.policy);
+    let scarce = config.scarce.iter();
+    let scarce: Vec<_> = scarce.map(|s| (s.field, s.value, s.needs)).collect();
     let mut lines = vec![
         format!("member: {:?}", core.controller),
         format!("members: {:?}", core.controllers),
@@ -21,14 +23,17 @@
         format!("siblings: {:?}", config.peers),
         format!("cloud: {}", config.cloud),
         format!("state service: {}", config.state),
-        format!("requests to the state service: {:?}/s", config.state_rps),
+        format!(
+            "requests to the state service: {:?}/s",
+            config.state_rates.requests_per_s
+        ),
         format!(
             "changes to the state service: {:?}/s",
-            config.state_write_rps
+            config.state_rates.changes_per_s
         ),
-        format!("requests to the cloud: {:?}/s", config.cloud_rps),
+        format!("requests to the cloud: {:?}/s", config.cloud_requests_per_s),
         format!("sockets: {}", config.sockets),
-        format!("scarce: {:?}", config.scarce),
+        format!("scarce: {scarce:?}"),
         format!("report: {} ms", core.report_ms),
         format!("lease: {} ms", core.lease_ms),
         format!("cancel: {} ms", core.cancel_ms),
@@ -73,7 +78,7 @@
             include_str!("../../tests/samples/settings_least.txt"),
         ),
     ] {
-        let config = settings::config(text, &Operator::default()).expect("settings");
+        let config = settings::config(text, &OperatorSettings::default()).expect("settings");
         assert_eq!(show(&config), expected);
     }
 }
@@ -84,9 +89,9 @@
     check_lines("refused_settings.tsv", sample, |columns| async move {
         assert!(ALL.contains(columns[0]), "{}", columns[0]);
         let text = ALL.replacen(columns[0], &columns[1].replace("\\n", "\n"), 1);
-        match settings::config(&text, &Operator::default()) {
+        match settings::config(&text, &OperatorSettings::default()) {
             Ok(_) => "read".to_string(),
-            Err(error) => error,
+            Err(error) => error.to_string(),
         }
     })
     .await;
@@ -106,7 +111,7 @@
 async fn operators_settings_are_read_or_refused_with_their_fault() {
     let sample = include_str!("../../tests/samples/operator_settings.tsv");
     check_lines("operator_settings.tsv", sample, |columns| async move {
-        let usual = settings::config(LEAST, &Operator::default()).expect("settings");
+        let usual = settings::config(LEAST, &OperatorSettings::default()).expect("settings");
         let read = settings::operator(deployed(columns[0]));
         match read.and_then(|operator| settings::config(LEAST, &operator)) {
             Ok(config) => {
@@ -116,7 +121,7 @@
                 let changes: Vec<&str> = changes.map(|(_, after)| after).collect();
                 format!("read; {}", changes.join("; "))
             }
-            Err(error) => error.replace('\n', "\\n"),
+            Err(error) => error.to_string().replace('\n', "\\n"),
         }
     })
     .await;
--- a/crates/glenmount/src/tests/state_forms.rs
+++ b/crates/glenmount/src/tests/state_forms.rs
@@ -1,7 +1,7 @@
 //! Requests to the state service and its answers; the text of transactions is pinned with the core.
 
 use super::{answer_once, check_lines, in_time, listener};
-use crate::state;
+use crate::state::{self, Rates};
 use glenmount_core::controller::{Event, RequestClass, StateOperation, StateResponse};
 use glenmount_core::state::formats::LATEST;
 use glenmount_core::state::{CasTransaction, Key, Record};
@@ -66,7 +66,11 @@
     let listener = listener().await;
     let connection = state::connection(listener.local_addr().expect("an address"));
     let (core, mut events) = mpsc::channel(1);
-    let jobs = state::client(connection, 1_000.0, 1_000.0, core);
+    let rates = Rates {
+        requests_per_s: 1_000.0,
+        changes_per_s: 1_000.0,
+    };
+    let jobs = state::client(connection, rates, core);
     let job = state::Job {
         token: 17,
         op: operation(name),
--- a/crates/glenmount/src/wire/mod.rs
+++ b/crates/glenmount/src/wire/mod.rs
@@ -1,4 +1,7 @@
-//! The published messages. Names of the wire end here; inside, the standard ones are used.
+//! The published messages: JSON between the controller and users, workers, the cloud and the state store.
+//!
+//! Each submodule holds one side. The protocol's own field names are met only here and mapped by
+//! `serde(rename)` to the names that the rest of the program uses.
 
 mod cloud;
 mod users;
@@ -10,28 +13,24 @@
 
 use serde::Serialize;
 
-/// What users are told. Written as it is, without a tree of values between: polls are many.
+/// Bytes of a name or other text in a message at most: these stand in stored records.
+const TEXT_BYTES: usize = 200;
+
+/// The body of an answer that refuses a request.
 #[derive(Serialize)]
-#[serde(untagged)]
-pub(super) enum Told<'a> {
-    Job {
-        #[serde(rename = "nameId")]
-        id: &'a str,
-        standing: &'static str,
-        #[serde(skip_serializing_if = "Option::is_none")]
-        done: Option<u32>,
-        #[serde(skip_serializing_if = "Option::is_none")]
-        running: Option<u32>,
-    },
-    Error {
-        error: &'a str,
-    },
+struct ErrorBody<'a> {
+    error: &'a str,
 }
 
-pub(super) fn text(message: &impl Serialize) -> String {
-    // Plain structs of strings and numbers can't fail to be written.
+/// Writes a message. Structs of strings and numbers, as all messages are, can't fail to be written.
+fn to_json(message: &impl Serialize) -> String {
     serde_json::to_string(message).unwrap_or_else(|_| "{}".into())
 }
 
+/// Whether a text is neither empty nor too long to be stored.
+fn has_text_length(text: &str) -> bool {
+    !text.is_empty() && text.len() <= TEXT_BYTES
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/glenmount/src/wire/tests.rs
+++ b/crates/glenmount/src/wire/tests.rs
@@ -163,7 +163,7 @@
     for (field, value) in [("tenure", 0), ("tenure", u64::MAX), ("tally", u64::MAX)] {
         let mut body = body.clone();
         body[field] = value.into();
-        let why = report(body.to_string().as_bytes()).unwrap_err();
+        let why = report(body.to_string().as_bytes()).unwrap_err().to_string();
         assert!(why.starts_with(field), "{why}");
     }
 }
--- a/crates/glenmount/src/wire/users.rs
+++ b/crates/glenmount/src/wire/users.rs
@@ -1,137 +1,212 @@
-//! Messages between users and the controller.
+//! Messages between users and the controller: submissions, and the answers to all requests.
 
-use super::{text, Told};
+use super::{has_text_length, to_json, ErrorBody};
 use glenmount_core::constants::JOB_TASKS;
 use glenmount_core::controller::UserReply;
 use glenmount_core::model::{need_milli, JobKind, JobPriority, JobSpec, JobState, Resources};
-use serde::{Deserialize, Deserializer};
+use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeSet;
+use thiserror::Error;
 
-/// A field that must be there, but may be null.
-fn present<'de, D: Deserializer<'de>, T: Deserialize<'de>>(d: D) -> Result<Option<T>, D::Error> {
-    Option::deserialize(d)
+/// Cores, GB and seconds beyond which a figure of a submission is a mistake.
+const AMOUNT_MOST: f64 = 1e9;
+/// Machine types that a job may name.
+const MACHINE_TYPES_MOST: usize = 100;
+
+/// Why a submission is refused. Users see the text.
+#[derive(Debug, Error)]
+pub enum SubmissionError {
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error("not an object")]
+    NotAnObject,
+    #[error("nameId is malformed")]
+    MalformedId,
+    #[error("awaits holds a malformed id")]
+    MalformedDependency,
+    #[error("{0} is out of range")]
+    OutOfRange(&'static str),
+    #[error("{0} is empty or too long")]
+    TextLength(&'static str),
+    #[error("{0} is too long")]
+    ListLength(&'static str),
+    #[error("{0} is unknown")]
+    Unknown(&'static str),
 }
 
+/// A submission as it arrives. Of several missing fields the first in this order is reported.
 #[derive(Deserialize)]
 struct Submission {
     #[serde(rename = "nameId")]
     id: String,
-    jobclass: String,
-    owner: String,
+    #[serde(rename = "jobclass")]
+    class: String,
+    #[serde(rename = "owner")]
+    team: String,
     #[serde(rename = "shape")]
     kind: String,
     #[serde(rename = "rank")]
-    priority: String,
-    drops: Value,
-    vcpus: f64,
-    accelerators: f64,
+    request_class: String,
+    /// Any JSON, so that a fraction or a negative number is out of range and not of the wrong type.
+    #[serde(rename = "drops")]
+    tasks: Value,
+    #[serde(rename = "vcpus")]
+    cpus: f64,
+    #[serde(rename = "accelerators")]
+    gpus: f64,
     #[serde(rename = "ramGb")]
     ram_gb: f64,
-    bundle: String,
+    #[serde(rename = "bundle")]
+    image: String,
     #[serde(rename = "pullGb")]
-    pull_gb: f64,
-    #[serde(default, deserialize_with = "present")]
-    flavours: Option<Vec<String>>,
-    #[serde(default, deserialize_with = "present")]
-    yard: Option<String>,
+    image_gb: f64,
+    #[serde(rename = "flavours", default)]
+    machine_types: Option<Vec<String>>,
+    #[serde(rename = "yard", default)]
+    zone: Option<String>,
     #[serde(rename = "together")]
     zone_affinity: bool,
     #[serde(rename = "scatter")]
     topology_spread: bool,
-    reclaimable: bool,
+    #[serde(rename = "reclaimable")]
+    allows_spot: bool,
     #[serde(rename = "expectS")]
-    expect_s: f64,
+    estimate_s: f64,
     #[serde(rename = "snapshotS")]
-    snapshot_s: f64,
+    checkpoint_interval_s: f64,
     #[serde(rename = "flushS")]
-    flush_s: f64,
-    #[serde(rename = "dueS", default, deserialize_with = "present")]
-    due_s: Option<f64>,
-    #[serde(default, deserialize_with = "present")]
-    #[serde(rename = "awaits")]
+    checkpoint_write_s: f64,
+    #[serde(rename = "dueS", default)]
+    deadline_s: Option<f64>,
+    #[serde(rename = "awaits", default)]
     dependencies: Option<Vec<String>>,
 }
 
-pub fn job_id(s: &str) -> bool {
-    s.strip_prefix("j-")
-        .is_some_and(|n| (1..=18).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
+/// Whether this is the form of a job's id: `j-` and up to 18 digits.
+pub fn job_id(text: &str) -> bool {
+    let Some(digits) = text.strip_prefix("j-") else {
+        return false;
+    };
+    (1..=18).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-/// Reads a submission, or says what is wrong with it.
-pub fn submission(body: &[u8]) -> Result<JobSpec, String> {
-    let value: Value = serde_json::from_slice(body).map_err(|e| e.to_string())?;
+/// Reads and checks a submission.
+///
+/// # Errors
+/// The first field, in a fixed order, that is missing, malformed or out of range.
+pub fn submission(body: &[u8]) -> Result<JobSpec, SubmissionError> {
+    let value: Value = serde_json::from_slice(body)?;
     if !value.is_object() {
-        return Err("not an object".into());
+        return Err(SubmissionError::NotAnObject);
     }
-    let s: Submission = serde_json::from_value(value).map_err(|e| e.to_string())?;
-    let amount = |field: &str, x: f64, least: f64| {
-        if x.is_finite() && x >= 0.0 && x > least && x <= 1e9 {
-            Ok(x)
-        } else {
-            Err(format!("{field} is out of range"))
+    let submission: Submission = serde_json::from_value(value)?;
+    submission.check_identity()?;
+    submission.into_job()
+}
+
+impl Submission {
+    /// What is checked before any other field: the id, and the lengths of what the job consists of.
+    fn check_identity(&self) -> Result<(), SubmissionError> {
+        if !job_id(&self.id) {
+            return Err(SubmissionError::MalformedId);
         }
-    };
-    let text = |field: &str, s: &str| {
-        if s.is_empty() || s.len() > 200 {
-            Err(format!("{field} is empty or too long"))
-        } else {
-            Ok(s.to_string())
+        self.task_count()?;
+        let machine_types = self.machine_types.as_deref().unwrap_or_default();
+        if machine_types.len() > MACHINE_TYPES_MOST {
+            return Err(SubmissionError::ListLength("flavours"));
         }
-    };
-    if !job_id(&s.id) {
-        return Err("nameId is malformed".into());
+        if !self.dependencies.iter().flatten().all(|id| job_id(id)) {
+            return Err(SubmissionError::MalformedDependency);
+        }
+        Ok(())
+    }
+
+    fn task_count(&self) -> Result<u32, SubmissionError> {
+        let count = self.tasks.as_u64();
+        let count = count.filter(|count| (1..=JOB_TASKS).contains(count));
+        Ok(count.ok_or(SubmissionError::OutOfRange("drops"))? as u32)
+    }
+
+    fn resources(&self) -> Result<Resources, SubmissionError> {
+        Ok(Resources {
+            cpus: need_milli(positive("vcpus", self.cpus)?),
+            gpus: need_milli(not_negative("accelerators", self.gpus)?),
+            ram: need_milli(positive("ramGb", self.ram_gb)?),
+        })
     }
-    let tasks = s
-        .drops
-        .as_u64()
-        .filter(|n| (1..=JOB_TASKS).contains(n))
-        .ok_or("drops is out of range")? as u32;
-    if s.flavours.as_ref().is_some_and(|f| f.len() > 100) {
-        return Err("flavours is too long".into());
+
+    fn into_job(self) -> Result<JobSpec, SubmissionError> {
+        let tasks = self.task_count()?;
+        // Sorted and without repeats.
+        let dependencies: BTreeSet<&String> = self.dependencies.iter().flatten().collect();
+        Ok(JobSpec {
+            dependencies: dependencies.into_iter().cloned().collect(),
+            class: text("jobclass", &self.class)?,
+            team: text("owner", &self.team)?,
+            kind: kind(&self.kind)?,
+            priority: request_class(&self.request_class)?,
+            tasks,
+            resources: self.resources()?,
+            image: text("bundle", &self.image)?,
+            image_gb: not_negative("pullGb", self.image_gb)?,
+            machine_types: self.machine_types,
+            zone: self.zone,
+            zone_affinity: self.zone_affinity,
+            topology_spread: self.topology_spread,
+            spot: self.allows_spot,
+            estimate_s: not_negative("expectS", self.estimate_s)?,
+            checkpoint_interval_s: not_negative("snapshotS", self.checkpoint_interval_s)?,
+            checkpoint_duration_s: not_negative("flushS", self.checkpoint_write_s)?,
+            deadline_s: match self.deadline_s {
+                Some(seconds) => Some(not_negative("dueS", seconds)?),
+                None => None,
+            },
+            id: self.id,
+        })
     }
-    let dependencies: BTreeSet<String> = s.dependencies.into_iter().flatten().collect();
-    if !dependencies.iter().all(|id| job_id(id)) {
-        return Err("awaits holds a malformed id".into());
+}
+
+fn not_negative(field: &'static str, amount: f64) -> Result<f64, SubmissionError> {
+    if (0.0..=AMOUNT_MOST).contains(&amount) {
+        Ok(amount)
+    } else {
+        Err(SubmissionError::OutOfRange(field))
+    }
+}
+
+fn positive(field: &'static str, amount: f64) -> Result<f64, SubmissionError> {
+    if amount > 0.0 {
+        not_negative(field, amount)
+    } else {
+        Err(SubmissionError::OutOfRange(field))
+    }
+}
+
+fn text(field: &'static str, text: &str) -> Result<String, SubmissionError> {
+    if has_text_length(text) {
+        Ok(text.to_string())
+    } else {
+        Err(SubmissionError::TextLength(field))
+    }
+}
+
+fn kind(name: &str) -> Result<JobKind, SubmissionError> {
+    match name {
+        "array" => Ok(JobKind::Array),
+        "daemon" => Ok(JobKind::Service),
+        _ => Err(SubmissionError::Unknown("shape")),
+    }
+}
+
+fn request_class(name: &str) -> Result<JobPriority, SubmissionError> {
+    match name {
+        "critical" => Ok(JobPriority::Production),
+        "high" => Ok(JobPriority::High),
+        "standard" => Ok(JobPriority::Normal),
+        "low" => Ok(JobPriority::Low),
+        _ => Err(SubmissionError::Unknown("rank")),
     }
-    Ok(JobSpec {
-        dependencies: dependencies.into_iter().collect(),
-        class: text("jobclass", &s.jobclass)?,
-        team: text("owner", &s.owner)?,
-        kind: match s.kind.as_str() {
-            "array" => JobKind::Array,
-            "daemon" => JobKind::Service,
-            _ => return Err("shape is unknown".into()),
-        },
-        priority: match s.priority.as_str() {
-            "critical" => JobPriority::Production,
-            "high" => JobPriority::High,
-            "standard" => JobPriority::Normal,
-            "low" => JobPriority::Low,
-            _ => return Err("rank is unknown".into()),
-        },
-        tasks,
-        resources: Resources {
-            cpus: need_milli(amount("vcpus", s.vcpus, 0.0)?),
-            gpus: need_milli(amount("accelerators", s.accelerators, -1.0)?),
-            ram: need_milli(amount("ramGb", s.ram_gb, 0.0)?),
-        },
-        image: text("bundle", &s.bundle)?,
-        image_gb: amount("pullGb", s.pull_gb, -1.0)?,
-        machine_types: s.flavours,
-        zone: s.yard,
-        zone_affinity: s.zone_affinity,
-        topology_spread: s.topology_spread,
-        spot: s.reclaimable,
-        estimate_s: amount("expectS", s.expect_s, -1.0)?,
-        checkpoint_interval_s: amount("snapshotS", s.snapshot_s, -1.0)?,
-        checkpoint_duration_s: amount("flushS", s.flush_s, -1.0)?,
-        deadline_s: match s.due_s {
-            Some(d) => Some(amount("dueS", d, -1.0)?),
-            None => None,
-        },
-        id: s.id,
-    })
 }
 
 fn state_name(state: JobState) -> &'static str {
@@ -143,46 +218,61 @@
     }
 }
 
+/// A job's state as users are told it.
+#[derive(Serialize)]
+struct JobBody<'a> {
+    #[serde(rename = "nameId")]
+    id: &'a str,
+    #[serde(rename = "standing")]
+    state: &'static str,
+    #[serde(rename = "done", skip_serializing_if = "Option::is_none")]
+    tasks_done: Option<u32>,
+    #[serde(rename = "running", skip_serializing_if = "Option::is_none")]
+    tasks_running: Option<u32>,
+}
+
+impl JobBody<'_> {
+    /// A job's state without the counts of its tasks.
+    fn state_only(id: &str, state: JobState) -> JobBody<'_> {
+        JobBody {
+            id,
+            state: state_name(state),
+            tasks_done: None,
+            tasks_running: None,
+        }
+    }
+}
+
+/// Status, body and seconds of `Retry-After` of an answer to a user.
+///
+/// Bodies are written from structs, without a tree of JSON values between: polls are many.
 pub fn user_reply(reply: &UserReply) -> (u16, String, Option<u32>) {
-    let standing = |id, standing| Told::Job {
-        id,
-        standing,
-        done: None,
-        running: None,
-    };
-    let (status, told, after_s) = match reply {
-        UserReply::Accepted { job } => (201, standing(job, "pending"), None),
+    let error = |error| to_json(&ErrorBody { error });
+    match reply {
+        UserReply::Accepted { job } => {
+            let body = JobBody::state_only(job, JobState::Pending);
+            (201, to_json(&body), None)
+        }
         UserReply::Status {
             job,
             state,
             done,
             running,
-        } => (
-            200,
-            Told::Job {
+        } => {
+            let body = JobBody {
                 id: job,
-                standing: state_name(*state),
-                done: Some(*done),
-                running: Some(*running),
-            },
-            None,
-        ),
-        UserReply::Cancelled { job, state } => (200, standing(job, state_name(*state)), None),
-        UserReply::NotFound => (
-            404,
-            Told::Error {
-                error: "no such job",
-            },
-            None,
-        ),
-        UserReply::Rejected(why) => (422, Told::Error { error: why }, None),
-        UserReply::RetryAfter { after_s } => (
-            503,
-            Told::Error {
-                error: "can't decide now",
-            },
-            Some(*after_s),
-        ),
-    };
-    (status, text(&told), after_s)
+                state: state_name(*state),
+                tasks_done: Some(*done),
+                tasks_running: Some(*running),
+            };
+            (200, to_json(&body), None)
+        }
+        UserReply::Cancelled { job, state } => {
+            let body = JobBody::state_only(job, *state);
+            (200, to_json(&body), None)
+        }
+        UserReply::NotFound => (404, error("no such job"), None),
+        UserReply::Rejected(reason) => (422, error(reason), None),
+        UserReply::RetryAfter { after_s } => (503, error("can't decide now"), Some(*after_s)),
+    }
 }
--- a/crates/glenmount/src/wire/workers.rs
+++ b/crates/glenmount/src/wire/workers.rs
@@ -1,6 +1,6 @@
-//! Messages between workers and the controller.
+//! Messages between workers and the controller: heartbeats, their answers, and direct commands.
 
-use super::{text, Told};
+use super::{to_json, ErrorBody, TEXT_BYTES};
 use glenmount_core::constants::{HEARTBEAT_MAX_TASKS, MAX_INCARNATION, MAX_SEQUENCE};
 use glenmount_core::controller::WorkerReply;
 use glenmount_core::model::{
@@ -8,163 +8,225 @@
 };
 use serde::{Deserialize, Serialize, Serializer};
 use std::borrow::Cow;
+use thiserror::Error;
 
+/// Bytes of a machine's name or address at most.
+const MACHINE_TEXT_BYTES: usize = 100;
+
+/// Why a heartbeat is refused. Workers and the log see the text.
+#[derive(Debug, Error)]
+pub enum HeartbeatError {
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error("host or address is empty or too long")]
+    Address,
+    #[error("tenure: {0} is absurd")]
+    Incarnation(u64),
+    #[error("tally: {0} is absurd")]
+    Sequence(u64),
+    #[error("flavour or yard is too long")]
+    Placement,
+    #[error("too many drops")]
+    TooManyTasks,
+    #[error("a drop is malformed")]
+    MalformedTask,
+}
+
+/// A worker's heartbeat. The struct's name is the protocol's: it stands in the texts of errors.
 #[derive(Deserialize)]
 struct CheckIn<'a> {
     #[serde(rename = "host")]
-    instance: String,
+    machine: String,
     address: String,
-    flavour: String,
-    yard: String,
-    reclaimable: bool,
-    tenure: u64,
+    #[serde(rename = "flavour")]
+    machine_type: String,
+    #[serde(rename = "yard")]
+    zone: String,
+    #[serde(rename = "reclaimable")]
+    is_spot: bool,
+    #[serde(rename = "tenure")]
+    incarnation: u64,
     #[serde(rename = "tally")]
     sequence: u64,
-    #[serde(default)]
-    fence: u64,
+    #[serde(rename = "fence", default)]
+    fencing_token: u64,
+    /// Seconds until the spot machine is taken, once that is announced.
     #[serde(rename = "warningS", default)]
-    warning_s: Option<f64>,
-    #[serde(default, borrow)]
-    drops: Vec<Drop<'a>>,
+    termination_notice_s: Option<f64>,
+    #[serde(rename = "drops", default, borrow)]
+    tasks: Vec<Drop<'a>>,
 }
 
+/// One task of a heartbeat. The struct's name is the protocol's, as above.
 #[derive(Deserialize)]
 struct Drop<'a> {
-    #[serde(borrow)]
-    drop: Cow<'a, str>,
+    #[serde(rename = "drop", borrow)]
+    task: Cow<'a, str>,
     #[serde(rename = "try")]
     attempt: u64,
-    #[serde(borrow)]
-    standing: Cow<'a, str>,
-    #[serde(default)]
-    cause: Option<String>,
+    #[serde(rename = "standing", borrow)]
+    phase: Cow<'a, str>,
+    #[serde(rename = "cause", default)]
+    exit_cause: Option<String>,
 }
 
-pub fn report(body: &[u8]) -> Result<WorkerHeartbeat, String> {
-    let c: CheckIn = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    if c.instance.is_empty() || c.instance.len() > 100 || c.address.len() > 100 {
-        return Err("host or address is empty or too long".into());
-    }
-    // One that counted wrongly would make all that come after it look old.
-    if c.tenure == 0 || c.tenure > MAX_INCARNATION {
-        return Err(format!("tenure: {} is absurd", c.tenure));
-    }
-    if c.sequence > MAX_SEQUENCE {
-        return Err(format!("tally: {} is absurd", c.sequence));
+/// Reads and checks a worker's heartbeat, or its answer to a command, which has the same form.
+///
+/// # Errors
+/// The first field that is missing, malformed or out of range.
+pub fn report(body: &[u8]) -> Result<WorkerHeartbeat, HeartbeatError> {
+    let heartbeat: CheckIn = serde_json::from_slice(body)?;
+    heartbeat.check()?;
+    let tasks = heartbeat.tasks.into_iter().map(Drop::into_report);
+    Ok(WorkerHeartbeat {
+        tasks: tasks.collect::<Result<_, _>>()?,
+        machine: heartbeat.machine,
+        address: heartbeat.address,
+        type_name: heartbeat.machine_type,
+        zone: heartbeat.zone,
+        spot: heartbeat.is_spot,
+        incarnation: heartbeat.incarnation,
+        sequence: heartbeat.sequence,
+        token: heartbeat.fencing_token,
+        notice_s: heartbeat.termination_notice_s,
+    })
+}
+
+impl CheckIn<'_> {
+    fn check(&self) -> Result<(), HeartbeatError> {
+        if self.machine.is_empty()
+            || self.machine.len() > MACHINE_TEXT_BYTES
+            || self.address.len() > MACHINE_TEXT_BYTES
+        {
+            return Err(HeartbeatError::Address);
+        }
+        // A machine that counted wrongly once would make all its later heartbeats look old.
+        if self.incarnation == 0 || self.incarnation > MAX_INCARNATION {
+            return Err(HeartbeatError::Incarnation(self.incarnation));
+        }
+        if self.sequence > MAX_SEQUENCE {
+            return Err(HeartbeatError::Sequence(self.sequence));
+        }
+        // Both are stored in the machine's record.
+        if self.machine_type.len() > TEXT_BYTES || self.zone.len() > TEXT_BYTES {
+            return Err(HeartbeatError::Placement);
+        }
+        if self.tasks.len() > HEARTBEAT_MAX_TASKS {
+            return Err(HeartbeatError::TooManyTasks);
+        }
+        Ok(())
     }
-    // They stand in the machine's record.
-    if c.flavour.len() > 200 || c.yard.len() > 200 {
-        return Err("flavour or yard is too long".into());
+}
+
+impl Drop<'_> {
+    fn into_report(self) -> Result<TaskStatus, HeartbeatError> {
+        Ok(TaskStatus {
+            task: TaskId::parse(&self.task).ok_or(HeartbeatError::MalformedTask)?,
+            attempt: self.attempt,
+            phase: self.phase(),
+        })
     }
-    if c.drops.len() > HEARTBEAT_MAX_TASKS {
-        return Err("too many drops".into());
+
+    /// A phase that is not known counts as running: the task certainly has not ended.
+    fn phase(&self) -> TaskPhase {
+        match self.phase.as_ref() {
+            "fetching" => TaskPhase::Fetching,
+            "flushing" => TaskPhase::Checkpointing,
+            "exited" => TaskPhase::Exited(self.exit_cause()),
+            _ => TaskPhase::Running,
+        }
     }
-    let mut tasks = Vec::with_capacity(c.drops.len());
-    for d in c.drops {
-        tasks.push(TaskStatus {
-            task: TaskId::parse(&d.drop).ok_or("a drop is malformed")?,
-            attempt: d.attempt,
-            phase: match d.standing.as_ref() {
-                "fetching" => TaskPhase::Fetching,
-                "flushing" => TaskPhase::Checkpointing,
-                "exited" => TaskPhase::Exited(match d.cause.as_deref() {
-                    Some("done") => ExitCause::Done,
-                    Some("stopped") => ExitCause::Stopped,
-                    Some("error") => ExitCause::Error,
-                    Some("no_room") => ExitCause::NoResources,
-                    Some("in_use") => ExitCause::Busy,
-                    Some("no_such") => ExitCause::Unknown,
-                    _ => ExitCause::Other,
-                }),
-                _ => TaskPhase::Running,
-            },
-        });
+
+    fn exit_cause(&self) -> ExitCause {
+        match self.exit_cause.as_deref() {
+            Some("done") => ExitCause::Done,
+            Some("stopped") => ExitCause::Stopped,
+            Some("error") => ExitCause::Error,
+            Some("no_room") => ExitCause::NoResources,
+            Some("in_use") => ExitCause::Busy,
+            Some("no_such") => ExitCause::Unknown,
+            _ => ExitCause::Other,
+        }
     }
-    Ok(WorkerHeartbeat {
-        machine: c.instance,
-        address: c.address,
-        type_name: c.flavour,
-        zone: c.yard,
-        spot: c.reclaimable,
-        incarnation: c.tenure,
-        sequence: c.sequence,
-        token: c.fence,
-        notice_s: c.warning_s,
-        tasks,
-    })
 }
 
-fn shown<S: Serializer>(task: &TaskId, s: S) -> Result<S::Ok, S::Error> {
-    s.collect_str(task)
+fn as_text<S: Serializer>(task: &TaskId, serializer: S) -> Result<S::Ok, S::Error> {
+    serializer.collect_str(task)
 }
 
+/// One thing that a worker is told to do.
 #[derive(Serialize)]
-struct Verb<'a> {
+struct Command<'a> {
     verb: &'static str,
-    #[serde(serialize_with = "shown")]
-    drop: &'a TaskId,
+    #[serde(rename = "drop", serialize_with = "as_text")]
+    task: &'a TaskId,
     #[serde(rename = "try")]
     attempt: u64,
     #[serde(rename = "leewayS", skip_serializing_if = "Option::is_none")]
-    leeway_s: Option<f64>,
+    grace_period_s: Option<f64>,
 }
 
-fn order(o: &WorkerCommand) -> Verb<'_> {
-    let (verb, drop, attempt, leeway_s) = match o {
-        WorkerCommand::Start { task, attempt } => ("start", task, *attempt, None),
-        WorkerCommand::Stop {
+impl Command<'_> {
+    fn of(order: &WorkerCommand) -> Command<'_> {
+        let (verb, task, attempt, grace_period_s) = match order {
+            WorkerCommand::Start { task, attempt } => ("start", task, *attempt, None),
+            WorkerCommand::Stop {
+                task,
+                attempt,
+                grace_s,
+            } => ("halt", task, *attempt, Some(*grace_s)),
+            WorkerCommand::Forget { task, attempt } => ("forget", task, *attempt, None),
+        };
+        Command {
+            verb,
             task,
             attempt,
-            grace_s,
-        } => ("halt", task, *attempt, Some(*grace_s)),
-        WorkerCommand::Forget { task, attempt } => ("forget", task, *attempt, None),
-    };
-    Verb {
-        verb,
-        drop,
-        attempt,
-        leeway_s,
+            grace_period_s,
+        }
     }
 }
 
-/// What a worker is told to do: in a command with its incarnation, in an answer without.
+/// What a worker is told to do: in a direct command with its incarnation, in the answer to a
+/// heartbeat without.
 #[derive(Serialize)]
-struct Orders<'a> {
-    fence: u64,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    tenure: Option<u64>,
+struct Commands<'a> {
+    #[serde(rename = "fence")]
+    fencing_token: u64,
+    #[serde(rename = "tenure", skip_serializing_if = "Option::is_none")]
+    incarnation: Option<u64>,
     #[serde(rename = "orders")]
-    commands: Vec<Verb<'a>>,
+    commands: Vec<Command<'a>>,
 }
 
-fn command_body(token: u64, incarnation: Option<u64>, commands: &[WorkerCommand]) -> String {
-    text(&Orders {
-        fence: token,
-        tenure: incarnation,
-        commands: commands.iter().map(order).collect(),
+fn commands(fencing_token: u64, incarnation: Option<u64>, commands: &[WorkerCommand]) -> String {
+    to_json(&Commands {
+        fencing_token,
+        incarnation,
+        commands: commands.iter().map(Command::of).collect(),
     })
 }
 
-pub fn command(incarnation: u64, token: u64, commands: &[WorkerCommand]) -> String {
-    command_body(token, Some(incarnation), commands)
+/// The body of a direct command: the incarnation of the worker that it is for, the controller's
+/// fencing token and what is to be done.
+pub fn command(incarnation: u64, fencing_token: u64, commands: &[WorkerCommand]) -> String {
+    commands(fencing_token, Some(incarnation), commands)
 }
 
+/// Sends a worker to the controller that is in charge of it, where that one is known.
 #[derive(Serialize)]
-struct Elsewhere<'a> {
-    #[serde(skip_serializing_if = "Option::is_none")]
-    steward: Option<&'a str>,
+struct Redirect<'a> {
+    #[serde(rename = "steward", skip_serializing_if = "Option::is_none")]
+    controller: Option<&'a str>,
 }
 
+/// Status and body of the answer to a heartbeat.
 pub fn worker_reply(reply: &WorkerReply) -> (u16, String) {
     match reply {
-        WorkerReply::Commands {
-            token,
-            commands: told,
-        } => (200, command_body(*token, None, told)),
+        WorkerReply::Commands { token, commands } => (200, commands(*token, None, commands)),
         WorkerReply::Redirect { controller } => {
-            let steward = controller.as_deref();
-            (421, text(&Elsewhere { steward }))
+            let controller = controller.as_deref();
+            (421, to_json(&Redirect { controller }))
         }
-        WorkerReply::Unavailable => (503, text(&Told::Error { error: "not now" })),
+        WorkerReply::Unavailable => (503, to_json(&ErrorBody { error: "not now" })),
     }
 }
