--- a/crates/glenmount/src/connections.rs
+++ b/crates/glenmount/src/client_connections/mod.rs
@@ -30,7 +30,7 @@
 /// that went elsewhere, or are dead, leave theirs open.
 const IDLE_MS: u64 = 90_000;
 /// Period at which those are looked for.
-const REAP: Duration = Duration::from_secs(5);
+const IDLE_CHECK: Duration = Duration::from_secs(5);
 /// Period at which the numbers are logged.
 const LOG: Duration = Duration::from_secs(30);
 /// Time to wait for a connection to end when all are held and none is idle.
@@ -111,21 +111,21 @@
 }
 
 /// What the connections' tasks tell the actor.
-enum News {
+enum ConnectionEvent {
     /// The first request told what it is.
-    Known(Kind),
+    Identified(Kind),
     Ended(u64),
 }
 
 /// What is held now. Owned by one actor.
 #[derive(Default)]
-struct Book {
+struct Table {
     entries: HashMap<u64, Arc<Entry>>,
     counts: Arc<[AtomicUsize; 4]>,
     closed: u64,
 }
 
-impl Book {
+impl Table {
     fn count(&self, kind: Kind) -> usize {
         self.counts[kind as usize].load(Relaxed)
     }
@@ -146,7 +146,7 @@
         true
     }
 
-    fn reap(&mut self, now_ms: u64) {
+    fn close_idle(&mut self, now_ms: u64) {
         for entry in self.entries.values().filter(|e| e.idle()) {
             let most = match entry.kind() {
                 Kind::New => SILENT_MS,
@@ -159,7 +159,7 @@
         }
     }
 
-    fn forget(&mut self, id: u64) {
+    fn remove(&mut self, id: u64) {
         if let Some(entry) = self.entries.remove(&id) {
             self.counts[entry.kind() as usize].fetch_sub(1, Relaxed);
         }
@@ -189,35 +189,35 @@
     S::Future: Send + 'static,
 {
     let begun = Instant::now();
-    let (news_in, mut news) = mpsc::unbounded_channel();
-    let mut book = Book::default();
+    let (event_sender, mut events) = mpsc::unbounded_channel();
+    let mut table = Table::default();
     let mut next = 0;
     let every = |period| {
         let mut ticks = interval(period);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         ticks
     };
-    let (mut reap, mut log) = (every(REAP), every(LOG));
+    let (mut reap, mut log) = (every(IDLE_CHECK), every(LOG));
     let mut peak = 0;
     loop {
-        let full = book.entries.len() >= limits.all;
+        let full = table.entries.len() >= limits.all;
         if full {
-            book.close_idlest(None);
+            table.close_idlest(None);
         }
         tokio::select! {
-            some = news.recv() => match some {
-                Some(News::Known(kind)) => {
-                    if book.count(kind) > limits.most(kind) {
-                        book.close_idlest(Some(kind));
+            some = events.recv() => match some {
+                Some(ConnectionEvent::Identified(kind)) => {
+                    if table.count(kind) > limits.most(kind) {
+                        table.close_idlest(Some(kind));
                     }
                 }
-                Some(News::Ended(id)) => book.forget(id),
+                Some(ConnectionEvent::Ended(id)) => table.remove(id),
                 None => return,
             },
-            _ = reap.tick() => book.reap(begun.elapsed().as_millis() as u64),
+            _ = reap.tick() => table.close_idle(begun.elapsed().as_millis() as u64),
             _ = log.tick() => {
-                let (users, workers) = (book.count(Kind::User), book.count(Kind::Worker));
-                let (held, closed) = (book.entries.len(), std::mem::take(&mut book.closed));
+                let (users, workers) = (table.count(Kind::User), table.count(Kind::Worker));
+                let (held, closed) = (table.entries.len(), std::mem::take(&mut table.closed));
                 tracing::info!(users, workers, held, peak, closed, most = limits.all, "connections");
                 peak = held;
             }
@@ -225,21 +225,21 @@
             accepted = listener.accept(), if !full => {
                 let Ok((stream, _)) = accepted else {
                     // No socket is free, most likely: what is idle makes room.
-                    book.close_idlest(None);
+                    table.close_idlest(None);
                     tokio::time::sleep(FULL_PAUSE).await;
                     continue;
                 };
                 let entry = Arc::new(Entry::default());
                 entry.used.store(begun.elapsed().as_millis() as u64, Relaxed);
-                book.counts[Kind::New as usize].fetch_add(1, Relaxed);
-                book.entries.insert(next, entry.clone());
-                peak = peak.max(book.entries.len());
-                let served = Served {
+                table.counts[Kind::New as usize].fetch_add(1, Relaxed);
+                table.entries.insert(next, entry.clone());
+                peak = peak.max(table.entries.len());
+                let served = Connection {
                     id: next,
                     entry,
                     begun,
-                    counts: book.counts.clone(),
-                    news: news_in.clone(),
+                    counts: table.counts.clone(),
+                    events: event_sender.clone(),
                 };
                 tokio::spawn(served.serve(stream, service.clone()));
                 next += 1;
@@ -249,15 +249,15 @@
 }
 
 /// A connection being served.
-struct Served {
+struct Connection {
     id: u64,
     entry: Arc<Entry>,
     begun: Instant,
     counts: Arc<[AtomicUsize; 4]>,
-    news: mpsc::UnboundedSender<News>,
+    events: mpsc::UnboundedSender<ConnectionEvent>,
 }
 
-impl Served {
+impl Connection {
     async fn serve<S>(self, stream: TcpStream, service: S)
     where
         S: Service<Request<Body>, Response = Response<Body>, Error = std::convert::Infallible>
@@ -267,10 +267,10 @@
         S::Future: Send + 'static,
     {
         let _ = stream.set_nodelay(true);
-        let (entry, counts, news, begun) = (
+        let (entry, counts, events, begun) = (
             self.entry.clone(),
             self.counts,
-            self.news.clone(),
+            self.events.clone(),
             self.begun,
         );
         let each = hyper::service::service_fn(move |request: Request<Body>| {
@@ -279,7 +279,7 @@
                 counts[Kind::New as usize].fetch_sub(1, Relaxed);
                 counts[kind as usize].fetch_add(1, Relaxed);
                 entry.kind.store(kind as u8, Relaxed);
-                let _ = news.send(News::Known(kind));
+                let _ = events.send(ConnectionEvent::Identified(kind));
             }
             entry.busy.store(true, Relaxed);
             let entry = entry.clone();
@@ -307,7 +307,7 @@
                 }
             }
         }
-        let _ = self.news.send(News::Ended(self.id));
+        let _ = self.events.send(ConnectionEvent::Ended(self.id));
     }
 }
 
--- a/crates/glenmount/src/cloud.rs
+++ b/crates/glenmount/src/cloud_client.rs
@@ -1,7 +1,7 @@
 //! The cloud client: one actor that owns the controller's share of the cloud's rate.
 
-use crate::budget::Budget;
-use crate::http::Http;
+use crate::http_client::HttpClient;
+use crate::token_bucket::TokenBucket;
 use crate::wire;
 use glenmount_core::constants::*;
 use glenmount_core::controller::{CloudOperation, CloudResponse, Event, OperationId};
@@ -18,7 +18,7 @@
 /// Operations that may wait in line.
 const LINE: usize = 200;
 
-async fn execute(http: &Http, op: &CloudOperation) -> CloudResponse {
+async fn execute(http: &HttpClient, op: &CloudOperation) -> CloudResponse {
     let call = |method, path: String, body| async move {
         http.call(method, &path, body, TIMEOUT, ANSWER_BYTES).await
     };
@@ -36,7 +36,7 @@
             spot,
             count,
         } => {
-            let body = serde_json::to_string(&wire::Hire {
+            let body = serde_json::to_string(&wire::ProvisioningRequest {
                 instance_request: name,
                 flavour: type_name,
                 yard: zone,
@@ -81,15 +81,15 @@
 }
 
 pub fn client(
-    http: Http,
+    http: HttpClient,
     rps: f64,
     core: mpsc::Sender<Event>,
 ) -> mpsc::Sender<(OperationId, CloudOperation)> {
     let (jobs_in, mut jobs) = mpsc::channel::<(OperationId, CloudOperation)>(LINE);
     tokio::spawn(async move {
-        let mut budget = Budget::new(rps, 2.0);
+        let mut budget = TokenBucket::new(rps, 2.0);
         while let Some((token, op)) = jobs.recv().await {
-            let pause = budget.wait(1.0);
+            let pause = budget.time_until(1.0);
             if !pause.is_zero() {
                 sleep(pause).await;
             }
@@ -109,6 +109,6 @@
     jobs_in
 }
 
-pub fn connection(addr: std::net::SocketAddr) -> Http {
-    Http::new(addr, CONNECT, false)
+pub fn connection(addr: std::net::SocketAddr) -> HttpClient {
+    HttpClient::new(addr, CONNECT, false)
 }
--- a/crates/glenmount/src/http.rs
+++ b/crates/glenmount/src/http_client.rs
@@ -6,22 +6,22 @@
 use std::time::Duration;
 
 #[derive(Clone)]
-pub struct Http {
+pub struct HttpClient {
     client: Client<HttpConnector>,
     base: String,
 }
 
-impl Http {
+impl HttpClient {
     /// `once`: nothing is ever sent a second time, not even what a closed connection may
     /// have swallowed.
-    pub fn new(addr: SocketAddr, connect_timeout: Duration, once: bool) -> Http {
+    pub fn new(addr: SocketAddr, connect_timeout: Duration, once: bool) -> HttpClient {
         // Commands go to hundreds of workers a second after a start or an outage, to each now and
         // then: kept open for 2 s, the connections to them took 1,200 of 1,989 sockets.
         let (idle, idle_s) = if once { (0, 1) } else { (8, 30) };
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(connect_timeout));
-        Http {
+        HttpClient {
             client: Client::builder()
                 .retry_canceled_requests(!once)
                 .pool_max_idle_per_host(idle)
@@ -33,8 +33,8 @@
     }
 
     /// The same connections, for another address.
-    pub fn to(&self, addr: SocketAddr) -> Http {
-        Http {
+    pub fn for_address(&self, addr: SocketAddr) -> HttpClient {
+        HttpClient {
             client: self.client.clone(),
             base: format!("http://{addr}"),
         }
--- a/crates/glenmount/src/server.rs
+++ b/crates/glenmount/src/http_server.rs
@@ -1,6 +1,6 @@
 //! The HTTP server for users, workers and health checks.
 
-use crate::costs::{READ, WRITTEN};
+use crate::timings::{MESSAGES_READ, REPLIES_WRITTEN};
 use crate::wire;
 use futures_util::{Stream, StreamExt};
 use glenmount_core::constants::BODY_BYTES;
@@ -13,21 +13,21 @@
 use warp::hyper::Body;
 use warp::{Buf, Filter, Reply};
 
-pub enum Reached {
+pub enum CoreReply {
     User(UserReply),
     Worker(WorkerReply),
 }
 
 /// What the server hands to the core's actor: an event and where its answer goes.
-pub struct Call {
+pub struct PendingRequest {
     pub request: RequestId,
     pub event: Event,
-    pub answer: oneshot::Sender<Reached>,
+    pub answer: oneshot::Sender<CoreReply>,
 }
 
 #[derive(Clone)]
-pub struct Door {
-    pub calls: mpsc::Sender<Call>,
+pub struct Api {
+    pub calls: mpsc::Sender<PendingRequest>,
     pub ready: Arc<AtomicBool>,
 }
 
@@ -48,11 +48,11 @@
 }
 
 /// A request's body as it arrives; read only where one is expected.
-trait Incoming: Stream<Item = Result<Self::Part, warp::Error>> + Send {
+trait RequestBody: Stream<Item = Result<Self::Part, warp::Error>> + Send {
     type Part: Buf;
 }
 
-impl<S, B> Incoming for S
+impl<S, B> RequestBody for S
 where
     S: Stream<Item = Result<B, warp::Error>> + Send,
     B: Buf,
@@ -60,7 +60,7 @@
     type Part = B;
 }
 
-async fn body_of(body: impl Incoming) -> Result<Vec<u8>, Response<Body>> {
+async fn read_body(body: impl RequestBody) -> Result<Vec<u8>, Response<Body>> {
     let mut body = std::pin::pin!(body);
     let mut bytes = Vec::new();
     while let Some(part) = body.next().await {
@@ -78,11 +78,11 @@
     Ok(bytes)
 }
 
-impl Door {
+impl Api {
     async fn call(&self, make: impl FnOnce(RequestId) -> Event) -> Response<Body> {
         let request = NEXT.fetch_add(1, Ordering::Relaxed);
         let (answer, reached) = oneshot::channel();
-        let call = Call {
+        let call = PendingRequest {
             request,
             event: make(request),
             answer,
@@ -91,19 +91,19 @@
             return plain(503, "{\"error\":\"too busy\"}".into(), Some(1));
         }
         match reached.await {
-            Ok(Reached::User(reply)) => {
-                let (status, body, retry) = WRITTEN.time(|| wire::user_reply(&reply));
+            Ok(CoreReply::User(reply)) => {
+                let (status, body, retry) = REPLIES_WRITTEN.time(|| wire::user_reply(&reply));
                 plain(status, body, retry)
             }
-            Ok(Reached::Worker(reply)) => {
-                let (status, body) = WRITTEN.time(|| wire::worker_reply(&reply));
+            Ok(CoreReply::Worker(reply)) => {
+                let (status, body) = REPLIES_WRITTEN.time(|| wire::worker_reply(&reply));
                 plain(status, body, None)
             }
             Err(_) => plain(503, "{\"error\":\"no answer\"}".into(), Some(1)),
         }
     }
 
-    async fn route(&self, method: Method, path: &str, body: impl Incoming) -> Response<Body> {
+    async fn route(&self, method: Method, path: &str, body: impl RequestBody) -> Response<Body> {
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         match (method.as_str(), parts.as_slice()) {
             ("GET", ["ready"]) => match self.ready.load(Ordering::Relaxed) {
@@ -111,11 +111,11 @@
                 false => plain(503, "{\"ready\":false}".into(), None),
             },
             ("POST", ["v2", "runs"]) => {
-                let body = match body_of(body).await {
+                let body = match read_body(body).await {
                     Ok(body) => body,
                     Err(response) => return response,
                 };
-                match READ.time(|| wire::submission(&body)) {
+                match MESSAGES_READ.time(|| wire::submission(&body)) {
                     Ok(spec) => {
                         let spec = Box::new(spec);
                         self.call(|request| Event::Submit { request, spec }).await
@@ -138,11 +138,11 @@
                 self.call(|request| Event::Cancel { request, job }).await
             }
             ("POST", ["checkin"]) => {
-                let body = match body_of(body).await {
+                let body = match read_body(body).await {
                     Ok(body) => body,
                     Err(response) => return response,
                 };
-                match READ.time(|| wire::report(&body)) {
+                match MESSAGES_READ.time(|| wire::report(&body)) {
                     Ok(report) => {
                         let report = Box::new(report);
                         self.call(|request| Event::WorkerHeartbeat { request, report })
@@ -162,16 +162,16 @@
     }
 }
 
-/// One route that takes everything: paths and methods are told apart by `Door::route`, so
+/// One route that takes everything: paths and methods are told apart by `Api::route`, so
 /// that each kind of wrong request gets its own status.
-pub fn routes(door: Door) -> impl Filter<Extract = (impl Reply,), Error = Infallible> + Clone {
+pub fn routes(api: Api) -> impl Filter<Extract = (impl Reply,), Error = Infallible> + Clone {
     warp::method()
         .and(warp::path::full())
         .and(warp::filters::body::stream())
-        .and(warp::any().map(move || door.clone()))
+        .and(warp::any().map(move || api.clone()))
         .then(
-            |method: Method, path: warp::path::FullPath, body, door: Door| async move {
-                door.route(method, path.as_str(), body).await
+            |method: Method, path: warp::path::FullPath, body, api: Api| async move {
+                api.route(method, path.as_str(), body).await
             },
         )
         .recover(|_| async { Ok::<_, Infallible>(error(404, "no such path")) })
--- a/crates/glenmount/src/main.rs
+++ b/crates/glenmount/src/main.rs
@@ -1,22 +1,22 @@
 //! glenmount: a cluster scheduler. One process per controller; see README.md.
 
-mod budget;
-mod cloud;
-mod connections;
-mod costs;
-mod http;
-mod peer;
-mod server;
+mod client_connections;
+mod cloud_client;
+mod http_client;
+mod http_server;
+mod peer_link;
 mod settings;
-mod state;
+mod state_client;
 #[cfg(test)]
 mod tests;
+mod timings;
+mod token_bucket;
 mod wire;
-mod workers;
+mod worker_client;
 
 use clap::Parser;
 use glenmount_core::controller::{Controller, Effect, Event, PeerHeartbeat};
-use server::{Call, Door, Reached};
+use http_server::{Api, CoreReply, PendingRequest};
 use settings::Config;
 use std::collections::hash_map::RandomState;
 use std::collections::HashMap;
@@ -146,7 +146,7 @@
 /// Starts the actors and runs the core's until the process is ended.
 async fn run(config: Config) -> Result<(), String> {
     let (events_in, mut events) = mpsc::channel::<Event>(MAILBOX);
-    let (calls_in, mut calls) = mpsc::channel::<Call>(config.sockets as usize);
+    let (calls_in, mut calls) = mpsc::channel::<PendingRequest>(config.sockets as usize);
     let ready = Arc::new(AtomicBool::new(false));
 
     let listen = |field: &'static str, addr| async move {
@@ -155,21 +155,21 @@
             .map_err(|e| format!("{field}: can't listen on {addr}: {e}"))
     };
     let cluster = listen("cluster_listen", config.cluster_listen).await?;
-    peer::listen(cluster, events_in.clone());
+    peer_link::listen(cluster, events_in.clone());
     let (beat_in, heartbeats) = watch::channel(PeerHeartbeat::default());
     for (_, addr) in &config.peers {
-        peer::tell(*addr, heartbeats.clone());
+        peer_link::tell(*addr, heartbeats.clone());
     }
 
-    let door = Door {
+    let api = Api {
         calls: calls_in,
         ready: ready.clone(),
     };
-    let limits = connections::Limits::of(config.sockets as usize);
-    connections::listen(
+    let limits = client_connections::Limits::of(config.sockets as usize);
+    client_connections::listen(
         config.client_listen,
         limits,
-        warp::service(server::routes(door)),
+        warp::service(http_server::routes(api)),
     )
     .await
     .map_err(|e| {
@@ -179,19 +179,19 @@
         )
     })?;
 
-    let state = state::client(
-        state::connection(config.state),
+    let state = state_client::client(
+        state_client::connection(config.state),
         config.state_rates,
         events_in.clone(),
     );
-    let changes = state::watch(state::connection(config.state), events_in.clone());
-    let cloud = cloud::client(
-        cloud::connection(config.cloud),
+    let changes = state_client::watch(state_client::connection(config.state), events_in.clone());
+    let cloud = cloud_client::client(
+        cloud_client::connection(config.cloud),
         config.cloud_requests_per_s,
         events_in.clone(),
     );
 
-    let workers = workers::Workers::new(events_in.clone());
+    let workers = worker_client::WorkerClient::new(events_in.clone());
 
     let begun = Instant::now();
     let seed = RandomState::new().build_hasher().finish();
@@ -205,8 +205,8 @@
         );
     }
     let mut controller = Controller::new(config.core, seed, 0, wall_ms());
-    let mut answers: HashMap<u64, oneshot::Sender<Reached>> = HashMap::new();
-    let mut costs = costs::Costs::new();
+    let mut answers: HashMap<u64, oneshot::Sender<CoreReply>> = HashMap::new();
+    let mut costs = timings::EventTimings::new();
     let mut tick = interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     tracing::info!(
@@ -242,12 +242,12 @@
             match effect {
                 Effect::User { request, reply } => {
                     if let Some(answer) = answers.remove(&request) {
-                        let _ = answer.send(Reached::User(reply));
+                        let _ = answer.send(CoreReply::User(reply));
                     }
                 }
                 Effect::Worker { request, reply } => {
                     if let Some(answer) = answers.remove(&request) {
-                        let _ = answer.send(Reached::Worker(reply));
+                        let _ = answer.send(CoreReply::Worker(reply));
                     }
                 }
                 Effect::State {
@@ -255,7 +255,7 @@
                     op,
                     request_class,
                 } => {
-                    let job = state::Job {
+                    let job = state_client::StateRequest {
                         token,
                         op,
                         request_class,
@@ -282,7 +282,7 @@
                     token,
                     commands,
                 } => {
-                    let what = workers::What::of(&commands);
+                    let what = worker_client::CommandKind::of(&commands);
                     let body = wire::command(incarnation, token, &commands);
                     workers.send(machine, &address, body, what);
                 }
--- a/crates/glenmount/src/peer/frames.rs
+++ b/crates/glenmount/src/peer_link/frames.rs
@@ -9,25 +9,25 @@
 
 /// What a controller says of itself, as far as this version knows it; what a later one says in its place
 /// is passed over.
-struct Heeded(Option<ControllerStatus>);
+struct KnownStatus(Option<ControllerStatus>);
 
-impl<'de> Deserialize<'de> for Heeded {
-    fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Heeded, D::Error> {
+impl<'de> Deserialize<'de> for KnownStatus {
+    fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<KnownStatus, D::Error> {
         struct Elements;
         impl<'de> Visitor<'de> for Elements {
-            type Value = Heeded;
+            type Value = KnownStatus;
             fn expecting(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
                 f.write_str("what a node says of itself")
             }
-            fn visit_bool<E>(self, _: bool) -> Result<Heeded, E> {
-                Ok(Heeded(None))
+            fn visit_bool<E>(self, _: bool) -> Result<KnownStatus, E> {
+                Ok(KnownStatus(None))
             }
-            fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Heeded, A::Error> {
+            fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<KnownStatus, A::Error> {
                 macro_rules! next {
                     () => {
                         match seq.next_element()? {
                             Some(value) => value,
-                            None => return Ok(Heeded(None)),
+                            None => return Ok(KnownStatus(None)),
                         }
                     };
                 }
@@ -44,7 +44,7 @@
                     configuration: seq.next_element()?.unwrap_or(0),
                 };
                 while seq.next_element::<IgnoredAny>()?.is_some() {}
-                Ok(Heeded(Some(said)))
+                Ok(KnownStatus(Some(said)))
             }
         }
         d.deserialize_any(Elements)
@@ -75,7 +75,7 @@
                 heard: next!(4),
                 just_started: next!(5),
                 images: next!(6),
-                status: seq.next_element::<Heeded>()?.and_then(|said| said.0),
+                status: seq.next_element::<KnownStatus>()?.and_then(|said| said.0),
             };
             while seq.next_element::<IgnoredAny>()?.is_some() {}
             Ok(heartbeat)
--- a/crates/glenmount/src/peer/mod.rs
+++ b/crates/glenmount/src/peer_link/mod.rs
@@ -1,14 +1,14 @@
 //! The link between controller controllers: length-prefixed MessagePack frames, one way per
 //! connection. Each controller tells its peers what it hears; nothing is answered.
 
+mod connections;
 mod frames;
-mod links;
 
-use crate::costs::FRAMES;
+use crate::timings::PEER_FRAMES;
+use connections::{PeerConnection, PeerConnections};
 use frames::read;
 use glenmount_core::constants::PEER_HEARTBEAT_MS;
 use glenmount_core::controller::{Event, PeerHeartbeat};
-use links::{Link, Links};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -25,7 +25,7 @@
 const CONNECTIONS: usize = 64;
 
 pub fn listen(listener: TcpListener, core: mpsc::Sender<Event>) {
-    let links = Links::default();
+    let links = PeerConnections::default();
     let slots = std::sync::Arc::new(tokio::sync::Semaphore::new(CONNECTIONS));
     tokio::spawn(async move {
         loop {
@@ -43,7 +43,7 @@
                 if let Err(error) = receive(stream, &core, &links, &mut link).await {
                     tracing::debug!(%error, "a sibling's connection ended");
                 }
-                if let Some(controller) = link.and_then(Link::ends) {
+                if let Some(controller) = link.and_then(PeerConnection::ends) {
                     let _ = core.send(Event::LinkEnded { controller }).await;
                 }
             });
@@ -54,8 +54,8 @@
 async fn receive(
     mut stream: TcpStream,
     core: &mpsc::Sender<Event>,
-    links: &Links,
-    link: &mut Option<Link>,
+    links: &PeerConnections,
+    link: &mut Option<PeerConnection>,
 ) -> std::io::Result<()> {
     loop {
         let len = timeout(QUIET, stream.read_u32()).await??;
@@ -64,7 +64,7 @@
         }
         let mut frame = vec![0; len as usize];
         timeout(QUIET, stream.read_exact(&mut frame)).await??;
-        let heartbeat = FRAMES
+        let heartbeat = PEER_FRAMES
             .time(|| read(&frame))
             .ok_or(std::io::ErrorKind::InvalidData)?;
         if link.is_none() {
@@ -85,7 +85,7 @@
                 let _ = stream.set_nodelay(true);
                 while heartbeats.changed().await.is_ok() {
                     let written =
-                        FRAMES.time(|| rmp_serde::to_vec(&*heartbeats.borrow_and_update()));
+                        PEER_FRAMES.time(|| rmp_serde::to_vec(&*heartbeats.borrow_and_update()));
                     let Ok(frame) = written else {
                         continue;
                     };
--- a/crates/glenmount/src/settings/mod.rs
+++ b/crates/glenmount/src/settings/mod.rs
@@ -9,7 +9,7 @@
 pub use operator::{operator, OperatorSettings};
 pub use quota::ScarceResource;
 
-use crate::state::Rates;
+use crate::state_client::Rates;
 use checks::{check, rate, seconds_as_ms};
 use file::{Params, SettingsFile};
 use glenmount_core::configuration::{Policy, PolicySettings};
--- a/crates/glenmount/src/state.rs
+++ b/crates/glenmount/src/state_client/mod.rs
@@ -1,9 +1,9 @@
 //! The state-service client: one actor that owns the controller's share of the service's rates and
 //! ranks its work, and one that follows the watch.
 
-use crate::budget::Budget;
-use crate::costs::RECORDS;
-use crate::http::Http;
+use crate::http_client::HttpClient;
+use crate::timings::RECORDS_READ;
+use crate::token_bucket::TokenBucket;
 use glenmount_core::constants::*;
 use glenmount_core::controller::{Event, OperationId, RequestClass, StateOperation, StateResponse};
 use glenmount_core::state::{Key, Record, PREFIX};
@@ -40,7 +40,7 @@
 /// Requests that may wait in line; more get `Unavailable` at once.
 const LINE: usize = 4_000;
 
-pub struct Job {
+pub struct StateRequest {
     pub token: OperationId,
     pub op: StateOperation,
     pub request_class: RequestClass,
@@ -48,11 +48,11 @@
 }
 
 enum Message {
-    Do(Job),
+    Send(StateRequest),
     Wake,
     /// With the milliseconds that its answer took.
     Finished(Option<f64>),
-    TooMany(Job),
+    TooMany(StateRequest),
 }
 
 #[derive(Deserialize)]
@@ -87,7 +87,7 @@
 }
 
 /// `None` stands for 429: not executed, to be sent again.
-async fn execute(http: &Http, op: &StateOperation) -> Option<StateResponse> {
+async fn execute(http: &HttpClient, op: &StateOperation) -> Option<StateResponse> {
     let answer = match op {
         StateOperation::Transaction(transaction) => {
             http.call(
@@ -129,7 +129,7 @@
         (StateOperation::ReadIndex, 404) => {
             revision(&body).map(|revision| StateResponse::ReadIndex { revision })
         }
-        (StateOperation::List { .. }, 200) => RECORDS.time(|| {
+        (StateOperation::List { .. }, 200) => RECORDS_READ.time(|| {
             serde_json::from_slice::<ListBody>(&body).ok().map(|list| {
                 let last = list.items.last().map(|i| i.k.clone());
                 let items = list
@@ -167,7 +167,7 @@
 }
 
 /// It was never sent, so it certainly had no effect.
-fn unavailable(job: &Job) -> Event {
+fn unavailable(job: &StateRequest) -> Event {
     Event::State {
         token: job.token,
         answer: StateResponse::Unavailable,
@@ -184,22 +184,26 @@
 }
 
 /// Starts the actor; work is sent to the returned channel, outcomes go to the core.
-pub fn client(http: Http, rates: Rates, core: mpsc::Sender<Event>) -> mpsc::Sender<Job> {
-    let (jobs_in, mut jobs) = mpsc::channel::<Job>(LINE);
+pub fn client(
+    http: HttpClient,
+    rates: Rates,
+    core: mpsc::Sender<Event>,
+) -> mpsc::Sender<StateRequest> {
+    let (jobs_in, mut jobs) = mpsc::channel::<StateRequest>(LINE);
     let (inner_in, mut inner) = mpsc::unbounded_channel::<Message>();
     let forward = inner_in.clone();
     tokio::spawn(async move {
         while let Some(job) = jobs.recv().await {
-            if forward.send(Message::Do(job)).is_err() {
+            if forward.send(Message::Send(job)).is_err() {
                 break;
             }
         }
     });
     tokio::spawn(async move {
         let http = Arc::new(http);
-        let mut requests = Budget::new(rates.requests_per_s, 0.9);
-        let mut writes = Budget::new(rates.changes_per_s, 0.9);
-        let mut lines: [VecDeque<Job>; 4] = Default::default();
+        let mut requests = TokenBucket::new(rates.requests_per_s, 0.9);
+        let mut writes = TokenBucket::new(rates.changes_per_s, 0.9);
+        let mut lines: [VecDeque<StateRequest>; 4] = Default::default();
         let mut in_flight = 0;
         let mut takes_ms: f64 = 0.0;
         let mut wait = Duration::ZERO;
@@ -215,7 +219,7 @@
             match message {
                 None => return,
                 Some(Message::Wake) => {}
-                Some(Message::Do(job)) => {
+                Some(Message::Send(job)) => {
                     let line = &mut lines[job.request_class as usize];
                     if line.len() >= LINE {
                         let _ = core.send(unavailable(&job)).await;
@@ -247,7 +251,7 @@
                     continue;
                 }
                 let puts = line.front().map_or(0.0, |j| cost(&j.op));
-                let pause = requests.wait(1.0).max(writes.wait(puts));
+                let pause = requests.time_until(1.0).max(writes.time_until(puts));
                 if !pause.is_zero() {
                     wait = pause.max(Duration::from_millis(1));
                     break;
@@ -311,7 +315,7 @@
 }
 
 /// Follows all changes; a revision sent to the returned channel opens the watch anew.
-pub fn watch(http: Http, core: mpsc::Sender<Event>) -> mpsc::Sender<u64> {
+pub fn watch(http: HttpClient, core: mpsc::Sender<Event>) -> mpsc::Sender<u64> {
     let (restart_in, mut restart) = mpsc::channel::<u64>(16);
     tokio::spawn(async move {
         let Some(mut since) = restart.recv().await else {
@@ -332,7 +336,7 @@
                 }
             };
             match answer {
-                Some((200, body)) => match RECORDS.time(|| watched(&body)) {
+                Some((200, body)) => match RECORDS_READ.time(|| watched(&body)) {
                     Ok((revision, changes)) => {
                         since = since.max(revision);
                         let event = Event::WatchUpdate { revision, changes };
@@ -377,6 +381,6 @@
     }
 }
 
-pub fn connection(addr: std::net::SocketAddr) -> Http {
-    Http::new(addr, CONNECT, false)
+pub fn connection(addr: std::net::SocketAddr) -> HttpClient {
+    HttpClient::new(addr, CONNECT, false)
 }
--- a/crates/glenmount/src/tests/cloud_forms.rs
+++ b/crates/glenmount/src/tests/cloud_forms.rs
@@ -1,7 +1,7 @@
 //! Requests to the cloud and its answers.
 
 use super::{answer_once, check_lines, in_time, listener};
-use crate::cloud;
+use crate::cloud_client;
 use glenmount_core::controller::{CloudOperation, CloudResponse, Event};
 use glenmount_core::model::CloudInstanceState;
 use tokio::sync::mpsc;
@@ -66,9 +66,9 @@
 
 async fn asked(name: &str, status: &str, body: &str) -> (String, String) {
     let listener = listener().await;
-    let connection = cloud::connection(listener.local_addr().expect("an address"));
+    let connection = cloud_client::connection(listener.local_addr().expect("an address"));
     let (core, mut events) = mpsc::channel(1);
-    let operations = cloud::client(connection, 1_000.0, core);
+    let operations = cloud_client::client(connection, 1_000.0, core);
     operations
         .send((17, operation(name)))
         .await
--- a/crates/glenmount/src/tests/public_protocol.rs
+++ b/crates/glenmount/src/tests/public_protocol.rs
@@ -1,7 +1,7 @@
 //! Requests of users and workers, and the answers to them.
 
 use super::{check_lines, in_time, show_report};
-use crate::server::{routes, Call, Door, Reached};
+use crate::http_server::{routes, Api, CoreReply, PendingRequest};
 use glenmount_core::controller::{Event, UserReply, WorkerReply};
 use glenmount_core::model::{JobState, TaskId, WorkerCommand};
 use std::sync::atomic::AtomicBool;
@@ -10,7 +10,7 @@
 
 /// What becomes of a request that reaches the scheduler.
 enum Answer {
-    Of(Reached),
+    Of(CoreReply),
     /// The scheduler drops it.
     None,
     /// Too many requests wait for the scheduler.
@@ -18,11 +18,11 @@
 }
 
 fn user(reply: UserReply) -> Answer {
-    Answer::Of(Reached::User(reply))
+    Answer::Of(CoreReply::User(reply))
 }
 
 fn worker(reply: WorkerReply) -> Answer {
-    Answer::Of(Reached::Worker(reply))
+    Answer::Of(CoreReply::Worker(reply))
 }
 
 /// The event that a request becomes, if it is not refused before, and the response to it.
@@ -31,11 +31,11 @@
     answer: Answer,
     is_ready: bool,
 ) -> (Option<Event>, String) {
-    let (calls_in, mut calls) = mpsc::channel::<Call>(1);
+    let (calls_in, mut calls) = mpsc::channel::<PendingRequest>(1);
     if matches!(answer, Answer::Busy) {
         calls.close();
     }
-    let door = Door {
+    let api = Api {
         calls: calls_in,
         ready: Arc::new(AtomicBool::new(is_ready)),
     };
@@ -47,7 +47,7 @@
         Some(call.event)
     });
     let request = warp::test::request().method(method).path(path).body(body);
-    let response = in_time(request.reply(&routes(door))).await;
+    let response = in_time(request.reply(&routes(api))).await;
     let header = |name: &str| match response.headers().get(name) {
         Some(value) => value.to_str().expect("text").to_string(),
         None => "-".to_string(),
--- a/crates/glenmount/src/tests/state_forms.rs
+++ b/crates/glenmount/src/tests/state_forms.rs
@@ -1,7 +1,7 @@
 //! Requests to the state service and its answers; the text of transactions is pinned with the core.
 
 use super::{answer_once, check_lines, in_time, listener};
-use crate::state::{self, Rates};
+use crate::state_client::{self, Rates};
 use glenmount_core::controller::{Event, RequestClass, StateOperation, StateResponse};
 use glenmount_core::state::formats::LATEST;
 use glenmount_core::state::{CasTransaction, Key, Record};
@@ -64,14 +64,14 @@
 
 async fn asked(name: &str, status: &str, body: &str) -> (String, String) {
     let listener = listener().await;
-    let connection = state::connection(listener.local_addr().expect("an address"));
+    let connection = state_client::connection(listener.local_addr().expect("an address"));
     let (core, mut events) = mpsc::channel(1);
     let rates = Rates {
         requests_per_s: 1_000.0,
         changes_per_s: 1_000.0,
     };
-    let jobs = state::client(connection, rates, core);
-    let job = state::Job {
+    let jobs = state_client::client(connection, rates, core);
+    let job = state_client::StateRequest {
         token: 17,
         op: operation(name),
         request_class: RequestClass::User,
@@ -112,9 +112,9 @@
 /// The request for changes, and what comes of its answer; of one that is unreadable nothing.
 async fn watched(status: &str, body: &str) -> (String, String) {
     let listener = listener().await;
-    let connection = state::connection(listener.local_addr().expect("an address"));
+    let connection = state_client::connection(listener.local_addr().expect("an address"));
     let (core, mut events) = mpsc::channel(1);
-    let restarts = state::watch(connection, core);
+    let restarts = state_client::watch(connection, core);
     restarts.send(41).await.expect("a watch");
     let request = in_time(answer_once(&listener, status, body)).await;
     // What is of use is told before the next request, and of nothing else anything is told.
--- a/crates/glenmount/src/tests/worker_commands.rs
+++ b/crates/glenmount/src/tests/worker_commands.rs
@@ -2,7 +2,7 @@
 
 use super::{answer_once, check_lines, in_time, listener, show_report};
 use crate::wire;
-use crate::workers::{What, Workers};
+use crate::worker_client::{CommandKind, WorkerClient};
 use glenmount_core::controller::{CommandOutcome, Event};
 use glenmount_core::model::{TaskId, WorkerCommand};
 use tokio::sync::mpsc;
@@ -38,7 +38,7 @@
     let (core, mut events) = mpsc::channel(1);
     let commands = command_body(names);
     let command = wire::command(7, 41, &commands);
-    Workers::new(core).send("n-1".into(), &address, command, What::of(&commands));
+    WorkerClient::new(core).send("n-1".into(), &address, command, CommandKind::of(&commands));
     let asked = in_time(answer_once(&listener, status, body)).await;
     let Some(Event::CommandResult {
         machine,
--- a/crates/glenmount/src/costs.rs
+++ b/crates/glenmount/src/timings.rs
@@ -36,14 +36,14 @@
 }
 
 /// Work done in other tasks than the core's, told by these themselves.
-pub struct Outside {
+pub struct WorkTimer {
     count: AtomicU64,
     ns: AtomicU64,
 }
 
-impl Outside {
-    const fn new() -> Outside {
-        Outside {
+impl WorkTimer {
+    const fn new() -> WorkTimer {
+        WorkTimer {
             count: AtomicU64::new(0),
             ns: AtomicU64::new(0),
         }
@@ -57,8 +57,8 @@
             .fetch_add(began.elapsed().as_nanos() as u64, Relaxed);
         done
     }
-    fn take(&self) -> Cost {
-        Cost {
+    fn take(&self) -> Timing {
+        Timing {
             count: self.count.swap(0, Relaxed),
             ns: self.ns.swap(0, Relaxed),
         }
@@ -66,41 +66,41 @@
 }
 
 /// Reports and submissions read from JSON.
-pub static READ: Outside = Outside::new();
+pub static MESSAGES_READ: WorkTimer = WorkTimer::new();
 /// Answers written as JSON.
-pub static WRITTEN: Outside = Outside::new();
+pub static REPLIES_WRITTEN: WorkTimer = WorkTimer::new();
 /// Answers of the state service read into records, and the watch's changes.
-pub static RECORDS: Outside = Outside::new();
+pub static RECORDS_READ: WorkTimer = WorkTimer::new();
 /// Heartbeats read and written.
-pub static FRAMES: Outside = Outside::new();
+pub static PEER_FRAMES: WorkTimer = WorkTimer::new();
 
 #[derive(Clone, Copy, Default)]
-struct Cost {
+struct Timing {
     count: u64,
     ns: u64,
 }
 
 /// Owned by the core's actor.
-pub struct Costs {
+pub struct EventTimings {
     since: Instant,
-    kinds: [Cost; KINDS.len()],
+    kinds: [Timing; KINDS.len()],
     /// What was told to be done, handed to the tasks that do it.
-    effects: Cost,
+    effects: Timing,
 }
 
 /// How many, microseconds of each in the mean, and thousandths of a core.
-fn told(cost: Cost, over: Duration) -> String {
+fn summary(cost: Timing, over: Duration) -> String {
     let each = cost.ns as f64 / 1e3 / cost.count.max(1) as f64;
     let share = cost.ns as f64 / 1e6 / over.as_secs_f64().max(0.001);
     format!("{}/{each:.1}us/{share:.2}m", cost.count)
 }
 
-impl Costs {
-    pub fn new() -> Costs {
-        Costs {
+impl EventTimings {
+    pub fn new() -> EventTimings {
+        EventTimings {
             since: Instant::now(),
             kinds: Default::default(),
-            effects: Cost::default(),
+            effects: Timing::default(),
         }
     }
 
@@ -120,26 +120,32 @@
         let over = now.duration_since(self.since);
         if over >= LOG {
             self.log(over);
-            *self = Costs::new();
+            *self = EventTimings::new();
         }
     }
 
     fn log(&self, over: Duration) {
-        let outside = [&READ, &WRITTEN, &RECORDS, &FRAMES].map(Outside::take);
+        let outside = [
+            &MESSAGES_READ,
+            &REPLIES_WRITTEN,
+            &RECORDS_READ,
+            &PEER_FRAMES,
+        ]
+        .map(WorkTimer::take);
         let names = ["read", "written", "records", "frames"];
         let core = KINDS.iter().zip(self.kinds).filter(|(_, c)| c.count > 0);
         let core: Vec<String> = core
-            .map(|(name, c)| format!("{name}:{}", told(c, over)))
+            .map(|(name, c)| format!("{name}:{}", summary(c, over)))
             .collect();
         let outside: Vec<String> = (names.iter().zip(outside))
             .filter(|(_, c)| c.count > 0)
-            .map(|(name, c)| format!("{name}:{}", told(c, over)))
+            .map(|(name, c)| format!("{name}:{}", summary(c, over)))
             .collect();
         // each: how many / microseconds of each / thousandths of a core
         tracing::info!(
             seconds = over.as_secs(),
             core = core.join(" "),
-            effects = told(self.effects, over),
+            effects = summary(self.effects, over),
             outside = outside.join(" "),
             "costs"
         );
--- a/crates/glenmount/src/budget.rs
+++ b/crates/glenmount/src/token_bucket.rs
@@ -2,18 +2,18 @@
 
 use tokio::time::{Duration, Instant};
 
-pub struct Budget {
+pub struct TokenBucket {
     rate: f64,
     most: f64,
     level: f64,
     at: Instant,
 }
 
-impl Budget {
+impl TokenBucket {
     /// `burst_s`: seconds' worth of requests that may go at once.
-    pub fn new(rate: f64, burst_s: f64) -> Budget {
+    pub fn new(rate: f64, burst_s: f64) -> TokenBucket {
         let most = (rate * burst_s).max(1.0);
-        Budget {
+        TokenBucket {
             rate,
             most,
             level: most,
@@ -28,7 +28,7 @@
     }
 
     /// Time until `n` may be taken. More than the bucket holds may go when it is full.
-    pub fn wait(&mut self, n: f64) -> Duration {
+    pub fn time_until(&mut self, n: f64) -> Duration {
         self.fill();
         let lacking = n.min(self.most) - self.level;
         Duration::from_secs_f64((lacking / self.rate).max(0.0))
--- a/crates/glenmount/src/wire/cloud.rs
+++ b/crates/glenmount/src/wire/cloud.rs
@@ -56,7 +56,7 @@
 }
 
 #[derive(Serialize)]
-pub struct Hire<'a> {
+pub struct ProvisioningRequest<'a> {
     #[serde(rename = "hire")]
     pub instance_request: &'a str,
     pub flavour: &'a str,
--- a/crates/glenmount/src/wire/mod.rs
+++ b/crates/glenmount/src/wire/mod.rs
@@ -7,7 +7,7 @@
 mod users;
 mod workers;
 
-pub use cloud::{catalog, hired, instances, Hire};
+pub use cloud::{catalog, hired, instances, ProvisioningRequest};
 pub use users::{job_id, submission, user_reply};
 pub use workers::{command, report, worker_reply};
 
--- a/crates/glenmount/src/workers.rs
+++ b/crates/glenmount/src/worker_client.rs
@@ -1,6 +1,6 @@
 //! Direct commands to workers. Each is sent once; what becomes of it shows in heartbeats.
 
-use crate::http::Http;
+use crate::http_client::HttpClient;
 use crate::wire;
 use glenmount_core::constants::COMMAND_LIMIT_MS;
 use glenmount_core::controller::{CommandOutcome, Event};
@@ -22,7 +22,7 @@
 
 /// What a command is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum CommandKind {
     /// It has no orders: its answer shows what is there.
     Probe,
     Starts,
@@ -30,40 +30,40 @@
     Stops,
 }
 
-impl What {
-    pub fn of(commands: &[WorkerCommand]) -> What {
+impl CommandKind {
+    pub fn of(commands: &[WorkerCommand]) -> CommandKind {
         let stop = |o: &WorkerCommand| matches!(o, WorkerCommand::Stop { .. });
         match commands.iter().any(stop) {
-            true => What::Stops,
-            false if commands.is_empty() => What::Probe,
-            false => What::Starts,
+            true => CommandKind::Stops,
+            false if commands.is_empty() => CommandKind::Probe,
+            false => CommandKind::Starts,
         }
     }
 }
 
-pub struct Workers {
-    http: Http,
+pub struct WorkerClient {
+    http: HttpClient,
     core: mpsc::Sender<Event>,
     slots: Arc<Semaphore>,
     probes: Arc<Semaphore>,
 }
 
-impl Workers {
-    pub fn new(core: mpsc::Sender<Event>) -> Workers {
-        Workers {
-            http: Http::new(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), TIMEOUT, true),
+impl WorkerClient {
+    pub fn new(core: mpsc::Sender<Event>) -> WorkerClient {
+        WorkerClient {
+            http: HttpClient::new(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), TIMEOUT, true),
             core,
             slots: Arc::new(Semaphore::new(IN_FLIGHT)),
             probes: Arc::new(Semaphore::new(PROBES)),
         }
     }
 
-    pub fn send(&self, machine: String, address: &str, body: String, what: What) {
+    pub fn send(&self, machine: String, address: &str, body: String, kind: CommandKind) {
         let core = self.core.clone();
         let target = address.parse::<SocketAddr>().ok();
-        let slots = match what {
-            What::Probe => self.probes.clone(),
-            What::Starts | What::Stops => self.slots.clone(),
+        let slots = match kind {
+            CommandKind::Probe => self.probes.clone(),
+            CommandKind::Starts | CommandKind::Stops => self.slots.clone(),
         };
         let http = self.http.clone();
         let since = Instant::now();
@@ -76,13 +76,13 @@
             let mut report = None;
             let reach = match (target, slot) {
                 (Some(addr), Ok(Ok(_slot))) if !late => {
-                    let http = http.to(addr);
+                    let http = http.for_address(addr);
                     let answer = http
                         .call(Method::POST, "/do", Some(body), TIMEOUT, ANSWER_BYTES)
                         .await;
                     match answer {
                         Some((200, body)) => {
-                            if what != What::Starts {
+                            if kind != CommandKind::Starts {
                                 report = wire::report(&body).ok().map(Box::new);
                             }
                             CommandOutcome::Accepted
