--- a/crates/glenmount/src/client_connections/tests.rs
+++ b/crates/glenmount/src/client_connections/tests.rs
@@ -45,9 +45,9 @@
     )
 }
 
-fn story<F: std::future::Future<Output = ()>>(
+fn with_server<F: std::future::Future<Output = ()>>(
     [all, users, workers]: [usize; 3],
-    tell: impl FnOnce(SocketAddr) -> F,
+    scenario: impl FnOnce(SocketAddr) -> F,
 ) {
     let limits = Limits {
         all,
@@ -68,7 +68,7 @@
             Ok::<_, std::convert::Infallible>(Response::new(Body::from("ok")))
         });
         tokio::spawn(accept(listener, limits, service));
-        timeout(Duration::from_secs(20), tell(addr))
+        timeout(Duration::from_secs(20), scenario(addr))
             .await
             .expect("in time");
     });
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_flood_of_users_closes_the_idlest_of_them_and_no_worker() {
-    story([12, 4, 6], |addr| async move {
+    with_server([12, 4, 6], |addr| async move {
         let mut workers = Vec::new();
         for _ in 0..3 {
             workers.push(asked(addr, "/checkin").await);
@@ -96,7 +96,7 @@
 
 #[test]
 fn one_that_waits_for_its_answer_is_never_closed_under_it() {
-    story([6, 3, 3], |addr| async move {
+    with_server([6, 3, 3], |addr| async move {
         let slow = tokio::spawn(async move {
             let mut u = TcpStream::connect(addr).await.unwrap();
             ask(&mut u, "/v2/runs/slow").await
@@ -110,8 +110,8 @@
 }
 
 #[test]
-fn connections_that_ask_nothing_make_room_for_those_that_do() {
-    story([5, 4, 4], |addr| async move {
+fn unused_connections_are_closed_for_those_that_ask() {
+    with_server([5, 4, 4], |addr| async move {
         let mut silent = Vec::new();
         for _ in 0..5 {
             silent.push(TcpStream::connect(addr).await.unwrap());
--- a/crates/glenmount/src/main.rs
+++ b/crates/glenmount/src/main.rs
@@ -155,10 +155,10 @@
             .map_err(|e| format!("{field}: can't listen on {addr}: {e}"))
     };
     let cluster = listen("cluster_listen", config.cluster_listen).await?;
-    peer_link::listen(cluster, events_in.clone());
+    tokio::spawn(peer_link::listen(cluster, events_in.clone()));
     let (beat_in, heartbeats) = watch::channel(PeerHeartbeat::default());
     for (_, addr) in &config.peers {
-        peer_link::tell(*addr, heartbeats.clone());
+        tokio::spawn(peer_link::tell(*addr, heartbeats.clone()));
     }
 
     let api = Api {
@@ -166,18 +166,9 @@
         ready: ready.clone(),
     };
     let limits = client_connections::Limits::of(config.sockets as usize);
-    client_connections::listen(
-        config.client_listen,
-        limits,
-        warp::service(http_server::routes(api)),
-    )
-    .await
-    .map_err(|e| {
-        format!(
-            "client_listen: can't listen on {}: {e}",
-            config.client_listen
-        )
-    })?;
+    let clients = listen("client_listen", config.client_listen).await?;
+    let service = warp::service(http_server::routes(api));
+    tokio::spawn(client_connections::accept(clients, limits, service));
 
     let state = state_client::client(
         state_client::connection(config.state),
--- a/crates/glenmount/src/peer_link/connections.rs
+++ b/crates/glenmount/src/peer_link/connections.rs
@@ -3,40 +3,43 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// PeerConnections by which each peer tells its heartbeats: its end shows when the last of them ends.
+/// Counts the connections by which each peer sends its heartbeats. Clones share the counts.
 #[derive(Clone, Default)]
-pub(super) struct PeerConnections(Arc<Mutex<HashMap<String, usize>>>);
+pub struct PeerConnections(Arc<Mutex<HashMap<String, usize>>>);
 
-/// One link, from the first heartbeat on that named its peer.
-pub(super) struct PeerConnection {
-    links: PeerConnections,
-    controller: String,
+/// One connection, from the first heartbeat on that named its peer.
+pub struct PeerConnection {
+    connections: PeerConnections,
+    peer: String,
 }
 
 impl PeerConnections {
-    fn all(&self) -> MutexGuard<'_, HashMap<String, usize>> {
+    /// The counts are whole after each change, so a panic elsewhere leaves nothing half done.
+    fn lock(&self) -> MutexGuard<'_, HashMap<String, usize>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    pub(super) fn begins(&self, controller: &str) -> PeerConnection {
-        *self.all().entry(controller.to_string()).or_default() += 1;
+
+    /// Counts a connection of a peer.
+    pub fn begin(&self, peer: &str) -> PeerConnection {
+        *self.lock().entry(peer.to_string()).or_default() += 1;
         PeerConnection {
-            links: self.clone(),
-            controller: controller.to_string(),
+            connections: self.clone(),
+            peer: peer.to_string(),
         }
     }
 }
 
 impl PeerConnection {
-    /// The peer, if this was its last link.
-    pub(super) fn ends(self) -> Option<String> {
-        let mut links = self.links.all();
-        let left = links.get_mut(&self.controller)?;
-        *left -= 1;
-        if *left > 0 {
+    /// Counts the connection as ended. The peer, if this was its last one.
+    pub fn end(self) -> Option<String> {
+        let mut counts = self.connections.lock();
+        let count = counts.get_mut(&self.peer)?;
+        *count -= 1;
+        if *count > 0 {
             return None;
         }
-        links.remove(&self.controller);
-        drop(links);
-        Some(self.controller)
+        counts.remove(&self.peer);
+        drop(counts);
+        Some(self.peer)
     }
 }
--- a/crates/glenmount/src/peer_link/frames.rs
+++ b/crates/glenmount/src/peer_link/frames.rs
@@ -1,87 +1,105 @@
-//! Frames between controllers, as MessagePack arrays.
+//! The form of heartbeats between controllers: MessagePack arrays.
+//!
+//! Versions before format 2 refuse a frame with an element more, so a heartbeat gets new ones only
+//! once every controller has that format; whatever follows those that are known here is passed over.
 
 use glenmount_core::controller::{ControllerStatus, PeerHeartbeat};
-use serde::de::{Error, IgnoredAny, SeqAccess, Visitor};
-use serde::Deserialize;
+use serde::de::{Deserialize, Deserializer, Error, IgnoredAny, SeqAccess, Visitor};
+use std::fmt;
 
 /// Nesting of a frame at most: a heartbeat has four levels.
 const FRAME_DEPTH: usize = 16;
 
-/// What a controller says of itself, as far as this version knows it; what a later one says in its place
-/// is passed over.
+/// Reads a frame's heartbeat; nothing where it is malformed.
+pub fn read(frame: &[u8]) -> Option<PeerHeartbeat> {
+    let mut deserializer = rmp_serde::Deserializer::from_read_ref(frame);
+    deserializer.set_max_depth(FRAME_DEPTH);
+    deserializer.deserialize_seq(HeartbeatVisitor).ok()
+}
+
+/// Passes over what a later version appended.
+fn skip_rest<'de, A: SeqAccess<'de>>(mut elements: A) -> Result<(), A::Error> {
+    while elements.next_element::<IgnoredAny>()?.is_some() {}
+    Ok(())
+}
+
+struct HeartbeatVisitor;
+
+impl<'de> Visitor<'de> for HeartbeatVisitor {
+    type Value = PeerHeartbeat;
+
+    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str("the elements of a heartbeat")
+    }
+
+    fn visit_seq<A: SeqAccess<'de>>(self, mut elements: A) -> Result<PeerHeartbeat, A::Error> {
+        macro_rules! required {
+            ($index:literal) => {
+                (elements.next_element()?).ok_or_else(|| Error::invalid_length($index, &self))?
+            };
+        }
+        let heartbeat = PeerHeartbeat {
+            controller: required!(0),
+            at: required!(1),
+            has_current_state: required!(2),
+            workers_reachable: required!(3),
+            heard: required!(4),
+            just_started: required!(5),
+            images: required!(6),
+            status: elements
+                .next_element::<KnownStatus>()?
+                .and_then(|status| status.0),
+        };
+        skip_rest(elements)?;
+        Ok(heartbeat)
+    }
+}
+
+/// A controller's status, as far as this version knows it; what a later one sends in its place is
+/// passed over.
 struct KnownStatus(Option<ControllerStatus>);
 
 impl<'de> Deserialize<'de> for KnownStatus {
-    fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<KnownStatus, D::Error> {
-        struct Elements;
-        impl<'de> Visitor<'de> for Elements {
-            type Value = KnownStatus;
-            fn expecting(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-                f.write_str("what a node says of itself")
-            }
-            fn visit_bool<E>(self, _: bool) -> Result<KnownStatus, E> {
-                Ok(KnownStatus(None))
-            }
-            fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<KnownStatus, A::Error> {
-                macro_rules! next {
-                    () => {
-                        match seq.next_element()? {
-                            Some(value) => value,
-                            None => return Ok(KnownStatus(None)),
-                        }
-                    };
-                }
-                let said = ControllerStatus {
-                    life: next!(),
-                    count: next!(),
-                    revision: next!(),
-                    term: next!(),
-                    under_way: next!(),
-                    tick_delay_ms: next!(),
-                    reports: next!(),
-                    heard_peers: next!(),
-                    // Versions before format 4 do not say it.
-                    configuration: seq.next_element()?.unwrap_or(0),
-                };
-                while seq.next_element::<IgnoredAny>()?.is_some() {}
-                Ok(KnownStatus(Some(said)))
-            }
-        }
-        d.deserialize_any(Elements)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<KnownStatus, D::Error> {
+        deserializer.deserialize_any(StatusVisitor)
     }
 }
 
-/// A frame's heartbeat. Frames are arrays: versions before format 2 refuse one with an element more, so
-/// a heartbeat gets new ones only once every controller has that format; whatever follows those that are known
-/// here is passed over.
-pub(super) fn read(frame: &[u8]) -> Option<PeerHeartbeat> {
-    struct Elements;
-    impl<'de> Visitor<'de> for Elements {
-        type Value = PeerHeartbeat;
-        fn expecting(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-            f.write_str("the elements of a beat")
-        }
-        fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<PeerHeartbeat, A::Error> {
-            macro_rules! next {
-                ($at:literal) => {
-                    (seq.next_element()?).ok_or_else(|| Error::invalid_length($at, &self))?
-                };
-            }
-            let heartbeat = PeerHeartbeat {
-                controller: next!(0),
-                at: next!(1),
-                has_current_state: next!(2),
-                workers_reachable: next!(3),
-                heard: next!(4),
-                just_started: next!(5),
-                images: next!(6),
-                status: seq.next_element::<KnownStatus>()?.and_then(|said| said.0),
+struct StatusVisitor;
+
+impl<'de> Visitor<'de> for StatusVisitor {
+    type Value = KnownStatus;
+
+    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str("the status of a controller")
+    }
+
+    fn visit_bool<E>(self, _: bool) -> Result<KnownStatus, E> {
+        Ok(KnownStatus(None))
+    }
+
+    fn visit_seq<A: SeqAccess<'de>>(self, mut elements: A) -> Result<KnownStatus, A::Error> {
+        macro_rules! required {
+            () => {
+                match elements.next_element()? {
+                    Some(value) => value,
+                    None => return Ok(KnownStatus(None)),
+                }
             };
-            while seq.next_element::<IgnoredAny>()?.is_some() {}
-            Ok(heartbeat)
         }
+        let status = ControllerStatus {
+            life: required!(),
+            count: required!(),
+            revision: required!(),
+            term: required!(),
+            under_way: required!(),
+            tick_delay_ms: required!(),
+            reports: required!(),
+            heard_peers: required!(),
+            // Versions before format 4 do not send it.
+            configuration: elements.next_element()?.unwrap_or(0),
+        };
+        skip_rest(elements)?;
+        Ok(KnownStatus(Some(status)))
     }
-    let mut bytes = rmp_serde::Deserializer::from_read_ref(frame);
-    bytes.set_max_depth(FRAME_DEPTH);
-    serde::Deserializer::deserialize_seq(&mut bytes, Elements).ok()
 }
--- a/crates/glenmount/src/peer_link/mod.rs
+++ b/crates/glenmount/src/peer_link/mod.rs
@@ -1,5 +1,6 @@
-//! The link between controller controllers: length-prefixed MessagePack frames, one way per
-//! connection. Each controller tells its peers what it hears; nothing is answered.
+//! The link between controllers: length-prefixed MessagePack frames, one way per connection.
+//!
+//! Each controller sends its heartbeats to all its peers; nothing is answered.
 
 mod connections;
 mod frames;
@@ -9,66 +10,75 @@
 use frames::read;
 use glenmount_core::constants::PEER_HEARTBEAT_MS;
 use glenmount_core::controller::{Event, PeerHeartbeat};
+use std::io;
 use std::net::SocketAddr;
+use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{mpsc, watch};
+use tokio::sync::{mpsc, watch, Semaphore};
+use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, Duration};
 
 /// Bytes of a frame at most: about 1,000 machines with 64 images each.
 const FRAME_BYTES: u32 = 2 * 1024 * 1024;
 /// A peer that sends nothing for so long has to connect again.
-const QUIET: Duration = Duration::from_millis(PEER_HEARTBEAT_MS * 20);
+const READ_TIMEOUT: Duration = Duration::from_millis(PEER_HEARTBEAT_MS * 20);
 /// Time to connect or to send before the connection is given up.
-const PATIENCE: Duration = Duration::from_millis(PEER_HEARTBEAT_MS * 4);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(PEER_HEARTBEAT_MS * 4);
+/// Pause after a connection was lost or refused.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(PEER_HEARTBEAT_MS);
+/// Pause after a connection could not be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 /// Connections from peers held at once.
 const CONNECTIONS: usize = 64;
 
-pub fn listen(listener: TcpListener, core: mpsc::Sender<Event>) {
-    let links = PeerConnections::default();
-    let slots = std::sync::Arc::new(tokio::sync::Semaphore::new(CONNECTIONS));
-    tokio::spawn(async move {
-        loop {
-            let Ok((stream, _)) = listener.accept().await else {
-                sleep(Duration::from_millis(100)).await;
-                continue;
-            };
-            let Ok(slot) = slots.clone().try_acquire_owned() else {
-                continue;
-            };
-            let (core, links) = (core.clone(), links.clone());
-            tokio::spawn(async move {
-                let _slot = slot;
-                let mut link = None;
-                if let Err(error) = receive(stream, &core, &links, &mut link).await {
-                    tracing::debug!(%error, "a sibling's connection ended");
-                }
-                if let Some(controller) = link.and_then(PeerConnection::ends) {
-                    let _ = core.send(Event::LinkEnded { controller }).await;
-                }
-            });
-        }
-    });
+/// Receives the heartbeats of all peers and passes them to the core. The connections end with it.
+pub async fn listen(listener: TcpListener, core: mpsc::Sender<Event>) {
+    let connections = PeerConnections::default();
+    let slots = Arc::new(Semaphore::new(CONNECTIONS));
+    let mut tasks = JoinSet::new();
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            sleep(ACCEPT_PAUSE).await;
+            continue;
+        };
+        while tasks.try_join_next().is_some() {}
+        let Ok(slot) = slots.clone().try_acquire_owned() else {
+            continue;
+        };
+        let (core, connections) = (core.clone(), connections.clone());
+        tasks.spawn(async move {
+            let _slot = slot;
+            serve(stream, core, &connections).await;
+        });
+    }
+}
+
+/// Serves one connection until it ends. The core is told when that was the peer's last one.
+async fn serve(stream: TcpStream, core: mpsc::Sender<Event>, connections: &PeerConnections) {
+    let mut connection = None;
+    if let Err(error) = receive(stream, &core, connections, &mut connection).await {
+        tracing::debug!(%error, "a sibling's connection ended");
+    }
+    if let Some(controller) = connection.and_then(PeerConnection::end) {
+        let _ = core.send(Event::LinkEnded { controller }).await;
+    }
 }
 
+/// Passes heartbeats to the core. `connection` is set once the first one has named the peer.
 async fn receive(
     mut stream: TcpStream,
     core: &mpsc::Sender<Event>,
-    links: &PeerConnections,
-    link: &mut Option<PeerConnection>,
-) -> std::io::Result<()> {
+    connections: &PeerConnections,
+    connection: &mut Option<PeerConnection>,
+) -> io::Result<()> {
     loop {
-        let len = timeout(QUIET, stream.read_u32()).await??;
-        if len > FRAME_BYTES {
-            return Err(std::io::ErrorKind::InvalidData.into());
-        }
-        let mut frame = vec![0; len as usize];
-        timeout(QUIET, stream.read_exact(&mut frame)).await??;
+        let frame = read_frame(&mut stream).await?;
         let heartbeat = PEER_FRAMES
             .time(|| read(&frame))
-            .ok_or(std::io::ErrorKind::InvalidData)?;
-        if link.is_none() {
-            *link = Some(links.begins(&heartbeat.controller));
+            .ok_or(io::ErrorKind::InvalidData)?;
+        if connection.is_none() {
+            *connection = Some(connections.begin(&heartbeat.controller));
         }
         if core.send(Event::PeerHeartbeat(heartbeat)).await.is_err() {
             return Ok(());
@@ -76,37 +86,51 @@
     }
 }
 
+async fn read_frame(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
+    let bytes = timeout(READ_TIMEOUT, stream.read_u32()).await??;
+    if bytes > FRAME_BYTES {
+        return Err(io::ErrorKind::InvalidData.into());
+    }
+    let mut frame = vec![0; bytes as usize];
+    timeout(READ_TIMEOUT, stream.read_exact(&mut frame)).await??;
+    Ok(frame)
+}
+
 /// Keeps sending the latest heartbeat to a peer. Heartbeats that could not be sent are skipped.
-pub fn tell(addr: SocketAddr, mut heartbeats: watch::Receiver<PeerHeartbeat>) {
-    tokio::spawn(async move {
-        loop {
-            let connected = timeout(PATIENCE, TcpStream::connect(addr)).await;
-            if let Ok(Ok(mut stream)) = connected {
-                let _ = stream.set_nodelay(true);
-                while heartbeats.changed().await.is_ok() {
-                    let written =
-                        PEER_FRAMES.time(|| rmp_serde::to_vec(&*heartbeats.borrow_and_update()));
-                    let Ok(frame) = written else {
-                        continue;
-                    };
-                    // A peer that heard nothing for long, as after this process was paused,
-                    // has closed the connection: what is written to it may vanish unnoticed.
-                    if stream.try_read(&mut [0]).is_ok() {
-                        heartbeats.mark_changed();
-                        break;
-                    }
-                    let send = async {
-                        stream.write_u32(frame.len() as u32).await?;
-                        stream.write_all(&frame).await
-                    };
-                    if !matches!(timeout(PATIENCE, send).await, Ok(Ok(()))) {
-                        break;
-                    }
-                }
-            }
-            sleep(Duration::from_millis(PEER_HEARTBEAT_MS)).await;
+pub async fn tell(address: SocketAddr, mut heartbeats: watch::Receiver<PeerHeartbeat>) {
+    loop {
+        let connected = timeout(WRITE_TIMEOUT, TcpStream::connect(address)).await;
+        if let Ok(Ok(stream)) = connected {
+            send_heartbeats(stream, &mut heartbeats).await;
+        }
+        sleep(RECONNECT_PAUSE).await;
+    }
+}
+
+/// Sends heartbeats until the connection can't be used any more.
+async fn send_heartbeats(mut stream: TcpStream, heartbeats: &mut watch::Receiver<PeerHeartbeat>) {
+    let _ = stream.set_nodelay(true);
+    while heartbeats.changed().await.is_ok() {
+        let written = PEER_FRAMES.time(|| rmp_serde::to_vec(&*heartbeats.borrow_and_update()));
+        let Ok(frame) = written else {
+            continue;
+        };
+        // A peer that received nothing for long, as after this process was paused, has closed the
+        // connection: what is written to it may vanish unnoticed.
+        if stream.try_read(&mut [0]).is_ok() {
+            heartbeats.mark_changed();
+            return;
+        }
+        let sent = timeout(WRITE_TIMEOUT, write_frame(&mut stream, &frame)).await;
+        if !matches!(sent, Ok(Ok(()))) {
+            return;
         }
-    });
+    }
+}
+
+async fn write_frame(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
+    stream.write_u32(frame.len() as u32).await?;
+    stream.write_all(frame).await
 }
 
 #[cfg(test)]
--- a/crates/glenmount/src/peer_link/tests.rs
+++ b/crates/glenmount/src/peer_link/tests.rs
@@ -20,7 +20,7 @@
     92a86e2d3030303233319192a6696d672d3037cb3ff8000000000000";
 
 #[test]
-fn beats_stay_as_old_nodes_send_and_read_them_and_may_grow_later() {
+fn heartbeats_stay_as_old_versions_send_and_read_them_and_may_grow_later() {
     let digits = SAMPLE.as_bytes().chunks(2);
     let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
     let frame: Vec<u8> = digits.map(byte).collect();
@@ -64,39 +64,39 @@
 
 /// A peer that was paused was not heard again by those that had closed its connections.
 #[tokio::test(flavor = "current_thread")]
-async fn a_beat_follows_the_sibling_to_a_new_connection() {
-    let story = async {
+async fn a_heartbeat_follows_the_peer_to_a_new_connection() {
+    let scenario = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (beat_in, heartbeats) = watch::channel(PeerHeartbeat::default());
-        tell(listener.local_addr().unwrap(), heartbeats);
+        let (sender, heartbeats) = watch::channel(PeerHeartbeat::default());
+        tokio::spawn(tell(listener.local_addr().unwrap(), heartbeats));
         let (first, _) = listener.accept().await.unwrap();
         let (core, mut events) = mpsc::channel(8);
-        beat_in.send(heartbeat("a")).unwrap();
+        sender.send(heartbeat("a")).unwrap();
         tokio::spawn(async move {
             let mut first = first;
             let len = first.read_u32().await.unwrap();
             first.read_exact(&mut vec![0; len as usize]).await.unwrap();
         });
         sleep(Duration::from_millis(50)).await;
-        listen(listener, core);
-        beat_in.send(heartbeat("b")).unwrap();
+        tokio::spawn(listen(listener, core));
+        sender.send(heartbeat("b")).unwrap();
         let heard = events.recv().await;
         assert!(matches!(heard, Some(Event::PeerHeartbeat(b)) if b.controller == "b"));
     };
-    timeout(Duration::from_secs(5), story)
+    timeout(Duration::from_secs(5), scenario)
         .await
-        .expect("the beat arrives");
+        .expect("the heartbeat arrives");
 }
 
 /// A peer that ends is known to have ended at once, not when its heartbeats are missed; one that
 /// only connects anew is not.
 #[tokio::test(flavor = "current_thread")]
-async fn the_end_of_a_siblings_last_link_is_told() {
-    let story = async {
+async fn the_end_of_a_peers_last_connection_is_told() {
+    let scenario = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let (core, mut events) = mpsc::channel(8);
-        listen(listener, core);
+        tokio::spawn(listen(listener, core));
         let mut links = Vec::new();
         let frame = rmp_serde::to_vec(&heartbeat("a")).unwrap();
         for _ in 0..2 {
@@ -116,7 +116,7 @@
         let ended = events.recv().await;
         assert!(matches!(ended, Some(Event::LinkEnded { controller }) if controller == "a"));
     };
-    timeout(Duration::from_secs(5), story)
+    timeout(Duration::from_secs(5), scenario)
         .await
         .expect("the end is told");
 }
--- a/crates/glenmount/src/timings/tests.rs
+++ b/crates/glenmount/src/timings/tests.rs
@@ -1,29 +1,37 @@
-//! How costs are counted.
+//! How timings are counted.
 
-use super::{summary, EventTimings, Timing, WorkTimer};
+use super::{EventKind, EventTimings, Timing, WorkTimer};
 use glenmount_core::controller::Event;
 use std::time::{Duration, Instant};
 
 #[test]
 fn each_event_is_counted_under_its_kind() {
-    let mut costs = EventTimings::new();
+    let mut timings = EventTimings::new();
     for event in [Event::Tick, Event::Tick, Event::Throttled] {
-        let begun = costs.begin(&event);
-        costs.end(begun, Instant::now(), 2);
+        let timer = timings.begin(&event);
+        timings.end(timer, Instant::now(), 2);
     }
-    assert_eq!((costs.kinds[0].count, costs.kinds[9].count), (2, 1));
-    assert_eq!(costs.effects.count, 6);
-    let cost = Timing {
+    let count = |kind: EventKind| timings.by_kind[kind as usize].count;
+    assert_eq!((count(EventKind::Tick), count(EventKind::Other)), (2, 1));
+    assert_eq!(timings.effects.count, 6);
+    let timing = Timing {
         count: 4,
         ns: 8_000_000,
     };
-    assert_eq!(summary(cost, Duration::from_secs(2)), "4/2000.0us/4.00m");
+    assert_eq!(timing.summary(Duration::from_secs(2)), "4/2000.0us/4.00m");
+}
+
+#[test]
+fn kinds_stand_in_the_order_of_their_numbers() {
+    for (number, kind) in EventKind::ALL.into_iter().enumerate() {
+        assert_eq!(kind as usize, number, "{}", kind.label());
+    }
 }
 
 #[test]
 fn work_outside_is_taken_once() {
-    let outside = WorkTimer::new();
-    assert_eq!(outside.time(|| 7), 7);
-    assert_eq!(outside.take().count, 1);
-    assert_eq!(outside.take().count, 0);
+    let timer = WorkTimer::new();
+    assert_eq!(timer.time(|| 7), 7);
+    assert_eq!(timer.take().count, 1);
+    assert_eq!(timer.take().count, 0);
 }
--- a/crates/glenmount/src/token_bucket.rs
+++ b/crates/glenmount/src/token_bucket.rs
@@ -1,45 +1,48 @@
-//! A controller's share of a service's rate, as a bucket that fills steadily.
+//! A token bucket: keeps this controller within its share of a service's rate.
 
 use tokio::time::{Duration, Instant};
 
+/// Fills steadily; each request takes tokens from it.
 pub struct TokenBucket {
-    rate: f64,
-    most: f64,
+    rate_per_s: f64,
+    capacity: f64,
     level: f64,
-    at: Instant,
+    filled_at: Instant,
 }
 
 impl TokenBucket {
-    /// `burst_s`: seconds' worth of requests that may go at once.
-    pub fn new(rate: f64, burst_s: f64) -> TokenBucket {
-        let most = (rate * burst_s).max(1.0);
+    /// A full bucket. `burst_s`: seconds' worth of requests that may go at once; one always may.
+    pub fn new(rate_per_s: f64, burst_s: f64) -> TokenBucket {
+        let capacity = (rate_per_s * burst_s).max(1.0);
         TokenBucket {
-            rate,
-            most,
-            level: most,
-            at: Instant::now(),
+            rate_per_s,
+            capacity,
+            level: capacity,
+            filled_at: Instant::now(),
         }
     }
 
     fn fill(&mut self) {
         let now = Instant::now();
-        self.level = (self.level + (now - self.at).as_secs_f64() * self.rate).min(self.most);
-        self.at = now;
+        let gained = (now - self.filled_at).as_secs_f64() * self.rate_per_s;
+        self.level = (self.level + gained).min(self.capacity);
+        self.filled_at = now;
     }
 
-    /// Time until `n` may be taken. More than the bucket holds may go when it is full.
-    pub fn time_until(&mut self, n: f64) -> Duration {
+    /// Time until this many tokens may be taken. More than the bucket holds may go when it is full.
+    pub fn time_until(&mut self, tokens: f64) -> Duration {
         self.fill();
-        let lacking = n.min(self.most) - self.level;
-        Duration::from_secs_f64((lacking / self.rate).max(0.0))
+        let lacking = tokens.min(self.capacity) - self.level;
+        Duration::from_secs_f64((lacking / self.rate_per_s).max(0.0))
     }
 
-    pub fn take(&mut self, n: f64) {
+    /// Takes tokens, and goes into debt where there are too few.
+    pub fn take(&mut self, tokens: f64) {
         self.fill();
-        self.level -= n;
+        self.level -= tokens;
     }
 
-    /// The service said that too much was asked: start from an empty bucket.
+    /// Empties the bucket: the service said that it was asked too much.
     pub fn drain(&mut self) {
         self.fill();
         self.level = self.level.min(0.0);
