--- a/crates/glenmount/src/cloud_client.rs
+++ b/crates/glenmount/src/cloud_client.rs
@@ -1,34 +1,78 @@
-//! The cloud client: one actor that owns the controller's share of the cloud's rate.
+//! The client of the cloud: one task that owns this controller's share of the cloud's rate.
 
-use crate::http_client::HttpClient;
+use crate::http_client::{Answer, AnswerLimits, HttpClient, Resend};
 use crate::token_bucket::TokenBucket;
-use crate::wire;
-use glenmount_core::constants::*;
+use crate::wire::cloud as wire;
+use glenmount_core::constants::MACHINE_TYPES_RETRY_MS;
 use glenmount_core::controller::{CloudOperation, CloudResponse, Event, OperationId};
-use hyper::Method;
-use serde_json::json;
+use std::net::SocketAddr;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Duration};
 
-/// Time an answer may take; the cloud usually needs a few hundred milliseconds.
-const TIMEOUT: Duration = Duration::from_millis(4_000);
-const CONNECT: Duration = Duration::from_millis(2_000);
-/// Bytes of an answer at most.
-const ANSWER_BYTES: usize = 1 << 20;
-/// Operations that may wait in line.
-const LINE: usize = 200;
+/// What an answer may take; the cloud usually needs a few hundred milliseconds.
+const LIMITS: AnswerLimits = AnswerLimits {
+    timeout: Duration::from_millis(4_000),
+    body_bytes: 1 << 20,
+};
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Requests that may wait in line.
+pub const QUEUE: usize = 200;
+/// Seconds' worth of requests that may go at once.
+const BURST_S: f64 = 2.0;
+/// Time after a failed request until the core is told so. It asks again when it still wants this:
+/// this spaces the tries.
+const RETRY_PAUSE: Duration = Duration::from_millis(MACHINE_TYPES_RETRY_MS);
 
-async fn execute(http: &HttpClient, op: &CloudOperation) -> CloudResponse {
-    let call = |method, path: String, body| async move {
-        http.call(method, &path, body, TIMEOUT, ANSWER_BYTES).await
-    };
-    match op {
-        CloudOperation::Types => match call(Method::GET, "/catalog".into(), None).await {
-            Some((200, body)) => {
-                wire::catalog(&body).map_or(CloudResponse::Failed, CloudResponse::Types)
-            }
-            _ => CloudResponse::Failed,
-        },
+/// An operation of the core, and by which token its outcome is known.
+pub struct CloudRequest {
+    pub token: OperationId,
+    pub operation: CloudOperation,
+}
+
+/// A client for the cloud at this address.
+pub fn connection(address: SocketAddr) -> HttpClient {
+    HttpClient::new(address, CONNECT_TIMEOUT, Resend::OnClosedConnection)
+}
+
+/// Sends requests in order as the rate allows, and the outcomes to the core, until nobody holds the
+/// other end of `requests`.
+pub async fn run(
+    http: HttpClient,
+    requests_per_s: f64,
+    mut requests: mpsc::Receiver<CloudRequest>,
+    core: mpsc::Sender<Event>,
+) {
+    let mut rate = TokenBucket::new(requests_per_s, BURST_S);
+    while let Some(request) = requests.recv().await {
+        let pause = rate.time_until(1.0);
+        if !pause.is_zero() {
+            sleep(pause).await;
+        }
+        rate.take(1.0);
+        // Ends by itself: each answer has a time limit.
+        tokio::spawn(perform(http.clone(), request, core.clone()));
+    }
+}
+
+async fn perform(http: HttpClient, request: CloudRequest, core: mpsc::Sender<Event>) {
+    let CloudRequest { token, operation } = request;
+    let answer = execute(&http, &operation)
+        .await
+        .unwrap_or(CloudResponse::Failed);
+    if answer == CloudResponse::Failed {
+        tracing::debug!(op = ?operation, "the cloud did not do it");
+        sleep(RETRY_PAUSE).await;
+    }
+    let _ = core.send(Event::Cloud { token, answer }).await;
+}
+
+/// Nothing when there was no answer, or not one as published.
+async fn execute(http: &HttpClient, operation: &CloudOperation) -> Option<CloudResponse> {
+    match operation {
+        CloudOperation::Types => {
+            let answer = http.get(wire::CATALOG_PATH, LIMITS).await?;
+            wire::catalog(&ok_body(answer)?).map(CloudResponse::Types)
+        }
         CloudOperation::Provision {
             name,
             type_name,
@@ -36,79 +80,47 @@
             spot,
             count,
         } => {
-            let body = serde_json::to_string(&wire::ProvisioningRequest {
-                instance_request: name,
-                flavour: type_name,
-                yard: zone,
-                reclaimable: *spot,
-                number: *count,
-            });
-            match call(Method::POST, "/hosts".into(), body.ok()).await {
-                Some((200, body)) => {
-                    wire::hired(&body).map_or(CloudResponse::Failed, CloudResponse::Provisioned)
-                }
-                Some((503, body)) if String::from_utf8_lossy(&body).contains("no capacity") => {
-                    CloudResponse::NoCapacity
-                }
-                Some((400, body)) => {
-                    tracing::error!(body = %String::from_utf8_lossy(&body), "rental malformed");
-                    CloudResponse::NoCapacity
-                }
-                _ => CloudResponse::Failed,
-            }
+            let request = wire::ProvisioningRequest {
+                idempotency_key: name,
+                machine_type: type_name,
+                zone,
+                is_spot: *spot,
+                count: *count,
+            };
+            provision(http, &request).await
         }
         CloudOperation::Delete { machines } => {
-            let body = json!({"hosts": machines}).to_string();
-            match call(Method::POST, "/hosts/delete".into(), Some(body)).await {
-                Some((200, _)) => CloudResponse::Deleted,
-                _ => CloudResponse::Failed,
-            }
+            let body = wire::deprovisioning_request(machines);
+            let answer = http.post(wire::DELETE_PATH, body, LIMITS).await?;
+            ok_body(answer).map(|_| CloudResponse::Deleted)
         }
         CloudOperation::List { after } => {
-            let since = after
-                .as_ref()
-                .map_or(String::new(), |a| format!("since={a}&"));
-            let path = format!("/hosts?{since}most={INSTANCE_LIST_PAGE}");
-            match call(Method::GET, path, None).await {
-                Some((200, body)) => match wire::instances(&body) {
-                    Some((instances, more)) => CloudResponse::Instances { instances, more },
-                    None => CloudResponse::Failed,
-                },
-                _ => CloudResponse::Failed,
-            }
+            let path = wire::instances_page_path(after.as_deref());
+            let answer = http.get(&path, LIMITS).await?;
+            let (instances, more) = wire::instances(&ok_body(answer)?)?;
+            Some(CloudResponse::Instances { instances, more })
         }
     }
 }
 
-pub fn client(
-    http: HttpClient,
-    rps: f64,
-    core: mpsc::Sender<Event>,
-) -> mpsc::Sender<(OperationId, CloudOperation)> {
-    let (jobs_in, mut jobs) = mpsc::channel::<(OperationId, CloudOperation)>(LINE);
-    tokio::spawn(async move {
-        let mut budget = TokenBucket::new(rps, 2.0);
-        while let Some((token, op)) = jobs.recv().await {
-            let pause = budget.time_until(1.0);
-            if !pause.is_zero() {
-                sleep(pause).await;
-            }
-            budget.take(1.0);
-            let (http, core) = (http.clone(), core.clone());
-            tokio::spawn(async move {
-                let answer = execute(&http, &op).await;
-                if answer == CloudResponse::Failed {
-                    tracing::debug!(?op, "the cloud did not do it");
-                    // Spaces the tries; the core asks again when it still wants this.
-                    sleep(Duration::from_millis(MACHINE_TYPES_RETRY_MS)).await;
-                }
-                let _ = core.send(Event::Cloud { token, answer }).await;
-            });
+async fn provision(
+    http: &HttpClient,
+    request: &wire::ProvisioningRequest<'_>,
+) -> Option<CloudResponse> {
+    let body = request.to_json();
+    let Answer { status, body } = http.post(wire::INSTANCES_PATH, body, LIMITS).await?;
+    let text = String::from_utf8_lossy(&body);
+    match status {
+        200 => wire::hired(&body).map(CloudResponse::Provisioned),
+        503 if text.contains(wire::NO_CAPACITY) => Some(CloudResponse::NoCapacity),
+        400 => {
+            tracing::error!(body = %text, "rental malformed");
+            Some(CloudResponse::NoCapacity)
         }
-    });
-    jobs_in
+        _ => None,
+    }
 }
 
-pub fn connection(addr: std::net::SocketAddr) -> HttpClient {
-    HttpClient::new(addr, CONNECT, false)
+fn ok_body(answer: Answer) -> Option<Vec<u8>> {
+    (answer.status == 200).then_some(answer.body)
 }
--- a/crates/glenmount/src/http_client.rs
+++ b/crates/glenmount/src/http_client.rs
@@ -1,78 +1,127 @@
-//! A small HTTP client for the cloud and the state service.
+//! A small HTTP client for the cloud, the state store and workers.
 
+use hyper::body::HttpBody;
 use hyper::client::HttpConnector;
+use hyper::header::CONTENT_TYPE;
 use hyper::{Body, Client, Method, Request};
 use std::net::SocketAddr;
 use std::time::Duration;
+use tokio::time::timeout;
 
+/// Connections to one address that are kept open without use, and for how long.
+const IDLE_CONNECTIONS: usize = 8;
+const IDLE: Duration = Duration::from_secs(30);
+/// Bytes that are read ahead on a connection at most.
+const BUFFER_BYTES: usize = 1 << 20;
+
+/// Whether a request may be sent a second time by the client itself.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Resend {
+    /// When the connection that was to carry it turns out to be closed.
+    OnClosedConnection,
+    /// Never, not even what a closed connection may have swallowed.
+    Never,
+}
+
+/// An answer: its status and its whole body.
+pub struct Answer {
+    pub status: u16,
+    pub body: Vec<u8>,
+}
+
+/// A pool of connections, and the address that requests go to. Clones share the pool.
 #[derive(Clone)]
 pub struct HttpClient {
-    client: Client<HttpConnector>,
-    base: String,
+    pool: Client<HttpConnector>,
+    base_url: String,
 }
 
 impl HttpClient {
-    /// `once`: nothing is ever sent a second time, not even what a closed connection may
-    /// have swallowed.
-    pub fn new(addr: SocketAddr, connect_timeout: Duration, once: bool) -> HttpClient {
+    /// A client without connections yet.
+    pub fn new(address: SocketAddr, connect_timeout: Duration, resend: Resend) -> HttpClient {
         // Commands go to hundreds of workers a second after a start or an outage, to each now and
         // then: kept open for 2 s, the connections to them took 1,200 of 1,989 sockets.
-        let (idle, idle_s) = if once { (0, 1) } else { (8, 30) };
+        let (idle_connections, idle) = match resend {
+            Resend::Never => (0, Duration::from_secs(1)),
+            Resend::OnClosedConnection => (IDLE_CONNECTIONS, IDLE),
+        };
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(connect_timeout));
         HttpClient {
-            client: Client::builder()
-                .retry_canceled_requests(!once)
-                .pool_max_idle_per_host(idle)
-                .pool_idle_timeout(Duration::from_secs(idle_s))
-                .http1_max_buf_size(1 << 20)
+            pool: Client::builder()
+                .retry_canceled_requests(resend == Resend::OnClosedConnection)
+                .pool_max_idle_per_host(idle_connections)
+                .pool_idle_timeout(idle)
+                .http1_max_buf_size(BUFFER_BYTES)
                 .build(connector),
-            base: format!("http://{addr}"),
+            base_url: base_url(address),
         }
     }
 
-    /// The same connections, for another address.
-    pub fn for_address(&self, addr: SocketAddr) -> HttpClient {
+    /// The same pool, for another address.
+    pub fn for_address(&self, address: SocketAddr) -> HttpClient {
         HttpClient {
-            client: self.client.clone(),
-            base: format!("http://{addr}"),
+            pool: self.pool.clone(),
+            base_url: base_url(address),
         }
     }
 
-    /// Status and body, or nothing when no answer came in time. No answer means that the
+    /// Reads from a path; see [`HttpClient::call`].
+    pub async fn get(&self, path: &str, limits: AnswerLimits) -> Option<Answer> {
+        self.call(Method::GET, path, None, limits).await
+    }
+
+    /// Sends JSON to a path; see [`HttpClient::call`].
+    pub async fn post(&self, path: &str, json: String, limits: AnswerLimits) -> Option<Answer> {
+        self.call(Method::POST, path, Some(json), limits).await
+    }
+
+    /// The answer, or nothing when none came in time or it was too long. No answer means that the
     /// request may have been executed, or may yet be.
-    pub async fn call(
+    async fn call(
         &self,
         method: Method,
         path: &str,
-        body: Option<String>,
-        timeout: Duration,
-        most_bytes: usize,
-    ) -> Option<(u16, Vec<u8>)> {
+        json: Option<String>,
+        limits: AnswerLimits,
+    ) -> Option<Answer> {
         let mut request = Request::builder()
             .method(method)
-            .uri(format!("{}{}", self.base, path));
-        if body.is_some() {
-            request = request.header("content-type", "application/json");
+            .uri(format!("{}{}", self.base_url, path));
+        if json.is_some() {
+            request = request.header(CONTENT_TYPE, "application/json");
         }
-        let request = request
-            .body(body.map_or_else(Body::empty, Body::from))
-            .ok()?;
-        let exchange = async {
-            let response = self.client.request(request).await.ok()?;
-            let status = response.status().as_u16();
-            let mut body = response.into_body();
-            let mut bytes = Vec::new();
-            while let Some(part) = hyper::body::HttpBody::data(&mut body).await {
-                let part = part.ok()?;
-                if bytes.len() + part.len() > most_bytes {
-                    return None;
-                }
-                bytes.extend_from_slice(&part);
+        let body = json.map_or_else(Body::empty, Body::from);
+        let exchange = self.exchange(request.body(body).ok()?, limits.body_bytes);
+        timeout(limits.timeout, exchange).await.ok().flatten()
+    }
+
+    async fn exchange(&self, request: Request<Body>, body_bytes: usize) -> Option<Answer> {
+        let response = self.pool.request(request).await.ok()?;
+        let status = response.status().as_u16();
+        let mut incoming = response.into_body();
+        let mut body = Vec::new();
+        while let Some(part) = incoming.data().await {
+            let part = part.ok()?;
+            if body.len() + part.len() > body_bytes {
+                return None;
             }
-            Some((status, bytes))
-        };
-        tokio::time::timeout(timeout, exchange).await.ok().flatten()
+            body.extend_from_slice(&part);
+        }
+        Some(Answer { status, body })
     }
 }
+
+/// What an answer may take.
+#[derive(Clone, Copy, Debug)]
+pub struct AnswerLimits {
+    /// Time until the whole answer is there.
+    pub timeout: Duration,
+    /// Bytes of its body.
+    pub body_bytes: usize,
+}
+
+fn base_url(address: SocketAddr) -> String {
+    format!("http://{address}")
+}
--- a/crates/glenmount/src/tests/cloud_forms.rs
+++ b/crates/glenmount/src/tests/cloud_forms.rs
@@ -1,7 +1,7 @@
 //! Requests to the cloud and its answers.
 
 use super::{answer_once, check_lines, in_time, listener};
-use crate::cloud_client;
+use crate::cloud_client::{self, CloudRequest};
 use glenmount_core::controller::{CloudOperation, CloudResponse, Event};
 use glenmount_core::model::CloudInstanceState;
 use tokio::sync::mpsc;
@@ -68,11 +68,13 @@
     let listener = listener().await;
     let connection = cloud_client::connection(listener.local_addr().expect("an address"));
     let (core, mut events) = mpsc::channel(1);
-    let operations = cloud_client::client(connection, 1_000.0, core);
-    operations
-        .send((17, operation(name)))
-        .await
-        .expect("a client");
+    let (request_sender, requests) = mpsc::channel(1);
+    tokio::spawn(cloud_client::run(connection, 1_000.0, requests, core));
+    let request = CloudRequest {
+        token: 17,
+        operation: operation(name),
+    };
+    assert!(request_sender.send(request).await.is_ok());
     let request = in_time(answer_once(&listener, status, body)).await;
     match in_time(events.recv()).await {
         Some(Event::Cloud { token: 17, answer }) => (request, show(answer)),
--- a/crates/glenmount/src/tests/public_protocol.rs
+++ b/crates/glenmount/src/tests/public_protocol.rs
@@ -31,20 +31,17 @@
     answer: Answer,
     is_ready: bool,
 ) -> (Option<Event>, String) {
-    let (calls_in, mut calls) = mpsc::channel::<PendingRequest>(1);
+    let (request_sender, mut requests) = mpsc::channel::<PendingRequest>(1);
     if matches!(answer, Answer::Busy) {
-        calls.close();
+        requests.close();
     }
-    let api = Api {
-        calls: calls_in,
-        ready: Arc::new(AtomicBool::new(is_ready)),
-    };
+    let api = Api::new(request_sender, Arc::new(AtomicBool::new(is_ready)));
     let scheduler = tokio::spawn(async move {
-        let call = calls.recv().await?;
-        if let Answer::Of(reached) = answer {
-            let _ = call.answer.send(reached);
+        let request = requests.recv().await?;
+        if let Answer::Of(reply) = answer {
+            let _ = request.reply.send(reply);
         }
-        Some(call.event)
+        Some(request.event)
     });
     let request = warp::test::request().method(method).path(path).body(body);
     let response = in_time(request.reply(&routes(api))).await;
--- a/crates/glenmount/src/tests/state_forms.rs
+++ b/crates/glenmount/src/tests/state_forms.rs
@@ -1,7 +1,7 @@
 //! Requests to the state service and its answers; the text of transactions is pinned with the core.
 
 use super::{answer_once, check_lines, in_time, listener};
-use crate::state_client::{self, Rates};
+use crate::state_client::{self, watch, Rates, StateRequest};
 use glenmount_core::controller::{Event, RequestClass, StateOperation, StateResponse};
 use glenmount_core::state::formats::LATEST;
 use glenmount_core::state::{CasTransaction, Key, Record};
@@ -70,14 +70,15 @@
         requests_per_s: 1_000.0,
         changes_per_s: 1_000.0,
     };
-    let jobs = state_client::client(connection, rates, core);
-    let job = state_client::StateRequest {
+    let (request_sender, requests) = mpsc::channel(1);
+    tokio::spawn(state_client::run(connection, rates, requests, core));
+    let request = StateRequest {
         token: 17,
-        op: operation(name),
+        operation: operation(name),
         request_class: RequestClass::User,
-        since: Instant::now(),
+        queued_at: Instant::now(),
     };
-    assert!(jobs.send(job).await.is_ok());
+    assert!(request_sender.send(request).await.is_ok());
     let request = in_time(answer_once(&listener, status, body)).await;
     let outcome = loop {
         match in_time(events.recv()).await {
@@ -114,8 +115,9 @@
     let listener = listener().await;
     let connection = state_client::connection(listener.local_addr().expect("an address"));
     let (core, mut events) = mpsc::channel(1);
-    let restarts = state_client::watch(connection, core);
-    restarts.send(41).await.expect("a watch");
+    let (restart_sender, restarts) = mpsc::channel(1);
+    tokio::spawn(watch::run(connection, restarts, core));
+    restart_sender.send(41).await.expect("a watch");
     let request = in_time(answer_once(&listener, status, body)).await;
     // What is of use is told before the next request, and of nothing else anything is told.
     let event = tokio::select! {
--- a/crates/glenmount/src/tests/worker_commands.rs
+++ b/crates/glenmount/src/tests/worker_commands.rs
@@ -2,7 +2,7 @@
 
 use super::{answer_once, check_lines, in_time, listener, show_report};
 use crate::wire;
-use crate::worker_client::{CommandKind, WorkerClient};
+use crate::worker_client::{Command, CommandKind, WorkerClient};
 use glenmount_core::controller::{CommandOutcome, Event};
 use glenmount_core::model::{TaskId, WorkerCommand};
 use tokio::sync::mpsc;
@@ -37,8 +37,12 @@
     let address = listener.local_addr().expect("an address").to_string();
     let (core, mut events) = mpsc::channel(1);
     let commands = command_body(names);
-    let command = wire::command(7, 41, &commands);
-    WorkerClient::new(core).send("n-1".into(), &address, command, CommandKind::of(&commands));
+    WorkerClient::new(core).send(Command {
+        machine: "n-1".into(),
+        address,
+        body: wire::command(7, 41, &commands),
+        kind: CommandKind::of(&commands),
+    });
     let asked = in_time(answer_once(&listener, status, body)).await;
     let Some(Event::CommandResult {
         machine,
--- a/crates/glenmount/src/wire/cloud.rs
+++ b/crates/glenmount/src/wire/cloud.rs
@@ -1,122 +1,175 @@
-//! Messages between the controller and the cloud.
+//! Messages between the controller and the cloud: its catalog, provisioning and lists of instances.
 
+use super::to_json;
+use glenmount_core::constants::INSTANCE_LIST_PAGE;
 use glenmount_core::model::{
     have_milli, CloudInstance, CloudInstanceState, MachineType, Resources,
 };
 use serde::{Deserialize, Serialize};
 
+/// Path of the list of machine types.
+pub const CATALOG_PATH: &str = "/catalog";
+/// Path at which instances are asked for.
+pub const INSTANCES_PATH: &str = "/hosts";
+/// Path at which instances are given back.
+pub const DELETE_PATH: &str = "/hosts/delete";
+/// What a refused request for instances says when the cloud has none of these now.
+pub const NO_CAPACITY: &str = "no capacity";
+
 #[derive(Deserialize)]
 struct Catalog {
-    flavours: Vec<Flavour>,
+    #[serde(rename = "flavours")]
+    machine_types: Vec<CatalogEntry>,
 }
 
 #[derive(Deserialize)]
-struct Flavour {
+struct CatalogEntry {
     name: String,
-    vcpus: f64,
-    #[serde(default)]
-    accelerators: f64,
+    #[serde(rename = "vcpus")]
+    cpus: f64,
+    #[serde(rename = "accelerators", default)]
+    gpus: f64,
     #[serde(rename = "ramGb")]
     ram_gb: f64,
     #[serde(rename = "localGb", default)]
-    local_gb: f64,
+    image_cache_gb: f64,
     #[serde(rename = "pullGbPerS", default)]
-    pull_gb_per_s: f64,
-    #[serde(default)]
-    hourly: f64,
+    image_pull_gb_per_s: f64,
+    #[serde(rename = "hourly", default)]
+    price_per_hour: f64,
     #[serde(rename = "marketPrice", default)]
-    market_price: Option<f64>,
+    spot_price_per_hour: Option<f64>,
     #[serde(rename = "readyS", default)]
-    ready_s: f64,
-    #[serde(default)]
-    yards: Vec<String>,
+    boot_s: f64,
+    #[serde(rename = "yards", default)]
+    zones: Vec<String>,
 }
 
+impl CatalogEntry {
+    fn into_machine_type(self) -> MachineType {
+        MachineType {
+            name: self.name,
+            room: Resources {
+                cpus: have_milli(self.cpus),
+                gpus: have_milli(self.gpus),
+                ram: have_milli(self.ram_gb),
+            },
+            cache_gb: self.image_cache_gb,
+            fetch_gb_per_s: self.image_pull_gb_per_s,
+            price: self.price_per_hour,
+            spot_price: self.spot_price_per_hour.unwrap_or(0.0),
+            boot_s: self.boot_s,
+            zones: self.zones,
+        }
+    }
+}
+
+/// Reads the list of machine types; nothing where it is malformed.
 pub fn catalog(body: &[u8]) -> Option<Vec<MachineType>> {
-    let c: Catalog = serde_json::from_slice(body).ok()?;
-    Some(
-        c.flavours
-            .into_iter()
-            .map(|f| MachineType {
-                name: f.name,
-                room: Resources {
-                    cpus: have_milli(f.vcpus),
-                    gpus: have_milli(f.accelerators),
-                    ram: have_milli(f.ram_gb),
-                },
-                cache_gb: f.local_gb,
-                fetch_gb_per_s: f.pull_gb_per_s,
-                price: f.hourly,
-                spot_price: f.market_price.unwrap_or(0.0),
-                boot_s: f.ready_s,
-                zones: f.yards,
-            })
-            .collect(),
-    )
+    let catalog: Catalog = serde_json::from_slice(body).ok()?;
+    let entries = catalog.machine_types.into_iter();
+    Some(entries.map(CatalogEntry::into_machine_type).collect())
 }
 
+/// A request for instances. One with the name of an earlier one is the same request.
 #[derive(Serialize)]
 pub struct ProvisioningRequest<'a> {
     #[serde(rename = "hire")]
-    pub instance_request: &'a str,
-    pub flavour: &'a str,
-    pub yard: &'a str,
-    pub reclaimable: bool,
-    pub number: u32,
+    pub idempotency_key: &'a str,
+    #[serde(rename = "flavour")]
+    pub machine_type: &'a str,
+    #[serde(rename = "yard")]
+    pub zone: &'a str,
+    #[serde(rename = "reclaimable")]
+    pub is_spot: bool,
+    #[serde(rename = "number")]
+    pub count: u32,
+}
+
+impl ProvisioningRequest<'_> {
+    /// The body of the request.
+    pub fn to_json(&self) -> String {
+        to_json(self)
+    }
 }
 
 #[derive(Deserialize)]
-struct Names {
+struct ProvisionedInstances {
     #[serde(rename = "hosts")]
-    instances: Vec<String>,
+    names: Vec<String>,
 }
 
+/// Reads the names of the instances that were provisioned; nothing where the answer is malformed.
 pub fn hired(body: &[u8]) -> Option<Vec<String>> {
-    serde_json::from_slice::<Names>(body)
-        .ok()
-        .map(|n| n.instances)
+    let instances: ProvisionedInstances = serde_json::from_slice(body).ok()?;
+    Some(instances.names)
+}
+
+#[derive(Serialize)]
+struct DeprovisioningRequest<'a> {
+    #[serde(rename = "hosts")]
+    names: &'a [String],
+}
+
+/// The body of a request to give instances back.
+pub fn deprovisioning_request(names: &[String]) -> String {
+    to_json(&DeprovisioningRequest { names })
+}
+
+/// The path of a page of the list of instances: the first, or that after the named instance.
+pub fn instances_page_path(after: Option<&str>) -> String {
+    let since = after.map_or(String::new(), |name| format!("since={name}&"));
+    format!("{INSTANCES_PATH}?{since}most={INSTANCE_LIST_PAGE}")
 }
 
 #[derive(Deserialize)]
-struct HostList {
+struct InstancePage {
     #[serde(rename = "hosts")]
-    instances: Vec<HostItem>,
-    #[serde(default)]
-    more: bool,
+    instances: Vec<Instance>,
+    #[serde(rename = "more", default)]
+    has_more: bool,
 }
 
 #[derive(Deserialize)]
-struct HostItem {
+struct Instance {
     #[serde(rename = "nameId")]
     name: String,
     #[serde(default)]
     address: Option<String>,
-    flavour: String,
-    yard: String,
-    reclaimable: bool,
-    standing: String,
+    #[serde(rename = "flavour")]
+    machine_type: String,
+    #[serde(rename = "yard")]
+    zone: String,
+    #[serde(rename = "reclaimable")]
+    is_spot: bool,
+    #[serde(rename = "standing")]
+    state: String,
     #[serde(rename = "ageS", default)]
     age_s: f64,
 }
 
-pub fn instances(body: &[u8]) -> Option<(Vec<CloudInstance>, bool)> {
-    let list: HostList = serde_json::from_slice(body).ok()?;
-    let instances = list
-        .instances
-        .into_iter()
-        .map(|h| CloudInstance {
-            name: h.name,
-            address: h.address.unwrap_or_default(),
-            type_name: h.flavour,
-            zone: h.yard,
-            spot: h.reclaimable,
-            state: match h.standing.as_str() {
+impl Instance {
+    fn into_host(self) -> CloudInstance {
+        CloudInstance {
+            name: self.name,
+            address: self.address.unwrap_or_default(),
+            type_name: self.machine_type,
+            zone: self.zone,
+            spot: self.is_spot,
+            state: match self.state.as_str() {
                 "starting" => CloudInstanceState::Booting,
                 "failed" => CloudInstanceState::Failed,
                 _ => CloudInstanceState::Running,
             },
-            age_s: h.age_s,
-        })
-        .collect();
-    Some((instances, list.more))
+            age_s: self.age_s,
+        }
+    }
+}
+
+/// Reads a page of the list of instances, and whether another one follows; nothing where it is
+/// malformed.
+pub fn instances(body: &[u8]) -> Option<(Vec<CloudInstance>, bool)> {
+    let page: InstancePage = serde_json::from_slice(body).ok()?;
+    let instances = page.instances.into_iter().map(Instance::into_host);
+    Some((instances.collect(), page.has_more))
 }
--- a/crates/glenmount/src/wire/mod.rs
+++ b/crates/glenmount/src/wire/mod.rs
@@ -3,11 +3,11 @@
 //! Each submodule holds one side. The protocol's own field names are met only here and mapped by
 //! `serde(rename)` to the names that the rest of the program uses.
 
-mod cloud;
+pub mod cloud;
+pub mod state_store;
 mod users;
 mod workers;
 
-pub use cloud::{catalog, hired, instances, ProvisioningRequest};
 pub use users::{job_id, submission, user_reply};
 pub use workers::{command, report, worker_reply};
 
