--- a/crates/glenmount/src/token_bucket.rs
+++ b/crates/glenmount/src/token_bucket.rs
@@ -48,3 +48,6 @@
         self.level = self.level.min(0.0);
     }
 }
+
+#[cfg(test)]
+mod tests;
