--- a/crates/glenmount/src/settings/file.rs
+++ b/crates/glenmount/src/settings/file.rs
@@ -7,8 +7,12 @@
 use glenmount_core::configuration::{ObjectiveSettings, TeamSettings};
 use glenmount_core::constants::{TXN_OPS_LEAST, VALUE_KB_LEAST};
 use serde::Deserialize;
+use std::collections::BTreeMap;
+use std::iter::once;
 use std::net::SocketAddr;
 
+/// Controllers of a cluster at most.
+const CONTROLLERS_MOST: u32 = 64;
 /// Limit of a value in the state store beyond which it is a mistake, in KiB.
 const VALUE_KB_MOST: f64 = 1024.0;
 
@@ -23,17 +27,17 @@
     pub cluster_listen: SocketAddr,
     #[serde(default)]
     #[serde(rename = "siblings")]
-    pub peers: Vec<SiblingFile>,
+    peers: Vec<SiblingFile>,
     pub outside: Outside,
     pub settings: Params,
 }
 
 /// A peer.
 #[derive(Debug, Deserialize)]
-pub struct SiblingFile {
-    pub member: String,
-    pub location: Option<String>,
-    pub peer_addr: SocketAddr,
+struct SiblingFile {
+    member: String,
+    location: Option<String>,
+    peer_addr: SocketAddr,
 }
 
 /// Services outside the cluster.
@@ -121,6 +125,59 @@
             SettingsError::Toml(lines.replace('\n', " "))
         })
     }
+
+    /// The names of all controllers, this one included, in order.
+    ///
+    /// # Errors
+    /// A name is empty or stands among the peers' too, they are not `settings.count` different ones, or
+    /// no zone is named.
+    pub fn controllers(&self) -> Result<Vec<String>, SettingsError> {
+        let params = &self.settings;
+        check(!self.member.is_empty(), "member", "must not be empty")?;
+        check(
+            (1..=CONTROLLERS_MOST).contains(&params.count),
+            "settings.count",
+            "must be between 1 and 64",
+        )?;
+        check(
+            !params.zones.is_empty(),
+            "settings.zones",
+            "must name a zone",
+        )?;
+        let peers = self.peers.iter().map(|peer| peer.member.clone());
+        let mut controllers: Vec<String> = peers.collect();
+        check(
+            !controllers.contains(&self.member),
+            "siblings.member",
+            "must not name this node itself",
+        )?;
+        controllers.push(self.member.clone());
+        controllers.sort();
+        controllers.dedup();
+        check(
+            controllers.len() == params.count as usize,
+            "siblings",
+            "must name settings.count - 1 different nodes",
+        )?;
+        Ok(controllers)
+    }
+
+    /// The peers' names, and where they listen.
+    pub fn peers(&self) -> Vec<(String, SocketAddr)> {
+        let peers = self.peers.iter();
+        peers
+            .map(|peer| (peer.member.clone(), peer.peer_addr))
+            .collect()
+    }
+
+    /// The zones of all controllers, as far as they are known.
+    pub fn zones_by_controller(&self) -> BTreeMap<String, String> {
+        let own = (&self.member, &self.location);
+        let peers = self.peers.iter().map(|peer| (&peer.member, &peer.location));
+        let all = once(own).chain(peers);
+        all.filter_map(|(controller, zone)| Some((controller.clone(), zone.clone()?)))
+            .collect()
+    }
 }
 
 impl Workers {
--- a/crates/glenmount/src/settings/mod.rs
+++ b/crates/glenmount/src/settings/mod.rs
@@ -16,7 +16,6 @@
 use glenmount_core::constants::CLOUD_SHARE;
 use glenmount_core::safety_checks::Checks;
 use glenmount_core::settings::Settings;
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// Milliseconds that clocks may differ by at most.
@@ -126,55 +125,5 @@
     )
 }
 
-impl SettingsFile {
-    /// The names of all controllers, this one included, in order.
-    fn controllers(&self) -> Result<Vec<String>, SettingsError> {
-        let params = &self.settings;
-        check(!self.member.is_empty(), "member", "must not be empty")?;
-        check(
-            (1..=64).contains(&params.count),
-            "settings.count",
-            "must be between 1 and 64",
-        )?;
-        check(
-            !params.zones.is_empty(),
-            "settings.zones",
-            "must name a zone",
-        )?;
-        let peers = self.peers.iter().map(|peer| peer.member.clone());
-        let mut controllers: Vec<String> = peers.collect();
-        check(
-            !controllers.contains(&self.member),
-            "siblings.member",
-            "must not name this node itself",
-        )?;
-        controllers.push(self.member.clone());
-        controllers.sort();
-        controllers.dedup();
-        check(
-            controllers.len() == params.count as usize,
-            "siblings",
-            "must name settings.count - 1 different nodes",
-        )?;
-        Ok(controllers)
-    }
-
-    fn peers(&self) -> Vec<(String, SocketAddr)> {
-        let peers = self.peers.iter();
-        peers
-            .map(|peer| (peer.member.clone(), peer.peer_addr))
-            .collect()
-    }
-
-    /// The zones of all controllers, as far as they are known.
-    fn zones_by_controller(&self) -> BTreeMap<String, String> {
-        let own = (&self.member, &self.location);
-        let peers = self.peers.iter().map(|peer| (&peer.member, &peer.location));
-        let all = std::iter::once(own).chain(peers);
-        all.filter_map(|(controller, zone)| Some((controller.clone(), zone.clone()?)))
-            .collect()
-    }
-}
-
 #[cfg(test)]
 mod tests;
