--- a/crates/glenmount/src/arguments.rs
+++ b/crates/glenmount/src/arguments.rs
@@ -40,12 +40,15 @@
     /// A file can't be read, or a setting is missing or out of range.
     pub fn load(&self) -> Result<Config, UsageError> {
         let operator = match &self.operator_settings {
-            Some(path) => settings::operator(&read(path)?).map_err(UsageError::OperatorSettings)?,
+            Some(path) => settings::read_operator_settings(&read(path)?)
+                .map_err(UsageError::OperatorSettings)?,
             None => OperatorSettings::default(),
         };
-        settings::config(&read(&self.config)?, &operator).map_err(|error| UsageError::Settings {
-            path: self.config.clone(),
-            error,
+        settings::read_config(&read(&self.config)?, &operator).map_err(|error| {
+            UsageError::Settings {
+                path: self.config.clone(),
+                error,
+            }
         })
     }
 }
--- a/crates/glenmount/src/cloud_client.rs
+++ b/crates/glenmount/src/cloud_client.rs
@@ -71,7 +71,7 @@
     match operation {
         CloudOperation::Types => {
             let answer = http.get(wire::CATALOG_PATH, LIMITS).await?;
-            wire::catalog(&ok_body(answer)?).map(CloudResponse::Types)
+            wire::read_catalog(&ok_body(answer)?).map(CloudResponse::Types)
         }
         CloudOperation::Provision {
             name,
@@ -97,7 +97,7 @@
         CloudOperation::List { after } => {
             let path = wire::instances_page_path(after.as_deref());
             let answer = http.get(&path, LIMITS).await?;
-            let (instances, more) = wire::instances(&ok_body(answer)?)?;
+            let (instances, more) = wire::read_instances(&ok_body(answer)?)?;
             Some(CloudResponse::Instances { instances, more })
         }
     }
@@ -111,7 +111,7 @@
     let Answer { status, body } = http.post(wire::INSTANCES_PATH, body, LIMITS).await?;
     let text = String::from_utf8_lossy(&body);
     match status {
-        200 => wire::hired(&body).map(CloudResponse::Provisioned),
+        200 => wire::read_provisioned(&body).map(CloudResponse::Provisioned),
         503 if text.contains(wire::NO_CAPACITY) => Some(CloudResponse::NoCapacity),
         400 => {
             tracing::error!(body = %text, "rental malformed");
--- a/crates/glenmount/src/event_loop.rs
+++ b/crates/glenmount/src/event_loop.rs
@@ -152,7 +152,7 @@
             } => self.outputs.workers.send(Command {
                 machine,
                 address,
-                body: wire::command(incarnation, token, &commands),
+                body: wire::write_command(incarnation, token, &commands),
                 kind: CommandKind::of(&commands),
             }),
             Effect::PeerHeartbeat(heartbeat) => {
--- a/crates/glenmount/src/http_server.rs
+++ b/crates/glenmount/src/http_server.rs
@@ -93,7 +93,7 @@
             Ok(body) => body,
             Err(response) => return response,
         };
-        let spec = match MESSAGES_READ.time(|| wire::submission(&body)) {
+        let spec = match MESSAGES_READ.time(|| wire::read_submission(&body)) {
             Ok(spec) => Box::new(spec),
             Err(reason) => return error(400, &reason.to_string()),
         };
@@ -101,7 +101,7 @@
     }
 
     async fn status(&self, id: &str) -> Response<Body> {
-        if !wire::job_id(id) {
+        if !wire::is_job_id(id) {
             return error(404, "no such job");
         }
         let job = id.to_string();
@@ -109,7 +109,7 @@
     }
 
     async fn cancel(&self, id: &str) -> Response<Body> {
-        if !wire::job_id(id) {
+        if !wire::is_job_id(id) {
             return error(404, "no such job");
         }
         let job = id.to_string();
@@ -121,7 +121,7 @@
             Ok(body) => body,
             Err(response) => return response,
         };
-        let report = match MESSAGES_READ.time(|| wire::report(&body)) {
+        let report = match MESSAGES_READ.time(|| wire::read_heartbeat(&body)) {
             Ok(report) => Box::new(report),
             Err(reason) => {
                 let reason = reason.to_string();
@@ -148,11 +148,11 @@
         match reply.await {
             Ok(CoreReply::User(reply)) => {
                 let (status, body, retry_after_s) =
-                    REPLIES_WRITTEN.time(|| wire::user_reply(&reply));
+                    REPLIES_WRITTEN.time(|| wire::write_user_reply(&reply));
                 json(status, body, retry_after_s)
             }
             Ok(CoreReply::Worker(reply)) => {
-                let (status, body) = REPLIES_WRITTEN.time(|| wire::worker_reply(&reply));
+                let (status, body) = REPLIES_WRITTEN.time(|| wire::write_worker_reply(&reply));
                 json(status, body, None)
             }
             Err(_) => busy("{\"error\":\"no answer\"}"),
--- a/crates/glenmount/src/peer_link/frames.rs
+++ b/crates/glenmount/src/peer_link/frames.rs
@@ -11,7 +11,7 @@
 const FRAME_DEPTH: usize = 16;
 
 /// Reads a frame's heartbeat; nothing where it is malformed.
-pub fn read(frame: &[u8]) -> Option<PeerHeartbeat> {
+pub fn read_heartbeat(frame: &[u8]) -> Option<PeerHeartbeat> {
     let mut deserializer = rmp_serde::Deserializer::from_read_ref(frame);
     deserializer.set_max_depth(FRAME_DEPTH);
     deserializer.deserialize_seq(HeartbeatVisitor).ok()
--- a/crates/glenmount/src/peer_link/mod.rs
+++ b/crates/glenmount/src/peer_link/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::timings::PEER_FRAMES;
 use connections::{PeerConnection, PeerConnections};
-use frames::read;
+use frames::read_heartbeat;
 use glenmount_core::constants::PEER_HEARTBEAT_MS;
 use glenmount_core::controller::{Event, PeerHeartbeat};
 use std::io;
@@ -33,7 +33,7 @@
 const CONNECTIONS: usize = 64;
 
 /// Receives the heartbeats of all peers and passes them to the core. The connections end with it.
-pub async fn listen(listener: TcpListener, core: mpsc::Sender<Event>) {
+pub async fn receive_heartbeats(listener: TcpListener, core: mpsc::Sender<Event>) {
     let connections = PeerConnections::default();
     let slots = Arc::new(Semaphore::new(CONNECTIONS));
     let mut tasks = JoinSet::new();
@@ -75,7 +75,7 @@
     loop {
         let frame = read_frame(&mut stream).await?;
         let heartbeat = PEER_FRAMES
-            .time(|| read(&frame))
+            .time(|| read_heartbeat(&frame))
             .ok_or(io::ErrorKind::InvalidData)?;
         if connection.is_none() {
             *connection = Some(connections.begin(&heartbeat.controller));
@@ -97,18 +97,18 @@
 }
 
 /// Keeps sending the latest heartbeat to a peer. Heartbeats that could not be sent are skipped.
-pub async fn tell(address: SocketAddr, mut heartbeats: watch::Receiver<PeerHeartbeat>) {
+pub async fn send_heartbeats(address: SocketAddr, mut heartbeats: watch::Receiver<PeerHeartbeat>) {
     loop {
         let connected = timeout(WRITE_TIMEOUT, TcpStream::connect(address)).await;
         if let Ok(Ok(stream)) = connected {
-            send_heartbeats(stream, &mut heartbeats).await;
+            send_until_closed(stream, &mut heartbeats).await;
         }
         sleep(RECONNECT_PAUSE).await;
     }
 }
 
 /// Sends heartbeats until the connection can't be used any more.
-async fn send_heartbeats(mut stream: TcpStream, heartbeats: &mut watch::Receiver<PeerHeartbeat>) {
+async fn send_until_closed(mut stream: TcpStream, heartbeats: &mut watch::Receiver<PeerHeartbeat>) {
     let _ = stream.set_nodelay(true);
     while heartbeats.changed().await.is_ok() {
         let written = PEER_FRAMES.time(|| rmp_serde::to_vec(&*heartbeats.borrow_and_update()));
--- a/crates/glenmount/src/peer_link/tests.rs
+++ b/crates/glenmount/src/peer_link/tests.rs
@@ -1,7 +1,7 @@
 //! Frames between controllers, and the connections that carry them.
 
-use super::frames::read;
-use super::{listen, tell};
+use super::frames::read_heartbeat;
+use super::{receive_heartbeats, send_heartbeats};
 use glenmount_core::controller::{ControllerStatus, Event, PeerHeartbeat};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -24,7 +24,7 @@
     let digits = SAMPLE.as_bytes().chunks(2);
     let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
     let frame: Vec<u8> = digits.map(byte).collect();
-    let sample = read(&frame).unwrap();
+    let sample = read_heartbeat(&frame).unwrap();
     assert_eq!(
         (sample.controller.as_str(), sample.at),
         ("bothy-1", 1_700_000_000_000)
@@ -37,7 +37,7 @@
     let mut longer = frame.clone();
     longer[0] += 2;
     longer.extend([0xc3, 0x92, 0x01, 0xc0]);
-    assert_eq!(read(&longer), Some(sample.clone()));
+    assert_eq!(read_heartbeat(&longer), Some(sample.clone()));
     assert!(rmp_serde::from_slice::<PeerHeartbeat>(&longer).is_err());
     // This version's, and one that says more of itself.
     let said = ControllerStatus {
@@ -51,14 +51,17 @@
         ..sample
     };
     let frame = rmp_serde::to_vec(&said).unwrap();
-    assert_eq!((frame[0], read(&frame)), (0x98, Some(said.clone())));
+    assert_eq!(
+        (frame[0], read_heartbeat(&frame)),
+        (0x98, Some(said.clone()))
+    );
     let at = frame.iter().rposition(|b| *b == 0x99).unwrap();
     let mut longer = frame.clone();
     longer[at] += 1;
     longer.push(0xc0);
-    assert_eq!(read(&longer), Some(said));
+    assert_eq!(read_heartbeat(&longer), Some(said));
     for broken in [&frame[..9], &[], &[0x91, 0xc3], b"{}"] {
-        assert_eq!(read(broken), None);
+        assert_eq!(read_heartbeat(broken), None);
     }
 }
 
@@ -68,7 +71,7 @@
     let scenario = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (sender, heartbeats) = watch::channel(PeerHeartbeat::default());
-        tokio::spawn(tell(listener.local_addr().unwrap(), heartbeats));
+        tokio::spawn(send_heartbeats(listener.local_addr().unwrap(), heartbeats));
         let (first, _) = listener.accept().await.unwrap();
         let (core, mut events) = mpsc::channel(8);
         sender.send(heartbeat("a")).unwrap();
@@ -78,7 +81,7 @@
             first.read_exact(&mut vec![0; len as usize]).await.unwrap();
         });
         sleep(Duration::from_millis(50)).await;
-        tokio::spawn(listen(listener, core));
+        tokio::spawn(receive_heartbeats(listener, core));
         sender.send(heartbeat("b")).unwrap();
         let heard = events.recv().await;
         assert!(matches!(heard, Some(Event::PeerHeartbeat(b)) if b.controller == "b"));
@@ -96,7 +99,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let (core, mut events) = mpsc::channel(8);
-        tokio::spawn(listen(listener, core));
+        tokio::spawn(receive_heartbeats(listener, core));
         let mut links = Vec::new();
         let frame = rmp_serde::to_vec(&heartbeat("a")).unwrap();
         for _ in 0..2 {
--- a/crates/glenmount/src/settings/mod.rs
+++ b/crates/glenmount/src/settings/mod.rs
@@ -6,7 +6,7 @@
 mod quota;
 
 pub use checks::SettingsError;
-pub use operator::{operator, OperatorSettings};
+pub use operator::{read_operator_settings, OperatorSettings};
 pub use quota::ScarceResource;
 
 use crate::state_client::Rates;
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 /// The first setting that is missing or out of range, in this file or in the operators' own.
-pub fn config(text: &str, operator: &OperatorSettings) -> Result<Config, SettingsError> {
+pub fn read_config(text: &str, operator: &OperatorSettings) -> Result<Config, SettingsError> {
     let file = SettingsFile::parse(text)?;
     let params = &file.settings;
     let controllers = file.controllers()?;
--- a/crates/glenmount/src/settings/operator.rs
+++ b/crates/glenmount/src/settings/operator.rs
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// The text is not XML, or a value is of the wrong type.
-pub fn operator(xml: &str) -> Result<OperatorSettings, SettingsError> {
+pub fn read_operator_settings(xml: &str) -> Result<OperatorSettings, SettingsError> {
     Ok(quick_xml::de::from_str(xml)?)
 }
 
--- a/crates/glenmount/src/settings/tests.rs
+++ b/crates/glenmount/src/settings/tests.rs
@@ -1,7 +1,7 @@
 //! Both settings files: what is read, and what is refused.
 
 use super::quota::Quota;
-use super::{config, operator, OperatorSettings};
+use super::{read_config, read_operator_settings, OperatorSettings};
 use glenmount_core::tuning::Tuning;
 
 const SAMPLE: &str = r#"
@@ -44,7 +44,7 @@
 
 #[test]
 fn reads_settings_and_ignores_unknown_fields() {
-    let c = config(SAMPLE, &OperatorSettings::default()).unwrap();
+    let c = read_config(SAMPLE, &OperatorSettings::default()).unwrap();
     assert_eq!(c.core.controllers, ["a-0", "a-1"]);
     assert_eq!(c.core.policy.teams["t"].cpus_max, 4000);
     assert_eq!(c.state_rates.requests_per_s, 50.0);
@@ -112,7 +112,7 @@
         ),
     ];
     for (from, to, field) in cases {
-        let error = config(&SAMPLE.replace(from, to), &OperatorSettings::default())
+        let error = read_config(&SAMPLE.replace(from, to), &OperatorSettings::default())
             .unwrap_err()
             .to_string();
         assert!(error.contains(field), "{error}");
@@ -123,7 +123,7 @@
 #[test]
 fn announced_limits_count_from_the_start_where_they_are_smaller() {
     let next = "value_kb = 8.0\n next = { value_kb = 2.0, txn_ops = 40, write_rps = 30.0 }";
-    let c = config(
+    let c = read_config(
         &SAMPLE.replace("value_kb = 8.0", next),
         &OperatorSettings::default(),
     )
@@ -138,23 +138,23 @@
 #[test]
 fn operators_settings_are_xml_and_checked() {
     let xml = "<operator-settings><idle-return-s>90</idle-return-s></operator-settings>";
-    let c = config(SAMPLE, &operator(xml).unwrap()).unwrap();
+    let c = read_config(SAMPLE, &read_operator_settings(xml).unwrap()).unwrap();
     assert_eq!(c.core.idle_return_ms, 90_000);
     assert!(!c.core.learned.learn);
     let xml = "<operator-settings><learned-run-times><for>due</for><for>notice</for>\
                </learned-run-times></operator-settings>";
-    let c = config(SAMPLE, &operator(xml).unwrap()).unwrap();
+    let c = read_config(SAMPLE, &read_operator_settings(xml).unwrap()).unwrap();
     let learned = c.core.learned;
     assert!(learned.learn && learned.due && learned.notice && !learned.stops);
     let file = include_str!("../../../../deploy/learned-run-times.xml");
-    let c = config(SAMPLE, &operator(file).unwrap()).unwrap();
+    let c = read_config(SAMPLE, &read_operator_settings(file).unwrap()).unwrap();
     assert!(c.core.learned.learn && c.core.learned.order && c.core.learned.due);
     let none = "<operator-settings><learned-run-times/></operator-settings>";
-    let c = config(SAMPLE, &operator(none).unwrap()).unwrap();
+    let c = read_config(SAMPLE, &read_operator_settings(none).unwrap()).unwrap();
     assert!(c.core.learned.learn && !c.core.learned.due);
-    let error = config(
+    let error = read_config(
         SAMPLE,
-        &operator(&xml.replace("due", "everything")).unwrap(),
+        &read_operator_settings(&xml.replace("due", "everything")).unwrap(),
     );
     assert!(error
         .unwrap_err()
@@ -162,27 +162,30 @@
         .contains("learned-run-times.for"));
     // The shown file has the defaults.
     let shown = include_str!("../../../../deploy/operator-settings.xml");
-    let c = config(SAMPLE, &operator(shown).unwrap()).unwrap();
+    let c = read_config(SAMPLE, &read_operator_settings(shown).unwrap()).unwrap();
     assert_eq!(c.core.tuning, Tuning::default());
     let off = shown.replace(">true<", ">false<").replace(">0.5<", ">1<");
-    let c = config(SAMPLE, &operator(&off).unwrap()).unwrap();
+    let c = read_config(SAMPLE, &read_operator_settings(&off).unwrap()).unwrap();
     let t = c.core.tuning;
     let file = include_str!("../../../../deploy/even-spread.xml");
-    let c = config(SAMPLE, &operator(file).unwrap()).unwrap();
+    let c = read_config(SAMPLE, &read_operator_settings(file).unwrap()).unwrap();
     assert!(c.core.tuning.even_spread && c.core.tuning.put_off);
     assert!(!t.lost_zones && !t.put_off && t.machine_share_of_service == 1.0);
-    let error = config(SAMPLE, &operator(&shown.replace(">0.5<", ">0<")).unwrap());
+    let error = read_config(
+        SAMPLE,
+        &read_operator_settings(&shown.replace(">0.5<", ">0<")).unwrap(),
+    );
     assert!(error
         .unwrap_err()
         .to_string()
         .contains("service-share-per-machine"));
     let xml = "<operator-settings><idle-return-s>-1</idle-return-s></operator-settings>";
-    let error = config(SAMPLE, &operator(xml).unwrap())
+    let error = read_config(SAMPLE, &read_operator_settings(xml).unwrap())
         .unwrap_err()
         .to_string();
     assert!(error.contains("idle-return-s"), "{error}");
-    assert!(
-        operator("<operator-settings><idle-return-s>x</idle-return-s></operator-settings>")
-            .is_err()
-    );
+    assert!(read_operator_settings(
+        "<operator-settings><idle-return-s>x</idle-return-s></operator-settings>"
+    )
+    .is_err());
 }
--- a/crates/glenmount/src/startup.rs
+++ b/crates/glenmount/src/startup.rs
@@ -88,10 +88,13 @@
         config: &Config,
     ) -> Result<watch::Sender<PeerHeartbeat>, StartError> {
         let listener = listen("cluster_listen", config.cluster_listen).await?;
-        self.spawn(peer_link::listen(listener, self.event_sender.clone()));
+        self.spawn(peer_link::receive_heartbeats(
+            listener,
+            self.event_sender.clone(),
+        ));
         let (sender, heartbeats) = watch::channel(PeerHeartbeat::default());
         for (_, address) in &config.peers {
-            self.spawn(peer_link::tell(*address, heartbeats.clone()));
+            self.spawn(peer_link::send_heartbeats(*address, heartbeats.clone()));
         }
         Ok(sender)
     }
--- a/crates/glenmount/src/state_client/exchange.rs
+++ b/crates/glenmount/src/state_client/exchange.rs
@@ -127,16 +127,16 @@
     let Answer { status, body } = answer;
     let known = match (operation, status) {
         (StateOperation::Transaction(_), 200) => {
-            wire::revision(body).map(|revision| StateResponse::Committed { revision })
+            wire::read_revision(body).map(|revision| StateResponse::Committed { revision })
         }
         (StateOperation::Transaction(_), 409) => {
             tracing::debug!(answer = %start_of(body, CONFLICT_LOGGED_BYTES), "conflict");
-            wire::revision(body).map(|revision| StateResponse::Conflict { revision })
+            wire::read_revision(body).map(|revision| StateResponse::Conflict { revision })
         }
         (StateOperation::ReadIndex, 404) => {
-            wire::revision(body).map(|revision| StateResponse::ReadIndex { revision })
+            wire::read_revision(body).map(|revision| StateResponse::ReadIndex { revision })
         }
-        (StateOperation::List { .. }, 200) => RECORDS_READ.time(|| wire::list_page(body)),
+        (StateOperation::List { .. }, 200) => RECORDS_READ.time(|| wire::read_list_page(body)),
         (_, 400) => Some(StateResponse::Refused),
         _ => None,
     };
--- a/crates/glenmount/src/state_client/watch.rs
+++ b/crates/glenmount/src/state_client/watch.rs
@@ -75,7 +75,7 @@
     }
 
     async fn tell_changes(&mut self, body: &[u8]) -> Result<(), Closed> {
-        match RECORDS_READ.time(|| wire::watched(body)) {
+        match RECORDS_READ.time(|| wire::read_changes(body)) {
             Ok((revision, changes)) => {
                 self.revision = self.revision.max(revision);
                 let event = Event::WatchUpdate { revision, changes };
--- a/crates/glenmount/src/tests/peer_frames.rs
+++ b/crates/glenmount/src/tests/peer_frames.rs
@@ -1,7 +1,7 @@
 //! Frames between controllers.
 
 use super::{check_lines, in_time, listener};
-use crate::peer_link::{listen, tell};
+use crate::peer_link::{receive_heartbeats, send_heartbeats};
 use glenmount_core::controller::{Event, PeerHeartbeat};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -21,7 +21,7 @@
     let listener = listener().await;
     let address = listener.local_addr().expect("an address");
     let (core, mut events) = mpsc::channel(1);
-    tokio::spawn(listen(listener, core));
+    tokio::spawn(receive_heartbeats(listener, core));
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_u32(length).await.expect("sent");
     // The connection may be closed before all of it is sent.
@@ -40,7 +40,7 @@
     let listener = listener().await;
     let (heartbeat_in, heartbeats) = watch::channel(PeerHeartbeat::default());
     let peer = listener.local_addr().expect("an address");
-    tokio::spawn(tell(peer, heartbeats));
+    tokio::spawn(send_heartbeats(peer, heartbeats));
     let (mut stream, _) = listener.accept().await.expect("a connection");
     heartbeat_in.send(heartbeat).expect("a receiver");
     let length = stream.read_u32().await.expect("a length");
--- a/crates/glenmount/src/tests/settings_forms.rs
+++ b/crates/glenmount/src/tests/settings_forms.rs
@@ -78,7 +78,7 @@
             include_str!("../../tests/samples/settings_least.txt"),
         ),
     ] {
-        let config = settings::config(text, &OperatorSettings::default()).expect("settings");
+        let config = settings::read_config(text, &OperatorSettings::default()).expect("settings");
         assert_eq!(show(&config), expected);
     }
 }
@@ -89,7 +89,7 @@
     check_lines("refused_settings.tsv", sample, |columns| async move {
         assert!(ALL.contains(columns[0]), "{}", columns[0]);
         let text = ALL.replacen(columns[0], &columns[1].replace("\\n", "\n"), 1);
-        match settings::config(&text, &OperatorSettings::default()) {
+        match settings::read_config(&text, &OperatorSettings::default()) {
             Ok(_) => "read".to_string(),
             Err(error) => error.to_string(),
         }
@@ -111,9 +111,9 @@
 async fn operators_settings_are_read_or_refused_with_their_fault() {
     let sample = include_str!("../../tests/samples/operator_settings.tsv");
     check_lines("operator_settings.tsv", sample, |columns| async move {
-        let usual = settings::config(LEAST, &OperatorSettings::default()).expect("settings");
-        let read = settings::operator(deployed(columns[0]));
-        match read.and_then(|operator| settings::config(LEAST, &operator)) {
+        let usual = settings::read_config(LEAST, &OperatorSettings::default()).expect("settings");
+        let read = settings::read_operator_settings(deployed(columns[0]));
+        match read.and_then(|operator| settings::read_config(LEAST, &operator)) {
             Ok(config) => {
                 let (usual, shown) = (show(&usual), show(&config));
                 let pairs = usual.lines().zip(shown.lines());
--- a/crates/glenmount/src/tests/worker_commands.rs
+++ b/crates/glenmount/src/tests/worker_commands.rs
@@ -40,7 +40,7 @@
     WorkerClient::new(core).send(Command {
         machine: "n-1".into(),
         address,
-        body: wire::command(7, 41, &commands),
+        body: wire::write_command(7, 41, &commands),
         kind: CommandKind::of(&commands),
     });
     let asked = in_time(answer_once(&listener, status, body)).await;
--- a/crates/glenmount/src/wire/cloud.rs
+++ b/crates/glenmount/src/wire/cloud.rs
@@ -65,7 +65,7 @@
 }
 
 /// Reads the list of machine types; nothing where it is malformed.
-pub fn catalog(body: &[u8]) -> Option<Vec<MachineType>> {
+pub fn read_catalog(body: &[u8]) -> Option<Vec<MachineType>> {
     let catalog: Catalog = serde_json::from_slice(body).ok()?;
     let entries = catalog.machine_types.into_iter();
     Some(entries.map(CatalogEntry::into_machine_type).collect())
@@ -100,7 +100,7 @@
 }
 
 /// Reads the names of the instances that were provisioned; nothing where the answer is malformed.
-pub fn hired(body: &[u8]) -> Option<Vec<String>> {
+pub fn read_provisioned(body: &[u8]) -> Option<Vec<String>> {
     let instances: ProvisionedInstances = serde_json::from_slice(body).ok()?;
     Some(instances.names)
 }
@@ -168,7 +168,7 @@
 
 /// Reads a page of the list of instances, and whether another one follows; nothing where it is
 /// malformed.
-pub fn instances(body: &[u8]) -> Option<(Vec<CloudInstance>, bool)> {
+pub fn read_instances(body: &[u8]) -> Option<(Vec<CloudInstance>, bool)> {
     let page: InstancePage = serde_json::from_slice(body).ok()?;
     let instances = page.instances.into_iter().map(Instance::into_host);
     Some((instances.collect(), page.has_more))
--- a/crates/glenmount/src/wire/mod.rs
+++ b/crates/glenmount/src/wire/mod.rs
@@ -8,8 +8,8 @@
 mod users;
 mod workers;
 
-pub use users::{job_id, submission, user_reply};
-pub use workers::{command, report, worker_reply};
+pub use users::{is_job_id, read_submission, write_user_reply};
+pub use workers::{read_heartbeat, write_command, write_worker_reply};
 
 use serde::Serialize;
 
--- a/crates/glenmount/src/wire/state_store.rs
+++ b/crates/glenmount/src/wire/state_store.rs
@@ -37,7 +37,7 @@
 }
 
 /// Reads the revision that an answer tells; nothing where it is malformed.
-pub fn revision(body: &[u8]) -> Option<u64> {
+pub fn read_revision(body: &[u8]) -> Option<u64> {
     let body: RevisionBody = serde_json::from_slice(body).ok()?;
     Some(body.revision)
 }
@@ -72,7 +72,7 @@
 }
 
 /// Reads a page of records; nothing where it is malformed.
-pub fn list_page(body: &[u8]) -> Option<StateResponse> {
+pub fn read_list_page(body: &[u8]) -> Option<StateResponse> {
     let page: ListBody = serde_json::from_slice(body).ok()?;
     Some(StateResponse::Listed {
         items: page.items.iter().filter_map(Item::record).collect(),
@@ -118,7 +118,7 @@
 ///
 /// # Errors
 /// The body is not of the published form.
-pub fn watched(body: &[u8]) -> serde_json::Result<(u64, Vec<Change>)> {
+pub fn read_changes(body: &[u8]) -> serde_json::Result<(u64, Vec<Change>)> {
     let body: WatchBody = serde_json::from_slice(body)?;
     let changes = body.changes.iter().filter_map(News::change);
     Ok((body.revision, changes.collect()))
--- a/crates/glenmount/src/wire/tests.rs
+++ b/crates/glenmount/src/wire/tests.rs
@@ -1,6 +1,6 @@
 //! The published messages, read and written.
 
-use super::{command, report, submission, user_reply, worker_reply};
+use super::{read_heartbeat, read_submission, write_command, write_user_reply, write_worker_reply};
 use glenmount_core::controller::{UserReply, WorkerReply};
 use glenmount_core::model::{ExitCause, JobPriority, JobState, TaskId, TaskPhase, WorkerCommand};
 use serde_json::{json, Value};
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_submission_is_read_and_each_fault_is_found() {
-    let spec = submission(good().to_string().as_bytes()).unwrap();
+    let spec = read_submission(good().to_string().as_bytes()).unwrap();
     assert_eq!(
         (spec.tasks, spec.resources.cpus, spec.priority),
         (16, 8000, JobPriority::High)
@@ -44,22 +44,25 @@
         let mut body = good();
         body[field] = value.clone();
         assert!(
-            submission(body.to_string().as_bytes()).is_err(),
+            read_submission(body.to_string().as_bytes()).is_err(),
             "{field} = {value}"
         );
     }
     for body in ["", "[]", "7", "{", "null"] {
-        assert!(submission(body.as_bytes()).is_err(), "{body}");
+        assert!(read_submission(body.as_bytes()).is_err(), "{body}");
     }
     for field in ["pullGb", "accelerators", "expectS", "snapshotS", "flushS"] {
         let mut body = good();
         body[field] = json!(0);
-        assert!(submission(body.to_string().as_bytes()).is_ok(), "{field}");
+        assert!(
+            read_submission(body.to_string().as_bytes()).is_ok(),
+            "{field}"
+        );
     }
     let dependencies = |value: Value| {
         let mut body = good();
         body["awaits"] = value;
-        submission(body.to_string().as_bytes())
+        read_submission(body.to_string().as_bytes())
             .unwrap()
             .dependencies
     };
@@ -69,7 +72,10 @@
     for field in ["nameId", "drops", "scatter", "flushS"] {
         let mut body = good();
         body.as_object_mut().unwrap().remove(field);
-        assert!(submission(body.to_string().as_bytes()).is_err(), "{field}");
+        assert!(
+            read_submission(body.to_string().as_bytes()).is_err(),
+            "{field}"
+        );
     }
 }
 
@@ -94,11 +100,11 @@
         {"verb":"halt","drop":"j-000412/4","try":2,"leewayS":10.0},
         {"verb":"forget","drop":"j-000412/4","try":2}]);
     assert_eq!(
-        read(&command(1, 41, &told)),
+        read(&write_command(1, 41, &told)),
         json!({"fence":41,"tenure":1,"orders":verbs})
     );
     let reply = |r| {
-        let (status, body) = worker_reply(&r);
+        let (status, body) = write_worker_reply(&r);
         (status, read(&body))
     };
     let commands = WorkerReply::Commands {
@@ -113,7 +119,7 @@
     assert_eq!(reply(away(None)), (421, json!({})));
     assert_eq!(reply(WorkerReply::Unavailable).0, 503);
     let user = |r| {
-        let (status, body, after) = user_reply(&r);
+        let (status, body, after) = write_user_reply(&r);
         (status, read(&body), after)
     };
     let job = || "j-000412".to_string();
@@ -155,15 +161,17 @@
         "reclaimable":true,"tenure":1,"tally":88,"fence":41,
         "drops":[{"drop":"j-000412/3","try":2,"standing":"running"},
                  {"drop":"j-000398/0","try":1,"standing":"exited","cause":"no_room"}]});
-    let r = report(body.to_string().as_bytes()).unwrap();
+    let r = read_heartbeat(body.to_string().as_bytes()).unwrap();
     assert_eq!(r.tasks[0].task.index, 3);
     assert_eq!(r.tasks[1].phase, TaskPhase::Exited(ExitCause::NoResources));
-    assert!(report(b"{}").is_err());
+    assert!(read_heartbeat(b"{}").is_err());
     // Nothing is learned from a machine that counts wrongly: what comes after would look old.
     for (field, value) in [("tenure", 0), ("tenure", u64::MAX), ("tally", u64::MAX)] {
         let mut body = body.clone();
         body[field] = value.into();
-        let why = report(body.to_string().as_bytes()).unwrap_err().to_string();
+        let why = read_heartbeat(body.to_string().as_bytes())
+            .unwrap_err()
+            .to_string();
         assert!(why.starts_with(field), "{why}");
     }
 }
--- a/crates/glenmount/src/wire/users.rs
+++ b/crates/glenmount/src/wire/users.rs
@@ -84,7 +84,7 @@
 }
 
 /// Whether this is the form of a job's id: `j-` and up to 18 digits.
-pub fn job_id(text: &str) -> bool {
+pub fn is_job_id(text: &str) -> bool {
     let Some(digits) = text.strip_prefix("j-") else {
         return false;
     };
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 /// The first field, in a fixed order, that is missing, malformed or out of range.
-pub fn submission(body: &[u8]) -> Result<JobSpec, SubmissionError> {
+pub fn read_submission(body: &[u8]) -> Result<JobSpec, SubmissionError> {
     let value: Value = serde_json::from_slice(body)?;
     if !value.is_object() {
         return Err(SubmissionError::NotAnObject);
@@ -108,7 +108,7 @@
 impl Submission {
     /// What is checked before any other field: the id, and the lengths of what the job consists of.
     fn check_identity(&self) -> Result<(), SubmissionError> {
-        if !job_id(&self.id) {
+        if !is_job_id(&self.id) {
             return Err(SubmissionError::MalformedId);
         }
         self.task_count()?;
@@ -116,7 +116,7 @@
         if machine_types.len() > MACHINE_TYPES_MOST {
             return Err(SubmissionError::ListLength("flavours"));
         }
-        if !self.dependencies.iter().flatten().all(|id| job_id(id)) {
+        if !self.dependencies.iter().flatten().all(|id| is_job_id(id)) {
             return Err(SubmissionError::MalformedDependency);
         }
         Ok(())
@@ -246,7 +246,7 @@
 /// Status, body and seconds of `Retry-After` of an answer to a user.
 ///
 /// Bodies are written from structs, without a tree of JSON values between: polls are many.
-pub fn user_reply(reply: &UserReply) -> (u16, String, Option<u32>) {
+pub fn write_user_reply(reply: &UserReply) -> (u16, String, Option<u32>) {
     let error = |error| to_json(&ErrorBody { error });
     match reply {
         UserReply::Accepted { job } => {
--- a/crates/glenmount/src/wire/workers.rs
+++ b/crates/glenmount/src/wire/workers.rs
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 /// The first field that is missing, malformed or out of range.
-pub fn report(body: &[u8]) -> Result<WorkerHeartbeat, HeartbeatError> {
+pub fn read_heartbeat(body: &[u8]) -> Result<WorkerHeartbeat, HeartbeatError> {
     let heartbeat: CheckIn = serde_json::from_slice(body)?;
     heartbeat.check()?;
     let tasks = heartbeat.tasks.into_iter().map(Drop::into_report);
@@ -208,7 +208,7 @@
 
 /// The body of a direct command: the incarnation of the worker that it is for, the controller's
 /// fencing token and what is to be done.
-pub fn command(incarnation: u64, fencing_token: u64, commands: &[WorkerCommand]) -> String {
+pub fn write_command(incarnation: u64, fencing_token: u64, commands: &[WorkerCommand]) -> String {
     commands(fencing_token, Some(incarnation), commands)
 }
 
@@ -220,7 +220,7 @@
 }
 
 /// Status and body of the answer to a heartbeat.
-pub fn worker_reply(reply: &WorkerReply) -> (u16, String) {
+pub fn write_worker_reply(reply: &WorkerReply) -> (u16, String) {
     match reply {
         WorkerReply::Commands { token, commands } => (200, commands(*token, None, commands)),
         WorkerReply::Redirect { controller } => {
--- a/crates/glenmount/src/worker_client.rs
+++ b/crates/glenmount/src/worker_client.rs
@@ -135,7 +135,7 @@
     let Some(answer) = answer else {
         return Outcome::without_report(CommandOutcome::NoAnswer);
     };
-    let report = || wire::report(&answer.body).ok().map(Box::new);
+    let report = || wire::read_heartbeat(&answer.body).ok().map(Box::new);
     match answer.status {
         200 if command.kind == CommandKind::Starts => {
             Outcome::without_report(CommandOutcome::Accepted)
