--- a/crates/glenmount/src/cloud_client.rs
+++ b/crates/glenmount/src/cloud_client.rs
@@ -97,8 +97,7 @@
         CloudOperation::List { after } => {
             let path = wire::instances_page_path(after.as_deref());
             let answer = http.get(&path, LIMITS).await?;
-            let (instances, more) = wire::read_instances(&ok_body(answer)?)?;
-            Some(CloudResponse::Instances { instances, more })
+            wire::read_instances(&ok_body(answer)?)
         }
     }
 }
--- a/crates/glenmount/src/http_server.rs
+++ b/crates/glenmount/src/http_server.rs
@@ -147,19 +147,20 @@
         }
         match reply.await {
             Ok(CoreReply::User(reply)) => {
-                let (status, body, retry_after_s) =
-                    REPLIES_WRITTEN.time(|| wire::write_user_reply(&reply));
-                json(status, body, retry_after_s)
+                respond(REPLIES_WRITTEN.time(|| wire::write_user_reply(&reply)))
             }
             Ok(CoreReply::Worker(reply)) => {
-                let (status, body) = REPLIES_WRITTEN.time(|| wire::write_worker_reply(&reply));
-                json(status, body, None)
+                respond(REPLIES_WRITTEN.time(|| wire::write_worker_reply(&reply)))
             }
             Err(_) => busy("{\"error\":\"no answer\"}"),
         }
     }
 }
 
+fn respond(reply: wire::Reply) -> Response<Body> {
+    json(reply.status, reply.body, reply.retry_after_s)
+}
+
 fn json(status: u16, body: String, retry_after_s: Option<u32>) -> Response<Body> {
     let mut response = Response::builder()
         .status(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR))
--- a/crates/glenmount/src/wire/cloud.rs
+++ b/crates/glenmount/src/wire/cloud.rs
@@ -2,6 +2,7 @@
 
 use super::to_json;
 use glenmount_core::constants::INSTANCE_LIST_PAGE;
+use glenmount_core::controller::CloudResponse;
 use glenmount_core::model::{
     have_milli, CloudInstance, CloudInstanceState, MachineType, Resources,
 };
@@ -166,10 +167,12 @@
     }
 }
 
-/// Reads a page of the list of instances, and whether another one follows; nothing where it is
-/// malformed.
-pub fn read_instances(body: &[u8]) -> Option<(Vec<CloudInstance>, bool)> {
+/// Reads a page of the list of instances; nothing where it is malformed.
+pub fn read_instances(body: &[u8]) -> Option<CloudResponse> {
     let page: InstancePage = serde_json::from_slice(body).ok()?;
     let instances = page.instances.into_iter().map(Instance::into_host);
-    Some((instances.collect(), page.has_more))
+    Some(CloudResponse::Instances {
+        instances: instances.collect(),
+        more: page.has_more,
+    })
 }
--- a/crates/glenmount/src/wire/mod.rs
+++ b/crates/glenmount/src/wire/mod.rs
@@ -16,6 +16,27 @@
 /// Bytes of a name or other text in a message at most: these stand in stored records.
 const TEXT_BYTES: usize = 200;
 
+/// An answer to a request, as it goes out.
+#[derive(Debug, PartialEq, Eq)]
+pub struct Reply {
+    /// The HTTP status.
+    pub status: u16,
+    /// JSON.
+    pub body: String,
+    /// Seconds after which the request is worth another try.
+    pub retry_after_s: Option<u32>,
+}
+
+impl Reply {
+    fn new(status: u16, message: &impl Serialize) -> Reply {
+        Reply {
+            status,
+            body: to_json(message),
+            retry_after_s: None,
+        }
+    }
+}
+
 /// The body of an answer that refuses a request.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
--- a/crates/glenmount/src/wire/tests.rs
+++ b/crates/glenmount/src/wire/tests.rs
@@ -104,8 +104,9 @@
         json!({"fence":41,"tenure":1,"orders":verbs})
     );
     let reply = |r| {
-        let (status, body) = write_worker_reply(&r);
-        (status, read(&body))
+        let reply = write_worker_reply(&r);
+        assert_eq!(reply.retry_after_s, None);
+        (reply.status, read(&reply.body))
     };
     let commands = WorkerReply::Commands {
         token: 41,
@@ -119,8 +120,8 @@
     assert_eq!(reply(away(None)), (421, json!({})));
     assert_eq!(reply(WorkerReply::Unavailable).0, 503);
     let user = |r| {
-        let (status, body, after) = write_user_reply(&r);
-        (status, read(&body), after)
+        let reply = write_user_reply(&r);
+        (reply.status, read(&reply.body), reply.retry_after_s)
     };
     let job = || "j-000412".to_string();
     let state = UserReply::Status {
--- a/crates/glenmount/src/wire/users.rs
+++ b/crates/glenmount/src/wire/users.rs
@@ -1,6 +1,6 @@
 //! Messages between users and the controller: submissions, and the answers to all requests.
 
-use super::{has_text_length, to_json, ErrorBody};
+use super::{has_text_length, ErrorBody, Reply};
 use glenmount_core::constants::JOB_TASKS;
 use glenmount_core::controller::UserReply;
 use glenmount_core::model::{need_milli, JobKind, JobPriority, JobSpec, JobState, Resources};
@@ -243,15 +243,14 @@
     }
 }
 
-/// Status, body and seconds of `Retry-After` of an answer to a user.
+/// Writes the answer to a user.
 ///
 /// Bodies are written from structs, without a tree of JSON values between: polls are many.
-pub fn write_user_reply(reply: &UserReply) -> (u16, String, Option<u32>) {
-    let error = |error| to_json(&ErrorBody { error });
+pub fn write_user_reply(reply: &UserReply) -> Reply {
+    let refusal = |status, error| Reply::new(status, &ErrorBody { error });
     match reply {
         UserReply::Accepted { job } => {
-            let body = JobBody::state_only(job, JobState::Pending);
-            (201, to_json(&body), None)
+            Reply::new(201, &JobBody::state_only(job, JobState::Pending))
         }
         UserReply::Status {
             job,
@@ -265,14 +264,14 @@
                 tasks_done: Some(*done),
                 tasks_running: Some(*running),
             };
-            (200, to_json(&body), None)
+            Reply::new(200, &body)
         }
-        UserReply::Cancelled { job, state } => {
-            let body = JobBody::state_only(job, *state);
-            (200, to_json(&body), None)
-        }
-        UserReply::NotFound => (404, error("no such job"), None),
-        UserReply::Rejected(reason) => (422, error(reason), None),
-        UserReply::RetryAfter { after_s } => (503, error("can't decide now"), Some(*after_s)),
+        UserReply::Cancelled { job, state } => Reply::new(200, &JobBody::state_only(job, *state)),
+        UserReply::NotFound => refusal(404, "no such job"),
+        UserReply::Rejected(reason) => refusal(422, reason),
+        UserReply::RetryAfter { after_s } => Reply {
+            retry_after_s: Some(*after_s),
+            ..refusal(503, "can't decide now")
+        },
     }
 }
--- a/crates/glenmount/src/wire/workers.rs
+++ b/crates/glenmount/src/wire/workers.rs
@@ -1,6 +1,6 @@
 //! Messages between workers and the controller: heartbeats, their answers, and direct commands.
 
-use super::{to_json, ErrorBody, TEXT_BYTES};
+use super::{to_json, ErrorBody, Reply, TEXT_BYTES};
 use glenmount_core::constants::{HEARTBEAT_MAX_TASKS, MAX_INCARNATION, MAX_SEQUENCE};
 use glenmount_core::controller::WorkerReply;
 use glenmount_core::model::{
@@ -198,18 +198,22 @@
     commands: Vec<Command<'a>>,
 }
 
-fn commands(fencing_token: u64, incarnation: Option<u64>, commands: &[WorkerCommand]) -> String {
-    to_json(&Commands {
+fn commands(
+    fencing_token: u64,
+    incarnation: Option<u64>,
+    commands: &[WorkerCommand],
+) -> Commands<'_> {
+    Commands {
         fencing_token,
         incarnation,
         commands: commands.iter().map(Command::of).collect(),
-    })
+    }
 }
 
 /// The body of a direct command: the incarnation of the worker that it is for, the controller's
 /// fencing token and what is to be done.
 pub fn write_command(incarnation: u64, fencing_token: u64, commands: &[WorkerCommand]) -> String {
-    commands(fencing_token, Some(incarnation), commands)
+    to_json(&commands(fencing_token, Some(incarnation), commands))
 }
 
 /// Sends a worker to the controller that is in charge of it, where that one is known.
@@ -219,14 +223,16 @@
     controller: Option<&'a str>,
 }
 
-/// Status and body of the answer to a heartbeat.
-pub fn write_worker_reply(reply: &WorkerReply) -> (u16, String) {
+/// Writes the answer to a heartbeat.
+pub fn write_worker_reply(reply: &WorkerReply) -> Reply {
     match reply {
-        WorkerReply::Commands { token, commands } => (200, commands(*token, None, commands)),
+        WorkerReply::Commands { token, commands } => {
+            Reply::new(200, &commands(*token, None, commands))
+        }
         WorkerReply::Redirect { controller } => {
             let controller = controller.as_deref();
-            (421, to_json(&Redirect { controller }))
+            Reply::new(421, &Redirect { controller })
         }
-        WorkerReply::Unavailable => (503, to_json(&ErrorBody { error: "not now" })),
+        WorkerReply::Unavailable => Reply::new(503, &ErrorBody { error: "not now" }),
     }
 }
