--- a/crates/glenmount/src/peer_link/frames.rs
+++ b/crates/glenmount/src/peer_link/frames.rs
@@ -43,7 +43,7 @@
             at: required!(1),
             has_current_state: required!(2),
             workers_reachable: required!(3),
-            heard: required!(4),
+            workers: required!(4),
             just_started: required!(5),
             images: required!(6),
             status: elements
--- a/crates/glenmount/src/peer_link/tests.rs
+++ b/crates/glenmount/src/peer_link/tests.rs
@@ -29,7 +29,10 @@
         (sample.controller.as_str(), sample.at),
         ("bothy-1", 1_700_000_000_000)
     );
-    assert_eq!(sample.heard, [("n-000231".to_string(), 1, 88, 120)]);
+    assert_eq!(
+        sample.workers,
+        [("n-000231".to_string(), 1, 88, 120).into()]
+    );
     assert!(sample.has_current_state && sample.workers_reachable && sample.just_started);
     assert_eq!(sample.images[0].1, [("img-07".to_string(), 1.5)]);
     assert_eq!(rmp_serde::to_vec(&sample).unwrap(), frame);
--- a/crates/glenmount/src/settings/mod.rs
+++ b/crates/glenmount/src/settings/mod.rs
@@ -69,7 +69,7 @@
             checks: Checks::default(),
             tuning: operator.tuning()?,
             controller: file.member.clone(),
-            controllers: controllers,
+            controllers,
             zones: params.zones.clone(),
             zone: file.location.clone().unwrap_or_default(),
             controller_zones: file.zones_by_controller(),
--- a/crates/glenmount/src/wire/workers.rs
+++ b/crates/glenmount/src/wire/workers.rs
@@ -198,7 +198,7 @@
     commands: Vec<Command<'a>>,
 }
 
-fn commands(
+fn command_message(
     fencing_token: u64,
     incarnation: Option<u64>,
     commands: &[WorkerCommand],
@@ -213,7 +213,7 @@
 /// The body of a direct command: the incarnation of the worker that it is for, the controller's
 /// fencing token and what is to be done.
 pub fn write_command(incarnation: u64, fencing_token: u64, commands: &[WorkerCommand]) -> String {
-    to_json(&commands(fencing_token, Some(incarnation), commands))
+    to_json(&command_message(fencing_token, Some(incarnation), commands))
 }
 
 /// Sends a worker to the controller that is in charge of it, where that one is known.
@@ -227,7 +227,7 @@
 pub fn write_worker_reply(reply: &WorkerReply) -> Reply {
     match reply {
         WorkerReply::Commands { token, commands } => {
-            Reply::new(200, &commands(*token, None, commands))
+            Reply::new(200, &command_message(*token, None, commands))
         }
         WorkerReply::Redirect { controller } => {
             let controller = controller.as_deref();
--- a/crates/simulation/src/effects.rs
+++ b/crates/simulation/src/effects.rs
@@ -56,7 +56,7 @@
             } => self.send_command(Command {
                 process,
                 worker: machine,
-                incarnation: incarnation,
+                incarnation,
                 fencing_token: token,
                 commands,
                 answer_expired: false,
