--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -257,7 +257,7 @@
         };
         let before = self.cache.machine(id).map_or(0, |m| m.token_offset);
         let is_raised = machine.token_offset > before;
-        (is_raised && self.workers.starts.token_offset(id)).then(|| id.clone())
+        (is_raised && self.workers.starts.take_token_raise(id)).then(|| id.clone())
     }
 
     /// An own change calls for a pass at once; another's for a later one, as the controller that
--- a/crates/core/src/workers/commands.rs
+++ b/crates/core/src/workers/commands.rs
@@ -140,7 +140,7 @@
                     .silent_since()
                     .is_some();
                 if !again && !zone.is_some_and(|z| self.is_zone_unreachable(z)) {
-                    self.workers.reachability.handle_state_timeout();
+                    self.workers.reachability.command_unanswered();
                 }
                 self.workers.observations.note(&machine).unanswered_at = Some(self.now);
             }
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -47,7 +47,7 @@
     }
 
     /// A direct command got no answer.
-    pub fn handle_state_timeout(&mut self) {
+    pub fn command_unanswered(&mut self) {
         self.unanswered = self.unanswered.saturating_add(1);
     }
 
--- a/crates/core/src/workers/starts.rs
+++ b/crates/core/src/workers/starts.rs
@@ -151,7 +151,7 @@
     }
 
     /// A machine's record shows a higher token. Returns whether this controller asked for it.
-    pub fn token_offset(&mut self, machine: &str) -> bool {
+    pub fn take_token_raise(&mut self, machine: &str) -> bool {
         self.raising.remove(machine)
     }
 
