--- a/crates/glenmount/tests/ending.rs
+++ b/crates/glenmount/tests/ending.rs
@@ -76,7 +76,7 @@
     assert!(signal.unwrap().success());
     let asked = Instant::now();
     assert!(lines.any(|l| l.contains("shutdown requested")));
-    assert!(lines.any(|l| l.contains("ends ")));
+    assert!(lines.any(|l| l.contains("exiting ")));
     let status = loop {
         if let Some(status) = controller.try_wait().unwrap() {
             break status;
