--- a/crates/ctl/src/commands/config.rs
+++ b/crates/ctl/src/commands/config.rs
@@ -65,7 +65,11 @@
         /// KiB of a value, and changes of a transaction, that the state service takes
         #[arg(long, default_value_t = FileLimits::default().value_kb)]
         value_kb: f64,
-        #[arg(long, default_value_t = FileLimits::default().max_transaction_changes)]
+        #[arg(
+            long = "txn-ops",
+            alias = "max-transaction-changes",
+            default_value_t = FileLimits::default().max_transaction_changes
+        )]
         max_transaction_changes: usize,
     },
     /// Waits until every controller follows a version
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -6,6 +6,8 @@
 
 mod commands;
 mod output;
+#[cfg(test)]
+mod tests;
 
 /// glenmount's command for operators
 #[derive(Parser)]
--- a/crates/glenmount/src/tests.rs
+++ b/crates/glenmount/src/tests.rs
@@ -5,6 +5,8 @@
 //! comes of it. Other programs rely on these forms, so the samples are never made anew.
 
 mod cloud_forms;
+mod command_line;
+mod command_line_surface;
 mod peer_frames;
 mod public_protocol;
 mod settings_forms;
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -12,6 +12,9 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+#[cfg(test)]
+mod tests;
+
 /// An invariant was violated, a controller ended by itself, or the run did not come to its end.
 const FAILED: u8 = 1;
 /// The plan, a file or an argument makes no sense.
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -17,6 +17,8 @@
 use xtask::site_variant::{self, SiteVariantError};
 
 mod bench;
+#[cfg(test)]
+mod tests;
 
 #[derive(Parser)]
 #[command(version, about)]
