--- a/crates/core/src/configuration/change.rs
+++ b/crates/core/src/configuration/change.rs
@@ -1,18 +1,18 @@
 //! A change of the configuration: its review, and the transaction that puts it on record.
 
-use super::records::{json_bytes, pages, PAGE_BASE_BYTES};
+use super::records::{json_bytes, paginate, PAGE_BASE_BYTES};
 use super::{
     require, ConfigurationError, ConfigurationPageRecord, ConfigurationVersionRecord, KeptVersion,
-    Policy, PolicySettings, CONFIGURATION_FORM,
+    Policy, PolicySettings, CONFIGURATION_SCHEMA_VERSION,
 };
-use crate::constants::TXN_BYTES;
+use crate::constants::TRANSACTION_MAX_BYTES;
 use crate::model::{JobKind, JobSpec, WallMs};
 use crate::state::{formats, CasTransaction, Key, Record};
 
 /// Versions whose pages are kept, to go back to.
-pub const VERSIONS_KEPT: usize = 32;
+pub const RETAINED_VERSIONS_MAX: usize = 32;
 /// Bytes of the note that an operator leaves with a version.
-pub const NOTE_BYTES: usize = 60;
+pub const NOTE_MAX_BYTES: usize = 60;
 const CHANGE_FRAME_BYTES: usize = 48;
 
 /// Checks a configuration against the jobs that were accepted.
@@ -20,7 +20,7 @@
 /// # Errors
 /// A job's team is removed, or a limit is lower than what a job needs at once (all tasks of a
 /// service, one of an array).
-pub fn review<'a>(
+pub fn validate_for_jobs<'a>(
     policy: &Policy,
     open_jobs: impl Iterator<Item = &'a JobSpec>,
 ) -> Result<(), ConfigurationError> {
@@ -64,7 +64,7 @@
 ///
 /// # Errors
 /// Settings that are contradictory, a note that is too long, or more than one transaction holds.
-pub fn change(
+pub fn change_transaction(
     settings: &PolicySettings,
     current: Option<(&ConfigurationVersionRecord, u64)>,
     configurable: u64,
@@ -73,13 +73,17 @@
     note: &str,
 ) -> Result<CasTransaction, ConfigurationError> {
     settings.check_strictly()?;
-    let is_short = note.len() <= NOTE_BYTES;
-    require(is_short, "note", &format!("longer than {NOTE_BYTES} bytes"))?;
+    let is_short = note.len() <= NOTE_MAX_BYTES;
+    require(
+        is_short,
+        "note",
+        &format!("longer than {NOTE_MAX_BYTES} bytes"),
+    )?;
     let page_bytes = limits.max_value_bytes.saturating_sub(PAGE_BASE_BYTES);
-    let pages = pages(settings, page_bytes);
+    let pages = paginate(settings, page_bytes);
     let before = current.map(|(record, _)| record);
     let mut record = ConfigurationVersionRecord {
-        form: CONFIGURATION_FORM,
+        schema_version: CONFIGURATION_SCHEMA_VERSION,
         version: before.map_or(0, |record| record.version) + 1,
         pages: pages.len() as u32,
         teams: settings.teams.len() as u32,
@@ -116,7 +120,7 @@
         note: before.note.clone(),
     }];
     kept.extend(before.kept.iter().cloned());
-    kept.truncate(VERSIONS_KEPT - 1);
+    kept.truncate(RETAINED_VERSIONS_MAX - 1);
     kept
 }
 
@@ -150,8 +154,8 @@
     let sizes = changes.iter();
     let sizes = sizes.filter_map(|(key, record)| Some(change_bytes(key, record.as_ref()?)));
     let bytes: usize = sizes.sum();
-    let problem = format!("{bytes} bytes, and a transaction takes {TXN_BYTES}");
-    require(bytes <= TXN_BYTES, "settings.teams", &problem)
+    let problem = format!("{bytes} bytes, and a transaction takes {TRANSACTION_MAX_BYTES}");
+    require(bytes <= TRANSACTION_MAX_BYTES, "settings.teams", &problem)
 }
 
 /// Bytes that a change takes in a transaction, at most.
--- a/crates/core/src/configuration/in_force.rs
+++ b/crates/core/src/configuration/in_force.rs
@@ -57,7 +57,9 @@
     /// Whether a policy differs from the settings file, which is logged when it comes into force.
     pub fn differs_from_file(&self, policy: &Policy) -> bool {
         let file = &self.from_file;
-        file.teams != policy.teams || file.goals != policy.goals || file.starts != policy.starts
+        file.teams != policy.teams
+            || file.completion_goals_ms != policy.completion_goals_ms
+            || file.start_goals_ms != policy.start_goals_ms
     }
 
     /// Reads the configuration in the cache; to be called whenever the cache has changed, before
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -13,14 +13,18 @@
 mod rollout;
 mod settings;
 
-pub use change::{change, outdated_pages, review, ChangeLimits, NOTE_BYTES, VERSIONS_KEPT};
+pub use change::{
+    change_transaction, outdated_pages, validate_for_jobs, ChangeLimits, NOTE_MAX_BYTES,
+    RETAINED_VERSIONS_MAX,
+};
 pub use in_force::{Configuration, ConfigurationUpdate};
 pub use records::{
-    pages, settings_of, ConfigurationEnabledRecord, ConfigurationPageRecord,
-    ConfigurationVersionRecord, KeptVersion, ObservedVersionRecord, TeamEntry, CONFIGURATION_FORM,
+    paginate, settings_from_pages, ConfigurationEnabledRecord, ConfigurationPageRecord,
+    ConfigurationVersionRecord, KeptVersion, ObservedVersionRecord, TeamEntry,
+    CONFIGURATION_SCHEMA_VERSION,
 };
 pub use settings::{
-    ObjectiveSettings, Policy, PolicySettings, TeamSettings, OBJECTIVES_MOST, TEAMS_MOST,
+    ObjectiveSettings, Policy, PolicySettings, TeamSettings, OBJECTIVES_MAX, TEAMS_MAX,
 };
 
 use std::fmt;
--- a/crates/core/src/configuration/records.rs
+++ b/crates/core/src/configuration/records.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The latest form of configuration records that this version reads.
-pub const CONFIGURATION_FORM: u32 = 1;
+pub const CONFIGURATION_SCHEMA_VERSION: u32 = 1;
 /// Bytes of a page besides its entries, and of a change in a transaction besides key and value.
 pub(super) const PAGE_BASE_BYTES: usize = 40;
 
@@ -15,7 +15,7 @@
 pub struct ConfigurationVersionRecord {
     /// The form in which its pages are written.
     #[serde(rename = "f")]
-    pub form: u32,
+    pub schema_version: u32,
     /// Counts the changes, from 1.
     #[serde(rename = "v")]
     pub version: u64,
@@ -122,7 +122,7 @@
 }
 
 /// The entries on as few pages as hold them, each within so many bytes.
-pub fn pages(settings: &PolicySettings, page_bytes: usize) -> Vec<ConfigurationPageRecord> {
+pub fn paginate(settings: &PolicySettings, page_bytes: usize) -> Vec<ConfigurationPageRecord> {
     let first = ConfigurationPageRecord {
         idle_return_s: settings.idle_return_s,
         ..ConfigurationPageRecord::default()
@@ -150,7 +150,7 @@
 }
 
 /// The settings that a version's pages hold; none if pages are missing.
-pub fn settings_of(pages: &[ConfigurationPageRecord]) -> PolicySettings {
+pub fn settings_from_pages(pages: &[ConfigurationPageRecord]) -> PolicySettings {
     let teams = pages.iter().flat_map(|page| &page.teams);
     let objectives = pages.iter().flat_map(|page| &page.objectives);
     PolicySettings {
@@ -166,8 +166,15 @@
     mod_revision: u64,
     cache: &StateCache,
 ) -> Result<Policy, ConfigurationError> {
-    let form = format!("{} is later than {CONFIGURATION_FORM}", record.form);
-    require(record.form <= CONFIGURATION_FORM, "form", &form)?;
+    let form = format!(
+        "{} is later than {CONFIGURATION_SCHEMA_VERSION}",
+        record.schema_version
+    );
+    require(
+        record.schema_version <= CONFIGURATION_SCHEMA_VERSION,
+        "form",
+        &form,
+    )?;
     let version = record.version;
     let mut pages = Vec::new();
     for n in 0..record.pages {
@@ -175,7 +182,7 @@
         let page = cache.configuration_page(version, n).ok_or_else(missing)?;
         pages.push(page.clone());
     }
-    let settings = settings_of(&pages);
+    let settings = settings_from_pages(&pages);
     let counted = (settings.teams.len(), settings.objectives.len());
     let whole = counted == (record.teams as usize, record.objectives as usize);
     require(whole, "pages", "not all entries are there")?;
--- a/crates/core/src/configuration/settings.rs
+++ b/crates/core/src/configuration/settings.rs
@@ -1,14 +1,14 @@
 //! The settings that a configuration holds, and the policy that they stand for.
 
 use super::{require, ConfigurationError};
-use crate::model::{have_milli, Millis, Team};
+use crate::model::{floor_milli, Millis, Team};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Teams and objectives of a configuration at most: what one transaction holds is less.
-pub const TEAMS_MOST: usize = 5_000;
+pub const TEAMS_MAX: usize = 5_000;
 /// The same for objectives.
-pub const OBJECTIVES_MOST: usize = 1_000;
+pub const OBJECTIVES_MAX: usize = 1_000;
 /// Bytes of the name of a team or a class.
 const NAME_BYTES: usize = 200;
 /// Processors and GPUs, in thousandths, that make sense.
@@ -73,11 +73,11 @@
     /// Teams by name.
     pub teams: BTreeMap<String, Team>,
     /// Per class, milliseconds within which its jobs should be complete, shortest first.
-    pub goals: BTreeMap<String, Vec<u64>>,
+    pub completion_goals_ms: BTreeMap<String, Vec<u64>>,
     /// Per class, milliseconds within which its tasks should start.
-    pub starts: BTreeMap<String, u64>,
+    pub start_goals_ms: BTreeMap<String, u64>,
     /// Milliseconds after which idle machines are returned; none: as the controller's own settings say.
-    pub idle_return_ms: Option<Millis>,
+    pub idle_timeout_ms: Option<Millis>,
 }
 
 /// Thousandths of processors or GPUs; an error if the amount makes no sense.
@@ -85,7 +85,7 @@
     let sane = value.is_finite() && (0.0..=AMOUNT_MOST).contains(&value);
     let problem = format!("must be between 0 and 1e9, not {value}");
     require(sane, field, &problem)?;
-    Ok(have_milli(value))
+    Ok(floor_milli(value))
 }
 
 /// Seconds as milliseconds; an error unless they are between `min_s` and a day.
@@ -127,10 +127,13 @@
         for objective in &self.objectives {
             policy.add_objective(objective)?;
         }
-        policy.goals.values_mut().for_each(|goals| goals.sort());
+        policy
+            .completion_goals_ms
+            .values_mut()
+            .for_each(|goals| goals.sort());
         if let Some(seconds) = self.idle_return_s {
             let ms = milliseconds("settings.idle_return_s", seconds, IDLE_RETURN_LEAST_S)?;
-            policy.idle_return_ms = Some(ms);
+            policy.idle_timeout_ms = Some(ms);
         }
         Ok(policy)
     }
@@ -144,10 +147,10 @@
             "settings.teams",
             "there must be one at the least",
         )?;
-        let many = format!("{teams} are more than {TEAMS_MOST}");
-        require(teams <= TEAMS_MOST, "settings.teams", &many)?;
-        let many = format!("{objectives} are more than {OBJECTIVES_MOST}");
-        require(objectives <= OBJECTIVES_MOST, "settings.objectives", &many)?;
+        let many = format!("{teams} are more than {TEAMS_MAX}");
+        require(teams <= TEAMS_MAX, "settings.teams", &many)?;
+        let many = format!("{objectives} are more than {OBJECTIVES_MAX}");
+        require(objectives <= OBJECTIVES_MAX, "settings.objectives", &many)?;
         for team in self.policy()?.teams.values() {
             let field = |name: &str| format!("settings.teams.{}.{name}", team.name);
             let long = team.name.len() <= NAME_BYTES;
@@ -175,9 +178,13 @@
         };
         let within = || milliseconds("settings.objectives.within_s", within_s, 0.0);
         match objective.kind.as_str() {
-            "finished" => self.goals.entry(class.clone()).or_default().push(within()?),
+            "finished" => self
+                .completion_goals_ms
+                .entry(class.clone())
+                .or_default()
+                .push(within()?),
             "wait" => {
-                let start = self.starts.entry(class.clone()).or_insert(u64::MAX);
+                let start = self.start_goals_ms.entry(class.clone()).or_insert(u64::MAX);
                 *start = within()?.min(*start);
             }
             _ => {}
--- a/crates/core/src/controller/housekeeping.rs
+++ b/crates/core/src/controller/housekeeping.rs
@@ -1,13 +1,14 @@
 //! What a controller does as time passes, in this order, several times a second.
 
 use crate::constants::{
-    FAILURE_DETECTION_INTERVAL_MS, FORGET_MS, INSTANCE_LIST_INTERVAL_MS, MACHINE_TYPES_INTERVAL_MS,
-    REFUSED_RECORDS_RETRY_MS, STATS_MS, TICK_MS, WATCH_TRAIL_MS,
+    CLEANUP_INTERVAL_MS, FAILURE_DETECTION_INTERVAL_MS, HOUSEKEEPING_INTERVAL_MS,
+    INSTANCE_LIST_INTERVAL_MS, MACHINE_TYPES_INTERVAL_MS, METRICS_INTERVAL_MS,
+    REFUSED_RECORDS_RETRY_MS, WATCH_LAG_REOPEN_MS,
 };
 use crate::controller::{CloudOperation, Controller, Effect, PendingOperation};
 
 impl Controller {
-    /// The clock ticked. Waiting users and workers are looked after with every tick, all else every `TICK_MS`.
+    /// The clock ticked. Waiting users and workers are looked after with every tick, all else every `HOUSEKEEPING_INTERVAL_MS`.
     pub(super) fn tick(&mut self) {
         self.peers.ticked(self.now - self.lifecycle.last_tick_at);
         self.lifecycle.last_tick_at = self.now;
@@ -15,7 +16,7 @@
         self.reply_to_held_heartbeats();
         // The first tick does all: users wait for the records to be read.
         let last = self.lifecycle.last_housekeeping_at;
-        if last.is_some_and(|at| self.now < at + TICK_MS) {
+        if last.is_some_and(|at| self.now < at + HOUSEKEEPING_INTERVAL_MS) {
             return;
         }
         self.lifecycle.last_housekeeping_at = Some(self.now);
@@ -69,7 +70,7 @@
             return;
         };
         let since = lagging_since.max(self.sync.watch_opened_at);
-        if !self.sync.has_listed || self.now < since + WATCH_TRAIL_MS {
+        if !self.sync.has_listed || self.now < since + WATCH_LAG_REOPEN_MS {
             return;
         }
         let revision = self.cache.revision;
@@ -87,11 +88,11 @@
 
     /// Forgets what belongs to machines that are gone, and logs what was counted.
     fn clean_up(&mut self) {
-        if self.now < self.cleanup.last_cleanup_at + FORGET_MS {
+        if self.now < self.cleanup.last_cleanup_at + CLEANUP_INTERVAL_MS {
             return;
         }
         self.cleanup.last_cleanup_at = self.now;
-        if self.now >= self.lifecycle.started_at + STATS_MS {
+        if self.now >= self.lifecycle.started_at + METRICS_INTERVAL_MS {
             let (records, held) = (self.cache.len(), self.workers.held_heartbeats.len());
             self.metrics.report(self.now, records, held);
         }
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -13,7 +13,7 @@
 pub(crate) use operations::*;
 
 use crate::configuration::Configuration;
-use crate::constants::PAUSE_MS;
+use crate::constants::PAUSE_DETECTION_MS;
 use crate::controller::lifecycle::Lifecycle;
 use crate::controller::upgrade::Upgrade;
 use crate::jobs::cleanup_state::CleanupState;
@@ -76,7 +76,7 @@
     /// One that has just started. `seed`: of all that it leaves to chance; `now`: steady time; `wall`: time of day.
     pub fn new(settings: Settings, seed: u64, now: Millis, wall: WallMs) -> Controller {
         let mut cache = StateCache::default();
-        cache.members = match settings.checks.format {
+        cache.members = match settings.checks.storage_format {
             true => settings.controllers.clone(),
             false => vec![settings.controller.clone()],
         };
@@ -114,7 +114,7 @@
         let gap = now.saturating_sub(self.now);
         self.now = self.now.max(now);
         self.wall = wall;
-        if gap >= PAUSE_MS && self.settings.checks.gap {
+        if gap >= PAUSE_DETECTION_MS && self.settings.checks.pause_detection {
             self.reset_after_pause(gap);
         }
         match event {
--- a/crates/core/src/controller/operations.rs
+++ b/crates/core/src/controller/operations.rs
@@ -1,6 +1,6 @@
 //! Operations outside of the core that wait for an outcome.
 
-use crate::constants::THROTTLED_MS;
+use crate::constants::THROTTLE_PERIOD_MS;
 use crate::controller::{
     CloudOperation, Controller, Effect, OperationId, RequestClass, RequestId, StateOperation,
 };
@@ -131,7 +131,7 @@
         pending: PendingOperation,
         request_class: RequestClass,
     ) -> OperationId {
-        self.writes.budget.take(transaction.changes.len());
+        self.writes.budget.consume(transaction.changes.len());
         self.metrics.sent(&pending, &transaction);
         let id = self.track_operation(pending, Some(transaction.clone()));
         self.emit(Effect::State {
@@ -156,7 +156,7 @@
         // A silent peer most likely is paused or is down. Should it only be the link that
         // is cut, the service says that too much is asked, and its share is its own again.
         let silent = match self.writes.throttled_at {
-            Some(at) if self.now < at + THROTTLED_MS => 0,
+            Some(at) if self.now < at + THROTTLE_PERIOD_MS => 0,
             _ => all - 1 - self.peers.serving(self.now).min(all - 1),
         };
         let cut = self
@@ -165,6 +165,6 @@
             .count();
         let idle = cut + silent;
         let times = all as f64 / all.saturating_sub(idle).max(1) as f64;
-        self.writes.budget.left(self.now, times)
+        self.writes.budget.available(self.now, times)
     }
 }
--- a/crates/core/src/controller/readiness.rs
+++ b/crates/core/src/controller/readiness.rs
@@ -1,6 +1,8 @@
 //! Whether a controller knows enough to decide anything, and whether users should be sent to it.
 
-use crate::constants::{ISOLATED_MS, PAUSE_READY_MS, STATE_LOST_MS, WATCH_LOST_MS};
+use crate::constants::{
+    ISOLATION_TIMEOUT_MS, PAUSE_RECOVERY_TIMEOUT_MS, STATE_LOST_TIMEOUT_MS, WATCH_LAG_LOST_MS,
+};
 use crate::controller::Controller;
 use crate::model::Millis;
 use crate::peers::Peer;
@@ -40,8 +42,8 @@
 impl Controller {
     /// Whether the records are known and current, and the state service answered lately.
     pub fn has_current_state(&self) -> bool {
-        let is_lost = |lagging_since| self.now >= lagging_since + WATCH_LOST_MS;
-        let answered_lately = |at| self.now.saturating_sub(at) <= STATE_LOST_MS;
+        let is_lost = |lagging_since| self.now >= lagging_since + WATCH_LAG_LOST_MS;
+        let answered_lately = |at| self.now.saturating_sub(at) <= STATE_LOST_TIMEOUT_MS;
         self.sync.has_listed
             && !self.lifecycle.view_predates_resume
             && !self.sync.watch_lag_since.is_some_and(is_lost)
@@ -83,7 +85,7 @@
             Some(Problem::Isolated)
         } else {
             let is_resuming = self.lifecycle.view_predates_resume
-                && self.now < self.lifecycle.resumed_at + PAUSE_READY_MS;
+                && self.now < self.lifecycle.resumed_at + PAUSE_RECOVERY_TIMEOUT_MS;
             is_resuming.then_some(Problem::Resuming)
         }
     }
@@ -91,10 +93,10 @@
     /// Cut off from the state service and from all peers, and for longer than both may hesitate:
     /// most likely others serve users, who would poll here in vain for as long as the cut lasts.
     fn is_isolated(&self) -> bool {
-        self.settings.checks.alone
+        self.settings.checks.isolation
             && self.settings.controllers.len() > 1
             && self.fresh_peers().next().is_none()
-            && self.state_age() >= ISOLATED_MS
+            && self.state_age() >= ISOLATION_TIMEOUT_MS
     }
 
     /// Logs when a problem that operators ask about begins and ends.
@@ -127,25 +129,26 @@
     /// Whether a round of heartbeats has come in since the start, or since the last pause: what was
     /// not heard by then is silent, and what is not there is missing.
     pub(crate) fn has_heard_full_round(&self) -> bool {
-        !self.settings.checks.round || self.is_round_over()
+        !self.settings.checks.heartbeat_round || self.is_round_over()
     }
 
     /// Whether a machine's own heartbeat has come in since then, here or at a peer. Work is placed
     /// on it before all others have reported.
     pub(crate) fn has_reported_since_resume(&self, liveness: &Liveness) -> bool {
         let is_since = |at: Millis| at >= self.lifecycle.resumed_at;
-        !self.settings.checks.heard
+        !self.settings.checks.heartbeat_since_start
             || self.is_round_over()
             || liveness.last_heartbeat_at().is_some_and(is_since)
     }
 
     fn is_round_over(&self) -> bool {
-        self.now - self.lifecycle.resumed_at >= self.settings.report_due_ms()
+        self.now - self.lifecycle.resumed_at >= self.settings.heartbeat_due_ms()
     }
 
     /// Whether the cache holds all that the list met, page by page.
     pub(crate) fn has_synced(&self) -> bool {
-        !self.settings.checks.caught_up || self.cache.revision >= self.sync.list.max_mod_revision
+        !self.settings.checks.watch_caught_up
+            || self.cache.revision >= self.sync.list.max_mod_revision
     }
 
     /// Peers that were heard lately and are not known to have exited.
--- a/crates/core/src/controller/shutdown.rs
+++ b/crates/core/src/controller/shutdown.rs
@@ -31,7 +31,7 @@
         let Some(since) = self.lifecycle.shutting_down_since else {
             return;
         };
-        let round = self.settings.report_due_ms();
+        let round = self.settings.heartbeat_due_ms();
         let is_busy = !self.requests.open.is_empty()
             || !self.workers.held_heartbeats.is_empty()
             || self.writes.assignment_write.is_some();
--- a/crates/core/src/controller/upgrade.rs
+++ b/crates/core/src/controller/upgrade.rs
@@ -1,6 +1,6 @@
 //! Rolling upgrades: which storage format each controller reads, and what is put on record once.
 
-use crate::constants::REFUSED_RECORDS_KEPT;
+use crate::constants::REFUSED_RECORDS_MAX;
 use crate::controller::{Controller, PendingOperation, RequestClass};
 use crate::state::formats::{self, FormatRecord};
 use crate::state::{Key, Record, TermRecord, TransactionBuilder};
@@ -75,7 +75,9 @@
     pub(super) fn throttled(&mut self) {
         self.writes.throttled_at = Some(self.now);
         if self.cache.format() == formats::LATEST {
-            self.writes.budget.slow_down(self.settings.next_write_rps);
+            self.writes
+                .budget
+                .reduce_rate(self.settings.announced_write_rps);
         }
     }
 
@@ -83,7 +85,7 @@
     pub(crate) fn log_oversized(&mut self, records: Vec<(Key, usize)>) {
         let logged = &mut self.writes.oversized_logged;
         for (key, bytes) in records {
-            if logged.len() < REFUSED_RECORDS_KEPT && logged.insert(key.clone()) {
+            if logged.len() < REFUSED_RECORDS_MAX && logged.insert(key.clone()) {
                 let (key, limit) = (key.path(), self.settings.max_value_bytes);
                 tracing::error!(key, bytes, limit, "record too large to be written");
             }
--- a/crates/core/src/jobs/admission.rs
+++ b/crates/core/src/jobs/admission.rs
@@ -6,7 +6,8 @@
 //! ask get equal parts of it. Whoever is told to come back is told at once.
 
 use crate::constants::{
-    ADMIT_BURST_S, ADMIT_FADES_MS, ADMIT_LEAST, ADMIT_RETRY_MOST_S, ADMIT_SHARE, RETRY_AFTER_S,
+    ADMISSION_BURST_S, ADMISSION_CHANGE_SHARE, ADMISSION_DECAY_MS, ADMISSION_MAX_RETRY_AFTER_S,
+    ADMISSION_MIN_BURST, RETRY_AFTER_S,
 };
 use crate::model::Millis;
 use std::collections::BTreeMap;
@@ -24,9 +25,9 @@
 impl Admission {
     /// `write_rps`: this controller's changes a second.
     pub fn new(write_rps: f64, now: Millis) -> Admission {
-        let most = (write_rps * ADMIT_BURST_S).max(ADMIT_LEAST);
+        let most = (write_rps * ADMISSION_BURST_S).max(ADMISSION_MIN_BURST);
         Admission {
-            per_ms: write_rps * ADMIT_SHARE / 1e3,
+            per_ms: write_rps * ADMISSION_CHANGE_SHARE / 1e3,
             most,
             level: most,
             at: now,
@@ -38,7 +39,7 @@
         let passed = now.saturating_sub(self.at) as f64;
         self.at = self.at.max(now);
         self.level = (self.level + passed * self.per_ms).min(self.most);
-        let fades = (-passed / ADMIT_FADES_MS).exp();
+        let fades = (-passed / ADMISSION_DECAY_MS).exp();
         for given in self.given.values_mut() {
             *given *= fades;
         }
@@ -62,7 +63,7 @@
         }
         let short = (self.most / 2.0 - self.level).max(1.0);
         let wait_s = short / self.per_ms.max(1e-6) / 1e3;
-        Err((wait_s.ceil() as u32).clamp(RETRY_AFTER_S, ADMIT_RETRY_MOST_S))
+        Err((wait_s.ceil() as u32).clamp(RETRY_AFTER_S, ADMISSION_MAX_RETRY_AFTER_S))
     }
 }
 
--- a/crates/core/src/jobs/admission/tests.rs
+++ b/crates/core/src/jobs/admission/tests.rs
@@ -34,7 +34,7 @@
     assert!((0..60).all(|_| admission.takes(0, "a").is_ok()));
     let refused = (0..120).filter_map(|_| admission.takes(0, "a").err());
     let refused: Vec<u32> = refused.collect();
-    assert!(!refused.is_empty() && refused.iter().all(|s| *s <= ADMIT_RETRY_MOST_S));
+    assert!(!refused.is_empty() && refused.iter().all(|s| *s <= ADMISSION_MAX_RETRY_AFTER_S));
     assert!(admission.takes(10_000, "a").is_ok());
 }
 
@@ -43,7 +43,7 @@
     let served = served(30.0, &[("flood", 200), ("b", 4), ("c", 3)], 60);
     assert!(served[1] > 3.7 && served[2] > 2.7, "{served:?}");
     let all: f64 = served.iter().sum();
-    assert!(all <= 30.0 * ADMIT_SHARE + 0.5, "{served:?}");
+    assert!(all <= 30.0 * ADMISSION_CHANGE_SHARE + 0.5, "{served:?}");
     assert!(served[0] > 5.0, "what is unused is lent: {served:?}");
 }
 
--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -15,8 +15,8 @@
 //! cancellation is conditional on that key as it was cached. See docs/design.md.
 
 use crate::constants::{
-    CANCEL_MARGIN_MS, CANCEL_PATIENCE_MS, CANCEL_RETRY_AFTER_S, CONFIRMED_CANCELLATION_TERM,
-    REPLY_MAX_COMMANDS, SILENCE_MARGIN_MS, WORKER_FAILOVER_MS,
+    CANCEL_MARGIN_MS, CANCEL_RESPONSE_TIMEOUT_MS, CANCEL_RETRY_AFTER_S,
+    CONFIRMED_CANCELLATION_TERM, REPLY_MAX_COMMANDS, SILENCE_MARGIN_MS, WORKER_FAILOVER_MS,
 };
 use crate::controller::{
     Controller, PendingOperation, RequestClass, RequestId, UserReply, WorkerReply,
@@ -91,7 +91,7 @@
             self.answer(id, UserReply::RetryAfter { after_s });
             return;
         }
-        let until = self.now + CANCEL_PATIENCE_MS;
+        let until = self.now + CANCEL_RESPONSE_TIMEOUT_MS;
         if let Some(request) = self.requests.open.get_mut(&id) {
             request.until = request.until.min(until);
             self.requests.awaiting_cancellation.insert(id);
@@ -166,7 +166,7 @@
             true => self.keeps_worker(&heartbeat.machine),
             // Somebody may have been told of a cancellation since the last answer, also of one that
             // came a moment before all lost the state service.
-            false => self.lost_state_recently() || !self.settings.checks.bounded,
+            false => self.lost_state_recently() || !self.settings.checks.bounded_leases,
         };
         let token = self.fencing_token(&heartbeat.machine).unwrap_or(0);
         // Peers may have raised it since this controller was cut off. Nothing is started, so a start
@@ -201,7 +201,7 @@
     fn lost_state_recently(&self) -> bool {
         let limit = self
             .settings
-            .cancel_ms
+            .cancellation_timeout_ms
             .saturating_sub(self.settings.lease_ms + CANCEL_MARGIN_MS);
         self.sync.has_listed && self.state_age() < limit
     }
@@ -217,7 +217,7 @@
             return true;
         }
         let several = self.settings.zones.len() > 1;
-        let recent = 2 * self.settings.report_ms;
+        let recent = 2 * self.settings.heartbeat_interval_ms;
         let here = self.settings.zone.as_str();
         let mut zones = self.workers.zones_heard_at.iter();
         let foreign = zones.any(|(zone, at)| zone != here && self.now < at + recent);
@@ -226,7 +226,7 @@
         }
         let lease_ms = self.settings.lease_ms;
         let round = (self.settings.controllers.len() as u64 - 1) * WORKER_FAILOVER_MS
-            + self.settings.report_due_ms()
+            + self.settings.heartbeat_due_ms()
             + SILENCE_MARGIN_MS;
         if round >= lease_ms {
             return self.lost_state_recently();
--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -1,6 +1,6 @@
 //! Ending jobs of several chunks, and clearing what nothing needs any more.
 
-use crate::constants::{CASCADE_PATIENCE_MS, CONTROLLER_STAGGER_MS, SMALL_RECORD_BYTES};
+use crate::constants::{CASCADE_TAKEOVER_DELAY_MS, CONTROLLER_STAGGER_MS, SMALL_RECORD_BYTES};
 use crate::controller::{Controller, PendingOperation, RequestClass};
 use crate::model::Millis;
 use crate::state::{JobPhase, Key, Record, TransactionBuilder};
@@ -48,7 +48,7 @@
             }
         }
         let patience =
-            CASCADE_PATIENCE_MS + self.settings.controller_index() * CONTROLLER_STAGGER_MS;
+            CASCADE_TAKEOVER_DELAY_MS + self.settings.controller_index() * CONTROLLER_STAGGER_MS;
         let late = |since: &Millis| self.now >= since + patience;
         if self.cleanup.cancelled_dependency_since.values().any(late) {
             self.cancel_dependents();
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -4,7 +4,7 @@
 //! A user names only accepted jobs, so there are no cycles; nothing here recurses, and one would
 //! merely not be served.
 
-use crate::constants::FEASIBLE_SHARE;
+use crate::constants::FEASIBLE_ESTIMATE_SHARE;
 use crate::model::{JobPriority, JobSpec, WallMs};
 use crate::state::{JobRecord, StateCache};
 use foldhash::{HashMap, HashMapExt};
@@ -95,5 +95,5 @@
 
 /// Milliseconds that a job still takes at the least, going by its estimate.
 pub fn least_run_ms(spec: &JobSpec) -> u64 {
-    (spec.estimate_s * 1000.0 * FEASIBLE_SHARE) as u64
+    (spec.estimate_s * 1000.0 * FEASIBLE_ESTIMATE_SHARE) as u64
 }
--- a/crates/core/src/jobs/request_table.rs
+++ b/crates/core/src/jobs/request_table.rs
@@ -21,7 +21,10 @@
     pub(crate) fn new(settings: &Settings, now: Millis) -> RequestTable {
         RequestTable {
             open: BTreeMap::new(),
-            admission: AdmissionControl::new(settings.write_rps.min(settings.next_write_rps), now),
+            admission: AdmissionControl::new(
+                settings.write_rps.min(settings.announced_write_rps),
+                now,
+            ),
             awaiting_cancellation: BTreeSet::new(),
         }
     }
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -2,8 +2,8 @@
 //! except what can never change.
 
 use crate::constants::{
-    OUTAGE_RETRY_AFTER_S, RETRY_AFTER_S, STATUS_PATIENCE_MS, SUBMIT_PATIENCE_MS,
-    UPGRADE_RETRY_AFTER_S, WAITING_REQUESTS,
+    OUTAGE_RETRY_AFTER_S, PENDING_REQUESTS_MAX, RETRY_AFTER_S, STATUS_TIMEOUT_MS,
+    SUBMIT_TIMEOUT_MS, UPGRADE_RETRY_AFTER_S,
 };
 use crate::controller::{Controller, Effect, PendingOperation, RequestClass, RequestId, UserReply};
 use crate::model::{JobKind, JobSpec, JobState, Millis};
@@ -41,7 +41,7 @@
             job: spec.id.clone(),
             kind: RequestKind::Submit(Box::new(spec)),
             since: self.now,
-            until: self.now + SUBMIT_PATIENCE_MS,
+            until: self.now + SUBMIT_TIMEOUT_MS,
         };
         self.enqueue_request(request, user_request);
     }
@@ -52,7 +52,7 @@
             job,
             kind: RequestKind::Status,
             since: self.now,
-            until: self.now + STATUS_PATIENCE_MS,
+            until: self.now + STATUS_TIMEOUT_MS,
         };
         self.enqueue_request(request, user_request);
     }
@@ -63,7 +63,7 @@
             job,
             kind: RequestKind::Cancel,
             since: self.now,
-            until: self.now + SUBMIT_PATIENCE_MS,
+            until: self.now + SUBMIT_TIMEOUT_MS,
         };
         self.enqueue_request(request, user_request);
     }
@@ -86,7 +86,7 @@
         }
         let needs_no_read = is_new_submission && !self.machine_types.is_empty();
         self.requests.open.insert(id, request);
-        if needs_no_read || !self.settings.checks.proof {
+        if needs_no_read || !self.settings.checks.linearizable_reads {
             self.serve_with_current_state(id);
         } else {
             self.reads.unissued.push(id);
@@ -102,7 +102,7 @@
         }
         let can_wait = self.has_current_state()
             && self.lifecycle.shutting_down_since.is_none()
-            && self.requests.open.len() < WAITING_REQUESTS;
+            && self.requests.open.len() < PENDING_REQUESTS_MAX;
         (!can_wait).then(|| self.later())
     }
 
@@ -200,7 +200,7 @@
         let record = self.accepted(spec);
         let mut builder = TransactionBuilder::new(&self.cache);
         builder.put(Key::Job(id), Record::Job(record));
-        if self.settings.checks.configured {
+        if self.settings.checks.configuration_conditions {
             builder.rests_on_revision(Key::Configuration, self.settings.policy.mod_revision);
         }
         let transaction = builder.finish();
@@ -357,7 +357,8 @@
             return Some(format!("unknown team {}", spec.team));
         };
         let fits = self.machine_types.values().any(|t| {
-            t.room.fits(&spec.resources) && t.zones.iter().any(|z| spec.allows(&t.name, z, false))
+            t.capacity.fits(&spec.resources)
+                && t.zones.iter().any(|z| spec.allows(&t.name, z, false))
         });
         if !fits {
             return Some("a task fits no allowed machine type".into());
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of a controller: what it sends, and how long jobs wait, logged at an interval.
 
-use crate::constants::{STATS_MAX_MS, STATS_MS, STATS_STARTS};
+use crate::constants::{METRICS_INTERVAL_MS, METRICS_MAX_DURATION_MS, METRICS_MAX_TRACKED_STARTS};
 use crate::controller::PendingOperation;
 use crate::model::{Millis, TaskId};
 use crate::state::{CasTransaction, Key};
@@ -12,7 +12,7 @@
 type Times = Option<Histogram<u32>>;
 
 fn times() -> Times {
-    Histogram::new_with_bounds(1, STATS_MAX_MS, 2).ok()
+    Histogram::new_with_bounds(1, METRICS_MAX_DURATION_MS, 2).ok()
 }
 
 fn record(times: &mut Times, ms: Millis) {
@@ -109,7 +109,7 @@
     /// A task was claimed, so many milliseconds after its job's acceptance.
     pub fn claimed(&mut self, task: &TaskId, attempt: u64, ms: Millis, now: Millis) {
         record(&mut self.claimed, ms);
-        if self.starting.len() < STATS_STARTS {
+        if self.starting.len() < METRICS_MAX_TRACKED_STARTS {
             self.starting.insert((task.clone(), attempt), now);
         }
     }
@@ -124,7 +124,7 @@
     }
     /// Logs what was counted and starts anew, once the interval is over.
     pub fn report(&mut self, now: Millis, records: usize, held: usize) {
-        if now < self.since + STATS_MS {
+        if now < self.since + METRICS_INTERVAL_MS {
             return;
         }
         let kinds = self.by_kind.iter();
@@ -147,7 +147,7 @@
             "spent"
         );
         let mut starting = std::mem::take(&mut self.starting);
-        starting.retain(|_, at| now < *at + STATS_MS);
+        starting.retain(|_, at| now < *at + METRICS_INTERVAL_MS);
         *self = Stats {
             starting,
             ..Stats::new(now)
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -4,7 +4,7 @@
 
 /// Milliseconds of the monotonic clock, since the process began.
 pub type Millis = u64;
-/// Milliseconds of the time of day. Differs between controllers by up to `clock_off_ms`.
+/// Milliseconds of the time of day. Differs between controllers by up to `clock_skew_ms`.
 pub type WallMs = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,12 +33,12 @@
 }
 
 /// A resource request in thousandths, rounded up.
-pub fn need_milli(x: f64) -> u64 {
+pub fn ceil_milli(x: f64) -> u64 {
     (x * 1000.0 - 1e-6).ceil().max(0.0) as u64
 }
 
 /// A capacity or limit in thousandths, rounded down.
-pub fn have_milli(x: f64) -> u64 {
+pub fn floor_milli(x: f64) -> u64 {
     (x * 1000.0 + 1e-6).floor().max(0.0) as u64
 }
 
@@ -48,7 +48,7 @@
         resources.cpus <= self.cpus && resources.gpus <= self.gpus && resources.ram <= self.ram
     }
     /// What is left without so much.
-    pub fn less(&self, resources: &Resources) -> Resources {
+    pub fn saturating_sub(&self, resources: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_sub(resources.cpus),
             gpus: self.gpus.saturating_sub(resources.gpus),
@@ -56,7 +56,7 @@
         }
     }
     /// The sum of both.
-    pub fn plus(&self, more: &Resources) -> Resources {
+    pub fn saturating_add(&self, more: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_add(more.cpus),
             gpus: self.gpus.saturating_add(more.gpus),
@@ -64,7 +64,7 @@
         }
     }
     /// How many tasks of this resource request fit.
-    pub fn count(&self, resources: &Resources) -> u64 {
+    pub fn max_tasks(&self, resources: &Resources) -> u64 {
         let part = |have: u64, want: u64| have.checked_div(want).unwrap_or(u64::MAX);
         part(self.cpus, resources.cpus)
             .min(part(self.gpus, resources.gpus))
@@ -117,7 +117,7 @@
                 .is_none_or(|t| t.iter().any(|t| t == type_name))
     }
     /// Tasks that may be in one zone at most.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.topology_spread {
             self.tasks.div_ceil(2)
         } else {
@@ -129,7 +129,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     pub name: String,
-    pub room: Resources,
+    #[serde(rename = "room")]
+    pub capacity: Resources,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
     pub price: f64,
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -4,7 +4,7 @@
 //! lost one had claimed, accepted, provisioned or deleted. Every step rests on records, so it does no
 //! harm that two do it, or that the peer lives.
 
-use crate::constants::{FAILOVER_STAGGER_MS, JUST_STARTED_MS, STATE_PROBE_INTERVAL_MS};
+use crate::constants::{FAILOVER_STAGGER_MS, STARTUP_PERIOD_MS, STATE_PROBE_INTERVAL_MS};
 use crate::controller::{Controller, ControllerStatus, Effect, HeardWorker, PeerHeartbeat};
 use crate::peers::status::{HeartbeatOutcome, PeerStatus, PeerStatusChange};
 use crate::state::formats;
@@ -149,7 +149,7 @@
             workers_reachable: self.workers_reachable()
                 && self.lifecycle.shutting_down_since.is_none(),
             workers,
-            just_started: self.now - self.lifecycle.started_at < JUST_STARTED_MS,
+            just_started: self.now - self.lifecycle.started_at < STARTUP_PERIOD_MS,
             images: match images {
                 true => self.cache.image_hints(),
                 false => Vec::new(),
--- a/crates/core/src/peers/failure_detector.rs
+++ b/crates/core/src/peers/failure_detector.rs
@@ -3,8 +3,8 @@
 use super::status::{PeerStatus, PeerStatusChange};
 use super::tracker::PeerTracker;
 use crate::constants::{
-    FAILOVER_MISSING_PART, FAILOVER_MOVES_MAX, FAILOVER_WORKERS_MIN, FAILOVER_WORKERS_PART,
-    HEARTBEATS_MISSED_MS, PEER_OPINION_MARGIN_MS, TICK_DELAY_SLOW_MS,
+    FAILOVER_MISSING_DIVISOR, FAILOVER_TIMEOUT_FACTOR, FAILOVER_WORKERS_DIVISOR,
+    FAILOVER_WORKERS_MIN, PEER_FAILURE_MIN_SILENCE_MS, PEER_OPINION_MARGIN_MS, TICK_DELAY_SLOW_MS,
 };
 use crate::controller::ControllerStatus;
 use crate::model::Millis;
@@ -70,9 +70,9 @@
 
     /// A failover is over when hardly any worker is missing, or none more is likely to come.
     fn complete_failovers(&mut self, now: Millis) -> Vec<CompletedFailover> {
-        let max_ms = FAILOVER_MOVES_MAX * self.membership.worker_failover_ms;
+        let max_ms = FAILOVER_TIMEOUT_FACTOR * self.membership.worker_failover_ms;
         let is_over = |failover: &Failover| {
-            let few = failover.workers / FAILOVER_MISSING_PART;
+            let few = failover.workers / FAILOVER_MISSING_DIVISOR;
             failover.expected.len() <= few || now > failover.since + max_ms
         };
         let over = self.failovers.iter().filter(|(_, f)| is_over(f));
@@ -94,7 +94,7 @@
             return PeerStatus::Silent;
         };
         let silent_ms = now.saturating_sub(peer.at);
-        let min_ms = self.membership.tuning.heartbeats_missed_ms;
+        let min_ms = self.membership.tuning.peer_failure_min_silence_ms;
         if peer.link_ended || silent_ms > peer.intervals.timeout_ms(min_ms) {
             self.status_of_silent(now, peer)
         } else {
@@ -107,7 +107,7 @@
     fn status_of_silent(&self, now: Millis, peer: &Peer) -> PeerStatus {
         let silent_ms = now.saturating_sub(peer.at);
         let workers = peer.workers.len();
-        let failing_over = peer.failed_over > workers / FAILOVER_WORKERS_PART;
+        let failing_over = peer.failed_over > workers / FAILOVER_WORKERS_DIVISOR;
         let staying = silent_ms > self.membership.worker_failover_ms
             && workers >= FAILOVER_WORKERS_MIN
             && !failing_over;
@@ -128,7 +128,7 @@
     /// nothing of it.
     fn is_heard_by_others(&self, now: Millis, silent: &Peer) -> bool {
         let name = &silent.heartbeat.controller;
-        let earliest = silent.at + HEARTBEATS_MISSED_MS + PEER_OPINION_MARGIN_MS;
+        let earliest = silent.at + PEER_FAILURE_MIN_SILENCE_MS + PEER_OPINION_MARGIN_MS;
         let hears = |status: &ControllerStatus| status.heard_peers.iter().any(|n| n == name);
         self.peers.values().any(|other| {
             other.heartbeat.controller != *name
--- a/crates/core/src/peers/handoff.rs
+++ b/crates/core/src/peers/handoff.rs
@@ -3,7 +3,10 @@
 use super::peer::Peer;
 use super::status::PeerStatus;
 use super::tracker::PeerTracker;
-use crate::constants::{HANDOFF_PROBE_MS, LOAD_SHARE, LOAD_SPARE, SLOW_PART, TICK_DELAY_SLOW_MS};
+use crate::constants::{
+    HANDOFF_LOAD_FACTOR, HANDOFF_MIN_EXCESS_WORKERS, HANDOFF_PROBE_INTERVAL_MS,
+    SLOW_CONTROLLER_LOAD_DIVISOR, TICK_DELAY_SLOW_MS,
+};
 use crate::model::Millis;
 
 /// Workers to be handed over until the next heartbeat.
@@ -41,7 +44,7 @@
             .collect();
         // Were it by number alone, one that has too little processor time would keep its part.
         let own = match self.tick_delay_ms > f64::from(TICK_DELAY_SLOW_MS) {
-            true => own + own / SLOW_PART,
+            true => own + own / SLOW_CONTROLLER_LOAD_DIVISOR,
             false => own,
         };
         let sum = own + targets.iter().map(|(load, _)| load).sum::<usize>();
@@ -49,11 +52,13 @@
         let Some((min_load, target)) = targets.into_iter().min() else {
             return;
         };
-        if own <= mean + LOAD_SPARE || own as f64 <= mean as f64 * LOAD_SHARE {
+        if own <= mean + HANDOFF_MIN_EXCESS_WORKERS
+            || own as f64 <= mean as f64 * HANDOFF_LOAD_FACTOR
+        {
             return;
         }
         let left = match min_load {
-            0 if now < self.handoff.probed_at + HANDOFF_PROBE_MS => return,
+            0 if now < self.handoff.probed_at + HANDOFF_PROBE_INTERVAL_MS => return,
             0 => {
                 self.handoff.probed_at = now;
                 1
@@ -61,7 +66,7 @@
             _ => min_load
                 .max(2)
                 .min((own - mean) / 2)
-                .min(self.membership.tuning.handoff_max),
+                .min(self.membership.tuning.handoff_max_workers),
         };
         tracing::debug!(own, mean, target, workers = left, "worker handoff planned");
         self.handoff.planned = Some(PlannedHandoff { target, left });
--- a/crates/core/src/peers/heartbeat_intervals.rs
+++ b/crates/core/src/peers/heartbeat_intervals.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::{
     HEARTBEAT_INTERVAL_DEVIATIONS, HEARTBEAT_INTERVAL_WEIGHT, HEARTBEAT_SLOW_FACTOR,
-    PEER_HEARTBEAT_MS, PEER_LOST_MS,
+    PEER_HEARTBEAT_EXPIRY_MS, PEER_HEARTBEAT_INTERVAL_MS,
 };
 use crate::model::Millis;
 
@@ -17,15 +17,15 @@
     /// Those of a peer that is not known yet.
     pub(super) fn new() -> HeartbeatIntervals {
         HeartbeatIntervals {
-            mean: PEER_HEARTBEAT_MS as f64,
-            deviation: PEER_HEARTBEAT_MS as f64 / 4.0,
+            mean: PEER_HEARTBEAT_INTERVAL_MS as f64,
+            deviation: PEER_HEARTBEAT_INTERVAL_MS as f64 / 4.0,
         }
     }
 
     /// Takes the interval before the latest heartbeat into the means.
     pub(super) fn observe(&mut self, interval: Millis) {
         // One long silence says nothing of how regularly they come.
-        let interval = (interval as f64).min(PEER_LOST_MS as f64);
+        let interval = (interval as f64).min(PEER_HEARTBEAT_EXPIRY_MS as f64);
         self.deviation +=
             HEARTBEAT_INTERVAL_WEIGHT * ((interval - self.mean).abs() - self.deviation);
         self.mean += HEARTBEAT_INTERVAL_WEIGHT * (interval - self.mean);
@@ -34,11 +34,11 @@
     /// Milliseconds of silence that chance does not explain, at least `min`.
     pub(super) fn timeout_ms(&self, min: Millis) -> Millis {
         let usual = self.mean + HEARTBEAT_INTERVAL_DEVIATIONS * self.deviation;
-        (usual as Millis).max(min).min(PEER_LOST_MS)
+        (usual as Millis).max(min).min(PEER_HEARTBEAT_EXPIRY_MS)
     }
 
     /// Whether heartbeats come much less often than they should.
     pub(super) fn is_slow(&self) -> bool {
-        self.mean > HEARTBEAT_SLOW_FACTOR * PEER_HEARTBEAT_MS as f64
+        self.mean > HEARTBEAT_SLOW_FACTOR * PEER_HEARTBEAT_INTERVAL_MS as f64
     }
 }
--- a/crates/core/src/peers/peer.rs
+++ b/crates/core/src/peers/peer.rs
@@ -2,7 +2,7 @@
 
 use super::heartbeat_intervals::HeartbeatIntervals;
 use super::status::PeerStatus;
-use crate::constants::{HEARTBEATS_MISSED_MS, PEER_LOST_MS};
+use crate::constants::{PEER_FAILURE_MIN_SILENCE_MS, PEER_HEARTBEAT_EXPIRY_MS};
 use crate::controller::PeerHeartbeat;
 use crate::model::{HeartbeatPosition, Millis};
 use crate::workers::registry::ReceivedHeartbeat;
@@ -40,12 +40,12 @@
     /// Whether it was heard lately and is not known to have exited.
     pub(super) fn is_fresh(&self, now: Millis) -> bool {
         let lost = self.link_ended || self.status.is_away() || self.status == PeerStatus::LinkLost;
-        now.saturating_sub(self.at) <= PEER_LOST_MS && !lost
+        now.saturating_sub(self.at) <= PEER_HEARTBEAT_EXPIRY_MS && !lost
     }
 
     /// Whether none of its heartbeats is missing.
     pub(super) fn is_in_time(&self, now: Millis) -> bool {
-        now.saturating_sub(self.at) <= HEARTBEATS_MISSED_MS && !self.link_ended
+        now.saturating_sub(self.at) <= PEER_FAILURE_MIN_SILENCE_MS && !self.link_ended
     }
 
     /// Whether it reaches the state service and workers, by its last heartbeat.
--- a/crates/core/src/peers/tracker.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -12,8 +12,9 @@
 use super::peer::{Peer, PeerObservation};
 use super::status::{HeartbeatOutcome, PeerStatus, RejectedHeartbeat};
 use crate::constants::{
-    CLOCK_MS, HEARTBEAT_INTERVAL_WEIGHT, HEARTBEAT_MAX_AGE_MS, HEARTBEAT_MAX_MACHINES, PAUSE_MS,
-    PEER_HEARTBEAT_MS, PEER_LOST_MS, STATS_MS, WORKER_FAILOVER_MS,
+    CLOCK_TICK_MS, HEARTBEAT_INTERVAL_WEIGHT, HEARTBEAT_MAX_AGE_MS, HEARTBEAT_MAX_MACHINES,
+    METRICS_INTERVAL_MS, PAUSE_DETECTION_MS, PEER_HEARTBEAT_EXPIRY_MS, PEER_HEARTBEAT_INTERVAL_MS,
+    WORKER_FAILOVER_MS,
 };
 use crate::controller::{ControllerStatus, HeardWorker, PeerHeartbeat};
 use crate::model::{Millis, WallMs};
@@ -66,8 +67,8 @@
         let membership = Membership {
             own_name: settings.controller.clone(),
             members: settings.controllers.clone(),
-            clock_off_ms: settings.clock_off_ms,
-            worker_failover_ms: WORKER_FAILOVER_MS + settings.report_due_ms(),
+            clock_off_ms: settings.clock_skew_ms,
+            worker_failover_ms: WORKER_FAILOVER_MS + settings.heartbeat_due_ms(),
             tuning: settings.tuning,
         };
         PeerTracker::of(membership, wall)
@@ -149,7 +150,7 @@
     /// The connection by which a peer sent its heartbeats has ended, and it has no other.
     pub fn link_ended(&mut self, controller: &str) {
         if let Some(peer) = self.peers.get_mut(controller) {
-            peer.link_ended = self.membership.tuning.link_ends;
+            peer.link_ended = self.membership.tuning.detect_link_loss;
         }
     }
 
@@ -170,7 +171,9 @@
     pub fn reset_after_pause(&mut self, now: Millis) {
         for peer in self.peers.values_mut() {
             // Not known what has become of it, and no reason to take over from it.
-            peer.at = peer.at.min(now.saturating_sub(PEER_LOST_MS + 1));
+            peer.at = peer
+                .at
+                .min(now.saturating_sub(PEER_HEARTBEAT_EXPIRY_MS + 1));
             (peer.status, peer.failed_over) = (PeerStatus::Silent, 0);
         }
         self.failovers.clear();
@@ -179,14 +182,16 @@
 
     /// The clock ticked, so many milliseconds after the last time.
     pub fn ticked(&mut self, interval: Millis) {
-        let delay = interval.saturating_sub(CLOCK_MS).min(PAUSE_MS) as f64;
+        let delay = interval
+            .saturating_sub(CLOCK_TICK_MS)
+            .min(PAUSE_DETECTION_MS) as f64;
         self.tick_delay_ms += HEARTBEAT_INTERVAL_WEIGHT * (delay - self.tick_delay_ms);
     }
 
     /// What this controller adds to its next heartbeat, when one is due: whether it says what it
     /// remembers of images, and what it says of itself.
     pub fn heartbeat_due(&mut self, now: Millis) -> Option<(bool, ControllerStatus)> {
-        if now < self.sent_at + PEER_HEARTBEAT_MS {
+        if now < self.sent_at + PEER_HEARTBEAT_INTERVAL_MS {
             return None;
         }
         self.sent_at = now;
@@ -207,9 +212,9 @@
         self.sent_at = 0;
     }
 
-    /// Heartbeats rejected since the last time, by reason; none more often than every `STATS_MS`.
+    /// Heartbeats rejected since the last time, by reason; none more often than every `METRICS_INTERVAL_MS`.
     pub fn take_rejected(&mut self, now: Millis) -> Vec<(RejectedHeartbeat, u64)> {
-        if self.rejected.is_empty() || now < self.rejected_logged_at + STATS_MS {
+        if self.rejected.is_empty() || now < self.rejected_logged_at + METRICS_INTERVAL_MS {
             return Vec::new();
         }
         self.rejected_logged_at = now;
--- a/crates/core/src/peers/tracker/tests.rs
+++ b/crates/core/src/peers/tracker/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `tracker`.
 
 use super::*;
-use crate::constants::HEARTBEATS_MISSED_MS;
+use crate::constants::PEER_FAILURE_MIN_SILENCE_MS;
 use crate::controller::HeardWorker;
 
 const WALL: WallMs = 1_700_000_000_000;
@@ -179,13 +179,13 @@
         assert!(s.observation("forged").is_none());
     }
     assert_eq!(
-        s.take_rejected(STATS_MS)
+        s.take_rejected(METRICS_INTERVAL_MS)
             .iter()
             .map(|(_, n)| n)
             .sum::<u64>(),
         8
     );
-    assert!(s.take_rejected(STATS_MS).is_empty());
+    assert!(s.take_rejected(METRICS_INTERVAL_MS).is_empty());
 }
 
 /// It would never have been heard again.
@@ -220,11 +220,11 @@
         wild.observe([300, 1_100][i as usize % 2]);
     }
     assert_eq!(
-        regular.timeout_ms(HEARTBEATS_MISSED_MS),
-        HEARTBEATS_MISSED_MS
+        regular.timeout_ms(PEER_FAILURE_MIN_SILENCE_MS),
+        PEER_FAILURE_MIN_SILENCE_MS
     );
-    let patience = wild.timeout_ms(HEARTBEATS_MISSED_MS);
-    assert!(patience > 2_000 && patience <= PEER_LOST_MS);
+    let patience = wild.timeout_ms(PEER_FAILURE_MIN_SILENCE_MS);
+    assert!(patience > 2_000 && patience <= PEER_HEARTBEAT_EXPIRY_MS);
     assert!(!regular.is_slow());
     for _ in 0..40 {
         wild.observe(1_400);
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -1,8 +1,8 @@
 //! Requests to the cloud: its machine types and instance lists, instance requests and deletions under way.
 
 use crate::constants::{
-    CONTROLLER_STAGGER_MS, DELETE_MAX, DELETE_RETRY_MS, INSTANCE_LIST_INTERVAL_MS,
-    OFFER_UNAVAILABLE_MS, PROVISION_RETRY_MS, PROVISION_RETRY_SOON_MS,
+    CONTROLLER_STAGGER_MS, DELETE_MAX_MACHINES, DELETE_RETRY_MS, INSTANCE_LIST_INTERVAL_MS,
+    OFFER_UNAVAILABLE_MS, PROVISION_FAST_RETRY_MS, PROVISION_RETRY_MS,
 };
 use crate::controller::{
     CloudOperation, CloudResponse, Controller, OperationId, PendingOperation, RequestClass,
@@ -210,7 +210,7 @@
                         .is_none_or(|at| now >= at + DELETE_RETRY_MS)
             })
             .map(|(id, _, _)| id.to_string())
-            .take(DELETE_MAX)
+            .take(DELETE_MAX_MACHINES)
             .collect();
         if due.is_empty() {
             return;
@@ -227,7 +227,7 @@
     fn reconcile_instances(&mut self, instances: Vec<CloudInstance>) {
         // The list shows machines that are gone for up to twice its lag, and a controller that has
         // just started does not know that they are.
-        let lag_ms = self.settings.list_lag_ms * 2 + INSTANCE_LIST_INTERVAL_MS;
+        let lag_ms = self.settings.instance_list_lag_ms * 2 + INSTANCE_LIST_INTERVAL_MS;
         let now = self.now;
         self.provisioning
             .unmanaged
@@ -323,15 +323,16 @@
     fn request_retry_ms(&self, n: u64, request: &InstanceRequestRecord) -> Millis {
         let stagger_ms = self.settings.controller_index() * CONTROLLER_STAGGER_MS;
         if self.peers.is_away(&request.controller) {
-            PROVISION_RETRY_SOON_MS + stagger_ms
+            PROVISION_FAST_RETRY_MS + stagger_ms
         } else if request.controller != self.settings.controller {
             PROVISION_RETRY_MS * 2 + stagger_ms
-        } else if self.provisioning.request_tried_at.contains_key(&n) || !self.settings.checks.doubt
+        } else if self.provisioning.request_tried_at.contains_key(&n)
+            || !self.settings.checks.uncertain_outcomes
         {
             PROVISION_RETRY_MS
         } else {
             // Never sent: the transaction that recorded it got no answer.
-            PROVISION_RETRY_SOON_MS
+            PROVISION_FAST_RETRY_MS
         }
     }
 }
--- a/crates/core/src/provisioning/demand.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -1,8 +1,8 @@
 //! Demand for machines: which instances to provision for work that no machine, present or on its way, can take.
 
 use crate::constants::{
-    BOOT_LATE, BOOT_LATE_SPARE_MS, LATE_FEW, LATE_PART, PROVISION_MAX_INSTANCES,
-    PROVISION_REQUESTS_AT_ONCE,
+    BOOT_LATE_FACTOR, BOOT_LATE_MARGIN_MS, LATE_BOOTS_DIVISOR, LATE_BOOTS_MIN,
+    PROVISION_MAX_INSTANCES, PROVISION_MAX_REQUESTS_PER_STEP,
 };
 use crate::model::{JobSpec, MachineType, Resources, WallMs};
 use crate::scheduling::claims::zone_room;
@@ -71,7 +71,7 @@
                 .allows(&instance.type_name, &instance.zone, instance.spot)
             && zone_room(self.spec, &self.zones, &instance.zone) > 0
         {
-            instance.free = instance.free.less(&self.spec.resources);
+            instance.free = instance.free.saturating_sub(&self.spec.resources);
             let zone = instance.zone.clone();
             *self.zones.zones.entry(zone).or_default() += 1;
             self.count -= 1;
@@ -86,7 +86,7 @@
         let offers = self.cache.fleet();
         let mut instances = self.instances_on_their_way();
         let on_their_way = instances.len();
-        let max = PROVISION_MAX_INSTANCES as usize * PROVISION_REQUESTS_AT_ONCE;
+        let max = PROVISION_MAX_INSTANCES as usize * PROVISION_MAX_REQUESTS_PER_STEP;
         for work in work {
             let Some(spec) = self.cache.open_job(&work.job) else {
                 continue;
@@ -121,7 +121,7 @@
         let late: u32 = (expected.iter().filter(|e| e.is_late))
             .map(|e| e.count)
             .sum();
-        let only_few_are_late = late <= LATE_FEW || late * LATE_PART <= all;
+        let only_few_are_late = late <= LATE_BOOTS_MIN || late * LATE_BOOTS_DIVISOR <= all;
         let mut instances = Vec::new();
         for expected in expected {
             let is_given_up = expected.is_late && only_few_are_late;
@@ -135,7 +135,7 @@
                 type_name: expected.type_name.to_string(),
                 zone: expected.zone.to_string(),
                 spot: expected.spot,
-                free: machine_type.room,
+                free: machine_type.capacity,
             };
             instances.extend(std::iter::repeat_n(instance, expected.count as usize));
         }
@@ -173,8 +173,8 @@
     /// Whether a machine of a type that was requested then should have come by now.
     fn is_late(&self, type_name: &str, requested_at: WallMs) -> bool {
         let boot_s = self.machine_types.get(type_name).map_or(0.0, |t| t.boot_s);
-        let boot_ms = (boot_s * 1_000.0 * BOOT_LATE) as u64;
-        self.wall > requested_at + boot_ms + BOOT_LATE_SPARE_MS
+        let boot_ms = (boot_s * 1_000.0 * BOOT_LATE_FACTOR) as u64;
+        self.wall > requested_at + boot_ms + BOOT_LATE_MARGIN_MS
     }
 
     /// The offer that serves the tasks at the lowest price per task.
@@ -196,7 +196,7 @@
                         type_name: machine_type.name.clone(),
                         zone: zone.clone(),
                         spot,
-                        free: machine_type.room,
+                        free: machine_type.capacity,
                     };
                     let is_better = match &best {
                         None => true,
@@ -235,7 +235,7 @@
             .get(&offer_key(&machine_type.name, zone, spot))
             .is_some_and(|until| *until > self.wall);
         let in_zone = u64::from(zone_room(tasks.spec, &tasks.zones, zone));
-        let fits = machine_type.room.count(&tasks.spec.resources);
+        let fits = machine_type.capacity.max_tasks(&tasks.spec.resources);
         let served = fits.min(tasks.count).min(in_zone);
         let is_offered = !is_refused
             && price.is_finite()
--- a/crates/core/src/provisioning/scale_in.rs
+++ b/crates/core/src/provisioning/scale_in.rs
@@ -49,7 +49,7 @@
 ) -> Vec<String> {
     let cheapest_per_cpu = machine_types
         .values()
-        .map(|t| t.price / t.room.cpus.max(1) as f64)
+        .map(|t| t.price / t.capacity.cpus.max(1) as f64)
         .fold(f64::INFINITY, f64::min);
     let mut candidates: Vec<(f64, &str)> = Vec::new();
     for (id, record, _) in cache.machines() {
@@ -129,7 +129,7 @@
                 continue;
             }
             if let Some(machine_type) = machine_types.get(&record.type_name) {
-                let free = machine_type.room.less(&cache.used(id));
+                let free = machine_type.capacity.saturating_sub(&cache.used(id));
                 machines.insert(id, MigrationTarget { record, free });
             }
         }
@@ -153,7 +153,7 @@
                 return false;
             };
             let sum = taken.entry(target).or_default();
-            *sum = sum.plus(&placed.resources);
+            *sum = sum.saturating_add(&placed.resources);
         }
         // What is left must still take a new service of the largest size at once.
         let others = self.machines.iter().filter(|(other, _)| **other != id);
@@ -164,7 +164,7 @@
         }
         for (other, resources) in taken {
             if let Some(target) = self.machines.get_mut(other) {
-                target.free = target.free.less(&resources);
+                target.free = target.free.saturating_sub(&resources);
             }
             self.used.insert(other);
         }
@@ -189,7 +189,7 @@
             let taken = taken.get(*id).copied().unwrap_or_default();
             **id != leaving
                 && record.zone == zone
-                && target.free.less(&taken).fits(&placed.resources)
+                && target.free.saturating_sub(&taken).fits(&placed.resources)
                 && self.cache.has_image(id, &spec.image)
                 && spec.allows(&record.type_name, &record.zone, record.spot)
         });
--- a/crates/core/src/provisioning/scale_out.rs
+++ b/crates/core/src/provisioning/scale_out.rs
@@ -1,7 +1,8 @@
 //! Scale-out: instance requests for pending work that no machine can take.
 
 use crate::constants::{
-    MACHINE_NAME_BYTES, PROVISION_MAX_INSTANCES, PROVISION_REQUESTS_AT_ONCE, SMALL_RECORD_BYTES,
+    MACHINE_NAME_BYTES, PROVISION_MAX_INSTANCES, PROVISION_MAX_REQUESTS_PER_STEP,
+    SMALL_RECORD_BYTES,
 };
 use crate::controller::{Controller, PendingOperation, RequestClass};
 use crate::provisioning::demand::{InstanceDemand, ProvisioningView};
@@ -24,7 +25,7 @@
         let view = ProvisioningView {
             cache: &self.cache,
             machine_types: &self.machine_types,
-            is_on_its_way: &|id| self.settings.checks.instance_requests && self.on_its_way(id),
+            is_on_its_way: &|id| self.settings.checks.outstanding_instances && self.on_its_way(id),
             is_zone_unreachable: &|zone| self.is_zone_unreachable(zone),
             wall: self.wall,
         };
@@ -43,7 +44,7 @@
     fn create_instance_requests(&mut self, demand: Vec<InstanceDemand>) {
         let max_instances = self.max_instances_per_request();
         let max_requests =
-            PROVISION_REQUESTS_AT_ONCE.min(self.settings.max_transaction_changes - 1);
+            PROVISION_MAX_REQUESTS_PER_STEP.min(self.settings.max_transaction_changes - 1);
         let mut draft = TransactionBuilder::new(&self.cache);
         let mut fleet = draft.fleet();
         let mut created = Vec::new();
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -7,9 +7,9 @@
 //! no proof and no condition of a claim depends on what is learned.
 
 use crate::constants::{
-    ATTEMPTS_FOLLOWED, BACKLOG_RESULTS, EARLY_CHANCE, ESTIMATES_AT_ONCE, ESTIMATES_KEPT,
-    ESTIMATE_MS, FEASIBLE_CHANCE, LEARN_SHARE, MOST_CHANCE, SILENCE_MARGIN_MS, START_TAKES_MS,
-    THROTTLED_MS,
+    BACKLOG_MIN_RESULTS, EARLY_END_QUANTILE, ESTIMATES_MAX, ESTIMATES_PER_PASS_MAX,
+    ESTIMATE_TTL_MS, FEASIBLE_RUN_TIME_QUANTILE, LATEST_START_QUANTILE, RUN_TIME_WRITE_SHARE,
+    SILENCE_MARGIN_MS, START_DURATION_MS, THROTTLE_PERIOD_MS, TRACKED_ATTEMPTS_MAX,
 };
 use crate::controller::{Controller, PendingOperation, RequestClass, StateResponse};
 use crate::model::{JobKind, JobSpec, Millis, TaskId, WallMs, WorkerHeartbeat};
@@ -95,7 +95,7 @@
 
 impl Controller {
     fn learns(&self) -> bool {
-        self.settings.learned.learn
+        self.settings.runtime_estimates.enabled
     }
 
     /// A chunk is about to change: notes claims in it, and attempts that were lost.
@@ -127,7 +127,7 @@
 
     /// An assignment that this controller has not seen before.
     fn claim_seen(&mut self, task: TaskId, attempt: u64) {
-        if self.run_times.begun.len() < ATTEMPTS_FOLLOWED {
+        if self.run_times.begun.len() < TRACKED_ATTEMPTS_MAX {
             let at = self.now;
             let begun = AttemptBeginning {
                 attempt,
@@ -147,7 +147,7 @@
     fn interrupted(&mut self, task: TaskId, attempt: u64) {
         let open = self.cache.open_job(&task.job);
         if open.is_none_or(|s| s.checkpoint_interval_s <= 0.0)
-            || self.run_times.saved_progress.len() >= ATTEMPTS_FOLLOWED
+            || self.run_times.saved_progress.len() >= TRACKED_ATTEMPTS_MAX
         {
             return;
         }
@@ -168,11 +168,11 @@
         attempt: u64,
         heartbeat: &WorkerHeartbeat,
     ) {
-        let recent = self.settings.report_due_ms() + SILENCE_MARGIN_MS;
+        let recent = self.settings.heartbeat_due_ms() + SILENCE_MARGIN_MS;
         let before = self.run_times.last_heartbeats.get(&heartbeat.machine);
         let exact =
             before.is_some_and(|(s, at)| *s == heartbeat.incarnation && self.now < at + recent);
-        let room = self.run_times.begun.len() < ATTEMPTS_FOLLOWED;
+        let room = self.run_times.begun.len() < TRACKED_ATTEMPTS_MAX;
         match self.run_times.begun.get(task) {
             Some(begun) if begun.runs && begun.attempt == attempt => {}
             None if !room => {}
@@ -240,7 +240,7 @@
         };
         if saves
             && outcome == AttemptOutcome::Terminated
-            && self.run_times.saved_progress.len() < ATTEMPTS_FOLLOWED
+            && self.run_times.saved_progress.len() < TRACKED_ATTEMPTS_MAX
         {
             // Stopped, it saved all its progress; lost with its machine, up to its last checkpoint.
             let kept = match assigned.stop.is_some() {
@@ -251,7 +251,7 @@
             let carried = SavedProgress { attempt, secs };
             self.run_times.saved_progress.insert(task.clone(), carried);
         }
-        if secs > 0.0 && self.run_times.ended.len() < ATTEMPTS_FOLLOWED {
+        if secs > 0.0 && self.run_times.ended.len() < TRACKED_ATTEMPTS_MAX {
             let run = Run {
                 team: spec.team,
                 class: spec.class,
@@ -328,10 +328,10 @@
         {
             return;
         }
-        let is_budget_ample = self.changes_left() * 2 >= self.writes.budget.most();
-        let is_throttle_over = |at: Millis| self.now >= at + THROTTLED_MS;
+        let is_budget_ample = self.changes_left() * 2 >= self.writes.budget.capacity();
+        let is_throttle_over = |at: Millis| self.now >= at + THROTTLE_PERIOD_MS;
         if !is_budget_ample
-            || self.write_back.results.len() > BACKLOG_RESULTS
+            || self.write_back.results.len() > BACKLOG_MIN_RESULTS
             || !self.writes.throttled_at.is_none_or(is_throttle_over)
         {
             return;
@@ -357,7 +357,11 @@
                 draft.remove(Key::RunTimes(*least));
             }
         }
-        let rate = self.settings.write_rps.min(self.settings.next_write_rps) * LEARN_SHARE;
+        let rate = self
+            .settings
+            .write_rps
+            .min(self.settings.announced_write_rps)
+            * RUN_TIME_WRITE_SHARE;
         let pause = draft.ops() as f64 * 1e3 / rate.max(1e-6);
         self.run_times.record_at = self.now + pause as Millis;
         self.run_times.recording_in_flight = true;
@@ -389,12 +393,14 @@
 
     /// Computes estimates anew for waiting and running jobs, as far as they are outdated.
     pub(crate) fn look_at_run_times(&mut self) {
-        let uses = self.settings.learned;
-        if !(uses.learn && (uses.order || uses.due || uses.stops || uses.notice)) {
+        let uses = self.settings.runtime_estimates;
+        if !(uses.enabled
+            && (uses.queue_order || uses.due_times || uses.preemption || uses.termination_notice))
+        {
             return;
         }
         let now = self.now;
-        let fresh = |estimate: &JobEstimate| now < estimate.at + ESTIMATE_MS;
+        let fresh = |estimate: &JobEstimate| now < estimate.at + ESTIMATE_TTL_MS;
         let stale = |id: &str| !self.run_times.estimates.get(id).is_some_and(fresh);
         let running = self.cache.counted().filter(|(_, c)| c.assigned > 0);
         let ids: BTreeSet<&str> = (self.cache.waiting_jobs())
@@ -405,7 +411,7 @@
         let due: Vec<JobSpec> = (ids.into_iter())
             .filter_map(|id| self.cache.open_job(id))
             .filter(|s| s.kind == JobKind::Array)
-            .take(ESTIMATES_AT_ONCE)
+            .take(ESTIMATES_PER_PASS_MAX)
             .cloned()
             .collect();
         for spec in due {
@@ -416,10 +422,10 @@
                 job: &spec.id,
                 expect_s: spec.estimate_s,
             });
-            let least_ms = (tasks.quantile(FEASIBLE_CHANCE).exp() * 1e3) as u64;
-            let most_ms = (tasks.quantile(MOST_CHANCE).exp() * 1e3) as u64;
-            let early_s = tasks.quantile(EARLY_CHANCE).exp();
-            if self.run_times.estimates.len() < ESTIMATES_KEPT {
+            let least_ms = (tasks.quantile(FEASIBLE_RUN_TIME_QUANTILE).exp() * 1e3) as u64;
+            let most_ms = (tasks.quantile(LATEST_START_QUANTILE).exp() * 1e3) as u64;
+            let early_s = tasks.quantile(EARLY_END_QUANTILE).exp();
+            if self.run_times.estimates.len() < ESTIMATES_MAX {
                 let known = JobEstimate {
                     at: now,
                     tasks,
@@ -435,7 +441,7 @@
     /// Milliseconds that a job's tasks take at least.
     pub(crate) fn least_run_ms(&self, job: &str, spec: &JobSpec) -> u64 {
         let known = self.run_times.estimates.get(job);
-        match known.filter(|_| self.settings.learned.due) {
+        match known.filter(|_| self.settings.runtime_estimates.due_times) {
             Some(k) => k.least_ms,
             None => crate::jobs::dependencies::least_run_ms(spec),
         }
@@ -446,7 +452,7 @@
     pub(crate) fn start_before_ms(&self, job: &str) -> u64 {
         let known = self.run_times.estimates.get(job);
         known
-            .filter(|_| self.settings.learned.order)
+            .filter(|_| self.settings.runtime_estimates.queue_order)
             .map_or(0, |k| k.most_ms)
     }
 
@@ -459,12 +465,12 @@
             .get(task)
             .filter(|b| b.attempt == attempt)?;
         let known = self.run_times.estimates.get(&task.job)?;
-        if !begun.runs && self.now < begun.at + START_TAKES_MS {
+        if !begun.runs && self.now < begun.at + START_DURATION_MS {
             return None;
         }
         let start = match begun.runs {
             true => begun.at,
-            false => begun.at + START_TAKES_MS,
+            false => begun.at + START_DURATION_MS,
         };
         let carried = self.run_times.saved_progress.get(task).and_then(|c| c.secs);
         let elapsed = (self.now - start) as f64 / 1e3 + carried.unwrap_or(0.0);
--- a/crates/core/src/scheduling/candidates.rs
+++ b/crates/core/src/scheduling/candidates.rs
@@ -1,6 +1,6 @@
 //! Candidates: the machines that a scheduling pass may place tasks on.
 
-use crate::constants::FETCH_MAX_MS;
+use crate::constants::IMAGE_FETCH_MAX_MS;
 use crate::model::{JobSpec, MachineType, Millis, Resources};
 use crate::scheduling::claims::Carrier;
 use crate::scheduling::pending_work::PendingWork;
@@ -71,5 +71,5 @@
 ) -> Millis {
     let machine_type = machine_types.get(&record.type_name);
     let gb_per_s = machine_type.map_or(1.0, |t| t.fetch_gb_per_s.max(0.001));
-    (spec.image_gb / gb_per_s * 1000.0).min(FETCH_MAX_MS as f64) as Millis
+    (spec.image_gb / gb_per_s * 1000.0).min(IMAGE_FETCH_MAX_MS as f64) as Millis
 }
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -6,8 +6,8 @@
 //! then known exactly, since no other claim came between.
 
 use crate::constants::{
-    ASSIGNMENT_BYTES, CHUNK_BASE_BYTES, FAIL_PAUSE_MAX_MS, FAIL_PAUSE_MS, FAULTS_KEPT,
-    FAULTY_MACHINES, SICK_JOBS, SMALL_RECORD_BYTES,
+    ASSIGNMENT_BYTES, CHUNK_BASE_BYTES, FAULTY_JOB_MIN_MACHINES, FAULTY_MACHINE_MIN_JOBS,
+    MACHINE_FAULTS_MAX, SMALL_RECORD_BYTES, TASK_BACKOFF_MAX_MS, TASK_BACKOFF_MS,
 };
 use crate::model::{DirectStart, JobKind, JobSpec, Resources, TaskId, Team, WallMs};
 use crate::settings::Settings;
@@ -110,7 +110,7 @@
         return 0;
     }
     let here = zones.count(zone);
-    spec.zone_cap().saturating_sub(here)
+    spec.max_tasks_per_zone().saturating_sub(here)
 }
 
 /// Whether usage plus a need stays within the team's limit. A limit of 0 is none.
@@ -283,7 +283,7 @@
         let attempt = draft.cache.claim_revision(&task.job, self.chunk);
         draft.rests_on(Key::Job(task.job.clone()));
         draft.rests_on(Key::Machine(machine.clone()));
-        if settings.checks.configured {
+        if settings.checks.configuration_conditions {
             draft.rests_on_revision(Key::Configuration, settings.policy.mod_revision);
         }
         let chunk = draft
@@ -381,7 +381,7 @@
         | AttemptOutcome::Terminated => TaskState::Pending,
     };
     match outcome {
-        AttemptOutcome::Refused => chunk.pause_until = wall + FAIL_PAUSE_MS,
+        AttemptOutcome::Refused => chunk.pause_until = wall + TASK_BACKOFF_MS,
         AttemptOutcome::Failed => pause_after_failure(chunk, &machine_id, wall),
         AttemptOutcome::Done | AttemptOutcome::Terminated => {}
     }
@@ -403,14 +403,14 @@
 fn pause_after_failure(chunk: &mut ChunkRecord, machine_id: &str, wall: WallMs) {
     chunk.fails = chunk.fails.saturating_add(1);
     let is_known = chunk.failed_on.iter().any(|id| id == machine_id);
-    if !is_known && chunk.failed_on.len() < FAULTY_MACHINES {
+    if !is_known && chunk.failed_on.len() < FAULTY_JOB_MIN_MACHINES {
         chunk.failed_on.push(machine_id.to_string());
     }
-    let doublings = match chunk.failed_on.len() >= FAULTY_MACHINES {
+    let doublings = match chunk.failed_on.len() >= FAULTY_JOB_MIN_MACHINES {
         true => chunk.fails.min(FAIL_PAUSE_MAX_DOUBLINGS),
         false => 0,
     };
-    chunk.pause_until = wall + (FAIL_PAUSE_MS << doublings).min(FAIL_PAUSE_MAX_MS);
+    chunk.pause_until = wall + (TASK_BACKOFF_MS << doublings).min(TASK_BACKOFF_MAX_MS);
 }
 
 /// Cordons a machine on which tasks of several jobs fail without a success in between; a success clears its
@@ -447,14 +447,14 @@
 fn add_fault(draft: &TransactionBuilder, machine: &mut MachineRecord, job: &str) -> bool {
     let is_known = machine.faults.iter().any(|known| known == job);
     if !is_known {
-        if machine.faults.len() >= FAULTS_KEPT {
+        if machine.faults.len() >= MACHINE_FAULTS_MAX {
             machine.faults.remove(0);
         }
         machine.faults.push(job.to_string());
     }
     // Jobs submitted with a mistake fail everywhere: two of them say nothing about a machine.
     let telling = machine.faults.iter().filter(|job| !draft.suspect(job));
-    let is_faulty = telling.count() >= SICK_JOBS;
+    let is_faulty = telling.count() >= FAULTY_MACHINE_MIN_JOBS;
     if is_faulty && machine.phase == MachinePhase::Up {
         machine.phase = MachinePhase::Draining;
     }
--- a/crates/core/src/scheduling/deferral.rs
+++ b/crates/core/src/scheduling/deferral.rs
@@ -1,7 +1,7 @@
 //! Deferral: which pending jobs are put off, priority by priority, when not all of them can be done in time.
 //! The rule itself is in `queue_order`; here are the figures that it works on.
 
-use crate::constants::{CHANGES_PER_TASK, FRESH_MS, QUEUE_ORDER_CACHE_MS};
+use crate::constants::{CHANGES_PER_TASK, NEW_JOB_MS, QUEUE_ORDER_CACHE_MS};
 use crate::jobs::dependencies;
 use crate::model::{JobKind, JobPriority, JobSpec, WallMs};
 use crate::scheduling::pending_work::PendingWork;
@@ -90,7 +90,7 @@
         let mut capacity = self.capacity(&running);
         let arrived = self.within_guarantee_on_arrival(queue);
         let tuning = &self.settings.tuning;
-        let (threshold, share) = (tuning.put_off_from, tuning.put_off_share);
+        let (threshold, share) = (tuning.defer_overload_factor, tuning.defer_capacity_share);
         for group in queue.chunk_by_mut(|a, b| a.urgency.priority == b.urgency.priority) {
             let priority = group
                 .first()
@@ -188,7 +188,7 @@
     /// Jobs that have just arrived and that fit into their team's guarantee together with all that the team
     /// had before: they need not wait for anybody.
     fn within_guarantee_on_arrival(&self, queue: &[PendingWork]) -> BTreeSet<String> {
-        let has_just_arrived = |ready_at: WallMs| self.wall < ready_at + FRESH_MS;
+        let has_just_arrived = |ready_at: WallMs| self.wall < ready_at + NEW_JOB_MS;
         if !queue.iter().any(|work| has_just_arrived(work.ready_at)) {
             return BTreeSet::new();
         }
--- a/crates/core/src/scheduling/migration_step.rs
+++ b/crates/core/src/scheduling/migration_step.rs
@@ -1,7 +1,8 @@
 //! Migrations of running services: off machines that are to go, and back to an even spread over zones.
 
 use crate::constants::{
-    MOVES_MOST, MOVES_PART, MOVES_REST_MS, MOVE_COST_S, MOVE_GAP_MS, SCALE_IN_AFTER_MS, TICK_MS,
+    HOUSEKEEPING_INTERVAL_MS, MIGRATIONS_MAX, MIGRATION_COOLDOWN_MS, MIGRATION_COST_S,
+    MIGRATION_INTERVAL_MS, MIGRATION_MACHINES_DIVISOR, SCALE_IN_AFTER_MS,
 };
 use crate::controller::Controller;
 use crate::model::{JobKind, JobSpec, Resources, TaskId};
@@ -38,9 +39,12 @@
         }
         if self.has_disruption() {
             // Disrupted work is placed first: migrations rest, and continue after.
-            self.scheduling.migrations.last_round_at = self.now + MOVES_REST_MS - MOVE_GAP_MS;
+            self.scheduling.migrations.last_round_at =
+                self.now + MIGRATION_COOLDOWN_MS - MIGRATION_INTERVAL_MS;
         }
-        if !self.may_write() || self.now < self.scheduling.migrations.last_round_at + MOVE_GAP_MS {
+        if !self.may_write()
+            || self.now < self.scheduling.migrations.last_round_at + MIGRATION_INTERVAL_MS
+        {
             return;
         }
         // These can't wait until no other work is pending. As often as failures are detected, which finds them.
@@ -81,9 +85,9 @@
     /// Most tasks that may be migrating at a time, in proportion to the fleet: one by one a fleet of hundreds
     /// would stay for as long as its services run. All tasks on mute workers may at once.
     fn max_migrations(&self, off_mute_workers: usize) -> usize {
-        let max = MOVES_MOST.min(self.settings.max_transaction_changes);
+        let max = MIGRATIONS_MAX.min(self.settings.max_transaction_changes);
         let up = self.cache.machines().filter(|(_, m, _)| m.is_up()).count();
-        (up / MOVES_PART)
+        (up / MIGRATION_MACHINES_DIVISOR)
             .clamp(1, max)
             .max(off_mute_workers.min(max))
     }
@@ -116,7 +120,7 @@
         let draining = draining.filter(|(_, m, _)| m.phase == MachinePhase::Draining);
         let leaving: Vec<MigrationCandidate> =
             draining.flat_map(|(id, _, _)| self.moves_off(id)).collect();
-        let is_spread = self.settings.tuning.even_spread && self.settings.zones.len() > 1;
+        let is_spread = self.settings.tuning.even_zone_spread && self.settings.zones.len() > 1;
         match is_spread && leaving.is_empty() {
             true => self.spread_candidates(),
             false => leaving,
@@ -136,7 +140,7 @@
             machine: id.to_string(),
             reason: MigrationReason::Leaving,
             gain_s: 0.0,
-            cost_s: MOVE_COST_S,
+            cost_s: MIGRATION_COST_S,
         };
         self.cache.assignments(id).filter(is_movable).map(candidate)
     }
@@ -167,7 +171,7 @@
             free.entry(&record.zone).or_default().push(FreeMachine {
                 id,
                 record,
-                free: machine_type.room.less(&self.cache.used(id)),
+                free: machine_type.capacity.saturating_sub(&self.cache.used(id)),
             });
         }
         free
@@ -213,7 +217,7 @@
             machine: assignment.machine.clone(),
             reason: MigrationReason::Spread,
             gain_s,
-            cost_s: MOVE_COST_S + fetch_s,
+            cost_s: MIGRATION_COST_S + fetch_s,
         })
     }
 
@@ -234,7 +238,7 @@
         let is_throttled = self
             .writes
             .throttled_at
-            .is_some_and(|at| self.now < at + TICK_MS);
+            .is_some_and(|at| self.now < at + HOUSEKEEPING_INTERVAL_MS);
         self.zones.has_unreachable() || self.peers.has_failover_in_progress() || is_throttled
     }
 }
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -2,7 +2,8 @@
 //! preempt, scale out.
 
 use crate::constants::{
-    FIRST_PASS_MS, PASS_INTERVAL_MS, WARM_IMAGE_MIN_FETCH_MS, WARM_IMAGE_WAIT_MS,
+    SCHEDULING_INTERVAL_MS, STARTUP_SCHEDULING_INTERVAL_MS, WARM_IMAGE_MIN_FETCH_MS,
+    WARM_IMAGE_WAIT_MS,
 };
 use crate::controller::{ClaimedTask, Controller, PendingOperation, RequestClass};
 use crate::jobs::dependencies::{self, InheritedPriority};
@@ -52,7 +53,7 @@
             self.hold_for_cached_images(&mut work, &inherited);
         } else {
             // More machines send their first heartbeats: they are filled as they do.
-            let at = self.now + FIRST_PASS_MS;
+            let at = self.now + STARTUP_SCHEDULING_INTERVAL_MS;
             self.scheduling.pass_no_later_than(at);
         }
         let mut machines = self.candidates(&work);
@@ -75,8 +76,8 @@
         self.metrics.lookups += 1;
         self.scheduling.pass_requested = false;
         // Without the jitter controllers would make their passes, and conflicting claims, at the same time.
-        let jitter = self.rng.gen_range(0..PASS_INTERVAL_MS / 4);
-        self.scheduling.next_pass_at = self.now + PASS_INTERVAL_MS + jitter;
+        let jitter = self.rng.gen_range(0..SCHEDULING_INTERVAL_MS / 4);
+        self.scheduling.next_pass_at = self.now + SCHEDULING_INTERVAL_MS + jitter;
         self.look_at_run_times();
     }
 
@@ -107,7 +108,7 @@
             let Some(machine_type) = self.machine_types.get(&record.type_name) else {
                 continue;
             };
-            let free = machine_type.room.less(&self.cache.used(id));
+            let free = machine_type.capacity.saturating_sub(&self.cache.used(id));
             if free.cpus == 0
                 || free.ram == 0
                 || record.phase != MachinePhase::Up
@@ -180,7 +181,7 @@
         });
         machines
             .filter_map(|(_, record, _)| self.machine_types.get(&record.type_name))
-            .map(|machine_type| machine_type.room.cpus)
+            .map(|machine_type| machine_type.capacity.cpus)
             .sum()
     }
 
--- a/crates/core/src/scheduling/pending_work.rs
+++ b/crates/core/src/scheduling/pending_work.rs
@@ -1,6 +1,8 @@
 //! Pending work: the tasks of each job that wait for a machine, in the order in which they are served.
 
-use crate::constants::{BEGIN_LATE_MS, BEGIN_PART, NO_GOAL_MS, PASS_MAX_CHUNKS, PASS_MAX_JOBS};
+use crate::constants::{
+    BATCH_START_DIVISOR, BATCH_START_LATE_MS, NO_GOAL_DUE_MS, PASS_MAX_CHUNKS, PASS_MAX_JOBS,
+};
 use crate::jobs::dependencies::{self, InheritedPriority};
 use crate::model::{JobKind, JobPriority, JobSpec, Millis, Resources, TaskId, WallMs};
 use crate::scheduling::claims::{self, within_limit};
@@ -63,7 +65,7 @@
                 priority: Reverse(spec.priority),
                 borrowed: false,
                 is_deferred: false,
-                due: ready_at + NO_GOAL_MS,
+                due: ready_at + NO_GOAL_DUE_MS,
             },
             own_priority: spec.priority,
             indices: VecDeque::new(),
@@ -126,7 +128,7 @@
             }
             found.push(work);
         }
-        if self.settings.tuning.put_off {
+        if self.settings.tuning.defer_jobs {
             if refresh_order {
                 self.deferral().defer_excess(&mut found, &next_goals);
                 cached_order.store(&found, self.wall);
@@ -164,7 +166,7 @@
         let goals = self.reachable_goals(id, job, spec, ready_at);
         let goals = StartGoals::of(&goals, start_before_due);
         // Work that can meet none comes after everything that can, since it is late in any case.
-        let no_goal = (ready_at + NO_GOAL_MS).saturating_sub(start_before_due);
+        let no_goal = (ready_at + NO_GOAL_DUE_MS).saturating_sub(start_before_due);
         let due = goals.as_ref().map_or(no_goal, |goals| goals.first);
         let plain = PendingWork::of(self.cache, self.settings, id, job, spec);
         let work = PendingWork {
@@ -226,9 +228,13 @@
         let own_deadline = dependencies::deadline(job, spec).into_iter();
         let inherited = self.inherited.get(id).and_then(|inherited| inherited.due);
         let deadline = own_deadline.chain(inherited).min();
-        let completion = policy.goals.get(&spec.class).into_iter().flatten();
+        let completion = policy
+            .completion_goals_ms
+            .get(&spec.class)
+            .into_iter()
+            .flatten();
         let completion = completion.map(|within| ready_at + within);
-        let start = policy.starts.get(&spec.class);
+        let start = policy.start_goals_ms.get(&spec.class);
         let start = start.filter(|_| spec.kind == JobKind::Array);
         let start = start.map(|within| ready_at + within + run_ms);
         deadline
@@ -332,7 +338,7 @@
 
 /// Tasks of a batch that begin first when it has waited for long.
 fn first_part(spec: &JobSpec) -> u32 {
-    (spec.tasks / BEGIN_PART).max(1)
+    (spec.tasks / BATCH_START_DIVISOR).max(1)
 }
 
 /// For a batch that has waited since `ready_at`, too long, and of which no more than its first part has begun:
@@ -344,7 +350,7 @@
     ready_at: WallMs,
     wall: WallMs,
 ) -> Option<u32> {
-    if !settings.checks.begins || wall <= ready_at + BEGIN_LATE_MS {
+    if !settings.checks.batch_start_delay || wall <= ready_at + BATCH_START_LATE_MS {
         return None;
     }
     let spec = cache
--- a/crates/core/src/scheduling/placement.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -178,7 +178,7 @@
         let machine_share =
             Some(share.ceil() as usize).filter(|share| is_service && *share < spec.tasks as usize);
         let zone_count = settings.zones.len() as u32;
-        let is_spread_evenly = settings.tuning.even_spread
+        let is_spread_evenly = settings.tuning.even_zone_spread
             && is_service
             && zone_count > 1
             && !spec.zone_affinity
@@ -247,7 +247,7 @@
     /// other work uses these last: capacity kept for the next service is then where it starts without a fetch.
     fn size_rank(&self, machine: &Candidate, spec: &JobSpec) -> u64 {
         let machine_type = self.view.machine_types.get(&machine.record.type_name);
-        let cpus = machine_type.map_or(0, |t| t.room.cpus);
+        let cpus = machine_type.map_or(0, |t| t.capacity.cpus);
         match spec.kind {
             JobKind::Service => u64::MAX - cpus,
             JobKind::Array if machine.record.spot => 0,
@@ -280,7 +280,7 @@
             match self.claim(task, machine) {
                 Ok(()) => {
                     let zone = &machine.record.zone;
-                    machine.free = machine.free.less(&work.resources);
+                    machine.free = machine.free.saturating_sub(&work.resources);
                     machine.is_busy = true;
                     self.reserve.assign(machine.record, work.resources.cpus);
                     *work.zones.zones.entry(zone.clone()).or_default() += 1;
--- a/crates/core/src/scheduling/preemption.rs
+++ b/crates/core/src/scheduling/preemption.rs
@@ -1,7 +1,7 @@
 //! Preemption: which tasks to stop so that pending work gets capacity: those of lower priority, and, for work
 //! within its team's guarantee, what other teams run beyond theirs.
 
-use crate::constants::{PREEMPT_TASKS, PREEMPT_WASTE_MS};
+use crate::constants::{PREEMPT_MAX_TASKS, PREEMPT_MAX_WASTE_MS};
 use crate::model::{JobKind, JobPriority, JobSpec, Millis, Resources, TaskId};
 use crate::scheduling::claims::zone_room;
 use crate::scheduling::cluster_view::ClusterView;
@@ -42,7 +42,7 @@
         let is_urgent =
             preemptor.priority == JobPriority::High && !preemptor.service_reserve_is_open;
         match is_urgent && !preemptor.spec.spot && !self.record.spot {
-            true => self.available.less(&self.free),
+            true => self.available.saturating_sub(&self.free),
             false => self.available,
         }
     }
@@ -113,7 +113,7 @@
 
     /// Counts one of its tasks on a machine.
     fn assign(&mut self, machine: &mut PreemptionTarget) {
-        machine.available = machine.available.less(&self.spec.resources);
+        machine.available = machine.available.saturating_sub(&self.spec.resources);
         let zone = machine.record.zone.clone();
         *self.zones.zones.entry(zone).or_default() += 1;
     }
@@ -158,10 +158,13 @@
                 other.kind == JobKind::Array && priority(&task.job, other) < work.own_priority
             };
             if !view.cache.open_job(&task.job).is_some_and(is_preemptible) {
-                staying = staying.plus(&placed.resources);
+                staying = staying.saturating_add(&placed.resources);
             }
         }
-        tasks += machine_type.room.less(&staying).count(&spec.resources);
+        tasks += machine_type
+            .capacity
+            .saturating_sub(&staying)
+            .max_tasks(&spec.resources);
     }
     tasks
 }
@@ -189,7 +192,7 @@
             priority,
             max_wasted_ms: match priority {
                 JobPriority::Production => Millis::MAX,
-                JobPriority::High | JobPriority::Normal | JobPriority::Low => PREEMPT_WASTE_MS,
+                JobPriority::High | JobPriority::Normal | JobPriority::Low => PREEMPT_MAX_WASTE_MS,
             },
             service_reserve_is_open: reserve_open_to.is_some_and(|lowest| priority > lowest),
             zones: work.zones.clone(),
@@ -223,7 +226,7 @@
                 .get(&record.type_name)
                 .filter(|_| record.phase == MachinePhase::Up && (observations.is_usable)(id));
             if let Some(machine_type) = machine_type {
-                plan.add_machine(id, record, machine_type.room, observations);
+                plan.add_machine(id, record, machine_type.capacity, observations);
             }
         }
         for (team, cpus) in &mut plan.borrowed {
@@ -248,7 +251,7 @@
             .assignments(id)
             .filter(|(_, placed)| placed.assignment.stop.is_none());
         for (task, placed) in running {
-            staying = staying.plus(&placed.resources);
+            staying = staying.saturating_add(&placed.resources);
             let Some(spec) = cache.open_job(&task.job) else {
                 continue;
             };
@@ -277,8 +280,8 @@
         self.machines.push(PreemptionTarget {
             id,
             record,
-            available: total.less(&staying),
-            free: total.less(&cache.used(id)),
+            available: total.saturating_sub(&staying),
+            free: total.saturating_sub(&cache.used(id)),
             victims,
         });
     }
@@ -291,7 +294,7 @@
 
     /// Finds capacity for the preemptor's tasks: what is available already or being freed, else by stops.
     fn preempt_for(&mut self, mut preemptor: Preemptor) {
-        let tasks = preemptor.work.indices.len().min(PREEMPT_TASKS);
+        let tasks = preemptor.work.indices.len().min(PREEMPT_MAX_TASKS);
         let resources = &preemptor.spec.resources;
         for _ in 0..tasks {
             let available = self.machines.iter_mut().find(|machine| {
@@ -302,7 +305,7 @@
                 preemptor.assign(machine);
                 continue;
             }
-            if self.stops.len() >= PREEMPT_TASKS {
+            if self.stops.len() >= PREEMPT_MAX_TASKS {
                 break;
             }
             let Some((machine, victims)) = self.cheapest_stop(&preemptor) else {
@@ -339,7 +342,7 @@
             }
             stopped += 1;
             give_back(&mut self.borrowed, &victim);
-            machine.available = machine.available.plus(&victim.resources);
+            machine.available = machine.available.saturating_add(&victim.resources);
             self.stops.push(Stop {
                 machine: machine.id.to_string(),
                 task: victim.task,
@@ -375,7 +378,7 @@
         if borrowed.contains_key(victim.team) {
             give_back(borrowed.to_mut(), victim);
         }
-        available = available.plus(&victim.resources);
+        available = available.saturating_add(&victim.resources);
         cost.wasted_ms = cost.wasted_ms.saturating_add(victim.wasted_ms);
         cost.victims += 1;
         if available.fits(&preemptor.spec.resources) {
--- a/crates/core/src/scheduling/preemption_step.rs
+++ b/crates/core/src/scheduling/preemption_step.rs
@@ -1,7 +1,8 @@
 //! The scheduling pass's preemption step: when pending work may preempt, and which stops are recorded.
 
 use crate::constants::{
-    PREEMPT_AFTER_MS, PREEMPT_GAP_MS, PREEMPT_LATER_MS, SPARED_CHANCE, SPARED_MS,
+    PREEMPT_DELAY_MS, PREEMPT_EXEMPT_MS, PREEMPT_EXEMPT_PROBABILITY, PREEMPT_INTERVAL_MS,
+    PREEMPT_URGENT_DELAY_MS,
 };
 use crate::controller::Controller;
 use crate::jobs::dependencies;
@@ -17,9 +18,9 @@
 fn preempts_after_ms(work: &PendingWork) -> Option<Millis> {
     match work.own_priority {
         _ if work.requires_cached_image => Some(0),
-        JobPriority::High | JobPriority::Production => Some(PREEMPT_AFTER_MS),
-        JobPriority::Normal => Some(PREEMPT_LATER_MS),
-        JobPriority::Low if work.is_within_guarantee => Some(PREEMPT_LATER_MS),
+        JobPriority::High | JobPriority::Production => Some(PREEMPT_URGENT_DELAY_MS),
+        JobPriority::Normal => Some(PREEMPT_DELAY_MS),
+        JobPriority::Low if work.is_within_guarantee => Some(PREEMPT_DELAY_MS),
         JobPriority::Low => None,
     }
 }
@@ -29,7 +30,7 @@
     pub(super) fn preempt(&mut self, work: &[PendingWork], inherited: &InheritedPriorities) {
         if work.is_empty()
             || !self.may_write()
-            || self.now < self.scheduling.last_preemption_at + PREEMPT_GAP_MS
+            || self.now < self.scheduling.last_preemption_at + PREEMPT_INTERVAL_MS
         {
             return;
         }
@@ -69,13 +70,19 @@
         preemptors: &[PendingWork],
         inherited: &InheritedPriorities,
     ) -> Vec<Stop> {
-        let spares_ending = self.settings.learned.stops;
+        let spares_ending = self.settings.runtime_estimates.preemption;
         let observations = Observations {
             is_usable: &|id| self.is_usable(id),
             priority: &|id, spec| self.priority_against_preemption(id, spec, inherited),
             assigned_for: &|attempt| self.assigned_for(attempt),
             is_about_to_end: &|task: &TaskId, attempt| {
-                spares_ending && self.about_to_end(task, attempt, SPARED_MS, SPARED_CHANCE)
+                spares_ending
+                    && self.about_to_end(
+                        task,
+                        attempt,
+                        PREEMPT_EXEMPT_MS,
+                        PREEMPT_EXEMPT_PROBABILITY,
+                    )
             },
         };
         let open_to = service_reserve::reserve_open_to(work, self.wall);
--- a/crates/core/src/scheduling/quota_enforcement.rs
+++ b/crates/core/src/scheduling/quota_enforcement.rs
@@ -128,7 +128,7 @@
     /// the settings file don't change while controllers run.
     pub(crate) fn evict_over_limits(&mut self) {
         let configured = self.settings.policy.version > 0 && self.configuration.is_readable();
-        if !configured || !self.settings.checks.eviction || !self.may_write() {
+        if !configured || !self.settings.checks.quota_eviction || !self.may_write() {
             return;
         }
         let stops = stops_over_limits(&self.cache, &self.settings.policy);
--- a/crates/core/src/scheduling/rescheduling.rs
+++ b/crates/core/src/scheduling/rescheduling.rs
@@ -3,10 +3,12 @@
 //! A migration stops a task where it runs and lets it be placed anew. Each states what it gains and what it
 //! costs, in seconds of a replica's time; it is made only if the gain is clearly more. A service never
 //! loses two tasks at a time, nor one while another is missing, and no task migrates twice within
-//! `MOVE_AGAIN_MS`. A migration consists of a stop on record and a claim, which survive the end of any
+//! `MIGRATION_REPEAT_DELAY_MS`. A migration consists of a stop on record and a claim, which survive the end of any
 //! controller.
 
-use crate::constants::{MOVES_REMEMBERED, MOVE_AGAIN_MS, MOVE_WORTH, SPREAD_GAIN_S};
+use crate::constants::{
+    MIGRATION_MIN_GAIN_FACTOR, MIGRATION_REPEAT_DELAY_MS, SPREAD_GAIN_S, TRACKED_MIGRATIONS_MAX,
+};
 use crate::model::{Millis, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -47,7 +49,8 @@
 impl MigrationCandidate {
     /// Whether it gains clearly more than it costs. A task on a machine that is to go has no choice.
     fn is_worthwhile(&self) -> bool {
-        self.reason == MigrationReason::Leaving || self.gain_s >= MOVE_WORTH * self.cost_s
+        self.reason == MigrationReason::Leaving
+            || self.gain_s >= MIGRATION_MIN_GAIN_FACTOR * self.cost_s
     }
 
     fn net_gain_s(&self) -> f64 {
@@ -87,7 +90,8 @@
         max: usize,
         incomplete: &BTreeSet<String>,
     ) -> Vec<MigrationCandidate> {
-        self.migrated_at.retain(|_, at| now < *at + MOVE_AGAIN_MS);
+        self.migrated_at
+            .retain(|_, at| now < *at + MIGRATION_REPEAT_DELAY_MS);
         candidates.retain(|candidate| {
             candidate.is_worthwhile()
                 && self.may_migrate_again(candidate)
@@ -98,7 +102,7 @@
         candidates.retain(|candidate| services.insert(candidate.task.job.clone()));
         candidates.truncate(max);
         for candidate in &candidates {
-            if self.migrated_at.len() < MOVES_REMEMBERED {
+            if self.migrated_at.len() < TRACKED_MIGRATIONS_MAX {
                 self.migrated_at.insert(candidate.task.clone(), now);
             }
         }
--- a/crates/core/src/scheduling/rescheduling/tests.rs
+++ b/crates/core/src/scheduling/rescheduling/tests.rs
@@ -60,9 +60,9 @@
         let services: BTreeSet<&str> = chosen.iter().map(|w| w.task.job.as_str()).collect();
         assert_eq!(services.len(), chosen.len(), "one of a service at a time");
         for w in chosen {
-            assert!(w.task.job != "d" && w.gain_s >= MOVE_WORTH * w.cost_s);
+            assert!(w.task.job != "d" && w.gain_s >= MIGRATION_MIN_GAIN_FACTOR * w.cost_s);
             let before = last.insert(w.task.clone(), now);
-            assert!(before.is_none_or(|at| now >= at + MOVE_AGAIN_MS));
+            assert!(before.is_none_or(|at| now >= at + MIGRATION_REPEAT_DELAY_MS));
         }
     }
 }
--- a/crates/core/src/scheduling/service_reserve.rs
+++ b/crates/core/src/scheduling/service_reserve.rs
@@ -3,7 +3,7 @@
 //! A service starts at once or is late, whereas a batch can wait: on ordinary machines capacity for the
 //! largest service there is stays free.
 
-use crate::constants::{RESERVE_PART, RESERVE_PATIENCE_MS, RESERVE_SERVICES};
+use crate::constants::{RESERVE_ACCESS_DELAY_MS, RESERVE_DIVISOR, RESERVE_SERVICES};
 use crate::model::{JobKind, JobPriority, WallMs};
 use crate::scheduling::candidates::Candidate;
 use crate::scheduling::cluster_view::ClusterView;
@@ -40,7 +40,7 @@
 }
 
 fn has_lost_patience(work: &PendingWork, wall: WallMs) -> bool {
-    wall > work.ready_at + RESERVE_PATIENCE_MS
+    wall > work.ready_at + RESERVE_ACCESS_DELAY_MS
 }
 
 impl ServiceReserve {
@@ -58,7 +58,7 @@
         for (_, record, _) in ordinary {
             let machine_type = view.machine_types.get(&record.type_name);
             let zone = zones.entry(record.zone.clone()).or_default();
-            zone.total += machine_type.map_or(0, |t| t.room.cpus);
+            zone.total += machine_type.map_or(0, |t| t.capacity.cpus);
         }
         let zone_count = view.settings.zones.len().max(1) as u64;
         ServiceReserve {
@@ -88,7 +88,7 @@
     fn leaves_enough(&self, cpus: u64, zone: &str) -> bool {
         let zone = self.zones.get(zone).copied().unwrap_or_default();
         // A small site keeps nothing back: part of a service's capacity helps nobody.
-        let kept = match self.per_zone <= zone.total / RESERVE_PART {
+        let kept = match self.per_zone <= zone.total / RESERVE_DIVISOR {
             true => self.per_zone,
             false => 0,
         };
--- a/crates/core/src/state/cache/assignments.rs
+++ b/crates/core/src/state/cache/assignments.rs
@@ -137,7 +137,7 @@
         let task = TaskId { job, index };
         if let Some(assigned) = self.assigned.get_mut(&assignment.machine) {
             assigned.tasks.remove(&task);
-            assigned.used = assigned.used.less(&chunk.resources);
+            assigned.used = assigned.used.saturating_sub(&chunk.resources);
             if assigned.tasks.is_empty() {
                 self.assigned.remove(&assignment.machine);
             }
@@ -165,7 +165,7 @@
             resources,
         };
         let assigned = self.assigned.entry(assignment.machine.clone()).or_default();
-        assigned.used = assigned.used.plus(&resources);
+        assigned.used = assigned.used.saturating_add(&resources);
         assigned.tasks.insert(task, placed);
         let usage = self.usage.entry(chunk.team.clone()).or_default();
         usage.cpus = usage.cpus.saturating_add(resources.cpus);
--- a/crates/core/src/state/cache/images.rs
+++ b/crates/core/src/state/cache/images.rs
@@ -1,7 +1,7 @@
 //! Images that machines have had: hints for placement.
 
 use super::StateCache;
-use crate::constants::{IMAGES_KNOWN, MACHINE_IMAGES};
+use crate::constants::{MACHINE_IMAGES_MAX, TRACKED_IMAGES_MAX};
 use foldhash::HashMap;
 
 /// Images that machines have had. Only hints: they are not on record, where each would cost a put.
@@ -24,7 +24,7 @@
         let next = self.numbers.len();
         match self.numbers.get(image) {
             Some(number) => Some(*number),
-            None if next < IMAGES_KNOWN => {
+            None if next < TRACKED_IMAGES_MAX => {
                 self.numbers.insert(image.to_string(), next as u32);
                 Some(next as u32)
             }
@@ -41,7 +41,7 @@
         images.retain(|(known, _)| *known != number);
         images.push((number, image_gb));
         while images.len() > 1
-            && (images.len() > MACHINE_IMAGES
+            && (images.len() > MACHINE_IMAGES_MAX
                 || images.iter().map(|(_, gb)| gb).sum::<f64>() > capacity_gb)
         {
             images.remove(0);
@@ -52,14 +52,14 @@
     fn merge(&mut self, machine: &str, hints: &[(String, f64)]) {
         let own = self.by_machine.remove(machine).unwrap_or_default();
         let mut merged: Vec<(u32, f64)> = Vec::new();
-        for (image, gb) in hints.iter().take(MACHINE_IMAGES) {
+        for (image, gb) in hints.iter().take(MACHINE_IMAGES_MAX) {
             if let Some(number) = self.number(image) {
                 merged.push((number, *gb));
             }
         }
         merged.retain(|(number, _)| !own.iter().any(|(known, _)| known == number));
         merged.extend(own);
-        let excess = merged.len().saturating_sub(MACHINE_IMAGES);
+        let excess = merged.len().saturating_sub(MACHINE_IMAGES_MAX);
         let latest = merged.split_off(excess);
         self.by_machine.insert(machine.to_string(), latest);
     }
--- a/crates/core/src/state/cache/jobs.rs
+++ b/crates/core/src/state/cache/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs of the cache: which are open, which wait for machines, and which depend on which.
 
 use super::StateCache;
-use crate::constants::FAULTY_MACHINES;
+use crate::constants::FAULTY_JOB_MIN_MACHINES;
 use crate::model::{JobSpec, WallMs};
 use crate::state::{ChunkRecord, Dependents, JobPhase, JobRecord, Key};
 use std::collections::BTreeSet;
@@ -128,7 +128,7 @@
     /// Whether a job seems to have been submitted with a mistake: it has failed on several machines
     /// and nothing of it has ever succeeded.
     pub fn suspect(&self, job: &str) -> bool {
-        let has_failed = |chunk: &ChunkRecord| chunk.failed_on.len() >= FAULTY_MACHINES;
+        let has_failed = |chunk: &ChunkRecord| chunk.failed_on.len() >= FAULTY_JOB_MIN_MACHINES;
         let mut chunks = self.chunks_of(job);
         self.counts(job).done == 0 && chunks.any(|(_, chunk)| has_failed(chunk))
     }
--- a/crates/core/src/state/cache/refused.rs
+++ b/crates/core/src/state/cache/refused.rs
@@ -1,7 +1,7 @@
 //! Records that the state service refused to store.
 
 use super::StateCache;
-use crate::constants::REFUSED_RECORDS_KEPT;
+use crate::constants::REFUSED_RECORDS_MAX;
 use crate::state::Key;
 
 impl StateCache {
@@ -11,7 +11,7 @@
         let mut refused = std::mem::take(&mut self.refused);
         refused.retain(|key, at| *at == self.mod_revision(key));
         self.refused = refused;
-        if self.refused.len() < REFUSED_RECORDS_KEPT {
+        if self.refused.len() < REFUSED_RECORDS_MAX {
             self.refused.insert(key, mod_revision);
         }
     }
--- a/crates/core/src/state/formats.rs
+++ b/crates/core/src/state/formats.rs
@@ -21,8 +21,8 @@
 //! A task takes some 8 bytes so instead of some 45, and a hundred of them fit into 2 KiB.
 
 use crate::constants::{
-    ASSIGNMENT_BYTES, ASSIGNMENT_EDIT_BYTES, CHUNK_BASE_BYTES, CHUNK_TASKS, CHUNK_TASK_BYTES,
-    COMPACT_ASSIGNMENT_BYTES, COMPACT_TASK_BYTES, JOB_TASKS, VALUE_SPARE_BYTES,
+    ASSIGNMENT_BYTES, ASSIGNMENT_EDIT_BYTES, CHUNK_BASE_BYTES, CHUNK_MAX_TASKS, CHUNK_TASK_BYTES,
+    COMPACT_ASSIGNMENT_BYTES, COMPACT_TASK_BYTES, JOB_MAX_TASKS, VALUE_MARGIN_BYTES,
 };
 use crate::model::{Resources, WallMs};
 use crate::state::StartDelivery;
@@ -229,7 +229,7 @@
                     (TaskState::Assigned(assignment), n)
                 }
             };
-            if n > JOB_TASKS as usize - tasks.len() {
+            if n > JOB_MAX_TASKS as usize - tasks.len() {
                 return None;
             }
             tasks.extend(std::iter::repeat_n(state, n));
@@ -248,7 +248,7 @@
 
 /// Bytes that a record takes in a format, spaces between its fields allowed for.
 pub fn stored_bytes(record: &Record, format: u32) -> usize {
-    record.value(format).to_string().len() + VALUE_SPARE_BYTES
+    record.value(format).to_string().len() + VALUE_MARGIN_BYTES
 }
 
 /// Tasks per chunk of a new job: as many as fit into a value when all are assigned.
@@ -257,7 +257,7 @@
         OLDEST => max_value_bytes / CHUNK_TASK_BYTES,
         _ => max_value_bytes.saturating_sub(CHUNK_BASE_BYTES as u64 * 2) / COMPACT_TASK_BYTES,
     };
-    fit.clamp(1, CHUNK_TASKS as u64) as u32
+    fit.clamp(1, CHUNK_MAX_TASKS as u64) as u32
 }
 
 /// Whether a chunk can hold one more assignment, even if all of them get another start delivery or a
@@ -270,7 +270,7 @@
 ) -> bool {
     let max_bytes = max_value_bytes as usize;
     let later = (chunk.assigned().count() + 1) * ASSIGNMENT_EDIT_BYTES;
-    let plain = chunk.size() + ASSIGNMENT_BYTES + machine.len() + VALUE_SPARE_BYTES + later;
+    let plain = chunk.size() + ASSIGNMENT_BYTES + machine.len() + VALUE_MARGIN_BYTES + later;
     if plain <= max_bytes || format == OLDEST {
         return plain <= max_bytes;
     }
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -1,7 +1,7 @@
 //! The controller's list and watch of the shared records, and how far its cache is known to be
 //! current.
 
-use crate::constants::{PEER_CHANGE_PASS_DELAY_MS, REVISION_TIMES_KEPT};
+use crate::constants::{PEER_JOB_SCHEDULING_DELAY_MS, REVISION_TIMES_KEPT};
 use crate::controller::{
     Controller, Effect, PendingOperation, RequestClass, StateOperation, StateResponse,
 };
@@ -267,7 +267,7 @@
             ChangeOrigin::OwnTransaction => self.scheduling.pass_requested = true,
             ChangeOrigin::Watch => {
                 let stagger_ms = self.settings.controller_index() * PASS_STAGGER_MS;
-                let at = self.now + PEER_CHANGE_PASS_DELAY_MS + stagger_ms;
+                let at = self.now + PEER_JOB_SCHEDULING_DELAY_MS + stagger_ms;
                 self.scheduling.next_pass_at = self.scheduling.next_pass_at.min(at);
             }
         }
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -1,6 +1,6 @@
 //! Responses of the state service: each kind of pending operation handles its own.
 
-use crate::constants::{PROVISION_RETRY_MS, PROVISION_RETRY_SOON_MS};
+use crate::constants::{PROVISION_FAST_RETRY_MS, PROVISION_RETRY_MS};
 use crate::controller::{
     ClaimedTask, Controller, OperationId, PendingOperation, RequestId, StateResponse,
 };
@@ -209,7 +209,7 @@
         }
         // The cloud answers a repeated request of the same name as it did the first: it is sent
         // again soon. Shortly after a start the time is less than the usual pause.
-        let tried_at = (self.now + PROVISION_RETRY_SOON_MS).saturating_sub(PROVISION_RETRY_MS);
+        let tried_at = (self.now + PROVISION_FAST_RETRY_MS).saturating_sub(PROVISION_RETRY_MS);
         self.provisioning.request_tried_at.insert(number, tried_at);
     }
 
@@ -248,7 +248,7 @@
     /// waits for that: assignments are written anew, and a user's request is read and decided anew.
     /// Whatever is sent instead is conditional on the same revisions, so only one of them commits.
     pub(crate) fn handle_state_timeout(&mut self, operation: OperationId) {
-        if !self.settings.checks.unanswered {
+        if !self.settings.checks.unanswered_transactions {
             return;
         }
         match self.operations.outstanding.get(&operation) {
--- a/crates/core/src/state/transaction.rs
+++ b/crates/core/src/state/transaction.rs
@@ -5,7 +5,8 @@
     TeamRecord,
 };
 use crate::constants::{
-    CONDITIONS_PER_OP, FAULTY_MACHINES, KEY_BYTES, SMALL_RECORD_BYTES, TXN_BYTES,
+    CONDITIONS_PER_CHANGE, FAULTY_JOB_MIN_MACHINES, KEY_BYTES, SMALL_RECORD_BYTES,
+    TRANSACTION_MAX_BYTES,
 };
 use crate::model::{Resources, TaskId};
 use crate::settings::Settings;
@@ -112,7 +113,9 @@
             _ => None,
         };
         let chunks: Vec<ChunkRecord> = self.changes.iter().filter_map(drafted).collect();
-        let fails = chunks.iter().any(|c| c.failed_on.len() >= FAULTY_MACHINES);
+        let fails = chunks
+            .iter()
+            .any(|c| c.failed_on.len() >= FAULTY_JOB_MIN_MACHINES);
         let succeeds = self.cache.counts(job).done > 0 || chunks.iter().any(|c| c.done() > 0);
         match record.phase {
             JobPhase::Done => false,
@@ -210,8 +213,8 @@
     ) -> bool {
         self.changes.len() + changes <= settings.max_transaction_changes.min(self.max_changes)
             && self.conditions.len() + conditions
-                <= settings.max_transaction_changes * CONDITIONS_PER_OP
-            && self.bytes + self.conditions.len() * KEY_BYTES + bytes <= TXN_BYTES
+                <= settings.max_transaction_changes * CONDITIONS_PER_CHANGE
+            && self.bytes + self.conditions.len() * KEY_BYTES + bytes <= TRANSACTION_MAX_BYTES
     }
     /// A record that it holds became larger by so many bytes.
     pub fn grow(&mut self, bytes: usize) {
--- a/crates/core/src/state/write_control.rs
+++ b/crates/core/src/state/write_control.rs
@@ -1,6 +1,6 @@
 //! When, and how much, a controller may write to the state service.
 
-use crate::constants::{CONFLICT_PAUSE_MS, WRITE_BURST_S};
+use crate::constants::{CONFLICT_RETRY_MAX_DELAY_MS, WRITE_BURST_S};
 use crate::controller::{Controller, OperationId, StateResponse};
 use crate::model::Millis;
 use crate::settings::Settings;
@@ -58,7 +58,7 @@
     /// the watch has brought what conflicted: at once it would meet the same conflict, and
     /// conflicts cost budget.
     fn assignment_write_finished(&mut self, response: &StateResponse, now: Millis) {
-        let at = now + CONFLICT_PAUSE_MS;
+        let at = now + CONFLICT_RETRY_MAX_DELAY_MS;
         self.assignment_write = None;
         self.assignment_retry = match response {
             StateResponse::Committed { .. } => None,
--- a/crates/core/src/workers/commands.rs
+++ b/crates/core/src/workers/commands.rs
@@ -1,6 +1,6 @@
 //! Direct commands to workers: starts, stops and probes.
 
-use crate::constants::{COMMAND_PAUSE_MS, NO_INCARNATION};
+use crate::constants::{COMMAND_BACKOFF_MS, NO_INCARNATION};
 use crate::controller::{ClaimedTask, CommandOutcome, Controller, Effect};
 use crate::model::{DirectStart, TaskId, WorkerCommand};
 use crate::scheduling::claims::Carrier;
@@ -13,7 +13,7 @@
     /// failed; then by the answer to a heartbeat.
     pub(crate) fn delivery_for(&self, liveness: &Liveness, m: &MachineRecord) -> Carrier {
         let refused = liveness.observation.command_failed_at;
-        let failed = refused.is_some_and(|at| self.now < at + COMMAND_PAUSE_MS);
+        let failed = refused.is_some_and(|at| self.now < at + COMMAND_BACKOFF_MS);
         let incarnation = liveness.incarnation();
         let token = self.cache.term().map(|term| term + m.token_offset);
         match (token, incarnation) {
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -2,9 +2,10 @@
 //! marked for termination.
 
 use crate::constants::{
-    BOOT_GIVE_UP, BOOT_SPARE_MS, CANCEL_DELETE_SHARE, CANCEL_UNCONFIRMED_MS, CONTROLLER_STAGGER_MS,
-    MASS_SILENCE_FACTOR, PROBE_AFTER_MS, PROBE_FRESH_MS, SILENCE_MARGIN_MS, UNREACHABLE_PROBES_MAX,
-    WORKER_FAILOVER_MS, ZONE_PROBES_MAX,
+    BOOT_TIMEOUT_FACTOR, BOOT_TIMEOUT_MARGIN_MS, CANCEL_DELETE_SHARE,
+    CANCEL_UNCONFIRMED_TIMEOUT_MS, CONTROLLER_STAGGER_MS, MASS_SILENCE_FACTOR, PROBE_DELAY_MS,
+    PROBE_VALIDITY_MS, SILENCE_MARGIN_MS, UNREACHABLE_PROBES_MAX, WORKER_FAILOVER_MS,
+    ZONE_PROBES_MAX,
 };
 use crate::controller::Controller;
 use crate::model::Millis;
@@ -61,7 +62,7 @@
 
     /// Milliseconds between a worker's last heartbeat at one controller and its first at another.
     pub(crate) fn worker_failover_ms(&self) -> Millis {
-        WORKER_FAILOVER_MS + self.settings.report_due_ms()
+        WORKER_FAILOVER_MS + self.settings.heartbeat_due_ms()
     }
 
     /// Whether any controller received one of the machine's last heartbeats.
@@ -71,7 +72,7 @@
 
     /// The same of a machine whose liveness was looked up already.
     pub(crate) fn recently_heard_of(&self, liveness: &Liveness) -> bool {
-        self.now - self.last_heard_at(liveness) < self.settings.report_ms * 5 / 2
+        self.now - self.last_heard_at(liveness) < self.settings.heartbeat_interval_ms * 5 / 2
     }
 
     /// Marks machines for termination: unreachable ones, ones that never came up, idle ones, and ones
@@ -80,7 +81,7 @@
         let mut survey = self.survey_machines();
         self.detect_zone_failures(std::mem::take(&mut survey.zones));
         self.probe_overdue_machines(survey);
-        self.evacuate_failed_zones();
+        self.evacuate_zones();
         self.probe_unreachable_machines();
         let mut terminations = Terminations::new();
         self.find_uncancelled(&mut terminations);
@@ -105,7 +106,7 @@
     fn overdue_machines(&self, survey: MachineSurvey) -> Vec<OverdueMachine> {
         let mut give_up = BTreeMap::new();
         let limit = self.unheard_limit_ms();
-        if self.now - self.lifecycle.resumed_at >= limit + self.settings.report_ms {
+        if self.now - self.lifecycle.resumed_at >= limit + self.settings.heartbeat_interval_ms {
             let patience_ms = match survey.silent.len() * 3 <= survey.up {
                 true => limit,
                 false => limit.max(self.settings.lease_ms) * MASS_SILENCE_FACTOR,
@@ -125,7 +126,7 @@
 
     /// Probes machines that are overdue, and marks those for termination that failed to answer.
     fn probe_overdue_machines(&mut self, survey: MachineSurvey) {
-        let overdue_ms = self.settings.report_due_ms() + PROBE_AFTER_MS;
+        let overdue_ms = self.settings.heartbeat_due_ms() + PROBE_DELAY_MS;
         let mut probed_in_zone: BTreeMap<String, usize> = BTreeMap::new();
         let mut overdue = self.overdue_machines(survey);
         // Of an unreachable zone only a few are probed, each time others.
@@ -139,8 +140,8 @@
                 ..
             } = self.workers.observations.of(&machine);
             let overdue_at = self.now - self.silence(&machine) + overdue_ms;
-            let probe_failed =
-                unanswered_at.is_some_and(|at| at > overdue_at && self.now < at + PROBE_FRESH_MS);
+            let probe_failed = unanswered_at
+                .is_some_and(|at| at > overdue_at && self.now < at + PROBE_VALIDITY_MS);
             let failed_at = unanswered_at.unwrap_or(0);
             let is_unreachable = probe_failed && give_up && !self.may_be_partitioned(failed_at);
             if is_unreachable && self.is_machine_silence(&zone, failed_at) {
@@ -148,7 +149,7 @@
                 continue;
             }
             let may_be_probed =
-                probed_at.is_none_or(|at| at < overdue_at || self.now >= at + PROBE_FRESH_MS);
+                probed_at.is_none_or(|at| at < overdue_at || self.now >= at + PROBE_VALIDITY_MS);
             if !may_be_probed {
                 continue;
             }
@@ -192,17 +193,18 @@
 
     /// Machines that still hold a cancelled task when the time for its cancellation runs out.
     fn find_uncancelled(&self, terminations: &mut Terminations) {
-        let confirmed_after_ms = (self.settings.cancel_ms as f64 * CANCEL_DELETE_SHARE) as u64;
+        let confirmed_after_ms =
+            (self.settings.cancellation_timeout_ms as f64 * CANCEL_DELETE_SHARE) as u64;
         for (job, counts) in self.cache.counted() {
             let unconfirmed = self.cache.ending(job);
             let after_ms = match unconfirmed {
-                true => CANCEL_UNCONFIRMED_MS,
+                true => CANCEL_UNCONFIRMED_TIMEOUT_MS,
                 false => confirmed_after_ms,
             };
             let timed_out = self.cache.job(job).is_some_and(|job| {
                 job.phase == JobPhase::Cancelled
                     && counts.assigned > 0
-                    && self.wall > job.ended + self.settings.clock_off_ms + after_ms
+                    && self.wall > job.ended + self.settings.clock_skew_ms + after_ms
             });
             if !timed_out {
                 continue;
@@ -231,7 +233,7 @@
                     let stagger_ms = self.settings.controller_index() * CONTROLLER_STAGGER_MS;
                     let keep_ms = match machine.phase {
                         MachinePhase::Draining => 0,
-                        _ => self.settings.idle_return_ms() + stagger_ms,
+                        _ => self.settings.idle_timeout_ms() + stagger_ms,
                     };
                     if self.now - idle_since > keep_ms {
                         terminations.push((id.to_string(), TerminationReason::Idle));
@@ -273,6 +275,6 @@
     /// Milliseconds that a machine of a type may take until its first heartbeat.
     fn boot_limit_ms(&self, type_name: &str) -> Millis {
         let boot_s = self.machine_types.get(type_name).map_or(60.0, |t| t.boot_s);
-        (boot_s * 1000.0 * BOOT_GIVE_UP) as u64 + BOOT_SPARE_MS
+        (boot_s * 1000.0 * BOOT_TIMEOUT_FACTOR) as u64 + BOOT_TIMEOUT_MARGIN_MS
     }
 }
--- a/crates/core/src/workers/handoff.rs
+++ b/crates/core/src/workers/handoff.rs
@@ -7,7 +7,10 @@
 impl Controller {
     /// Machines that report to this controller now.
     pub(crate) fn load(&self) -> usize {
-        let fresh = self.now.saturating_sub(2 * self.settings.report_ms).max(1);
+        let fresh = self
+            .now
+            .saturating_sub(2 * self.settings.heartbeat_interval_ms)
+            .max(1);
         let here = |(id, h): &(&String, &ReceivedHeartbeat)| {
             h.at >= fresh && !h.older_than(self.peers.observation(id))
         };
@@ -15,7 +18,7 @@
     }
 
     pub(crate) fn plan_handoff(&mut self) {
-        let recent = 2 * self.settings.report_ms;
+        let recent = 2 * self.settings.heartbeat_interval_ms;
         match self.has_current_state()
             && self.has_heard_full_round()
             && self.lifecycle.shutting_down_since.is_none()
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Heartbeats of workers as they arrive: dropped, answered, held or redirected.
 
-use crate::constants::{HEARTBEAT_HOLD_MS, WORKER_FAILOVER_MS, WORKER_HANDOFF_MS};
+use crate::constants::{HEARTBEAT_REPLY_MAX_DELAY_MS, WORKER_FAILOVER_MS, WORKER_HANDOFF_MS};
 use crate::controller::{Controller, Effect, RequestId, WorkerReply};
 use crate::model::{HeartbeatPosition, Millis, WorkerHeartbeat};
 use crate::workers::registry::ReceivedHeartbeat;
@@ -21,7 +21,7 @@
     }
     /// Whether its answer can still carry a start.
     pub fn carries(&self, now: Millis) -> bool {
-        now < self.since + HEARTBEAT_HOLD_MS - 400
+        now < self.since + HEARTBEAT_REPLY_MAX_DELAY_MS - 400
     }
 }
 
@@ -34,7 +34,9 @@
         self.metrics.check_ins += 1;
         let position = heartbeat.position();
         let at = self.now;
-        if self.settings.checks.copies && self.liveness(&heartbeat.machine).knows(position) {
+        if self.settings.checks.duplicate_heartbeats
+            && self.liveness(&heartbeat.machine).knows(position)
+        {
             // A copy, or one that a newer overtook: its worker waits for no answer, and it is no sign of
             // life. What it shows the newer one showed as well.
             self.worker(request, WorkerReply::Unavailable);
@@ -143,12 +145,12 @@
 
     /// Whether the records, or a proof that they are current, are about to come.
     pub(super) fn awaits_current_view(&self) -> bool {
-        if !self.settings.checks.view {
+        if !self.settings.checks.current_cache {
             return false;
         }
-        !self.sync.has_listed && self.state_age() < HEARTBEAT_HOLD_MS
+        !self.sync.has_listed && self.state_age() < HEARTBEAT_REPLY_MAX_DELAY_MS
             || self.lifecycle.view_predates_resume
-                && self.now < self.lifecycle.resumed_at + HEARTBEAT_HOLD_MS
+                && self.now < self.lifecycle.resumed_at + HEARTBEAT_REPLY_MAX_DELAY_MS
     }
 
     fn hold_heartbeat(&mut self, request: RequestId, heartbeat: WorkerHeartbeat, early: bool) {
--- a/crates/core/src/workers/machine_updates.rs
+++ b/crates/core/src/workers/machine_updates.rs
@@ -51,7 +51,7 @@
         let id = &heartbeat.machine;
         let rented =
             |h: &InstanceRequestRecord| h.instances.iter().flatten().any(|instance| instance == id);
-        if !self.settings.checks.strangers
+        if !self.settings.checks.unmanaged_instances
             || self.cache.machine(id).is_some()
             || self.cache.instance_requests().any(|(_, h, _)| rented(h))
         {
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -1,8 +1,8 @@
 //! Whether workers reach this controller: one that is partitioned from them must not act on their silence.
 
 use crate::constants::{
-    COMMAND_LIMIT_MS, INBOUND_GAP_MS, PARTITION_PROBE_INTERVAL_MS, PARTITION_UNANSWERED_COMMANDS,
-    ZONE_MISSED_HEARTBEATS,
+    COMMAND_TIMEOUT_MS, INBOUND_GAP_MIN_MS, PARTITION_PROBE_INTERVAL_MS,
+    PARTITION_UNANSWERED_COMMANDS, ZONE_MISSED_HEARTBEATS,
 };
 use crate::controller::Controller;
 use crate::model::Millis;
@@ -59,7 +59,7 @@
     /// Whether a direct command that failed says nothing of its machine: no worker was heard since, or it was
     /// sent in the last moments of a partition.
     pub fn failed_alone(&self, at: Millis) -> bool {
-        self.heard_at <= at || at <= self.inbound_lost_until + 2 * COMMAND_LIMIT_MS
+        self.heard_at <= at || at <= self.inbound_lost_until + 2 * COMMAND_TIMEOUT_MS
     }
 
     /// Whether to probe a machine now to see whether the partition is over.
@@ -84,7 +84,7 @@
         let heard_peers =
             |s: &Peer| s.heartbeat.workers_reachable && !s.heartbeat.workers.is_empty();
         !self.workers.reachability.is_doubtful()
-            || !self.settings.checks.workers
+            || !self.settings.checks.worker_reachability
             || !self.fresh_peers().any(heard_peers)
     }
 
@@ -105,11 +105,11 @@
 
     /// A worker has reported here, or answered.
     pub(super) fn heard_worker(&mut self) {
-        let mut longest = INBOUND_GAP_MS;
-        if self.workers.reachability.gap(self.now) > INBOUND_GAP_MS {
-            let many =
-                self.settings.report_ms * ZONE_MISSED_HEARTBEATS / (self.load() as u64).max(1);
-            longest = longest.max(many.min(self.settings.report_due_ms()));
+        let mut longest = INBOUND_GAP_MIN_MS;
+        if self.workers.reachability.gap(self.now) > INBOUND_GAP_MIN_MS {
+            let many = self.settings.heartbeat_interval_ms * ZONE_MISSED_HEARTBEATS
+                / (self.load() as u64).max(1);
+            longest = longest.max(many.min(self.settings.heartbeat_due_ms()));
         }
         self.workers.reachability.heard(self.now, longest);
     }
--- a/crates/core/src/workers/reconciliation.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -3,7 +3,7 @@
 //! A start travels by one direct command, or in the answer to the heartbeat recorded in its
 //! assignment. `reconcile` says what proves that it will never arrive.
 
-use crate::constants::{LIKELY_CHANCE, NOTICE_SPARE_MS};
+use crate::constants::{LIKELY_END_PROBABILITY, NOTICE_MARGIN_MS};
 use crate::controller::Controller;
 use crate::model::{ExitCause, HeartbeatPosition, Millis, TaskId, TaskPhase, WorkerHeartbeat};
 use crate::scheduling::claims::AttemptOutcome;
@@ -39,12 +39,15 @@
             self.note_attempt_ended(task, attempt, outcome, rests_on);
         }
         let mut checkpoints = findings.checkpoints;
-        if let Some(notice_s) = heartbeat.notice_s.filter(|_| self.settings.learned.notice) {
+        if let Some(notice_s) = heartbeat
+            .notice_s
+            .filter(|_| self.settings.runtime_estimates.termination_notice)
+        {
             // What ends before the machine is reclaimed needs no stop, nor a start elsewhere.
             let notice_ms = (notice_s * 1e3) as Millis;
-            let usable_ms = notice_ms.saturating_sub(NOTICE_SPARE_MS);
+            let usable_ms = notice_ms.saturating_sub(NOTICE_MARGIN_MS);
             checkpoints.retain(|(task, attempt)| {
-                !self.about_to_end(task, *attempt, usable_ms, LIKELY_CHANCE)
+                !self.about_to_end(task, *attempt, usable_ms, LIKELY_END_PROBABILITY)
             });
         }
         self.write_back.checkpoints_due.extend(checkpoints);
@@ -68,7 +71,7 @@
             let is_running = phase == Some(TaskPhase::Running);
             if is_running {
                 self.metrics.runs(task, assignment.attempt, self.now);
-                if self.settings.learned.learn {
+                if self.settings.runtime_estimates.enabled {
                     let attempt = (task.clone(), assignment.attempt);
                     findings.running.push(attempt);
                 }
@@ -194,7 +197,7 @@
     /// chunk has changed since the revision it was conditional on, or the job is over. Until
     /// then a peer's claim may just not have arrived here.
     pub(super) fn is_claim_outcome_known(&self, task: &TaskId, attempt: u64) -> bool {
-        if !self.settings.checks.fate {
+        if !self.settings.checks.attempt_revision {
             return true;
         }
         let Some(job) = self.cache.job(&task.job) else {
--- a/crates/core/src/workers/registry.rs
+++ b/crates/core/src/workers/registry.rs
@@ -1,6 +1,6 @@
 //! What this controller knows of workers beyond their records.
 
-use crate::constants::DELETED_MACHINES_KEPT;
+use crate::constants::DELETED_MACHINES_MAX;
 use crate::model::{HeartbeatPosition, Millis};
 use crate::workers::heartbeats::HeldHeartbeat;
 use crate::workers::observations::MachineObservations;
@@ -32,7 +32,7 @@
         if self.names.insert(id.clone()) {
             self.order.push_back(id);
         }
-        if self.order.len() > DELETED_MACHINES_KEPT {
+        if self.order.len() > DELETED_MACHINES_MAX {
             if let Some(old) = self.order.pop_front() {
                 self.names.remove(&old);
             }
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -1,6 +1,6 @@
 //! Answers to heartbeats: which commands they carry, and when held ones are answered.
 
-use crate::constants::{HEARTBEAT_HOLD_MS, REPLY_MAX_COMMANDS};
+use crate::constants::{HEARTBEAT_REPLY_MAX_DELAY_MS, REPLY_MAX_COMMANDS};
 use crate::controller::{Controller, RequestId, WorkerReply};
 use crate::model::{TaskId, TaskPhase, WorkerCommand, WorkerHeartbeat};
 use crate::state::Placed;
@@ -94,7 +94,7 @@
     fn starts_recorded_for(&self, held: &HeldHeartbeat) -> bool {
         let position = held.position();
         let reply_start = |(_, p): (&TaskId, &Placed)| p.assignment.reply_start == Some(position);
-        self.settings.checks.doubt
+        self.settings.checks.uncertain_outcomes
             && !held.early
             && self
                 .cache
@@ -147,7 +147,7 @@
                 continue;
             }
             if !has_current_state
-                && (self.sync.has_listed || self.now >= held.since + HEARTBEAT_HOLD_MS)
+                && (self.sync.has_listed || self.now >= held.since + HEARTBEAT_REPLY_MAX_DELAY_MS)
             {
                 if let Some(held) = self.workers.held_heartbeats.remove(&id) {
                     let reply = self.reply_without_state(&held.heartbeat);
@@ -155,7 +155,9 @@
                 }
                 continue;
             }
-            if self.now >= held.since + HEARTBEAT_HOLD_MS || self.starts_recorded_for(held) {
+            if self.now >= held.since + HEARTBEAT_REPLY_MAX_DELAY_MS
+                || self.starts_recorded_for(held)
+            {
                 self.reply_to_held(&id);
                 continue;
             }
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -5,8 +5,8 @@
 //! forget it, which follows the commit, so a controller that ends in between loses nothing.
 
 use crate::constants::{
-    BACKLOG_RESULTS, MIN_CHANGES, MIN_CHANGES_BACKLOG, RESULTS_WRITE_INTERVAL_MS,
-    RESULT_PATIENCE_MS, SMALL_RECORD_BYTES,
+    BACKLOG_MIN_AVAILABLE_CHANGES, BACKLOG_MIN_RESULTS, MIN_AVAILABLE_CHANGES,
+    RESULTS_WRITE_INTERVAL_MS, RESULT_MAX_DELAY_MS, SMALL_RECORD_BYTES,
 };
 use crate::controller::{Controller, PendingOperation, RequestClass};
 use crate::model::{JobKind, Millis, TaskId};
@@ -163,7 +163,7 @@
             true => self.writes.max_result_changes / 2,
             false => self.writes.max_result_changes,
         };
-        changes_left.min(limit).max(MIN_CHANGES)
+        changes_left.min(limit).max(MIN_AVAILABLE_CHANGES)
     }
 
     /// Machines whose deletion is to be recorded: those with assignments, and those without.
@@ -305,11 +305,11 @@
     /// Changes that must be left for the next transaction: more while much waits to be recorded.
     /// Results that share a chunk, and claims that share a team's record, then share their puts.
     pub(crate) fn min_changes(&self) -> usize {
-        match self.write_back.results.len() > BACKLOG_RESULTS {
-            true => MIN_CHANGES_BACKLOG
+        match self.write_back.results.len() > BACKLOG_MIN_RESULTS {
+            true => BACKLOG_MIN_AVAILABLE_CHANGES
                 .min(self.writes.max_result_changes)
-                .min(self.writes.budget.most()),
-            false => MIN_CHANGES,
+                .min(self.writes.budget.capacity()),
+            false => MIN_AVAILABLE_CHANGES,
         }
     }
 
@@ -333,7 +333,7 @@
             .map(|((task, attempt), EndedAttempt { outcome, .. })| {
                 let chunk = (task.job.as_str(), chunk_of(task));
                 let (count, first) = chunks[&chunk];
-                let patient = self.now < first + RESULT_PATIENCE_MS;
+                let patient = self.now < first + RESULT_MAX_DELAY_MS;
                 let priority = if patient { usize::MAX - count } else { 0 };
                 let spec = self.cache.open_job(&task.job);
                 let other = spec.is_none_or(|s| s.kind != JobKind::Service);
@@ -358,7 +358,8 @@
         committed: bool,
     ) {
         if !committed {
-            self.writes.max_result_changes = (self.writes.max_result_changes / 2).max(MIN_CHANGES);
+            self.writes.max_result_changes =
+                (self.writes.max_result_changes / 2).max(MIN_AVAILABLE_CHANGES);
             self.writes.pass_goes_first = false;
             return;
         }
--- a/crates/core/src/workers/starts.rs
+++ b/crates/core/src/workers/starts.rs
@@ -2,9 +2,9 @@
 //! A peer that takes over from a failed controller has to see to these besides its workers.
 
 use crate::constants::{
-    COMMAND_LIMIT_MS, FAILOVER_START_CHECKS_MAX, FAILOVER_START_CHECK_MS, PEER_HEARTBEAT_MS,
-    STARTS_REPORTED_WITHIN_MS, STARTS_TRACKED_MAX, START_MISSING_MS, UNCERTAIN_CLAIM_MARGIN_MS,
-    UNCERTAIN_CLAIM_MS,
+    COMMAND_TIMEOUT_MS, FAILOVER_START_CHECKS_MAX, FAILOVER_START_CHECK_DELAY_MS,
+    PEER_HEARTBEAT_INTERVAL_MS, STARTS_TRACKED_MAX, START_CONFIRMATION_WINDOW_MS, START_MISSING_MS,
+    UNCERTAIN_CLAIM_MARGIN_MS, UNCERTAIN_CLAIM_MS,
 };
 use crate::model::{Millis, TaskId};
 use foldhash::HashMap;
@@ -108,8 +108,8 @@
     pub fn is_missing(&mut self, now: Millis, start: &Attempt, machine: &str) -> bool {
         let since = *self.missing.entry(start.clone()).or_insert(now);
         let patience = match self.asked.contains(machine) {
-            true => FAILOVER_START_CHECK_MS,
-            false => START_MISSING_MS + COMMAND_LIMIT_MS,
+            true => FAILOVER_START_CHECK_DELAY_MS,
+            false => START_MISSING_MS + COMMAND_TIMEOUT_MS,
         };
         let claimed = self.followed.get(start).map(|s| s.at);
         now >= since + START_MISSING_MS || claimed.is_some_and(|at| now >= at + patience)
@@ -123,9 +123,9 @@
     /// A peer has failed whose last heartbeat came at `heard_at`: starts that it claimed last may never have
     /// been sent.
     pub fn peer_lost(&mut self, now: Millis, heard_at: Millis) {
-        let from = heard_at.saturating_sub(PEER_HEARTBEAT_MS);
+        let from = heard_at.saturating_sub(PEER_HEARTBEAT_INTERVAL_MS);
         let from = self.ask.map_or(from, |(_, known)| known.min(from));
-        self.ask = Some((now + FAILOVER_START_CHECK_MS, from));
+        self.ask = Some((now + FAILOVER_START_CHECK_DELAY_MS, from));
     }
 
     /// Machines to be probed now for starts of a failed peer.
@@ -158,7 +158,7 @@
     /// Forgets starts that are no longer assigned, and those that a later heartbeat must have shown.
     pub fn forget(&mut self, assigned: impl Fn(&Attempt) -> bool, sign: impl Fn(&str) -> Millis) {
         self.followed.retain(|start, s| {
-            assigned(start) && sign(&s.machine) < s.at + STARTS_REPORTED_WITHIN_MS
+            assigned(start) && sign(&s.machine) < s.at + START_CONFIRMATION_WINDOW_MS
         });
         self.missing.retain(|start, _| assigned(start));
     }
--- a/crates/core/src/zones/detector.rs
+++ b/crates/core/src/zones/detector.rs
@@ -3,8 +3,8 @@
 //! inside goes on answering them. To delete them would end what the partition leaves alone.
 
 use crate::constants::{
-    PEER_HEARTBEAT_MS, PROBE_AFTER_MS, PROBE_FRESH_MS, ZONE_EVACUATION_MAX_WAIT_MS,
-    ZONE_LATE_LEAST, ZONE_LATE_PART, ZONE_MIN_MACHINES, ZONE_MISSED_HEARTBEATS,
+    PEER_HEARTBEAT_INTERVAL_MS, PROBE_DELAY_MS, PROBE_VALIDITY_MS, ZONE_EVACUATION_MAX_WAIT_MS,
+    ZONE_MIN_MACHINES, ZONE_MISSED_HEARTBEATS, ZONE_OVERDUE_DIVISOR, ZONE_OVERDUE_MIN_MACHINES,
 };
 use crate::controller::Controller;
 use crate::model::Millis;
@@ -34,7 +34,7 @@
     /// Whether enough of its machines are overdue themselves. After a start or an outage they send their
     /// heartbeats in step, and then none comes for most of the interval.
     fn has_enough_overdue(&self) -> bool {
-        self.overdue >= (self.machines / ZONE_LATE_PART).max(ZONE_LATE_LEAST)
+        self.overdue >= (self.machines / ZONE_OVERDUE_DIVISOR).max(ZONE_OVERDUE_MIN_MACHINES)
     }
 
     /// Milliseconds without a sign of life after which it counts as unreachable: so many heartbeats would
@@ -42,7 +42,7 @@
     fn silence_limit_ms(&self, report_ms: Millis) -> Millis {
         let overdue = report_ms * 5 / 4;
         let many = report_ms * ZONE_MISSED_HEARTBEATS / self.machines.max(1);
-        2 * PEER_HEARTBEAT_MS + overdue.min(many)
+        2 * PEER_HEARTBEAT_INTERVAL_MS + overdue.min(many)
     }
 }
 
@@ -78,8 +78,8 @@
 
     /// Looks once at all machines that are up.
     pub(crate) fn survey_machines(&self) -> MachineSurvey {
-        let due = self.settings.report_due_ms();
-        let (limit, overdue_limit) = (self.unheard_limit_ms(), due + PROBE_AFTER_MS);
+        let due = self.settings.heartbeat_due_ms();
+        let (limit, overdue_limit) = (self.unheard_limit_ms(), due + PROBE_DELAY_MS);
         let mut survey = MachineSurvey::default();
         for (id, machine, _) in self.cache.machines().filter(|(_, m, _)| m.is_up()) {
             let liveness = self.liveness(id);
@@ -119,7 +119,7 @@
     /// Notes which zones are unreachable as a whole.
     pub(crate) fn detect_zone_failures(&mut self, observations: BTreeMap<String, ZoneObservation>) {
         for (zone, observed) in &observations {
-            let limit_ms = observed.silence_limit_ms(self.settings.report_ms);
+            let limit_ms = observed.silence_limit_ms(self.settings.heartbeat_interval_ms);
             let begins = observed.is_significant()
                 && observed.has_enough_overdue()
                 && self.now > observed.latest + limit_ms;
@@ -192,21 +192,21 @@
 
     /// Whether a zone counts as unreachable as a whole.
     pub(crate) fn is_zone_unreachable(&self, zone: &str) -> bool {
-        self.settings.checks.zones && self.zones.unreachable_since(zone).is_some()
+        self.settings.checks.zone_reachability && self.zones.unreachable_since(zone).is_some()
     }
 
     /// Whether a machine has answered a direct command after its heartbeat was overdue: its heartbeats reach
     /// no controller, and its lease expires with all that it runs, unless it finds one in time. They may well
     /// reach a peer that is unreachable from here.
     pub(crate) fn is_outbound_lost(&self, liveness: &Liveness) -> bool {
-        let overdue = self.settings.report_due_ms() + PROBE_AFTER_MS;
+        let overdue = self.settings.heartbeat_due_ms() + PROBE_DELAY_MS;
         let late = |at: Millis| {
             liveness
                 .observation
                 .answered_at
                 .is_some_and(|a| a > at + overdue)
         };
-        self.settings.checks.mute
+        self.settings.checks.heartbeat_reachability
             && liveness.last_heartbeat_at().is_some_and(late)
             && self.all_peers_reachable()
     }
@@ -216,7 +216,7 @@
     pub(crate) fn answers(&self, id: &str) -> bool {
         let observation = self.workers.observations.of(id);
         let answered_at = observation.answered_at;
-        let lately = answered_at.is_some_and(|at| self.now < at + 2 * PROBE_FRESH_MS);
+        let lately = answered_at.is_some_and(|at| self.now < at + 2 * PROBE_VALIDITY_MS);
         lately && observation.silent_since().is_none()
     }
 
@@ -263,7 +263,8 @@
         self.recently_heard_of(liveness)
             && !self.is_outbound_lost(liveness)
             && !self.is_zone_unreachable(zone)
-            && (!self.settings.checks.heard_peers || liveness.observation.silent_since().is_none())
+            && (!self.settings.checks.command_reachability
+                || liveness.observation.silent_since().is_none())
     }
 }
 
--- a/crates/core/src/zones/detector/tests.rs
+++ b/crates/core/src/zones/detector/tests.rs
@@ -12,7 +12,7 @@
     let waits = [ZONE_MIN_MACHINES, 60, 600].map(|n| of(n).silence_limit_ms(5_000));
     assert_eq!(
         waits[0],
-        2 * PEER_HEARTBEAT_MS + 6_250,
+        2 * PEER_HEARTBEAT_INTERVAL_MS + 6_250,
         "each of them is overdue"
     );
     assert!(waits[0] > waits[1] && waits[1] > waits[2], "{waits:?}");
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -2,7 +2,7 @@
 //! elsewhere, and in which order. The decision for each machine is `failures::evacuation_reason`.
 
 use crate::constants::{
-    ZONE_EVACUATION_INTERVAL_MS, ZONE_GIVE_UP_MS, ZONE_LATE_MS, ZONE_PROVISION_AHEAD_MS,
+    ZONE_ABANDON_MS, ZONE_EVACUATION_INTERVAL_MS, ZONE_OVERDUE_WORK_MS, ZONE_PROVISION_AHEAD_MS,
 };
 use crate::controller::Controller;
 use crate::jobs::dependencies;
@@ -71,7 +71,7 @@
             return None;
         };
         let capacity = &mut self.free[index];
-        capacity.resources = capacity.resources.less(&spec.resources);
+        capacity.resources = capacity.resources.saturating_sub(&spec.resources);
         *spread.zones.entry(capacity.zone.clone()).or_default() += 1;
         Some(Reservation {
             job: job.to_string(),
@@ -85,7 +85,7 @@
         let Some(capacity) = self.free.get_mut(reservation.index) else {
             return;
         };
-        capacity.resources = capacity.resources.plus(&reservation.resources);
+        capacity.resources = capacity.resources.saturating_add(&reservation.resources);
         if let Some(spread) = self.zone_spread.get_mut(&reservation.job) {
             let count = spread.zones.entry(capacity.zone.clone()).or_default();
             *count = count.saturating_sub(1);
@@ -148,8 +148,8 @@
 impl Controller {
     /// Deletes machines of unreachable zones whose tasks are better off elsewhere, a limited number at a
     /// time, and provisions for what lacks capacity elsewhere.
-    pub(crate) fn evacuate_failed_zones(&mut self) {
-        if !self.settings.tuning.lost_zones
+    pub(crate) fn evacuate_zones(&mut self) {
+        if !self.settings.tuning.evacuate_zones
             || !self.zones.has_unreachable()
             || self.now < self.zones.evacuation_checked_at + ZONE_EVACUATION_INTERVAL_MS
         {
@@ -160,7 +160,7 @@
             return;
         }
         let plan = self.plan_evacuation();
-        let limit = self.settings.tuning.zone_ends;
+        let limit = self.settings.tuning.zone_terminations_max;
         let limit = limit.saturating_sub(plan.already_marked);
         for candidate in plan.candidates.into_iter().take(limit) {
             let reason = TerminationReason::ZoneEvacuation(candidate.reason);
@@ -196,7 +196,7 @@
                     reason,
                 }),
                 None => {
-                    if plan.provision_for.len() < tuning.zone_ends
+                    if plan.provision_for.len() < tuning.zone_terminations_max
                         && self.lacks_only_capacity(outage, &work.tasks)
                     {
                         plan.provision_for.push(id.to_string());
@@ -235,7 +235,7 @@
                 && !self.is_start_in_flight(id, task, &placed.assignment)
         };
         outage.kind == ZoneFailureKind::WithControllers
-            && outage.duration_ms <= ZONE_GIVE_UP_MS
+            && outage.duration_ms <= ZONE_ABANDON_MS
             && self.cache.assignments(id).any(serves)
     }
 
@@ -333,7 +333,7 @@
     /// and its own deadline.
     fn deadlines_of(&self, job: &JobRecord, spec: &JobSpec) -> Vec<WallMs> {
         let ready_at = self.cache.ready_at(job);
-        let objectives_ms = self.settings.policy.goals.get(&spec.class);
+        let objectives_ms = self.settings.policy.completion_goals_ms.get(&spec.class);
         let objectives_ms = objectives_ms.into_iter().flatten();
         let deadlines = objectives_ms.map(|ms| ready_at + ms);
         let mut deadlines: Vec<WallMs> =
@@ -365,7 +365,7 @@
             let Some(machine_type) = machine_type.filter(|_| usable) else {
                 continue;
             };
-            let resources = machine_type.room.less(&self.cache.used(id));
+            let resources = machine_type.capacity.saturating_sub(&self.cache.used(id));
             if resources.cpus > 0 && !self.workers.marked_for_termination.contains_key(id) {
                 free.push(FreeCapacity {
                     machine_type: machine.type_name.clone(),
@@ -388,6 +388,6 @@
     !spec.zone_affinity
         && !spec.topology_spread
         && spec.priority >= JobPriority::High
-        && outage.duration_ms > ZONE_LATE_MS
+        && outage.duration_ms > ZONE_OVERDUE_WORK_MS
         && spec.zone.is_none()
 }
--- a/crates/core/src/zones/failures.rs
+++ b/crates/core/src/zones/failures.rs
@@ -7,7 +7,7 @@
 //! capacity elsewhere. A wrong guess costs work, but breaks no rule: nothing is placed before the proof.
 
 use crate::constants::{
-    START_TAKES_MS, ZONE_CONFIRM_MS, ZONE_DEAD_MS, ZONE_EVACUATION_MAX_WAIT_MS, ZONE_GIVE_UP_MS,
+    START_DURATION_MS, ZONE_ABANDON_MS, ZONE_CONFIRM_MS, ZONE_DEAD_MS, ZONE_EVACUATION_MAX_WAIT_MS,
     ZONE_LEASE_MARGIN_MS, ZONE_RECOVERY_MARGIN_MS,
 };
 use crate::model::{JobPriority, Millis, WallMs};
@@ -99,13 +99,15 @@
         return (nothing_runs && duration_ms > ZONE_EVACUATION_MAX_WAIT_MS)
             .then_some(EvacuationReason::OutageForMinutes);
     }
-    if work.iter().all(|task| task.start_in_flight) && duration_ms >= tuning.zone_unseen_ms {
+    if work.iter().all(|task| task.start_in_flight)
+        && duration_ms >= tuning.zone_unconfirmed_start_ms
+    {
         return Some(EvacuationReason::StartsInFlight);
     }
     let tasks_ended_after_ms = match outage.kind {
         ZoneFailureKind::WithoutControllers => lease_ms + ZONE_LEASE_MARGIN_MS,
         ZoneFailureKind::MachinesOnly => ZONE_DEAD_MS,
-        ZoneFailureKind::WithControllers => ZONE_GIVE_UP_MS,
+        ZoneFailureKind::WithControllers => ZONE_ABANDON_MS,
     };
     if duration_ms > tasks_ended_after_ms {
         return Some(EvacuationReason::TasksEnded);
@@ -131,13 +133,13 @@
     // An outage that has lasted so long lasts as long again, more likely than not: that holds of durations
     // without a scale of their own, and nothing is known of this one's.
     let expected_recovery = wall + duration_ms;
-    let done_elsewhere = wall + START_TAKES_MS + task.run_ms;
+    let done_elsewhere = wall + START_DURATION_MS + task.run_ms;
     let next_deadline = task.deadlines.iter().find(|at| done_elsewhere <= **at);
     match next_deadline {
         Some(deadline) => (expected_recovery + ZONE_RECOVERY_MARGIN_MS > *deadline)
             .then_some(EvacuationReason::DeadlineAtRisk),
         // It is late in any case: not for the sake of a moment.
-        None => (duration_ms > tuning.zone_late_ms.max(2 * task.run_ms))
+        None => (duration_ms > tuning.zone_overdue_work_ms.max(2 * task.run_ms))
             .then_some(EvacuationReason::WaitedLongEnough),
     }
 }
--- a/crates/core/tests/allocations.rs
+++ b/crates/core/tests/allocations.rs
@@ -16,7 +16,7 @@
 #[test]
 fn a_heartbeat_without_news_allocates_little() {
     let mut sim = Simulation::new(1, 1, 40);
-    sim.settings.idle_return_ms = 3_600_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
     sim.run(6_000);
     for i in 0..20 {
         sim.submit(0, service(&format!("j-{i}"), 4));
--- a/crates/core/tests/scenarios/cancellations_under_faults.rs
+++ b/crates/core/tests/scenarios/cancellations_under_faults.rs
@@ -83,7 +83,7 @@
             sim.crash(1, 3_000);
         }
         let (mut gone, mut reported) = (None, false);
-        for step in 0..sim.settings.cancel_ms / 500 + 20 {
+        for step in 0..sim.settings.cancellation_timeout_ms / 500 + 20 {
             // They stay with the old leader as far as it lets them.
             for worker in sim.workers.values_mut() {
                 worker.controller = 0;
@@ -99,8 +99,8 @@
         }
         if let Some(at) = at {
             let gone = gone.unwrap_or(u64::MAX);
-            assert!(gone <= at + sim.settings.cancel_ms, "{what}");
-            least = least.min(at + sim.settings.cancel_ms - gone);
+            assert!(gone <= at + sim.settings.cancellation_timeout_ms, "{what}");
+            least = least.min(at + sim.settings.cancellation_timeout_ms - gone);
         }
         assert!(reported, "they report to it all the time: {what}");
         sim.network.faults = FaultRates::default();
@@ -264,7 +264,7 @@
             assert!(sim.metrics.starts - starts <= 8);
         }
         let starts = sim.metrics.starts;
-        sim.run(hang_ms + sim.settings.cancel_ms);
+        sim.run(hang_ms + sim.settings.cancellation_timeout_ms);
         assert_eq!(sim.metrics.starts, starts, "nothing starts after");
         sim.check_records();
     }
@@ -318,7 +318,7 @@
             "way {way}: {} ms",
             sim.now_ms - from
         );
-        sim.run(sim.settings.cancel_ms);
+        sim.run(sim.settings.cancellation_timeout_ms);
         assert!(ids.iter().all(|id| sim.running(id) == 0));
         sim.check_records();
     }
--- a/crates/core/tests/scenarios/common.rs
+++ b/crates/core/tests/scenarios/common.rs
@@ -15,7 +15,7 @@
 /// The same, with machines that are never returned for having nothing to do.
 pub fn without_scale_in(seed: u64, controllers: usize, machines: usize) -> Simulation {
     let mut sim = Simulation::new(seed, controllers, machines);
-    sim.settings.idle_return_ms = 3_600_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
     sim.run(5_000);
     sim
 }
@@ -122,7 +122,7 @@
 
 pub fn fixed_fleet(seed: u64, controllers: usize, machines: usize) -> Simulation {
     let mut sim = Simulation::new(seed, controllers, machines);
-    sim.settings.idle_return_ms = 3_600_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
     sim.cloud.capacity = 0;
     sim.run(6_000);
     sim
--- a/crates/core/tests/scenarios/configuration_records.rs
+++ b/crates/core/tests/scenarios/configuration_records.rs
@@ -32,7 +32,7 @@
         };
         record.version += 1;
         match damage {
-            0 => record.form = configuration::CONFIGURATION_FORM + 1,
+            0 => record.schema_version = configuration::CONFIGURATION_SCHEMA_VERSION + 1,
             1 => record.pages = 3,
             _ => {
                 let page = Key::ConfigurationPage(record.version, 0);
@@ -129,7 +129,8 @@
     };
     for teams in [1, 350, 540] {
         let settings = settings(teams);
-        let transaction = configuration::change(&settings, None, 9, LIMITS, 1, "first").unwrap();
+        let transaction =
+            configuration::change_transaction(&settings, None, 9, LIMITS, 1, "first").unwrap();
         assert!(transaction.changes.len() <= 16);
         let pages: Vec<ConfigurationPageRecord> = (transaction.changes.iter())
             .filter_map(|(_, record)| match record {
@@ -137,7 +138,7 @@
                 _ => None,
             })
             .collect();
-        assert_eq!(configuration::settings_of(&pages), settings);
+        assert_eq!(configuration::settings_from_pages(&pages), settings);
         for (key, record) in &transaction.changes {
             let record = record.as_ref().unwrap();
             let value = record.value(formats::STORED_CONFIGURATION);
@@ -149,7 +150,7 @@
             );
         }
     }
-    let large = configuration::change(&settings(3_000), None, 9, LIMITS, 1, "");
+    let large = configuration::change_transaction(&settings(3_000), None, 9, LIMITS, 1, "");
     assert_eq!(large.unwrap_err().field, "settings.teams");
 }
 
@@ -217,7 +218,8 @@
             max_value_bytes: 16 * 1024,
             ..LIMITS
         };
-        let transaction = configuration::change(&settings, before, 1, large, n, "why").unwrap();
+        let transaction =
+            configuration::change_transaction(&settings, before, 1, large, n, "why").unwrap();
         current = transaction
             .changes
             .into_iter()
@@ -229,11 +231,11 @@
     let record = current.unwrap();
     assert_eq!(
         (record.version, record.kept.len()),
-        (100, configuration::VERSIONS_KEPT - 1)
+        (100, configuration::RETAINED_VERSIONS_MAX - 1)
     );
     let pages: Vec<(u64, u32)> = (1..=100).map(|version| (version, 0)).collect();
     let outdated = configuration::outdated_pages(&record, pages.iter());
-    assert_eq!(outdated.len(), 100 - configuration::VERSIONS_KEPT);
+    assert_eq!(outdated.len(), 100 - configuration::RETAINED_VERSIONS_MAX);
     assert_eq!(outdated[0], Key::ConfigurationPage(1, 0));
 }
 
@@ -241,7 +243,7 @@
 #[test]
 fn damaged_records_are_skipped() {
     let record = Record::Configuration(ConfigurationVersionRecord {
-        form: 1,
+        schema_version: 1,
         version: 7,
         pages: 2,
         teams: 9,
--- a/crates/core/tests/scenarios/controller_failures.rs
+++ b/crates/core/tests/scenarios/controller_failures.rs
@@ -26,7 +26,7 @@
     // Its first heartbeat has heard of nothing. Peers must remember what it said before.
     for seed in 0..6 {
         let mut sim = started(600 + seed, 3, 6);
-        sim.settings.idle_return_ms = 600_000;
+        sim.settings.idle_timeout_ms = 600_000;
         for worker in sim.workers.values_mut() {
             worker.controller = 0;
         }
@@ -48,7 +48,7 @@
     // All machines fall silent to it at once and none can be asked: it is the controller that is
     // cut off. They turn to its peers.
     let mut sim = started(25, 3, 6);
-    sim.settings.idle_return_ms = 600_000;
+    sim.settings.idle_timeout_ms = 600_000;
     for worker in sim.workers.values_mut() {
         worker.controller = 0;
     }
--- a/crates/core/tests/scenarios/dependencies.rs
+++ b/crates/core/tests/scenarios/dependencies.rs
@@ -68,7 +68,7 @@
     // On a single controller nothing else causes a scheduling pass then: the next stage would wait for the poll.
     for seed in 0..5 {
         let mut sim = Simulation::new(30 + seed, 1, 4);
-        sim.settings.idle_return_ms = 3_600_000;
+        sim.settings.idle_timeout_ms = 3_600_000;
         sim.cloud.capacity = 0;
         sim.run(4_000);
         sim.workload.run_ms = 300;
--- a/crates/core/tests/scenarios/failover.rs
+++ b/crates/core/tests/scenarios/failover.rs
@@ -7,10 +7,10 @@
 /// So many controllers and machines, with the times of a large fleet.
 fn large(seed: u64, controllers: usize, machines: usize) -> Simulation {
     let mut sim = Simulation::new(seed, controllers, machines);
-    sim.settings.idle_return_ms = 3_600_000;
-    sim.settings.report_ms = 5_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
+    sim.settings.heartbeat_interval_ms = 5_000;
     sim.settings.lease_ms = 26_500;
-    sim.settings.cancel_ms = 51_500;
+    sim.settings.cancellation_timeout_ms = 51_500;
     sim.cloud.capacity = 0;
     sim
 }
@@ -213,7 +213,7 @@
 #[test]
 fn clocks_off_by_the_allowed_skew_change_nothing() {
     let mut sim = fleet(100, 3, 30);
-    let off = sim.settings.clock_off_ms;
+    let off = sim.settings.clock_skew_ms;
     sim.clock_ahead_ms = vec![0, 2 * off, off];
     sim.run(4_000);
     busy(&mut sim);
--- a/crates/core/tests/scenarios/failover_under_load.rs
+++ b/crates/core/tests/scenarios/failover_under_load.rs
@@ -51,7 +51,7 @@
         if seed % 2 == 0 {
             use_long_leases(&mut sim);
         }
-        sim.settings.idle_return_ms = 3_600_000;
+        sim.settings.idle_timeout_ms = 3_600_000;
         sim.run(15_000);
         (sim.cloud.capacity, sim.workload.run_ms) = ([0, 6, 6][seed as usize % 3], 15_000);
         let east = |spec: JobSpec| JobSpec {
@@ -107,7 +107,7 @@
         if seed % 2 == 0 {
             use_long_leases(&mut sim);
         }
-        sim.settings.idle_return_ms = 3_600_000;
+        sim.settings.idle_timeout_ms = 3_600_000;
         sim.run(15_000);
         (sim.cloud.capacity, sim.workload.run_ms) = (0, 60_000);
         sim.submit(0, service("j-s", 5));
@@ -144,7 +144,7 @@
         if seed % 2 == 0 {
             use_long_leases(&mut sim);
         }
-        sim.settings.idle_return_ms = 3_600_000;
+        sim.settings.idle_timeout_ms = 3_600_000;
         sim.run(15_000);
         sim.cloud.capacity = 0;
         sim.follow_up_requests = seed % 2 == 1;
--- a/crates/core/tests/scenarios/guard_harness.rs
+++ b/crates/core/tests/scenarios/guard_harness.rs
@@ -38,6 +38,6 @@
 pub fn guarded(checks: &Checks, seed: u64, controllers: usize, machines: usize) -> Simulation {
     let mut sim = Simulation::new(seed, controllers, machines);
     sim.settings.checks = *checks;
-    sim.settings.idle_return_ms = 3_600_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
     sim
 }
--- a/crates/core/tests/scenarios/message_faults.rs
+++ b/crates/core/tests/scenarios/message_faults.rs
@@ -336,7 +336,7 @@
             use_long_leases(&mut sim);
         }
         // Machines that are idle stay, so that those that die are few among them.
-        sim.settings.idle_return_ms = 3_600_000;
+        sim.settings.idle_timeout_ms = 3_600_000;
         sim.run(15_000);
         (sim.cloud.capacity, sim.workload.run_ms) = (0, 300_000);
         sim.submit(0, service("j-s", 6));
@@ -345,7 +345,7 @@
             sim.running("j-s") == 6 && sim.running("j-l") == 4
         });
         sim.network.faults.heartbeat_kept = 1.0;
-        sim.run(2 * sim.settings.report_ms);
+        sim.run(2 * sim.settings.heartbeat_interval_ms);
         sim.network.faults.heartbeat_kept = 0.0;
         // Two machines that run something die, one loses its lease, the others live.
         let holders = sim.machines_of("j-s");
@@ -365,7 +365,7 @@
             sim.running("j-s") == 6
         });
         let took = sim.now_ms - from;
-        let most = 2 * sim.settings.report_ms + 16_000;
+        let most = 2 * sim.settings.heartbeat_interval_ms + 16_000;
         assert!(took <= most, "seed {seed}: {took} ms");
         sim.run(60_000);
         assert_eq!(sim.running("j-l"), 4, "what lives runs on");
--- a/crates/core/tests/scenarios/one_way_partitions.rs
+++ b/crates/core/tests/scenarios/one_way_partitions.rs
@@ -94,7 +94,7 @@
     for seed in 0..6_u64 {
         let mut sim = Simulation::new(3_000 + seed, 3, 16);
         use_long_leases(&mut sim);
-        sim.settings.idle_return_ms = 3_600_000;
+        sim.settings.idle_timeout_ms = 3_600_000;
         sim.run(15_000);
         (sim.cloud.capacity, sim.workload.run_ms) = (0, 8_000);
         for j in 0..4 {
@@ -140,7 +140,7 @@
     for (seed, share) in (0..6_u64).flat_map(|seed| [(seed, 2), (seed, 1)]) {
         let mut sim = Simulation::new(3_100 + seed, 3, 24);
         use_long_leases(&mut sim);
-        sim.settings.idle_return_ms = 3_600_000;
+        sim.settings.idle_timeout_ms = 3_600_000;
         sim.run(15_000);
         (sim.cloud.capacity, sim.workload.run_ms) = (200, 20_000);
         for j in 0..4 {
@@ -177,7 +177,7 @@
     for seed in 0..4_u64 {
         let mut sim = Simulation::new(4_100 + seed, 3, 12);
         use_long_leases(&mut sim);
-        sim.settings.idle_return_ms = 3_600_000;
+        sim.settings.idle_timeout_ms = 3_600_000;
         sim.run(15_000);
         (sim.cloud.capacity, sim.workload.run_ms) = (0, 600_000);
         for j in 0..6 {
--- a/crates/core/tests/scenarios/placement.rs
+++ b/crates/core/tests/scenarios/placement.rs
@@ -43,7 +43,7 @@
 fn a_large_array_is_stored_in_chunks_created_on_demand() {
     let mut sim = started(13, 2, 4);
     sim.workload.run_ms = 100;
-    sim.settings.idle_return_ms = 600_000;
+    sim.settings.idle_timeout_ms = 600_000;
     let mut spec = job("j-1", 250);
     spec.topology_spread = true;
     spec.resources.cpus = 500;
--- a/crates/core/tests/scenarios/provisioning.rs
+++ b/crates/core/tests/scenarios/provisioning.rs
@@ -105,7 +105,7 @@
         assert!(sim.now_ms < start + 240_000);
         time_to_confirm_cancel(&mut sim, 0, "j-s").expect("told");
         // All of them are on record or returned: what nothing needs is given back.
-        sim.run(sim.settings.idle_return_ms + 120_000);
+        sim.run(sim.settings.idle_timeout_ms + 120_000);
         let left = sim.workers.len();
         assert!(
             left <= 4,
--- a/crates/core/tests/scenarios/quick_restarts.rs
+++ b/crates/core/tests/scenarios/quick_restarts.rs
@@ -19,10 +19,10 @@
 /// Three controllers, machines that all have reported, and services that run.
 fn busy(seed: u64) -> Simulation {
     let mut sim = Simulation::new(seed, 3, 30);
-    sim.settings.idle_return_ms = 3_600_000;
-    sim.settings.report_ms = 3_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
+    sim.settings.heartbeat_interval_ms = 3_000;
     sim.settings.lease_ms = 14_000;
-    sim.settings.cancel_ms = 44_000;
+    sim.settings.cancellation_timeout_ms = 44_000;
     sim.cloud.capacity = 0;
     sim.run(6_000);
     for i in 0..SERVICES {
@@ -42,7 +42,9 @@
 fn unharmed(sim: &mut Simulation, what: &str) {
     sim.run(9_000);
     assert!(up(sim), "{what}: services");
-    let most = sim.now_ms.saturating_sub(2 * sim.settings.report_ms);
+    let most = sim
+        .now_ms
+        .saturating_sub(2 * sim.settings.heartbeat_interval_ms);
     let stranded = sim
         .workers
         .values()
--- a/crates/core/tests/scenarios/quotas.rs
+++ b/crates/core/tests/scenarios/quotas.rs
@@ -148,7 +148,7 @@
             waits.observe(&sim);
         }
         assert!(!open(&sim), "seed {seed}: all is served in the end");
-        let least = sim.settings.report_due_ms() + 8_000;
+        let least = sim.settings.heartbeat_due_ms() + 8_000;
         assert!(waits.longest_ms <= least, "seed {seed}: {waits:?}");
         sim.check_records();
     }
--- a/crates/core/tests/scenarios/random_faults.rs
+++ b/crates/core/tests/scenarios/random_faults.rs
@@ -21,7 +21,7 @@
         sim.cloud.capacity = 4;
         if seed % 2 == 1 {
             // From its next start on each controller uses learned run times, beside others that do not.
-            sim.settings.learned = all_estimate_uses();
+            sim.settings.runtime_estimates = all_estimate_uses();
         }
         sim.network.faults = FaultRates {
             transaction_answer_lost: 0.03,
@@ -122,7 +122,7 @@
             sim.run(pause);
             // Now and then what is wrong stays so for longer than a cancellation may take.
             if sim.rng.gen_bool(0.03) {
-                let long = sim.settings.cancel_ms + 10_000;
+                let long = sim.settings.cancellation_timeout_ms + 10_000;
                 sim.run(long);
             }
             if sim.rng.gen_bool(0.2) {
--- a/crates/core/tests/scenarios/rescheduling.rs
+++ b/crates/core/tests/scenarios/rescheduling.rs
@@ -12,7 +12,7 @@
     for slot in 0..3 {
         sim.crash(slot, 10);
     }
-    sim.settings.idle_return_ms = 600_000;
+    sim.settings.idle_timeout_ms = 600_000;
     let dear = sim.boot_machine("large", "east", false, 10);
     sim.run(4_000);
     let mut small = service("j-1", 1);
@@ -48,7 +48,7 @@
     let mut sim = Simulation::new(77, 2, 160);
     sim.skip_invariants = true;
     sim.settings.write_rps = 100.0;
-    sim.settings.next_write_rps = 100.0;
+    sim.settings.announced_write_rps = 100.0;
     sim.cloud.capacity = 0;
     sim.workload.class_run_ms.insert("long".into(), 40_000);
     sim.run(5_000);
--- a/crates/core/tests/scenarios/rolling_upgrade.rs
+++ b/crates/core/tests/scenarios/rolling_upgrade.rs
@@ -34,7 +34,7 @@
 /// that a value may have later.
 fn with_a_large_chunk(seed: u64) -> Simulation {
     let mut sim = Simulation::previous_version(seed, 3, 40);
-    sim.settings.idle_return_ms = 3_600_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
     sim.cloud.capacity = 0;
     sim.run(4_000);
     sim.workload.run_ms = 25_000;
@@ -144,7 +144,7 @@
 #[test]
 fn the_last_controller_of_the_previous_version_stores_a_large_chunk_before_it_ends() {
     let mut sim = Simulation::previous_version(3, 3, 40);
-    sim.settings.idle_return_ms = 3_600_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
     sim.cloud.capacity = 0;
     sim.run(4_000);
     sim.workload.run_ms = 25_000;
@@ -166,7 +166,7 @@
 fn a_record_rejected_by_the_state_service_blocks_no_other() {
     // Its limits are smaller than announced: so many assignments at once don't fit.
     let mut sim = Simulation::new(7, 2, 82);
-    sim.settings.idle_return_ms = 3_600_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
     sim.settings.max_value_bytes = 2 * 1024;
     sim.cloud.capacity = 0;
     sim.run(4_000);
--- a/crates/core/tests/scenarios/runtime_estimates.rs
+++ b/crates/core/tests/scenarios/runtime_estimates.rs
@@ -10,7 +10,7 @@
 
 fn learning(seed: u64, controllers: usize, machines: usize) -> Simulation {
     let mut sim = Simulation::new(seed, controllers, machines);
-    sim.settings.learned = all_estimate_uses();
+    sim.settings.runtime_estimates = all_estimate_uses();
     sim
 }
 
@@ -291,7 +291,7 @@
     let mut learned = 0;
     for seed in 11..19 {
         let mut sim = Simulation::previous_version(seed, 3, 6);
-        sim.settings.learned.learn = true;
+        sim.settings.runtime_estimates.enabled = true;
         sim.run(4_000);
         work(&mut sim, 1, 3, 3, "batch");
         // One by one; in between both serve on the same records, and the new ones learn.
@@ -397,7 +397,7 @@
 fn the_longer_of_two_jobs_with_the_same_deadline_starts_first() {
     for order in [false, true] {
         let mut sim = learning(13, 1, 1);
-        sim.settings.learned.order = order;
+        sim.settings.runtime_estimates.queue_order = order;
         sim.cloud.capacity = 0;
         sim.workload.class_run_ms.insert("long".into(), 30_000);
         sim.run(3_000);
--- a/crates/core/tests/scenarios/safety_guards.rs
+++ b/crates/core/tests/scenarios/safety_guards.rs
@@ -134,7 +134,7 @@
 fn without_a_round_of_heartbeats_existing_machines_are_provisioned_again() {
     let cost = assert_needed("round", 0, |checks| {
         let mut sim = guarded(checks, 985, 3, 40);
-        sim.settings.report_ms = 5_000;
+        sim.settings.heartbeat_interval_ms = 5_000;
         sim.settings.lease_ms = 26_500;
         sim.run(9_000);
         sim.cloud.capacity = 40;
@@ -173,7 +173,7 @@
         for seed in 0..100 {
             let mut checks = *checks;
             // Machines count as heard at once, so that the claim follows the reading.
-            (checks.heard, checks.round) = (false, false);
+            (checks.heartbeat_since_start, checks.heartbeat_round) = (false, false);
             let mut sim = guarded(&checks, 1_100 + seed, 2, 12);
             sim.cloud.capacity = 0;
             sim.state.page_size = 3;
@@ -257,7 +257,7 @@
 fn without_refencing_doubtful_claims_wait_for_a_heartbeat() {
     let cost = assert_needed("doubt", 1_800, |checks| {
         let mut sim = guarded(checks, 996, 3, 12);
-        (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
+        (sim.settings.heartbeat_interval_ms, sim.settings.lease_ms) = (5_000, 26_500);
         sim.cloud.capacity = 0;
         sim.run(15_000);
         sim.network.faults.transaction_answer_lost = 0.5;
--- a/crates/core/tests/scenarios/state_outages.rs
+++ b/crates/core/tests/scenarios/state_outages.rs
@@ -51,7 +51,7 @@
             sim.run(300);
         }
         sim.state.is_down = true;
-        for _ in 0..sim.settings.cancel_ms / 1_000 + 20 {
+        for _ in 0..sim.settings.cancellation_timeout_ms / 1_000 + 20 {
             for i in 3..5 {
                 sim.cancel(i % 3, &format!("j-{i}"));
                 sim.status(i % 3, &format!("j-{i}"));
--- a/crates/core/tests/scenarios/storage_formats.rs
+++ b/crates/core/tests/scenarios/storage_formats.rs
@@ -1,6 +1,8 @@
 //! Storage formats: records of the previous version, the compact form of chunks, and sizes of records.
 
-use glenmount_core::constants::{FAULTS_KEPT, FAULTY_MACHINES, PROVISION_MAX_INSTANCES};
+use glenmount_core::constants::{
+    FAULTY_JOB_MIN_MACHINES, MACHINE_FAULTS_MAX, PROVISION_MAX_INSTANCES,
+};
 use glenmount_core::model::JobSpec;
 use glenmount_core::state::formats::{self, FormatRecord};
 use glenmount_core::state::{
@@ -187,7 +189,7 @@
         START_TIME_MS,
     );
     machine.address = long(100);
-    machine.faults = vec!["j-123456789012345678".into(); FAULTS_KEPT];
+    machine.faults = vec!["j-123456789012345678".into(); MACHINE_FAULTS_MAX];
     fits("a machine", Record::Machine(machine));
     let instances = (0..PROVISION_MAX_INSTANCES).map(|i| format!("n-{:06}", 999_000 + i));
     let instance_request = InstanceRequestRecord {
@@ -231,7 +233,7 @@
     let chunk = |n: u32| ChunkRecord {
         tasks: tasks(n),
         team: "franquicias".into(),
-        failed_on: vec!["n-000231".into(); FAULTY_MACHINES],
+        failed_on: vec!["n-000231".into(); FAULTY_JOB_MIN_MACHINES],
         pause_until: START_TIME_MS,
         ..ChunkRecord::default()
     };
--- a/crates/core/tests/scenarios/worker_failures.rs
+++ b/crates/core/tests/scenarios/worker_failures.rs
@@ -48,7 +48,7 @@
 #[test]
 fn a_machine_that_dies_with_its_controller_is_detected_before_its_lease_expires() {
     let mut sim = started(30, 3, 6);
-    sim.settings.idle_return_ms = 600_000;
+    sim.settings.idle_timeout_ms = 600_000;
     for worker in sim.workers.values_mut() {
         worker.controller = 0;
     }
@@ -162,7 +162,7 @@
 fn a_task_of_an_expired_lease_is_not_restarted_as_the_same_attempt() {
     for seed in 0..6 {
         let mut sim = Simulation::new(80 + seed, 3, 60);
-        sim.settings.idle_return_ms = 3_600_000;
+        sim.settings.idle_timeout_ms = 3_600_000;
         sim.run(5_000);
         for i in 0..30 {
             sim.submit(i % 3, service(&format!("j-{i}"), 4));
--- a/crates/core/tests/scenarios/worker_guards.rs
+++ b/crates/core/tests/scenarios/worker_guards.rs
@@ -10,7 +10,7 @@
 fn without_liveness_dead_machines_are_assigned_tasks() {
     let cost = assert_needed("heard", 6_000, |checks| {
         let mut sim = guarded(checks, 980, 3, 30);
-        sim.settings.report_ms = 5_000;
+        sim.settings.heartbeat_interval_ms = 5_000;
         sim.settings.lease_ms = 26_500;
         sim.cloud.capacity = 0;
         sim.run(9_000);
@@ -35,9 +35,9 @@
 fn without_zone_failure_detection_work_waits_in_a_partitioned_zone() {
     let cost = assert_needed("zones", 2_500, |checks| {
         let mut sim = guarded(checks, 995, 3, 40);
-        sim.settings.report_ms = 5_000;
+        sim.settings.heartbeat_interval_ms = 5_000;
         sim.settings.lease_ms = 26_500;
-        sim.settings.cancel_ms = 51_500;
+        sim.settings.cancellation_timeout_ms = 51_500;
         sim.cloud.capacity = 0;
         sim.run(9_000);
         sim.partition_zone("west", &[1]);
@@ -141,7 +141,7 @@
 fn without_confirmed_delivery_workers_without_inbound_messages_get_tasks() {
     let cost = assert_needed("hears", 12_000, |checks| {
         let mut sim = guarded(checks, 991, 3, 12);
-        (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
+        (sim.settings.heartbeat_interval_ms, sim.settings.lease_ms) = (5_000, 26_500);
         sim.cloud.capacity = 0;
         sim.run(15_000);
         sim.submit(0, service("j-1", 10));
@@ -194,7 +194,7 @@
 fn without_incarnations_in_answers_expired_tasks_stay_assigned() {
     let cost = assert_needed("session", 50_000, |checks| {
         let mut sim = guarded(checks, 997, 3, 12);
-        (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
+        (sim.settings.heartbeat_interval_ms, sim.settings.lease_ms) = (5_000, 26_500);
         sim.cloud.capacity = 0;
         sim.run(15_000);
         sim.submit(0, service("j-1", 10));
@@ -219,7 +219,7 @@
 fn without_moves_off_workers_with_lost_heartbeats_services_end_with_their_leases() {
     let cost = assert_needed("mute", 3_000, |checks| {
         let mut sim = guarded(checks, 998, 3, 14);
-        (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
+        (sim.settings.heartbeat_interval_ms, sim.settings.lease_ms) = (5_000, 26_500);
         sim.cloud.capacity = 0;
         sim.run(15_000);
         for i in 0..3 {
@@ -253,7 +253,7 @@
         let mut slowest = 0;
         for seed in 0..4 {
             let mut sim = guarded(checks, 1_300 + seed, 3, 12);
-            (sim.settings.report_ms, sim.settings.lease_ms) = (5_000, 26_500);
+            (sim.settings.heartbeat_interval_ms, sim.settings.lease_ms) = (5_000, 26_500);
             sim.cloud.capacity = 0;
             sim.run(15_000);
             sim.network.faults.heartbeat_kept = 1.0;
--- a/crates/core/tests/scenarios/write_budget.rs
+++ b/crates/core/tests/scenarios/write_budget.rs
@@ -10,7 +10,7 @@
 /// Changes are short, and so many small jobs run that each result takes one or two of its own.
 fn short_of_changes(seed: u64) -> Simulation {
     let mut sim = Simulation::new(seed, 2, 20);
-    sim.settings.idle_return_ms = 3_600_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
     sim.settings.max_transaction_changes = 5;
     sim.settings.write_rps = 4.0;
     sim.cloud.capacity = 0;
@@ -105,7 +105,7 @@
 fn idle_heartbeats_cost_no_writes_and_tasks_cost_few() {
     // The state service takes 50 changes a second from all controllers together.
     let mut sim = started(29, 3, 300);
-    sim.settings.idle_return_ms = 600_000;
+    sim.settings.idle_timeout_ms = 600_000;
     sim.run_until(30_000, "all taken up", |sim| {
         let up = sim
             .state
--- a/crates/core/tests/scenarios/zone_evacuation.rs
+++ b/crates/core/tests/scenarios/zone_evacuation.rs
@@ -6,10 +6,10 @@
 
 fn fleet(seed: u64, machines: usize, controllers_in: &[&str]) -> Simulation {
     let mut sim = Simulation::new(seed, 3, 0);
-    sim.settings.idle_return_ms = 3_600_000;
-    sim.settings.report_ms = 5_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
+    sim.settings.heartbeat_interval_ms = 5_000;
     sim.settings.lease_ms = 26_500;
-    sim.settings.cancel_ms = 51_500;
+    sim.settings.cancellation_timeout_ms = 51_500;
     sim.controller_zones = controllers_in.iter().map(|z| z.to_string()).collect();
     sim.cloud.capacity = 0;
     for i in 0..machines {
@@ -39,7 +39,7 @@
 
 fn even(seed: u64, machines: usize) -> Simulation {
     let mut sim = fleet(seed, 0, &["east"]);
-    sim.settings.tuning.even_spread = true;
+    sim.settings.tuning.even_zone_spread = true;
     for n in 0..3 {
         sim.crash(n, 100);
     }
@@ -78,7 +78,7 @@
 #[test]
 fn batches_move_if_waiting_would_miss_their_objective_and_services_stay() {
     let mut sim = fleet(10, 40, &["east", "west"]);
-    sim.settings.policy.goals.clear();
+    sim.settings.policy.completion_goals_ms.clear();
     let scattered = JobSpec {
         topology_spread: true,
         ..service("j-1", 12)
--- a/crates/core/tests/scenarios/zone_partitions.rs
+++ b/crates/core/tests/scenarios/zone_partitions.rs
@@ -9,10 +9,10 @@
 /// No machine is returned for having nothing to do, none is provisioned, and leases are long enough to find
 /// another controller.
 fn configure_fleet(sim: &mut Simulation) {
-    sim.settings.idle_return_ms = 3_600_000;
-    sim.settings.report_ms = 5_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
+    sim.settings.heartbeat_interval_ms = 5_000;
     sim.settings.lease_ms = 26_500;
-    sim.settings.cancel_ms = 51_500;
+    sim.settings.cancellation_timeout_ms = 51_500;
     sim.cloud.capacity = 0;
 }
 
@@ -335,7 +335,7 @@
 #[test]
 fn the_term_is_raised_once_earlier_cancellations_are_complete() {
     let mut sim = Simulation::previous_version(782, 2, 8);
-    sim.settings.idle_return_ms = 3_600_000;
+    sim.settings.idle_timeout_ms = 3_600_000;
     sim.cloud.capacity = 0;
     sim.run(5_000);
     sim.submit(0, service("j-1", 1));
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -11,10 +11,10 @@
     for machines in [300, 1_250, 2_500, 5_000] {
         let mut sim = Simulation::new(7, 3, machines);
         sim.skip_invariants = true;
-        sim.settings.idle_return_ms = 3_600_000;
-        sim.settings.report_ms = 5_000;
+        sim.settings.idle_timeout_ms = 3_600_000;
+        sim.settings.heartbeat_interval_ms = 5_000;
         sim.settings.lease_ms = 26_500;
-        sim.settings.cancel_ms = 51_500;
+        sim.settings.cancellation_timeout_ms = 51_500;
         sim.settings.write_rps = 60.0;
         sim.settings.max_transaction_changes = 40;
         sim.settings.max_value_bytes = 16 * 1024;
--- a/crates/ctl/src/config/apply.rs
+++ b/crates/ctl/src/config/apply.rs
@@ -47,7 +47,7 @@
         .transpose()?;
     if may_leave_jobs_unrunnable(before.as_ref(), &policy) {
         let jobs = records.open_jobs()?;
-        configuration::review(&policy, jobs.iter())?;
+        configuration::validate_for_jobs(&policy, jobs.iter())?;
     }
     Ok(())
 }
@@ -92,7 +92,7 @@
         true => records.open_jobs()?,
         false => Vec::new(),
     };
-    let Err(error) = configuration::review(&policy, jobs.iter()) else {
+    let Err(error) = configuration::validate_for_jobs(&policy, jobs.iter()) else {
         records.remove_outdated();
         return Ok(applied);
     };
@@ -118,9 +118,9 @@
 ) -> PolicySettings {
     let mut back = settings.clone();
     for job in jobs {
-        let runs = back
-            .policy()
-            .is_ok_and(|policy| configuration::review(&policy, std::iter::once(job)).is_ok());
+        let runs = back.policy().is_ok_and(|policy| {
+            configuration::validate_for_jobs(&policy, std::iter::once(job)).is_ok()
+        });
         let old = before.teams.iter().find(|team| team.name == job.team);
         if let (false, Some(old)) = (runs, old) {
             back.teams.retain(|team| team.name != job.team);
@@ -149,7 +149,7 @@
     let limits = change.limits.change_limits();
     let (settings, note) = (change.settings, change.note);
     let transaction =
-        configuration::change(settings, record, configurable, limits, now_ms(), note)?;
+        configuration::change_transaction(settings, record, configurable, limits, now_ms(), note)?;
     let applied = Applied {
         version: version + 1,
         pages: transaction.changes.len() - 1,
--- a/crates/ctl/src/config/records.rs
+++ b/crates/ctl/src/config/records.rs
@@ -3,7 +3,8 @@
 use super::{ConfigFailure, Followers};
 use crate::state_client::{CommitOutcome, StateClient, StoredItem};
 use glenmount_core::configuration::{
-    self, ConfigurationPageRecord, ConfigurationVersionRecord, PolicySettings, CONFIGURATION_FORM,
+    self, ConfigurationPageRecord, ConfigurationVersionRecord, PolicySettings,
+    CONFIGURATION_SCHEMA_VERSION,
 };
 use glenmount_core::model::JobSpec;
 use glenmount_core::state::formats;
@@ -60,8 +61,11 @@
             let why = "the configuration on record can't be read";
             return Err(ConfigFailure::Failed(why.into()));
         };
-        if record.form > CONFIGURATION_FORM {
-            let why = format!("form: {} is later than this program reads", record.form);
+        if record.schema_version > CONFIGURATION_SCHEMA_VERSION {
+            let why = format!(
+                "form: {} is later than this program reads",
+                record.schema_version
+            );
             return Err(ConfigFailure::Failed(why));
         }
         let settings = self.pages(record.version, record.pages)?.ok_or_else(|| {
@@ -102,7 +106,7 @@
                 _ => return Ok(None),
             }
         }
-        Ok(Some(configuration::settings_of(&pages)))
+        Ok(Some(configuration::settings_from_pages(&pages)))
     }
 
     /// The revision of the record that says that every controller reads configurations.
--- a/crates/glenmount/src/http_server.rs
+++ b/crates/glenmount/src/http_server.rs
@@ -3,7 +3,7 @@
 use crate::timings::{MESSAGES_READ, REPLIES_WRITTEN};
 use crate::wire;
 use futures_util::{Stream, StreamExt};
-use glenmount_core::constants::BODY_BYTES;
+use glenmount_core::constants::REQUEST_BODY_MAX_BYTES;
 use glenmount_core::controller::{Event, RequestId, UserReply, WorkerReply};
 use std::convert::Infallible;
 use std::pin::pin;
@@ -198,7 +198,7 @@
     let mut bytes = Vec::new();
     while let Some(part) = body.next().await {
         let mut part = part.map_err(|_| error(400, "the body broke off"))?;
-        if bytes.len() + part.remaining() > BODY_BYTES as usize {
+        if bytes.len() + part.remaining() > REQUEST_BODY_MAX_BYTES as usize {
             return Err(error(400, "the body is longer than 64 KiB"));
         }
         while part.has_remaining() {
--- a/crates/glenmount/src/peer_link/mod.rs
+++ b/crates/glenmount/src/peer_link/mod.rs
@@ -8,7 +8,7 @@
 use crate::timings::PEER_FRAMES;
 use connections::{PeerConnection, PeerConnections};
 use frames::read_heartbeat;
-use glenmount_core::constants::PEER_HEARTBEAT_MS;
+use glenmount_core::constants::PEER_HEARTBEAT_INTERVAL_MS;
 use glenmount_core::controller::{Event, PeerHeartbeat};
 use std::io;
 use std::net::SocketAddr;
@@ -22,11 +22,11 @@
 /// Bytes of a frame at most: about 1,000 machines with 64 images each.
 const FRAME_BYTES: u32 = 2 * 1024 * 1024;
 /// A peer that sends nothing for so long has to connect again.
-const READ_TIMEOUT: Duration = Duration::from_millis(PEER_HEARTBEAT_MS * 20);
+const READ_TIMEOUT: Duration = Duration::from_millis(PEER_HEARTBEAT_INTERVAL_MS * 20);
 /// Time to connect or to send before the connection is given up.
-const WRITE_TIMEOUT: Duration = Duration::from_millis(PEER_HEARTBEAT_MS * 4);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(PEER_HEARTBEAT_INTERVAL_MS * 4);
 /// Pause after a connection was lost or refused.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(PEER_HEARTBEAT_MS);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(PEER_HEARTBEAT_INTERVAL_MS);
 /// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 /// Connections from peers held at once.
--- a/crates/glenmount/src/settings/file.rs
+++ b/crates/glenmount/src/settings/file.rs
@@ -5,7 +5,7 @@
 use super::checks::{check, rate, seconds_as_ms, SettingsError};
 use super::quota::Quota;
 use glenmount_core::configuration::{ObjectiveSettings, TeamSettings};
-use glenmount_core::constants::{TXN_OPS_LEAST, VALUE_KB_LEAST};
+use glenmount_core::constants::{REQUIRED_TRANSACTION_CHANGES, REQUIRED_VALUE_KIB};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::iter::once;
@@ -232,11 +232,16 @@
 }
 
 fn check_transaction_ops(field: &str, ops: u32) -> Result<(), SettingsError> {
-    let rule = format!("must be at least {TXN_OPS_LEAST}: a claim writes three records");
-    check(ops >= TXN_OPS_LEAST, field, &rule)
+    let rule =
+        format!("must be at least {REQUIRED_TRANSACTION_CHANGES}: a claim writes three records");
+    check(ops >= REQUIRED_TRANSACTION_CHANGES, field, &rule)
 }
 
 fn check_value_kb(field: &str, kb: f64) -> Result<(), SettingsError> {
-    let rule = format!("must be between {VALUE_KB_LEAST} and 1024");
-    check((VALUE_KB_LEAST..=VALUE_KB_MOST).contains(&kb), field, &rule)
+    let rule = format!("must be between {REQUIRED_VALUE_KIB} and 1024");
+    check(
+        (REQUIRED_VALUE_KIB..=VALUE_KB_MOST).contains(&kb),
+        field,
+        &rule,
+    )
 }
--- a/crates/glenmount/src/settings/mod.rs
+++ b/crates/glenmount/src/settings/mod.rs
@@ -13,7 +13,7 @@
 use checks::{check, rate, seconds_as_ms};
 use file::{Params, SettingsFile};
 use glenmount_core::configuration::{Policy, PolicySettings};
-use glenmount_core::constants::CLOUD_SHARE;
+use glenmount_core::constants::CLOUD_MIN_RATE_SHARE;
 use glenmount_core::safety_checks::Checks;
 use glenmount_core::settings::Settings;
 use std::net::SocketAddr;
@@ -60,9 +60,10 @@
     check_clock(params.clock_off_ms)?;
     let limits = params.state.check()?;
     params.quota.check()?;
-    let list_lag_ms = seconds_as_ms("settings.cloud.list_lag_s", params.cloud.list_lag_s, 0.0)?;
-    let idle_return_ms = operator.idle_return_ms()?;
-    let learned = operator.learned_use()?;
+    let instance_list_lag_ms =
+        seconds_as_ms("settings.cloud.list_lag_s", params.cloud.list_lag_s, 0.0)?;
+    let idle_timeout_ms = operator.idle_return_ms()?;
+    let runtime_estimates = operator.learned_use()?;
     let share = 1.0 / params.count as f64;
     Ok(Config {
         core: Settings {
@@ -74,17 +75,17 @@
             zone: file.location.clone().unwrap_or_default(),
             controller_zones: file.zones_by_controller(),
             policy,
-            report_ms: intervals.report_ms,
+            heartbeat_interval_ms: intervals.report_ms,
             lease_ms: intervals.lease_ms,
-            cancel_ms: intervals.cancel_ms,
+            cancellation_timeout_ms: intervals.cancel_ms,
             max_value_bytes: limits.max_value_bytes,
             max_transaction_changes: limits.transaction_ops,
             write_rps: limits.changes_per_s * share,
-            next_write_rps: limits.next_changes_per_s * share,
-            clock_off_ms: params.clock_off_ms as u64,
-            idle_return_ms,
-            list_lag_ms,
-            learned,
+            announced_write_rps: limits.next_changes_per_s * share,
+            clock_skew_ms: params.clock_off_ms as u64,
+            idle_timeout_ms,
+            instance_list_lag_ms,
+            runtime_estimates,
         },
         client_listen: file.client_listen,
         cluster_listen: file.cluster_listen,
@@ -97,7 +98,7 @@
         },
         // Mostly a single controller deals with the cloud; when several do, a refusal is asked again.
         cloud_requests_per_s: rate("settings.cloud.rps", params.cloud.rps)?
-            * share.max(CLOUD_SHARE),
+            * share.max(CLOUD_MIN_RATE_SHARE),
         sockets: params.quota.sockets,
         scarce: params.quota.scarce(),
     })
--- a/crates/glenmount/src/settings/operator.rs
+++ b/crates/glenmount/src/settings/operator.rs
@@ -1,8 +1,8 @@
 //! The operators' own settings.
 
 use super::checks::{check, seconds_as_ms, SettingsError};
-use glenmount_core::constants::IDLE_RETURN_MS;
-use glenmount_core::settings::LearnedUse;
+use glenmount_core::constants::IDLE_TIMEOUT_MS;
+use glenmount_core::settings::RuntimeEstimateUse;
 use glenmount_core::tuning::Tuning;
 use serde::Deserialize;
 
@@ -53,23 +53,23 @@
     pub fn idle_return_ms(&self) -> Result<u64, SettingsError> {
         match self.idle_return_s {
             Some(seconds) => seconds_as_ms("operator-settings.idle-return-s", seconds, 1.0),
-            None => Ok(IDLE_RETURN_MS),
+            None => Ok(IDLE_TIMEOUT_MS),
         }
     }
 
     /// Whether run times are learned, and what for.
-    pub fn learned_use(&self) -> Result<LearnedUse, SettingsError> {
-        let mut learned = LearnedUse::default();
+    pub fn learned_use(&self) -> Result<RuntimeEstimateUse, SettingsError> {
+        let mut learned = RuntimeEstimateUse::default();
         let Some(run_times) = &self.learned_run_times else {
             return Ok(learned);
         };
-        learned.learn = true;
+        learned.enabled = true;
         for name in &run_times.uses {
             match name.as_str() {
-                "order" => learned.order = true,
-                "due" => learned.due = true,
-                "stops" => learned.stops = true,
-                "notice" => learned.notice = true,
+                "order" => learned.queue_order = true,
+                "due" => learned.due_times = true,
+                "stops" => learned.preemption = true,
+                "notice" => learned.termination_notice = true,
                 _ => {
                     return Err(SettingsError::Field {
                         field: "operator-settings.learned-run-times.for".into(),
@@ -93,9 +93,9 @@
             "must be above 0 and at most 1",
         )?;
         Ok(Tuning {
-            lost_zones: self.evacuates_lost_zones.unwrap_or(default.lost_zones),
-            put_off: self.defers_jobs.unwrap_or(default.put_off),
-            even_spread: self.spreads_evenly.unwrap_or(default.even_spread),
+            evacuate_zones: self.evacuates_lost_zones.unwrap_or(default.evacuate_zones),
+            defer_jobs: self.defers_jobs.unwrap_or(default.defer_jobs),
+            even_zone_spread: self.spreads_evenly.unwrap_or(default.even_zone_spread),
             machine_share_of_service,
             ..default
         })
--- a/crates/glenmount/src/settings/tests.rs
+++ b/crates/glenmount/src/settings/tests.rs
@@ -132,26 +132,32 @@
         (c.core.max_value_bytes, c.core.max_transaction_changes),
         (2_048, 16)
     );
-    assert_eq!((c.core.write_rps, c.core.next_write_rps), (20.0, 15.0));
+    assert_eq!((c.core.write_rps, c.core.announced_write_rps), (20.0, 15.0));
 }
 
 #[test]
 fn operators_settings_are_xml_and_checked() {
     let xml = "<operator-settings><idle-return-s>90</idle-return-s></operator-settings>";
     let c = read_config(SAMPLE, &read_operator_settings(xml).unwrap()).unwrap();
-    assert_eq!(c.core.idle_return_ms, 90_000);
-    assert!(!c.core.learned.learn);
+    assert_eq!(c.core.idle_timeout_ms, 90_000);
+    assert!(!c.core.runtime_estimates.enabled);
     let xml = "<operator-settings><learned-run-times><for>due</for><for>notice</for>\
                </learned-run-times></operator-settings>";
     let c = read_config(SAMPLE, &read_operator_settings(xml).unwrap()).unwrap();
-    let learned = c.core.learned;
-    assert!(learned.learn && learned.due && learned.notice && !learned.stops);
+    let learned = c.core.runtime_estimates;
+    assert!(
+        learned.enabled && learned.due_times && learned.termination_notice && !learned.preemption
+    );
     let file = include_str!("../../../../deploy/learned-run-times.xml");
     let c = read_config(SAMPLE, &read_operator_settings(file).unwrap()).unwrap();
-    assert!(c.core.learned.learn && c.core.learned.order && c.core.learned.due);
+    assert!(
+        c.core.runtime_estimates.enabled
+            && c.core.runtime_estimates.queue_order
+            && c.core.runtime_estimates.due_times
+    );
     let none = "<operator-settings><learned-run-times/></operator-settings>";
     let c = read_config(SAMPLE, &read_operator_settings(none).unwrap()).unwrap();
-    assert!(c.core.learned.learn && !c.core.learned.due);
+    assert!(c.core.runtime_estimates.enabled && !c.core.runtime_estimates.due_times);
     let error = read_config(
         SAMPLE,
         &read_operator_settings(&xml.replace("due", "everything")).unwrap(),
@@ -169,8 +175,8 @@
     let t = c.core.tuning;
     let file = include_str!("../../../../deploy/even-spread.xml");
     let c = read_config(SAMPLE, &read_operator_settings(file).unwrap()).unwrap();
-    assert!(c.core.tuning.even_spread && c.core.tuning.put_off);
-    assert!(!t.lost_zones && !t.put_off && t.machine_share_of_service == 1.0);
+    assert!(c.core.tuning.even_zone_spread && c.core.tuning.defer_jobs);
+    assert!(!t.evacuate_zones && !t.defer_jobs && t.machine_share_of_service == 1.0);
     let error = read_config(
         SAMPLE,
         &read_operator_settings(&shown.replace(">0.5<", ">0<")).unwrap(),
--- a/crates/glenmount/src/state_client/watch.rs
+++ b/crates/glenmount/src/state_client/watch.rs
@@ -3,14 +3,14 @@
 use crate::http_client::{Answer, AnswerLimits, HttpClient};
 use crate::timings::RECORDS_READ;
 use crate::wire::state_store as wire;
-use glenmount_core::constants::WATCH_HOLD_MS;
+use glenmount_core::constants::WATCH_POLL_TIMEOUT_MS;
 use glenmount_core::controller::Event;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Duration};
 
-/// What an answer may take: the store holds it until there are changes, or for `WATCH_HOLD_MS`.
+/// What an answer may take: the store holds it until there are changes, or for `WATCH_POLL_TIMEOUT_MS`.
 const LIMITS: AnswerLimits = AnswerLimits {
-    timeout: Duration::from_millis(WATCH_HOLD_MS + 60_000),
+    timeout: Duration::from_millis(WATCH_POLL_TIMEOUT_MS + 60_000),
     body_bytes: 8 << 20,
 };
 /// Pause between two tries to open the watch.
--- a/crates/glenmount/src/tests/settings_forms.rs
+++ b/crates/glenmount/src/tests/settings_forms.rs
@@ -9,7 +9,7 @@
 /// All that is read of the settings, a line each.
 fn show(config: &Config) -> String {
     let core = &config.core;
-    let (learned, tuning, policy) = (&core.learned, &core.tuning, &core.policy);
+    let (uses, tuning, policy) = (&core.runtime_estimates, &core.tuning, &core.policy);
     let scarce = config.scarce.iter();
     let scarce: Vec<_> = scarce.map(|s| (s.field, s.value, s.needs)).collect();
     let mut lines = vec![
@@ -34,32 +34,32 @@
         format!("requests to the cloud: {:?}/s", config.cloud_requests_per_s),
         format!("sockets: {}", config.sockets),
         format!("scarce: {scarce:?}"),
-        format!("report: {} ms", core.report_ms),
+        format!("report: {} ms", core.heartbeat_interval_ms),
         format!("lease: {} ms", core.lease_ms),
-        format!("cancel: {} ms", core.cancel_ms),
+        format!("cancel: {} ms", core.cancellation_timeout_ms),
         format!("value: {} bytes", core.max_value_bytes),
         format!("changes of a transaction: {}", core.max_transaction_changes),
         format!("own changes: {:?}/s", core.write_rps),
-        format!("own changes later: {:?}/s", core.next_write_rps),
-        format!("clocks off by: {} ms", core.clock_off_ms),
-        format!("idle return: {} ms", core.idle_return_ms),
-        format!("lag of the cloud's list: {} ms", core.list_lag_ms),
-        format!("run times learned: {}", learned.learn),
-        format!("run times used for order: {}", learned.order),
-        format!("run times used for due: {}", learned.due),
-        format!("run times used for stops: {}", learned.stops),
-        format!("run times used for notice: {}", learned.notice),
-        format!("machines of lost zones ended: {}", tuning.lost_zones),
-        format!("services spread evenly: {}", tuning.even_spread),
-        format!("jobs put off: {}", tuning.put_off),
+        format!("own changes later: {:?}/s", core.announced_write_rps),
+        format!("clocks off by: {} ms", core.clock_skew_ms),
+        format!("idle return: {} ms", core.idle_timeout_ms),
+        format!("lag of the cloud's list: {} ms", core.instance_list_lag_ms),
+        format!("run times learned: {}", uses.enabled),
+        format!("run times used for order: {}", uses.queue_order),
+        format!("run times used for due: {}", uses.due_times),
+        format!("run times used for stops: {}", uses.preemption),
+        format!("run times used for notice: {}", uses.termination_notice),
+        format!("machines of lost zones ended: {}", tuning.evacuate_zones),
+        format!("services spread evenly: {}", tuning.even_zone_spread),
+        format!("jobs put off: {}", tuning.defer_jobs),
         format!(
             "service's share per machine: {:?}",
             tuning.machine_share_of_service
         ),
         format!("configuration's version: {}", policy.version),
-        format!("finished within: {:?}", policy.goals),
-        format!("started within: {:?}", policy.starts),
-        format!("configured idle return: {:?}", policy.idle_return_ms),
+        format!("finished within: {:?}", policy.completion_goals_ms),
+        format!("started within: {:?}", policy.start_goals_ms),
+        format!("configured idle return: {:?}", policy.idle_timeout_ms),
     ];
     for (name, team) in &policy.teams {
         let cpus = (team.cpus, team.cpus_max);
--- a/crates/glenmount/src/wire/cloud.rs
+++ b/crates/glenmount/src/wire/cloud.rs
@@ -4,7 +4,7 @@
 use glenmount_core::constants::INSTANCE_LIST_PAGE;
 use glenmount_core::controller::CloudResponse;
 use glenmount_core::model::{
-    have_milli, CloudInstance, CloudInstanceState, MachineType, Resources,
+    floor_milli, CloudInstance, CloudInstanceState, MachineType, Resources,
 };
 use serde::{Deserialize, Serialize};
 
@@ -50,10 +50,10 @@
     fn into_machine_type(self) -> MachineType {
         MachineType {
             name: self.name,
-            room: Resources {
-                cpus: have_milli(self.cpus),
-                gpus: have_milli(self.gpus),
-                ram: have_milli(self.ram_gb),
+            capacity: Resources {
+                cpus: floor_milli(self.cpus),
+                gpus: floor_milli(self.gpus),
+                ram: floor_milli(self.ram_gb),
             },
             cache_gb: self.image_cache_gb,
             fetch_gb_per_s: self.image_pull_gb_per_s,
--- a/crates/glenmount/src/wire/state_store.rs
+++ b/crates/glenmount/src/wire/state_store.rs
@@ -2,7 +2,7 @@
 //!
 //! Transactions are written by the core, which keeps them within the store's limits.
 
-use glenmount_core::constants::WATCH_HOLD_MS;
+use glenmount_core::constants::WATCH_POLL_TIMEOUT_MS;
 use glenmount_core::controller::StateResponse;
 use glenmount_core::state::{Key, Record, PREFIX};
 use serde::Deserialize;
@@ -27,7 +27,7 @@
 
 /// The path at which changes after a revision are waited for.
 pub fn watch_path(revision: u64) -> String {
-    format!("/watch?under={PREFIX}&since={revision}&holdMs={WATCH_HOLD_MS}")
+    format!("/watch?under={PREFIX}&since={revision}&holdMs={WATCH_POLL_TIMEOUT_MS}")
 }
 
 #[derive(Deserialize)]
--- a/crates/glenmount/src/wire/users.rs
+++ b/crates/glenmount/src/wire/users.rs
@@ -1,9 +1,9 @@
 //! Messages between users and the controller: submissions, and the answers to all requests.
 
 use super::{has_text_length, ErrorBody, Reply};
-use glenmount_core::constants::JOB_TASKS;
+use glenmount_core::constants::JOB_MAX_TASKS;
 use glenmount_core::controller::UserReply;
-use glenmount_core::model::{need_milli, JobKind, JobPriority, JobSpec, JobState, Resources};
+use glenmount_core::model::{ceil_milli, JobKind, JobPriority, JobSpec, JobState, Resources};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -124,15 +124,15 @@
 
     fn task_count(&self) -> Result<u32, SubmissionError> {
         let count = self.tasks.as_u64();
-        let count = count.filter(|count| (1..=JOB_TASKS).contains(count));
+        let count = count.filter(|count| (1..=JOB_MAX_TASKS).contains(count));
         Ok(count.ok_or(SubmissionError::OutOfRange("drops"))? as u32)
     }
 
     fn resources(&self) -> Result<Resources, SubmissionError> {
         Ok(Resources {
-            cpus: need_milli(positive("vcpus", self.cpus)?),
-            gpus: need_milli(not_negative("accelerators", self.gpus)?),
-            ram: need_milli(positive("ramGb", self.ram_gb)?),
+            cpus: ceil_milli(positive("vcpus", self.cpus)?),
+            gpus: ceil_milli(not_negative("accelerators", self.gpus)?),
+            ram: ceil_milli(positive("ramGb", self.ram_gb)?),
         })
     }
 
--- a/crates/glenmount/src/worker_client.rs
+++ b/crates/glenmount/src/worker_client.rs
@@ -2,7 +2,7 @@
 
 use crate::http_client::{AnswerLimits, HttpClient, Resend};
 use crate::wire;
-use glenmount_core::constants::COMMAND_LIMIT_MS;
+use glenmount_core::constants::COMMAND_TIMEOUT_MS;
 use glenmount_core::controller::{CommandOutcome, Event};
 use glenmount_core::model::{WorkerCommand, WorkerHeartbeat};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,7 +11,7 @@
 use tokio::time::{timeout, Duration, Instant};
 
 /// Time that a command may wait for a free slot, and then for its answer.
-const TIMEOUT: Duration = Duration::from_millis(COMMAND_LIMIT_MS);
+const TIMEOUT: Duration = Duration::from_millis(COMMAND_TIMEOUT_MS);
 /// An answer is a heartbeat, perhaps of many tasks.
 const LIMITS: AnswerLimits = AnswerLimits {
     timeout: TIMEOUT,
