--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -2,7 +2,7 @@
 
 use crate::{event_as_read, Action, ProcessId, Simulation, START_TIME_MS};
 use glenmount_core::controller::{Controller, Event, PeerHeartbeat};
-use glenmount_core::settings::LearnedUse;
+use glenmount_core::settings::RuntimeEstimateUse;
 use rand::Rng;
 
 /// Milliseconds between two ticks of a controller.
@@ -101,7 +101,7 @@
         if self.is_previous_version(process) {
             settings.max_value_bytes = self.state.previous_limits.max_value_bytes;
             settings.max_transaction_changes = self.state.previous_limits.changes;
-            settings.learned = LearnedUse::default();
+            settings.runtime_estimates = RuntimeEstimateUse::default();
         }
         let seed = self.rng.gen();
         let running = Controller::new(settings, seed, self.now_ms, self.wall_clock(controller));
--- a/crates/simulation/src/day_runner.rs
+++ b/crates/simulation/src/day_runner.rs
@@ -77,15 +77,15 @@
     }
     settings.tuning = variant.tuning;
     settings.zones = day.zones.clone();
-    settings.report_ms = to_ms(day.workers.heartbeat_s);
+    settings.heartbeat_interval_ms = to_ms(day.workers.heartbeat_s);
     settings.lease_ms = to_ms(day.workers.lease_s);
-    settings.cancel_ms = to_ms(day.workers.cancel_s);
+    settings.cancellation_timeout_ms = to_ms(day.workers.cancel_s);
     settings.max_value_bytes = to_ms(day.limits.value_kb * 1.024);
     settings.max_transaction_changes = day.limits.transaction_changes;
     settings.write_rps = day.limits.write_rps / day.controllers as f64;
-    settings.next_write_rps = settings.write_rps;
-    settings.list_lag_ms = to_ms(day.limits.list_lag_s);
-    settings.idle_return_ms = IDLE_RETURN_MS;
+    settings.announced_write_rps = settings.write_rps;
+    settings.instance_list_lag_ms = to_ms(day.limits.list_lag_s);
+    settings.idle_timeout_ms = IDLE_RETURN_MS;
     let teams = day.teams.iter().map(|t| (t.name.clone(), team(t)));
     settings.policy.teams = teams.collect();
     let goals = day.classes.iter().filter(|c| !c.objectives_s.is_empty());
@@ -95,7 +95,7 @@
             c.objectives_s.iter().map(|s| to_ms(*s)).collect(),
         )
     });
-    settings.policy.goals = goals.collect();
+    settings.policy.completion_goals_ms = goals.collect();
     Ok(())
 }
 
--- a/crates/simulation/src/fixtures.rs
+++ b/crates/simulation/src/fixtures.rs
@@ -4,18 +4,18 @@
 use glenmount_core::configuration::Policy;
 use glenmount_core::model::{JobKind, JobPriority, JobSpec, MachineType, Resources, Team};
 use glenmount_core::safety_checks::Checks;
-use glenmount_core::settings::{LearnedUse, Settings};
+use glenmount_core::settings::{RuntimeEstimateUse, Settings};
 use glenmount_core::tuning::Tuning;
 use std::collections::BTreeMap;
 
 /// Run times learned, and used for all that they can be.
-pub fn all_estimate_uses() -> LearnedUse {
-    LearnedUse {
-        learn: true,
-        order: true,
-        due: true,
-        stops: true,
-        notice: true,
+pub fn all_estimate_uses() -> RuntimeEstimateUse {
+    RuntimeEstimateUse {
+        enabled: true,
+        queue_order: true,
+        due_times: true,
+        preemption: true,
+        termination_notice: true,
     }
 }
 
@@ -42,20 +42,20 @@
         controller_zones: BTreeMap::new(),
         policy: Policy {
             teams,
-            goals: BTreeMap::from([("quick".to_string(), vec![60_000])]),
+            completion_goals_ms: BTreeMap::from([("quick".to_string(), vec![60_000])]),
             ..Policy::default()
         },
-        report_ms: 1_500,
+        heartbeat_interval_ms: 1_500,
         lease_ms: 10_000,
-        cancel_ms: 35_000,
+        cancellation_timeout_ms: 35_000,
         max_value_bytes: 8 * 1024,
         max_transaction_changes: 16,
         write_rps: 50.0 / count as f64,
-        next_write_rps: 35.0 / count as f64,
-        clock_off_ms: 1_000,
-        idle_return_ms: 30_000,
-        list_lag_ms: 4_000,
-        learned: LearnedUse::default(),
+        announced_write_rps: 35.0 / count as f64,
+        clock_skew_ms: 1_000,
+        idle_timeout_ms: 30_000,
+        instance_list_lag_ms: 4_000,
+        runtime_estimates: RuntimeEstimateUse::default(),
         checks: Checks::default(),
         tuning: Tuning::default(),
     }
@@ -118,13 +118,17 @@
 /// Reports, leases and cancellations take as long as on the large fleets.
 pub fn use_long_leases(sim: &mut Simulation) {
     let s = &mut sim.settings;
-    (s.report_ms, s.lease_ms, s.cancel_ms) = (5_000, 26_500, 51_500);
+    (
+        s.heartbeat_interval_ms,
+        s.lease_ms,
+        s.cancellation_timeout_ms,
+    ) = (5_000, 26_500, 51_500);
 }
 
 pub(crate) fn machine_type(name: &str, cpus: u64) -> MachineType {
     MachineType {
         name: name.into(),
-        room: Resources {
+        capacity: Resources {
             cpus: cpus * 1_000,
             gpus: 0,
             ram: cpus * 4_000,
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -151,7 +151,8 @@
                 _ => None,
             });
         let open: Vec<&JobSpec> = open.collect();
-        configuration::review(&policy, open.into_iter()).map_err(ConfigureError::Invalid)?;
+        configuration::validate_for_jobs(&policy, open.into_iter())
+            .map_err(ConfigureError::Invalid)?;
         let current = match self.state.records.get(&Key::Configuration) {
             Some((Record::Configuration(record), mod_revision)) => Some((record, *mod_revision)),
             _ => None,
@@ -161,7 +162,7 @@
             changes: self.settings.max_transaction_changes,
         };
         let at = crate::START_TIME_MS + self.now_ms;
-        configuration::change(settings, current, configurable, limits, at, "")
+        configuration::change_transaction(settings, current, configurable, limits, at, "")
             .map_err(ConfigureError::Invalid)
     }
 
@@ -202,7 +203,7 @@
                 },
             )
             .collect();
-        let settings = configuration::settings_of(&pages);
+        let settings = configuration::settings_from_pages(&pages);
         self.operator.policy = settings.policy().ok();
         for (team, claimed) in self.assigned_cpus() {
             let limit = self.team_limit(&team).unwrap_or(0);
--- a/crates/simulation/src/random_faults.rs
+++ b/crates/simulation/src/random_faults.rs
@@ -99,7 +99,7 @@
         let sim = &mut self.simulation;
         sim.run(pause);
         if sim.rng.gen_bool(0.03) {
-            let long = sim.settings.cancel_ms + 10_000;
+            let long = sim.settings.cancellation_timeout_ms + 10_000;
             sim.run(long);
         }
         if sim.rng.gen_bool(0.12) {
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -197,7 +197,7 @@
             let upstream = self.upstream(id);
             let told = upstream.iter().filter_map(|a| self.user_views.get(a));
             let cancelled_above = told.filter_map(|t| t.cancelled_ms).min();
-            let late = |at: u64| self.now_ms > at + self.settings.cancel_ms;
+            let late = |at: u64| self.now_ms > at + self.settings.cancellation_timeout_ms;
             let orphaned = cancelled_above.is_some_and(late);
             assert!(!orphaned, "orphaned: {id} is called {state:?}");
         }
@@ -224,7 +224,7 @@
         if told.cancelled_ms.is_none() {
             told.cancelled_ms = Some(now);
             self.placements
-                .add_cancelled_job(id, now + self.settings.cancel_ms);
+                .add_cancelled_job(id, now + self.settings.cancellation_timeout_ms);
         }
     }
 
--- a/crates/simulation/src/starvation.rs
+++ b/crates/simulation/src/starvation.rs
@@ -89,11 +89,11 @@
             .iter()
             .find(|t| t.name == m.type_name);
         let used = m.live_tasks().fold(Resources::default(), |sum, (t, _)| {
-            sum.plus(&self.job_specs[&t.job].resources)
+            sum.saturating_add(&self.job_specs[&t.job].resources)
         });
         is_healthy
             && m.termination_notice_s.is_none()
             && spec.allows(&m.type_name, &m.zone, m.spot)
-            && kind.is_some_and(|k| k.room.less(&used).fits(&spec.resources))
+            && kind.is_some_and(|k| k.capacity.saturating_sub(&used).fits(&spec.resources))
     }
 }
--- a/crates/simulation/src/workers/heartbeats.rs
+++ b/crates/simulation/src/workers/heartbeats.rs
@@ -228,7 +228,7 @@
                 for order in commands {
                     self.execute_order(&name, order);
                 }
-                let report_ms = self.settings.report_ms;
+                let report_ms = self.settings.heartbeat_interval_ms;
                 let wait = self.rng.gen_range(report_ms * 3 / 4..report_ms * 5 / 4);
                 self.schedule(wait, Action::SendHeartbeat(name));
             }
--- a/crates/simulation/src/workers/tasks.rs
+++ b/crates/simulation/src/workers/tasks.rs
@@ -46,7 +46,7 @@
             return;
         }
         if let Some(told) = self.user_views.get(&task.job) {
-            let over = self.settings.cancel_ms;
+            let over = self.settings.cancellation_timeout_ms;
             assert!(
                 told.cancelled_ms.is_none_or(|at| self.now_ms <= at + over),
                 "ran_cancelled: {task} starts"
@@ -87,13 +87,13 @@
         let used = worker
             .live_tasks()
             .fold(Resources::default(), |sum, (t, _)| {
-                sum.plus(&self.job_specs[&t.job].resources)
+                sum.saturating_add(&self.job_specs[&t.job].resources)
             });
         if worker.tasks.keys().any(|(t, _)| t == task) {
             TaskPhase::Exited(ExitCause::Busy)
         } else if !kind
-            .room
-            .less(&used)
+            .capacity
+            .saturating_sub(&used)
             .fits(&self.job_specs[&task.job].resources)
         {
             TaskPhase::Exited(ExitCause::NoResources)
--- a/crates/xtask/src/digest.rs
+++ b/crates/xtask/src/digest.rs
@@ -57,7 +57,7 @@
                 let prepare = |world: &mut Simulation| {
                     world.digest = Some(EffectDigest::default());
                     if seed % LEARNING_PART == 0 {
-                        world.settings.learned = all_estimate_uses();
+                        world.settings.runtime_estimates = all_estimate_uses();
                     }
                 };
                 let run = random_faults::play_on(*seed, *machines, STEPS, prepare);
