--- a/crates/core/src/configuration/change.rs
+++ b/crates/core/src/configuration/change.rs
@@ -1,4 +1,4 @@
-//! A change of the configuration: its review, and the transaction that puts it on record.
+//! A change of the configuration: its validation, and the transaction that puts it on record.
 
 use super::records::{json_bytes, paginate, PAGE_BASE_BYTES};
 use super::{
@@ -9,17 +9,18 @@
 use crate::model::{JobKind, JobSpec, WallMs};
 use crate::state::{formats, CasTransaction, Key, Record};
 
-/// Versions whose pages are kept, to go back to.
+/// Limit of versions whose pages are retained for rollbacks.
 pub const RETAINED_VERSIONS_MAX: usize = 32;
-/// Bytes of the note that an operator leaves with a version.
+/// Limit of the size of the note that an operator adds to a version.
 pub const NOTE_MAX_BYTES: usize = 60;
+/// Bytes of a change in a transaction besides its key and value.
 const CHANGE_FRAME_BYTES: usize = 48;
 
-/// Checks a configuration against the jobs that were accepted.
+/// Validates a configuration against the accepted jobs.
 ///
 /// # Errors
-/// A job's team is removed, or a limit is lower than what a job needs at once (all tasks of a
-/// service, one of an array).
+/// Returns an error if the team of a job is removed, or if a limit is lower than what a job needs at a time:
+/// all tasks of a service, one task of an array.
 pub fn validate_for_jobs<'a>(
     policy: &Policy,
     open_jobs: impl Iterator<Item = &'a JobSpec>,
@@ -30,7 +31,7 @@
             let problem = format!("removed, and {} is unfinished", spec.id);
             return Err(ConfigurationError::new(field(""), problem));
         };
-        let at_once = match spec.kind {
+        let concurrent_tasks = match spec.kind {
             JobKind::Array => 1,
             JobKind::Service => u64::from(spec.tasks),
         };
@@ -38,8 +39,8 @@
             ("cpus_max", spec.resources.cpus, team.cpus_max),
             ("gpus_max", spec.resources.gpus, team.gpus_max),
         ];
-        for (name, resources, limit) in limits {
-            let needed = resources.saturating_mul(at_once);
+        for (name, requested, limit) in limits {
+            let needed = requested.saturating_mul(concurrent_tasks);
             let fits = limit == 0 || needed <= limit;
             let needed = needed as f64 / 1e3;
             let problem = format!("below the {needed} that {} needs", spec.id);
@@ -49,33 +50,33 @@
     Ok(())
 }
 
-/// The state service's limits that a change must keep.
+/// Limits of the state service for a change.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeLimits {
-    /// Bytes of a value at most.
+    /// Limit of the size of a value.
     pub max_value_bytes: usize,
-    /// Changes of a transaction at most.
-    pub changes: usize,
+    /// Limit of changes per transaction.
+    pub max_transaction_changes: usize,
 }
 
-/// The one transaction that puts a configuration on record, conditional on the version before
-/// (`current`, with its revision) and on the record that enables configurations, at revision
-/// `configurable`.
+/// Returns the transaction that puts a configuration on record. It is conditional on the previous version
+/// (`current`, with its revision) and on the record that enables configurations (`enabled_revision`).
 ///
 /// # Errors
-/// Settings that are contradictory, a note that is too long, or more than one transaction holds.
+/// Returns an error if the settings are contradictory, the note is too long, or one transaction does not hold
+/// the configuration.
 pub fn change_transaction(
     settings: &PolicySettings,
     current: Option<(&ConfigurationVersionRecord, u64)>,
-    configurable: u64,
+    enabled_revision: u64,
     limits: ChangeLimits,
     at: WallMs,
     note: &str,
 ) -> Result<CasTransaction, ConfigurationError> {
     settings.check_strictly()?;
-    let is_short = note.len() <= NOTE_MAX_BYTES;
+    let is_note_short = note.len() <= NOTE_MAX_BYTES;
     require(
-        is_short,
+        is_note_short,
         "note",
         &format!("longer than {NOTE_MAX_BYTES} bytes"),
     )?;
@@ -90,9 +91,9 @@
         objectives: settings.objectives.len() as u32,
         at,
         note: note.to_string(),
-        kept: before.map_or(Vec::new(), versions_kept_after),
+        kept: before.map_or(Vec::new(), versions_retained_after),
     };
-    // The list of earlier versions is bounded by the size of a value as well.
+    // The limit of a value bounds the list of earlier versions as well.
     while json_bytes(&record) > limits.max_value_bytes && record.kept.pop().is_some() {}
     let mut changes = page_changes(record.version, pages, limits.max_value_bytes)?;
     let new_pages: Vec<Key> = changes.iter().map(|(key, _)| key.clone()).collect();
@@ -101,7 +102,7 @@
     let current_revision = current.map_or(0, |(_, mod_revision)| mod_revision);
     let mut conditions = vec![
         (Key::Configuration, current_revision),
-        (Key::ConfigurationEnabled, configurable),
+        (Key::ConfigurationEnabled, enabled_revision),
     ];
     conditions.extend(new_pages.into_iter().map(|key| (key, 0)));
     Ok(CasTransaction {
@@ -111,8 +112,8 @@
     })
 }
 
-/// The versions that can be gone back to once `before` is replaced, latest first.
-fn versions_kept_after(before: &ConfigurationVersionRecord) -> Vec<KeptVersion> {
+/// Returns the versions available for rollbacks once `before` is replaced, latest first.
+fn versions_retained_after(before: &ConfigurationVersionRecord) -> Vec<KeptVersion> {
     let mut kept = vec![KeptVersion {
         version: before.version,
         pages: before.pages,
@@ -124,7 +125,7 @@
     kept
 }
 
-/// The changes that write a version's pages; an error if one is larger than a value.
+/// Returns the changes that write the pages of a version, or an error if a page exceeds the limit of a value.
 fn page_changes(
     version: u64,
     pages: Vec<ConfigurationPageRecord>,
@@ -142,13 +143,13 @@
     Ok(changes)
 }
 
-/// An error unless one transaction holds all these changes.
+/// Returns an error unless one transaction holds all these changes.
 fn require_one_transaction(
     changes: &[(Key, Option<Record>)],
     limits: ChangeLimits,
 ) -> Result<(), ConfigurationError> {
     let count = changes.len();
-    let limit = limits.changes;
+    let limit = limits.max_transaction_changes;
     let problem = format!("{count} changes, and a transaction takes {limit}");
     require(count <= limit, "settings.teams", &problem)?;
     let sizes = changes.iter();
@@ -158,21 +159,22 @@
     require(bytes <= TRANSACTION_MAX_BYTES, "settings.teams", &problem)
 }
 
-/// Bytes that a change takes in a transaction, at most.
+/// Returns an upper bound of the size of a change in a transaction.
 fn change_bytes(key: &Key, record: &Record) -> usize {
     let value = record.value(formats::STORED_CONFIGURATION).to_string();
     value.len() + 2 * key.path().len() + CHANGE_FRAME_BYTES
 }
 
-/// Pages of versions that can't be gone back to any more, of those that are on record.
+/// Returns the pages on record whose versions are no longer available for rollbacks.
 pub fn outdated_pages<'a>(
     record: &ConfigurationVersionRecord,
     pages: impl Iterator<Item = &'a (u64, u32)>,
 ) -> Vec<Key> {
-    let is_kept = |version: u64| {
+    let is_retained = |version: u64| {
         version >= record.version || record.kept.iter().any(|kept| kept.version == version)
     };
-    let old = pages.filter(|(version, _)| !is_kept(*version));
-    old.map(|(version, n)| Key::ConfigurationPage(*version, *n))
+    let outdated = pages.filter(|(version, _)| !is_retained(*version));
+    outdated
+        .map(|(version, n)| Key::ConfigurationPage(*version, *n))
         .collect()
 }
--- a/crates/core/src/configuration/in_force.rs
+++ b/crates/core/src/configuration/in_force.rs
@@ -1,60 +1,60 @@
-//! Which configuration a controller decides by.
+//! The configuration by which a controller makes decisions.
 
 use super::records::read;
 use super::{ConfigurationError, Policy};
 use crate::state::StateCache;
 
-/// Which configuration a controller decides by.
+/// The source of the configuration by which a controller makes decisions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ConfigurationSource {
-    /// Nothing is on record: the settings file holds.
+    /// The settings file, since no configuration is on record.
     FromFile,
-    /// The one on record.
+    /// The configuration on record.
     InForce,
-    /// It can't be read: nothing is decided by any configuration.
+    /// None, since the configuration on record is unreadable.
     Unreadable(ConfigurationError),
 }
 
-/// What a look at the cache changed for a controller.
+/// The effect of a refresh from the cache.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationUpdate {
-    /// The configuration is the same as before.
+    /// The configuration has not changed.
     Unchanged,
-    /// Another configuration holds from now on.
+    /// This configuration is in force from now on.
     InForce(Policy),
-    /// The one on record can't be read: nothing is decided by any configuration from now on.
+    /// The configuration on record is unreadable, and no configuration is in force from now on.
     Unreadable(ConfigurationError),
 }
 
-/// The part of a controller that follows the configuration on record.
+/// The configuration state of a controller, which follows the configuration on record.
 #[derive(Debug)]
 pub struct Configuration {
-    /// The settings file's.
+    /// Configuration of the settings file.
     from_file: Policy,
     source: ConfigurationSource,
-    /// The revision of the version record that was last looked at, and how many pages the cache had.
-    seen: (u64, usize),
-    /// The version that this controller follows is being recorded.
+    /// Revision of the version record at the last refresh, and the number of pages in the cache.
+    last_refreshed: (u64, usize),
+    /// Whether a transaction is in flight that records the version which this controller follows.
     recording_in_flight: bool,
 }
 
 impl Configuration {
-    /// Before anything is read from the records: the settings file's configuration.
+    /// Returns the state before any record is read, with the configuration of the settings file.
     pub fn new(from_file: Policy) -> Configuration {
         Configuration {
             from_file,
             source: ConfigurationSource::FromFile,
-            seen: (0, 0),
+            last_refreshed: (0, 0),
             recording_in_flight: false,
         }
     }
 
-    /// Whether decisions can rest on a configuration.
+    /// Returns whether a configuration is in force.
     pub fn is_readable(&self) -> bool {
         !matches!(self.source, ConfigurationSource::Unreadable(_))
     }
 
-    /// Whether a policy differs from the settings file, which is logged when it comes into force.
+    /// Returns whether a policy differs from the settings file.
     pub fn differs_from_file(&self, policy: &Policy) -> bool {
         let file = &self.from_file;
         file.teams != policy.teams
@@ -62,23 +62,23 @@
             || file.start_goals_ms != policy.start_goals_ms
     }
 
-    /// Reads the configuration in the cache; to be called whenever the cache has changed, before
-    /// anything is decided.
+    /// Reads the configuration in the cache. Must be called whenever the cache has changed, before any
+    /// decision.
     pub fn refresh(&mut self, cache: &StateCache) -> ConfigurationUpdate {
         let (record, mod_revision) = match cache.configuration() {
             Some((record, mod_revision)) => (Some(record), mod_revision),
             None => (None, 0),
         };
-        let seen = (mod_revision, cache.configuration_pages());
-        if seen == self.seen {
+        let current = (mod_revision, cache.configuration_pages());
+        if current == self.last_refreshed {
             return ConfigurationUpdate::Unchanged;
         }
         let same_version =
-            mod_revision == self.seen.0 && self.source == ConfigurationSource::InForce;
-        self.seen = seen;
+            mod_revision == self.last_refreshed.0 && self.source == ConfigurationSource::InForce;
+        self.last_refreshed = current;
         let Some(record) = record else {
-            let before = std::mem::replace(&mut self.source, ConfigurationSource::FromFile);
-            return match before {
+            let previous = std::mem::replace(&mut self.source, ConfigurationSource::FromFile);
+            return match previous {
                 ConfigurationSource::FromFile => ConfigurationUpdate::Unchanged,
                 _ => ConfigurationUpdate::InForce(self.from_file.clone()),
             };
@@ -99,16 +99,16 @@
         }
     }
 
-    /// Whether the controller should record now that it follows this version. If so, the record is
+    /// Returns whether the controller must record now that it follows this version. If so, the write counts as
     /// in flight from now on.
-    pub fn start_recording_version(&mut self, version: u64, on_record: Option<u64>) -> bool {
-        let is_due = self.source == ConfigurationSource::InForce && on_record != Some(version);
-        let starts = is_due && !self.recording_in_flight;
-        self.recording_in_flight |= starts;
-        starts
+    pub fn start_recording_version(&mut self, version: u64, recorded: Option<u64>) -> bool {
+        let is_due = self.source == ConfigurationSource::InForce && recorded != Some(version);
+        let must_write = is_due && !self.recording_in_flight;
+        self.recording_in_flight |= must_write;
+        must_write
     }
 
-    /// The transaction that records the version has ended, committed or not.
+    /// Ends the write of the version, committed or not.
     pub fn version_recording_finished(&mut self) {
         self.recording_in_flight = false;
     }
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -1,11 +1,10 @@
-//! What operators may change while controllers run: teams with their guarantees and limits, objectives, and
-//! the time after which idle machines are returned.
+//! The configuration, which operators change while controllers run: teams with their guarantees and limits,
+//! objectives, and the time after which idle machines are returned.
 //!
-//! A configuration comes from the platform's settings file until one is put on record. On record it is one
-//! version record and a few pages, all of them written by one transaction. Pages are never changed, so
-//! whoever reads a version record and the pages that it counts has the whole of that version or nothing.
-//! What a controller decides by a configuration is conditional on the revision of the version record that it came
-//! from: see `Policy::mod_revision`.
+//! The platform's settings file holds the configuration until one is on record. On record it consists of a
+//! version record and a few pages, all written by one transaction. Pages never change, so that a reader of a
+//! version record and its pages gets the whole version or nothing. Decisions by a configuration are
+//! conditional on the revision of its version record: see `Policy::mod_revision`.
 
 mod change;
 mod in_force;
@@ -29,17 +28,17 @@
 
 use std::fmt;
 
-/// Why a configuration is refused: the field and what is wrong with it.
+/// The reason why a configuration is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigurationError {
-    /// The field, as operators write it.
+    /// The invalid field, as operators write it.
     pub field: String,
-    /// What is wrong with it.
+    /// The problem with the field.
     pub problem: String,
 }
 
 impl ConfigurationError {
-    /// `problem` is wrong with `field`.
+    /// Returns an error about `field`.
     pub fn new(field: impl Into<String>, problem: impl Into<String>) -> ConfigurationError {
         ConfigurationError {
             field: field.into(),
@@ -62,7 +61,7 @@
 
 impl std::error::Error for ConfigurationError {}
 
-/// An error unless a condition holds.
+/// Returns an error unless a condition holds.
 fn require(holds: bool, field: &str, problem: &str) -> Result<(), ConfigurationError> {
     match holds {
         true => Ok(()),
--- a/crates/core/src/configuration/records.rs
+++ b/crates/core/src/configuration/records.rs
@@ -1,29 +1,31 @@
-//! Configurations as they are stored: a version record and its pages.
+//! The stored form of a configuration: a version record and its pages.
 
 use super::{require, ConfigurationError, ObjectiveSettings, Policy, PolicySettings, TeamSettings};
 use crate::model::WallMs;
 use crate::state::StateCache;
 use serde::{Deserialize, Serialize};
 
-/// The latest form of configuration records that this version reads.
+/// The latest schema version of configuration records that this program reads.
 pub const CONFIGURATION_SCHEMA_VERSION: u32 = 1;
-/// Bytes of a page besides its entries, and of a change in a transaction besides key and value.
+/// Bytes of a page besides its entries.
 pub(super) const PAGE_BASE_BYTES: usize = 40;
 
-/// A version of the configuration: written with its pages by one transaction.
+/// A version of the configuration, written with its pages by one transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationVersionRecord {
-    /// The form in which its pages are written.
+    /// Schema version of the pages.
     #[serde(rename = "f")]
     pub schema_version: u32,
-    /// Counts the changes, from 1.
+    /// Number of changes so far, from 1.
     #[serde(rename = "v")]
     pub version: u64,
+    /// Number of pages.
     #[serde(rename = "p")]
     pub pages: u32,
-    /// Teams and objectives on all its pages together.
+    /// Number of teams on all pages.
     #[serde(rename = "t")]
     pub teams: u32,
+    /// Number of objectives on all pages.
     #[serde(rename = "o")]
     pub objectives: u32,
     /// Time of day of the change.
@@ -31,12 +33,12 @@
     pub at: WallMs,
     #[serde(rename = "n", default, skip_serializing_if = "String::is_empty")]
     pub note: String,
-    /// Earlier versions whose pages are kept, latest first.
+    /// Earlier versions whose pages are retained, latest first.
     #[serde(rename = "k", default, skip_serializing_if = "Vec::is_empty")]
     pub kept: Vec<KeptVersion>,
 }
 
-/// An earlier version that can be gone back to.
+/// An earlier version that is available for rollbacks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeptVersion {
     #[serde(rename = "v")]
@@ -49,14 +51,14 @@
     pub note: String,
 }
 
-/// A part of a version's entries. Never changed.
+/// A page with a part of the entries of a version. It never changes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationPageRecord {
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     pub teams: Vec<TeamEntry>,
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub objectives: Vec<ObjectiveSettings>,
-    /// On the first page, if it is set.
+    /// Seconds after which idle machines are returned, on the first page only.
     #[serde(rename = "i", default, skip_serializing_if = "Option::is_none")]
     pub idle_return_s: Option<f64>,
 }
@@ -65,7 +67,7 @@
     *value == 0.0
 }
 
-/// A team as it is stored.
+/// The stored form of a team.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TeamEntry {
     #[serde(rename = "n")]
@@ -81,7 +83,7 @@
 }
 
 impl TeamEntry {
-    fn of(team: &TeamSettings) -> TeamEntry {
+    fn from_settings(team: &TeamSettings) -> TeamEntry {
         TeamEntry {
             name: team.name.clone(),
             cpus: team.cpus,
@@ -102,26 +104,27 @@
     }
 }
 
-/// The version that a controller decides by.
+/// The version that a controller follows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObservedVersionRecord {
     #[serde(rename = "v")]
     pub version: u64,
 }
 
-/// Once on record, every controller reads configurations from the records. Written once, never changed.
+/// The record that enables configurations on record, once every controller reads them. It never changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationEnabledRecord {
-    /// The format that brought it.
+    /// The storage format that introduced configurations.
     #[serde(rename = "v")]
     pub version: u32,
 }
 
+/// Returns the size of a value as JSON.
 pub(super) fn json_bytes(value: &impl Serialize) -> usize {
     serde_json::to_string(value).map_or(usize::MAX / 4, |text| text.len())
 }
 
-/// The entries on as few pages as hold them, each within so many bytes.
+/// Splits the settings into as few pages as possible of at most `page_bytes` each.
 pub fn paginate(settings: &PolicySettings, page_bytes: usize) -> Vec<ConfigurationPageRecord> {
     let first = ConfigurationPageRecord {
         idle_return_s: settings.idle_return_s,
@@ -129,16 +132,16 @@
     };
     let mut pages = vec![first];
     let mut bytes = PAGE_BASE_BYTES;
-    let mut page_for = |pages: &mut Vec<ConfigurationPageRecord>, entry: usize| {
-        if bytes + entry > page_bytes {
+    let mut page_for = |pages: &mut Vec<ConfigurationPageRecord>, entry_bytes: usize| {
+        if bytes + entry_bytes > page_bytes {
             pages.push(ConfigurationPageRecord::default());
             bytes = PAGE_BASE_BYTES;
         }
-        bytes += entry;
+        bytes += entry_bytes;
         pages.len() - 1
     };
     for team in &settings.teams {
-        let entry = TeamEntry::of(team);
+        let entry = TeamEntry::from_settings(team);
         let page = page_for(&mut pages, json_bytes(&entry) + 1);
         pages[page].teams.push(entry);
     }
@@ -149,7 +152,7 @@
     pages
 }
 
-/// The settings that a version's pages hold; none if pages are missing.
+/// Returns the settings that the pages of a version hold.
 pub fn settings_from_pages(pages: &[ConfigurationPageRecord]) -> PolicySettings {
     let teams = pages.iter().flat_map(|page| &page.teams);
     let objectives = pages.iter().flat_map(|page| &page.objectives);
@@ -160,7 +163,7 @@
     }
 }
 
-/// The configuration on record, whole; an error if it is damaged, of a later form, or not all there.
+/// Reads the configuration on record. Returns an error if it is damaged, incomplete or of a later schema version.
 pub(super) fn read(
     record: &ConfigurationVersionRecord,
     mod_revision: u64,
@@ -183,9 +186,9 @@
         pages.push(page.clone());
     }
     let settings = settings_from_pages(&pages);
-    let counted = (settings.teams.len(), settings.objectives.len());
-    let whole = counted == (record.teams as usize, record.objectives as usize);
-    require(whole, "pages", "not all entries are there")?;
+    let counts = (settings.teams.len(), settings.objectives.len());
+    let is_complete = counts == (record.teams as usize, record.objectives as usize);
+    require(is_complete, "pages", "entries are missing")?;
     settings.check_strictly()?;
     Ok(Policy {
         version,
--- a/crates/core/src/configuration/rollout.rs
+++ b/crates/core/src/configuration/rollout.rs
@@ -1,5 +1,5 @@
-//! A controller follows the configuration on record: it applies new versions, records which one it
-//! decides by, and enables configurations on record once every controller reads them.
+//! Rollout of configurations: a controller applies new versions on record, records the version that it
+//! follows, and enables configurations on record once every controller reads them.
 
 use crate::configuration::{
     ConfigurationEnabledRecord, ConfigurationUpdate, ObservedVersionRecord,
@@ -10,8 +10,8 @@
 use crate::state::{Key, Record, TransactionBuilder};
 
 impl Controller {
-    /// Applies the configuration in the cache, before anything is decided by a cache that changed.
-    /// Not during a list: then the cache may hold a part of a configuration.
+    /// Applies the configuration in the cache, before any decision that depends on a changed cache. Does nothing
+    /// before the list is complete, since the cache may hold only a part of a configuration.
     pub(crate) fn apply_stored_configuration(&mut self) {
         if !self.sync.has_listed || !self.settings.checks.stored_configuration {
             return;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Adds the record that enables configurations on record, once every controller reads them.
+    /// Adds the record that enables configurations on record to a draft, once every controller reads them.
     pub(crate) fn draft_configuration_enabled(&self, draft: &mut TransactionBuilder) {
         if self.cache.format() >= formats::STORED_CONFIGURATION && !self.cache.is_configurable() {
             let version = formats::STORED_CONFIGURATION;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Enables configurations on record, once, and records the version that this controller follows.
+    /// Enables configurations on record, if they are not, and records the version that this controller follows.
     pub(crate) fn record_observed_version(&mut self) {
         if self.cache.format() < formats::STORED_CONFIGURATION {
             return;
@@ -68,10 +68,10 @@
             );
         }
         let version = self.settings.policy.version;
-        let on_record = self.cache.followed_by(&self.settings.controller);
+        let recorded = self.cache.followed_by(&self.settings.controller);
         if self
             .configuration
-            .start_recording_version(version, on_record)
+            .start_recording_version(version, recorded)
         {
             let mut draft = TransactionBuilder::new(&self.cache);
             let key = Key::ObservedVersion(self.settings.controller.clone());
--- a/crates/core/src/controller/housekeeping.rs
+++ b/crates/core/src/controller/housekeeping.rs
@@ -94,10 +94,10 @@
         self.cleanup.last_cleanup_at = self.now;
         if self.now >= self.lifecycle.started_at + METRICS_INTERVAL_MS {
             let (records, held) = (self.cache.len(), self.workers.held_heartbeats.len());
-            self.metrics.report(self.now, records, held);
+            self.metrics.log_if_due(self.now, records, held);
         }
         self.forget_deleted_machines();
-        self.forget_old_runs();
+        self.clean_up_run_times();
         for (reason, count) in self.peers.take_rejected(self.now) {
             tracing::info!(?reason, count, "peer heartbeats rejected");
         }
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -18,11 +18,11 @@
 use crate::controller::upgrade::Upgrade;
 use crate::jobs::cleanup_state::CleanupState;
 use crate::jobs::request_table::RequestTable;
-use crate::metrics::Stats;
+use crate::metrics::Metrics;
 use crate::model::{MachineType, Millis, WallMs};
 use crate::peers::PeerTracker;
 use crate::provisioning::tracker::ProvisioningTracker;
-use crate::run_times::Learned;
+use crate::run_times::RunTimes;
 use crate::scheduling::schedule::Schedule;
 use crate::settings::Settings;
 use crate::state::list_watch::ListWatch;
@@ -68,8 +68,8 @@
     pub(crate) cleanup: CleanupState,
     pub(crate) upgrade: Upgrade,
     pub(crate) configuration: Configuration,
-    pub(crate) run_times: Learned,
-    pub(crate) metrics: Stats,
+    pub(crate) run_times: RunTimes,
+    pub(crate) metrics: Metrics,
 }
 
 impl Controller {
@@ -103,8 +103,8 @@
             cleanup: CleanupState::new(),
             upgrade: Upgrade::default(),
             configuration: Configuration::new(settings.policy.clone()),
-            run_times: Learned::default(),
-            metrics: Stats::new(now),
+            run_times: RunTimes::default(),
+            metrics: Metrics::new(now),
             settings,
         }
     }
--- a/crates/core/src/controller/operations.rs
+++ b/crates/core/src/controller/operations.rs
@@ -132,7 +132,7 @@
         request_class: RequestClass,
     ) -> OperationId {
         self.writes.budget.consume(transaction.changes.len());
-        self.metrics.sent(&pending, &transaction);
+        self.metrics.record_transaction(&pending, &transaction);
         let id = self.track_operation(pending, Some(transaction.clone()));
         self.emit(Effect::State {
             token: id,
@@ -144,7 +144,7 @@
 
     /// Sends a request to the cloud.
     pub(crate) fn send_to_cloud(&mut self, op: CloudOperation, pending: PendingOperation) {
-        self.metrics.cloud += 1;
+        self.metrics.cloud_requests += 1;
         let id = self.track_operation(pending, None);
         self.emit(Effect::Cloud { token: id, op });
     }
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -258,7 +258,7 @@
         );
         // The watch may have brought the record first, as if a peer had made it.
         self.scheduling.pass_requested = true;
-        self.metrics.accepted(self.now - since);
+        self.metrics.record_acceptance(self.now - since);
         self.answer(request, UserReply::Accepted { job });
     }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,5 +1,5 @@
-//! The core of glenmount: it decides, and nothing else. Events go in, effects come out; time
-//! is passed in, chance is seeded. Sockets, files and timers are the business of its callers.
+//! The decision logic of glenmount, without input or output. A controller takes events and returns
+//! effects; its callers pass in the time and a random seed, and own the sockets, files and timers.
 
 pub mod configuration;
 pub mod constants;
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a controller: what it sends, and how long jobs wait, logged at an interval.
+//! Metrics of a controller, logged at an interval: its messages, its changes, and the delays of jobs.
 
 use crate::constants::{METRICS_INTERVAL_MS, METRICS_MAX_DURATION_MS, METRICS_MAX_TRACKED_STARTS};
 use crate::controller::PendingOperation;
@@ -8,76 +8,76 @@
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// A histogram of milliseconds, exact to a hundredth.
-type Times = Option<Histogram<u32>>;
+/// A histogram of durations in milliseconds, with a precision of 1 %.
+type DurationHistogram = Option<Histogram<u32>>;
 
-fn times() -> Times {
+fn duration_histogram() -> DurationHistogram {
     Histogram::new_with_bounds(1, METRICS_MAX_DURATION_MS, 2).ok()
 }
 
-fn record(times: &mut Times, ms: Millis) {
-    if let Some(times) = times {
-        times.saturating_record(ms.max(1));
+fn record(histogram: &mut DurationHistogram, ms: Millis) {
+    if let Some(histogram) = histogram {
+        histogram.saturating_record(ms.max(1));
     }
 }
 
-/// Count / median / 99th percentile / maximum.
-fn summary(times: &Times) -> String {
-    times.as_ref().map_or(String::new(), |t| {
+/// Formats a histogram as count / median / 99th percentile / maximum.
+fn summary(histogram: &DurationHistogram) -> String {
+    histogram.as_ref().map_or(String::new(), |durations| {
         format!(
             "{}/{}/{}/{}",
-            t.len(),
-            t.value_at_quantile(0.5),
-            t.value_at_quantile(0.99),
-            t.max()
+            durations.len(),
+            durations.value_at_quantile(0.5),
+            durations.value_at_quantile(0.99),
+            durations.max()
         )
     })
 }
 
-/// What was counted since the last log line.
-pub(crate) struct Stats {
+/// The metrics since the last log line.
+pub(crate) struct Metrics {
     since: Millis,
-    pub check_ins: u64,
-    pub lookups: u64,
+    pub heartbeats: u64,
+    pub scheduling_passes: u64,
     pub transactions: u64,
-    /// Changes sent to the state service, whether they took effect or not.
+    /// Changes sent to the state service, committed or not.
     pub changes: u64,
-    /// The same by what they were for and the kind of record.
-    by_kind: BTreeMap<(&'static str, &'static str), u64>,
+    /// Changes sent, by the purpose of the transaction and the kind of record.
+    changes_by_kind: BTreeMap<(&'static str, &'static str), u64>,
     pub conflicts: u64,
     pub results: u64,
-    pub cloud: u64,
-    /// From a submission to its acceptance, both here.
-    accepted: Times,
-    /// From a job's acceptance, by the controllers' times of day, to the claim of a task.
-    claimed: Times,
-    /// From a claim made here to the first heartbeat, here, that shows the task running.
-    running: Times,
-    /// Claimed tasks that no heartbeat has shown running yet, and when they were claimed.
-    starting: HashMap<(TaskId, u64), Millis>,
+    pub cloud_requests: u64,
+    /// Delay from a submission to its acceptance, both at this controller.
+    acceptance_ms: DurationHistogram,
+    /// Delay from the acceptance of a job to the claim of a task, by the times of day of the controllers.
+    claim_ms: DurationHistogram,
+    /// Delay from a claim to the first heartbeat that shows the task running, both at this controller.
+    start_ms: DurationHistogram,
+    /// Times of the claims of attempts that no heartbeat has shown running yet.
+    pending_starts: HashMap<(TaskId, u64), Millis>,
 }
 
-impl Stats {
-    /// Nothing counted yet.
-    pub fn new(now: Millis) -> Stats {
-        Stats {
+impl Metrics {
+    /// Returns empty metrics.
+    pub fn new(now: Millis) -> Metrics {
+        Metrics {
             since: now,
-            check_ins: 0,
-            lookups: 0,
+            heartbeats: 0,
+            scheduling_passes: 0,
             transactions: 0,
             changes: 0,
-            by_kind: BTreeMap::new(),
+            changes_by_kind: BTreeMap::new(),
             conflicts: 0,
             results: 0,
-            cloud: 0,
-            accepted: times(),
-            claimed: times(),
-            running: times(),
-            starting: HashMap::new(),
+            cloud_requests: 0,
+            acceptance_ms: duration_histogram(),
+            claim_ms: duration_histogram(),
+            start_ms: duration_histogram(),
+            pending_starts: HashMap::new(),
         }
     }
-    /// A transaction was sent.
-    pub fn sent(&mut self, purpose: &PendingOperation, transaction: &CasTransaction) {
+    /// Counts a transaction that was sent.
+    pub fn record_transaction(&mut self, purpose: &PendingOperation, transaction: &CasTransaction) {
         self.transactions += 1;
         self.changes += transaction.changes.len() as u64;
         let purpose = match purpose {
@@ -99,58 +99,58 @@
                 (Key::Team(_), _) => "team",
                 _ => "other",
             };
-            *self.by_kind.entry((purpose, kind)).or_default() += 1;
+            *self.changes_by_kind.entry((purpose, kind)).or_default() += 1;
         }
     }
-    /// A job was accepted, so many milliseconds after its submission.
-    pub fn accepted(&mut self, ms: Millis) {
-        record(&mut self.accepted, ms);
+    /// Records the delay between a submission and its acceptance.
+    pub fn record_acceptance(&mut self, ms: Millis) {
+        record(&mut self.acceptance_ms, ms);
     }
-    /// A task was claimed, so many milliseconds after its job's acceptance.
-    pub fn claimed(&mut self, task: &TaskId, attempt: u64, ms: Millis, now: Millis) {
-        record(&mut self.claimed, ms);
-        if self.starting.len() < METRICS_MAX_TRACKED_STARTS {
-            self.starting.insert((task.clone(), attempt), now);
+    /// Records the delay between the acceptance of a job and the claim of one of its tasks.
+    pub fn record_claim(&mut self, task: &TaskId, attempt: u64, ms: Millis, now: Millis) {
+        record(&mut self.claim_ms, ms);
+        if self.pending_starts.len() < METRICS_MAX_TRACKED_STARTS {
+            self.pending_starts.insert((task.clone(), attempt), now);
         }
     }
-    /// A heartbeat shows a task running.
-    pub fn runs(&mut self, task: &TaskId, attempt: u64, now: Millis) {
-        if self.starting.is_empty() {
+    /// Records the start of a task that a heartbeat shows running.
+    pub fn record_running(&mut self, task: &TaskId, attempt: u64, now: Millis) {
+        if self.pending_starts.is_empty() {
             return;
         }
-        if let Some(at) = self.starting.remove(&(task.clone(), attempt)) {
-            record(&mut self.running, now - at);
+        if let Some(claimed_at) = self.pending_starts.remove(&(task.clone(), attempt)) {
+            record(&mut self.start_ms, now - claimed_at);
         }
     }
-    /// Logs what was counted and starts anew, once the interval is over.
-    pub fn report(&mut self, now: Millis, records: usize, held: usize) {
+    /// Logs the metrics and resets them, once the interval is over.
+    pub fn log_if_due(&mut self, now: Millis, records: usize, held: usize) {
         if now < self.since + METRICS_INTERVAL_MS {
             return;
         }
-        let kinds = self.by_kind.iter();
+        let kinds = self.changes_by_kind.iter();
         let kinds: Vec<String> = kinds.map(|((p, k), n)| format!("{p}-{k}:{n}")).collect();
         tracing::info!(
             seconds = (now - self.since) / 1000,
-            check_ins = self.check_ins,
-            lookups = self.lookups,
+            check_ins = self.heartbeats,
+            lookups = self.scheduling_passes,
             transactions = self.transactions,
             changes = self.changes,
             kinds = kinds.join(" "),
             conflicts = self.conflicts,
             results = self.results,
-            cloud = self.cloud,
+            cloud = self.cloud_requests,
             records,
             held,
-            accepted_ms = summary(&self.accepted),
-            claimed_ms = summary(&self.claimed),
-            running_ms = summary(&self.running),
+            accepted_ms = summary(&self.acceptance_ms),
+            claimed_ms = summary(&self.claim_ms),
+            running_ms = summary(&self.start_ms),
             "spent"
         );
-        let mut starting = std::mem::take(&mut self.starting);
-        starting.retain(|_, at| now < *at + METRICS_INTERVAL_MS);
-        *self = Stats {
-            starting,
-            ..Stats::new(now)
+        let mut pending_starts = std::mem::take(&mut self.pending_starts);
+        pending_starts.retain(|_, at| now < *at + METRICS_INTERVAL_MS);
+        *self = Metrics {
+            pending_starts,
+            ..Metrics::new(now)
         };
     }
 }
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -1,10 +1,10 @@
-//! The domain model: jobs, tasks, machines, machine types, heartbeats, commands.
+//! The domain model: jobs, tasks, machines, machine types, heartbeats and commands.
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of the monotonic clock, since the process began.
+/// Milliseconds of the monotonic clock since the start of the process.
 pub type Millis = u64;
-/// Milliseconds of the time of day. Differs between controllers by up to `clock_skew_ms`.
+/// Milliseconds of the time of day. The clocks of two controllers differ by up to `clock_skew_ms`.
 pub type WallMs = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -21,7 +21,7 @@
     Production,
 }
 
-/// An amount of a machine in thousandths, so that sums stay exact.
+/// An amount of resources in thousandths, so that sums stay exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Resources {
     #[serde(rename = "c")]
@@ -32,22 +32,22 @@
     pub ram: u64,
 }
 
-/// A resource request in thousandths, rounded up.
-pub fn ceil_milli(x: f64) -> u64 {
-    (x * 1000.0 - 1e-6).ceil().max(0.0) as u64
+/// Returns a resource request in thousandths, rounded up.
+pub fn ceil_milli(amount: f64) -> u64 {
+    (amount * 1000.0 - 1e-6).ceil().max(0.0) as u64
 }
 
-/// A capacity or limit in thousandths, rounded down.
-pub fn floor_milli(x: f64) -> u64 {
-    (x * 1000.0 + 1e-6).floor().max(0.0) as u64
+/// Returns a capacity or limit in thousandths, rounded down.
+pub fn floor_milli(amount: f64) -> u64 {
+    (amount * 1000.0 + 1e-6).floor().max(0.0) as u64
 }
 
 impl Resources {
-    /// Whether so much is available here.
+    /// Returns whether these resources cover the requested ones.
     pub fn fits(&self, resources: &Resources) -> bool {
         resources.cpus <= self.cpus && resources.gpus <= self.gpus && resources.ram <= self.ram
     }
-    /// What is left without so much.
+    /// Returns the difference, at least zero in each dimension.
     pub fn saturating_sub(&self, resources: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_sub(resources.cpus),
@@ -55,20 +55,21 @@
             ram: self.ram.saturating_sub(resources.ram),
         }
     }
-    /// The sum of both.
-    pub fn saturating_add(&self, more: &Resources) -> Resources {
+    /// Returns the sum.
+    pub fn saturating_add(&self, resources: &Resources) -> Resources {
         Resources {
-            cpus: self.cpus.saturating_add(more.cpus),
-            gpus: self.gpus.saturating_add(more.gpus),
-            ram: self.ram.saturating_add(more.ram),
+            cpus: self.cpus.saturating_add(resources.cpus),
+            gpus: self.gpus.saturating_add(resources.gpus),
+            ram: self.ram.saturating_add(resources.ram),
         }
     }
-    /// How many tasks of this resource request fit.
+    /// Returns the number of tasks with this resource request that fit.
     pub fn max_tasks(&self, resources: &Resources) -> u64 {
-        let part = |have: u64, want: u64| have.checked_div(want).unwrap_or(u64::MAX);
-        part(self.cpus, resources.cpus)
-            .min(part(self.gpus, resources.gpus))
-            .min(part(self.ram, resources.ram))
+        let fitting =
+            |available: u64, requested: u64| available.checked_div(requested).unwrap_or(u64::MAX);
+        fitting(self.cpus, resources.cpus)
+            .min(fitting(self.gpus, resources.gpus))
+            .min(fitting(self.ram, resources.ram))
     }
 }
 
@@ -100,14 +101,14 @@
     #[serde(rename = "save_s")]
     pub checkpoint_duration_s: f64,
     pub deadline_s: Option<f64>,
-    /// Jobs that must be done before any task of this one starts, without repeats.
+    /// Jobs that must be complete before any task of this job starts, without duplicates.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "awaits")]
     pub dependencies: Vec<String>,
 }
 
 impl JobSpec {
-    /// Whether its tasks may run on such machines.
+    /// Returns whether tasks of the job may run on a machine of this type, zone and pricing.
     pub fn allows(&self, type_name: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
@@ -116,7 +117,7 @@
                 .as_ref()
                 .is_none_or(|t| t.iter().any(|t| t == type_name))
     }
-    /// Tasks that may be in one zone at most.
+    /// Returns the limit of tasks in one zone.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.topology_spread {
             self.tasks.div_ceil(2)
@@ -196,13 +197,13 @@
     pub phase: TaskPhase,
 }
 
-/// Where a heartbeat stands among all of its worker's: by incarnation, then by sequence number. Stored as a pair.
+/// The position of a heartbeat among all of its worker, by incarnation and sequence number. Stored as a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct HeartbeatPosition {
-    /// Counts the lives of the worker's process.
+    /// Number of starts of the worker's process.
     pub incarnation: u64,
-    /// Counts the heartbeats, and the answers to commands, of one incarnation.
+    /// Number of heartbeats, and of responses to commands, in the incarnation.
     pub sequence: u64,
 }
 
@@ -221,14 +222,14 @@
     }
 }
 
-/// A start that goes by a direct command: to which incarnation of the worker, under which fencing token. Stored as a
+/// The incarnation of the worker and the fencing token of a start that is sent by a direct command. Stored as a
 /// pair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct DirectStart {
-    /// The worker refuses the command in any other incarnation.
+    /// The worker rejects the command in any other incarnation.
     pub incarnation: u64,
-    /// The worker refuses the command once it has seen a higher token.
+    /// The worker rejects the command once it has seen a higher token.
     pub token: u64,
 }
 
@@ -259,7 +260,7 @@
 }
 
 impl WorkerHeartbeat {
-    /// Where it stands among its worker's heartbeats.
+    /// Returns the position of this heartbeat among all of its worker.
     pub fn position(&self) -> HeartbeatPosition {
         HeartbeatPosition {
             incarnation: self.incarnation,
@@ -285,7 +286,7 @@
     },
 }
 
-/// What a user is told about a job.
+/// The state of a job as reported to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
     Pending,
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -1,10 +1,10 @@
-//! Run times: what a controller observes of them, what it records, and what it estimates from them.
+//! Run times: observes the runs of tasks, records them per class of jobs, and estimates run times from them.
 //!
-//! A run is observed by the controller that receives the heartbeats in which its task begins and ends,
-//! and counted by the one whose transaction records that end: an assignment is released once, so no run
-//! counts twice. What is counted is added to the class's record (`g/runs/CLASS`) by a transaction
-//! conditional on that record; if its outcome is never known, these runs are not sent again. No rule,
-//! no proof and no condition of a claim depends on what is learned.
+//! The controller that receives the heartbeats with the start and the end of a task observes a run, and the
+//! one whose transaction records that end counts it: an assignment is released once, so no run counts twice.
+//! Counted runs are added to the record of their class (`g/runs/CLASS`) by a transaction that is conditional
+//! on that record. If its outcome stays unknown, these runs are not sent again. No safety check and no
+//! condition of a claim depends on estimates.
 
 use crate::constants::{
     BACKLOG_MIN_RESULTS, EARLY_END_QUANTILE, ESTIMATES_MAX, ESTIMATES_PER_PASS_MAX,
@@ -26,58 +26,60 @@
 
 type Attempt = (TaskId, u64);
 
-/// When an attempt was claimed; once a heartbeat shows it running, when that was.
+/// The latest attempt of a task, and when it started.
 #[derive(Clone, Copy, Debug)]
-struct AttemptBeginning {
+struct ObservedAttempt {
     attempt: u64,
-    at: Millis,
-    runs: bool,
-    /// Its machine's last heartbeat, shortly before, did not show it: it began at that time.
-    exact: bool,
+    /// Time of the first heartbeat that shows it running, or of its claim before that.
+    since: Millis,
+    is_running: bool,
+    /// Whether the previous heartbeat of its machine came shortly before and did not show it, so that its start
+    /// is known.
+    is_start_exact: bool,
 }
 
-/// The progress that earlier attempts of a task with checkpoints saved.
+/// The progress that earlier attempts of a task with checkpoints saved; unknown if `secs` is `None`.
 #[derive(Clone, Copy, Debug)]
 struct SavedProgress {
     attempt: u64,
     secs: Option<f64>,
 }
 
-/// An estimate of a job's run times, used until it is computed anew.
+/// An estimate of the run times of a job's tasks, cached for a while.
 struct JobEstimate {
-    at: Millis,
-    tasks: Mixture,
-    least_ms: u64,
-    /// Most of its tasks end within so many milliseconds.
-    most_ms: u64,
-    /// Few of its tasks end within so many seconds: for tasks that would be no older, no more is
-    /// computed.
-    early_s: f64,
+    computed_at: Millis,
+    distribution: Mixture,
+    min_run_ms: u64,
+    /// Time within which most of its tasks end.
+    start_lead_time_ms: u64,
+    /// Time within which few of its tasks end. For a shorter elapsed time no probability is computed.
+    early_end_s: f64,
 }
 
+/// The observed runs and the estimates of a controller.
 #[derive(Default)]
-pub(crate) struct Learned {
+pub(crate) struct RunTimes {
     pub book: Book,
     machines: Machines,
-    /// Of each task's latest attempt.
-    begun: HashMap<TaskId, AttemptBeginning>,
+    /// The latest attempt of each task.
+    attempts: HashMap<TaskId, ObservedAttempt>,
     saved_progress: HashMap<TaskId, SavedProgress>,
-    /// Runs whose end a heartbeat showed here, until that is on record.
-    ended: HashMap<Attempt, (Run, String)>,
-    /// Each worker's incarnation, and when its last heartbeat arrived here.
+    /// Runs whose end this controller observed, with their machine, until the end is on record.
+    ended_runs: HashMap<Attempt, (Run, String)>,
+    /// Incarnation and arrival time of the last heartbeat of each worker.
     last_heartbeats: HashMap<String, (u64, Millis)>,
     estimates: HashMap<String, JobEstimate>,
-    /// When the next record may be written.
-    record_at: Millis,
+    /// Earliest time of the next write of a record.
+    next_write_at: Millis,
     recording_in_flight: bool,
-    /// Runs counted since that was last logged.
-    pub counted: u64,
-    /// Records written since that was last logged.
-    pub recorded: u64,
+    /// Runs counted since the last log line.
+    pub counted_runs: u64,
+    /// Records written since the last log line.
+    pub written_records: u64,
 }
 
-/// A run as the log and `glenmountctl` have it.
-fn line(run: &Run, task: &TaskId, machine: &str, at: WallMs) -> String {
+/// Formats a run for the log, from which `glenmountctl` reads it.
+fn run_record_line(run: &Run, task: &TaskId, machine: &str, at: WallMs) -> String {
     serde_json::json!({
         "at": at, "job": run.job, "task": task.index, "team": run.team, "class": run.class,
         "image": run.image, "expect_s": run.expect_s, "secs": (run.secs * 1e3).round() / 1e3,
@@ -86,67 +88,66 @@
     .to_string()
 }
 
-/// The first bytes of a name, no character cut.
-fn shortened(name: &str) -> String {
+/// Returns the longest prefix of a name within `NAME_BYTES` that ends at a character boundary.
+fn truncated(name: &str) -> String {
     let end = (0..=NAME_BYTES.min(name.len())).rev();
     let end = end.into_iter().find(|at| name.is_char_boundary(*at));
     name[..end.unwrap_or(0)].to_string()
 }
 
 impl Controller {
-    fn learns(&self) -> bool {
+    fn estimates_run_times(&self) -> bool {
         self.settings.runtime_estimates.enabled
     }
 
-    /// A chunk is about to change: notes claims in it, and attempts that were lost.
-    pub(crate) fn assignments_changed(&mut self, job: &str, n: u32, chunk: &ChunkRecord) {
-        if !self.learns() {
+    /// Observes new claims and lost attempts in a chunk that is about to change in the cache.
+    pub(crate) fn observe_assignment_changes(&mut self, job: &str, n: u32, chunk: &ChunkRecord) {
+        if !self.estimates_run_times() {
             return;
         }
         let before = self.cache.claim_revision(job, n);
-        let waits = |index: u32| {
+        let is_pending = |index: u32| {
             let slot = index.saturating_sub(chunk.first) as usize;
             chunk.tasks.get(slot) == Some(&TaskState::Pending)
         };
         let old = self.cache.chunk(job, n).map(|c| c.assigned());
         let lost: Vec<(u32, u64)> = (old.into_iter().flatten())
-            .filter(|(index, _)| waits(*index))
-            .map(|(index, b)| (index, b.attempt))
+            .filter(|(index, _)| is_pending(*index))
+            .map(|(index, assignment)| (index, assignment.attempt))
             .collect();
         let task = |index| TaskId {
             job: job.to_string(),
             index,
         };
-        for (index, b) in chunk.assigned().filter(|(_, b)| b.attempt == before) {
-            self.claim_seen(task(index), b.attempt);
+        for (index, assignment) in chunk.assigned().filter(|(_, a)| a.attempt == before) {
+            self.observe_claim(task(index), assignment.attempt);
         }
         for (index, attempt) in lost {
-            self.interrupted(task(index), attempt);
+            self.observe_lost_attempt(task(index), attempt);
         }
     }
 
-    /// An assignment that this controller has not seen before.
-    fn claim_seen(&mut self, task: TaskId, attempt: u64) {
-        if self.run_times.begun.len() < TRACKED_ATTEMPTS_MAX {
-            let at = self.now;
-            let begun = AttemptBeginning {
+    /// Observes an assignment that is new to this controller.
+    fn observe_claim(&mut self, task: TaskId, attempt: u64) {
+        if self.run_times.attempts.len() < TRACKED_ATTEMPTS_MAX {
+            let claimed = ObservedAttempt {
                 attempt,
-                at,
-                runs: false,
-                exact: false,
+                since: self.now,
+                is_running: false,
+                is_start_exact: false,
             };
-            let known = self.run_times.begun.entry(task).or_insert(begun);
+            let known = self.run_times.attempts.entry(task).or_insert(claimed);
             if known.attempt != attempt {
-                *known = begun;
+                *known = claimed;
             }
         }
     }
 
-    /// A task that saves its progress lost its attempt: unless this controller knows how far it came, its
-    /// next run says only that it takes longer.
-    fn interrupted(&mut self, task: TaskId, attempt: u64) {
+    /// Observes the loss of an attempt of a task with checkpoints. Unless this controller knows the saved
+    /// progress, the next run is only a lower bound of the run time.
+    fn observe_lost_attempt(&mut self, task: TaskId, attempt: u64) {
         let open = self.cache.open_job(&task.job);
-        if open.is_none_or(|s| s.checkpoint_interval_s <= 0.0)
+        if open.is_none_or(|spec| spec.checkpoint_interval_s <= 0.0)
             || self.run_times.saved_progress.len() >= TRACKED_ATTEMPTS_MAX
         {
             return;
@@ -161,97 +162,96 @@
         }
     }
 
-    /// A heartbeat shows an attempt running. Called only where run times are learned.
-    pub(crate) fn seen_running(
+    /// Observes an attempt that a heartbeat shows running. Called only if run times are estimated.
+    pub(crate) fn observe_running_attempt(
         &mut self,
         task: &TaskId,
         attempt: u64,
         heartbeat: &WorkerHeartbeat,
     ) {
-        let recent = self.settings.heartbeat_due_ms() + SILENCE_MARGIN_MS;
-        let before = self.run_times.last_heartbeats.get(&heartbeat.machine);
-        let exact =
-            before.is_some_and(|(s, at)| *s == heartbeat.incarnation && self.now < at + recent);
-        let room = self.run_times.begun.len() < TRACKED_ATTEMPTS_MAX;
-        match self.run_times.begun.get(task) {
-            Some(begun) if begun.runs && begun.attempt == attempt => {}
-            None if !room => {}
+        let max_gap_ms = self.settings.heartbeat_due_ms() + SILENCE_MARGIN_MS;
+        let previous = self.run_times.last_heartbeats.get(&heartbeat.machine);
+        let is_start_exact = previous.is_some_and(|(incarnation, at)| {
+            *incarnation == heartbeat.incarnation && self.now < at + max_gap_ms
+        });
+        let has_capacity = self.run_times.attempts.len() < TRACKED_ATTEMPTS_MAX;
+        match self.run_times.attempts.get(task) {
+            Some(known) if known.is_running && known.attempt == attempt => {}
+            None if !has_capacity => {}
             _ => {
-                let at = self.now;
-                let begun = AttemptBeginning {
+                let running = ObservedAttempt {
                     attempt,
-                    at,
-                    runs: true,
-                    exact,
+                    since: self.now,
+                    is_running: true,
+                    is_start_exact,
                 };
-                self.run_times.begun.insert(task.clone(), begun);
+                self.run_times.attempts.insert(task.clone(), running);
             }
         }
     }
 
-    /// A heartbeat has been handled.
-    pub(crate) fn noted_report(&mut self, heartbeat: &WorkerHeartbeat) {
-        if self.learns() {
-            let mark = (heartbeat.incarnation, self.now);
+    /// Records the arrival of a heartbeat that has been processed.
+    pub(crate) fn record_last_heartbeat(&mut self, heartbeat: &WorkerHeartbeat) {
+        if self.estimates_run_times() {
+            let last = (heartbeat.incarnation, self.now);
             self.run_times
                 .last_heartbeats
-                .insert(heartbeat.machine.clone(), mark);
+                .insert(heartbeat.machine.clone(), last);
         }
     }
 
-    /// A heartbeat, or the cloud, showed here that an attempt ended.
-    pub(crate) fn run_ended(&mut self, task: &TaskId, attempt: u64, outcome: AttemptOutcome) {
-        if !self.learns() {
+    /// Observes the end of an attempt, which a heartbeat or the cloud's instance list showed.
+    pub(crate) fn observe_run_end(&mut self, task: &TaskId, attempt: u64, outcome: AttemptOutcome) {
+        if !self.estimates_run_times() {
             return;
         }
         let key = (task.clone(), attempt);
-        if self.run_times.ended.contains_key(&key) {
+        if self.run_times.ended_runs.contains_key(&key) {
             return;
         }
-        let begun = self.run_times.begun.get(task).copied();
-        let begun = begun.filter(|b| b.attempt == attempt);
+        let observed = self.run_times.attempts.get(task).copied();
+        let observed = observed.filter(|o| o.attempt == attempt && o.is_running);
         let assigned = self.cache.attempt(task, attempt);
-        let (Some(begun), Some(assigned)) = (begun.filter(|b| b.runs), assigned) else {
+        let (Some(observed), Some(assigned)) = (observed, assigned) else {
             return;
         };
         let machine = assigned.machine.clone();
         let spec = self.cache.open_job(&task.job).cloned();
-        let Some(spec) = spec.filter(|s| s.kind == JobKind::Array) else {
+        let Some(spec) = spec.filter(|spec| spec.kind == JobKind::Array) else {
             return;
         };
+        let last_heartbeat = self.run_times.last_heartbeats.get(&machine);
         let until = match outcome {
-            AttemptOutcome::Terminated => self
-                .run_times
-                .last_heartbeats
-                .get(&machine)
-                .map_or(0, |r| r.1),
+            AttemptOutcome::Terminated => last_heartbeat.map_or(0, |(_, at)| *at),
             _ => self.now,
         };
-        let own = until.saturating_sub(begun.at) as f64 / 1e3;
-        let saves = spec.checkpoint_interval_s > 0.0;
-        let carried = self.run_times.saved_progress.get(task).filter(|_| saves);
-        let before = carried.map_or(Some(0.0), |c| c.secs);
-        let exact = begun.exact && before.is_some();
-        let secs = own + before.unwrap_or(0.0);
+        let run_s = until.saturating_sub(observed.since) as f64 / 1e3;
+        let has_checkpoints = spec.checkpoint_interval_s > 0.0;
+        let saved = self.run_times.saved_progress.get(task);
+        let saved = saved.filter(|_| has_checkpoints);
+        let earlier_secs = saved.map_or(Some(0.0), |saved| saved.secs);
+        let is_exact = observed.is_start_exact && earlier_secs.is_some();
+        let secs = run_s + earlier_secs.unwrap_or(0.0);
         let end = match outcome {
-            AttemptOutcome::Done if exact => End::Done,
+            AttemptOutcome::Done if is_exact => End::Done,
             AttemptOutcome::Done | AttemptOutcome::Terminated => End::AtLeast,
             AttemptOutcome::Failed | AttemptOutcome::Refused => return,
         };
-        if saves
+        if has_checkpoints
             && outcome == AttemptOutcome::Terminated
             && self.run_times.saved_progress.len() < TRACKED_ATTEMPTS_MAX
         {
-            // Stopped, it saved all its progress; lost with its machine, up to its last checkpoint.
-            let kept = match assigned.stop.is_some() {
-                true => own,
-                false => (own / spec.checkpoint_interval_s).floor() * spec.checkpoint_interval_s,
+            // A stopped task saves all its progress; one lost with its machine keeps its last checkpoint.
+            let saved_secs = match assigned.stop.is_some() {
+                true => run_s,
+                false => (run_s / spec.checkpoint_interval_s).floor() * spec.checkpoint_interval_s,
             };
-            let secs = before.filter(|_| begun.exact).map(|b| b + kept);
-            let carried = SavedProgress { attempt, secs };
-            self.run_times.saved_progress.insert(task.clone(), carried);
+            let earlier_secs = earlier_secs.filter(|_| observed.is_start_exact);
+            let secs = earlier_secs.map(|earlier| earlier + saved_secs);
+            let saved = SavedProgress { attempt, secs };
+            self.run_times.saved_progress.insert(task.clone(), saved);
         }
-        if secs > 0.0 && self.run_times.ended.len() < TRACKED_ATTEMPTS_MAX {
+        if secs > 0.0 && self.run_times.ended_runs.len() < TRACKED_ATTEMPTS_MAX {
             let run = Run {
                 team: spec.team,
                 class: spec.class,
@@ -261,70 +261,71 @@
                 secs,
                 end,
             };
-            self.run_times.ended.insert(key, (run, machine));
+            self.run_times.ended_runs.insert(key, (run, machine));
         }
     }
 
-    /// These ends are on record, by this controller's transaction.
-    pub(crate) fn count_runs(&mut self, released: Vec<(TaskId, u64)>) {
+    /// Counts the runs whose ends a transaction of this controller has recorded.
+    pub(crate) fn count_recorded_runs(&mut self, released: Vec<(TaskId, u64)>) {
         for (task, attempt) in released {
-            let Some((run, machine)) = self.run_times.ended.remove(&(task.clone(), attempt)) else {
+            let Some((run, machine)) = self.run_times.ended_runs.remove(&(task.clone(), attempt))
+            else {
                 continue;
             };
-            let known = self.run_times.estimates.get(&run.job);
-            let expected = known.map_or(run.ln_secs(), |k| k.tasks.quantile(0.5));
-            let done = run.end == End::Done;
+            let estimate = self.run_times.estimates.get(&run.job);
+            let expected = estimate.map_or(run.ln_secs(), |e| e.distribution.quantile(0.5));
+            let is_done = run.end == End::Done;
             let excess = run.ln_secs() - expected;
-            let sound = !done || self.run_times.machines.ran(&machine, excess);
-            let faulty = self
+            let is_representative = !is_done || self.run_times.machines.ran(&machine, excess);
+            let is_machine_faulty = self
                 .cache
                 .machine(&machine)
                 .is_some_and(|m| !m.faults.is_empty());
-            if sound && !faulty {
-                let line = line(&run, &task, &machine, self.wall);
+            if is_representative && !is_machine_faulty {
+                let line = run_record_line(&run, &task, &machine, self.wall);
                 tracing::info!(run = %line, "ran");
                 self.run_times.book.ran(&run);
-                self.run_times.counted += 1;
+                self.run_times.counted_runs += 1;
             }
         }
     }
 
-    /// A class's record changed, or went.
-    pub(crate) fn run_times_changed(&mut self, class: ClassId) {
-        if !self.learns() {
+    /// Applies a changed or deleted record of a class.
+    pub(crate) fn apply_run_times_record(&mut self, class: ClassId) {
+        if !self.estimates_run_times() {
             return;
         }
         match self.cache.class_runs(&class) {
-            Some(r) => {
-                let history = History::unpack(&r.packed).unwrap_or_else(|| {
+            Some(record) => {
+                let history = History::unpack(&record.packed).unwrap_or_else(|| {
                     tracing::warn!(
-                        team = r.team,
-                        class = r.class,
+                        team = record.team,
+                        class = record.class,
                         "stored run times damaged, ignored"
                     );
                     History::default()
                 });
-                let (team, name) = (r.team.clone(), r.class.clone());
+                let (team, name) = (record.team.clone(), record.class.clone());
                 self.run_times.book.recorded(class, &team, &name, history);
             }
             None => self.run_times.book.removed(class),
         }
     }
 
-    /// The records were read anew.
-    pub(crate) fn run_times_listed(&mut self) {
-        let classes: Vec<u64> = self.cache.all_runs().map(|(c, ..)| *c).collect();
+    /// Applies the records of all classes after a list.
+    pub(crate) fn apply_all_run_times_records(&mut self) {
+        let classes: Vec<u64> = self.cache.all_runs().map(|(class, ..)| *class).collect();
         for class in classes {
-            self.run_times_changed(class);
+            self.apply_run_times_record(class);
         }
     }
 
-    /// Records what was counted, one class at a time, on its small share of the changes; not while
-    /// these are short.
+    /// Records counted runs, one class at a time, within `RUN_TIME_WRITE_SHARE` of the changes, and not while
+    /// changes are scarce.
     pub(crate) fn record_run_times(&mut self) {
-        if !self.learns()
+        if !self.estimates_run_times()
             || self.run_times.recording_in_flight
-            || self.now < self.run_times.record_at
+            || self.now < self.run_times.next_write_at
         {
             return;
         }
@@ -343,27 +344,29 @@
             return;
         };
         let record = RunTimesRecord {
-            team: shortened(team),
-            class: shortened(name),
+            team: truncated(team),
+            class: truncated(name),
             at: self.wall,
             packed: history.pack(),
         };
         let mut draft = TransactionBuilder::new(&self.cache);
         draft.put(Key::RunTimes(class), Record::RunTimes(record));
-        let kept: Vec<(WallMs, u64)> = self.cache.all_runs().map(|(c, r, _)| (r.at, *c)).collect();
-        let new = self.cache.class_runs(&class).is_none();
-        if new && kept.len() >= CLASSES_KEPT {
-            if let Some((_, least)) = kept.iter().min() {
-                draft.remove(Key::RunTimes(*least));
+        let recorded: Vec<(WallMs, u64)> = (self.cache.all_runs())
+            .map(|(class, record, _)| (record.at, *class))
+            .collect();
+        let is_new = self.cache.class_runs(&class).is_none();
+        if is_new && recorded.len() >= CLASSES_KEPT {
+            if let Some((_, oldest)) = recorded.iter().min() {
+                draft.remove(Key::RunTimes(*oldest));
             }
         }
-        let rate = self
+        let rate_per_s = self
             .settings
             .write_rps
             .min(self.settings.announced_write_rps)
             * RUN_TIME_WRITE_SHARE;
-        let pause = draft.ops() as f64 * 1e3 / rate.max(1e-6);
-        self.run_times.record_at = self.now + pause as Millis;
+        let pause_ms = draft.ops() as f64 * 1e3 / rate_per_s.max(1e-6);
+        self.run_times.next_write_at = self.now + pause_ms as Millis;
         self.run_times.recording_in_flight = true;
         self.run_times.book.sent(class, &batches);
         let transaction = draft.finish();
@@ -371,19 +374,20 @@
         self.commit(transaction, purpose, RequestClass::Housekeeping);
     }
 
-    pub(crate) fn run_times_recorded(
+    /// Processes the response to a write of run times.
+    pub(crate) fn finish_recording_run_times(
         &mut self,
         class: ClassId,
         batches: Vec<Batch>,
-        answer: &StateResponse,
+        response: &StateResponse,
     ) {
         self.run_times.recording_in_flight = false;
-        match answer {
-            StateResponse::Committed { .. } => self.run_times.recorded += 1,
+        match response {
+            StateResponse::Committed { .. } => self.run_times.written_records += 1,
             StateResponse::Conflict { .. } | StateResponse::Unavailable => {
                 self.run_times.book.unsent(class, &batches)
             }
-            // It may take effect yet: to send these again might count them twice.
+            // It may still take effect, and a retry might count these runs twice.
             _ => tracing::info!(
                 jobs = batches.len(),
                 "run times write unanswered, runs dropped"
@@ -391,8 +395,8 @@
         }
     }
 
-    /// Computes estimates anew for waiting and running jobs, as far as they are outdated.
-    pub(crate) fn look_at_run_times(&mut self) {
+    /// Recomputes outdated estimates of pending and running jobs.
+    pub(crate) fn refresh_estimates(&mut self) {
         let uses = self.settings.runtime_estimates;
         if !(uses.enabled
             && (uses.queue_order || uses.due_times || uses.preemption || uses.termination_notice))
@@ -400,132 +404,138 @@
             return;
         }
         let now = self.now;
-        let fresh = |estimate: &JobEstimate| now < estimate.at + ESTIMATE_TTL_MS;
-        let stale = |id: &str| !self.run_times.estimates.get(id).is_some_and(fresh);
-        let running = self.cache.counted().filter(|(_, c)| c.assigned > 0);
+        let is_fresh = |estimate: &JobEstimate| now < estimate.computed_at + ESTIMATE_TTL_MS;
+        let is_stale = |id: &str| !self.run_times.estimates.get(id).is_some_and(is_fresh);
+        let running = self
+            .cache
+            .counted()
+            .filter(|(_, counts)| counts.assigned > 0);
         let ids: BTreeSet<&str> = (self.cache.waiting_jobs())
             .map(|(id, ..)| id)
             .chain(running.map(|(id, _)| id))
-            .filter(|id| stale(id))
+            .filter(|id| is_stale(id))
             .collect();
-        let due: Vec<JobSpec> = (ids.into_iter())
+        let outdated: Vec<JobSpec> = (ids.into_iter())
             .filter_map(|id| self.cache.open_job(id))
-            .filter(|s| s.kind == JobKind::Array)
+            .filter(|spec| spec.kind == JobKind::Array)
             .take(ESTIMATES_PER_PASS_MAX)
             .cloned()
             .collect();
-        for spec in due {
-            let tasks = self.run_times.book.distribution(&About {
+        for spec in outdated {
+            let distribution = self.run_times.book.distribution(&About {
                 team: &spec.team,
                 class: &spec.class,
                 image: &spec.image,
                 job: &spec.id,
                 expect_s: spec.estimate_s,
             });
-            let least_ms = (tasks.quantile(FEASIBLE_RUN_TIME_QUANTILE).exp() * 1e3) as u64;
-            let most_ms = (tasks.quantile(LATEST_START_QUANTILE).exp() * 1e3) as u64;
-            let early_s = tasks.quantile(EARLY_END_QUANTILE).exp();
+            let min_run_ms = (distribution.quantile(FEASIBLE_RUN_TIME_QUANTILE).exp() * 1e3) as u64;
+            let start_lead_time_ms =
+                (distribution.quantile(LATEST_START_QUANTILE).exp() * 1e3) as u64;
+            let early_end_s = distribution.quantile(EARLY_END_QUANTILE).exp();
             if self.run_times.estimates.len() < ESTIMATES_MAX {
-                let known = JobEstimate {
-                    at: now,
-                    tasks,
-                    least_ms,
-                    most_ms,
-                    early_s,
+                let estimate = JobEstimate {
+                    computed_at: now,
+                    distribution,
+                    min_run_ms,
+                    start_lead_time_ms,
+                    early_end_s,
                 };
-                self.run_times.estimates.insert(spec.id, known);
+                self.run_times.estimates.insert(spec.id, estimate);
             }
         }
     }
 
-    /// Milliseconds that a job's tasks take at least.
-    pub(crate) fn least_run_ms(&self, job: &str, spec: &JobSpec) -> u64 {
-        let known = self.run_times.estimates.get(job);
-        match known.filter(|_| self.settings.runtime_estimates.due_times) {
-            Some(k) => k.least_ms,
+    /// Returns the shortest time that the tasks of a job are expected to run.
+    pub(crate) fn min_run_ms(&self, job: &str, spec: &JobSpec) -> u64 {
+        let estimate = self.run_times.estimates.get(job);
+        match estimate.filter(|_| self.settings.runtime_estimates.due_times) {
+            Some(estimate) => estimate.min_run_ms,
             None => crate::jobs::dependencies::least_run_ms(spec),
         }
     }
 
-    /// Milliseconds before it is due by which a job should start; none where jobs are not served in
-    /// that order.
-    pub(crate) fn start_before_ms(&self, job: &str) -> u64 {
-        let known = self.run_times.estimates.get(job);
-        known
+    /// Returns the time before its due time by which a job should start, or 0 if estimates do not decide the
+    /// order of the queue.
+    pub(crate) fn start_lead_time_ms(&self, job: &str) -> u64 {
+        let estimate = self.run_times.estimates.get(job);
+        estimate
             .filter(|_| self.settings.runtime_estimates.queue_order)
-            .map_or(0, |k| k.most_ms)
+            .map_or(0, |estimate| estimate.start_lead_time_ms)
     }
 
-    /// The chance that a running attempt ends within so many milliseconds; none if too little is
-    /// known.
-    fn ends_within(&self, task: &TaskId, attempt: u64, ms: Millis) -> Option<f64> {
-        let begun = self
+    /// Returns the probability that a running attempt ends within `within_ms`, or `None` without an observed start
+    /// or an estimate.
+    fn end_probability(&self, task: &TaskId, attempt: u64, within_ms: Millis) -> Option<f64> {
+        let observed = self
             .run_times
-            .begun
+            .attempts
             .get(task)
-            .filter(|b| b.attempt == attempt)?;
-        let known = self.run_times.estimates.get(&task.job)?;
-        if !begun.runs && self.now < begun.at + START_DURATION_MS {
+            .filter(|observed| observed.attempt == attempt)?;
+        let estimate = self.run_times.estimates.get(&task.job)?;
+        if !observed.is_running && self.now < observed.since + START_DURATION_MS {
             return None;
         }
-        let start = match begun.runs {
-            true => begun.at,
-            false => begun.at + START_DURATION_MS,
+        let started_at = match observed.is_running {
+            true => observed.since,
+            false => observed.since + START_DURATION_MS,
         };
-        let carried = self.run_times.saved_progress.get(task).and_then(|c| c.secs);
-        let elapsed = (self.now - start) as f64 / 1e3 + carried.unwrap_or(0.0);
-        if elapsed + ms as f64 / 1e3 < known.early_s {
+        let saved = self.run_times.saved_progress.get(task);
+        let saved_secs = saved.and_then(|saved| saved.secs);
+        let elapsed_s = (self.now - started_at) as f64 / 1e3 + saved_secs.unwrap_or(0.0);
+        if elapsed_s + within_ms as f64 / 1e3 < estimate.early_end_s {
             return Some(0.0);
         }
-        let share = |secs: f64| {
-            known
-                .tasks
+        let ended_share = |secs: f64| {
+            estimate
+                .distribution
                 .share_within(glenmount_runtime_estimates::ln(secs))
         };
-        let (over, by_then) = (share(elapsed), share(elapsed + ms as f64 / 1e3));
-        (over < 0.99).then(|| (by_then - over) / (1.0 - over))
+        let ended_before = ended_share(elapsed_s);
+        let ended_by_then = ended_share(elapsed_s + within_ms as f64 / 1e3);
+        (ended_before < 0.99).then(|| (ended_by_then - ended_before) / (1.0 - ended_before))
     }
 
-    /// Whether an attempt ends within a time with at least such a chance.
-    pub(crate) fn about_to_end(
+    /// Returns whether an attempt ends within `within_ms` with at least this probability.
+    pub(crate) fn is_likely_to_end(
         &self,
         task: &TaskId,
         attempt: u64,
-        ms: Millis,
-        chance: f64,
+        within_ms: Millis,
+        min_probability: f64,
     ) -> bool {
-        let known = self.ends_within(task, attempt, ms);
-        known.is_some_and(|c| c >= chance)
+        let probability = self.end_probability(task, attempt, within_ms);
+        probability.is_some_and(|p| p >= min_probability)
     }
 
-    /// Forgets what belongs to what is over.
-    pub(crate) fn forget_old_runs(&mut self) {
+    /// Removes the state of ended attempts, closed jobs and deleted machines, and logs the counts.
+    pub(crate) fn clean_up_run_times(&mut self) {
         let cache = &self.cache;
-        let assigned = |(task, attempt): &Attempt| cache.attempt(task, *attempt).is_some();
-        let learned = &mut self.run_times;
-        learned
-            .begun
-            .retain(|task, b| cache.attempt(task, b.attempt).is_some());
-        learned.ended.retain(|key, _| assigned(key));
-        learned
+        let is_assigned = |(task, attempt): &Attempt| cache.attempt(task, *attempt).is_some();
+        let run_times = &mut self.run_times;
+        run_times
+            .attempts
+            .retain(|task, observed| cache.attempt(task, observed.attempt).is_some());
+        run_times.ended_runs.retain(|key, _| is_assigned(key));
+        run_times
             .saved_progress
             .retain(|task, _| cache.open_job(&task.job).is_some());
-        learned
+        run_times
             .last_heartbeats
             .retain(|id, _| cache.machine(id).is_some());
-        learned.machines.retain(|id| cache.machine(id).is_some());
-        learned
+        run_times.machines.retain(|id| cache.machine(id).is_some());
+        run_times
             .estimates
             .retain(|job, _| cache.open_job(job).is_some());
-        if learned.counted + learned.recorded > 0 {
-            let (runs, records) = (learned.counted, learned.recorded);
-            let (classes, followed) = (learned.book.len(), learned.begun.len());
+        if run_times.counted_runs + run_times.written_records > 0 {
+            let (runs, records) = (run_times.counted_runs, run_times.written_records);
+            let (classes, followed) = (run_times.book.len(), run_times.attempts.len());
             tracing::info!(runs, records, classes, followed, "run times counted");
-            (learned.counted, learned.recorded) = (0, 0);
+            (run_times.counted_runs, run_times.written_records) = (0, 0);
         }
     }
 
-    /// What is learned of a class, for tests and the log.
+    /// Returns the history of a class, for tests.
     pub fn class_history(&self, team: &str, class: &str) -> Option<&History> {
         self.run_times.book.history(class_id(team, class))
     }
--- a/crates/core/src/safety_checks.rs
+++ b/crates/core/src/safety_checks.rs
@@ -1,61 +1,61 @@
-//! Safety checks: what a controller verifies before it decides anything after a start, after a pause,
-//! or on a failover. The table in docs/design.md says which decision each check guards, what it
-//! costs, and what is not held up by it. Each can be switched off, in the simulation only, to show
-//! what it is for.
+//! Safety checks: the conditions that a controller verifies before it makes a decision after a start,
+//! a pause or a failover. The table in docs/design.md lists the decision that each check guards, its cost,
+//! and the decisions that it does not delay. Only the simulation disables checks, to show which faults
+//! each of them prevents.
 
-/// Which checks are on. All are in the service: no settings file has them.
+/// The enabled checks. A deployed controller enables all of them; no settings file contains them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Checks {
-    /// Answers about open jobs, refusals and 404 rest on a read begun after the request.
+    /// Responses about open jobs, rejections and 404 depend on a read that began after the request.
     pub linearizable_reads: bool,
-    /// What was held or known before a pause counts as outdated.
+    /// Held requests and cached state from before a pause of the process count as outdated.
     pub pause_detection: bool,
-    /// Claims wait until the watch has reached the latest revision that the list read.
+    /// Claims wait until the watch has reached the latest revision that the initial list read.
     pub watch_caught_up: bool,
-    /// Submissions wait for the machine types.
+    /// Submissions wait until the machine types are known.
     pub machine_types: bool,
-    /// Only formats are written that every controller has on record.
+    /// Records are written only in formats that every controller has recorded as readable.
     pub storage_format: bool,
-    /// Heartbeats are held back until the cache is current.
+    /// Heartbeats are held until the cache is current.
     pub current_cache: bool,
-    /// A task in a heartbeat without an assignment is stopped, or forgotten, only if the cache has
+    /// A task in a heartbeat without an assignment is stopped or forgotten only once the cache has
     /// reached the revision of its attempt.
     pub attempt_revision: bool,
-    /// Tasks are claimed only for machines with a heartbeat since the start.
+    /// Tasks are claimed only for machines with a heartbeat since the start of this controller.
     pub heartbeat_since_start: bool,
-    /// Instance requests, preemptions and deletions wait for a round of heartbeats.
+    /// Instance requests, preemptions and deletions wait for one heartbeat interval of all workers.
     pub heartbeat_round: bool,
-    /// Instance requests take into account the instances already requested.
+    /// Instance requests take the instances into account that are already requested.
     pub outstanding_instances: bool,
-    /// Nothing is placed in unreachable zones.
+    /// No task is placed in an unreachable zone.
     pub zone_reachability: bool,
-    /// Nothing is claimed by a controller that workers do not reach.
+    /// A controller that workers do not reach claims no tasks.
     pub worker_reachability: bool,
-    /// Repeated heartbeats, and those older than the latest, are no evidence.
+    /// Duplicate heartbeats, and those older than the latest, are ignored as evidence.
     pub duplicate_heartbeats: bool,
-    /// Nothing is placed on machines that send heartbeats and do not answer commands.
+    /// No task is placed on a machine that sends heartbeats but does not answer commands.
     pub command_reachability: bool,
-    /// A controller that reaches neither the state service nor a peer sends users elsewhere.
+    /// A controller that reaches neither the state service nor a peer reports that it is not ready.
     pub isolation: bool,
-    /// While cancellations are answered at their commit, leases are renewed for a bounded time only.
+    /// While cancellations are answered at their commit, leases are renewed only for a bounded time.
     pub bounded_leases: bool,
-    /// A transaction without a response holds up nothing.
+    /// A transaction without a response blocks no later transaction.
     pub unanswered_transactions: bool,
-    /// What a transaction without a response has changed, as the cache shows, is continued at once.
+    /// A change that the cache shows of a transaction without a response is acted on at once.
     pub uncertain_outcomes: bool,
-    /// A newer incarnation in the answer to a direct command ends what was before.
+    /// A newer incarnation in the response to a direct command ends the attempts of earlier ones.
     pub incarnation: bool,
-    /// Machines whose heartbeats reach no controller get no tasks, and services are moved off them.
+    /// Machines whose heartbeats reach no controller get no tasks, and services migrate off them.
     pub heartbeat_reachability: bool,
-    /// Machines that nobody is known to have provisioned are recorded once they have answered.
+    /// Machines without an instance request are recorded only once they have answered a probe.
     pub unmanaged_instances: bool,
-    /// A part of a batch of which nothing has begun for long goes first.
+    /// The first part of a batch that has waited long without a start becomes urgent.
     pub batch_start_delay: bool,
-    /// The configuration on record is followed.
+    /// Controllers follow the configuration on record.
     pub stored_configuration: bool,
-    /// Claims and acceptances are conditional on the configuration that they rest on.
+    /// Claims and acceptances are conditional on the configuration that they depend on.
     pub configuration_conditions: bool,
-    /// What is above a limit that was lowered is stopped.
+    /// Tasks above a quota that was lowered are stopped.
     pub quota_eviction: bool,
 }
 
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -42,7 +42,7 @@
             return;
         }
         self.begin_pass();
-        let inherited = dependencies::pulls(&self.cache, &|job, spec| self.least_run_ms(job, spec));
+        let inherited = dependencies::pulls(&self.cache, &|job, spec| self.min_run_ms(job, spec));
         let mut work = self.collect_pending_work(&inherited);
         self.scheduling.has_pending_work = !work.is_empty();
         if work.is_empty() {
@@ -73,12 +73,12 @@
 
     fn begin_pass(&mut self) {
         self.writes.pass_goes_first = false;
-        self.metrics.lookups += 1;
+        self.metrics.scheduling_passes += 1;
         self.scheduling.pass_requested = false;
         // Without the jitter controllers would make their passes, and conflicting claims, at the same time.
         let jitter = self.rng.gen_range(0..SCHEDULING_INTERVAL_MS / 4);
         self.scheduling.next_pass_at = self.now + SCHEDULING_INTERVAL_MS + jitter;
-        self.look_at_run_times();
+        self.refresh_estimates();
     }
 
     fn collect_pending_work(&mut self, inherited: &InheritedPriorities) -> Vec<PendingWork> {
@@ -88,8 +88,8 @@
             settings: &self.settings,
             inherited,
             run_times: &RunTimes {
-                min_remaining: &|job, spec| self.least_run_ms(job, spec),
-                start_before_due: &|job| self.start_before_ms(job),
+                min_remaining: &|job, spec| self.min_run_ms(job, spec),
+                start_before_due: &|job| self.start_lead_time_ms(job),
             },
             usable_cpus: &|| self.usable_cpus(),
             wall: self.wall,
--- a/crates/core/src/scheduling/preemption_step.rs
+++ b/crates/core/src/scheduling/preemption_step.rs
@@ -77,7 +77,7 @@
             assigned_for: &|attempt| self.assigned_for(attempt),
             is_about_to_end: &|task: &TaskId, attempt| {
                 spares_ending
-                    && self.about_to_end(
+                    && self.is_likely_to_end(
                         task,
                         attempt,
                         PREEMPT_EXEMPT_MS,
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,4 +1,4 @@
-//! A controller's settings: the platform's and the operators' own, read at its start.
+//! The settings of a controller, which it reads at its start from the platform's file and the operators' file.
 
 use crate::configuration::Policy;
 use crate::model::Millis;
@@ -6,75 +6,75 @@
 use crate::tuning::Tuning;
 use std::collections::BTreeMap;
 
-/// A controller's settings.
+/// The settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This controller's name.
+    /// Name of this controller.
     pub controller: String,
-    /// Names of all controllers, this one included, in order.
+    /// Names of all controllers including this one, in order.
     pub controllers: Vec<String>,
     /// Names of all zones.
     pub zones: Vec<String>,
-    /// The zone of this controller.
+    /// Zone of this controller.
     pub zone: String,
-    /// Zones by controller, as far as they are known.
+    /// Zone of each controller, where it is known.
     pub controller_zones: BTreeMap<String, String>,
-    /// Teams and objectives: from the settings file until others are on record.
+    /// Teams and objectives, from the settings file until a configuration is on record.
     pub policy: Policy,
-    /// Milliseconds between two heartbeats of a worker.
+    /// Interval between two heartbeats of a worker.
     pub heartbeat_interval_ms: u64,
-    /// Milliseconds after which a worker's lease expires, unless a controller renews it.
+    /// Time after which a worker's lease expires unless a controller renews it.
     pub lease_ms: u64,
-    /// Milliseconds after which nothing of a job may be left that a user was told is cancelled.
+    /// Time after the confirmation of a cancellation within which all tasks of the job must have ended.
     pub cancellation_timeout_ms: u64,
-    /// Bytes of a value at most: the smaller of the state service's present limit and the announced
-    /// one, as is `max_transaction_changes`.
+    /// Limit of the size of a value. Like `max_transaction_changes`, the smaller of the state service's
+    /// current limit and its announced one.
     pub max_value_bytes: u64,
-    /// Changes of a transaction at most.
+    /// Limit of changes per transaction.
     pub max_transaction_changes: usize,
-    /// Changes a second that this controller may make to the state service now, ...
+    /// Changes per second that this controller may currently make to the state service.
     pub write_rps: f64,
-    /// ... and once the announced limits apply.
+    /// Changes per second once the announced limits apply.
     pub announced_write_rps: f64,
-    /// Milliseconds by which the times of day of two controllers may differ.
+    /// Largest difference between the times of day of two controllers.
     pub clock_skew_ms: u64,
-    /// Milliseconds after which an idle machine is deprovisioned, unless the policy says otherwise.
+    /// Time after which an idle machine is deleted, unless the policy sets another one.
     pub idle_timeout_ms: u64,
-    /// Milliseconds by which the cloud's list of instances may lag; at times it is twice that.
+    /// Usual lag of the cloud's instance list; the lag may be twice as long.
     pub instance_list_lag_ms: u64,
-    /// What run times are learned and used for.
+    /// Whether run times are estimated, and the uses of the estimates.
     pub runtime_estimates: RuntimeEstimateUse,
-    /// Safety checks: all of them are on, except in scenarios that show what one is for.
+    /// Safety checks, all enabled except in scenarios that show the effect of one.
     pub checks: Checks,
-    /// What experiments vary.
+    /// Constants that experiments vary.
     pub tuning: Tuning,
 }
 
-/// Whether run times are learned, and what estimates are used for.
+/// Whether run times are estimated from past runs, and the uses of the estimates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RuntimeEstimateUse {
     /// Runs are observed and recorded.
     pub enabled: bool,
-    /// The order in which jobs are served: by the latest start with which they are done when due.
+    /// Jobs are served in the order of the latest start with which they finish by their due time.
     pub queue_order: bool,
-    /// When jobs are due, and which goals and deadlines are out of reach.
+    /// Estimates decide when jobs are due, and which goals and deadlines are out of reach.
     pub due_times: bool,
-    /// Which tasks are stopped for others: not those about to end.
+    /// Tasks that are about to end are not preempted.
     pub preemption: bool,
-    /// Whether a task ends before its spot machine is taken.
+    /// A task that is likely to end before its spot machine is taken keeps running.
     pub termination_notice: bool,
 }
 
 impl Settings {
-    /// Milliseconds after which a worker's next heartbeat is overdue.
+    /// Returns the time after which the next heartbeat of a worker is overdue.
     pub fn heartbeat_due_ms(&self) -> Millis {
         self.heartbeat_interval_ms * 5 / 4
     }
-    /// Milliseconds after which an idle machine is deprovisioned.
+    /// Returns the time after which an idle machine is deleted.
     pub fn idle_timeout_ms(&self) -> Millis {
         self.policy.idle_timeout_ms.unwrap_or(self.idle_timeout_ms)
     }
-    /// This controller's position among all, from 0.
+    /// Returns the position of this controller among all, from 0.
     pub fn controller_index(&self) -> u64 {
         self.controllers
             .iter()
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -137,7 +137,7 @@
         let listed = std::mem::take(&mut self.sync.list.listed);
         self.cache.retain_listed(&listed, revision);
         self.cache.revision = revision;
-        self.run_times_listed();
+        self.apply_all_run_times_records();
         self.sync.has_listed = true;
         self.apply_stored_configuration();
         self.state_changed = true;
@@ -188,7 +188,7 @@
         }
         if let (Key::Chunk(job, n), Record::Chunk(chunk)) = (&key, &record) {
             self.note_new_claims(job, *n, chunk);
-            self.assignments_changed(job, *n, chunk);
+            self.observe_assignment_changes(job, *n, chunk);
         }
         let run_times_class = match &key {
             Key::RunTimes(class) => Some(*class),
@@ -202,7 +202,7 @@
             self.send_command(machine, Vec::new());
         }
         if let Some(class) = run_times_class {
-            self.run_times_changed(class);
+            self.apply_run_times_record(class);
         }
     }
 
@@ -214,7 +214,7 @@
         }
         self.cache.remove(key, mod_revision);
         if let Key::RunTimes(class) = key {
-            self.run_times_changed(*class);
+            self.apply_run_times_record(*class);
         }
     }
 
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -103,7 +103,7 @@
             } => {
                 self.assignment_write_finished(operation, &response);
                 if committed {
-                    self.count_runs(released);
+                    self.count_recorded_runs(released);
                 }
                 self.results_written(reply_start, returning, committed);
             }
@@ -127,7 +127,7 @@
                 self.provisioning.removing_requests.remove(&number);
             }
             PendingOperation::RecordRunTimes(class, batches) => {
-                self.run_times_recorded(class, batches, &response);
+                self.finish_recording_run_times(class, batches, &response);
             }
             PendingOperation::FinishJob(job) => {
                 self.cleanup.finishing.remove(&job);
@@ -172,7 +172,7 @@
                 let accepted_at = self.cache.job(&task.job).map_or(self.wall, |job| job.at);
                 let waited_ms = self.wall.saturating_sub(accepted_at);
                 self.metrics
-                    .claimed(task, claim.attempt, waited_ms, self.now);
+                    .record_claim(task, claim.attempt, waited_ms, self.now);
             }
             self.send_starts(claimed);
         } else {
--- a/crates/core/src/tuning.rs
+++ b/crates/core/src/tuning.rs
@@ -1,5 +1,5 @@
-//! Constants that measurements vary. The service runs with the defaults, whose reasons are in
-//! `constants`; only the simulation's experiments set others.
+//! Constants that experiments vary. A deployed controller uses the defaults, which `constants` explains,
+//! except for the few that the operators' settings change.
 
 use crate::constants::{
     DEFER_CAPACITY_SHARE, DEFER_OVERLOAD_FACTOR, HANDOFF_MAX_WORKERS, MACHINE_SHARE_OF_SERVICE,
@@ -9,46 +9,48 @@
 use crate::model::Millis;
 use serde::Deserialize;
 
-/// Constants that experiments vary.
+/// The constants that experiments vary.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
-    /// Milliseconds without a heartbeat, at least, after which a peer counts as failed.
+    /// Shortest silence after which a peer counts as failed.
     #[serde(rename = "beats_missed_ms")]
     pub peer_failure_min_silence_ms: Millis,
-    /// Whether the end of a peer's connection counts as evidence that it failed.
+    /// Whether the end of a peer's connection counts as evidence that the peer failed.
     #[serde(rename = "link_ends")]
     pub detect_link_loss: bool,
     /// Whether machines are asked for the starts that a failed peer claimed last.
     #[serde(rename = "carry_on")]
     pub recover_starts: bool,
-    /// Whether jobs are deferred when not all can be done in time.
+    /// Whether jobs are deferred when not all can finish in time.
     #[serde(rename = "put_off")]
     pub defer_jobs: bool,
-    /// How many times the capacity must be asked for in time before any job is deferred, ...
+    /// Ratio of the required to the available capacity from which jobs are deferred.
     #[serde(rename = "put_off_from")]
     pub defer_overload_factor: f64,
-    /// ... and the share of the capacity that is planned with then.
+    /// Share of the capacity that deferral plans with.
     #[serde(rename = "put_off_share")]
     pub defer_capacity_share: f64,
-    /// Share of a service's tasks that one machine gets while others serve it as well; 1 is no bound.
+    /// Largest share of a service's tasks on one machine while other machines serve it as well; 1 is no limit.
     #[serde(rename = "crowd_share")]
     pub machine_share_of_service: f64,
-    /// Whether services that need not keep to half a zone are spread evenly over zones, and moved back to
-    /// that after one was lost. It costs fetches, and more changes when all leases end at once.
+    /// Whether services without a zone spread constraint are spread evenly over zones, and migrate back
+    /// after a zone failure. It costs image fetches, and more changes when all leases expire at once.
     #[serde(rename = "even_spread")]
     pub even_zone_spread: bool,
-    /// Whether machines of failed zones are terminated depending on their tasks.
+    /// Whether machines of failed zones are deleted depending on their tasks.
     #[serde(rename = "lost_zones")]
     pub evacuate_zones: bool,
+    /// Silence of a zone after which starts in flight to it count as lost.
     #[serde(rename = "zone_unseen_ms")]
     pub zone_unconfirmed_start_ms: Millis,
+    /// Silence of a zone from which overdue tasks restart elsewhere.
     #[serde(rename = "zone_late_ms")]
     pub zone_overdue_work_ms: Millis,
-    /// Machines terminated at most in one evaluation of failed zones.
+    /// Limit of machines deleted in one evaluation of failed zones.
     #[serde(rename = "zone_ends")]
     pub zone_terminations_max: usize,
-    /// Workers handed over between two heartbeats.
+    /// Limit of workers handed off between two heartbeats.
     #[serde(rename = "handover_max")]
     pub handoff_max_workers: usize,
 }
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -31,7 +31,7 @@
         request: RequestId,
         heartbeat: WorkerHeartbeat,
     ) {
-        self.metrics.check_ins += 1;
+        self.metrics.heartbeats += 1;
         let position = heartbeat.position();
         let at = self.now;
         if self.settings.checks.duplicate_heartbeats
--- a/crates/core/src/workers/reconciliation.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -33,7 +33,7 @@
     pub(super) fn reconcile(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
         let findings = self.compare_with_assignments(heartbeat);
         for (task, attempt) in findings.running {
-            self.seen_running(&task, attempt, heartbeat);
+            self.observe_running_attempt(&task, attempt, heartbeat);
         }
         for ((task, attempt), outcome, rests_on) in findings.ended {
             self.note_attempt_ended(task, attempt, outcome, rests_on);
@@ -47,11 +47,11 @@
             let notice_ms = (notice_s * 1e3) as Millis;
             let usable_ms = notice_ms.saturating_sub(NOTICE_MARGIN_MS);
             checkpoints.retain(|(task, attempt)| {
-                !self.about_to_end(task, *attempt, usable_ms, LIKELY_END_PROBABILITY)
+                !self.is_likely_to_end(task, *attempt, usable_ms, LIKELY_END_PROBABILITY)
             });
         }
         self.write_back.checkpoints_due.extend(checkpoints);
-        self.noted_report(heartbeat);
+        self.record_last_heartbeat(heartbeat);
         self.note_machine_update(heartbeat, findings.fence_above);
         findings.needs_start
     }
@@ -70,7 +70,8 @@
             let phase = reported.get(&(task, assignment.attempt)).copied();
             let is_running = phase == Some(TaskPhase::Running);
             if is_running {
-                self.metrics.runs(task, assignment.attempt, self.now);
+                self.metrics
+                    .record_running(task, assignment.attempt, self.now);
                 if self.settings.runtime_estimates.enabled {
                     let attempt = (task.clone(), assignment.attempt);
                     findings.running.push(attempt);
@@ -178,7 +179,7 @@
         outcome: AttemptOutcome,
         rests_on: Option<StartDelivery>,
     ) {
-        self.run_ended(&task, attempt, outcome);
+        self.observe_run_end(&task, attempt, outcome);
         let key = (task, attempt);
         self.metrics.results += u64::from(!self.write_back.results.contains_key(&key));
         let at = self.now;
--- a/crates/core/tests/scenarios/configuration_records.rs
+++ b/crates/core/tests/scenarios/configuration_records.rs
@@ -14,7 +14,7 @@
 
 const LIMITS: ChangeLimits = ChangeLimits {
     max_value_bytes: 2 * 1024,
-    changes: 16,
+    max_transaction_changes: 16,
 };
 
 /// A page is gone, or of no form that is known: nothing is claimed and submissions are told to come back,
--- a/crates/ctl/src/config/settings_file.rs
+++ b/crates/ctl/src/config/settings_file.rs
@@ -85,7 +85,7 @@
     pub fn change_limits(self) -> ChangeLimits {
         ChangeLimits {
             max_value_bytes: (self.value_kb * BYTES_PER_KB) as usize,
-            changes: self.max_transaction_changes,
+            max_transaction_changes: self.max_transaction_changes,
         }
     }
 
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -159,7 +159,7 @@
         };
         let limits = ChangeLimits {
             max_value_bytes: self.settings.max_value_bytes as usize,
-            changes: self.settings.max_transaction_changes,
+            max_transaction_changes: self.settings.max_transaction_changes,
         };
         let at = crate::START_TIME_MS + self.now_ms;
         configuration::change_transaction(settings, current, configurable, limits, at, "")
