--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -13,16 +13,16 @@
 pub(crate) use operations::*;
 
 use crate::configuration::Configuration;
-use crate::constants::PAUSE_MS;
+use crate::constants::PAUSE_DETECTION_MS;
 use crate::controller::lifecycle::Lifecycle;
 use crate::controller::upgrade::Upgrade;
 use crate::jobs::cleanup_state::CleanupState;
 use crate::jobs::request_table::RequestTable;
-use crate::metrics::Stats;
+use crate::metrics::Metrics;
 use crate::model::{MachineType, Millis, WallMs};
 use crate::peers::PeerTracker;
 use crate::provisioning::tracker::ProvisioningTracker;
-use crate::run_times::Learned;
+use crate::run_times::RunTimes;
 use crate::scheduling::schedule::Schedule;
 use crate::settings::Settings;
 use crate::state::list_watch::ListWatch;
@@ -68,15 +68,15 @@
     pub(crate) cleanup: CleanupState,
     pub(crate) upgrade: Upgrade,
     pub(crate) configuration: Configuration,
-    pub(crate) run_times: Learned,
-    pub(crate) metrics: Stats,
+    pub(crate) run_times: RunTimes,
+    pub(crate) metrics: Metrics,
 }
 
 impl Controller {
     /// One that has just started. `seed`: of all that it leaves to chance; `now`: steady time; `wall`: time of day.
     pub fn new(settings: Settings, seed: u64, now: Millis, wall: WallMs) -> Controller {
         let mut cache = StateCache::default();
-        cache.members = match settings.checks.format {
+        cache.members = match settings.checks.storage_format {
             true => settings.controllers.clone(),
             false => vec![settings.controller.clone()],
         };
@@ -103,8 +103,8 @@
             cleanup: CleanupState::new(),
             upgrade: Upgrade::default(),
             configuration: Configuration::new(settings.policy.clone()),
-            run_times: Learned::default(),
-            metrics: Stats::new(now),
+            run_times: RunTimes::default(),
+            metrics: Metrics::new(now),
             settings,
         }
     }
@@ -114,7 +114,7 @@
         let gap = now.saturating_sub(self.now);
         self.now = self.now.max(now);
         self.wall = wall;
-        if gap >= PAUSE_MS && self.settings.checks.gap {
+        if gap >= PAUSE_DETECTION_MS && self.settings.checks.pause_detection {
             self.reset_after_pause(gap);
         }
         match event {
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -2,7 +2,8 @@
 //! preempt, scale out.
 
 use crate::constants::{
-    FIRST_PASS_MS, PASS_INTERVAL_MS, WARM_IMAGE_MIN_FETCH_MS, WARM_IMAGE_WAIT_MS,
+    SCHEDULING_INTERVAL_MS, STARTUP_SCHEDULING_INTERVAL_MS, WARM_IMAGE_MIN_FETCH_MS,
+    WARM_IMAGE_WAIT_MS,
 };
 use crate::controller::{ClaimedTask, Controller, PendingOperation, RequestClass};
 use crate::jobs::dependencies::{self, InheritedPriority};
@@ -41,7 +42,7 @@
             return;
         }
         self.begin_pass();
-        let inherited = dependencies::pulls(&self.cache, &|job, spec| self.least_run_ms(job, spec));
+        let inherited = dependencies::pulls(&self.cache, &|job, spec| self.min_run_ms(job, spec));
         let mut work = self.collect_pending_work(&inherited);
         self.scheduling.has_pending_work = !work.is_empty();
         if work.is_empty() {
@@ -52,7 +53,7 @@
             self.hold_for_cached_images(&mut work, &inherited);
         } else {
             // More machines send their first heartbeats: they are filled as they do.
-            let at = self.now + FIRST_PASS_MS;
+            let at = self.now + STARTUP_SCHEDULING_INTERVAL_MS;
             self.scheduling.pass_no_later_than(at);
         }
         let mut machines = self.candidates(&work);
@@ -72,12 +73,12 @@
 
     fn begin_pass(&mut self) {
         self.writes.pass_goes_first = false;
-        self.metrics.lookups += 1;
+        self.metrics.scheduling_passes += 1;
         self.scheduling.pass_requested = false;
         // Without the jitter controllers would make their passes, and conflicting claims, at the same time.
-        let jitter = self.rng.gen_range(0..PASS_INTERVAL_MS / 4);
-        self.scheduling.next_pass_at = self.now + PASS_INTERVAL_MS + jitter;
-        self.look_at_run_times();
+        let jitter = self.rng.gen_range(0..SCHEDULING_INTERVAL_MS / 4);
+        self.scheduling.next_pass_at = self.now + SCHEDULING_INTERVAL_MS + jitter;
+        self.refresh_estimates();
     }
 
     fn collect_pending_work(&mut self, inherited: &InheritedPriorities) -> Vec<PendingWork> {
@@ -87,8 +88,8 @@
             settings: &self.settings,
             inherited,
             run_times: &RunTimes {
-                min_remaining: &|job, spec| self.least_run_ms(job, spec),
-                start_before_due: &|job| self.start_before_ms(job),
+                min_remaining: &|job, spec| self.min_run_ms(job, spec),
+                start_before_due: &|job| self.start_lead_time_ms(job),
             },
             usable_cpus: &|| self.usable_cpus(),
             wall: self.wall,
@@ -107,7 +108,7 @@
             let Some(machine_type) = self.machine_types.get(&record.type_name) else {
                 continue;
             };
-            let free = machine_type.room.less(&self.cache.used(id));
+            let free = machine_type.capacity.saturating_sub(&self.cache.used(id));
             if free.cpus == 0
                 || free.ram == 0
                 || record.phase != MachinePhase::Up
@@ -180,7 +181,7 @@
         });
         machines
             .filter_map(|(_, record, _)| self.machine_types.get(&record.type_name))
-            .map(|machine_type| machine_type.room.cpus)
+            .map(|machine_type| machine_type.capacity.cpus)
             .sum()
     }
 
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -1,7 +1,7 @@
 //! The controller's list and watch of the shared records, and how far its cache is known to be
 //! current.
 
-use crate::constants::{PEER_CHANGE_PASS_DELAY_MS, REVISION_TIMES_KEPT};
+use crate::constants::{PEER_JOB_SCHEDULING_DELAY_MS, REVISION_TIMES_KEPT};
 use crate::controller::{
     Controller, Effect, PendingOperation, RequestClass, StateOperation, StateResponse,
 };
@@ -137,7 +137,7 @@
         let listed = std::mem::take(&mut self.sync.list.listed);
         self.cache.retain_listed(&listed, revision);
         self.cache.revision = revision;
-        self.run_times_listed();
+        self.apply_all_run_times_records();
         self.sync.has_listed = true;
         self.apply_stored_configuration();
         self.state_changed = true;
@@ -188,7 +188,7 @@
         }
         if let (Key::Chunk(job, n), Record::Chunk(chunk)) = (&key, &record) {
             self.note_new_claims(job, *n, chunk);
-            self.assignments_changed(job, *n, chunk);
+            self.observe_assignment_changes(job, *n, chunk);
         }
         let run_times_class = match &key {
             Key::RunTimes(class) => Some(*class),
@@ -202,7 +202,7 @@
             self.send_command(machine, Vec::new());
         }
         if let Some(class) = run_times_class {
-            self.run_times_changed(class);
+            self.apply_run_times_record(class);
         }
     }
 
@@ -214,7 +214,7 @@
         }
         self.cache.remove(key, mod_revision);
         if let Key::RunTimes(class) = key {
-            self.run_times_changed(*class);
+            self.apply_run_times_record(*class);
         }
     }
 
@@ -267,7 +267,7 @@
             ChangeOrigin::OwnTransaction => self.scheduling.pass_requested = true,
             ChangeOrigin::Watch => {
                 let stagger_ms = self.settings.controller_index() * PASS_STAGGER_MS;
-                let at = self.now + PEER_CHANGE_PASS_DELAY_MS + stagger_ms;
+                let at = self.now + PEER_JOB_SCHEDULING_DELAY_MS + stagger_ms;
                 self.scheduling.next_pass_at = self.scheduling.next_pass_at.min(at);
             }
         }
--- a/crates/core/src/workers/reconciliation.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -3,7 +3,7 @@
 //! A start travels by one direct command, or in the answer to the heartbeat recorded in its
 //! assignment. `reconcile` says what proves that it will never arrive.
 
-use crate::constants::{LIKELY_CHANCE, NOTICE_SPARE_MS};
+use crate::constants::{LIKELY_END_PROBABILITY, NOTICE_MARGIN_MS};
 use crate::controller::Controller;
 use crate::model::{ExitCause, HeartbeatPosition, Millis, TaskId, TaskPhase, WorkerHeartbeat};
 use crate::scheduling::claims::AttemptOutcome;
@@ -33,22 +33,25 @@
     pub(super) fn reconcile(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
         let findings = self.compare_with_assignments(heartbeat);
         for (task, attempt) in findings.running {
-            self.seen_running(&task, attempt, heartbeat);
+            self.observe_running_attempt(&task, attempt, heartbeat);
         }
         for ((task, attempt), outcome, rests_on) in findings.ended {
             self.note_attempt_ended(task, attempt, outcome, rests_on);
         }
         let mut checkpoints = findings.checkpoints;
-        if let Some(notice_s) = heartbeat.notice_s.filter(|_| self.settings.learned.notice) {
+        if let Some(notice_s) = heartbeat
+            .notice_s
+            .filter(|_| self.settings.runtime_estimates.termination_notice)
+        {
             // What ends before the machine is reclaimed needs no stop, nor a start elsewhere.
             let notice_ms = (notice_s * 1e3) as Millis;
-            let usable_ms = notice_ms.saturating_sub(NOTICE_SPARE_MS);
+            let usable_ms = notice_ms.saturating_sub(NOTICE_MARGIN_MS);
             checkpoints.retain(|(task, attempt)| {
-                !self.about_to_end(task, *attempt, usable_ms, LIKELY_CHANCE)
+                !self.is_likely_to_end(task, *attempt, usable_ms, LIKELY_END_PROBABILITY)
             });
         }
         self.write_back.checkpoints_due.extend(checkpoints);
-        self.noted_report(heartbeat);
+        self.record_last_heartbeat(heartbeat);
         self.note_machine_update(heartbeat, findings.fence_above);
         findings.needs_start
     }
@@ -67,8 +70,9 @@
             let phase = reported.get(&(task, assignment.attempt)).copied();
             let is_running = phase == Some(TaskPhase::Running);
             if is_running {
-                self.metrics.runs(task, assignment.attempt, self.now);
-                if self.settings.learned.learn {
+                self.metrics
+                    .record_running(task, assignment.attempt, self.now);
+                if self.settings.runtime_estimates.enabled {
                     let attempt = (task.clone(), assignment.attempt);
                     findings.running.push(attempt);
                 }
@@ -175,7 +179,7 @@
         outcome: AttemptOutcome,
         rests_on: Option<StartDelivery>,
     ) {
-        self.run_ended(&task, attempt, outcome);
+        self.observe_run_end(&task, attempt, outcome);
         let key = (task, attempt);
         self.metrics.results += u64::from(!self.write_back.results.contains_key(&key));
         let at = self.now;
@@ -194,7 +198,7 @@
     /// chunk has changed since the revision it was conditional on, or the job is over. Until
     /// then a peer's claim may just not have arrived here.
     pub(super) fn is_claim_outcome_known(&self, task: &TaskId, attempt: u64) -> bool {
-        if !self.settings.checks.fate {
+        if !self.settings.checks.attempt_revision {
             return true;
         }
         let Some(job) = self.cache.job(&task.job) else {
