--- a/crates/core/src/jobs/admission.rs
+++ b/crates/core/src/jobs/admission.rs
@@ -1,9 +1,10 @@
-//! Which submissions are taken when more come than the state service's changes allow.
+//! Admission control: which submissions and cancellations are accepted when more arrive than the
+//! state store's rate of changes allows.
 //!
-//! Each acceptance is a change. A flood of small jobs would take the changes by which what was accepted
-//! before is started and ended, and one team's flood would take those of all others. So acceptances
-//! have a share of this controller's changes, saved up over some seconds; while that is short, teams that
-//! ask get equal parts of it. Whoever is told to come back is told at once.
+//! Each acceptance costs a change. A flood of small jobs would use up the changes that start and
+//! end the jobs accepted before, and one team's flood would starve all other teams. A token bucket
+//! therefore limits acceptances to a share of this controller's changes, and while tokens are short
+//! the teams that submit get equal shares. A refused user is told at once when to retry.
 
 use crate::constants::{
     ADMIT_BURST_S, ADMIT_FADES_MS, ADMIT_LEAST, ADMIT_RETRY_MOST_S, ADMIT_SHARE, RETRY_AFTER_S,
@@ -11,73 +12,75 @@
 use crate::model::Millis;
 use std::collections::BTreeMap;
 
+/// A token bucket that admits requests at a limited rate, with fair shares for teams.
 #[derive(Debug)]
 pub(crate) struct Admission {
-    per_ms: f64,
-    most: f64,
-    level: f64,
-    at: Millis,
-    /// What each team was given lately, fading.
-    given: BTreeMap<String, f64>,
+    tokens_per_ms: f64,
+    capacity: f64,
+    tokens: f64,
+    refilled_at: Millis,
+    /// Tokens that each team got recently, with exponential decay.
+    admitted: BTreeMap<String, f64>,
 }
 
 impl Admission {
-    /// `write_rps`: this controller's changes a second.
+    /// Returns a full bucket. `write_rps` is this controller's changes a second.
     pub fn new(write_rps: f64, now: Millis) -> Admission {
-        let most = (write_rps * ADMIT_BURST_S).max(ADMIT_LEAST);
+        let capacity = (write_rps * ADMIT_BURST_S).max(ADMIT_LEAST);
         Admission {
-            per_ms: write_rps * ADMIT_SHARE / 1e3,
-            most,
-            level: most,
-            at: now,
-            given: BTreeMap::new(),
+            tokens_per_ms: write_rps * ADMIT_SHARE / 1e3,
+            capacity,
+            tokens: capacity,
+            refilled_at: now,
+            admitted: BTreeMap::new(),
         }
     }
 
-    fn pass(&mut self, now: Millis) {
-        let passed = now.saturating_sub(self.at) as f64;
-        self.at = self.at.max(now);
-        self.level = (self.level + passed * self.per_ms).min(self.most);
-        let fades = (-passed / ADMIT_FADES_MS).exp();
-        for given in self.given.values_mut() {
-            *given *= fades;
+    /// Refills the bucket, and decays the teams' recent tokens.
+    fn refill(&mut self, now: Millis) {
+        let elapsed_ms = now.saturating_sub(self.refilled_at) as f64;
+        self.refilled_at = self.refilled_at.max(now);
+        self.tokens = (self.tokens + elapsed_ms * self.tokens_per_ms).min(self.capacity);
+        let decay = (-elapsed_ms / ADMIT_FADES_MS).exp();
+        for admitted in self.admitted.values_mut() {
+            *admitted *= decay;
         }
-        self.given.retain(|_, given| *given > 0.05);
+        self.admitted.retain(|_, admitted| *admitted > 0.05);
     }
 
-    /// Whether a team's submission is taken now; if not, after how many seconds it may come back.
-    pub fn takes(&mut self, now: Millis, team: &str) -> Result<(), u32> {
-        self.pass(now);
-        let given = self.given.get(team).copied().unwrap_or(0.0);
-        let sum: f64 = self.given.values().sum();
-        let teams = self.given.len() + usize::from(!self.given.contains_key(team));
-        // While there is plenty nobody is held back; a team that asks for the first time lately always
-        // finds what the others' shares leave.
-        let plenty = self.level >= self.most / 2.0;
-        let fair = given <= sum / teams as f64;
-        if self.level >= 1.0 && (plenty || fair) {
-            self.level -= 1.0;
-            *self.given.entry(team.to_string()).or_default() += 1.0;
+    /// Admits a team's request, or returns the seconds after which to retry.
+    pub fn try_admit(&mut self, now: Millis, team: &str) -> Result<(), u32> {
+        self.refill(now);
+        let own = self.admitted.get(team).copied().unwrap_or(0.0);
+        let total: f64 = self.admitted.values().sum();
+        let teams = self.admitted.len() + usize::from(!self.admitted.contains_key(team));
+        // While at least half of the tokens are left, nobody is limited. A team without recent
+        // requests always gets the tokens that the other teams' shares leave.
+        let is_ample = self.tokens >= self.capacity / 2.0;
+        let is_fair = own <= total / teams as f64;
+        if self.tokens >= 1.0 && (is_ample || is_fair) {
+            self.tokens -= 1.0;
+            *self.admitted.entry(team.to_string()).or_default() += 1.0;
             return Ok(());
         }
-        let short = (self.most / 2.0 - self.level).max(1.0);
-        let wait_s = short / self.per_ms.max(1e-6) / 1e3;
+        let missing = (self.capacity / 2.0 - self.tokens).max(1.0);
+        let wait_s = missing / self.tokens_per_ms.max(1e-6) / 1e3;
         Err((wait_s.ceil() as u32).clamp(RETRY_AFTER_S, ADMIT_RETRY_MOST_S))
     }
 }
 
-/// One for each kind of request that costs a change. A flood of cancellations would else leave none for
-/// results, by which they are told.
+/// One bucket for each kind of request that costs a change. Otherwise a flood of cancellations
+/// would leave no changes for the results by which cancellations are confirmed.
 pub struct AdmissionControl {
     pub submissions: Admission,
     pub cancellations: Admission,
 }
 
 impl AdmissionControl {
-    pub fn new(rps: f64, now: Millis) -> AdmissionControl {
+    pub fn new(write_rps: f64, now: Millis) -> AdmissionControl {
         AdmissionControl {
-            submissions: Admission::new(rps, now),
-            cancellations: Admission::new(rps, now),
+            submissions: Admission::new(write_rps, now),
+            cancellations: Admission::new(write_rps, now),
         }
     }
 }
--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -1,18 +1,18 @@
-//! Confirmed cancellations: users are told that a job is cancelled only when nothing of it is left.
-//! Therefore a controller that is cut off from the state service may renew leases for as long as
-//! that lasts.
+//! Confirmed cancellations: a user is told that a job is cancelled only when every assignment of
+//! the job is proven to be over.
 //!
-//! A user who was told that a job is cancelled must find nothing of it anywhere `cancel_s` later.
-//! Answered at its commit, a cancellation depends on what happens later: a stop that arrives, a
-//! deletion that the cloud carries out, or a lease that nobody renews. A controller cut off with its
-//! zone would have to stop renewing leases in time, and healthy tasks would end with them. Answered
-//! when every assignment of the job is proven to be over, it depends on nothing that is still to
-//! happen. So renewing can break no rule, whoever does it and for however long.
+//! Nothing of a job may run `cancel_s` after its user was told that it is cancelled. A cancellation
+//! answered at its commit depends on later events: a stop that arrives, a deletion that the cloud
+//! carries out, or a lease that nobody renews. A controller cut off from the state store together
+//! with its zone would then have to stop renewing leases in time, and healthy tasks would end with
+//! them. A confirmed cancellation depends on no later event, so any controller may renew leases for
+//! as long as it is cut off.
 //!
-//! Until every controller has format 3, cancellations are answered at their commit, as older versions
-//! do, and leases are renewed no longer than that allows. `g/settled` is written once, when all have
-//! the format. Which of the two holds for a cancellation is the order of the two revisions, and each
-//! cancellation is conditional on that key as it was cached. See docs/design.md.
+//! Until every controller has format 3, cancellations are answered at their commit, as older
+//! versions do, and leases are renewed no longer than that allows. `g/settled` is written once,
+//! when all controllers have the format. The order of its revision and that of a cancellation
+//! decides which rule applies, so each cancellation is conditional on that key as it was cached.
+//! See docs/design.md.
 
 use crate::constants::{
     CANCEL_MARGIN_MS, CANCEL_PATIENCE_MS, CANCEL_RETRY_AFTER_S, CONFIRMED_CANCELLATION_TERM,
@@ -30,9 +30,10 @@
 };
 
 impl Controller {
-    /// Writes, once all controllers have the format, from when on cancellations are told when all is gone;
-    /// and, once nothing is left of any that was told before, raises the term beyond
-    /// `CONFIRMED_CANCELLATION_TERM`. A worker that has seen such a token proves that to a controller without records.
+    /// Records, once all controllers have the format, from which revision on cancellations are
+    /// confirmed before they are answered. Once nothing is left of earlier cancellations, raises
+    /// the term beyond `CONFIRMED_CANCELLATION_TERM`: a worker that has seen such a token proves
+    /// that to a controller without records.
     pub(crate) fn record_cancellation_confirmation(&mut self) {
         let confirmed_from = self.cache.mod_revision(&Key::CancellationConfirmation);
         if self.upgrade.confirmation_in_flight
@@ -55,8 +56,10 @@
             {
                 let is_earlier_and_unfinished = |(job, counts): (&str, Counts)| {
                     let phase = self.cache.job(job).map(|j| j.phase);
-                    let before = self.cache.job_revision(job) < confirmed_from;
-                    counts.assigned > 0 && phase == Some(JobPhase::Cancelled) && before
+                    let is_before_confirmation = self.cache.job_revision(job) < confirmed_from;
+                    counts.assigned > 0
+                        && phase == Some(JobPhase::Cancelled)
+                        && is_before_confirmation
                 };
                 if self.cache.counted().any(is_earlier_and_unfinished) {
                     return;
@@ -75,9 +78,9 @@
         );
     }
 
-    /// A cancellation was committed, or requested once more, and tasks of the job may be left: its
-    /// user waits a moment, as most tasks end within half a second. Where machines can't be reached
-    /// now, the user is asked at once to come back.
+    /// Lets the user of a committed or repeated cancellation wait a moment while tasks of the job
+    /// may be left, since most tasks end within half a second. If a machine with such a task can't
+    /// be reached now, tells the user at once when to retry.
     pub(crate) fn await_cancellation(&mut self, id: RequestId) {
         let Some(job) = self.requests.open.get(&id).map(|r| r.job.clone()) else {
             return;
@@ -91,14 +94,14 @@
             self.answer(id, UserReply::RetryAfter { after_s });
             return;
         }
-        let until = self.now + CANCEL_PATIENCE_MS;
+        let expires_at = self.now + CANCEL_PATIENCE_MS;
         if let Some(request) = self.requests.open.get_mut(&id) {
-            request.until = request.until.min(until);
+            request.expires_at = request.expires_at.min(expires_at);
             self.requests.awaiting_cancellation.insert(id);
         }
     }
 
-    /// Whether a machine's worker can be reached, and the machine is not being deleted.
+    /// Returns whether a machine's worker can be reached, and the machine is not being deleted.
     fn can_stop_tasks_on(&self, id: &str) -> bool {
         let Some(machine) = self.cache.machine(id) else {
             return false;
@@ -107,8 +110,8 @@
         machine.phase != MachinePhase::Deprovisioning && is_reached
     }
 
-    /// Answers the requests that wait for it that their job is cancelled, where nothing of it is
-    /// left now.
+    /// Answers the requests that wait for a confirmed cancellation, for each job of which nothing
+    /// is left.
     pub(crate) fn confirm_cancellations(&mut self) {
         if self.requests.awaiting_cancellation.is_empty() || !self.sync.has_listed {
             return;
@@ -132,47 +135,50 @@
         }
     }
 
-    /// Whether a machine with a task whose cancellation is not confirmed is kept: its zone is
-    /// unreachable, and it runs tasks of other jobs. The user waits longer then, but nobody else
-    /// loses what runs well in that zone.
-    pub(crate) fn is_spared(&self, id: &str) -> bool {
-        let quiet = self
+    /// Returns whether a machine with a task of an unconfirmed cancellation is kept because its
+    /// zone is unreachable and it runs tasks of other jobs. The user waits longer then, but no
+    /// healthy task in that zone is lost.
+    pub(crate) fn is_deletion_deferred(&self, id: &str) -> bool {
+        let in_unreachable_zone = self
             .cache
             .machine(id)
             .is_some_and(|m| self.is_zone_unreachable(&m.zone));
-        let other = |(task, _): (&TaskId, &Placed)| self.cache.open_job(&task.job).is_some();
-        quiet && self.cache.assignments(id).any(other)
+        let is_of_open_job =
+            |(task, _): (&TaskId, &Placed)| self.cache.open_job(&task.job).is_some();
+        in_unreachable_zone && self.cache.assignments(id).any(is_of_open_job)
     }
 
-    /// Whether renewing a lease can break no rule. Cancellations later than `g/settled` are told when
-    /// nothing is left; a copy that has reached it knows all earlier ones, and stops their tasks; and
-    /// where a worker has seen a settled term there are none of these.
-    fn renewing_is_safe(&self, heartbeat: &WorkerHeartbeat) -> bool {
+    /// Returns whether renewing a worker's lease can break no rule. Cancellations later than
+    /// `g/settled` are answered when nothing of the job is left. A cache that has reached that
+    /// revision knows all earlier ones, and stops their tasks. A worker that has seen a token above
+    /// `CONFIRMED_CANCELLATION_TERM` proves that none of the earlier ones is left.
+    fn is_lease_renewal_safe(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let confirmed_from = self.cache.mod_revision(&Key::CancellationConfirmation);
         heartbeat.token >= CONFIRMED_CANCELLATION_TERM
             || self.sync.has_listed && confirmed_from > 0 && self.cache.revision >= confirmed_from
     }
 
-    /// Cut off from the state service: hand workers to a peer that reaches it, or keep their
-    /// leases alive. Nothing is started; what was cancelled before the cut is stopped, since that
-    /// never changes. A controller that has started inside the cut, and so knows nothing, does the same.
+    /// Returns the reply to a heartbeat while the controller is cut off from the state store: it
+    /// redirects the worker to a peer that reaches the store, or renews its lease. It starts
+    /// nothing, and stops tasks of jobs cancelled before the cut, since a cancellation is final. A
+    /// controller that has started during the cut and so has no records does the same.
     pub(crate) fn reply_without_state(&mut self, heartbeat: &WorkerHeartbeat) -> WorkerReply {
         if let Some(controller) = self.peer_with_state() {
             return WorkerReply::Redirect {
                 controller: Some(controller),
             };
         }
-        let renews = match self.renewing_is_safe(heartbeat) {
-            true => self.keeps_worker(&heartbeat.machine),
-            // Somebody may have been told of a cancellation since the last answer, also of one that
-            // came a moment before all lost the state service.
+        let renews_lease = match self.is_lease_renewal_safe(heartbeat) {
+            true => self.should_keep_worker(&heartbeat.machine),
+            // Since the last response of the state store a peer may have answered a cancellation,
+            // also one that was committed just before all controllers lost the store.
             false => self.lost_state_recently() || !self.settings.checks.bounded,
         };
         let token = self.fencing_token(&heartbeat.machine).unwrap_or(0);
-        // Peers may have raised it since this controller was cut off. Nothing is started, so a start
-        // that this bars stays barred.
+        // Peers may have raised the token since this controller was cut off. A start that the
+        // higher token fences stays fenced, since nothing is started here.
         let token = token.max(heartbeat.token);
-        if !renews || token == 0 {
+        if !renews_lease || token == 0 {
             return WorkerReply::Unavailable;
         }
         WorkerReply::Commands {
@@ -181,13 +187,14 @@
         }
     }
 
+    /// Returns stops for the tasks of a heartbeat whose job is cancelled.
     fn stops_for_cancelled(&self, heartbeat: &WorkerHeartbeat) -> Vec<WorkerCommand> {
-        let cancelled = |status: &&TaskStatus| {
+        let is_cancelled = |status: &&TaskStatus| {
             let job = self.cache.job(&status.task.job);
             !matches!(status.phase, TaskPhase::Exited(_))
                 && job.is_some_and(|j| j.phase == JobPhase::Cancelled)
         };
-        let tasks = heartbeat.tasks.iter().filter(cancelled);
+        let tasks = heartbeat.tasks.iter().filter(is_cancelled);
         let stop = |status: &TaskStatus| WorkerCommand::Stop {
             task: status.task.clone(),
             attempt: status.attempt,
@@ -196,45 +203,48 @@
         tasks.map(stop).take(REPLY_MAX_COMMANDS).collect()
     }
 
-    /// Whether the state service answered so lately that what somebody was told since is in time
-    /// though this controller renews: the lease may begin with the last answer.
+    /// Returns whether the state store responded so recently that cancellations answered since
+    /// still take effect in time although this controller renews leases: a lease may begin with the
+    /// last response.
     fn lost_state_recently(&self) -> bool {
-        let limit = self
+        let limit_ms = self
             .settings
             .cancel_ms
             .saturating_sub(self.settings.lease_ms + CANCEL_MARGIN_MS);
-        self.sync.has_listed && self.state_age() < limit
+        self.sync.has_listed && self.state_age() < limit_ms
     }
 
-    /// Whether a worker is kept, rather than sent to look for another controller. A controller that is cut off
-    /// alone must not keep workers that others would serve; one that is cut off with its zone is all
-    /// they have. Which it is shows in who still reports: only machines of its own zone, or those of
-    /// others as well. Else each worker is sent away once, if its lease allows for the way round: one
-    /// that is back found no other.
-    fn keeps_worker(&mut self, id: &str) -> bool {
-        let common = self.fresh_peers().count() + 1 == self.settings.controllers.len();
-        if self.sync.has_listed && common {
+    /// Returns whether a worker is kept rather than sent to look for another controller. A
+    /// controller that is cut off alone must not keep workers that others could serve; one that is
+    /// cut off with its zone is the only one that its workers reach. The heartbeats tell which:
+    /// only machines of its own zone report, or machines of other zones as well. In the latter case
+    /// each worker is redirected once, if its lease lasts for a search of all controllers: a worker
+    /// that comes back found no other.
+    fn should_keep_worker(&mut self, id: &str) -> bool {
+        let reaches_all_peers = self.fresh_peers().count() + 1 == self.settings.controllers.len();
+        if self.sync.has_listed && reaches_all_peers {
             return true;
         }
-        let several = self.settings.zones.len() > 1;
-        let recent = 2 * self.settings.report_ms;
-        let here = self.settings.zone.as_str();
-        let mut zones = self.workers.zones_heard_at.iter();
-        let foreign = zones.any(|(zone, at)| zone != here && self.now < at + recent);
-        if several && !foreign {
+        let has_several_zones = self.settings.zones.len() > 1;
+        let recent_ms = 2 * self.settings.report_ms;
+        let own_zone = self.settings.zone.as_str();
+        let mut zones = self.workers.zone_heartbeat_at.iter();
+        let hears_other_zones =
+            zones.any(|(zone, at)| zone != own_zone && self.now < at + recent_ms);
+        if has_several_zones && !hears_other_zones {
             return true;
         }
         let lease_ms = self.settings.lease_ms;
-        let round = (self.settings.controllers.len() as u64 - 1) * WORKER_FAILOVER_MS
+        let search_ms = (self.settings.controllers.len() as u64 - 1) * WORKER_FAILOVER_MS
             + self.settings.report_due_ms()
             + SILENCE_MARGIN_MS;
-        if round >= lease_ms {
+        if search_ms >= lease_ms {
             return self.lost_state_recently();
         }
-        // Those that come back to a controller that was away have looked already.
-        let sent = self.workers.redirected_at.get(id).copied();
+        // Workers that come back to a controller after its pause have searched already.
+        let redirected_at = self.workers.redirected_at.get(id).copied();
         if self.now < self.lifecycle.resumed_at + lease_ms
-            || sent.is_some_and(|at| self.now < at + 2 * lease_ms)
+            || redirected_at.is_some_and(|at| self.now < at + 2 * lease_ms)
         {
             return true;
         }
--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -1,4 +1,4 @@
-//! Ending jobs of several chunks, and clearing what nothing needs any more.
+//! Ending of jobs with several chunks, cancellation of dependents, and removal of obsolete data.
 
 use crate::constants::{CASCADE_PATIENCE_MS, CONTROLLER_STAGGER_MS, SMALL_RECORD_BYTES};
 use crate::controller::{Controller, PendingOperation, RequestClass};
@@ -7,22 +7,23 @@
 use crate::workers::starts::Attempt;
 
 impl Controller {
-    /// A job of several chunks is done once all of them are; a done chunk never changes.
+    /// Records as done the jobs with several chunks all of which are done; a done chunk never
+    /// changes.
     pub(crate) fn finish_jobs(&mut self) {
-        let mut due = Vec::new();
+        let mut finished = Vec::new();
         for (id, counts) in self.cache.counted() {
             let Some(job) = self.cache.job(id).filter(|j| j.phase == JobPhase::Open) else {
                 continue;
             };
             if job.chunks() > 1 && counts.done == job.tasks && !self.cleanup.finishing.contains(id)
             {
-                due.push((id.to_string(), job.over(JobPhase::Done, self.wall)));
+                finished.push((id.to_string(), job.over(JobPhase::Done, self.wall)));
             }
         }
-        for (id, over) in due {
-            let mut draft = TransactionBuilder::new(&self.cache);
-            draft.put(Key::Job(id.clone()), Record::Job(over));
-            let transaction = draft.finish();
+        for (id, over) in finished {
+            let mut builder = TransactionBuilder::new(&self.cache);
+            builder.put(Key::Job(id.clone()), Record::Job(over));
+            let transaction = builder.finish();
             self.cleanup.finishing.insert(id.clone());
             self.commit(
                 transaction,
@@ -32,9 +33,10 @@
         }
     }
 
-    /// Cancels on record what needs a cancelled job. The controller that was asked does so at once; the
-    /// others follow should it not have. Until then such jobs are answered as cancelled all the
-    /// same, so nothing depends on how soon that is.
+    /// Records the cancellation of jobs that depend on a cancelled job, if that is overdue. The
+    /// controller that received the cancellation does so at once, and the others after a delay if
+    /// it has not. Until then users are told all the same that such jobs are cancelled, so nothing
+    /// depends on when it is recorded.
     pub(crate) fn cancel_overdue_dependents(&mut self) {
         let doomed = self.cache.dependents().doomed();
         self.cleanup
@@ -47,37 +49,45 @@
                     .insert(id.clone(), self.now);
             }
         }
-        let patience =
+        let delay_ms =
             CASCADE_PATIENCE_MS + self.settings.controller_index() * CONTROLLER_STAGGER_MS;
-        let late = |since: &Millis| self.now >= since + patience;
-        if self.cleanup.cancelled_dependency_since.values().any(late) {
+        let is_overdue = |since: &Millis| self.now >= since + delay_ms;
+        if self
+            .cleanup
+            .cancelled_dependency_since
+            .values()
+            .any(is_overdue)
+        {
             self.cancel_dependents();
         }
     }
 
+    /// Records the cancellation of jobs that depend on a cancelled job.
     pub(crate) fn cancel_dependents(&mut self) {
-        let most = self
+        let max_changes = self
             .changes_left()
             .min(self.settings.max_transaction_changes);
-        if self.cleanup.dependents_cancellation_in_flight || most == 0 || !self.has_current_state()
+        if self.cleanup.dependents_cancellation_in_flight
+            || max_changes == 0
+            || !self.has_current_state()
         {
             return;
         }
-        let mut draft = TransactionBuilder::limited(&self.cache, most);
+        let mut builder = TransactionBuilder::limited(&self.cache, max_changes);
         let mut jobs = Vec::new();
         for id in self.cache.dependents().doomed() {
             let Some(job) = self.cache.job(id).filter(|_| self.cache.doomed(id)) else {
                 continue;
             };
-            if !draft.has_room(&self.settings, 1, 1, SMALL_RECORD_BYTES) {
+            if !builder.has_room(&self.settings, 1, 1, SMALL_RECORD_BYTES) {
                 break;
             }
             let over = job.over(JobPhase::Cancelled, self.wall);
-            draft.put(Key::Job(id.clone()), Record::Job(over));
+            builder.put(Key::Job(id.clone()), Record::Job(over));
             jobs.push(id.clone());
         }
         if !jobs.is_empty() {
-            let transaction = draft.finish();
+            let transaction = builder.finish();
             self.cleanup.dependents_cancellation_in_flight = true;
             self.commit(
                 transaction,
@@ -87,38 +97,38 @@
         }
     }
 
-    /// Removes chunks and places of jobs that are over.
+    /// Removes the chunk and zone spread records of jobs that are over.
     pub(crate) fn remove_obsolete_records(&mut self) {
         if self.cleanup.removal_in_flight {
             return;
         }
-        let mut draft = TransactionBuilder::new(&self.cache);
+        let mut builder = TransactionBuilder::new(&self.cache);
         for (job, counts) in self.cache.counted() {
-            let over = self
+            let is_over = self
                 .cache
                 .job(job)
                 .is_some_and(|j| j.phase != JobPhase::Open);
-            if !over || counts.assigned > 0 {
+            if !is_over || counts.assigned > 0 {
                 continue;
             }
-            for (n, _) in self.cache.chunks_of(job) {
-                if draft.ops() < self.settings.max_transaction_changes.div_ceil(2) {
-                    draft.remove(Key::Chunk(job.to_string(), n));
+            for (chunk, _) in self.cache.chunks_of(job) {
+                if builder.ops() < self.settings.max_transaction_changes.div_ceil(2) {
+                    builder.remove(Key::Chunk(job.to_string(), chunk));
                 }
             }
         }
         for (job, _, _) in self.cache.places() {
-            if draft.ops() < self.settings.max_transaction_changes.div_ceil(2)
+            if builder.ops() < self.settings.max_transaction_changes.div_ceil(2)
                 && self
                     .cache
                     .job(job)
                     .is_some_and(|j| j.phase != JobPhase::Open)
             {
-                draft.remove(Key::ZoneSpread(job.to_string()));
+                builder.remove(Key::ZoneSpread(job.to_string()));
             }
         }
-        if !draft.is_empty() {
-            let transaction = draft.finish();
+        if !builder.is_empty() {
+            let transaction = builder.finish();
             self.cleanup.removal_in_flight = true;
             self.commit(
                 transaction,
@@ -128,18 +138,18 @@
         }
     }
 
-    /// Forgets what belongs to machines that are gone.
+    /// Drops what this controller knows of machines that have been deleted.
     pub(crate) fn forget_deleted_machines(&mut self) {
         let cache = &self.cache;
         self.workers
             .observations
-            .forget(|id| cache.machine(id).is_some());
+            .retain_recorded(|id| cache.machine(id).is_some());
         self.workers
             .last_assigned_at
             .retain(|id, _| cache.machine(id).is_some());
-        self.workers
-            .last_heartbeats
-            .retain(|id, h| cache.machine(id).is_some() || self.now.saturating_sub(h.at) < 60_000);
+        self.workers.last_heartbeats.retain(|id, heartbeat| {
+            cache.machine(id).is_some() || self.now.saturating_sub(heartbeat.at) < 60_000
+        });
         self.peers.forget(|id| cache.machine(id).is_some());
         self.workers
             .fetching_until
@@ -151,8 +161,10 @@
             .deletion_tried_at
             .retain(|id, _| cache.machine(id).is_some());
         let mut starts = std::mem::take(&mut self.workers.starts);
-        let assigned = |(task, at): &Attempt| self.cache.attempt(task, *at).is_some();
-        starts.forget(assigned, |id| self.last_worker_heartbeat(id).unwrap_or(0));
+        let is_assigned = |(task, attempt): &Attempt| self.cache.attempt(task, *attempt).is_some();
+        starts.prune(is_assigned, |id| {
+            self.last_worker_heartbeat(id).unwrap_or(0)
+        });
         self.workers.starts = starts;
     }
 }
--- a/crates/core/src/jobs/cleanup_state.rs
+++ b/crates/core/src/jobs/cleanup_state.rs
@@ -1,19 +1,19 @@
-//! What is under way to end jobs and to clear what nothing needs any more.
+//! State of the operations that end jobs and remove obsolete records.
 
 use crate::model::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is under way to end jobs and to clear what nothing needs any more.
+/// State of the operations that end jobs and remove obsolete records.
 pub(crate) struct CleanupState {
-    /// Jobs whose end is being written.
+    /// Jobs whose end is being recorded.
     pub(crate) finishing: BTreeSet<String>,
-    /// Jobs that need a cancelled one, since when that is known here, by steady time.
+    /// Since when jobs have been known here to depend on a cancelled job, by the monotonic clock.
     pub(crate) cancelled_dependency_since: BTreeMap<String, Millis>,
-    /// Jobs that need a cancelled one are being cancelled on record.
+    /// Whether a transaction that cancels dependents of cancelled jobs is in flight.
     pub(crate) dependents_cancellation_in_flight: bool,
-    /// Obsolete records are being removed.
+    /// Whether a transaction that removes obsolete records is in flight.
     pub(crate) removal_in_flight: bool,
-    /// When what belongs to deleted machines was last forgotten.
+    /// When data of deleted machines was last dropped.
     pub(crate) last_cleanup_at: Millis,
 }
 
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs as users know them: requests, admission, dependencies, cancellation, and what is left to clean up.
+//! User-facing jobs: requests, admission, dependencies, cancellation and cleanup.
 
 pub(crate) mod admission;
 mod cancellation;
--- a/crates/core/src/jobs/request_table.rs
+++ b/crates/core/src/jobs/request_table.rs
@@ -1,4 +1,4 @@
-//! Users' requests that wait for an answer.
+//! User requests that wait for an answer.
 
 use crate::controller::RequestId;
 use crate::jobs::admission::AdmissionControl;
@@ -7,13 +7,13 @@
 use crate::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Users' requests that wait for an answer.
+/// User requests that wait for an answer.
 pub(crate) struct RequestTable {
     /// Requests without an answer.
     pub(crate) open: BTreeMap<RequestId, UserRequest>,
     /// Admits submissions and cancellations at a rate that leaves changes for the rest.
     pub(crate) admission: AdmissionControl,
-    /// Those of them that wait for the last tasks of a cancelled job to go.
+    /// Those of the open requests that wait until no task of a cancelled job is left.
     pub(crate) awaiting_cancellation: BTreeSet<RequestId>,
 }
 
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -1,5 +1,5 @@
-//! Users' requests: submit, status, cancel. Nothing is answered from a cache that might be outdated,
-//! except what can never change.
+//! User requests: submit, status, cancel. No answer rests on a cache that might be outdated, except
+//! for states that can never change.
 
 use crate::constants::{
     OUTAGE_RETRY_AFTER_S, RETRY_AFTER_S, STATUS_PATIENCE_MS, SUBMIT_PATIENCE_MS,
@@ -10,74 +10,74 @@
 use crate::state::formats;
 use crate::state::{JobPhase, JobRecord, Key, Record, TransactionBuilder};
 
-/// What a user asks for.
+/// The kind of a user's request.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestKind {
-    /// To accept a job.
+    /// Submits a job.
     Submit(Box<JobSpec>),
-    /// How far a job is.
+    /// Queries the state of a job.
     Status,
-    /// To cancel a job.
+    /// Cancels a job.
     Cancel,
 }
 
 /// A user's request that waits for an answer.
 #[derive(Clone, Debug)]
 pub(crate) struct UserRequest {
-    /// The job that it is about.
+    /// The job that the request names.
     pub job: String,
-    /// What is asked for.
+    /// The kind of the request.
     pub kind: RequestKind,
-    /// When it arrived.
-    pub since: Millis,
-    /// When the user is told to come back.
-    pub until: Millis,
+    /// When the request arrived.
+    pub received_at: Millis,
+    /// When the user is told to retry.
+    pub expires_at: Millis,
 }
 
 impl Controller {
-    /// A user submits a job.
+    /// Handles the submission of a job.
     pub(crate) fn handle_submit(&mut self, request: RequestId, spec: JobSpec) {
         let user_request = UserRequest {
             job: spec.id.clone(),
             kind: RequestKind::Submit(Box::new(spec)),
-            since: self.now,
-            until: self.now + SUBMIT_PATIENCE_MS,
+            received_at: self.now,
+            expires_at: self.now + SUBMIT_PATIENCE_MS,
         };
         self.enqueue_request(request, user_request);
     }
 
-    /// A user asks how far a job is.
+    /// Handles a status query.
     pub(crate) fn handle_status(&mut self, request: RequestId, job: String) {
         let user_request = UserRequest {
             job,
             kind: RequestKind::Status,
-            since: self.now,
-            until: self.now + STATUS_PATIENCE_MS,
+            received_at: self.now,
+            expires_at: self.now + STATUS_PATIENCE_MS,
         };
         self.enqueue_request(request, user_request);
     }
 
-    /// A user cancels a job.
+    /// Handles the cancellation of a job.
     pub(crate) fn handle_cancel(&mut self, request: RequestId, job: String) {
         let user_request = UserRequest {
             job,
             kind: RequestKind::Cancel,
-            since: self.now,
-            until: self.now + SUBMIT_PATIENCE_MS,
+            received_at: self.now,
+            expires_at: self.now + SUBMIT_PATIENCE_MS,
         };
         self.enqueue_request(request, user_request);
     }
 
-    /// Answers a request at once where that is possible, else has it wait for a linearizable read.
+    /// Answers a request at once if possible, else queues it for a linearizable read.
     fn enqueue_request(&mut self, id: RequestId, request: UserRequest) {
         if let Some(reply) = self.immediate_reply(&request) {
             self.emit(Effect::User { request: id, reply });
             return;
         }
-        // A new job needs no proof that the cache is current: its record is only written if absent.
+        // A new job needs no proof that the cache is current: its record is written only if absent.
         let is_new = self.cache.job(&request.job).is_none();
         let is_valid_submission = matches!(&request.kind, RequestKind::Submit(spec)
-            if self.refusal(spec).is_none());
+            if self.rejection_reason(spec).is_none());
         let is_new_submission = is_new && is_valid_submission;
         if let Err(after_s) = self.admit(&request, is_new_submission) {
             let reply = UserReply::RetryAfter { after_s };
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The reply to a request that nothing more need be known for, or that can't be served now.
+    /// Returns the reply to a request that needs no current cache, or that can't be served now.
     fn immediate_reply(&self, request: &UserRequest) -> Option<UserReply> {
         // A final state never changes, so the cache suffices however old it is.
         let job = self.cache.job(&request.job);
@@ -106,25 +106,25 @@
         (!can_wait).then(|| self.later())
     }
 
-    /// Whether a request that costs a change of the state service is admitted; if not, after how
-    /// many seconds it may be repeated.
+    /// Admits a request if it costs a change of the state store; returns the seconds after which to
+    /// retry if it is refused.
     fn admit(&mut self, request: &UserRequest, is_new_submission: bool) -> Result<(), u32> {
         let admission = &mut self.requests.admission;
         match &request.kind {
             RequestKind::Submit(spec) if is_new_submission => {
-                admission.submissions.takes(self.now, &spec.team)
+                admission.submissions.try_admit(self.now, &spec.team)
             }
             // A flood of cancellations would leave no changes for results, by which they are
             // confirmed.
             RequestKind::Cancel => match self.cache.open_job(&request.job) {
-                Some(spec) => admission.cancellations.takes(self.now, &spec.team),
+                Some(spec) => admission.cancellations.try_admit(self.now, &spec.team),
                 None => Ok(()),
             },
             RequestKind::Submit(_) | RequestKind::Status => Ok(()),
         }
     }
 
-    /// The reply that asks the user to come back.
+    /// Returns the reply that asks the user to retry.
     pub(crate) fn later(&self) -> UserReply {
         let after_s = match self.has_current_state() {
             true => RETRY_AFTER_S,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Cancels a job on record; one that is cancelled already only has its user wait.
+    /// Cancels a job on record. If it is cancelled already, its user only waits.
     fn cancel_job(&mut self, request: RequestId, id: String, job: &JobRecord) {
         if job.phase == JobPhase::Cancelled {
             self.await_cancellation(request);
@@ -170,15 +170,15 @@
         let cancelled = job.over(JobPhase::Cancelled, self.wall);
         let mut builder = TransactionBuilder::new(&self.cache);
         builder.put(Key::Job(id), Record::Job(cancelled));
-        // Whether the cancellation is answered at its commit, or once it is confirmed, is the order
-        // of the two revisions.
+        // The order of this transaction's revision and that of the key decides whether the
+        // cancellation is answered at its commit or once it is confirmed.
         builder.rests_on(Key::CancellationConfirmation);
         let transaction = builder.finish();
         let purpose = PendingOperation::UserRequest(request);
         self.commit(transaction, purpose, RequestClass::User);
     }
 
-    /// Puts a submitted job on record, unless it is refused or can't be accepted now.
+    /// Records a submitted job, unless it is rejected or can't be accepted now.
     fn accept_job(&mut self, request: RequestId, id: String, spec: Box<JobSpec>) {
         let types_known = !self.machine_types.is_empty() || !self.settings.checks.machine_types;
         if !types_known || !self.configuration.is_readable() {
@@ -186,18 +186,18 @@
             self.answer(request, reply);
             return;
         }
-        if let Some(reason) = self.refusal(&spec) {
+        if let Some(reason) = self.rejection_reason(&spec) {
             tracing::info!(job = spec.id, reason, "submission rejected");
             self.answer(request, UserReply::Rejected(reason));
             return;
         }
         if !spec.dependencies.is_empty() && self.cache.format() < formats::PIPELINES {
-            // A controller of an older version would start it at once.
+            // A controller of an older version would start the job at once.
             let after_s = UPGRADE_RETRY_AFTER_S;
             self.answer(request, UserReply::RetryAfter { after_s });
             return;
         }
-        let record = self.accepted(spec);
+        let record = self.accepted_record(spec);
         let mut builder = TransactionBuilder::new(&self.cache);
         builder.put(Key::Job(id), Record::Job(record));
         if self.settings.checks.configured {
@@ -208,8 +208,8 @@
         self.commit(transaction, purpose, RequestClass::User);
     }
 
-    /// A job's record at its acceptance.
-    fn accepted(&self, spec: Box<JobSpec>) -> JobRecord {
+    /// Returns a job's record at its acceptance.
+    fn accepted_record(&self, spec: Box<JobSpec>) -> JobRecord {
         JobRecord {
             phase: JobPhase::Open,
             tasks: spec.tasks,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// A request's read failed: it waits for another one, or is sent away.
+    /// Handles a failed read for a request: queues another read, or tells the user to retry.
     pub(crate) fn retry_read(&mut self, request: RequestId) {
         if self.has_current_state() && self.requests.open.contains_key(&request) {
             self.reads.unissued.push(request);
@@ -230,23 +230,32 @@
         }
     }
 
-    /// The transaction of a request has a response.
+    /// Handles the response to a request's transaction.
     pub(crate) fn request_committed(&mut self, id: RequestId, committed: bool) {
         let Some(request) = self.requests.open.get(&id).cloned() else {
             return;
         };
         if !committed {
-            // It conflicted, or the outcome is unknown: read again, then decide.
+            // The transaction conflicted or its outcome is unknown: read again, then decide.
             self.retry_read(id);
             return;
         }
         match request.kind {
-            RequestKind::Submit(spec) => self.job_accepted(id, request.job, &spec, request.since),
+            RequestKind::Submit(spec) => {
+                self.job_accepted(id, request.job, &spec, request.received_at)
+            }
             RequestKind::Status | RequestKind::Cancel => self.job_cancelled(id, request.job),
         }
     }
 
-    fn job_accepted(&mut self, request: RequestId, job: String, spec: &JobSpec, since: Millis) {
+    /// Logs an accepted job, and answers its user.
+    fn job_accepted(
+        &mut self,
+        request: RequestId,
+        job: String,
+        spec: &JobSpec,
+        received_at: Millis,
+    ) {
         tracing::info!(
             job,
             class = spec.class,
@@ -256,15 +265,18 @@
             dependencies = spec.dependencies.join(" "),
             "job accepted"
         );
-        // The watch may have brought the record first, as if a peer had made it.
+        // The watch may have delivered the record first, as if a peer had accepted the job; a pass
+        // is due all the same.
         self.scheduling.pass_requested = true;
-        self.metrics.accepted(self.now - since);
+        self.metrics.accepted(self.now - received_at);
         self.answer(request, UserReply::Accepted { job });
     }
 
+    /// Stops the tasks of a job whose cancellation was committed, and answers its user or lets the
+    /// user wait.
     fn job_cancelled(&mut self, request: RequestId, job: String) {
         tracing::info!(job, "job cancelled");
-        self.send_stops(&job);
+        self.send_job_stops(&job);
         self.cancel_dependents();
         if self.cache.ending(&job) {
             self.await_cancellation(request);
@@ -274,41 +286,43 @@
         self.answer(request, UserReply::Cancelled { job, state });
     }
 
-    /// Sends away the users whose requests have waited too long; all of them once the cache is
-    /// not known to be current any more.
+    /// Tells users to retry whose requests have waited too long, or all users once the cache is no
+    /// longer known to be current.
     pub(crate) fn expire_user_requests(&mut self) {
         let now = self.now;
-        let expired = |request: &UserRequest| now >= request.until;
+        let expired = |request: &UserRequest| now >= request.expires_at;
         let open = self.requests.open.iter();
         let expired: Vec<RequestId> = open
             .filter(|(_, request)| expired(request))
             .map(|(id, _)| *id)
             .collect();
-        self.answer_all_later(expired);
+        self.reply_retry_to_all(expired);
         if !self.has_current_state() {
             let open = self.requests.open.keys().copied().collect();
-            self.answer_all_later(open);
+            self.reply_retry_to_all(open);
             self.reads.unissued.clear();
         }
     }
 
-    fn answer_all_later(&mut self, requests: Vec<RequestId>) {
+    /// Tells the users of several requests to retry.
+    fn reply_retry_to_all(&mut self, requests: Vec<RequestId>) {
         for request in requests {
             let reply = self.later();
             self.answer(request, reply);
         }
     }
 
-    /// Whether a job's state is final, though its record may not say so yet.
+    /// Returns whether a job's state is final, though its record may not say so yet.
     fn is_final(&self, id: &str, job: &JobRecord) -> bool {
         match job.phase {
             JobPhase::Open => self.cache.doomed(id),
             JobPhase::Done => true,
-            // While the records are read page by page the cache may lack what is assigned.
+            // While the records are listed page by page, the cache may lack assignments.
             JobPhase::Cancelled => self.sync.has_listed && !self.cache.ending(id),
         }
     }
 
+    /// Returns the reply to a request about a job on record.
     fn job_reply(&self, request: &UserRequest, job: &JobRecord) -> UserReply {
         let (state, done, running) = self.job_state(&request.job, job);
         match request.kind {
@@ -325,10 +339,11 @@
         }
     }
 
+    /// Returns a job's state as users see it, and its numbers of done and running tasks.
     fn job_state(&self, id: &str, job: &JobRecord) -> (JobState, u32, u32) {
         match job.phase {
             JobPhase::Done => (JobState::Done, job.tasks, 0),
-            // Nobody has been told of it yet.
+            // No user has been told of the cancellation yet.
             JobPhase::Cancelled if self.cache.ending(id) => {
                 let counts = self.cache.counts(id);
                 (JobState::Running, counts.done, counts.assigned)
@@ -346,13 +361,14 @@
         }
     }
 
-    /// Why a submission is refused, if so, as far as the records show.
-    fn refusal(&self, spec: &JobSpec) -> Option<String> {
-        self.never(spec).or_else(|| self.unknown_awaited(spec))
+    /// Returns why a submission is rejected, if it is, as far as the records show.
+    fn rejection_reason(&self, spec: &JobSpec) -> Option<String> {
+        self.infeasible_reason(spec)
+            .or_else(|| self.unknown_dependency(spec))
     }
 
-    /// Why a job can never run, if so.
-    fn never(&self, spec: &JobSpec) -> Option<String> {
+    /// Returns why a job can never run, if so.
+    fn infeasible_reason(&self, spec: &JobSpec) -> Option<String> {
         let Some(team) = self.settings.policy.teams.get(&spec.team) else {
             return Some(format!("unknown team {}", spec.team));
         };
@@ -362,39 +378,42 @@
         if !fits {
             return Some("a task fits no allowed machine type".into());
         }
-        let at_once = match spec.kind {
+        let concurrent_tasks = match spec.kind {
             JobKind::Array => 1,
             JobKind::Service => spec.tasks as u64,
         };
-        if (team.cpus_max > 0 && spec.resources.cpus.saturating_mul(at_once) > team.cpus_max)
-            || (team.gpus_max > 0 && spec.resources.gpus.saturating_mul(at_once) > team.gpus_max)
+        if (team.cpus_max > 0
+            && spec.resources.cpus.saturating_mul(concurrent_tasks) > team.cpus_max)
+            || (team.gpus_max > 0
+                && spec.resources.gpus.saturating_mul(concurrent_tasks) > team.gpus_max)
         {
             return Some("more than the team's limit".into());
         }
-        let service = |a: &&String| {
+        let is_service = |a: &&String| {
             let spec = self.cache.open_job(a);
             spec.is_some_and(|s| s.kind == JobKind::Service)
         };
-        if let Some(dependency) = spec.dependencies.iter().find(service) {
+        if let Some(dependency) = spec.dependencies.iter().find(is_service) {
             return Some(format!("awaits: {dependency} is a service"));
         }
         if spec.dependencies.contains(&spec.id) {
             return Some("awaits: a job can't await itself".into());
         }
-        let record = Record::Job(self.accepted(Box::new(spec.clone())));
-        let (bytes, most) = (
+        let record = Record::Job(self.accepted_record(Box::new(spec.clone())));
+        let (bytes, max_bytes) = (
             formats::stored_bytes(&record, formats::LATEST),
             self.settings.max_value_bytes as usize,
         );
-        (bytes > most).then(|| {
-            format!("awaits and flavours are too long: the job takes {bytes} bytes of {most}")
+        (bytes > max_bytes).then(|| {
+            format!("awaits and flavours are too long: the job takes {bytes} bytes of {max_bytes}")
         })
     }
 
-    /// Names an awaited job that was never accepted, as far as the records show.
-    fn unknown_awaited(&self, spec: &JobSpec) -> Option<String> {
-        let unknown = |a: &&String| self.cache.job(a).is_none();
-        let dependency = spec.dependencies.iter().find(unknown)?;
+    /// Returns the rejection reason for a dependency that was never accepted, as far as the records
+    /// show.
+    fn unknown_dependency(&self, spec: &JobSpec) -> Option<String> {
+        let is_unknown = |a: &&String| self.cache.job(a).is_none();
+        let dependency = spec.dependencies.iter().find(is_unknown)?;
         Some(format!("awaits: {dependency} was never accepted"))
     }
 }
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -1,5 +1,5 @@
-//! Machines that stop sending heartbeats, never come up, or idle: which of them are probed, and which are
-//! marked for termination.
+//! Detection of machines that stop sending heartbeats, never come up, or idle: which are probed,
+//! and which are marked for termination.
 
 use crate::constants::{
     BOOT_GIVE_UP, BOOT_SPARE_MS, CANCEL_DELETE_SHARE, CANCEL_UNCONFIRMED_MS, CONTROLLER_STAGGER_MS,
@@ -26,9 +26,10 @@
 type Terminations = Vec<(String, TerminationReason)>;
 
 impl Controller {
-    /// When any controller last received a machine's heartbeat, as far as is known here. The first
-    /// heartbeat of a machine that has just come up may have gone to a peer whose next heartbeat is still to
-    /// come, so this counts from when the machine was first seen up here.
+    /// Returns when any controller last received a machine's heartbeat, as far as is known here.
+    /// The first heartbeat of a machine that has just come up may have gone to a peer whose next
+    /// peer heartbeat is still to arrive, so the time counts from when this controller first saw
+    /// the machine up.
     pub(crate) fn last_heard_at(&self, liveness: &Liveness) -> Millis {
         let up_since = liveness.observation.up_since.unwrap_or(self.now);
         let received = liveness.received;
@@ -36,46 +37,47 @@
         received_at.max(liveness.from_peers.map_or(0, |heartbeat| heartbeat.at))
     }
 
-    /// When any controller last received a heartbeat of a machine, if ever.
+    /// Returns when any controller last received a heartbeat of a machine, if ever.
     pub(crate) fn last_worker_heartbeat(&self, id: &str) -> Option<Millis> {
         self.liveness(id).last_heartbeat_at()
     }
 
-    /// Milliseconds without a sign of life of a machine: a heartbeat anywhere, or an answer to
-    /// a direct command.
-    fn silence(&self, id: &str) -> Millis {
+    /// Returns the milliseconds since a machine's last sign of life: a heartbeat to any controller,
+    /// or a response to a direct command.
+    fn silence_ms(&self, id: &str) -> Millis {
         self.silence_of(&self.liveness(id))
     }
 
-    /// The same of a machine whose liveness was looked up already.
+    /// Returns the same as `silence_ms` for a liveness that was looked up already.
     pub(crate) fn silence_of(&self, liveness: &Liveness) -> Millis {
         let answered_at = liveness.observation.answered_at.unwrap_or(0);
         self.now - self.last_heard_at(liveness).max(answered_at)
     }
 
-    /// Milliseconds in which a worker finds another controller. After that a silent machine is probed,
-    /// whichever controller it reported to.
+    /// Returns the milliseconds in which a worker finds another controller. After them a silent
+    /// machine is probed, whichever controller it reported to.
     pub(crate) fn unheard_limit_ms(&self) -> Millis {
         self.worker_failover_ms() + SILENCE_MARGIN_MS
     }
 
-    /// Milliseconds between a worker's last heartbeat at one controller and its first at another.
+    /// Returns the milliseconds between a worker's last heartbeat to one controller and its first
+    /// to another.
     pub(crate) fn worker_failover_ms(&self) -> Millis {
         WORKER_FAILOVER_MS + self.settings.report_due_ms()
     }
 
-    /// Whether any controller received one of the machine's last heartbeats.
+    /// Returns whether any controller received one of the machine's last heartbeats.
     pub(crate) fn recently_heard(&self, id: &str) -> bool {
         self.recently_heard_of(&self.liveness(id))
     }
 
-    /// The same of a machine whose liveness was looked up already.
+    /// Returns the same as `recently_heard` for a liveness that was looked up already.
     pub(crate) fn recently_heard_of(&self, liveness: &Liveness) -> bool {
         self.now - self.last_heard_at(liveness) < self.settings.report_ms * 5 / 2
     }
 
-    /// Marks machines for termination: unreachable ones, ones that never came up, idle ones, and ones
-    /// that still hold a cancelled task when its time runs out.
+    /// Marks machines for termination: unreachable ones, ones that never came up, idle ones, and
+    /// ones that still hold a cancelled task when the time for its cancellation has passed.
     pub(crate) fn detect_machine_failures(&mut self) {
         let mut survey = self.survey_machines();
         self.detect_zone_failures(std::mem::take(&mut survey.zones));
@@ -83,7 +85,7 @@
         self.evacuate_failed_zones();
         self.probe_unreachable_machines();
         let mut terminations = Terminations::new();
-        self.find_uncancelled(&mut terminations);
+        self.find_machines_with_cancelled_tasks(&mut terminations);
         self.find_idle_or_never_up(&mut terminations);
         self.find_missing_instances(&mut terminations);
         for (id, reason) in terminations {
@@ -91,24 +93,25 @@
         }
     }
 
-    /// Machines that are overdue, in order of their names.
+    /// Returns the machines that are overdue, in order of their names.
     ///
-    /// One that reports here is quickly given up: its heartbeat is overdue, a direct command sent
-    /// since has failed, and other machines that report here do send heartbeats. A worker only turns to
-    /// another controller when this one fails it, so there is no need to wait for that. Were most of them
-    /// silent, this controller would be what is partitioned.
+    /// A machine that reports to this controller is given up soon: its heartbeat is overdue, a
+    /// direct command sent since has failed, and other machines that report here do send
+    /// heartbeats. A worker turns to another controller only when this one fails it, so there is no
+    /// need to wait for that. If more than a third of them are overdue, this controller rather than
+    /// the machines may be partitioned.
     ///
-    /// One that no controller is known to have heard for as long as a worker needs to find another is not
-    /// given up soon if they are many, since then it is rather the network. When peers can't be
-    /// reached, most machines are only heard by them; answers to probes tell those that live from those
-    /// that don't.
+    /// A machine that no controller is known to have heard for as long as a worker needs to find
+    /// another controller is given up later if there are many such machines, since the network is
+    /// the likelier cause. While peers can't be reached, most machines are heard by the peers
+    /// alone; the responses to probes tell live machines from dead ones.
     fn overdue_machines(&self, survey: MachineSurvey) -> Vec<OverdueMachine> {
         let mut give_up = BTreeMap::new();
-        let limit = self.unheard_limit_ms();
-        if self.now - self.lifecycle.resumed_at >= limit + self.settings.report_ms {
+        let limit_ms = self.unheard_limit_ms();
+        if self.now - self.lifecycle.resumed_at >= limit_ms + self.settings.report_ms {
             let patience_ms = match survey.silent.len() * 3 <= survey.up {
-                true => limit,
-                false => limit.max(self.settings.lease_ms) * MASS_SILENCE_FACTOR,
+                true => limit_ms,
+                false => limit_ms.max(self.settings.lease_ms) * MASS_SILENCE_FACTOR,
             };
             for silent in survey.silent {
                 give_up.insert(silent.machine, silent.silence_ms > patience_ms);
@@ -123,12 +126,12 @@
             .collect()
     }
 
-    /// Probes machines that are overdue, and marks those for termination that failed to answer.
+    /// Probes machines that are overdue, and marks those for termination that failed to respond.
     fn probe_overdue_machines(&mut self, survey: MachineSurvey) {
         let overdue_ms = self.settings.report_due_ms() + PROBE_AFTER_MS;
         let mut probed_in_zone: BTreeMap<String, usize> = BTreeMap::new();
         let mut overdue = self.overdue_machines(survey);
-        // Of an unreachable zone only a few are probed, each time others.
+        // In an unreachable zone only a few machines are probed, a random choice each time.
         overdue.shuffle(&mut self.rng);
         for OverdueMachine { machine, give_up } in overdue {
             let record = self.cache.machine(&machine);
@@ -138,7 +141,7 @@
                 unanswered_at,
                 ..
             } = self.workers.observations.of(&machine);
-            let overdue_at = self.now - self.silence(&machine) + overdue_ms;
+            let overdue_at = self.now - self.silence_ms(&machine) + overdue_ms;
             let probe_failed =
                 unanswered_at.is_some_and(|at| at > overdue_at && self.now < at + PROBE_FRESH_MS);
             let failed_at = unanswered_at.unwrap_or(0);
@@ -163,8 +166,8 @@
         }
     }
 
-    /// Probes machines whose heartbeats arrive again after a direct command went unanswered: whether
-    /// commands reach them again as well.
+    /// Probes machines whose heartbeats arrive again after a direct command got no response, to
+    /// find out whether commands reach them again as well.
     fn probe_unreachable_machines(&mut self) {
         let reports_again = |(id, machine, _): &(&str, &MachineRecord, u64)| {
             let liveness = self.liveness(id);
@@ -184,14 +187,14 @@
         }
     }
 
-    /// Sends a machine a direct command without orders, to see whether it answers.
+    /// Probes a machine: sends a direct command without orders, to see whether it responds.
     fn probe(&mut self, id: String) {
-        self.workers.observations.note(&id).probed_at = Some(self.now);
+        self.workers.observations.entry(&id).probed_at = Some(self.now);
         self.send_command(id, Vec::new());
     }
 
-    /// Machines that still hold a cancelled task when the time for its cancellation runs out.
-    fn find_uncancelled(&self, terminations: &mut Terminations) {
+    /// Finds machines that still hold a cancelled task when the time for its cancellation runs out.
+    fn find_machines_with_cancelled_tasks(&self, terminations: &mut Terminations) {
         let confirmed_after_ms = (self.settings.cancel_ms as f64 * CANCEL_DELETE_SHARE) as u64;
         for (job, counts) in self.cache.counted() {
             let unconfirmed = self.cache.ending(job);
@@ -209,7 +212,7 @@
             }
             let chunks = self.cache.chunks_of(job);
             for (_, assignment) in chunks.flat_map(|(_, chunk)| chunk.assigned()) {
-                if !unconfirmed || !self.is_spared(&assignment.machine) {
+                if !unconfirmed || !self.is_deletion_deferred(&assignment.machine) {
                     let reason = TerminationReason::HoldsCancelledTask;
                     terminations.push((assignment.machine.clone(), reason));
                 }
@@ -217,17 +220,17 @@
         }
     }
 
-    /// Machines that have been idle for long, and machines that never came up. Notes since when
-    /// machines are known, up and idle.
+    /// Finds machines that have been idle for long, and machines that never came up. Records since
+    /// when machines are known, up and idle.
     fn find_idle_or_never_up(&mut self, terminations: &mut Terminations) {
         for (id, machine, _) in self.cache.machines() {
-            let observation = self.workers.observations.note(id);
+            let observation = self.workers.observations.entry(id);
             let first_seen_at = *observation.first_seen_at.get_or_insert(self.now);
             if machine.is_up() {
                 observation.up_since.get_or_insert(self.now);
                 if self.cache.assigned_tasks(id) == 0 {
                     let idle_since = *observation.idle_since.get_or_insert(self.now);
-                    // Controllers take turns, so that not all of them record the deletion.
+                    // Controllers are staggered, so that not all of them record the deletion.
                     let stagger_ms = self.settings.controller_index() * CONTROLLER_STAGGER_MS;
                     let keep_ms = match machine.phase {
                         MachinePhase::Draining => 0,
@@ -249,7 +252,7 @@
         }
     }
 
-    /// Instances that an instance request brought, and that never came up.
+    /// Finds instances of instance requests that never came up.
     fn find_missing_instances(&self, terminations: &mut Terminations) {
         for (number, request, _) in self.cache.instance_requests() {
             let known_since = self.provisioning.request_known_since.get(number);
@@ -264,13 +267,14 @@
         }
     }
 
-    /// Whether a machine has sent a heartbeat lately, though its record may not say so yet.
+    /// Returns whether a machine has sent a heartbeat recently, though its record may not say so
+    /// yet.
     fn recently_reported(&self, id: &str) -> bool {
-        let fresh = |at: Millis| self.now < at + 2 * self.settings.lease_ms;
-        self.last_worker_heartbeat(id).is_some_and(fresh)
+        let is_recent = |at: Millis| self.now < at + 2 * self.settings.lease_ms;
+        self.last_worker_heartbeat(id).is_some_and(is_recent)
     }
 
-    /// Milliseconds that a machine of a type may take until its first heartbeat.
+    /// Returns the milliseconds that a machine of a type may take until its first heartbeat.
     fn boot_limit_ms(&self, type_name: &str) -> Millis {
         let boot_s = self.machine_types.get(type_name).map_or(60.0, |t| t.boot_s);
         (boot_s * 1000.0 * BOOT_GIVE_UP) as u64 + BOOT_SPARE_MS
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -1,31 +1,35 @@
-//! Heartbeats of workers as they arrive: dropped, answered, held or redirected.
+//! Worker heartbeats: the controller drops, answers, holds or redirects each one.
 
 use crate::constants::{HEARTBEAT_HOLD_MS, WORKER_FAILOVER_MS, WORKER_HANDOFF_MS};
 use crate::controller::{Controller, Effect, RequestId, WorkerReply};
 use crate::model::{HeartbeatPosition, Millis, WorkerHeartbeat};
 use crate::workers::registry::ReceivedHeartbeat;
 
-/// A heartbeat that waits for its answer: for the records to be read after a start, or for a
-/// start to be recorded that its answer shall carry.
+/// A heartbeat whose reply is held back, either until the state cache is current, or until a start
+/// that the reply carries is recorded.
 pub(crate) struct HeldHeartbeat {
     pub request: RequestId,
     pub heartbeat: WorkerHeartbeat,
-    pub since: Millis,
-    /// Nothing has been made of it yet.
-    pub early: bool,
+    pub held_since: Millis,
+    /// Whether the heartbeat is still to be processed, because the state cache was not current when
+    /// it arrived.
+    pub needs_processing: bool,
 }
 
 impl HeldHeartbeat {
     pub fn position(&self) -> HeartbeatPosition {
         self.heartbeat.position()
     }
-    /// Whether its answer can still carry a start.
-    pub fn carries(&self, now: Millis) -> bool {
-        now < self.since + HEARTBEAT_HOLD_MS - 400
+    /// Returns whether its reply can still carry a start: the transaction that records the start
+    /// needs some 400 ms before the hold ends.
+    pub fn can_carry_start(&self, now: Millis) -> bool {
+        now < self.held_since + HEARTBEAT_HOLD_MS - 400
     }
 }
 
 impl Controller {
+    /// Receives a worker's heartbeat: drops duplicates, updates when the machine and its zone were
+    /// last heard, and processes the heartbeat.
     pub(crate) fn receive_worker_heartbeat(
         &mut self,
         request: RequestId,
@@ -33,30 +37,31 @@
     ) {
         self.metrics.check_ins += 1;
         let position = heartbeat.position();
-        let at = self.now;
-        if self.settings.checks.copies && self.liveness(&heartbeat.machine).knows(position) {
-            // A copy, or one that a newer overtook: its worker waits for no answer, and it is no sign of
-            // life. What it shows the newer one showed as well.
+        let now = self.now;
+        if self.settings.checks.copies && self.liveness(&heartbeat.machine).has_received(position) {
+            // A duplicate, or overtaken by a newer heartbeat: the worker no longer waits for the
+            // reply, the heartbeat is no evidence that the machine is alive now, and the newer one
+            // contained all that this one reports.
             self.worker(request, WorkerReply::Unavailable);
             return;
         }
-        self.note_reachability(&heartbeat);
+        self.detect_unreachable_worker(&heartbeat);
         match self.workers.last_heartbeats.get_mut(&heartbeat.machine) {
-            Some(heard) => (heard.at, heard.position) = (at, position),
+            Some(last) => (last.at, last.position) = (now, position),
             None => {
-                let heard = ReceivedHeartbeat { at, position };
+                let received = ReceivedHeartbeat { at: now, position };
                 self.workers
                     .last_heartbeats
-                    .insert(heartbeat.machine.clone(), heard);
+                    .insert(heartbeat.machine.clone(), received);
             }
         }
         self.peers.note_failover_of(&heartbeat.machine);
-        self.heard_worker();
-        match self.workers.zones_heard_at.get_mut(&heartbeat.zone) {
-            Some(at) => *at = self.now,
+        self.record_worker_contact();
+        match self.workers.zone_heartbeat_at.get_mut(&heartbeat.zone) {
+            Some(heard_at) => *heard_at = self.now,
             None if self.settings.zones.contains(&heartbeat.zone) => {
                 self.workers
-                    .zones_heard_at
+                    .zone_heartbeat_at
                     .insert(heartbeat.zone.clone(), self.now);
             }
             None => {}
@@ -64,11 +69,11 @@
         self.process_worker_heartbeat(request, heartbeat);
     }
 
-    /// Answers a heartbeat, or holds it.
+    /// Replies to a heartbeat, redirects its worker, or holds it.
     fn process_worker_heartbeat(&mut self, request: RequestId, heartbeat: WorkerHeartbeat) {
         if self.awaits_current_view() {
-            // Just started, or awake again: the view will be current in a moment, while another
-            // controller would be a second away.
+            // After a start or a resume the cache becomes current within moments, while the worker
+            // would need a second to reach another controller.
             self.hold_heartbeat(request, heartbeat, true);
             return;
         }
@@ -82,7 +87,8 @@
             return;
         };
         if heartbeat.token > token {
-            // Commands of a newer term than this controller knows: not entitled to answer.
+            // The worker has seen a token of a newer term than this controller knows, so this
+            // controller must not command it.
             self.worker(request, WorkerReply::Unavailable);
             return;
         }
@@ -103,45 +109,48 @@
                 },
             );
         } else {
-            let commands = self.commands(&heartbeat);
-            self.reply_orders(&heartbeat.machine, request, token, commands);
+            let commands = self.commands_for_reply(&heartbeat);
+            self.reply_with_commands(&heartbeat.machine, request, token, commands);
         }
     }
 
-    /// Notes what a heartbeat says of whether its machine hears any controller. One that does not goes on
-    /// reporting, and once its lease has ended it looks free: its heartbeats alone are no reason to place
-    /// work there. It counts as unreached until it answers a question (`ask_unreached`).
-    fn note_reachability(&mut self, heartbeat: &WorkerHeartbeat) {
+    /// Detects machines that send heartbeats but receive no replies. Such a machine keeps
+    /// reporting, and looks free once its lease has ended, so its heartbeats alone are no reason to
+    /// place work there. It counts as unreachable until it answers a probe
+    /// (`probe_unreachable_machines`).
+    fn detect_unreachable_worker(&mut self, heartbeat: &WorkerHeartbeat) {
         let id = &heartbeat.machine;
         let liveness = self.liveness(id);
-        let half = self.settings.lease_ms / 2;
-        let lately = liveness
+        let half_lease_ms = self.settings.lease_ms / 2;
+        let is_recent = liveness
             .last_heartbeat_at()
-            .is_some_and(|at| self.now < at + half);
-        if !lately {
+            .is_some_and(|at| self.now < at + half_lease_ms);
+        if !is_recent {
             return;
         }
-        // Its lease ended though controllers received its heartbeats.
+        // Its lease ended although controllers received its heartbeats.
         if liveness
             .incarnation()
             .is_some_and(|known| known < heartbeat.incarnation)
         {
-            self.workers.observations.note(id).unanswered_at = Some(self.now);
+            self.workers.observations.entry(id).unanswered_at = Some(self.now);
             return;
         }
-        // It waited in vain for a controller that is well; one that was handed over comes at once.
-        let waited = |at: Millis| self.now + WORKER_HANDOFF_MS >= at + WORKER_FAILOVER_MS;
-        let by = liveness
+        // Its worker timed out waiting for a healthy controller's reply. A worker that was handed
+        // over arrives within `WORKER_HANDOFF_MS` instead.
+        let timed_out = |at: Millis| self.now + WORKER_HANDOFF_MS >= at + WORKER_FAILOVER_MS;
+        let previous_peer = liveness
             .from_peers
-            .filter(|t| !liveness.reports_here() && waited(t.at));
-        let left = by.is_some_and(|t| self.peers.is_healthy(self.now, t.peer()));
-        if left && liveness.observation.may_be_probed(self.now) {
-            self.workers.observations.note(id).probed_at = Some(self.now);
+            .filter(|peer| !liveness.reports_here() && timed_out(peer.at));
+        let left_healthy_peer =
+            previous_peer.is_some_and(|peer| self.peers.is_healthy(self.now, peer.peer()));
+        if left_healthy_peer && liveness.observation.may_be_probed(self.now) {
+            self.workers.observations.entry(id).probed_at = Some(self.now);
             self.send_command(id.clone(), Vec::new());
         }
     }
 
-    /// Whether the records, or a proof that they are current, are about to come.
+    /// Returns whether the records, or the proof that they are current, are expected shortly.
     pub(super) fn awaits_current_view(&self) -> bool {
         if !self.settings.checks.view {
             return false;
@@ -151,48 +160,56 @@
                 && self.now < self.lifecycle.resumed_at + HEARTBEAT_HOLD_MS
     }
 
-    fn hold_heartbeat(&mut self, request: RequestId, heartbeat: WorkerHeartbeat, early: bool) {
+    /// Holds a heartbeat; of two from the same machine only the later one is held.
+    fn hold_heartbeat(
+        &mut self,
+        request: RequestId,
+        heartbeat: WorkerHeartbeat,
+        needs_processing: bool,
+    ) {
         let id = heartbeat.machine.clone();
-        if let Some(old) = self.workers.held_heartbeats.remove(&id) {
-            if old.position() > heartbeat.position() {
-                self.workers.held_heartbeats.insert(id, old);
+        if let Some(earlier) = self.workers.held_heartbeats.remove(&id) {
+            if earlier.position() > heartbeat.position() {
+                self.workers.held_heartbeats.insert(id, earlier);
                 self.worker(request, WorkerReply::Unavailable);
                 return;
             }
-            // The worker has given up the earlier one, so its answer carries nothing.
-            self.worker(old.request, WorkerReply::Unavailable);
+            // The worker no longer waits for the reply to the earlier heartbeat, so that reply
+            // carries nothing.
+            self.worker(earlier.request, WorkerReply::Unavailable);
         }
-        let since = self.now;
+        let held_since = self.now;
         self.workers.held_heartbeats.insert(
             id,
             HeldHeartbeat {
                 request,
                 heartbeat,
-                since,
-                early,
+                held_since,
+                needs_processing,
             },
         );
     }
 
-    /// Goes on with heartbeats that came before the records were read.
+    /// Processes the heartbeats that arrived before the state cache was current.
     pub(crate) fn process_early_heartbeats(&mut self) {
         if self.awaits_current_view() {
             return;
         }
-        let early: Vec<String> = self
+        let machines: Vec<String> = self
             .workers
             .held_heartbeats
             .iter()
-            .filter(|(_, h)| h.early)
+            .filter(|(_, held)| held.needs_processing)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in early {
+        for id in machines {
             if let Some(held) = self.workers.held_heartbeats.remove(&id) {
                 self.process_worker_heartbeat(held.request, held.heartbeat);
             }
         }
     }
 
+    /// Replies to a worker's heartbeat.
     pub(crate) fn worker(&mut self, request: RequestId, reply: WorkerReply) {
         self.emit(Effect::Worker { request, reply });
     }
--- a/crates/core/src/workers/machine_updates.rs
+++ b/crates/core/src/workers/machine_updates.rs
@@ -1,68 +1,84 @@
-//! Changes of machines' records that heartbeats give reason for.
+//! Changes to machine records that heartbeats give evidence of.
 
 use crate::controller::{Controller, Effect};
 use crate::model::WorkerHeartbeat;
 use crate::state::{InstanceRequestRecord, MachinePhase, MachineRecord};
 
-/// What a heartbeat says of the machine itself, as far as its record lacks it.
+/// A machine's data from its heartbeat, where its record differs.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct MachineUpdate {
     pub address: String,
     pub type_name: String,
     pub zone: String,
     pub spot: bool,
-    pub notice: bool,
-    /// A direct command is to be barred: the token must be above this one.
-    pub above: Option<u64>,
+    pub has_reclaim_notice: bool,
+    /// Fences a direct command: the machine's token must be raised above this one.
+    pub fence_above: Option<u64>,
 }
+
 impl Controller {
-    /// Notes what a heartbeat gives reason to record of its machine.
-    pub(super) fn note_machine_update(&mut self, heartbeat: &WorkerHeartbeat, above: Option<u64>) {
+    /// Queues the record changes that a heartbeat gives evidence of.
+    pub(super) fn queue_machine_update(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        fence_above: Option<u64>,
+    ) {
         if !self.is_known_machine(heartbeat) {
             return;
         }
-        let (address, notice) = (&heartbeat.address, heartbeat.notice_s.is_some());
+        let (address, has_reclaim_notice) = (&heartbeat.address, heartbeat.notice_s.is_some());
         let known = self.cache.machine(&heartbeat.machine);
-        if known.is_some_and(|m| self.record_changes(m, address, notice, above).is_none()) {
+        if known.is_some_and(|m| {
+            self.record_changes(m, address, has_reclaim_notice, fence_above)
+                .is_none()
+        }) {
             return;
         }
-        let seen = MachineUpdate {
+        let update = MachineUpdate {
             address: heartbeat.address.clone(),
             type_name: heartbeat.type_name.clone(),
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
-            notice: heartbeat.notice_s.is_some(),
-            above,
+            has_reclaim_notice: heartbeat.notice_s.is_some(),
+            fence_above,
         };
-        if self.updated_record(&heartbeat.machine, &seen).is_some() {
-            if above.is_some() {
-                self.workers.starts.raise(&heartbeat.machine);
+        if self.updated_record(&heartbeat.machine, &update).is_some() {
+            if fence_above.is_some() {
+                self.workers.starts.request_token_raise(&heartbeat.machine);
             }
             self.write_back
                 .machine_updates
-                .insert(heartbeat.machine.clone(), seen);
+                .insert(heartbeat.machine.clone(), update);
         }
     }
 
-    /// Whether a machine is on record, or known to have been provisioned. Any other must answer a question before it
-    /// is recorded: its heartbeat may be old, and the machine gone long since, which a controller that has just
-    /// started does not know.
+    /// Returns whether a machine is on record, or known to have been provisioned. Any other machine
+    /// must answer a probe before it is recorded: its heartbeat may be old and the machine long
+    /// deleted, which a controller that has just started does not know.
     fn is_known_machine(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
         let id = &heartbeat.machine;
-        let rented =
-            |h: &InstanceRequestRecord| h.instances.iter().flatten().any(|instance| instance == id);
+        let is_requested = |request: &InstanceRequestRecord| {
+            request
+                .instances
+                .iter()
+                .flatten()
+                .any(|instance| instance == id)
+        };
         if !self.settings.checks.strangers
             || self.cache.machine(id).is_some()
-            || self.cache.instance_requests().any(|(_, h, _)| rented(h))
+            || self
+                .cache
+                .instance_requests()
+                .any(|(_, request, _)| is_requested(request))
         {
             return true;
         }
-        let of = self.workers.observations.of(id);
-        if of.answered_at.is_some() {
+        let observation = self.workers.observations.of(id);
+        if observation.answered_at.is_some() {
             return true;
         }
-        if let (Some(token), true) = (self.fencing_token(id), of.may_be_probed(self.now)) {
-            self.workers.observations.note(id).probed_at = Some(self.now);
+        if let (Some(token), true) = (self.fencing_token(id), observation.may_be_probed(self.now)) {
+            self.workers.observations.entry(id).probed_at = Some(self.now);
             tracing::info!(machine = id, "unmanaged instance, probed first");
             self.emit(Effect::Command {
                 machine: id.clone(),
@@ -75,73 +91,82 @@
         false
     }
 
-    /// A machine's token is to be raised above this one, so that what went under it can't arrive any more.
+    /// Queues a raise of a machine's token above the given one, so that commands sent under it can
+    /// no longer arrive.
     pub(crate) fn fence_start(&mut self, id: &str, token: u64) {
-        let Some(m) = self.cache.machine(id) else {
+        let Some(machine) = self.cache.machine(id) else {
             return;
         };
-        let seen = self
+        let update = self
             .write_back
             .machine_updates
             .entry(id.to_string())
             .or_insert(MachineUpdate {
-                address: m.address.clone(),
-                type_name: m.type_name.clone(),
-                zone: m.zone.clone(),
-                spot: m.spot,
-                notice: false,
-                above: None,
+                address: machine.address.clone(),
+                type_name: machine.type_name.clone(),
+                zone: machine.zone.clone(),
+                spot: machine.spot,
+                has_reclaim_notice: false,
+                fence_above: None,
             });
-        seen.above = seen.above.max(Some(token));
-        self.workers.starts.raise(id);
+        update.fence_above = update.fence_above.max(Some(token));
+        self.workers.starts.request_token_raise(id);
     }
 
-    /// A machine's record with what a heartbeat says of it, if that changes it.
-    pub(crate) fn updated_record(&self, id: &str, seen: &MachineUpdate) -> Option<MachineRecord> {
+    /// Returns a machine's record with the data of a heartbeat, if these change it.
+    pub(crate) fn updated_record(&self, id: &str, update: &MachineUpdate) -> Option<MachineRecord> {
         let Some(record) = self.cache.machine(id) else {
             return (!self.workers.recently_deleted.contains(id)).then(|| MachineRecord {
-                address: seen.address.clone(),
+                address: update.address.clone(),
                 ..MachineRecord::new(
-                    &seen.type_name,
-                    &seen.zone,
-                    seen.spot,
+                    &update.type_name,
+                    &update.zone,
+                    update.spot,
                     MachinePhase::Up,
                     self.wall,
                 )
             });
         };
-        let (phase, raise) = self.record_changes(record, &seen.address, seen.notice, seen.above)?;
+        let (phase, raises_token) = self.record_changes(
+            record,
+            &update.address,
+            update.has_reclaim_notice,
+            update.fence_above,
+        )?;
         Some(MachineRecord {
             phase,
-            token_offset: record.token_offset + u64::from(raise),
-            address: seen.address.clone(),
+            token_offset: record.token_offset + u64::from(raises_token),
+            address: update.address.clone(),
             ..record.clone()
         })
     }
 
-    /// What a heartbeat changes in a machine's record, if anything: its phase, and whether its token is
-    /// raised.
+    /// Returns the new phase of a machine's record, and whether its token is raised, if a heartbeat
+    /// changes the record.
     fn record_changes(
         &self,
         record: &MachineRecord,
         address: &str,
-        notice: bool,
-        above: Option<u64>,
+        has_reclaim_notice: bool,
+        fence_above: Option<u64>,
     ) -> Option<(MachinePhase, bool)> {
         let term = self.cache.term().unwrap_or(0);
-        let phase = match (record.phase, notice) {
+        let phase = match (record.phase, has_reclaim_notice) {
             (MachinePhase::Booting | MachinePhase::Up, true) => MachinePhase::Draining,
             (MachinePhase::Booting, false) => MachinePhase::Up,
             (phase, _) => phase,
         };
-        let raise = above.is_some_and(|t| t >= term + record.token_offset);
-        let news = phase != record.phase || raise || record.address != address;
-        news.then_some((phase, raise))
+        let raises_token = fence_above.is_some_and(|token| token >= term + record.token_offset);
+        let is_changed = phase != record.phase || raises_token || record.address != address;
+        is_changed.then_some((phase, raises_token))
     }
 
-    /// The token under which a machine is commanded, the same for all controllers.
+    /// Returns the token under which a machine is commanded, the same for all controllers.
     pub(crate) fn fencing_token(&self, id: &str) -> Option<u64> {
-        let token_offset = self.cache.machine(id).map_or(0, |m| m.token_offset);
+        let token_offset = self
+            .cache
+            .machine(id)
+            .map_or(0, |machine| machine.token_offset);
         Some(self.cache.term()? + token_offset)
     }
 }
--- a/crates/core/src/workers/mod.rs
+++ b/crates/core/src/workers/mod.rs
@@ -1,4 +1,5 @@
-//! Workers: heartbeats in, reconciliation with the records, commands out, failure detection.
+//! Workers: heartbeat handling, reconciliation with the assignments on record, commands and failure
+//! detection.
 
 mod commands;
 mod failure_detection;
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -1,4 +1,5 @@
-//! Whether workers reach this controller: one that is partitioned from them must not act on their silence.
+//! Detection of a partition between this controller and the workers: a partitioned controller must
+//! not act on their silence.
 
 use crate::constants::{
     COMMAND_LIMIT_MS, INBOUND_GAP_MS, PARTITION_PROBE_INTERVAL_MS, PARTITION_UNANSWERED_COMMANDS,
@@ -9,114 +10,122 @@
 use crate::peers::Peer;
 use rand::seq::SliceRandom;
 
-/// Signs of whether this controller is partitioned from the workers.
+/// Evidence of whether this controller is partitioned from the workers.
 #[derive(Debug)]
 pub(crate) struct WorkerReachability {
-    /// Direct commands without an answer since workers were last heard from, in a row.
-    unanswered: u32,
-    /// When a worker's heartbeat or answer last came.
+    /// Consecutive direct commands without a response since a worker was last heard.
+    unanswered_commands: u32,
+    /// When a worker's heartbeat or response last arrived.
     heard_at: Millis,
-    /// End of the last gap between these that was too long for chance.
+    /// End of the last interval without either that was too long to be chance.
     inbound_lost_until: Millis,
-    /// When it last probed a machine to see whether the partition is over.
+    /// When this controller last probed a machine to find out whether the partition is over.
     probed_at: Millis,
 }
 
 impl WorkerReachability {
     pub fn new(now: Millis) -> WorkerReachability {
         WorkerReachability {
-            unanswered: 0,
+            unanswered_commands: 0,
             heard_at: now,
             inbound_lost_until: 0,
             probed_at: now,
         }
     }
 
-    /// Milliseconds since a worker was heard.
-    pub fn gap(&self, now: Millis) -> Millis {
+    /// Returns the milliseconds since a worker was heard.
+    pub fn silence_ms(&self, now: Millis) -> Millis {
         now - self.heard_at
     }
 
-    /// A heartbeat or an answer of a worker has come. `longest`: the longest gap in milliseconds that is no
-    /// sign of a partition.
-    pub fn heard(&mut self, now: Millis, longest: Millis) {
-        if self.gap(now) > longest {
+    /// Records that a worker's heartbeat or response has arrived. `max_gap_ms` is the longest
+    /// interval without either that is no evidence of a partition.
+    pub fn record_contact(&mut self, now: Millis, max_gap_ms: Millis) {
+        if self.silence_ms(now) > max_gap_ms {
             self.inbound_lost_until = now;
         }
-        (self.unanswered, self.heard_at) = (0, now);
+        (self.unanswered_commands, self.heard_at) = (0, now);
     }
 
-    /// A direct command got no answer.
-    pub fn command_unanswered(&mut self) {
-        self.unanswered = self.unanswered.saturating_add(1);
+    /// Records that a direct command got no response.
+    pub fn record_unanswered_command(&mut self) {
+        self.unanswered_commands = self.unanswered_commands.saturating_add(1);
     }
 
-    /// Whether too many direct commands in a row got no answer.
-    pub fn is_doubtful(&self) -> bool {
-        self.unanswered >= PARTITION_UNANSWERED_COMMANDS
+    /// Returns whether too many direct commands in a row got no response.
+    pub fn suspects_partition(&self) -> bool {
+        self.unanswered_commands >= PARTITION_UNANSWERED_COMMANDS
     }
 
-    /// Whether a direct command that failed says nothing of its machine: no worker was heard since, or it was
-    /// sent in the last moments of a partition.
-    pub fn failed_alone(&self, at: Millis) -> bool {
+    /// Returns whether a direct command that failed is no evidence against its machine: no worker
+    /// was heard since, or the command was sent shortly before a partition ended.
+    pub fn is_failure_inconclusive(&self, at: Millis) -> bool {
         self.heard_at <= at || at <= self.inbound_lost_until + 2 * COMMAND_LIMIT_MS
     }
 
-    /// Whether to probe a machine now to see whether the partition is over.
-    pub fn asks(&mut self, now: Millis) -> bool {
-        let asks = self.is_doubtful() && now >= self.probed_at + PARTITION_PROBE_INTERVAL_MS;
-        if asks {
+    /// Returns whether to probe a machine now to find out whether the partition is over, and
+    /// records the probe.
+    pub fn take_probe_due(&mut self, now: Millis) -> bool {
+        let is_due =
+            self.suspects_partition() && now >= self.probed_at + PARTITION_PROBE_INTERVAL_MS;
+        if is_due {
             self.probed_at = now;
         }
-        asks
+        is_due
     }
 
-    /// After a pause of this process missing answers were its own fault.
+    /// Resets the count of missing responses: after a pause of this process they were its own
+    /// fault.
     pub fn reset_after_pause(&mut self) {
-        self.unanswered = 0;
+        self.unanswered_commands = 0;
     }
 }
 
 impl Controller {
-    /// Whether workers reach this controller, as far as can be told. Partitioned from them alone, it would
-    /// claim work whose starts never arrive, and draw users away from controllers that serve them.
+    /// Returns whether workers reach this controller, as far as is known. A controller that is
+    /// partitioned from the workers alone would claim tasks whose starts never arrive, and draw
+    /// users away from controllers that can serve them.
     pub(crate) fn workers_reachable(&self) -> bool {
-        let heard_peers =
-            |s: &Peer| s.heartbeat.workers_reachable && !s.heartbeat.workers.is_empty();
-        !self.workers.reachability.is_doubtful()
+        let is_heard_peer =
+            |peer: &Peer| peer.heartbeat.workers_reachable && !peer.heartbeat.workers.is_empty();
+        !self.workers.reachability.suspects_partition()
             || !self.settings.checks.workers
-            || !self.fresh_peers().any(heard_peers)
+            || !self.fresh_peers().any(is_heard_peer)
     }
 
-    /// Whether it may be this controller that a question did not get out of: it has heard no worker since,
-    /// while peers have. It took the first two or three machines that fell silent so for dead.
-    pub(super) fn may_be_partitioned(&self, asked: Millis) -> bool {
-        let elsewhere = self.fresh_peers().any(|s| {
-            let since = self.now - s.at;
-            let heard = s
+    /// Returns whether an unanswered probe may be due to a partition of this controller: it has
+    /// heard no worker since the probe, while peers have. Without this check a partitioned
+    /// controller terminated the first two or three machines that fell silent.
+    pub(super) fn may_be_partitioned(&self, probed_at: Millis) -> bool {
+        let heard_elsewhere = self.fresh_peers().any(|peer| {
+            let peer_age_ms = self.now - peer.at;
+            let heard_at = peer
                 .heartbeat
                 .workers
                 .iter()
-                .map(|worker| self.now - (worker.age_ms + since).min(self.now));
-            heard.max().is_some_and(|at| at > asked)
+                .map(|worker| self.now - (worker.age_ms + peer_age_ms).min(self.now));
+            heard_at.max().is_some_and(|at| at > probed_at)
         });
-        !self.workers_reachable() || self.workers.reachability.failed_alone(asked) && elsewhere
+        !self.workers_reachable()
+            || self.workers.reachability.is_failure_inconclusive(probed_at) && heard_elsewhere
     }
 
-    /// A worker has reported here, or answered.
-    pub(super) fn heard_worker(&mut self) {
-        let mut longest = INBOUND_GAP_MS;
-        if self.workers.reachability.gap(self.now) > INBOUND_GAP_MS {
-            let many =
+    /// Records that a worker's heartbeat or response has arrived here.
+    pub(super) fn record_worker_contact(&mut self) {
+        let mut max_gap_ms = INBOUND_GAP_MS;
+        if self.workers.reachability.silence_ms(self.now) > INBOUND_GAP_MS {
+            let max_chance_gap_ms =
                 self.settings.report_ms * ZONE_MISSED_HEARTBEATS / (self.load() as u64).max(1);
-            longest = longest.max(many.min(self.settings.report_due_ms()));
+            max_gap_ms = max_gap_ms.max(max_chance_gap_ms.min(self.settings.report_due_ms()));
         }
-        self.workers.reachability.heard(self.now, longest);
+        self.workers
+            .reachability
+            .record_contact(self.now, max_gap_ms);
     }
 
-    /// While this controller is partitioned from the workers, probes one of them now and then.
+    /// While this controller is partitioned from the workers, probes one of them at an interval.
     pub(crate) fn probe_partition(&mut self) {
-        if !self.workers.reachability.asks(self.now) {
+        if !self.workers.reachability.take_probe_due(self.now) {
             return;
         }
         let heard: Vec<&str> = (self.cache.machines())
--- a/crates/core/src/workers/reconciliation.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -1,7 +1,7 @@
-//! Reconciliation of what workers report with what is recorded.
+//! Reconciliation of the tasks that workers report with the assignments on record.
 //!
-//! A start travels by one direct command, or in the answer to the heartbeat recorded in its
-//! assignment. `reconcile` says what proves that it will never arrive.
+//! A start is delivered by one direct command, or in the reply to the heartbeat that its assignment
+//! names. `reconcile` decides which evidence proves that a start will never arrive.
 
 use crate::constants::{LIKELY_CHANCE, NOTICE_SPARE_MS};
 use crate::controller::Controller;
@@ -12,35 +12,38 @@
 use foldhash::HashMap;
 use std::collections::BTreeSet;
 
-/// What a heartbeat shows of the assignments of its machine.
+/// The differences between a heartbeat and the assignments of its machine.
 #[derive(Default)]
 struct Findings {
     /// Attempts that run, if run times are learned.
     running: Vec<(TaskId, u64)>,
-    /// Attempts that ended, and the delivery that the proof depends on, if on any.
+    /// Attempts that ended, each with the delivery on which the proof is conditional, if on any.
     ended: Vec<((TaskId, u64), AttemptOutcome, Option<StartDelivery>)>,
     /// Attempts to be stopped so that they save a checkpoint.
     checkpoints: Vec<(TaskId, u64)>,
-    /// The highest token of direct commands that were lost: the machine's must be raised above it.
+    /// The highest token of the direct commands that were lost: the machine's token must be raised
+    /// above it.
     fence_above: Option<u64>,
-    /// Whether a start has to go into the answer.
+    /// Whether the reply has to carry a start.
     needs_start: bool,
 }
 
 impl Controller {
-    /// Notes what a heartbeat proves and what it gives reason to record. Returns whether a start has to go
-    /// into its answer. What it proves holds however old it is.
+    /// Queues the ended attempts, checkpoints and record changes that a heartbeat gives evidence
+    /// of. Returns whether the reply has to carry a start. An old heartbeat proves as much as a new
+    /// one.
     pub(super) fn reconcile(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
         let findings = self.compare_with_assignments(heartbeat);
         for (task, attempt) in findings.running {
             self.seen_running(&task, attempt, heartbeat);
         }
-        for ((task, attempt), outcome, rests_on) in findings.ended {
-            self.note_attempt_ended(task, attempt, outcome, rests_on);
+        for ((task, attempt), outcome, conditional_on) in findings.ended {
+            self.queue_result(task, attempt, outcome, conditional_on);
         }
         let mut checkpoints = findings.checkpoints;
         if let Some(notice_s) = heartbeat.notice_s.filter(|_| self.settings.learned.notice) {
-            // What ends before the machine is reclaimed needs no stop, nor a start elsewhere.
+            // A task that ends before the machine is reclaimed needs neither a stop nor a restart
+            // elsewhere.
             let notice_ms = (notice_s * 1e3) as Millis;
             let usable_ms = notice_ms.saturating_sub(NOTICE_SPARE_MS);
             checkpoints.retain(|(task, attempt)| {
@@ -49,7 +52,7 @@
         }
         self.write_back.checkpoints_due.extend(checkpoints);
         self.noted_report(heartbeat);
-        self.note_machine_update(heartbeat, findings.fence_above);
+        self.queue_machine_update(heartbeat, findings.fence_above);
         findings.needs_start
     }
 
@@ -76,7 +79,7 @@
             let attempt = (task.clone(), assignment.attempt);
             let is_start_lost = match (assignment.direct_start, phase) {
                 (_, Some(_)) => {
-                    self.workers.starts.shown(&attempt);
+                    self.workers.starts.record_reported(&attempt);
                     false
                 }
                 (Some(_), None) => self.workers.starts.is_missing(self.now, &attempt, id),
@@ -85,27 +88,28 @@
             let is_fenced = is_start_fenced(assignment, position, heartbeat.token);
             let is_wanted = assignment.stop.is_none() && spec.is_some();
             let outcome = match phase {
-                Some(TaskPhase::Exited(cause)) => Some(outcome_of(cause)),
-                None if outlived(assignment, position) || is_fenced && !is_wanted => {
+                Some(TaskPhase::Exited(cause)) => Some(attempt_outcome(cause)),
+                None if predates_incarnation(assignment, position) || is_fenced && !is_wanted => {
                     Some(AttemptOutcome::Terminated)
                 }
                 _ => None,
             };
             if let Some(outcome) = outcome {
-                let rests_on = phase.is_none().then_some(assignment.delivery());
-                findings.ended.push((attempt, outcome, rests_on));
+                let conditional_on = phase.is_none().then_some(assignment.delivery());
+                findings.ended.push((attempt, outcome, conditional_on));
             } else if is_running
                 && heartbeat.notice_s.is_some()
                 && assignment.stop.is_none()
                 && spec.is_some_and(|spec| spec.checkpoint_interval_s > 0.0)
             {
-                // The machine is about to be reclaimed: what can save its progress does so now.
+                // The machine is about to be reclaimed: tasks that can save a checkpoint do so now.
                 findings.checkpoints.push(attempt);
             } else if phase.is_none() && is_fenced {
                 findings.needs_start = true;
             } else if is_start_lost {
-                // A direct command without a trace: raise the token so that it can't come late. Once the
-                // worker reports the new token, the start is fenced.
+                // The direct command was lost. Raising the token makes the worker refuse the
+                // command should it arrive late; once the worker reports the new token, the start
+                // is fenced.
                 let token = assignment.direct_start.map(|start| start.token);
                 findings.fence_above = findings.fence_above.max(token);
             }
@@ -113,86 +117,90 @@
         findings
     }
 
-    /// Notes what the answer to a direct command shows to have ended. What it does not show proves
-    /// nothing: unlike a heartbeat it may overtake the answer to one, and a start in that.
+    /// Queues the attempts that the response to a direct command shows to have ended. A task
+    /// missing from the response proves nothing: unlike a heartbeat, the response may overtake the
+    /// reply to a heartbeat and a start in that reply.
     pub(crate) fn process_command_response(&mut self, heartbeat: &WorkerHeartbeat) {
-        let mut shown = BTreeSet::new();
-        for t in &heartbeat.tasks {
-            let assigned = self.cache.assignment(&heartbeat.machine, &t.task);
-            let ours = assigned.is_some_and(|p| p.assignment.attempt == t.attempt);
-            if ours {
-                let key = (t.task.clone(), t.attempt);
-                self.workers.starts.shown(&key);
-                shown.insert(key);
+        let mut reported = BTreeSet::new();
+        for status in &heartbeat.tasks {
+            let assigned = self.cache.assignment(&heartbeat.machine, &status.task);
+            let is_assigned = assigned.is_some_and(|p| p.assignment.attempt == status.attempt);
+            if is_assigned {
+                let attempt = (status.task.clone(), status.attempt);
+                self.workers.starts.record_reported(&attempt);
+                reported.insert(attempt);
             }
-            if let (true, TaskPhase::Exited(cause)) = (ours, t.phase) {
-                self.note_attempt_ended(t.task.clone(), t.attempt, outcome_of(cause), None);
+            if let (true, TaskPhase::Exited(cause)) = (is_assigned, status.phase) {
+                let outcome = attempt_outcome(cause);
+                self.queue_result(status.task.clone(), status.attempt, outcome, None);
             }
         }
         if self.settings.checks.incarnation {
-            // A newer incarnation is a proof in an answer as well: its worker has killed and forgotten all that
-            // was before, and no start of an earlier one arrives any more. Machines whose heartbeats reach
-            // nobody show it in no other way.
+            // A newer incarnation is proof in a response as well: the worker has killed and
+            // forgotten all tasks of earlier incarnations, and refuses their starts. For machines
+            // whose heartbeats reach no controller this is the only evidence.
             let position = heartbeat.position();
-            let over: Vec<(TaskId, u64, StartDelivery)> =
+            let ended: Vec<(TaskId, u64, StartDelivery)> =
                 (self.cache.assignments(&heartbeat.machine))
-                    .filter(|(_, p)| outlived(&p.assignment, position))
+                    .filter(|(_, p)| predates_incarnation(&p.assignment, position))
                     .map(|(task, p)| (task.clone(), &p.assignment))
-                    .filter(|(task, b)| !shown.contains(&(task.clone(), b.attempt)))
-                    .map(|(task, b)| (task, b.attempt, b.delivery()))
+                    .filter(|(task, a)| !reported.contains(&(task.clone(), a.attempt)))
+                    .map(|(task, a)| (task, a.attempt, a.delivery()))
                     .collect();
-            for (task, attempt, travel) in over {
-                self.note_attempt_ended(task, attempt, AttemptOutcome::Terminated, Some(travel));
+            for (task, attempt, delivery) in ended {
+                self.queue_result(task, attempt, AttemptOutcome::Terminated, Some(delivery));
             }
         }
-        // A direct command without a trace is barred before it is sent anew.
-        let mut above = None;
+        // Fence lost direct commands before their starts are sent again.
+        let mut fence_above = None;
         for (task, placed) in self.cache.assignments(&heartbeat.machine) {
-            let b = &placed.assignment;
-            let key = (task.clone(), b.attempt);
-            let Some(start) = b.direct_start.filter(|_| !shown.contains(&key)) else {
+            let assignment = &placed.assignment;
+            let attempt = (task.clone(), assignment.attempt);
+            let Some(start) = assignment
+                .direct_start
+                .filter(|_| !reported.contains(&attempt))
+            else {
                 continue;
             };
             if start.incarnation == heartbeat.incarnation
                 && self
                     .workers
                     .starts
-                    .is_missing(self.now, &key, &heartbeat.machine)
+                    .is_missing(self.now, &attempt, &heartbeat.machine)
             {
-                above = above.max(Some(start.token));
+                fence_above = fence_above.max(Some(start.token));
             }
         }
-        if above.is_some() || self.cache.machine(&heartbeat.machine).is_none() {
-            self.note_machine_update(heartbeat, above);
+        if fence_above.is_some() || self.cache.machine(&heartbeat.machine).is_none() {
+            self.queue_machine_update(heartbeat, fence_above);
         }
     }
 
-    /// Keeps a proof until it is recorded.
-    fn note_attempt_ended(
+    /// Queues the proof that an attempt has ended until it is recorded.
+    fn queue_result(
         &mut self,
         task: TaskId,
         attempt: u64,
         outcome: AttemptOutcome,
-        rests_on: Option<StartDelivery>,
+        conditional_on: Option<StartDelivery>,
     ) {
         self.run_ended(&task, attempt, outcome);
         let key = (task, attempt);
         self.metrics.results += u64::from(!self.write_back.results.contains_key(&key));
-        let at = self.now;
-        let fresh = EndedAttempt {
+        let result = EndedAttempt {
             outcome,
-            at,
-            rests_on,
+            at: self.now,
+            conditional_on,
         };
-        let known = self.write_back.results.entry(key).or_insert(fresh);
-        if known.rests_on.is_some() {
-            (known.outcome, known.rests_on) = (outcome, rests_on);
+        let queued = self.write_back.results.entry(key).or_insert(result);
+        if queued.conditional_on.is_some() {
+            (queued.outcome, queued.conditional_on) = (outcome, conditional_on);
         }
     }
 
-    /// Whether the state cache shows all that became of an attempt's claim: the
-    /// chunk has changed since the revision it was conditional on, or the job is over. Until
-    /// then a peer's claim may just not have arrived here.
+    /// Returns whether the state cache shows the outcome of an attempt's claim: the chunk has
+    /// changed since the revision on which the claim was conditional, or the job is over. Before
+    /// that, a peer's committed claim may not have reached this cache yet.
     pub(super) fn is_claim_outcome_known(&self, task: &TaskId, attempt: u64) -> bool {
         if !self.settings.checks.fate {
             return true;
@@ -206,7 +214,8 @@
     }
 }
 
-fn outcome_of(cause: ExitCause) -> AttemptOutcome {
+/// Returns the outcome of an attempt whose process exited.
+fn attempt_outcome(cause: ExitCause) -> AttemptOutcome {
     match cause {
         ExitCause::Done => AttemptOutcome::Done,
         ExitCause::Error => AttemptOutcome::Failed,
@@ -215,19 +224,25 @@
     }
 }
 
-/// A heartbeat of a newer incarnation than the one that the assignment's start was for.
-pub(super) fn outlived(b: &Assignment, position: HeartbeatPosition) -> bool {
-    let in_reply = b.reply_start.map(|position| position.incarnation);
-    let incarnation = in_reply.or(b.direct_start.map(|start| start.incarnation));
+/// Returns whether a heartbeat has a newer incarnation than the one that the assignment's start was
+/// for.
+pub(super) fn predates_incarnation(assignment: &Assignment, position: HeartbeatPosition) -> bool {
+    let in_reply = assignment.reply_start.map(|position| position.incarnation);
+    let incarnation = in_reply.or(assignment.direct_start.map(|start| start.incarnation));
     incarnation.is_some_and(|incarnation| incarnation < position.incarnation)
 }
 
-/// The start of an assignment can't arrive any more, if it is not there already. Of a newer
-/// incarnation the worker has killed and forgotten everything older; a heartbeat after the one
-/// whose answer carried the start shows that the answer brought nothing; a token above the
-/// direct command's makes the worker refuse that one, however late.
-pub(super) fn is_start_fenced(b: &Assignment, position: HeartbeatPosition, token: u64) -> bool {
-    match (b.reply_start, b.direct_start) {
+/// Returns whether the start of an assignment can no longer arrive, unless it has arrived already.
+/// A worker of a newer incarnation has killed and forgotten everything older; a heartbeat later
+/// than the one whose reply carried the start shows that the reply did not deliver it; and a worker
+/// that has seen a higher token than the direct command's refuses that command however late it
+/// arrives.
+pub(super) fn is_start_fenced(
+    assignment: &Assignment,
+    position: HeartbeatPosition,
+    token: u64,
+) -> bool {
+    match (assignment.reply_start, assignment.direct_start) {
         (_, Some(start)) => start.incarnation < position.incarnation || start.token < token,
         (Some(reply_start), None) => reply_start < position,
         (None, None) => true,
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -1,72 +1,76 @@
-//! Answers to heartbeats: which commands they carry, and when held ones are answered.
+//! Replies to heartbeats: which commands they carry, and when held heartbeats are answered.
 
 use crate::constants::{HEARTBEAT_HOLD_MS, REPLY_MAX_COMMANDS};
 use crate::controller::{Controller, RequestId, WorkerReply};
 use crate::model::{TaskId, TaskPhase, WorkerCommand, WorkerHeartbeat};
 use crate::state::Placed;
 use crate::workers::heartbeats::HeldHeartbeat;
-use crate::workers::reconciliation::{is_start_fenced, outlived};
+use crate::workers::reconciliation::{is_start_fenced, predates_incarnation};
 
 impl Controller {
-    /// Assignments whose start goes into the answer to this held heartbeat, once they say so.
+    /// Returns the assignments whose start can be recorded to go into the reply to this held
+    /// heartbeat.
     pub(crate) fn starts_for_reply(&self, held: &HeldHeartbeat) -> Vec<(TaskId, u64)> {
-        if held.early || !held.carries(self.now) {
+        if held.needs_processing || !held.can_carry_start(self.now) {
             return Vec::new();
         }
         let position = held.position();
-        let shown = |task: &TaskId, attempt: u64| {
+        let is_reported = |task: &TaskId, attempt: u64| {
             let mut tasks = held.heartbeat.tasks.iter();
-            tasks.any(|t| t.attempt == attempt && t.task == *task)
+            tasks.any(|status| status.attempt == attempt && status.task == *task)
         };
         self.cache
             .assignments(&held.heartbeat.machine)
             .filter(|(task, p)| {
-                let b = &p.assignment;
-                b.reply_start != Some(position)
-                    && b.stop.is_none()
+                let assignment = &p.assignment;
+                assignment.reply_start != Some(position)
+                    && assignment.stop.is_none()
                     && self.cache.open_job(&task.job).is_some()
-                    && !shown(task, b.attempt)
-                    // What was started in an earlier incarnation is gone, and on its way to be
-                    // recorded as such: it must not be started once more under that attempt.
-                    && !outlived(b, position)
-                    && is_start_fenced(b, position, held.heartbeat.token)
+                    && !is_reported(task, assignment.attempt)
+                    // A start of an earlier incarnation is lost, and its end is about to be
+                    // recorded: the task must not be started again under that attempt.
+                    && !predates_incarnation(assignment, position)
+                    && is_start_fenced(assignment, position, held.heartbeat.token)
             })
             .map(|(task, p)| (task.clone(), p.assignment.attempt))
             .collect()
     }
 
-    /// What the worker is told, from records that are committed.
-    pub(super) fn commands(&self, heartbeat: &WorkerHeartbeat) -> Vec<WorkerCommand> {
+    /// Returns the commands for a worker, all derived from committed records.
+    pub(super) fn commands_for_reply(&self, heartbeat: &WorkerHeartbeat) -> Vec<WorkerCommand> {
         let id = &heartbeat.machine;
         let position = heartbeat.position();
         let mut commands = Vec::new();
-        for t in &heartbeat.tasks {
-            let assignment = self.cache.assignment(id, &t.task).map(|p| &p.assignment);
-            let assignment = assignment.filter(|b| b.attempt == t.attempt);
-            if assignment.is_none() && !self.is_claim_outcome_known(&t.task, t.attempt) {
+        for status in &heartbeat.tasks {
+            let assignment = self
+                .cache
+                .assignment(id, &status.task)
+                .map(|p| &p.assignment);
+            let assignment = assignment.filter(|assignment| assignment.attempt == status.attempt);
+            if assignment.is_none() && !self.is_claim_outcome_known(&status.task, status.attempt) {
                 continue;
             }
-            let job = self.cache.job(&t.task.job);
-            match (t.phase, assignment) {
+            let job = self.cache.job(&status.task.job);
+            match (status.phase, assignment) {
                 (TaskPhase::Exited(_), None) => commands.push(WorkerCommand::Forget {
-                    task: t.task.clone(),
-                    attempt: t.attempt,
+                    task: status.task.clone(),
+                    attempt: status.attempt,
                 }),
                 (TaskPhase::Exited(_), Some(_)) => {}
                 (phase, assignment) => {
-                    let over = job.is_none_or(|j| j.open().is_none());
-                    let stop = assignment.is_some_and(|b| b.stop.is_some());
-                    if over || assignment.is_none() {
+                    let is_job_over = job.is_none_or(|j| j.open().is_none());
+                    let is_stopped = assignment.is_some_and(|assignment| assignment.stop.is_some());
+                    if is_job_over || assignment.is_none() {
                         commands.push(WorkerCommand::Stop {
-                            task: t.task.clone(),
-                            attempt: t.attempt,
+                            task: status.task.clone(),
+                            attempt: status.attempt,
                             grace_s: 0.0,
                         });
-                    } else if stop && phase != TaskPhase::Checkpointing {
-                        let grace_s = self.grace_s(&t.task.job);
+                    } else if is_stopped && phase != TaskPhase::Checkpointing {
+                        let grace_s = self.grace_s(&status.task.job);
                         commands.push(WorkerCommand::Stop {
-                            task: t.task.clone(),
-                            attempt: t.attempt,
+                            task: status.task.clone(),
+                            attempt: status.attempt,
                             grace_s,
                         });
                     }
@@ -74,34 +78,37 @@
             }
         }
         for (task, p) in self.cache.assignments(id) {
-            let b = &p.assignment;
-            if b.reply_start == Some(position)
-                && b.stop.is_none()
-                && !(heartbeat.tasks.iter()).any(|t| t.attempt == b.attempt && t.task == *task)
+            let assignment = &p.assignment;
+            if assignment.reply_start == Some(position)
+                && assignment.stop.is_none()
+                && !(heartbeat.tasks.iter())
+                    .any(|status| status.attempt == assignment.attempt && status.task == *task)
                 && self.cache.open_job(&task.job).is_some()
             {
                 commands.push(WorkerCommand::Start {
                     task: task.clone(),
-                    attempt: b.attempt,
+                    attempt: assignment.attempt,
                 });
             }
         }
         commands
     }
 
-    /// Whether starts that its answer shall carry are on record, though this controller may have had no answer
-    /// to its transaction: nobody else has this heartbeat.
-    fn starts_recorded_for(&self, held: &HeldHeartbeat) -> bool {
+    /// Returns whether starts that the reply to a held heartbeat carries are on record, though this
+    /// controller may have missed the response to their transaction. No other controller holds this
+    /// heartbeat.
+    fn has_recorded_starts(&self, held: &HeldHeartbeat) -> bool {
         let position = held.position();
         let reply_start = |(_, p): (&TaskId, &Placed)| p.assignment.reply_start == Some(position);
         self.settings.checks.doubt
-            && !held.early
+            && !held.needs_processing
             && self
                 .cache
                 .assignments(&held.heartbeat.machine)
                 .any(reply_start)
     }
 
+    /// Replies to the held heartbeat of a machine, if there is one.
     pub(crate) fn reply_to_held(&mut self, id: &str) {
         let Some(token) = self.fencing_token(id) else {
             return;
@@ -109,21 +116,22 @@
         let Some(held) = self.workers.held_heartbeats.remove(id) else {
             return;
         };
-        let commands = self.commands(&held.heartbeat);
-        self.reply_orders(id, held.request, token, commands);
+        let commands = self.commands_for_reply(&held.heartbeat);
+        self.reply_with_commands(id, held.request, token, commands);
     }
 
-    pub(super) fn reply_orders(
+    /// Replies to a heartbeat with commands, and logs the starts and stops.
+    pub(super) fn reply_with_commands(
         &mut self,
         id: &str,
         request: RequestId,
         token: u64,
         mut commands: Vec<WorkerCommand>,
     ) {
-        // What is cut off is due again with the next heartbeat, starts included.
+        // Commands beyond the limit are due again with the next heartbeat, starts included.
         commands.truncate(REPLY_MAX_COMMANDS);
-        for order in &commands {
-            match order {
+        for command in &commands {
+            match command {
                 WorkerCommand::Start { task, attempt } => {
                     tracing::info!(%task, attempt, machine = id, "start sent");
                 }
@@ -136,6 +144,8 @@
         self.worker(request, WorkerReply::Commands { token, commands });
     }
 
+    /// Replies to held heartbeats: at once if their starts are recorded or the state store is lost,
+    /// and to all of them after `HEARTBEAT_HOLD_MS`.
     pub(crate) fn reply_to_held_heartbeats(&mut self) {
         let ids: Vec<String> = self.workers.held_heartbeats.keys().cloned().collect();
         let has_current_state = self.has_current_state();
@@ -143,11 +153,11 @@
             let Some(held) = self.workers.held_heartbeats.get(&id) else {
                 continue;
             };
-            if held.early && self.awaits_current_view() {
+            if held.needs_processing && self.awaits_current_view() {
                 continue;
             }
             if !has_current_state
-                && (self.sync.has_listed || self.now >= held.since + HEARTBEAT_HOLD_MS)
+                && (self.sync.has_listed || self.now >= held.held_since + HEARTBEAT_HOLD_MS)
             {
                 if let Some(held) = self.workers.held_heartbeats.remove(&id) {
                     let reply = self.reply_without_state(&held.heartbeat);
@@ -155,7 +165,7 @@
                 }
                 continue;
             }
-            if self.now >= held.since + HEARTBEAT_HOLD_MS || self.starts_recorded_for(held) {
+            if self.now >= held.held_since + HEARTBEAT_HOLD_MS || self.has_recorded_starts(held) {
                 self.reply_to_held(&id);
                 continue;
             }
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -1,8 +1,9 @@
-//! What heartbeats and deletions proved, on its way into the records: one transaction now and
-//! then takes as much of it as fits.
+//! Writing of evidence from heartbeats and deletions to the state store: each transaction at the
+//! write interval takes as much of it as fits.
 //!
-//! A heartbeat is answered before that. Its worker repeats what it reports until it is told to
-//! forget it, which follows the commit, so a controller that ends in between loses nothing.
+//! Heartbeats are answered before their evidence is written. A worker repeats each result until it
+//! is told to forget it, which happens after the commit, so a controller that ends in between loses
+//! nothing.
 
 use crate::constants::{
     BACKLOG_RESULTS, MIN_CHANGES, MIN_CHANGES_BACKLOG, RESULTS_WRITE_INTERVAL_MS,
@@ -17,86 +18,88 @@
 use crate::workers::termination::TerminationReason;
 use std::collections::BTreeMap;
 
-/// What became of an attempt, until that is recorded.
+/// An attempt that has ended, until its end is recorded.
 #[derive(Clone, Debug)]
 pub(crate) struct EndedAttempt {
     pub outcome: AttemptOutcome,
     pub at: Millis,
-    /// The proof is that this start never arrived, or is over with its incarnation. Should the same
-    /// attempt's start be sent anew by another controller meanwhile, it proves nothing any more.
-    pub rests_on: Option<StartDelivery>,
+    /// The delivery on which the proof is conditional: it shows only that this delivery of the
+    /// start never arrived, or is over with its incarnation. If another controller sends the start
+    /// of the same attempt again meanwhile, the proof is void.
+    pub conditional_on: Option<StartDelivery>,
 }
 
 /// Machines to be deleted, with the reasons.
 type MarkedMachines<'a> = Vec<(&'a String, &'a TerminationReason)>;
 
-/// A transaction of results while it is drafted.
+/// A draft of a transaction of results.
 struct ResultsDraft<'a> {
     builder: TransactionBuilder<'a>,
     settings: &'a Settings,
-    /// Number of changes that results and starts leave to machines' records.
-    kept_for_machines: usize,
-    /// Whether something that waits did not fit.
+    /// Number of changes that results and starts leave for machine records.
+    reserved_for_machines: usize,
+    /// Whether something in the queue did not fit.
     is_full: bool,
 }
 
 impl ResultsDraft<'_> {
-    /// Whether so many more changes fit.
+    /// Returns whether this number of further changes fits.
     fn has_room(&self, changes: usize) -> bool {
         let bytes = self.settings.max_value_bytes as usize + 2 * SMALL_RECORD_BYTES;
         self.builder
             .has_room(self.settings, changes, changes, bytes)
     }
 
-    /// Whether so many more changes fit besides those kept for machines' records. The first always may use
-    /// these.
-    fn has_room_besides_machines(&self, changes: usize) -> bool {
-        let kept = match self.builder.is_empty() {
+    /// Returns whether this number of further changes fits without the changes reserved for machine
+    /// records. The first change of a transaction may use the reserve.
+    fn has_unreserved_room(&self, changes: usize) -> bool {
+        let reserved = match self.builder.is_empty() {
             true => 0,
-            false => self.kept_for_machines,
+            false => self.reserved_for_machines,
         };
-        self.has_room(changes + kept)
+        self.has_room(changes + reserved)
     }
 }
 
 impl Controller {
-    /// Records what is waiting for it, in order of what others wait for most: results, starts that go
-    /// into the answers to held heartbeats, machines.
+    /// Records the queued evidence in one transaction, most urgent first: results, then starts that
+    /// go into the replies to held heartbeats, then machine records.
     pub(crate) fn write_results(&mut self) {
         let Some(changes_left) = self.changes_for_results() else {
             return;
         };
-        self.record_deleted();
+        self.queue_results_of_deleted_machines();
         self.drop_outdated_evidence();
 
         let max_changes = self.max_result_changes(changes_left);
-        // When changes are short there are always results to fill a transaction. Machines that came up
-        // would never be recorded then, nor used, and be given up as never heard of; what ran on
-        // unreachable ones would not start anew, and cancelled tasks would outlive their time on others.
-        // Up to half of the changes are left to these.
+        // While the rate limit is short of changes, results alone would fill every transaction.
+        // Machines that came up would then never be recorded or used, and would be given up as
+        // never heard; tasks on unreachable machines would not restart, and cancelled tasks on
+        // others would outlive their time limit. Up to half of the changes are therefore reserved
+        // for machine records.
         let (in_use, idle) = self.machines_to_delete();
         let waiting = in_use.len() + self.write_back.machine_updates.len();
         let limit = max_changes.min(self.settings.max_transaction_changes);
         let mut draft = ResultsDraft {
             builder: TransactionBuilder::limited(&self.cache, max_changes),
             settings: &self.settings,
-            kept_for_machines: waiting.min(limit / 2),
+            reserved_for_machines: waiting.min(limit / 2),
             is_full: false,
         };
         let released = self.draft_results(&mut draft);
         let reply_start = self.draft_reply_starts(&mut draft);
         self.draft_checkpoints(&mut draft);
-        let kept_for_updates = usize::from(!self.write_back.machine_updates.is_empty());
-        let mut returning = self.draft_deletions(&mut draft, in_use, kept_for_updates);
+        let reserved_for_updates = usize::from(!self.write_back.machine_updates.is_empty());
+        let mut returning = self.draft_deletions(&mut draft, in_use, reserved_for_updates);
         self.draft_machine_updates(&mut draft);
         returning |= self.draft_deletions(&mut draft, idle, 0);
         self.draft_confirmed_deletions(&mut draft);
 
         let is_full = draft.is_full;
         let mut builder = draft.builder;
-        let large = builder.drop_oversized(self.settings.max_value_bytes);
+        let oversized = builder.drop_oversized(self.settings.max_value_bytes);
         if builder.is_empty() {
-            self.log_oversized(large);
+            self.log_oversized(oversized);
             return;
         }
         self.writes.pass_goes_first = true;
@@ -108,11 +111,11 @@
             released,
         };
         self.commit_assignments(transaction, purpose, RequestClass::Result);
-        self.log_oversized(large);
+        self.log_oversized(oversized);
     }
 
-    /// Number of changes that may be made now, if there may be something to record and a transaction for it
-    /// may be sent.
+    /// Returns the number of changes that may be made now, or `None` if there is nothing to record
+    /// or no transaction may be sent.
     fn changes_for_results(&mut self) -> Option<usize> {
         if !self.sync.has_listed
             || !self.has_current_state()
@@ -137,13 +140,13 @@
         (!is_idle).then_some(changes_left)
     }
 
-    /// Drops evidence that the records contain by now, or that they have made irrelevant.
+    /// Drops evidence that is on record by now, or that the records have made irrelevant.
     fn drop_outdated_evidence(&mut self) {
         let cache = &self.cache;
         self.write_back.results.retain(|(task, attempt), ended| {
             let assignment = cache.attempt(task, *attempt);
             assignment.is_some_and(|assignment| {
-                let delivery = ended.rests_on;
+                let delivery = ended.conditional_on;
                 delivery.is_none_or(|delivery| delivery == assignment.delivery())
             })
         });
@@ -156,17 +159,18 @@
         self.write_back.machine_updates = updates;
     }
 
-    /// Number of changes that the next transaction of results may make.
+    /// Returns the number of changes that the next transaction of results may make.
     fn max_result_changes(&self, changes_left: usize) -> usize {
         // Tasks that wait for capacity must not wait for a long transaction as well.
-        let limit = match self.scheduling.has_pending_work {
+        let max_changes = match self.scheduling.has_pending_work {
             true => self.writes.max_result_changes / 2,
             false => self.writes.max_result_changes,
         };
-        changes_left.min(limit).max(MIN_CHANGES)
+        changes_left.min(max_changes).max(MIN_CHANGES)
     }
 
-    /// Machines whose deletion is to be recorded: those with assignments, and those without.
+    /// Returns the machines whose deletion is to be recorded: those with assignments, and those
+    /// without.
     fn machines_to_delete(&self) -> (MarkedMachines<'_>, MarkedMachines<'_>) {
         let marked = self.workers.marked_for_termination.iter();
         marked
@@ -177,12 +181,12 @@
             .partition(|(id, _)| self.cache.assigned_tasks(id) > 0)
     }
 
-    /// Drafts that attempts have ended; returns which.
+    /// Drafts the results of ended attempts; returns the attempts.
     fn draft_results(&self, draft: &mut ResultsDraft) -> Vec<(TaskId, u64)> {
         let mut released = Vec::new();
-        for (task, attempt, outcome) in self.results_in_turn() {
+        for (task, attempt, outcome) in self.results_in_priority_order() {
             let changes = claims::release_changes(&draft.builder, task, outcome);
-            if !draft.has_room_besides_machines(changes) {
+            if !draft.has_unreserved_room(changes) {
                 draft.is_full = true;
                 break;
             }
@@ -192,18 +196,18 @@
         released
     }
 
-    /// Drafts that starts go into the answers to held heartbeats; returns the machines of these.
+    /// Drafts the starts that go into the replies to held heartbeats; returns their machines.
     fn draft_reply_starts(&self, draft: &mut ResultsDraft) -> Vec<String> {
         let mut machines = Vec::new();
         for (id, held) in &self.workers.held_heartbeats {
             // As many as fit: a machine may lack hundreds of starts, which share the puts of a few
             // chunks. The others go with its next heartbeat.
             let position = held.position();
-            let mut any = false;
+            let mut has_drafted = false;
             for (task, attempt) in self.starts_for_reply(held) {
                 let key = self.chunk_key(&task);
                 let is_touched = key.is_some_and(|key| draft.builder.touches(&key));
-                if !draft.has_room_besides_machines(usize::from(!is_touched)) {
+                if !draft.has_unreserved_room(usize::from(!is_touched)) {
                     draft.is_full = true;
                     break;
                 }
@@ -211,19 +215,19 @@
                     assignment.direct_start = None;
                     assignment.reply_start = Some(position);
                 });
-                any = true;
+                has_drafted = true;
             }
-            if any {
+            if has_drafted {
                 machines.push(id.clone());
             }
         }
         machines
     }
 
-    /// Drafts that tasks are to be stopped to save a checkpoint before their machine is reclaimed.
+    /// Drafts the stops of tasks that are to save a checkpoint before their machine is reclaimed.
     fn draft_checkpoints(&self, draft: &mut ResultsDraft) {
         for (task, attempt) in &self.write_back.checkpoints_due {
-            if draft.has_room(1 + draft.kept_for_machines) {
+            if draft.has_room(1 + draft.reserved_for_machines) {
                 self.edit_assignment(&mut draft.builder, task, *attempt, |assignment| {
                     assignment.stop = Some("notice".into());
                 });
@@ -231,26 +235,26 @@
         }
     }
 
-    /// Drafts that machines are to be deleted, with `kept_free` changes left for others. Returns whether
-    /// any was.
+    /// Drafts the deletion of machines, and leaves `reserved_changes` changes for other records.
+    /// Returns whether any deletion was drafted.
     fn draft_deletions(
         &self,
         draft: &mut ResultsDraft,
         machines: MarkedMachines,
-        kept_free: usize,
+        reserved_changes: usize,
     ) -> bool {
-        let mut any = false;
+        let mut has_drafted = false;
         for (id, reason) in machines {
-            if !draft.has_room(1 + kept_free) {
+            if !draft.has_room(1 + reserved_changes) {
                 draft.is_full = true;
                 break;
             }
-            any |= self.draft_deletion(&mut draft.builder, id, *reason);
+            has_drafted |= self.draft_deletion(&mut draft.builder, id, *reason);
         }
-        any
+        has_drafted
     }
 
-    /// Drafts what heartbeats give reason to change in machines' records.
+    /// Drafts the machine record changes that heartbeats gave evidence of.
     fn draft_machine_updates(&self, draft: &mut ResultsDraft) {
         for (id, update) in &self.write_back.machine_updates {
             if !draft.has_room(1) {
@@ -267,24 +271,28 @@
         }
     }
 
-    /// Drafts that records of machines are removed whose deletion the cloud has confirmed.
+    /// Drafts the removal of the records of machines whose deletion the cloud has confirmed.
     fn draft_confirmed_deletions(&self, draft: &mut ResultsDraft) {
         for id in &self.provisioning.deletion_confirmed {
-            // No claim can follow: each rests on the record as it was while the machine was up.
+            // No claim can follow: each is conditional on the record as it was while the machine
+            // was up.
             if self.cache.assigned_tasks(id) == 0 && draft.has_room(1) {
                 draft.builder.remove(Key::Machine(id.clone()));
             }
         }
     }
 
-    /// Drafts that a machine is to be deleted; says whether there was need to.
+    /// Drafts the deletion of a machine; returns whether it was not on record already.
     fn draft_deletion(
         &self,
-        draft: &mut TransactionBuilder,
+        builder: &mut TransactionBuilder,
         id: &str,
         reason: TerminationReason,
     ) -> bool {
-        let Some(mut machine) = draft.machine(id).or_else(|| self.record_of_provisioned(id)) else {
+        let Some(mut machine) = builder
+            .machine(id)
+            .or_else(|| self.new_record_of_instance(id))
+        else {
             return false;
         };
         if machine.phase == MachinePhase::Deprovisioning {
@@ -298,12 +306,13 @@
             "deletion of machine to be recorded"
         );
         machine.phase = MachinePhase::Deprovisioning;
-        draft.put(Key::Machine(id.to_string()), Record::Machine(machine));
+        builder.put(Key::Machine(id.to_string()), Record::Machine(machine));
         true
     }
 
-    /// Changes that must be left for the next transaction: more while much waits to be recorded.
-    /// Results that share a chunk, and claims that share a team's record, then share their puts.
+    /// Returns the number of changes that must be available for the next transaction. With a
+    /// backlog of results it is higher, so that results that share a chunk, and claims that share a
+    /// team's record, share their puts.
     pub(crate) fn min_changes(&self) -> usize {
         match self.write_back.results.len() > BACKLOG_RESULTS {
             true => MIN_CHANGES_BACKLOG
@@ -313,44 +322,47 @@
         }
     }
 
-    /// Results in the order in which they are recorded: those of services, which are down until
-    /// then; what has waited long; then those that share a chunk with most others, since a chunk
-    /// costs one change however many they are.
-    fn results_in_turn(&self) -> Vec<(&TaskId, u64, AttemptOutcome)> {
+    /// Returns the results in the order in which they are recorded: first those of services, which
+    /// are down until then; next those that have waited long; then those that share a chunk with
+    /// the most others, since a chunk costs one change regardless of the number of its results.
+    fn results_in_priority_order(&self) -> Vec<(&TaskId, u64, AttemptOutcome)> {
         let chunk_of = |task: &TaskId| {
             let job = self.cache.job(&task.job);
             job.map_or(task.index, |j| j.chunk_of(task.index))
         };
         let mut chunks: BTreeMap<(&str, u32), (usize, Millis)> = BTreeMap::new();
         for ((task, _), EndedAttempt { at, .. }) in &self.write_back.results {
-            let (count, first) = chunks
+            let (count, first_at) = chunks
                 .entry((&task.job, chunk_of(task)))
                 .or_insert((0, *at));
             *count += 1;
-            *first = (*first).min(*at);
+            *first_at = (*first_at).min(*at);
         }
-        let mut turn: Vec<_> = (self.write_back.results.iter())
+        let mut ordered: Vec<_> = (self.write_back.results.iter())
             .map(|((task, attempt), EndedAttempt { outcome, .. })| {
                 let chunk = (task.job.as_str(), chunk_of(task));
-                let (count, first) = chunks[&chunk];
-                let patient = self.now < first + RESULT_PATIENCE_MS;
-                let priority = if patient { usize::MAX - count } else { 0 };
+                let (count, first_at) = chunks[&chunk];
+                let can_wait = self.now < first_at + RESULT_PATIENCE_MS;
+                let priority = if can_wait { usize::MAX - count } else { 0 };
                 let spec = self.cache.open_job(&task.job);
-                let other = spec.is_none_or(|s| s.kind != JobKind::Service);
+                let is_not_service = spec.is_none_or(|s| s.kind != JobKind::Service);
                 (
-                    (other, patient, priority, first, chunk),
+                    (is_not_service, can_wait, priority, first_at, chunk),
                     task,
                     *attempt,
                     *outcome,
                 )
             })
             .collect();
-        turn.sort_by(|a, b| a.0.cmp(&b.0));
-        turn.into_iter()
+        ordered.sort_by(|a, b| a.0.cmp(&b.0));
+        ordered
+            .into_iter()
             .map(|(_, task, attempt, outcome)| (task, attempt, outcome))
             .collect()
     }
 
+    /// Handles the outcome of a transaction of results. A conflict halves the limit of changes per
+    /// transaction, a commit doubles it.
     pub(crate) fn results_written(
         &mut self,
         reply_start: Vec<String>,
@@ -378,36 +390,37 @@
         }
     }
 
-    /// The cloud's 200 to a deletion proves that everything on the machine is gone.
-    fn record_deleted(&mut self) {
+    /// Queues the ends of all assignments on deleted machines: the cloud's 200 to a deletion proves
+    /// that everything on the machine is gone.
+    fn queue_results_of_deleted_machines(&mut self) {
         let cache = &self.cache;
         self.provisioning
             .deletion_confirmed
             .retain(|id| cache.machine(id).is_some());
         for id in &self.provisioning.deletion_confirmed {
-            for (task, p) in self.cache.assignments(id) {
-                let key = (task.clone(), p.assignment.attempt);
-                // Stronger than what may wait there: it holds however the start travels.
+            for (task, placed) in self.cache.assignments(id) {
+                let key = (task.clone(), placed.assignment.attempt);
+                // Stronger than a queued result: it holds regardless of the start's delivery.
                 let ended = EndedAttempt {
                     outcome: AttemptOutcome::Terminated,
                     at: self.now,
-                    rests_on: None,
+                    conditional_on: None,
                 };
-                let known = self.write_back.results.entry(key).or_insert(ended);
-                known.rests_on = None;
+                let queued = self.write_back.results.entry(key).or_insert(ended);
+                queued.conditional_on = None;
             }
         }
     }
 
     fn chunk_key(&self, task: &TaskId) -> Option<Key> {
-        let n = self.cache.job(&task.job)?.chunk_of(task.index);
-        Some(Key::Chunk(task.job.clone(), n))
+        let chunk = self.cache.job(&task.job)?.chunk_of(task.index);
+        Some(Key::Chunk(task.job.clone(), chunk))
     }
 
-    /// Changes one assignment; the caller has seen to the transaction's room.
+    /// Changes one assignment. The caller has checked that the transaction has room for it.
     pub(crate) fn edit_assignment(
         &self,
-        draft: &mut TransactionBuilder,
+        builder: &mut TransactionBuilder,
         task: &TaskId,
         attempt: u64,
         edit: impl FnOnce(&mut Assignment),
@@ -415,24 +428,31 @@
         let Some(job) = self.cache.job(&task.job) else {
             return;
         };
-        let n = job.chunk_of(task.index);
-        if draft.assignment(task).is_none_or(|b| b.attempt != attempt) {
+        let chunk = job.chunk_of(task.index);
+        if builder
+            .assignment(task)
+            .is_none_or(|assignment| assignment.attempt != attempt)
+        {
             return;
         }
-        if let Some(b) = draft
-            .chunk_mut(&task.job, n, || None)
+        if let Some(assignment) = builder
+            .chunk_mut(&task.job, chunk, || None)
             .and_then(|c| c.assignment_mut(task.index))
         {
-            edit(b);
+            edit(assignment);
         }
     }
 
-    /// The record of a machine that an instance request brought and that was never heard of.
-    fn record_of_provisioned(&self, id: &str) -> Option<MachineRecord> {
-        let (_, instance_request, _) = self
-            .cache
-            .instance_requests()
-            .find(|(_, h, _)| h.instances.iter().flatten().any(|instance| instance == id))?;
+    /// Returns a new record for a machine that an instance request brought and that has sent no
+    /// heartbeat.
+    fn new_record_of_instance(&self, id: &str) -> Option<MachineRecord> {
+        let (_, instance_request, _) = self.cache.instance_requests().find(|(_, request, _)| {
+            request
+                .instances
+                .iter()
+                .flatten()
+                .any(|instance| instance == id)
+        })?;
         (!self.workers.recently_deleted.contains(id)).then(|| {
             MachineRecord::new(
                 &instance_request.type_name,
--- a/crates/core/src/workers/starts.rs
+++ b/crates/core/src/workers/starts.rs
@@ -1,5 +1,6 @@
-//! Starts in flight: recorded claims, whoever made them, whose tasks no heartbeat has shown yet.
-//! A peer that takes over from a failed controller has to see to these besides its workers.
+//! Starts in flight: claims on record, made by any controller, whose tasks no heartbeat has
+//! reported yet. A peer that takes over from a failed controller checks these starts as well as its
+//! workers.
 
 use crate::constants::{
     COMMAND_LIMIT_MS, FAILOVER_START_CHECKS_MAX, FAILOVER_START_CHECK_MS, PEER_HEARTBEAT_MS,
@@ -10,162 +11,182 @@
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt of a task.
+/// Identifies an attempt of a task: the task and the number of the attempt.
 pub(crate) type Attempt = (TaskId, u64);
 
 /// A start in flight.
 #[derive(Debug)]
-struct Start {
-    /// The machine that it goes to.
+struct InFlightStart {
+    /// The machine on which the task is to start.
     machine: String,
-    /// When its claim became known here.
-    at: Millis,
+    /// When this controller learned of its claim, or for an uncertain claim, when the response was
+    /// missed.
+    known_at: Millis,
 }
 
 /// The starts in flight, and those that seem to be lost.
 #[derive(Debug, Default)]
-pub(crate) struct Starts {
-    /// Claims that were seen in the records.
-    followed: BTreeMap<Attempt, Start>,
+pub(crate) struct StartTracker {
+    /// Starts whose claims are on record.
+    tracked: BTreeMap<Attempt, InFlightStart>,
     /// Since when a start by direct command has been missing from its machine's heartbeats.
-    missing: HashMap<Attempt, Millis>,
-    /// When machines are probed for starts that a failed peer may not have sent, and the earliest claim
-    /// of these.
-    ask: Option<(Millis, Millis)>,
-    /// Machines that were probed for them.
-    asked: BTreeSet<String>,
-    /// Machines whose token this controller has asked to be raised.
-    raising: BTreeSet<String>,
-    /// Own claims whose transaction has no answer, and since when: they may have been committed, or may
-    /// yet be, and nobody has sent their starts.
-    uncertain: BTreeMap<Attempt, Start>,
+    missing_since: HashMap<Attempt, Millis>,
+    /// When machines are to be probed for starts that a failed peer may not have sent, and the
+    /// earliest claim to check.
+    failover_check: Option<(Millis, Millis)>,
+    /// Machines that were probed for such starts.
+    failover_checked: BTreeSet<String>,
+    /// Machines whose token this controller has requested to be raised.
+    raise_requested: BTreeSet<String>,
+    /// This controller's claims whose transaction got no response, and since when. Such a
+    /// transaction may have been committed, or may still be, and no controller has sent the starts.
+    uncertain_claims: BTreeMap<Attempt, InFlightStart>,
 }
 
-impl Starts {
-    /// The records show a claim.
+impl StartTracker {
+    /// Records that a claim is on record.
     pub fn claimed(&mut self, now: Millis, task: &TaskId, attempt: u64, machine: &str) {
-        if self.followed.len() < STARTS_TRACKED_MAX {
+        if self.tracked.len() < STARTS_TRACKED_MAX {
             let machine = machine.to_string();
-            let start = Start { machine, at: now };
-            self.followed.insert((task.clone(), attempt), start);
+            let start = InFlightStart {
+                machine,
+                known_at: now,
+            };
+            self.tracked.insert((task.clone(), attempt), start);
         }
     }
 
-    /// A heartbeat shows it, in whatever phase.
-    pub fn shown(&mut self, start: &Attempt) {
-        self.followed.remove(start);
-        self.missing.remove(start);
-        self.uncertain.remove(start);
+    /// Records that a heartbeat or command response has reported the start, in whatever phase.
+    pub fn record_reported(&mut self, start: &Attempt) {
+        self.tracked.remove(start);
+        self.missing_since.remove(start);
+        self.uncertain_claims.remove(start);
     }
 
-    /// An own claim's transaction got no answer.
+    /// Records that the transaction of an own claim got no response.
     pub fn doubt(&mut self, now: Millis, task: &TaskId, attempt: u64, machine: &str) {
-        if self.uncertain.len() < STARTS_TRACKED_MAX {
+        if self.uncertain_claims.len() < STARTS_TRACKED_MAX {
             let start = (task.clone(), attempt);
             let machine = machine.to_string();
-            self.uncertain
-                .entry(start)
-                .or_insert(Start { machine, at: now });
+            self.uncertain_claims.entry(start).or_insert(InFlightStart {
+                machine,
+                known_at: now,
+            });
         }
     }
 
-    /// The answer came after all: its start is sent.
+    /// Records that the transaction of an uncertain claim got its response after all; its start is
+    /// sent then.
     pub fn answered(&mut self, task: &TaskId, attempt: u64) {
-        if !self.uncertain.is_empty() {
-            self.uncertain.remove(&(task.clone(), attempt));
+        if !self.uncertain_claims.is_empty() {
+            self.uncertain_claims.remove(&(task.clone(), attempt));
         }
     }
 
-    /// Whether there are own claims without an answer.
+    /// Returns whether own claims are without a response.
     pub fn has_doubts(&self) -> bool {
-        !self.uncertain.is_empty()
+        !self.uncertain_claims.is_empty()
     }
 
-    /// Machines of uncertain claims that the records show by now, with the tokens of their starts; each claim
-    /// is returned once. `token`: that of a start's assignment on a machine, if there is one.
+    /// Removes the uncertain claims that are on record by now; returns their machines and the
+    /// tokens of their starts. `token` returns the token of a start's assignment on a machine, if
+    /// there is one.
     pub fn found_assigned(
         &mut self,
         now: Millis,
         token: impl Fn(&Attempt, &str) -> Option<u64>,
     ) -> Vec<(String, u64)> {
         let mut found = Vec::new();
-        self.uncertain.retain(|start, claim| {
-            let is_due = now >= claim.at + UNCERTAIN_CLAIM_MARGIN_MS;
+        self.uncertain_claims.retain(|start, claim| {
+            let is_due = now >= claim.known_at + UNCERTAIN_CLAIM_MARGIN_MS;
             match token(start, &claim.machine).filter(|_| is_due) {
                 Some(token) => {
                     found.push((claim.machine.clone(), token));
                     false
                 }
-                None => now < claim.at + UNCERTAIN_CLAIM_MS,
+                None => now < claim.known_at + UNCERTAIN_CLAIM_MS,
             }
         });
         found
     }
 
-    /// A heartbeat lacks a start that went by a direct command. Returns whether that has lasted for so long
-    /// that it is to be fenced and sent anew: counted from its claim where that was seen, else from the first
-    /// heartbeat that lacked it.
+    /// Records that a heartbeat lacks a start sent by direct command. Returns whether the start has
+    /// been missing for so long that it is to be fenced and sent again. The time counts from the
+    /// claim if it is tracked, else from the first heartbeat that lacked the start.
     pub fn is_missing(&mut self, now: Millis, start: &Attempt, machine: &str) -> bool {
-        let since = *self.missing.entry(start.clone()).or_insert(now);
-        let patience = match self.asked.contains(machine) {
+        let since = *self.missing_since.entry(start.clone()).or_insert(now);
+        let patience_ms = match self.failover_checked.contains(machine) {
             true => FAILOVER_START_CHECK_MS,
             false => START_MISSING_MS + COMMAND_LIMIT_MS,
         };
-        let claimed = self.followed.get(start).map(|s| s.at);
-        now >= since + START_MISSING_MS || claimed.is_some_and(|at| now >= at + patience)
+        let claimed_at = self.tracked.get(start).map(|s| s.known_at);
+        now >= since + START_MISSING_MS || claimed_at.is_some_and(|at| now >= at + patience_ms)
     }
 
-    /// Whether a start is on its way to a machine: claimed after the last sign of life from there.
-    pub fn unseen(&self, start: &Attempt, last_sign: Millis) -> bool {
-        self.followed.get(start).is_some_and(|s| s.at >= last_sign)
+    /// Returns whether a start is on its way to a machine: claimed since the last sign of life from
+    /// there.
+    pub fn unseen(&self, start: &Attempt, last_sign_at: Millis) -> bool {
+        self.tracked
+            .get(start)
+            .is_some_and(|s| s.known_at >= last_sign_at)
     }
 
-    /// A peer has failed whose last heartbeat came at `heard_at`: starts that it claimed last may never have
-    /// been sent.
+    /// Schedules a check of the machines to which a failed peer may not have sent its last starts.
+    /// The peer's last heartbeat came at `heard_at`.
     pub fn peer_lost(&mut self, now: Millis, heard_at: Millis) {
         let from = heard_at.saturating_sub(PEER_HEARTBEAT_MS);
-        let from = self.ask.map_or(from, |(_, known)| known.min(from));
-        self.ask = Some((now + FAILOVER_START_CHECK_MS, from));
+        let from = self
+            .failover_check
+            .map_or(from, |(_, earliest)| earliest.min(from));
+        self.failover_check = Some((now + FAILOVER_START_CHECK_MS, from));
     }
 
-    /// Machines to be probed now for starts of a failed peer.
+    /// Returns the machines to be probed now for starts of a failed peer.
     pub fn due_to_ask(&mut self, now: Millis) -> Vec<String> {
-        let Some((_, from)) = self.ask.filter(|(at, _)| now >= *at) else {
+        let Some((_, claimed_from)) = self.failover_check.filter(|(due_at, _)| now >= *due_at)
+        else {
             return Vec::new();
         };
-        self.ask = None;
-        let claimed = self.followed.values().filter(|s| s.at >= from);
+        self.failover_check = None;
+        let claimed = self.tracked.values().filter(|s| s.known_at >= claimed_from);
         let machines: BTreeSet<String> = claimed.map(|s| s.machine.clone()).collect();
-        self.asked = machines
+        self.failover_checked = machines
             .into_iter()
             .take(FAILOVER_START_CHECKS_MAX)
             .collect();
-        self.asked.iter().cloned().collect()
+        self.failover_checked.iter().cloned().collect()
     }
 
-    /// A machine's token is to be raised so that a start is fenced.
-    pub fn raise(&mut self, machine: &str) {
-        if self.raising.len() < STARTS_TRACKED_MAX {
-            self.raising.insert(machine.to_string());
+    /// Records that this controller requests a higher token for a machine, so that a start is
+    /// fenced.
+    pub fn request_token_raise(&mut self, machine: &str) {
+        if self.raise_requested.len() < STARTS_TRACKED_MAX {
+            self.raise_requested.insert(machine.to_string());
         }
     }
 
-    /// A machine's record shows a higher token. Returns whether this controller asked for it.
+    /// Records that a machine's record has a higher token. Returns whether this controller
+    /// requested that.
     pub fn take_token_raise(&mut self, machine: &str) -> bool {
-        self.raising.remove(machine)
+        self.raise_requested.remove(machine)
     }
 
-    /// Forgets starts that are no longer assigned, and those that a later heartbeat must have shown.
-    pub fn forget(&mut self, assigned: impl Fn(&Attempt) -> bool, sign: impl Fn(&str) -> Millis) {
-        self.followed.retain(|start, s| {
-            assigned(start) && sign(&s.machine) < s.at + STARTS_REPORTED_WITHIN_MS
+    /// Drops starts that are no longer assigned, and those that a later heartbeat must have
+    /// reported.
+    pub fn prune(
+        &mut self,
+        is_assigned: impl Fn(&Attempt) -> bool,
+        last_sign_at: impl Fn(&str) -> Millis,
+    ) {
+        self.tracked.retain(|start, s| {
+            is_assigned(start) && last_sign_at(&s.machine) < s.known_at + STARTS_REPORTED_WITHIN_MS
         });
-        self.missing.retain(|start, _| assigned(start));
+        self.missing_since.retain(|start, _| is_assigned(start));
     }
 
-    /// Forgets everything: after a pause of this process it is out of date.
+    /// Drops all state, which is out of date after a pause of this process.
     pub fn reset_after_pause(&mut self) {
-        *self = Starts::default();
+        *self = StartTracker::default();
     }
 }
 
--- a/crates/core/src/workers/termination.rs
+++ b/crates/core/src/workers/termination.rs
@@ -1,19 +1,20 @@
-//! Machines that are to be deleted, and the reasons for that.
+//! Machines that are to be deleted, and the reasons.
 
 use crate::controller::Controller;
 use crate::state::MachinePhase;
 use crate::zones::failures::EvacuationReason;
 
-/// Why a machine is to be deleted.
+/// The reason why a machine is to be deleted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TerminationReason {
-    /// It sends no heartbeats, and a direct command got no answer.
+    /// It sends no heartbeats, and a direct command got no response.
     Unreachable,
-    /// It was provisioned, and has sent no heartbeat in the time that its start may take.
+    /// It was provisioned, and has sent no heartbeat within its boot time limit.
     NeverCameUp,
     /// No task has been assigned to it for long.
     Idle,
-    /// A cancelled task is still assigned to it after the time in which cancellations take effect.
+    /// A cancelled task is still assigned to it after the time in which cancellations must take
+    /// effect.
     HoldsCancelledTask,
     /// The cloud lists the instance as failed.
     InstanceFailed,
@@ -22,22 +23,23 @@
 }
 
 impl TerminationReason {
-    /// The reason as it is logged.
+    /// Returns the reason as it is logged.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
-            TerminationReason::Unreachable => "silent, and not reached directly",
-            TerminationReason::NeverCameUp => "it never came up",
-            TerminationReason::Idle => "nothing to do",
-            TerminationReason::HoldsCancelledTask => "it still holds a cancelled task",
-            TerminationReason::InstanceFailed => "the cloud lists it as failed",
+            TerminationReason::Unreachable => "no heartbeats, and no response to a direct command",
+            TerminationReason::NeverCameUp => "never came up",
+            TerminationReason::Idle => "idle",
+            TerminationReason::HoldsCancelledTask => "still holds a cancelled task",
+            TerminationReason::InstanceFailed => "listed as failed by the cloud",
             TerminationReason::ZoneEvacuation(reason) => reason.as_str(),
         }
     }
 }
 
 impl Controller {
-    /// Has the next transaction of results record that a machine is to be deleted. Its assignments
-    /// stay until the deletion is confirmed. The first reason given for a machine is kept.
+    /// Marks a machine for termination: the next transaction of results records that it is to be
+    /// deleted. Its assignments stay until the deletion is confirmed. The first reason given for a
+    /// machine is kept.
     pub(crate) fn mark_for_termination(&mut self, id: &str, reason: TerminationReason) {
         let phase = self.cache.machine(id).map(|machine| machine.phase);
         if phase != Some(MachinePhase::Deprovisioning) {
--- a/crates/core/src/workers/write_back.rs
+++ b/crates/core/src/workers/write_back.rs
@@ -1,19 +1,20 @@
-//! Evidence that waits to be written to the state service.
+//! Queue of evidence that is to be written to the state store.
 
 use crate::model::{Millis, TaskId};
 use crate::workers::machine_updates::MachineUpdate;
 use crate::workers::results::EndedAttempt;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Evidence that waits to be written to the state service.
+/// Evidence that is to be written to the state store.
 pub(crate) struct WriteBack {
     /// Attempts that have ended.
     pub(crate) results: BTreeMap<(TaskId, u64), EndedAttempt>,
-    /// Tasks to be stopped so that they save, since their machine is about to be taken.
+    /// Tasks to be stopped so that they save a checkpoint, since their machine is about to be
+    /// reclaimed.
     pub(crate) checkpoints_due: BTreeSet<(TaskId, u64)>,
-    /// What heartbeats give reason to change in machines' records.
+    /// Changes to machine records that heartbeats gave evidence of.
     pub(crate) machine_updates: BTreeMap<String, MachineUpdate>,
-    /// When results were last written, 0 if more are waiting.
+    /// When results were last written, 0 if more are queued.
     pub(crate) written_at: Millis,
 }
 
