--- a/crates/core/src/controller/housekeeping.rs
+++ b/crates/core/src/controller/housekeeping.rs
@@ -43,7 +43,7 @@
     /// What is done without current state as well.
     fn keep_in_touch(&mut self) {
         self.log_problems();
-        self.probe_partition();
+        self.probe_during_partition();
         self.judge_peers();
         self.send_heartbeat();
         self.exit_if_drained();
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -147,7 +147,7 @@
         }
         self.issue_read_index();
         if std::mem::take(&mut self.state_changed) {
-            self.process_early_heartbeats();
+            self.process_deferred_heartbeats();
             self.confirm_cancellations();
         }
         self.write_results();
--- a/crates/core/src/controller/pause.rs
+++ b/crates/core/src/controller/pause.rs
@@ -32,12 +32,12 @@
     /// Users and workers that wait have given up, or are about to: they are told to come back.
     fn answer_all_after_pause(&mut self) {
         for request in self.requests.open.keys().copied().collect::<Vec<_>>() {
-            let reply = self.later();
-            self.answer(request, reply);
+            let reply = self.retry_later_reply();
+            self.reply_to_user(request, reply);
         }
         self.reads.unissued.clear();
         for (_, held) in std::mem::take(&mut self.workers.held_heartbeats) {
-            self.worker(held.request, WorkerReply::Unavailable);
+            self.reply_to_worker(held.request, WorkerReply::Unavailable);
         }
     }
 }
--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -91,7 +91,7 @@
             .any(|(_, assignment)| !self.can_stop_tasks_on(&assignment.machine));
         if is_any_out_of_reach {
             let after_s = CANCEL_RETRY_AFTER_S;
-            self.answer(id, UserReply::RetryAfter { after_s });
+            self.reply_to_user(id, UserReply::RetryAfter { after_s });
             return;
         }
         let expires_at = self.now + CANCEL_PATIENCE_MS;
@@ -131,7 +131,7 @@
         for (id, job) in confirmed {
             self.requests.awaiting_cancellation.remove(&id);
             let state = JobState::Cancelled;
-            self.answer(id, UserReply::Cancelled { job, state });
+            self.reply_to_user(id, UserReply::Cancelled { job, state });
         }
     }
 
--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -15,7 +15,9 @@
             let Some(job) = self.cache.job(id).filter(|j| j.phase == JobPhase::Open) else {
                 continue;
             };
-            if job.chunks() > 1 && counts.done == job.tasks && !self.cleanup.finishing.contains(id)
+            if job.chunks() > 1
+                && counts.done == job.tasks
+                && !self.cleanup.finishing_jobs.contains(id)
             {
                 finished.push((id.to_string(), job.over(JobPhase::Done, self.wall)));
             }
@@ -24,7 +26,7 @@
             let mut builder = TransactionBuilder::new(&self.cache);
             builder.put(Key::Job(id.clone()), Record::Job(over));
             let transaction = builder.finish();
-            self.cleanup.finishing.insert(id.clone());
+            self.cleanup.finishing_jobs.insert(id.clone());
             self.commit(
                 transaction,
                 PendingOperation::FinishJob(id),
--- a/crates/core/src/jobs/cleanup_state.rs
+++ b/crates/core/src/jobs/cleanup_state.rs
@@ -6,7 +6,7 @@
 /// State of the operations that end jobs and remove obsolete records.
 pub(crate) struct CleanupState {
     /// Jobs whose end is being recorded.
-    pub(crate) finishing: BTreeSet<String>,
+    pub(crate) finishing_jobs: BTreeSet<String>,
     /// Since when jobs have been known here to depend on a cancelled job, by the monotonic clock.
     pub(crate) cancelled_dependency_since: BTreeMap<String, Millis>,
     /// Whether a transaction that cancels dependents of cancelled jobs is in flight.
@@ -20,7 +20,7 @@
 impl CleanupState {
     pub(crate) fn new() -> CleanupState {
         CleanupState {
-            finishing: BTreeSet::new(),
+            finishing_jobs: BTreeSet::new(),
             cancelled_dependency_since: BTreeMap::new(),
             dependents_cancellation_in_flight: false,
             removal_in_flight: false,
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -19,12 +19,12 @@
 
 /// Returns the priority at which a job is scheduled: its own, or the highest of the jobs that need
 /// it.
-pub fn priority(
-    pulls: &HashMap<String, InheritedPriority>,
+pub fn effective_priority(
+    inherited_by_job: &HashMap<String, InheritedPriority>,
     job: &str,
     spec: &JobSpec,
 ) -> JobPriority {
-    let inherited = pulls.get(job).map(|p| p.priority);
+    let inherited = inherited_by_job.get(job).map(|p| p.priority);
     inherited.map_or(spec.priority, |priority| priority.max(spec.priority))
 }
 
@@ -39,9 +39,9 @@
 /// Returns what each open job that others need inherits from them. The last job of a pipeline has
 /// the priority and the deadline; passed upstream, a deadline is earlier by the run time of each
 /// job between. Only a share of that run time is counted, since estimates are often too high.
-pub fn pulls(
+pub fn inherited_priorities(
     cache: &StateCache,
-    least_run_ms: &dyn Fn(&str, &JobSpec) -> u64,
+    min_run_ms: &dyn Fn(&str, &JobSpec) -> u64,
 ) -> HashMap<String, InheritedPriority> {
     let dependents = cache.dependents().by_awaited();
     // Number of downstream jobs still to be visited, by job; jobs without any are visited first.
@@ -56,15 +56,15 @@
         }
         unvisited.insert(id, jobs.len());
     }
-    let mut pulls: HashMap<String, InheritedPriority> = HashMap::new();
+    let mut inherited_by_job: HashMap<String, InheritedPriority> = HashMap::new();
     while let Some(id) = ready.pop() {
         let (Some(job), Some(spec)) = (cache.job(id), cache.open_job(id)) else {
             continue;
         };
-        let inherited = pulls.get(id);
+        let inherited = inherited_by_job.get(id);
         let priority = inherited.map_or(spec.priority, |p| p.priority.max(spec.priority));
-        let due = earliest(deadline(job, spec), inherited.and_then(|p| p.due));
-        let due = due.map(|due| due.saturating_sub(least_run_ms(id, spec)));
+        let due = earliest(own_deadline(job, spec), inherited.and_then(|p| p.due));
+        let due = due.map(|due| due.saturating_sub(min_run_ms(id, spec)));
         for dependency in &spec.dependencies {
             if let Some(count) = unvisited.get_mut(dependency.as_str()) {
                 *count = count.saturating_sub(1);
@@ -74,28 +74,30 @@
             }
             if cache.open_job(dependency).is_some() {
                 let inheritance = InheritedPriority { priority, due };
-                let entry = pulls.entry(dependency.clone()).or_insert(inheritance);
+                let entry = inherited_by_job
+                    .entry(dependency.clone())
+                    .or_insert(inheritance);
                 entry.priority = entry.priority.max(priority);
                 entry.due = earliest(entry.due, due);
             }
         }
     }
-    pulls
+    inherited_by_job
 }
 
 /// Returns the time of day at which a job is to be done by its own deadline, which counts from its
 /// acceptance however long the job waited for others.
-pub fn deadline(job: &JobRecord, spec: &JobSpec) -> Option<WallMs> {
+pub fn own_deadline(job: &JobRecord, spec: &JobSpec) -> Option<WallMs> {
     let within_ms = spec.deadline_s.map(|d| (d.max(0.0) * 1000.0) as u64);
     within_ms.map(|ms| job.at.saturating_add(ms))
 }
 
 /// Returns the milliseconds that a task takes by its owner's estimate.
-pub fn run_ms(spec: &JobSpec) -> u64 {
+pub fn estimated_run_ms(spec: &JobSpec) -> u64 {
     (spec.estimate_s.clamp(0.0, 1e6) * 1e3) as u64
 }
 
 /// Returns the least milliseconds that a job still takes by its estimate.
-pub fn least_run_ms(spec: &JobSpec) -> u64 {
+pub fn min_estimated_run_ms(spec: &JobSpec) -> u64 {
     (spec.estimate_s * 1000.0 * FEASIBLE_SHARE) as u64
 }
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -103,7 +103,7 @@
         let can_wait = self.has_current_state()
             && self.lifecycle.shutting_down_since.is_none()
             && self.requests.open.len() < WAITING_REQUESTS;
-        (!can_wait).then(|| self.later())
+        (!can_wait).then(|| self.retry_later_reply())
     }
 
     /// Admits a request if it costs a change of the state store; returns the seconds after which to
@@ -125,7 +125,7 @@
     }
 
     /// Returns the reply that asks the user to retry.
-    pub(crate) fn later(&self) -> UserReply {
+    pub(crate) fn retry_later_reply(&self) -> UserReply {
         let after_s = match self.has_current_state() {
             true => RETRY_AFTER_S,
             false => OUTAGE_RETRY_AFTER_S,
@@ -134,7 +134,7 @@
     }
 
     /// Answers a request, unless it was answered before.
-    pub(crate) fn answer(&mut self, request: RequestId, reply: UserReply) {
+    pub(crate) fn reply_to_user(&mut self, request: RequestId, reply: UserReply) {
         if self.requests.open.remove(&request).is_some() {
             self.emit(Effect::User { request, reply });
         }
@@ -152,12 +152,14 @@
                 return;
             }
             let reply = self.job_reply(&request, &job);
-            self.answer(id, reply);
+            self.reply_to_user(id, reply);
             return;
         }
         match request.kind {
             RequestKind::Submit(spec) => self.accept_job(id, request.job, spec),
-            RequestKind::Status | RequestKind::Cancel => self.answer(id, UserReply::NotFound),
+            RequestKind::Status | RequestKind::Cancel => {
+                self.reply_to_user(id, UserReply::NotFound)
+            }
         }
     }
 
@@ -182,19 +184,19 @@
     fn accept_job(&mut self, request: RequestId, id: String, spec: Box<JobSpec>) {
         let types_known = !self.machine_types.is_empty() || !self.settings.checks.machine_types;
         if !types_known || !self.configuration.is_readable() {
-            let reply = self.later();
-            self.answer(request, reply);
+            let reply = self.retry_later_reply();
+            self.reply_to_user(request, reply);
             return;
         }
         if let Some(reason) = self.rejection_reason(&spec) {
             tracing::info!(job = spec.id, reason, "submission rejected");
-            self.answer(request, UserReply::Rejected(reason));
+            self.reply_to_user(request, UserReply::Rejected(reason));
             return;
         }
         if !spec.dependencies.is_empty() && self.cache.format() < formats::PIPELINES {
             // A controller of an older version would start the job at once.
             let after_s = UPGRADE_RETRY_AFTER_S;
-            self.answer(request, UserReply::RetryAfter { after_s });
+            self.reply_to_user(request, UserReply::RetryAfter { after_s });
             return;
         }
         let record = self.accepted_record(spec);
@@ -225,13 +227,13 @@
         if self.has_current_state() && self.requests.open.contains_key(&request) {
             self.reads.unissued.push(request);
         } else {
-            let reply = self.later();
-            self.answer(request, reply);
+            let reply = self.retry_later_reply();
+            self.reply_to_user(request, reply);
         }
     }
 
     /// Handles the response to a request's transaction.
-    pub(crate) fn request_committed(&mut self, id: RequestId, committed: bool) {
+    pub(crate) fn handle_request_response(&mut self, id: RequestId, committed: bool) {
         let Some(request) = self.requests.open.get(&id).cloned() else {
             return;
         };
@@ -269,7 +271,7 @@
         // is due all the same.
         self.scheduling.pass_requested = true;
         self.metrics.accepted(self.now - received_at);
-        self.answer(request, UserReply::Accepted { job });
+        self.reply_to_user(request, UserReply::Accepted { job });
     }
 
     /// Stops the tasks of a job whose cancellation was committed, and answers its user or lets the
@@ -283,7 +285,7 @@
             return;
         }
         let state = JobState::Cancelled;
-        self.answer(request, UserReply::Cancelled { job, state });
+        self.reply_to_user(request, UserReply::Cancelled { job, state });
     }
 
     /// Tells users to retry whose requests have waited too long, or all users once the cache is no
@@ -307,8 +309,8 @@
     /// Tells the users of several requests to retry.
     fn reply_retry_to_all(&mut self, requests: Vec<RequestId>) {
         for request in requests {
-            let reply = self.later();
-            self.answer(request, reply);
+            let reply = self.retry_later_reply();
+            self.reply_to_user(request, reply);
         }
     }
 
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -76,7 +76,9 @@
         self.scheduling.next_pass_at = self.scheduling.next_pass_at.min(turn);
         if self.settings.tuning.recover_starts {
             let heard_at = self.now - lost.silent_ms;
-            self.workers.starts.peer_lost(self.now, heard_at);
+            self.workers
+                .starts
+                .schedule_failover_check(self.now, heard_at);
         }
     }
 
@@ -86,7 +88,7 @@
         if !self.on_duty() {
             return;
         }
-        for id in self.workers.starts.due_to_ask(self.now) {
+        for id in self.workers.starts.take_machines_to_check(self.now) {
             self.send_command(id, Vec::new());
         }
     }
@@ -96,7 +98,7 @@
     /// they are fenced at once, and go with the next answer to a heartbeat, rather than once a heartbeat has
     /// lacked them.
     pub(crate) fn fence_uncertain_claims(&mut self) {
-        if !self.workers.starts.has_doubts() {
+        if !self.workers.starts.has_uncertain_claims() {
             return;
         }
         let cache = &self.cache;
@@ -105,7 +107,11 @@
             let assignment = Some(&placed.assignment).filter(|b| b.attempt == *attempt)?;
             assignment.direct_start.map(|start| start.token)
         };
-        for (machine, token) in self.workers.starts.found_assigned(self.now, token) {
+        for (machine, token) in self
+            .workers
+            .starts
+            .take_recorded_uncertain_claims(self.now, token)
+        {
             tracing::info!(
                 machine,
                 "uncertain claim found on record: start fenced, to be resent"
--- a/crates/core/src/provisioning/scale_in.rs
+++ b/crates/core/src/provisioning/scale_in.rs
@@ -13,7 +13,7 @@
     /// Drains at most `max` machines that are expensive for what they still do.
     pub(crate) fn drain_for_scale_in(&mut self, max: usize) {
         let is_old_enough = |id: &str| {
-            let up_since = self.workers.observations.of(id).up_since;
+            let up_since = self.workers.observations.get(id).up_since;
             up_since.is_some_and(|at| self.now >= at + SCALE_IN_AFTER_MS)
         };
         let candidates = scale_in_candidates(&self.cache, &self.machine_types, is_old_enough, max);
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -437,7 +437,7 @@
         let known = self.run_times.estimates.get(job);
         match known.filter(|_| self.settings.learned.due) {
             Some(k) => k.least_ms,
-            None => crate::jobs::dependencies::least_run_ms(spec),
+            None => crate::jobs::dependencies::min_estimated_run_ms(spec),
         }
     }
 
--- a/crates/core/src/scheduling/deferral.rs
+++ b/crates/core/src/scheduling/deferral.rs
@@ -135,7 +135,7 @@
                 JobKind::Array => {
                     let batches = running.batches.entry(spec.priority).or_default();
                     batches.cpu_work +=
-                        queue_order::cpu_work(1, cpus, dependencies::run_ms(spec) / 2);
+                        queue_order::cpu_work(1, cpus, dependencies::estimated_run_ms(spec) / 2);
                     // They have been started: only the changes for their results are still to be made.
                     batches.tasks += u64::from(assigned / 2);
                 }
@@ -172,7 +172,7 @@
         let spec = self.cache.open_job(&work.job);
         let mut teams = self.settings.policy.teams.keys();
         let team = spec.and_then(|spec| teams.position(|name| *name == spec.team));
-        let run_ms = spec.map_or(0, dependencies::run_ms);
+        let run_ms = spec.map_or(0, dependencies::estimated_run_ms);
         let tasks = work.indices.len() as u64;
         let goals = next_goals.get(&work.job);
         QueuedJob {
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -41,7 +41,9 @@
             return;
         }
         self.begin_pass();
-        let inherited = dependencies::pulls(&self.cache, &|job, spec| self.least_run_ms(job, spec));
+        let inherited = dependencies::inherited_priorities(&self.cache, &|job, spec| {
+            self.least_run_ms(job, spec)
+        });
         let mut work = self.collect_pending_work(&inherited);
         self.scheduling.has_pending_work = !work.is_empty();
         if work.is_empty() {
@@ -222,7 +224,7 @@
                 &self.cluster_view(),
                 work,
                 |id| self.is_usable(id),
-                |job: &str, spec: &JobSpec| dependencies::priority(inherited, job, spec),
+                |job: &str, spec: &JobSpec| dependencies::effective_priority(inherited, job, spec),
             )
         };
         fetch_s * 1_000.0 > WARM_IMAGE_MIN_FETCH_MS as f64
--- a/crates/core/src/scheduling/pending_work.rs
+++ b/crates/core/src/scheduling/pending_work.rs
@@ -169,7 +169,7 @@
         let plain = PendingWork::of(self.cache, self.settings, id, job, spec);
         let work = PendingWork {
             urgency: Urgency {
-                priority: Reverse(dependencies::priority(self.inherited, id, spec)),
+                priority: Reverse(dependencies::effective_priority(self.inherited, id, spec)),
                 due,
                 ..plain.urgency
             },
@@ -223,7 +223,7 @@
     ) -> Vec<WallMs> {
         let policy = &self.settings.policy;
         let run_ms = (self.run_times.min_remaining)(id, spec);
-        let own_deadline = dependencies::deadline(job, spec).into_iter();
+        let own_deadline = dependencies::own_deadline(job, spec).into_iter();
         let inherited = self.inherited.get(id).and_then(|inherited| inherited.due);
         let deadline = own_deadline.chain(inherited).min();
         let completion = policy.goals.get(&spec.class).into_iter().flatten();
--- a/crates/core/src/scheduling/preemption_step.rs
+++ b/crates/core/src/scheduling/preemption_step.rs
@@ -89,7 +89,7 @@
         spec: &JobSpec,
         inherited: &InheritedPriorities,
     ) -> JobPriority {
-        let priority = dependencies::priority(inherited, id, spec);
+        let priority = dependencies::effective_priority(inherited, id, spec);
         if priority >= JobPriority::High {
             return priority;
         }
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -243,7 +243,7 @@
             let machine = &assignment.machine;
             self.workers
                 .starts
-                .claimed(self.now, &task, claim_revision, machine);
+                .record_claim(self.now, &task, claim_revision, machine);
             self.workers
                 .last_assigned_at
                 .insert(machine.clone(), self.now);
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -105,7 +105,7 @@
                 if committed {
                     self.count_runs(released);
                 }
-                self.results_written(reply_start, returning, committed);
+                self.handle_results_response(reply_start, returning, committed);
             }
             PendingOperation::Claim(claimed) => {
                 self.assignment_write_finished(operation, &response);
@@ -130,7 +130,7 @@
                 self.run_times_recorded(class, batches, &response);
             }
             PendingOperation::FinishJob(job) => {
-                self.cleanup.finishing.remove(&job);
+                self.cleanup.finishing_jobs.remove(&job);
             }
             PendingOperation::CancelDependents(jobs) => {
                 self.dependents_cancellation_written(&jobs, committed);
@@ -155,19 +155,21 @@
 
     fn user_request_written(&mut self, request: RequestId, response: &StateResponse) {
         if *response == StateResponse::Refused {
-            let reply = self.later();
-            self.answer(request, reply);
+            let reply = self.retry_later_reply();
+            self.reply_to_user(request, reply);
             return;
         }
         let committed = matches!(response, StateResponse::Committed { .. });
-        self.request_committed(request, committed);
+        self.handle_request_response(request, committed);
     }
 
     fn claim_written(&mut self, claimed: &[ClaimedTask], committed: bool) {
         if committed {
             for claim in claimed {
                 let (task, machine) = (&claim.task, &claim.machine);
-                self.workers.starts.answered(task, claim.attempt);
+                self.workers
+                    .starts
+                    .record_claim_response(task, claim.attempt);
                 tracing::info!(%task, machine, "task claimed");
                 let accepted_at = self.cache.job(&task.job).map_or(self.wall, |job| job.at);
                 let waited_ms = self.wall.saturating_sub(accepted_at);
@@ -262,7 +264,12 @@
             Some((PendingOperation::Claim(claimed), _)) => {
                 for claim in claimed {
                     let starts = &mut self.workers.starts;
-                    starts.doubt(self.now, &claim.task, claim.attempt, &claim.machine);
+                    starts.record_uncertain_claim(
+                        self.now,
+                        &claim.task,
+                        claim.attempt,
+                        &claim.machine,
+                    );
                 }
             }
             _ => {}
--- a/crates/core/src/workers/commands.rs
+++ b/crates/core/src/workers/commands.rs
@@ -145,7 +145,7 @@
                 let was_silent = self
                     .workers
                     .observations
-                    .of(&machine)
+                    .get(&machine)
                     .silent_since()
                     .is_some();
                 if !was_silent && !zone.is_some_and(|z| self.is_zone_unreachable(z)) {
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -45,18 +45,18 @@
     /// Returns the milliseconds since a machine's last sign of life: a heartbeat to any controller,
     /// or a response to a direct command.
     fn silence_ms(&self, id: &str) -> Millis {
-        self.silence_of(&self.liveness(id))
+        self.silence_ms_of(&self.liveness(id))
     }
 
     /// Returns the same as `silence_ms` for a liveness that was looked up already.
-    pub(crate) fn silence_of(&self, liveness: &Liveness) -> Millis {
+    pub(crate) fn silence_ms_of(&self, liveness: &Liveness) -> Millis {
         let answered_at = liveness.observation.answered_at.unwrap_or(0);
         self.now - self.last_heard_at(liveness).max(answered_at)
     }
 
     /// Returns the milliseconds in which a worker finds another controller. After them a silent
     /// machine is probed, whichever controller it reported to.
-    pub(crate) fn unheard_limit_ms(&self) -> Millis {
+    pub(crate) fn worker_silence_limit_ms(&self) -> Millis {
         self.worker_failover_ms() + SILENCE_MARGIN_MS
     }
 
@@ -67,12 +67,12 @@
     }
 
     /// Returns whether any controller received one of the machine's last heartbeats.
-    pub(crate) fn recently_heard(&self, id: &str) -> bool {
-        self.recently_heard_of(&self.liveness(id))
+    pub(crate) fn has_recent_heartbeat(&self, id: &str) -> bool {
+        self.has_recent_heartbeat_of(&self.liveness(id))
     }
 
-    /// Returns the same as `recently_heard` for a liveness that was looked up already.
-    pub(crate) fn recently_heard_of(&self, liveness: &Liveness) -> bool {
+    /// Returns the same as `has_recent_heartbeat` for a liveness that was looked up already.
+    pub(crate) fn has_recent_heartbeat_of(&self, liveness: &Liveness) -> bool {
         self.now - self.last_heard_at(liveness) < self.settings.report_ms * 5 / 2
     }
 
@@ -107,7 +107,7 @@
     /// alone; the responses to probes tell live machines from dead ones.
     fn overdue_machines(&self, survey: MachineSurvey) -> Vec<OverdueMachine> {
         let mut give_up = BTreeMap::new();
-        let limit_ms = self.unheard_limit_ms();
+        let limit_ms = self.worker_silence_limit_ms();
         if self.now - self.lifecycle.resumed_at >= limit_ms + self.settings.report_ms {
             let patience_ms = match survey.silent.len() * 3 <= survey.up {
                 true => limit_ms,
@@ -140,7 +140,7 @@
                 probed_at,
                 unanswered_at,
                 ..
-            } = self.workers.observations.of(&machine);
+            } = self.workers.observations.get(&machine);
             let overdue_at = self.now - self.silence_ms(&machine) + overdue_ms;
             let probe_failed =
                 unanswered_at.is_some_and(|at| at > overdue_at && self.now < at + PROBE_FRESH_MS);
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -42,7 +42,7 @@
             // A duplicate, or overtaken by a newer heartbeat: the worker no longer waits for the
             // reply, the heartbeat is no evidence that the machine is alive now, and the newer one
             // contained all that this one reports.
-            self.worker(request, WorkerReply::Unavailable);
+            self.reply_to_worker(request, WorkerReply::Unavailable);
             return;
         }
         self.detect_unreachable_worker(&heartbeat);
@@ -79,21 +79,21 @@
         }
         if !self.has_current_state() {
             let reply = self.reply_without_state(&heartbeat);
-            self.worker(request, reply);
+            self.reply_to_worker(request, reply);
             return;
         }
         let Some(token) = self.fencing_token(&heartbeat.machine) else {
-            self.worker(request, WorkerReply::Unavailable);
+            self.reply_to_worker(request, WorkerReply::Unavailable);
             return;
         };
         if heartbeat.token > token {
             // The worker has seen a token of a newer term than this controller knows, so this
             // controller must not command it.
-            self.worker(request, WorkerReply::Unavailable);
+            self.reply_to_worker(request, WorkerReply::Unavailable);
             return;
         }
         if let Some(controller) = self.shutdown_redirect() {
-            self.worker(
+            self.reply_to_worker(
                 request,
                 WorkerReply::Redirect {
                     controller: Some(controller),
@@ -102,7 +102,7 @@
         } else if self.reconcile(&heartbeat) {
             self.hold_heartbeat(request, heartbeat, false);
         } else if let Some(controller) = self.handoff_target(&heartbeat) {
-            self.worker(
+            self.reply_to_worker(
                 request,
                 WorkerReply::Redirect {
                     controller: Some(controller),
@@ -171,12 +171,12 @@
         if let Some(earlier) = self.workers.held_heartbeats.remove(&id) {
             if earlier.position() > heartbeat.position() {
                 self.workers.held_heartbeats.insert(id, earlier);
-                self.worker(request, WorkerReply::Unavailable);
+                self.reply_to_worker(request, WorkerReply::Unavailable);
                 return;
             }
             // The worker no longer waits for the reply to the earlier heartbeat, so that reply
             // carries nothing.
-            self.worker(earlier.request, WorkerReply::Unavailable);
+            self.reply_to_worker(earlier.request, WorkerReply::Unavailable);
         }
         let held_since = self.now;
         self.workers.held_heartbeats.insert(
@@ -191,7 +191,7 @@
     }
 
     /// Processes the heartbeats that arrived before the state cache was current.
-    pub(crate) fn process_early_heartbeats(&mut self) {
+    pub(crate) fn process_deferred_heartbeats(&mut self) {
         if self.awaits_current_view() {
             return;
         }
@@ -210,7 +210,7 @@
     }
 
     /// Replies to a worker's heartbeat.
-    pub(crate) fn worker(&mut self, request: RequestId, reply: WorkerReply) {
+    pub(crate) fn reply_to_worker(&mut self, request: RequestId, reply: WorkerReply) {
         self.emit(Effect::Worker { request, reply });
     }
 }
--- a/crates/core/src/workers/machine_updates.rs
+++ b/crates/core/src/workers/machine_updates.rs
@@ -73,7 +73,7 @@
         {
             return true;
         }
-        let observation = self.workers.observations.of(id);
+        let observation = self.workers.observations.get(id);
         if observation.answered_at.is_some() {
             return true;
         }
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -62,7 +62,7 @@
 
     /// Returns the time of the latest sign of life that any controller is known to have had, if
     /// any: a heartbeat or a response to a direct command.
-    pub fn latest(&self) -> Option<Millis> {
+    pub fn last_sign_of_life_at(&self) -> Option<Millis> {
         self.last_heartbeat_at().max(self.observation.answered_at)
     }
 
@@ -96,7 +96,7 @@
         Liveness {
             received: self.workers.last_heartbeats.get(id),
             from_peers: self.peers.observation(id),
-            observation: self.workers.observations.of(id),
+            observation: self.workers.observations.get(id),
         }
     }
 }
@@ -115,7 +115,7 @@
     }
 
     /// Returns the observations of a machine, or empty ones if there is no entry.
-    pub fn of(&self, id: &str) -> MachineObservation {
+    pub fn get(&self, id: &str) -> MachineObservation {
         self.machines.get(id).copied().unwrap_or_default()
     }
 
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -124,12 +124,12 @@
     }
 
     /// While this controller is partitioned from the workers, probes one of them at an interval.
-    pub(crate) fn probe_partition(&mut self) {
+    pub(crate) fn probe_during_partition(&mut self) {
         if !self.workers.reachability.take_probe_due(self.now) {
             return;
         }
         let heard: Vec<&str> = (self.cache.machines())
-            .filter(|(id, m, _)| m.is_up() && self.recently_heard(id))
+            .filter(|(id, m, _)| m.is_up() && self.has_recent_heartbeat(id))
             .map(|(id, ..)| id)
             .collect();
         if let Some(id) = heard.choose(&mut self.rng).map(|id| id.to_string()) {
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -141,7 +141,7 @@
                 WorkerCommand::Forget { .. } => {}
             }
         }
-        self.worker(request, WorkerReply::Commands { token, commands });
+        self.reply_to_worker(request, WorkerReply::Commands { token, commands });
     }
 
     /// Replies to held heartbeats: at once if their starts are recorded or the state store is lost,
@@ -161,7 +161,7 @@
             {
                 if let Some(held) = self.workers.held_heartbeats.remove(&id) {
                     let reply = self.reply_without_state(&held.heartbeat);
-                    self.worker(held.request, reply);
+                    self.reply_to_worker(held.request, reply);
                 }
                 continue;
             }
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -363,7 +363,7 @@
 
     /// Handles the outcome of a transaction of results. A conflict halves the limit of changes per
     /// transaction, a commit doubles it.
-    pub(crate) fn results_written(
+    pub(crate) fn handle_results_response(
         &mut self,
         reply_start: Vec<String>,
         returning: bool,
--- a/crates/core/src/workers/starts.rs
+++ b/crates/core/src/workers/starts.rs
@@ -45,7 +45,7 @@
 
 impl StartTracker {
     /// Records that a claim is on record.
-    pub fn claimed(&mut self, now: Millis, task: &TaskId, attempt: u64, machine: &str) {
+    pub fn record_claim(&mut self, now: Millis, task: &TaskId, attempt: u64, machine: &str) {
         if self.tracked.len() < STARTS_TRACKED_MAX {
             let machine = machine.to_string();
             let start = InFlightStart {
@@ -64,7 +64,13 @@
     }
 
     /// Records that the transaction of an own claim got no response.
-    pub fn doubt(&mut self, now: Millis, task: &TaskId, attempt: u64, machine: &str) {
+    pub fn record_uncertain_claim(
+        &mut self,
+        now: Millis,
+        task: &TaskId,
+        attempt: u64,
+        machine: &str,
+    ) {
         if self.uncertain_claims.len() < STARTS_TRACKED_MAX {
             let start = (task.clone(), attempt);
             let machine = machine.to_string();
@@ -77,21 +83,21 @@
 
     /// Records that the transaction of an uncertain claim got its response after all; its start is
     /// sent then.
-    pub fn answered(&mut self, task: &TaskId, attempt: u64) {
+    pub fn record_claim_response(&mut self, task: &TaskId, attempt: u64) {
         if !self.uncertain_claims.is_empty() {
             self.uncertain_claims.remove(&(task.clone(), attempt));
         }
     }
 
     /// Returns whether own claims are without a response.
-    pub fn has_doubts(&self) -> bool {
+    pub fn has_uncertain_claims(&self) -> bool {
         !self.uncertain_claims.is_empty()
     }
 
     /// Removes the uncertain claims that are on record by now; returns their machines and the
     /// tokens of their starts. `token` returns the token of a start's assignment on a machine, if
     /// there is one.
-    pub fn found_assigned(
+    pub fn take_recorded_uncertain_claims(
         &mut self,
         now: Millis,
         token: impl Fn(&Attempt, &str) -> Option<u64>,
@@ -125,7 +131,7 @@
 
     /// Returns whether a start is on its way to a machine: claimed since the last sign of life from
     /// there.
-    pub fn unseen(&self, start: &Attempt, last_sign_at: Millis) -> bool {
+    pub fn is_in_flight(&self, start: &Attempt, last_sign_at: Millis) -> bool {
         self.tracked
             .get(start)
             .is_some_and(|s| s.known_at >= last_sign_at)
@@ -133,7 +139,7 @@
 
     /// Schedules a check of the machines to which a failed peer may not have sent its last starts.
     /// The peer's last heartbeat came at `heard_at`.
-    pub fn peer_lost(&mut self, now: Millis, heard_at: Millis) {
+    pub fn schedule_failover_check(&mut self, now: Millis, heard_at: Millis) {
         let from = heard_at.saturating_sub(PEER_HEARTBEAT_MS);
         let from = self
             .failover_check
@@ -142,7 +148,7 @@
     }
 
     /// Returns the machines to be probed now for starts of a failed peer.
-    pub fn due_to_ask(&mut self, now: Millis) -> Vec<String> {
+    pub fn take_machines_to_check(&mut self, now: Millis) -> Vec<String> {
         let Some((_, claimed_from)) = self.failover_check.filter(|(due_at, _)| now >= *due_at)
         else {
             return Vec::new();
--- a/crates/core/src/workers/starts/tests.rs
+++ b/crates/core/src/workers/starts/tests.rs
@@ -10,8 +10,8 @@
 #[test]
 fn start_missing_from_later_heartbeats_is_detected() {
     let mut starts = StartTracker::default();
-    starts.claimed(1_000, &start(0).0, 7, "m");
-    assert!(starts.unseen(&start(0), 900) && !starts.unseen(&start(0), 1_100));
+    starts.record_claim(1_000, &start(0).0, 7, "m");
+    assert!(starts.is_in_flight(&start(0), 900) && !starts.is_in_flight(&start(0), 1_100));
     assert!(
         !starts.is_missing(1_500, &start(0), "m"),
         "its command may still be on its way"
@@ -27,12 +27,15 @@
 #[test]
 fn failed_peers_last_starts_are_checked_once() {
     let mut starts = StartTracker::default();
-    starts.claimed(1_000, &start(0).0, 7, "old");
-    starts.claimed(9_000, &start(1).0, 7, "new");
-    starts.peer_lost(9_200, 9_100);
-    assert!(starts.due_to_ask(9_300).is_empty());
-    assert_eq!(starts.due_to_ask(9_200 + FAILOVER_START_CHECK_MS), ["new"]);
-    assert!(starts.due_to_ask(20_000).is_empty());
+    starts.record_claim(1_000, &start(0).0, 7, "old");
+    starts.record_claim(9_000, &start(1).0, 7, "new");
+    starts.schedule_failover_check(9_200, 9_100);
+    assert!(starts.take_machines_to_check(9_300).is_empty());
+    assert_eq!(
+        starts.take_machines_to_check(9_200 + FAILOVER_START_CHECK_MS),
+        ["new"]
+    );
+    assert!(starts.take_machines_to_check(20_000).is_empty());
     assert!(
         starts.is_missing(9_000 + FAILOVER_START_CHECK_MS, &start(1), "new"),
         "a start under a failover check counts as missing sooner"
--- a/crates/core/src/zones/detector.rs
+++ b/crates/core/src/zones/detector.rs
@@ -73,17 +73,17 @@
     /// The latest sign of life of a machine that any controller is known to have had, if any: a heartbeat
     /// or an answer to a direct command.
     pub(crate) fn last_sign(&self, id: &str) -> Option<Millis> {
-        self.liveness(id).latest()
+        self.liveness(id).last_sign_of_life_at()
     }
 
     /// Looks once at all machines that are up.
     pub(crate) fn survey_machines(&self) -> MachineSurvey {
         let due = self.settings.report_due_ms();
-        let (limit, overdue_limit) = (self.unheard_limit_ms(), due + PROBE_AFTER_MS);
+        let (limit, overdue_limit) = (self.worker_silence_limit_ms(), due + PROBE_AFTER_MS);
         let mut survey = MachineSurvey::default();
         for (id, machine, _) in self.cache.machines().filter(|(_, m, _)| m.is_up()) {
             let liveness = self.liveness(id);
-            if let Some(at) = liveness.latest() {
+            if let Some(at) = liveness.last_sign_of_life_at() {
                 // Names are only copied for zones that are new.
                 if !survey.zones.contains_key(&machine.zone) {
                     let zone = ZoneObservation::default();
@@ -96,7 +96,7 @@
                 }
             }
             survey.up += 1;
-            let silence_ms = self.silence_of(&liveness);
+            let silence_ms = self.silence_ms_of(&liveness);
             if silence_ms > limit {
                 let machine = id.to_string();
                 survey.silent.push(SilentMachine {
@@ -214,7 +214,7 @@
     /// Whether a machine has answered a direct command lately: a stop reaches it, and its answer shows what
     /// has ended, also where its heartbeats reach no controller.
     pub(crate) fn answers(&self, id: &str) -> bool {
-        let observation = self.workers.observations.of(id);
+        let observation = self.workers.observations.get(id);
         let answered_at = observation.answered_at;
         let lately = answered_at.is_some_and(|at| self.now < at + 2 * PROBE_FRESH_MS);
         lately && observation.silent_since().is_none()
@@ -260,7 +260,7 @@
 
     /// The same of a machine whose liveness was looked up already.
     pub(crate) fn reachable_by(&self, liveness: &Liveness, zone: &str) -> bool {
-        self.recently_heard_of(liveness)
+        self.has_recent_heartbeat_of(liveness)
             && !self.is_outbound_lost(liveness)
             && !self.is_zone_unreachable(zone)
             && (!self.settings.checks.heard_peers || liveness.observation.silent_since().is_none())
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -312,7 +312,7 @@
                 start_in_flight: self.is_start_in_flight(id, task, &placed.assignment),
                 fits_elsewhere: reservation.is_some() || may_preempt_elsewhere(spec, outage),
                 deadlines,
-                run_ms: dependencies::run_ms(spec),
+                run_ms: dependencies::estimated_run_ms(spec),
             });
             work.reservations.extend(reservation);
         }
@@ -336,8 +336,9 @@
         let objectives_ms = self.settings.policy.goals.get(&spec.class);
         let objectives_ms = objectives_ms.into_iter().flatten();
         let deadlines = objectives_ms.map(|ms| ready_at + ms);
-        let mut deadlines: Vec<WallMs> =
-            deadlines.chain(dependencies::deadline(job, spec)).collect();
+        let mut deadlines: Vec<WallMs> = deadlines
+            .chain(dependencies::own_deadline(job, spec))
+            .collect();
         deadlines.sort();
         deadlines
     }
@@ -353,7 +354,7 @@
     fn is_start_in_flight(&self, id: &str, task: &TaskId, assignment: &Assignment) -> bool {
         let last_sign_at = self.last_sign(id).unwrap_or(0);
         let attempt = (task.clone(), assignment.attempt);
-        self.workers.starts.unseen(&attempt, last_sign_at)
+        self.workers.starts.is_in_flight(&attempt, last_sign_at)
     }
 
     /// What is free on machines that can be reached.
--- a/crates/core/tests/scenarios/dependencies.rs
+++ b/crates/core/tests/scenarios/dependencies.rs
@@ -335,13 +335,15 @@
         (slow, 2_000),
         (last, 3_000),
     ]);
-    let pulls = dependencies::pulls(&cache, &|_, spec| dependencies::least_run_ms(spec));
+    let inherited = dependencies::inherited_priorities(&cache, &|_, spec| {
+        dependencies::min_estimated_run_ms(spec)
+    });
     // Of 5 and 50 s that a job is estimated to run, six tenths must do.
-    let due = |id: &str| pulls[id].due.unwrap();
+    let due = |id: &str| inherited[id].due.unwrap();
     assert_eq!((due("j-2"), due("j-3")), (100_000, 100_000));
     assert_eq!(due("j-1"), 70_000);
-    assert!(pulls.values().all(|p| p.priority == JobPriority::High));
-    assert!(!pulls.contains_key("j-4"), "nothing needs the last");
+    assert!(inherited.values().all(|p| p.priority == JobPriority::High));
+    assert!(!inherited.contains_key("j-4"), "nothing needs the last");
 }
 
 #[test]
@@ -354,10 +356,10 @@
         (dependent_job("j-4", 1, &["j-3"]), 0),
     ]);
     assert!(cache.blocked("j-1") && cache.waiting_jobs().next().is_none());
-    assert!(
-        !dependencies::pulls(&cache, &|_, spec| dependencies::least_run_ms(spec))
-            .contains_key("j-2")
-    );
+    assert!(!dependencies::inherited_priorities(&cache, &|_, spec| {
+        dependencies::min_estimated_run_ms(spec)
+    })
+    .contains_key("j-2"));
     let over = cache.job("j-1").unwrap().over(JobPhase::Cancelled, 9);
     cache.put(Key::Job("j-1".into()), 9, Record::Job(over));
     assert!(cache.doomed("j-2") && cache.doomed("j-3") && cache.doomed("j-4"));
