--- a/crates/core/src/workers/observations/tests.rs
+++ b/crates/core/src/workers/observations/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn reset_after_pause_keeps_only_harmless_observations() {
+fn reset_after_pause_keeps_first_seen_and_answered() {
     let mut observations = MachineObservations::new();
     let entry = observations.entry("n-1");
     (entry.first_seen_at, entry.up_since, entry.probed_at) = (Some(1), Some(2), Some(3));
