--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -451,7 +451,7 @@
         let estimate = self.run_times.estimates.get(job);
         match estimate.filter(|_| self.settings.runtime_estimates.due_times) {
             Some(estimate) => estimate.min_run_ms,
-            None => crate::jobs::dependencies::least_run_ms(spec),
+            None => crate::jobs::dependencies::min_estimated_run_ms(spec),
         }
     }
 
