--- a/crates/core/src/provisioning/demand.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -1,4 +1,4 @@
-//! Demand for machines: which instances to provision for work that no machine, present or on its way, can take.
+//! Demand for machines: chooses the instances to provision for work that no present or expected machine can take.
 
 use crate::constants::{
     BOOT_LATE, BOOT_LATE_SPARE_MS, LATE_FEW, LATE_PART, PROVISION_MAX_INSTANCES,
@@ -10,10 +10,10 @@
 use crate::state::{offer_key, MachinePhase, ProvisioningRecord, StateCache, ZoneSpreadRecord};
 use foldhash::HashMap;
 
-/// Prices per task that differ by less count as equal.
+/// Prices per task that differ by less than this count as equal.
 const PRICE_TOLERANCE: f64 = 1e-9;
 
-/// Machines of one offer to provision.
+/// The number of machines to provision of one offer: machine type, zone, and spot or on-demand.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceDemand {
     pub type_name: String,
@@ -22,20 +22,20 @@
     pub count: u32,
 }
 
-/// What demand is worked out from.
+/// The inputs from which demand is computed.
 pub struct ProvisioningView<'a> {
     pub cache: &'a StateCache,
     /// The cloud's machine types by name.
     pub machine_types: &'a HashMap<String, MachineType>,
-    /// Whether a machine that an instance request brought is still on its way.
-    pub is_on_its_way: &'a dyn Fn(&str) -> bool,
-    /// Whether a zone can't be reached: what is provisioned there would come up unheard.
+    /// Returns whether a machine that an instance request provisioned is still expected to come up.
+    pub is_expected: &'a dyn Fn(&str) -> bool,
+    /// Returns whether a zone is unreachable, so that no heartbeat of a machine provisioned there would arrive.
     pub is_zone_unreachable: &'a dyn Fn(&str) -> bool,
-    /// The time of day.
+    /// The current wall-clock time.
     pub wall: WallMs,
 }
 
-/// A machine that could be provisioned, or one that is on its way.
+/// A machine that could be provisioned, or one that is expected.
 #[derive(Clone, Debug, PartialEq)]
 struct PlannedInstance {
     type_name: String,
@@ -44,7 +44,7 @@
     free: Resources,
 }
 
-/// Machines of one offer that are on their way.
+/// Expected machines of one offer.
 struct ExpectedInstances<'a> {
     type_name: &'a str,
     zone: &'a str,
@@ -56,36 +56,36 @@
 /// One job's tasks that still need a machine.
 struct UnplacedTasks<'a> {
     spec: &'a JobSpec,
-    /// The job's tasks by zone, with those that have been assigned to planned instances.
-    zones: ZoneSpreadRecord,
+    /// The number of the job's tasks per zone, including those assigned to planned instances.
+    zone_spread: ZoneSpreadRecord,
     count: u64,
 }
 
 impl UnplacedTasks<'_> {
-    /// Assigns as many as fit to an instance.
+    /// Assigns as many of the tasks to an instance as fit.
     fn assign_to(&mut self, instance: &mut PlannedInstance) {
         while self.count > 0
             && instance.free.fits(&self.spec.resources)
             && self
                 .spec
                 .allows(&instance.type_name, &instance.zone, instance.spot)
-            && zone_room(self.spec, &self.zones, &instance.zone) > 0
+            && zone_room(self.spec, &self.zone_spread, &instance.zone) > 0
         {
             instance.free = instance.free.less(&self.spec.resources);
             let zone = instance.zone.clone();
-            *self.zones.zones.entry(zone).or_default() += 1;
+            *self.zone_spread.zones.entry(zone).or_default() += 1;
             self.count -= 1;
         }
     }
 }
 
 impl ProvisioningView<'_> {
-    /// What to provision for pending work that no machine, present or on its way, can take: per job the
-    /// cheapest way to serve it, offers refused lately passed over.
+    /// Returns the instances to provision for pending work that no present or expected machine can take. Uses the
+    /// cheapest offer for each job and skips offers that the cloud refused recently.
     pub fn demand(&self, work: &[PendingWork]) -> Vec<InstanceDemand> {
         let offers = self.cache.fleet();
-        let mut instances = self.instances_on_their_way();
-        let on_their_way = instances.len();
+        let mut instances = self.awaited_instances();
+        let awaited = instances.len();
         let max = PROVISION_MAX_INSTANCES as usize * PROVISION_REQUESTS_AT_ONCE;
         for work in work {
             let Some(spec) = self.cache.open_job(&work.job) else {
@@ -93,7 +93,7 @@
             };
             let mut tasks = UnplacedTasks {
                 spec,
-                zones: work.zones.clone(),
+                zone_spread: work.zone_spread.clone(),
                 count: work.indices.len() as u64,
             };
             for instance in &mut instances {
@@ -105,27 +105,28 @@
                 };
                 tasks.assign_to(&mut instance);
                 instances.push(instance);
-                if instances.len() - on_their_way >= max {
+                if instances.len() - awaited >= max {
                     break;
                 }
             }
         }
-        by_offer(instances.split_off(on_their_way))
+        count_by_offer(instances.split_off(awaited))
     }
 
-    /// Machines that are waited for. One that is late may never come: a few such are not waited for. When many
-    /// are late it is the cloud that is slow, and more of them would only cost more.
-    fn instances_on_their_way(&self) -> Vec<PlannedInstance> {
+    /// Returns the expected machines that pending work waits for. A late machine may never come up, so if only a few
+    /// are late, work does not wait for these. If many are late, the cloud is slow, and requesting replacements
+    /// would only cost more.
+    fn awaited_instances(&self) -> Vec<PlannedInstance> {
         let expected = self.expected_instances();
-        let all: u32 = expected.iter().map(|e| e.count).sum();
-        let late: u32 = (expected.iter().filter(|e| e.is_late))
+        let all_count: u32 = expected.iter().map(|e| e.count).sum();
+        let late_count: u32 = (expected.iter().filter(|e| e.is_late))
             .map(|e| e.count)
             .sum();
-        let only_few_are_late = late <= LATE_FEW || late * LATE_PART <= all;
+        let only_few_are_late = late_count <= LATE_FEW || late_count * LATE_PART <= all_count;
         let mut instances = Vec::new();
         for expected in expected {
-            let is_given_up = expected.is_late && only_few_are_late;
-            if is_given_up || (self.is_zone_unreachable)(expected.zone) {
+            let is_not_awaited = expected.is_late && only_few_are_late;
+            if is_not_awaited || (self.is_zone_unreachable)(expected.zone) {
                 continue;
             }
             let Some(machine_type) = self.machine_types.get(expected.type_name) else {
@@ -142,7 +143,7 @@
         instances
     }
 
-    /// Machines that boot, then those that instance requests are to bring or have brought.
+    /// Returns the booting machines, followed by the machines of open instance requests that have not come up.
     fn expected_instances(&self) -> Vec<ExpectedInstances<'_>> {
         let booting = self.cache.machines();
         let booting = booting.filter(|(_, m, _)| m.phase == MachinePhase::Booting);
@@ -160,8 +161,8 @@
             spot: request.spot,
             count: match &request.instances {
                 Some(instances) => {
-                    let on_their_way = instances.iter().filter(|id| (self.is_on_its_way)(id));
-                    on_their_way.count() as u32
+                    let expected = instances.iter().filter(|id| (self.is_expected)(id));
+                    expected.count() as u32
                 }
                 None => request.count,
             },
@@ -170,14 +171,14 @@
         booting.chain(requested).collect()
     }
 
-    /// Whether a machine of a type that was requested then should have come by now.
+    /// Returns whether a machine of a type that was requested at `requested_at` should have come up by now.
     fn is_late(&self, type_name: &str, requested_at: WallMs) -> bool {
         let boot_s = self.machine_types.get(type_name).map_or(0.0, |t| t.boot_s);
         let boot_ms = (boot_s * 1_000.0 * BOOT_LATE) as u64;
         self.wall > requested_at + boot_ms + BOOT_LATE_SPARE_MS
     }
 
-    /// The offer that serves the tasks at the lowest price per task.
+    /// Returns an instance of the offer that serves the tasks at the lowest price per task.
     fn cheapest_offer(
         &self,
         offers: &ProvisioningRecord,
@@ -216,8 +217,8 @@
         best.map(|(_, instance)| instance)
     }
 
-    /// The price of an offer for each task that it would serve; none if it serves none, was refused lately, or
-    /// does not exist.
+    /// Returns the price of an offer per task that it would serve, or `None` if it serves no task, was refused
+    /// recently, or does not exist.
     fn price_per_task(
         &self,
         offers: &ProvisioningRecord,
@@ -234,19 +235,19 @@
             .refused
             .get(&offer_key(&machine_type.name, zone, spot))
             .is_some_and(|until| *until > self.wall);
-        let in_zone = u64::from(zone_room(tasks.spec, &tasks.zones, zone));
+        let allowed_in_zone = u64::from(zone_room(tasks.spec, &tasks.zone_spread, zone));
         let fits = machine_type.room.count(&tasks.spec.resources);
-        let served = fits.min(tasks.count).min(in_zone);
+        let served_tasks = fits.min(tasks.count).min(allowed_in_zone);
         let is_offered = !is_refused
             && price.is_finite()
             && (price > 0.0 || !spot)
             && tasks.spec.allows(&machine_type.name, zone, spot);
-        (is_offered && served > 0).then(|| price / served as f64)
+        (is_offered && served_tasks > 0).then(|| price / served_tasks as f64)
     }
 }
 
-/// Counts instances by offer, in the order in which offers first appear.
-fn by_offer(instances: Vec<PlannedInstance>) -> Vec<InstanceDemand> {
+/// Counts instances by offer, in the order in which the offers first appear.
+fn count_by_offer(instances: Vec<PlannedInstance>) -> Vec<InstanceDemand> {
     let mut demand: Vec<InstanceDemand> = Vec::new();
     for instance in instances {
         let known = demand.iter_mut().find(|known| {
--- a/crates/core/src/provisioning/scale_out.rs
+++ b/crates/core/src/provisioning/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale-out: instance requests for pending work that no machine can take.
+//! Scale-out: creates instance requests for pending work that no machine can take.
 
 use crate::constants::{
     MACHINE_NAME_BYTES, PROVISION_MAX_INSTANCES, PROVISION_REQUESTS_AT_ONCE, SMALL_RECORD_BYTES,
@@ -8,12 +8,13 @@
 use crate::scheduling::pending_work::PendingWork;
 use crate::state::{InstanceRequestRecord, Key, Record, TransactionBuilder};
 
-/// Jobs that are logged when nothing is provisioned for them.
+/// The most jobs that are logged when no offer can serve the pending work.
 const LOGGED_JOBS: usize = 3;
 
 impl Controller {
-    /// Records instance requests for pending work, unless others are under way. What is wanted meanwhile goes
-    /// into the next ones together: the cloud takes few calls, and one call brings many machines.
+    /// Records instance requests for pending work, unless earlier requests are still in flight. Demand that arises
+    /// meanwhile is combined into the next requests, because the cloud accepts few calls and one call can provision
+    /// many machines.
     pub(crate) fn scale_out(&mut self, work: &[PendingWork]) {
         if work.is_empty()
             || self.provisioning.request_creation_in_flight
@@ -24,7 +25,7 @@
         let view = ProvisioningView {
             cache: &self.cache,
             machine_types: &self.machine_types,
-            is_on_its_way: &|id| self.settings.checks.instance_requests && self.on_its_way(id),
+            is_expected: &|id| self.settings.checks.instance_requests && self.on_its_way(id),
             is_zone_unreachable: &|zone| self.is_zone_unreachable(zone),
             wall: self.wall,
         };
@@ -39,20 +40,20 @@
         self.create_instance_requests(demand);
     }
 
-    /// Records instance requests and the number of the next one, in one transaction.
+    /// Records instance requests and the next request number in one transaction.
     fn create_instance_requests(&mut self, demand: Vec<InstanceDemand>) {
         let max_instances = self.max_instances_per_request();
         let max_requests =
             PROVISION_REQUESTS_AT_ONCE.min(self.settings.max_transaction_changes - 1);
         let mut draft = TransactionBuilder::new(&self.cache);
-        let mut fleet = draft.fleet();
+        let mut provisioning = draft.fleet();
         let mut created = Vec::new();
         for demand in demand.into_iter().take(max_requests) {
-            let n = fleet.next;
-            fleet.next += 1;
-            created.push(n);
+            let number = provisioning.next;
+            provisioning.next += 1;
+            created.push(number);
             draft.put(
-                Key::InstanceRequest(n),
+                Key::InstanceRequest(number),
                 Record::InstanceRequest(InstanceRequestRecord {
                     type_name: demand.type_name,
                     zone: demand.zone,
@@ -64,17 +65,17 @@
                 }),
             );
         }
-        draft.put(Key::Provisioning, Record::Provisioning(fleet));
+        draft.put(Key::Provisioning, Record::Provisioning(provisioning));
         let transaction = draft.finish();
         self.provisioning.request_creation_in_flight = true;
         let purpose = PendingOperation::CreateInstanceRequests(created);
         self.commit(transaction, purpose, RequestClass::Claim);
     }
 
-    /// The machines that a request brings are named in its record, which must fit a value.
+    /// Returns the most instances per request. The record of a request names its machines and must fit into one value.
     fn max_instances_per_request(&self) -> u32 {
-        let bytes = self.settings.max_value_bytes;
-        let names_bytes = bytes.saturating_sub(SMALL_RECORD_BYTES as u64);
+        let max_value_bytes = self.settings.max_value_bytes;
+        let names_bytes = max_value_bytes.saturating_sub(SMALL_RECORD_BYTES as u64);
         (names_bytes / MACHINE_NAME_BYTES).clamp(1, u64::from(PROVISION_MAX_INSTANCES)) as u32
     }
 }
--- a/crates/core/src/scheduling/candidates.rs
+++ b/crates/core/src/scheduling/candidates.rs
@@ -1,4 +1,4 @@
-//! Candidates: the machines that a scheduling pass may place tasks on.
+//! Candidates: machines that a scheduling pass may place tasks on.
 
 use crate::constants::FETCH_MAX_MS;
 use crate::model::{JobSpec, MachineType, Millis, Resources};
@@ -7,30 +7,31 @@
 use crate::state::MachineRecord;
 use foldhash::HashMap;
 
-/// A machine with free resources, as the scheduling pass sees it.
+/// A machine that a scheduling pass considers for placement.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
     pub id: &'a str,
     pub record: &'a MachineRecord,
-    /// Images it has had, by their numbers, with their sizes.
+    /// Images in its cache: the number and the size in GB of each.
     pub images: &'a [(u32, f64)],
     pub free: Resources,
-    /// When a task was last placed there, as far as this controller knows: the one left alone
-    /// longest comes first.
+    /// When this controller last saw a task assigned to the machine, or 0. The machine with the earliest
+    /// time is preferred.
     pub last_assigned_at: Millis,
-    /// It sends its heartbeats to this controller. Controllers that prefer different machines seldom give
-    /// the same capacity away twice.
+    /// Whether it sends its heartbeats to this controller. Each controller prefers its own machines, so that
+    /// two controllers seldom claim the same capacity.
     pub reports_here: bool,
-    /// Some task is assigned to it.
+    /// Whether any task is assigned to it.
     pub is_busy: bool,
-    /// Milliseconds of fetches still under way there: images share a machine's rate.
-    pub fetch_ms: Millis,
-    /// How a start would be delivered to it from this controller.
+    /// Milliseconds until the image fetches in progress on it are complete. Fetches share the machine's rate.
+    pub pending_fetch_ms: Millis,
+    /// The channel by which this controller would deliver a start command to it.
     pub carrier: Carrier,
 }
 
 impl<'a> Candidate<'a> {
-    /// A machine too full for any pending work: it only counts for the capacity of its zone.
+    /// Creates the candidate for a machine that is too full for any pending work and only counts towards the
+    /// capacity of its zone.
     pub fn full(id: &'a str, record: &'a MachineRecord, free: Resources) -> Candidate<'a> {
         Candidate {
             id,
@@ -40,19 +41,19 @@
             last_assigned_at: 0,
             reports_here: false,
             is_busy: true,
-            fetch_ms: 0,
+            pending_fetch_ms: 0,
             carrier: Carrier::Answer,
         }
     }
 
-    /// Whether it has an image; one without a number is on no machine.
+    /// Returns whether its cache holds an image. No machine holds an image that has no number.
     pub fn has_image(&self, image: Option<u32>) -> bool {
         image.is_some_and(|image| self.images.iter().any(|(known, _)| *known == image))
     }
 }
 
-/// The least that any of the pending tasks requests, of each resource: a machine with less serves none of
-/// them.
+/// Returns, for each resource, the smallest request of any pending task. A machine with less than that can run
+/// none of them.
 pub fn min_request(work: &[PendingWork]) -> Resources {
     let requests = work.iter().map(|work| work.resources);
     let min = requests.reduce(|a, b| Resources {
@@ -63,8 +64,8 @@
     min.unwrap_or_default()
 }
 
-/// Milliseconds that a machine takes to fetch a job's image.
-pub fn fetch_ms(
+/// Returns the milliseconds that a machine takes to fetch a job's image, at most `FETCH_MAX_MS`.
+pub fn image_fetch_ms(
     machine_types: &HashMap<String, MachineType>,
     record: &MachineRecord,
     spec: &JobSpec,
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -1,9 +1,9 @@
-//! Claims and releases: assigning tasks to machines and ending assignments, as steps of one transaction.
+//! Claims and releases: adds assignments to a transaction and ends assignments in it.
 //!
-//! The assignment is part of the task's chunk, so that one put claims, or releases, as many tasks of a chunk
-//! as there are. A claim is conditional on the job (one cancelled meanwhile refuses it), the chunk, the
-//! machine's record, and for teams with a limit on the team's record, which every such claim writes: usage is
-//! then known exactly, since no other claim came between.
+//! Assignments are stored in the task's chunk, so one put claims or releases any number of a chunk's tasks. A
+//! claim is conditional on the job, which refuses it if cancelled meanwhile, on the chunk, and on the machine's
+//! record. If the team has a limit, the claim is also conditional on the team's record and writes it, so that no
+//! other claim can come in between and the usage is exact.
 
 use crate::constants::{
     ASSIGNMENT_BYTES, CHUNK_BASE_BYTES, FAIL_PAUSE_MAX_MS, FAIL_PAUSE_MS, FAULTS_KEPT,
@@ -17,38 +17,38 @@
     TaskState, TeamRecord, TransactionBuilder, ZoneSpreadRecord,
 };
 
-/// The pause after failures is doubled so many times at most.
+/// The most doublings of the pause after failures.
 const FAIL_PAUSE_MAX_DOUBLINGS: u32 = 8;
 
-/// Why a claim can't be added to a transaction.
+/// The reason why a claim can't be added to a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The job is done, cancelled or unknown, or its team is.
-    JobOver,
+    /// The job is done, cancelled or unknown, or its team is unknown.
+    JobClosed,
     /// A job that it depends on is not done.
     Blocked,
     /// The task is not pending.
-    TaskTaken,
-    /// The machine is not up, or has no resources for the task.
-    MachineBusy,
+    TaskNotPending,
+    /// The machine is not up, lacks resources for the task, or still holds an attempt of it.
+    MachineUnavailable,
     /// The job's zone or machine type rules exclude the machine.
-    WrongPlace,
-    /// The team would be above its limit.
+    MachineExcluded,
+    /// The claim would take the team above its limit.
     TeamLimit,
-    /// The chunk pauses after a failure or refusal.
-    Paused,
-    /// The chunk's value holds no more assignments.
+    /// The chunk is paused after a failure or refusal.
+    ChunkPaused,
+    /// The chunk's value has no space for another assignment.
     ChunkFull,
-    /// The transaction holds no more.
-    Full,
+    /// The transaction has no space for the claim.
+    TransactionFull,
 }
 
-/// How the start is delivered to the worker.
+/// The channel by which a start command is delivered to the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Carrier {
-    /// In the answer to its next heartbeat, whichever controller receives that.
+    /// The reply to its next heartbeat, whichever controller receives that.
     Answer,
-    /// By one direct command to an incarnation of the worker.
+    /// A single direct command to one incarnation of the worker.
     Command {
         incarnation: u64,
         /// The machine's fencing token.
@@ -56,64 +56,64 @@
     },
 }
 
-/// Why an assignment ends, once it is proven that its attempt is gone (or never began).
+/// The reason why an assignment ends, once it is proven that its attempt has ended or never started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It completed.
+    /// The attempt completed.
     Done,
-    /// It ended with an error.
+    /// The attempt ended with an error.
     Failed,
-    /// Refused by the worker, which lacks resources for it or does not know the job yet.
+    /// The worker refused the attempt because it lacks resources or does not know the job yet.
     Refused,
-    /// Stopped, ended with its machine, or never started.
+    /// The attempt was stopped, ended with its machine, or never started.
     Terminated,
 }
 
-/// Whether claims of a job's chunks must know of one another.
-fn counts_zones(spec: &JobSpec, job: &JobRecord) -> bool {
+/// Returns whether claims of different chunks of a job must be counted together to apply its zone rules.
+fn records_zone_spread(spec: &JobSpec, job: &JobRecord) -> bool {
     (spec.zone_affinity || spec.topology_spread) && job.chunks() > 1
 }
 
-/// Assigned tasks of a job by zone, as the draft sees them. A machine without a record counts for every zone:
-/// that can only refuse too much.
+/// Returns the number of a job's assigned tasks per zone, including the claims of the draft. A task on a machine
+/// without a record counts for every zone, which can only refuse too many claims, never too few.
 pub fn zones_of(
     draft: &TransactionBuilder,
     job: &JobRecord,
     id: &str,
     zones: &[String],
 ) -> ZoneSpreadRecord {
-    let mut places = ZoneSpreadRecord::default();
-    for n in 0..job.chunks() {
-        let Some(chunk) = draft.chunk(id, n) else {
+    let mut zone_spread = ZoneSpreadRecord::default();
+    for chunk_number in 0..job.chunks() {
+        let Some(chunk) = draft.chunk(id, chunk_number) else {
             continue;
         };
-        for (_, b) in chunk.assigned() {
-            match draft.cache.machine(&b.machine) {
-                Some(m) => *places.zones.entry(m.zone.clone()).or_default() += 1,
+        for (_, assignment) in chunk.assigned() {
+            match draft.cache.machine(&assignment.machine) {
+                Some(machine) => *zone_spread.zones.entry(machine.zone.clone()).or_default() += 1,
                 None => {
                     for zone in zones {
-                        *places.zones.entry(zone.clone()).or_default() += 1;
+                        *zone_spread.zones.entry(zone.clone()).or_default() += 1;
                     }
                 }
             }
         }
     }
-    places
+    zone_spread
 }
 
-/// How many more tasks of the job the zone may take.
-pub fn zone_room(spec: &JobSpec, zones: &ZoneSpreadRecord, zone: &str) -> u32 {
+/// Returns how many more tasks of a job its zone rules allow in a zone.
+pub fn zone_room(spec: &JobSpec, zone_spread: &ZoneSpreadRecord, zone: &str) -> u32 {
     if !spec.zone_affinity && !spec.topology_spread {
         return spec.tasks;
     }
-    if spec.zone_affinity && zones.zones.iter().any(|(z, n)| *n > 0 && z != zone) {
+    if spec.zone_affinity && zone_spread.zones.iter().any(|(z, n)| *n > 0 && z != zone) {
         return 0;
     }
-    let here = zones.count(zone);
-    spec.zone_cap().saturating_sub(here)
+    let tasks_in_zone = zone_spread.count(zone);
+    spec.zone_cap().saturating_sub(tasks_in_zone)
 }
 
-/// Whether usage plus a need stays within the team's limit. A limit of 0 is none.
+/// Returns whether usage plus a request stays within the team's limit. A limit of 0 means no limit.
 pub fn within_limit(team: &Team, usage: &TeamRecord, resources: &Resources) -> bool {
     (team.cpus_max == 0 || usage.cpus.saturating_add(resources.cpus) <= team.cpus_max)
         && (team.gpus_max == 0 || usage.gpus.saturating_add(resources.gpus) <= team.gpus_max)
@@ -124,12 +124,12 @@
     pub task: &'a TaskId,
     /// The machine's name.
     pub machine: &'a str,
-    /// What is free on the machine, earlier claims of the draft counted.
+    /// The free resources of the machine, less those of earlier claims in the draft.
     pub free: Resources,
     pub carrier: Carrier,
 }
 
-/// Claims one task for a machine. A refusal leaves the draft without the claim.
+/// Adds the claim of one task for a machine to the draft. A refused claim is not added.
 pub fn claim(
     draft: &mut TransactionBuilder,
     settings: &Settings,
@@ -138,8 +138,8 @@
 ) -> Result<(), Refusal> {
     let cache = draft.cache;
     let task = request.task;
-    let job = cache.job(&task.job).ok_or(Refusal::JobOver)?;
-    let spec = job.open().ok_or(Refusal::JobOver)?;
+    let job = cache.job(&task.job).ok_or(Refusal::JobClosed)?;
+    let spec = job.open().ok_or(Refusal::JobClosed)?;
     if cache.blocked(&task.job) {
         return Err(Refusal::Blocked);
     }
@@ -147,7 +147,7 @@
         request,
         job,
         spec,
-        chunk: job.chunk_of(task.index),
+        chunk_number: job.chunk_of(task.index),
     };
     claim.check_chunk(draft, settings, wall)?;
     claim.check_machine(draft, settings)?;
@@ -155,36 +155,36 @@
         .policy
         .teams
         .get(&spec.team)
-        .ok_or(Refusal::JobOver)?;
+        .ok_or(Refusal::JobClosed)?;
     if !within_limit(team, &draft.usage(&spec.team), &spec.resources) {
         return Err(Refusal::TeamLimit);
     }
     if !claim.fits_transaction(draft, settings, team) {
-        return Err(Refusal::Full);
+        return Err(Refusal::TransactionFull);
     }
     claim.write(draft, settings, team)
 }
 
-/// A claim in the making: the request with the records it is about.
+/// A claim under construction: the request with the records that it concerns.
 struct Claim<'a> {
     request: &'a ClaimRequest<'a>,
     job: &'a JobRecord,
     spec: &'a JobSpec,
     /// The number of the task's chunk.
-    chunk: u32,
+    chunk_number: u32,
 }
 
 impl Claim<'_> {
     fn chunk_key(&self) -> Key {
-        Key::Chunk(self.request.task.job.clone(), self.chunk)
+        Key::Chunk(self.request.task.job.clone(), self.chunk_number)
     }
 
-    /// What the assignment adds to its chunk's value.
+    /// Returns the bytes that the assignment adds to its chunk's value.
     fn assignment_bytes(&self) -> usize {
         ASSIGNMENT_BYTES + self.request.machine.len()
     }
 
-    /// Whether the task is pending, and its chunk's value holds one more assignment.
+    /// Checks that the task is pending and that its chunk's value has space for one more assignment.
     fn check_chunk(
         &self,
         draft: &TransactionBuilder,
@@ -195,15 +195,15 @@
         if cache.is_refused(&self.chunk_key()) {
             return Err(Refusal::ChunkFull);
         }
-        let Some(chunk) = draft.chunk(&task.job, self.chunk) else {
+        let Some(chunk) = draft.chunk(&task.job, self.chunk_number) else {
             return Ok(());
         };
         let slot = (task.index % self.job.chunk.max(1)) as usize;
         if chunk.tasks.get(slot) != Some(&TaskState::Pending) {
-            return Err(Refusal::TaskTaken);
+            return Err(Refusal::TaskNotPending);
         }
         if chunk.pause_until > wall {
-            return Err(Refusal::Paused);
+            return Err(Refusal::ChunkPaused);
         }
         let (format, max_bytes) = (cache.format(), settings.max_value_bytes);
         match formats::takes_one_more(chunk, self.request.machine, format, max_bytes) {
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Whether the machine may run the task, and has the resources for it.
+    /// Checks that the machine may run the task and has the resources for it.
     fn check_machine(
         &self,
         draft: &TransactionBuilder,
@@ -221,28 +221,28 @@
         let (cache, task, spec) = (draft.cache, self.request.task, self.spec);
         let machine = cache
             .machine(self.request.machine)
-            .ok_or(Refusal::MachineBusy)?;
+            .ok_or(Refusal::MachineUnavailable)?;
         if machine.phase != MachinePhase::Up {
-            return Err(Refusal::MachineBusy);
+            return Err(Refusal::MachineUnavailable);
         }
         if !spec.allows(&machine.type_name, &machine.zone, machine.spot) {
-            return Err(Refusal::WrongPlace);
+            return Err(Refusal::MachineExcluded);
         }
-        // One attempt of a task may be refused as `in_use` while an older one is still known.
+        // The worker may refuse an attempt as `in_use` while it still knows an older attempt of the same task.
         let is_assigned_there = cache.assignment(self.request.machine, task).is_some();
         if !self.request.free.fits(&spec.resources) || is_assigned_there {
-            return Err(Refusal::MachineBusy);
+            return Err(Refusal::MachineUnavailable);
         }
         if spec.zone_affinity || spec.topology_spread {
-            let zones = zones_of(draft, self.job, &task.job, &settings.zones);
-            if zone_room(spec, &zones, &machine.zone) == 0 {
-                return Err(Refusal::WrongPlace);
+            let zone_spread = zones_of(draft, self.job, &task.job, &settings.zones);
+            if zone_room(spec, &zone_spread, &machine.zone) == 0 {
+                return Err(Refusal::MachineExcluded);
             }
         }
         Ok(())
     }
 
-    /// Whether the transaction holds the claim.
+    /// Returns whether the transaction has space for the claim.
     fn fits_transaction(
         &self,
         draft: &TransactionBuilder,
@@ -253,19 +253,19 @@
         if draft.touches(&self.chunk_key()) {
             return draft.has_room(settings, 0, 1, bytes);
         }
-        // With the records of its team and places, which may be new to the draft as well.
-        let adds_team = is_limited(team) && !draft.touches(&Key::Team(self.spec.team.clone()));
-        let adds_zones =
-            counts_zones(self.spec, self.job) && !draft.touches(&Key::ZoneSpread(job_id.clone()));
-        let known_chunk = draft
-            .chunk(job_id, self.chunk)
+        // The records of its team and zone spread may be new to the draft as well.
+        let adds_team = has_limit(team) && !draft.touches(&Key::Team(self.spec.team.clone()));
+        let adds_zone_spread = records_zone_spread(self.spec, self.job)
+            && !draft.touches(&Key::ZoneSpread(job_id.clone()));
+        let known_chunk_bytes = draft
+            .chunk(job_id, self.chunk_number)
             .map_or(0, |chunk| chunk.size());
-        let new_chunk = CHUNK_BASE_BYTES + self.job.chunk as usize * 4;
+        let new_chunk_bytes = CHUNK_BASE_BYTES + self.job.chunk as usize * 4;
         draft.has_room(
             settings,
-            1 + usize::from(adds_team) + usize::from(adds_zones),
+            1 + usize::from(adds_team) + usize::from(adds_zone_spread),
             6,
-            known_chunk.max(new_chunk) + 2 * SMALL_RECORD_BYTES + bytes,
+            known_chunk_bytes.max(new_chunk_bytes) + 2 * SMALL_RECORD_BYTES + bytes,
         )
     }
 
@@ -278,21 +278,21 @@
     ) -> Result<(), Refusal> {
         let (job, spec, task) = (self.job, self.spec, self.request.task);
         let machine = self.request.machine.to_string();
-        // No two claims of a task that take effect share their attempt, whatever arrives late or
-        // twice: each changes the revision that it was conditional on.
-        let attempt = draft.cache.claim_revision(&task.job, self.chunk);
+        // Claims of a task that take effect never share an attempt, even if a transaction arrives late or twice:
+        // each changes the revision that it was conditional on.
+        let attempt = draft.cache.claim_revision(&task.job, self.chunk_number);
         draft.rests_on(Key::Job(task.job.clone()));
         draft.rests_on(Key::Machine(machine.clone()));
         if settings.checks.configured {
             draft.rests_on_revision(Key::Configuration, settings.policy.mod_revision);
         }
         let chunk = draft
-            .chunk_mut(&task.job, self.chunk, || {
-                Some(ChunkRecord::fresh(job, spec, self.chunk))
+            .chunk_mut(&task.job, self.chunk_number, || {
+                Some(ChunkRecord::fresh(job, spec, self.chunk_number))
             })
-            .ok_or(Refusal::JobOver)?;
+            .ok_or(Refusal::JobClosed)?;
         let slot = task.index.saturating_sub(chunk.first) as usize;
-        let state = chunk.tasks.get_mut(slot).ok_or(Refusal::TaskTaken)?;
+        let state = chunk.tasks.get_mut(slot).ok_or(Refusal::TaskNotPending)?;
         *state = TaskState::Assigned(Assignment {
             machine,
             attempt,
@@ -305,24 +305,27 @@
         });
         draft.grow(self.assignment_bytes());
         draft.use_more(&spec.team, &spec.resources);
-        if is_limited(team) {
+        if has_limit(team) {
             let usage = draft.usage(&spec.team);
             draft.put(Key::Team(spec.team.clone()), Record::Team(usage));
         }
-        if counts_zones(spec, job) {
-            let zones = zones_of(draft, job, &task.job, &settings.zones);
-            draft.put(Key::ZoneSpread(task.job.clone()), Record::ZoneSpread(zones));
+        if records_zone_spread(spec, job) {
+            let zone_spread = zones_of(draft, job, &task.job, &settings.zones);
+            draft.put(
+                Key::ZoneSpread(task.job.clone()),
+                Record::ZoneSpread(zone_spread),
+            );
         }
         Ok(())
     }
 }
 
-/// Whether claims for a team must count its usage exactly.
-fn is_limited(team: &Team) -> bool {
+/// Returns whether a team has a limit, so that claims must count its usage exactly.
+fn has_limit(team: &Team) -> bool {
     team.cpus_max > 0 || team.gpus_max > 0
 }
 
-/// Most changes that a release adds to a draft.
+/// Returns the most changes that a release adds to a draft.
 pub fn release_changes(
     draft: &TransactionBuilder,
     task: &TaskId,
@@ -331,8 +334,9 @@
     let Some(job) = draft.cache.job(&task.job) else {
         return 0;
     };
-    let chunk = job.chunk_of(task.index);
-    let Some(machine) = draft.assignment(task).map(|b| b.machine.clone()) else {
+    let chunk_number = job.chunk_of(task.index);
+    let assignment = draft.assignment(task);
+    let Some(machine) = assignment.map(|assignment| assignment.machine.clone()) else {
         return 0;
     };
     let record = draft.cache.machine(&machine);
@@ -344,13 +348,13 @@
     };
     let may_finish_job = outcome == AttemptOutcome::Done && job.chunks() == 1;
     let adds = |key: Key| usize::from(!draft.touches(&key));
-    adds(Key::Chunk(task.job.clone(), chunk))
+    adds(Key::Chunk(task.job.clone(), chunk_number))
         + usize::from(may_finish_job) * adds(Key::Job(task.job.clone()))
         + usize::from(may_change_machine) * adds(Key::Machine(machine))
 }
 
-/// Ends the assignment of an attempt that is proven gone. The caller holds the proof.
-/// `release_changes` says how many records are changed by it.
+/// Ends the assignment of an attempt. The caller must have proof that the attempt has ended or never started.
+/// `release_changes` returns the most records that this changes.
 pub fn release(
     draft: &mut TransactionBuilder,
     task: &TaskId,
@@ -361,20 +365,20 @@
     let Some(job) = draft.cache.job(&task.job) else {
         return;
     };
-    let n = job.chunk_of(task.index);
+    let chunk_number = job.chunk_of(task.index);
     let assignment = draft.assignment(task);
     let Some(assignment) = assignment.filter(|assignment| assignment.attempt == attempt) else {
         return;
     };
     let machine_id = assignment.machine.clone();
     let is_array = job.open().is_none_or(|spec| spec.kind == JobKind::Array);
-    let Some(chunk) = draft.chunk_mut(&task.job, n, || None) else {
+    let Some(chunk) = draft.chunk_mut(&task.job, chunk_number, || None) else {
         return;
     };
     let slot = task.index.saturating_sub(chunk.first) as usize;
     chunk.tasks[slot] = match outcome {
         AttemptOutcome::Done if is_array => TaskState::Done,
-        // A replica that completes is placed again: services end by cancellation only.
+        // A replica that completes is started again: only cancellation ends a service.
         AttemptOutcome::Done
         | AttemptOutcome::Failed
         | AttemptOutcome::Refused
@@ -388,8 +392,8 @@
     let has_assigned = chunk.assigned().next().is_some();
     let is_complete = chunk.done() == job.tasks;
     if job.open().is_none() && !has_assigned {
-        // A job that is over stays so, and nothing of it is claimed any more.
-        draft.remove(Key::Chunk(task.job.clone(), n));
+        // A closed job is never reopened, so no task of the chunk can be claimed any more.
+        draft.remove(Key::Chunk(task.job.clone(), chunk_number));
     } else if job.open().is_some() && job.chunks() == 1 && is_complete {
         draft.remove(Key::Chunk(task.job.clone(), 0));
         let done = job.over(JobPhase::Done, wall);
@@ -398,12 +402,13 @@
     update_machine_faults(draft, &machine_id, &task.job, outcome);
 }
 
-/// Counts a failure of a chunk's task. Failures on one faulty machine must not slow the job; a faulty job,
-/// which fails on several, must not be restarted in a loop.
+/// Counts a failure of a chunk's task and pauses the chunk. The pause grows only once tasks have failed on several
+/// machines: failures on one faulty machine must not slow the job, but a faulty job must not be restarted in a
+/// tight loop.
 fn pause_after_failure(chunk: &mut ChunkRecord, machine_id: &str, wall: WallMs) {
     chunk.fails = chunk.fails.saturating_add(1);
-    let is_known = chunk.failed_on.iter().any(|id| id == machine_id);
-    if !is_known && chunk.failed_on.len() < FAULTY_MACHINES {
+    let is_machine_known = chunk.failed_on.iter().any(|id| id == machine_id);
+    if !is_machine_known && chunk.failed_on.len() < FAULTY_MACHINES {
         chunk.failed_on.push(machine_id.to_string());
     }
     let doublings = match chunk.failed_on.len() >= FAULTY_MACHINES {
@@ -413,8 +418,8 @@
     chunk.pause_until = wall + (FAIL_PAUSE_MS << doublings).min(FAIL_PAUSE_MAX_MS);
 }
 
-/// Cordons a machine on which tasks of several jobs fail without a success in between; a success clears its
-/// faults.
+/// Updates the faults on a machine's record after an attempt. A machine on which tasks of several jobs fail with
+/// no success in between is drained; a success clears its faults.
 fn update_machine_faults(
     draft: &mut TransactionBuilder,
     machine_id: &str,
@@ -442,21 +447,22 @@
     );
 }
 
-/// Notes that a job's task failed on a machine, and cordons it if that makes it faulty. Whether the record
-/// changes.
+/// Records on a machine that a job's task failed there, and drains the machine if that makes it faulty. Returns
+/// whether the record changes.
 fn add_fault(draft: &TransactionBuilder, machine: &mut MachineRecord, job: &str) -> bool {
-    let is_known = machine.faults.iter().any(|known| known == job);
-    if !is_known {
+    let is_job_known = machine.faults.iter().any(|known| known == job);
+    if !is_job_known {
         if machine.faults.len() >= FAULTS_KEPT {
             machine.faults.remove(0);
         }
         machine.faults.push(job.to_string());
     }
-    // Jobs submitted with a mistake fail everywhere: two of them say nothing about a machine.
-    let telling = machine.faults.iter().filter(|job| !draft.suspect(job));
-    let is_faulty = telling.count() >= SICK_JOBS;
+    // A job submitted with a mistake fails on every machine, so failures of suspect jobs, however many, are no
+    // evidence against this machine.
+    let counted_jobs = machine.faults.iter().filter(|job| !draft.suspect(job));
+    let is_faulty = counted_jobs.count() >= SICK_JOBS;
     if is_faulty && machine.phase == MachinePhase::Up {
         machine.phase = MachinePhase::Draining;
     }
-    !is_known || is_faulty
+    !is_job_known || is_faulty
 }
--- a/crates/core/src/scheduling/cluster_view.rs
+++ b/crates/core/src/scheduling/cluster_view.rs
@@ -1,4 +1,4 @@
-//! What the steps of a scheduling pass are worked out from.
+//! The read-only inputs of the steps of a scheduling pass.
 
 use crate::model::{MachineType, WallMs};
 use crate::settings::Settings;
@@ -12,6 +12,6 @@
     pub settings: &'a Settings,
     /// The cloud's machine types by name.
     pub machine_types: &'a HashMap<String, MachineType>,
-    /// The time of day.
+    /// The current wall-clock time.
     pub wall: WallMs,
 }
--- a/crates/core/src/scheduling/migration_step.rs
+++ b/crates/core/src/scheduling/migration_step.rs
@@ -1,4 +1,4 @@
-//! Migrations of running services: off machines that are to go, and back to an even spread over zones.
+//! Migration of running services: off machines that are leaving, and back to an even spread over zones.
 
 use crate::constants::{
     MOVES_MOST, MOVES_PART, MOVES_REST_MS, MOVE_COST_S, MOVE_GAP_MS, SCALE_IN_AFTER_MS, TICK_MS,
@@ -14,7 +14,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Reachable machines that are up, by zone, with what is free on each.
+/// Reachable machines that are up, by zone, with their free resources.
 type FreeByZone<'a> = BTreeMap<&'a str, Vec<FreeMachine<'a>>>;
 
 struct FreeMachine<'a> {
@@ -23,81 +23,85 @@
     free: Resources,
 }
 
-/// Stops under way.
+/// The stops that are recorded and not yet complete.
 #[derive(Default)]
-struct StopsUnderWay {
+struct StopsInProgress {
     tasks: usize,
     jobs: BTreeSet<String>,
 }
 
 impl Controller {
-    /// Migrates services' tasks, a few at a time, and drains expensive machines whose services fit elsewhere.
+    /// Migrates services' tasks, a few at a time, and drains expensive machines whose services fit on others.
     pub(crate) fn move_services(&mut self) {
         if self.scheduling.has_pending_work || self.cache.instance_requests().next().is_some() {
             self.scheduling.idle_since = self.now;
         }
         if self.has_disruption() {
-            // Disrupted work is placed first: migrations rest, and continue after.
+            // Disrupted work is placed first. Migrations are suspended and resume `MOVES_REST_MS` later.
             self.scheduling.migrations.last_round_at = self.now + MOVES_REST_MS - MOVE_GAP_MS;
         }
         if !self.may_write() || self.now < self.scheduling.migrations.last_round_at + MOVE_GAP_MS {
             return;
         }
-        // These can't wait until no other work is pending. As often as failures are detected, which finds them.
-        let off_mute_workers = match self.workers.failures_detected_at == self.now {
+        // Migrations off workers that reach no controller don't wait until no work is pending. They are looked for
+        // in each round of failure detection, which finds such workers.
+        let off_disconnected_workers = match self.workers.failures_detected_at == self.now {
             true => self.services_on_mute_workers(),
             false => Vec::new(),
         };
-        if self.scheduling.has_pending_work && off_mute_workers.is_empty() {
+        if self.scheduling.has_pending_work && off_disconnected_workers.is_empty() {
             return;
         }
-        let max = self.max_migrations(off_mute_workers.len());
-        let under_way = self.stops_under_way();
-        let left = max.saturating_sub(under_way.tasks);
-        if left == 0 {
+        let max = self.max_migrations(off_disconnected_workers.len());
+        let in_progress = self.stops_in_progress();
+        let budget = max.saturating_sub(in_progress.tasks);
+        if budget == 0 {
             return;
         }
         self.scheduling.migrations.last_round_at = self.now;
-        let candidates = match off_mute_workers.len() {
+        let candidates = match off_disconnected_workers.len() {
             0 => self.migration_candidates(),
             tasks => {
                 tracing::info!(
                     tasks,
                     "services migrate off workers that reach no controller"
                 );
-                off_mute_workers
+                off_disconnected_workers
             }
         };
         let migrations = &mut self.scheduling.migrations;
-        let chosen = migrations.choose(self.now, candidates, left, &under_way.jobs);
+        let chosen = migrations.choose(self.now, candidates, budget, &in_progress.jobs);
         if !chosen.is_empty() {
             self.migrate(chosen);
-        } else if under_way.tasks == 0 && self.now >= self.scheduling.idle_since + SCALE_IN_AFTER_MS
+        } else if in_progress.tasks == 0
+            && self.now >= self.scheduling.idle_since + SCALE_IN_AFTER_MS
         {
             self.drain_for_scale_in(max);
         }
     }
 
-    /// Most tasks that may be migrating at a time, in proportion to the fleet: one by one a fleet of hundreds
-    /// would stay for as long as its services run. All tasks on mute workers may at once.
-    fn max_migrations(&self, off_mute_workers: usize) -> usize {
+    /// Returns the most tasks that may migrate at a time. It is proportional to the number of machines: migrating
+    /// one task at a time, scale-in of hundreds of machines would take as long as their services run. All tasks
+    /// on workers that reach no controller may migrate at once, up to the absolute maximum.
+    fn max_migrations(&self, off_disconnected_workers: usize) -> usize {
         let max = MOVES_MOST.min(self.settings.max_transaction_changes);
-        let up = self.cache.machines().filter(|(_, m, _)| m.is_up()).count();
-        (up / MOVES_PART)
+        let machines = self.cache.machines();
+        let machines_up = machines.filter(|(_, m, _)| m.is_up()).count();
+        (machines_up / MOVES_PART)
             .clamp(1, max)
-            .max(off_mute_workers.min(max))
+            .max(off_disconnected_workers.min(max))
     }
 
-    fn stops_under_way(&self) -> StopsUnderWay {
-        let mut under_way = StopsUnderWay::default();
+    fn stops_in_progress(&self) -> StopsInProgress {
+        let mut in_progress = StopsInProgress::default();
         for (id, _, _) in self.cache.machines() {
             let assignments = self.cache.assignments(id);
             for (task, _) in assignments.filter(|(_, placed)| placed.assignment.stop.is_some()) {
-                under_way.tasks += 1;
-                under_way.jobs.insert(task.job.clone());
+                in_progress.tasks += 1;
+                in_progress.jobs.insert(task.job.clone());
             }
         }
-        under_way
+        in_progress
     }
 
     fn migrate(&mut self, migrations: Vec<MigrationCandidate>) {
@@ -110,7 +114,7 @@
         self.commit_stops(stops.collect(), None);
     }
 
-    /// Migrations that would help, whatever the reason.
+    /// Returns the migrations off draining machines or, if there are none, those towards an even spread.
     fn migration_candidates(&self) -> Vec<MigrationCandidate> {
         let draining = self.cache.machines();
         let draining = draining.filter(|(_, m, _)| m.phase == MachinePhase::Draining);
@@ -123,31 +127,35 @@
         }
     }
 
-    /// All services' tasks off a machine.
+    /// Returns the migrations of all services' tasks off a machine.
     pub(crate) fn moves_off<'a>(
         &'a self,
         id: &'a str,
     ) -> impl Iterator<Item = MigrationCandidate> + 'a {
-        let is_movable =
-            move |(task, placed): &(&TaskId, &Placed)| self.is_movable(task, &placed.assignment);
+        let may_migrate =
+            move |(task, placed): &(&TaskId, &Placed)| self.may_migrate(task, &placed.assignment);
         let candidate = move |(task, placed): (&TaskId, &Placed)| MigrationCandidate {
             task: task.clone(),
             attempt: placed.assignment.attempt,
             machine: id.to_string(),
-            reason: MigrationReason::Leaving,
+            reason: MigrationReason::MachineLeaving,
             gain_s: 0.0,
             cost_s: MOVE_COST_S,
         };
-        self.cache.assignments(id).filter(is_movable).map(candidate)
+        self.cache
+            .assignments(id)
+            .filter(may_migrate)
+            .map(candidate)
     }
 
-    fn is_movable(&self, task: &TaskId, assignment: &Assignment) -> bool {
+    /// Returns whether an assignment is of a service and is not being stopped.
+    fn may_migrate(&self, task: &TaskId, assignment: &Assignment) -> bool {
         let spec = self.cache.open_job(&task.job);
         assignment.stop.is_none() && spec.is_some_and(|spec| spec.kind == JobKind::Service)
     }
 
-    /// Services back to an even spread over zones, as after one was lost: a task of the fullest zone
-    /// where another has capacity for it.
+    /// Returns migrations that restore an even spread of services over zones, for example after a zone was lost.
+    /// Each moves a task out of its service's fullest zone if another zone has capacity for it.
     fn spread_candidates(&self) -> Vec<MigrationCandidate> {
         let free = self.free_by_zone();
         let jobs = self.cache.open_jobs();
@@ -173,7 +181,8 @@
         free
     }
 
-    /// One task of a service out of its fullest zone, if that gains anything and another zone takes it.
+    /// Returns the migration of one task of a service out of its fullest zone, if the migration gains anything and
+    /// another zone has capacity for the task.
     fn spread_candidate(
         &self,
         id: &str,
@@ -187,8 +196,8 @@
             return None;
         }
         let draft = TransactionBuilder::new(&self.cache);
-        let zones = claims::zones_of(&draft, job, id, &self.settings.zones);
-        let (fullest, tasks) = zones.zones.iter().max_by_key(|(_, tasks)| **tasks)?;
+        let zone_spread = claims::zones_of(&draft, job, id, &self.settings.zones);
+        let (fullest_zone, tasks) = zone_spread.zones.iter().max_by_key(|(_, tasks)| **tasks)?;
         let gain_s = rescheduling::spread_gain_s(job.tasks, *tasks, free.len());
         if gain_s <= 0.0 {
             return None;
@@ -196,7 +205,7 @@
         let share = job.tasks.div_ceil(free.len().max(1) as u32);
         let targets = free
             .iter()
-            .filter(|(zone, _)| *zone != fullest && zones.count(zone) < share)
+            .filter(|(zone, _)| *zone != fullest_zone && zone_spread.count(zone) < share)
             .flat_map(|(_, machines)| machines);
         let fetch_s = targets
             .filter_map(|machine| self.fetch_s_if_fitting(machine, spec))
@@ -204,32 +213,32 @@
         let zone_of = |machine: &str| self.cache.machine(machine).map(|record| &record.zone);
         let mut assigned = (self.cache.chunks_of(id)).flat_map(|(_, chunk)| chunk.assigned());
         let (index, assignment) = assigned.find(|(_, assignment)| {
-            zone_of(&assignment.machine) == Some(fullest) && assignment.stop.is_none()
+            zone_of(&assignment.machine) == Some(fullest_zone) && assignment.stop.is_none()
         })?;
         let job = id.to_string();
         Some(MigrationCandidate {
             task: TaskId { job, index },
             attempt: assignment.attempt,
             machine: assignment.machine.clone(),
-            reason: MigrationReason::Spread,
+            reason: MigrationReason::ZoneSpread,
             gain_s,
             cost_s: MOVE_COST_S + fetch_s,
         })
     }
 
-    /// Seconds that a machine takes to fetch a job's image, if it takes a task of the job.
+    /// Returns the seconds that a machine takes to fetch a job's image, or `None` if it can't take a task of the job.
     fn fetch_s_if_fitting(&self, machine: &FreeMachine, spec: &JobSpec) -> Option<f64> {
         let record = machine.record;
         let fits = machine.free.fits(&spec.resources)
             && spec.allows(&record.type_name, &record.zone, record.spot);
         fits.then(|| match self.cache.has_image(machine.id, &spec.image) {
             true => 0.0,
-            false => candidates::fetch_ms(&self.machine_types, record, spec) as f64 / 1e3,
+            false => candidates::image_fetch_ms(&self.machine_types, record, spec) as f64 / 1e3,
         })
     }
 
-    /// Whether a zone is lost, a failover is under way, or the state service throttles: capacity and changes
-    /// are needed for that first.
+    /// Returns whether a zone is unreachable, a failover is in progress, or the state store throttles writes.
+    /// Capacity and writes are then needed for recovery first.
     fn has_disruption(&self) -> bool {
         let is_throttled = self
             .writes
--- a/crates/core/src/scheduling/mod.rs
+++ b/crates/core/src/scheduling/mod.rs
@@ -1,7 +1,7 @@
-//! Scheduling: pending work, queue order, placement, claims, preemption, rescheduling, enforcement of quotas.
+//! Scheduling: pending work, queue order, placement, claims, preemption, rescheduling and quota enforcement.
 //!
-//! `pass` puts the steps of a scheduling pass in order; `migration_step` runs beside it. The other modules
-//! decide, from a view of the cluster, and know nothing of the controller's effects.
+//! `pass` runs the steps of a scheduling pass in order; `migration_step` runs independently of it. The other
+//! modules make decisions from a view of the cluster and have no access to the controller's effects.
 
 pub mod candidates;
 pub mod claims;
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -1,5 +1,5 @@
-//! The scheduling pass: when it is due, and its steps - collect pending work, find candidate machines, place,
-//! preempt, scale out.
+//! The scheduling pass: decides when a pass is due and runs its steps, which are to collect pending work, find
+//! candidate machines, place tasks, preempt, and scale out.
 
 use crate::constants::{
     FIRST_PASS_MS, PASS_INTERVAL_MS, WARM_IMAGE_MIN_FETCH_MS, WARM_IMAGE_WAIT_MS,
@@ -9,18 +9,18 @@
 use crate::model::{JobPriority, JobSpec, Millis};
 use crate::scheduling::candidates::{self, Candidate};
 use crate::scheduling::cluster_view::ClusterView;
-use crate::scheduling::pending_work::{PendingWork, PendingWorkQueue, RunTimes};
+use crate::scheduling::pending_work::{PendingWork, PendingWorkQueue, RunTimeEstimates};
 use crate::scheduling::placement::{self, Plan, PlannedClaim};
 use crate::scheduling::preemption;
 use crate::state::MachinePhase;
 use foldhash::HashMap;
 use rand::Rng;
 
-/// Priorities and due times that jobs inherit from those which depend on them.
+/// Priorities and due times that jobs inherit from the jobs that depend on them, by job.
 pub(super) type InheritedPriorities = HashMap<String, InheritedPriority>;
 
 impl Controller {
-    /// Whether a scheduling pass is due and nothing but capacity to write is lacking for it.
+    /// Returns whether a scheduling pass is due and every precondition other than write capacity is met.
     pub(crate) fn is_pass_due(&self) -> bool {
         (self.scheduling.pass_requested || self.now >= self.scheduling.next_pass_at)
             && self.has_synced()
@@ -51,17 +51,17 @@
         if has_heard_all {
             self.hold_for_cached_images(&mut work, &inherited);
         } else {
-            // More machines send their first heartbeats: they are filled as they do.
-            let at = self.now + FIRST_PASS_MS;
-            self.scheduling.pass_no_later_than(at);
+            // Further machines are still sending their first heartbeats: early passes use each of them soon.
+            let pass_at = self.now + FIRST_PASS_MS;
+            self.scheduling.schedule_pass_by(pass_at);
         }
         let mut machines = self.candidates(&work);
         let view = self.cluster_view();
         let plan = placement::plan(view, &mut work, &mut machines, max_changes);
         let is_transaction_full = plan.is_transaction_full;
         self.commit_plan(plan);
-        // Machines that are not heard yet are not missing: nothing is stopped or provisioned before a full
-        // round of heartbeats.
+        // A machine that has not sent a heartbeat yet is not necessarily lost, so the pass neither preempts nor
+        // provisions before a full round of heartbeats.
         if !is_transaction_full && has_heard_all {
             work.retain(|work| !work.indices.is_empty() && !work.is_suspect);
             self.preempt(&work, &inherited);
@@ -74,7 +74,7 @@
         self.writes.pass_goes_first = false;
         self.metrics.lookups += 1;
         self.scheduling.pass_requested = false;
-        // Without the jitter controllers would make their passes, and conflicting claims, at the same time.
+        // Without jitter, controllers would run their passes at the same time and make conflicting claims.
         let jitter = self.rng.gen_range(0..PASS_INTERVAL_MS / 4);
         self.scheduling.next_pass_at = self.now + PASS_INTERVAL_MS + jitter;
         self.look_at_run_times();
@@ -86,9 +86,9 @@
             cache: &self.cache,
             settings: &self.settings,
             inherited,
-            run_times: &RunTimes {
-                min_remaining: &|job, spec| self.least_run_ms(job, spec),
-                start_before_due: &|job| self.start_before_ms(job),
+            estimates: &RunTimeEstimates {
+                min_remaining_ms: &|job, spec| self.least_run_ms(job, spec),
+                start_lead_ms: &|job| self.start_before_ms(job),
             },
             usable_cpus: &|| self.usable_cpus(),
             wall: self.wall,
@@ -98,8 +98,8 @@
         work
     }
 
-    /// Machines that the work may be placed on, and full ordinary ones, which count for the capacity of their
-    /// zones.
+    /// Returns the machines that the work may be placed on, and the full on-demand machines, which count
+    /// towards the capacity of their zones.
     fn candidates(&self, work: &[PendingWork]) -> Vec<Candidate<'_>> {
         let min = candidates::min_request(work);
         let mut machines: Vec<Candidate> = Vec::new();
@@ -115,13 +115,15 @@
             {
                 continue;
             }
-            // In a burst most machines are too full for any of the work.
+            // During a burst most machines have too little free for any of the work.
             let fits = free.fits(&min);
             if !fits && record.spot {
                 continue;
             }
-            let sight = self.liveness(id);
-            if !self.reachable_by(&sight, &record.zone) || !self.has_reported_since_resume(&sight) {
+            let liveness = self.liveness(id);
+            if !self.reachable_by(&liveness, &record.zone)
+                || !self.has_reported_since_resume(&liveness)
+            {
                 continue;
             }
             if !fits {
@@ -136,44 +138,46 @@
                 images: self.cache.images_of(id),
                 free,
                 last_assigned_at: last_assigned_at.copied().unwrap_or(0),
-                reports_here: sight.reports_here(),
+                reports_here: liveness.reports_here(),
                 is_busy: self.cache.assigned_tasks(id) > 0,
-                fetch_ms: fetching_until.map_or(0, |until| until.saturating_sub(self.now)),
-                carrier: self.delivery_for(&sight, record),
+                pending_fetch_ms: fetching_until.map_or(0, |until| until.saturating_sub(self.now)),
+                carrier: self.delivery_for(&liveness, record),
             });
         }
         machines
     }
 
-    /// Commits what a pass has placed.
+    /// Commits the claims of a placement plan and records its image fetches.
     fn commit_plan(&mut self, plan: Plan) {
         for fetch in plan.fetches {
-            let until = self.now + fetch.fetch_ms;
-            self.workers.fetching_until.insert(fetch.machine, until);
+            let fetching_until = self.now + fetch.pending_fetch_ms;
+            self.workers
+                .fetching_until
+                .insert(fetch.machine, fetching_until);
         }
         if plan.claims.is_empty() {
             return;
         }
-        let claimed = plan
+        let claimed_tasks = plan
             .claims
             .into_iter()
             .map(|claim| self.claimed_task(claim));
-        let purpose = PendingOperation::Claim(claimed.collect());
+        let purpose = PendingOperation::Claim(claimed_tasks.collect());
         self.commit_assignments(plan.transaction, purpose, RequestClass::Claim);
     }
 
     fn claimed_task(&self, claim: PlannedClaim) -> ClaimedTask {
         let PlannedClaim { task, machine } = claim;
         let job = self.cache.job(&task.job);
-        let chunk = job.map_or(0, |job| job.chunk_of(task.index));
+        let chunk_number = job.map_or(0, |job| job.chunk_of(task.index));
         ClaimedTask {
-            attempt: self.cache.claim_revision(&task.job, chunk),
+            attempt: self.cache.claim_revision(&task.job, chunk_number),
             task,
             machine,
         }
     }
 
-    /// Thousandths of processors of all machines that work can be placed on.
+    /// Returns the processors, in thousandths, of all machines that work can be placed on.
     fn usable_cpus(&self) -> u64 {
         let machines = self.cache.machines().filter(|(id, record, _)| {
             record.phase == MachinePhase::Up && self.reachable(id, &record.zone)
@@ -184,37 +188,38 @@
             .sum()
     }
 
-    /// A service whose image would have to be fetched waits a moment where stopping a batch's task on
-    /// a machine that has it lets it start sooner. The next pass comes when the first of these has waited
-    /// for long enough.
+    /// Holds services of production priority briefly for capacity on machines that cache their image, if
+    /// preempting batch tasks there lets them start sooner than fetching the image would. Schedules the next
+    /// pass for the end of the first such wait.
     fn hold_for_cached_images(
         &mut self,
         work: &mut [PendingWork],
         inherited: &InheritedPriorities,
     ) {
-        let mut next_ms = Millis::MAX;
+        let mut shortest_wait_ms = Millis::MAX;
         for work in work
             .iter_mut()
             .filter(|work| work.own_priority == JobPriority::Production)
         {
-            let left_ms = (work.ready_at + WARM_IMAGE_WAIT_MS).saturating_sub(self.wall);
-            if left_ms > 0 && self.starts_sooner_by_preemption(work, inherited) {
+            let remaining_wait_ms = (work.ready_at + WARM_IMAGE_WAIT_MS).saturating_sub(self.wall);
+            if remaining_wait_ms > 0 && self.starts_sooner_by_preemption(work, inherited) {
                 work.requires_cached_image = true;
-                next_ms = next_ms.min(left_ms);
+                shortest_wait_ms = shortest_wait_ms.min(remaining_wait_ms);
             }
         }
-        let at = self.now.saturating_add(next_ms);
-        self.scheduling.pass_no_later_than(at);
+        let pass_at = self.now.saturating_add(shortest_wait_ms);
+        self.scheduling.schedule_pass_by(pass_at);
     }
 
-    /// Whether fetching the work's image takes long, and preemption frees enough on machines that have it.
+    /// Returns whether the work's image takes long to fetch and preemption frees enough capacity for all its
+    /// tasks on machines that cache the image.
     fn starts_sooner_by_preemption(
         &self,
         work: &PendingWork,
         inherited: &InheritedPriorities,
     ) -> bool {
-        let rates = self.machine_types.values().map(|t| t.fetch_gb_per_s);
-        let max_gb_per_s = rates.fold(0.001, f64::max);
+        let fetch_rates = self.machine_types.values().map(|t| t.fetch_gb_per_s);
+        let max_gb_per_s = fetch_rates.fold(0.001, f64::max);
         let spec = self.cache.open_job(&work.job);
         let fetch_s = spec.map_or(0.0, |spec| spec.image_gb / max_gb_per_s);
         let preemptible_tasks = || {
@@ -229,7 +234,7 @@
             && preemptible_tasks() >= work.indices.len() as u64
     }
 
-    /// The cluster as the steps of a pass see it.
+    /// Returns the view of the cluster that the steps of a pass work from.
     pub(super) fn cluster_view(&self) -> ClusterView<'_> {
         ClusterView {
             cache: &self.cache,
@@ -239,7 +244,7 @@
         }
     }
 
-    /// Whether a machine may be counted on for pending work.
+    /// Returns whether a machine is reachable and not marked for termination, so that pending work may use it.
     pub(super) fn is_usable(&self, id: &str) -> bool {
         let zone = self.cache.machine(id).map(|record| &record.zone);
         zone.is_some_and(|zone| self.reachable(id, zone))
--- a/crates/core/src/scheduling/pending_work.rs
+++ b/crates/core/src/scheduling/pending_work.rs
@@ -1,4 +1,4 @@
-//! Pending work: the tasks of each job that wait for a machine, in the order in which they are served.
+//! Pending work: each job's tasks that wait for a machine, in the order in which scheduling passes serve them.
 
 use crate::constants::{BEGIN_LATE_MS, BEGIN_PART, NO_GOAL_MS, PASS_MAX_CHUNKS, PASS_MAX_JOBS};
 use crate::jobs::dependencies::{self, InheritedPriority};
@@ -14,34 +14,36 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 
-/// One job's pending tasks, as far as its team's limit lets them run.
+/// One job's pending tasks that the limit of its team allows to run.
 #[derive(Clone, Debug)]
 pub struct PendingWork {
     pub job: String,
-    /// What each of its tasks requests.
+    /// The resources that each of its tasks requests.
     pub resources: Resources,
     pub image: String,
     pub urgency: Urgency,
-    /// The job's own priority, without that inherited from jobs which depend on it.
+    /// The job's own priority, without any priority inherited from jobs that depend on it.
     pub own_priority: JobPriority,
-    /// Its pending tasks, in the order in which they are claimed.
+    /// The indices of its pending tasks, in the order in which they are claimed.
     pub indices: VecDeque<u32>,
-    /// Machines on which tasks of it failed: others are tried first.
+    /// Machines on which its tasks failed. Other machines are preferred.
     pub avoided_machines: Vec<String>,
-    /// It has failed wherever it was tried: one task at a time, for which nothing is provisioned.
+    /// Whether the job has failed on several machines and none of its tasks has succeeded. Such a job runs one
+    /// task at a time, and nothing is preempted or provisioned for it.
     pub is_suspect: bool,
-    /// All of the tasks fit into what is left of their team's guarantee.
+    /// Whether all of the tasks fit into the unused part of their team's guarantee.
     pub is_within_guarantee: bool,
-    /// For now it is placed only on machines that have its image: preemption soon frees capacity on one.
+    /// Whether it may only be placed on machines that cache its image, for the short time until preemption frees
+    /// capacity on them.
     pub requires_cached_image: bool,
-    /// The job's live tasks by zone, where its zone rules need them.
-    pub zones: ZoneSpreadRecord,
-    /// The time of day at which its tasks could have started.
+    /// The number of the job's assigned tasks per zone. Empty if the job has no zone rules.
+    pub zone_spread: ZoneSpreadRecord,
+    /// The wall-clock time from which its tasks could have started.
     pub ready_at: WallMs,
 }
 
 impl PendingWork {
-    /// A job's work without any task, by its own priority and without a goal.
+    /// Creates a job's pending work with no tasks, with the job's own priority and without a goal.
     pub fn of(
         cache: &StateCache,
         settings: &Settings,
@@ -50,7 +52,7 @@
         spec: &JobSpec,
     ) -> PendingWork {
         let has_zone_rules = (spec.zone_affinity || spec.topology_spread) && job.tasks > 1;
-        let zones = match has_zone_rules {
+        let zone_spread = match has_zone_rules {
             true => claims::zones_of(&TransactionBuilder::new(cache), job, id, &settings.zones),
             false => ZoneSpreadRecord::default(),
         };
@@ -61,7 +63,7 @@
             image: spec.image.clone(),
             urgency: Urgency {
                 priority: Reverse(spec.priority),
-                borrowed: false,
+                is_borrowed: false,
                 is_deferred: false,
                 due: ready_at + NO_GOAL_MS,
             },
@@ -71,80 +73,80 @@
             is_suspect: false,
             is_within_guarantee: false,
             requires_cached_image: false,
-            zones,
+            zone_spread,
             ready_at,
         }
     }
 
-    /// The task that is claimed next.
+    /// Returns the task to claim next.
     pub fn next_task(&self) -> Option<TaskId> {
         let index = *self.indices.front()?;
         let job = self.job.clone();
         Some(TaskId { job, index })
     }
 
-    /// Order in which work is served. Equally urgent work goes by the names of its jobs, so that the order
-    /// is always the same.
+    /// Compares by the order in which work is served. Equally urgent work is ordered by job name, so that the
+    /// order is deterministic.
     pub fn compare(&self, other: &PendingWork) -> std::cmp::Ordering {
         (self.urgency.cmp(&other.urgency)).then_with(|| self.job.cmp(&other.job))
     }
 }
 
-/// Estimates of run times, in milliseconds.
-pub struct RunTimes<'a> {
-    /// The least that a job still takes.
-    pub min_remaining: &'a dyn Fn(&str, &JobSpec) -> Millis,
-    /// By how much before it is due a job should start.
-    pub start_before_due: &'a dyn Fn(&str) -> Millis,
+/// Estimates of jobs' run times.
+pub struct RunTimeEstimates<'a> {
+    /// Returns the shortest time that a job is expected to still take.
+    pub min_remaining_ms: &'a dyn Fn(&str, &JobSpec) -> Millis,
+    /// Returns how long before its due time a job should start.
+    pub start_lead_ms: &'a dyn Fn(&str) -> Millis,
 }
 
-/// What the queue of pending work is made from.
+/// The inputs from which the queue of pending work is built.
 pub struct PendingWorkQueue<'a> {
     pub cache: &'a StateCache,
     pub settings: &'a Settings,
-    /// Priorities and due times that jobs inherit from those which depend on them.
+    /// Priorities and due times that jobs inherit from the jobs that depend on them, by job.
     pub inherited: &'a HashMap<String, InheritedPriority>,
-    pub run_times: &'a RunTimes<'a>,
-    /// Thousandths of processors of all machines that work can be placed on.
+    pub estimates: &'a RunTimeEstimates<'a>,
+    /// Returns the processors, in thousandths, of all machines that work can be placed on.
     pub usable_cpus: &'a dyn Fn() -> u64,
-    /// The time of day.
+    /// The current wall-clock time.
     pub wall: WallMs,
 }
 
 impl PendingWorkQueue<'_> {
-    /// Pending tasks of all jobs in the order in which they should be served, at most `PASS_MAX_JOBS` jobs.
+    /// Returns the pending work of at most `PASS_MAX_JOBS` jobs, in the order in which it is served.
     pub fn collect(&self, cached_order: &mut CachedQueueOrder) -> Vec<PendingWork> {
-        let refresh_order = cached_order.has_expired(self.wall);
-        let mut found: Vec<PendingWork> = Vec::new();
+        let must_refresh_order = cached_order.has_expired(self.wall);
+        let mut candidates: Vec<PendingWork> = Vec::new();
         let mut next_goals = NextGoals::default();
         for (id, job, spec) in self.cache.waiting_jobs() {
-            let Some((work, goals)) = self.work_of(id, job, spec) else {
+            let Some((work, goals)) = self.pending_work_of(id, job, spec) else {
                 continue;
             };
-            if let Some(goals) = goals.filter(|_| refresh_order) {
+            if let Some(goals) = goals.filter(|_| must_refresh_order) {
                 next_goals.insert(id.to_string(), goals.next);
             }
-            found.push(work);
+            candidates.push(work);
         }
         if self.settings.tuning.put_off {
-            if refresh_order {
-                self.deferral().defer_excess(&mut found, &next_goals);
-                cached_order.store(&found, self.wall);
+            if must_refresh_order {
+                self.deferral().defer_excess(&mut candidates, &next_goals);
+                cached_order.store(&candidates, self.wall);
             } else {
-                cached_order.apply(&mut found);
+                cached_order.apply(&mut candidates);
             }
         }
-        self.begin_overdue_batches(&mut found);
-        // Guarantees are handed out in order of priority and due time, then limits are applied.
-        found.sort_by(PendingWork::compare);
-        let mut queue = self.apply_quotas(found);
+        self.promote_overdue_batches(&mut candidates);
+        // Teams' guarantees are granted in order of urgency, and tasks above teams' limits are dropped.
+        candidates.sort_by(PendingWork::compare);
+        let mut queue = self.apply_quotas(candidates);
         queue.sort_by(PendingWork::compare);
         queue.truncate(PASS_MAX_JOBS);
         queue
     }
 
-    /// A job's pending tasks and its goals, if any of its tasks may be placed now.
-    fn work_of(
+    /// Returns a job's pending work and its goals, or `None` if none of its tasks may be placed now.
+    fn pending_work_of(
         &self,
         id: &str,
         job: &JobRecord,
@@ -153,46 +155,46 @@
         let mut pending = self.pending_tasks(id, job);
         let is_suspect = self.cache.suspect(id);
         if is_suspect {
-            let nothing_runs = self.cache.counts(id).assigned == 0;
-            pending.indices.truncate(usize::from(nothing_runs));
+            let has_no_assigned_task = self.cache.counts(id).assigned == 0;
+            pending.indices.truncate(usize::from(has_no_assigned_task));
         }
         if pending.indices.is_empty() {
             return None;
         }
         let ready_at = self.cache.ready_at(job);
-        let start_before_due = (self.run_times.start_before_due)(id);
+        let start_lead_ms = (self.estimates.start_lead_ms)(id);
         let goals = self.reachable_goals(id, job, spec, ready_at);
-        let goals = StartGoals::of(&goals, start_before_due);
-        // Work that can meet none comes after everything that can, since it is late in any case.
-        let no_goal = (ready_at + NO_GOAL_MS).saturating_sub(start_before_due);
-        let due = goals.as_ref().map_or(no_goal, |goals| goals.first);
-        let plain = PendingWork::of(self.cache, self.settings, id, job, spec);
+        let goals = StartGoals::of(&goals, start_lead_ms);
+        // Work that can meet no goal is late in any case, so it comes after work that can still meet one.
+        let due_without_goal = (ready_at + NO_GOAL_MS).saturating_sub(start_lead_ms);
+        let due = goals.as_ref().map_or(due_without_goal, |goals| goals.first);
+        let template = PendingWork::of(self.cache, self.settings, id, job, spec);
         let work = PendingWork {
             urgency: Urgency {
                 priority: Reverse(dependencies::priority(self.inherited, id, spec)),
                 due,
-                ..plain.urgency
+                ..template.urgency
             },
             indices: pending.indices.into(),
             avoided_machines: pending.avoided_machines,
             is_suspect,
-            ..plain
+            ..template
         };
         Some((work, goals))
     }
 
-    /// Pending tasks in the first few chunks of a job that have any.
+    /// Returns the pending tasks of the first `PASS_MAX_CHUNKS` chunks of a job that have any.
     fn pending_tasks(&self, id: &str, job: &JobRecord) -> PendingTasks {
-        let mut found = PendingTasks::default();
+        let mut pending_tasks = PendingTasks::default();
         let mut chunks_used = 0;
-        for n in 0..job.chunks() {
+        for chunk_number in 0..job.chunks() {
             if chunks_used >= PASS_MAX_CHUNKS {
                 break;
             }
-            let Some(chunk) = self.cache.chunk(id, n) else {
-                // A chunk without a record: none of its tasks has been claimed yet.
-                let end = job.tasks.min((n + 1).saturating_mul(job.chunk));
-                found.indices.extend(n * job.chunk..end);
+            let Some(chunk) = self.cache.chunk(id, chunk_number) else {
+                // The chunk has no record because none of its tasks has been claimed yet.
+                let end = job.tasks.min((chunk_number + 1).saturating_mul(job.chunk));
+                pending_tasks.indices.extend(chunk_number * job.chunk..end);
                 chunks_used += 1;
                 continue;
             };
@@ -200,20 +202,21 @@
                 continue;
             }
             let failed_on = chunk.failed_on.iter().cloned();
-            found.avoided_machines.extend(failed_on);
-            let before = found.indices.len();
+            pending_tasks.avoided_machines.extend(failed_on);
+            let count_before = pending_tasks.indices.len();
             let pending = (chunk.tasks.iter().enumerate())
                 .filter(|(_, state)| **state == TaskState::Pending)
                 .map(|(slot, _)| chunk.first + slot as u32);
-            found.indices.extend(pending);
-            chunks_used += u32::from(found.indices.len() > before);
+            pending_tasks.indices.extend(pending);
+            chunks_used += u32::from(pending_tasks.indices.len() > count_before);
         }
-        found
+        pending_tasks
     }
 
-    /// When a job should be complete, as times of day: by its deadline or that of a job which depends on it,
-    /// or by the objectives of its class, counted from when it could start. Only goals that it can still
-    /// meet, in this order.
+    /// Returns the goals that a job can still meet, as wall-clock times by which it should be complete. These
+    /// are, in order: its deadline or the earlier one of a job that depends on it, the completion objectives of
+    /// its class, and for a batch the start objective of its class. Objectives count from the time at which the
+    /// job could start.
     fn reachable_goals(
         &self,
         id: &str,
@@ -222,10 +225,10 @@
         ready_at: WallMs,
     ) -> Vec<WallMs> {
         let policy = &self.settings.policy;
-        let run_ms = (self.run_times.min_remaining)(id, spec);
+        let run_ms = (self.estimates.min_remaining_ms)(id, spec);
         let own_deadline = dependencies::deadline(job, spec).into_iter();
-        let inherited = self.inherited.get(id).and_then(|inherited| inherited.due);
-        let deadline = own_deadline.chain(inherited).min();
+        let inherited_due = self.inherited.get(id).and_then(|inherited| inherited.due);
+        let deadline = own_deadline.chain(inherited_due).min();
         let completion = policy.goals.get(&spec.class).into_iter().flatten();
         let completion = completion.map(|within| ready_at + within);
         let start = policy.starts.get(&spec.class);
@@ -248,55 +251,60 @@
         }
     }
 
-    /// No batch waits for ever, however large it is, or however little capacity urgent work leaves: a part of
-    /// it begins, and the rest waits its turn.
-    fn begin_overdue_batches(&self, found: &mut [PendingWork]) {
-        for work in found.iter_mut().filter(|work| !work.is_suspect) {
+    /// Raises the urgency of the first part of each batch that has waited too long and has not started, so that
+    /// no batch starves, however large it is or however little capacity urgent work leaves. The other tasks of
+    /// the batch stay pending until that part has started.
+    fn promote_overdue_batches(&self, queue: &mut [PendingWork]) {
+        for work in queue.iter_mut().filter(|work| !work.is_suspect) {
             let Some(spec) = self.cache.open_job(&work.job) else {
                 continue;
             };
-            let begun = overdue_batch_begun(
+            let started_tasks = started_tasks_of_overdue_batch(
                 self.cache,
                 self.settings,
                 &work.job,
                 work.ready_at,
                 self.wall,
             );
-            if begun == Some(0) {
+            if started_tasks == Some(0) {
                 work.urgency.is_deferred = false;
                 work.urgency.due = work.ready_at;
                 work.urgency.priority.0 = work.urgency.priority.0.max(JobPriority::High);
-                work.indices.truncate(first_part(spec) as usize);
+                work.indices.truncate(first_part_tasks(spec) as usize);
             }
         }
     }
 
-    /// Hands out teams' guarantees in the order of the work, and drops tasks above their limits.
-    fn apply_quotas(&self, found: Vec<PendingWork>) -> Vec<PendingWork> {
+    /// Grants teams' guarantees in the order of the queue and drops tasks above teams' limits.
+    fn apply_quotas(&self, queue: Vec<PendingWork>) -> Vec<PendingWork> {
         let mut usage: BTreeMap<String, TeamRecord> = BTreeMap::new();
         let mut kept = Vec::new();
-        for mut work in found {
+        for mut work in queue {
             let Some(spec) = self.cache.open_job(&work.job) else {
                 continue;
             };
             let Some(team) = self.settings.policy.teams.get(&spec.team) else {
                 continue;
             };
-            let used = usage
+            let team_usage = usage
                 .entry(spec.team.clone())
                 .or_insert_with(|| self.cache.usage(&spec.team));
-            let mut allowed = 0;
-            while allowed < work.indices.len() && within_limit(team, used, &spec.resources) {
-                used.cpus += spec.resources.cpus;
-                used.gpus += spec.resources.gpus;
-                if allowed == 0 {
-                    work.urgency.borrowed = used.cpus > team.cpus || used.gpus > team.gpus;
+            let mut allowed_tasks = 0;
+            while allowed_tasks < work.indices.len()
+                && within_limit(team, team_usage, &spec.resources)
+            {
+                team_usage.cpus += spec.resources.cpus;
+                team_usage.gpus += spec.resources.gpus;
+                if allowed_tasks == 0 {
+                    work.urgency.is_borrowed =
+                        team_usage.cpus > team.cpus || team_usage.gpus > team.gpus;
                 }
-                allowed += 1;
+                allowed_tasks += 1;
             }
-            work.is_within_guarantee =
-                allowed == work.indices.len() && used.cpus <= team.cpus && used.gpus <= team.gpus;
-            work.indices.truncate(allowed);
+            work.is_within_guarantee = allowed_tasks == work.indices.len()
+                && team_usage.cpus <= team.cpus
+                && team_usage.gpus <= team.gpus;
+            work.indices.truncate(allowed_tasks);
             if !work.indices.is_empty() {
                 kept.push(work);
             }
@@ -305,39 +313,41 @@
     }
 }
 
-/// Times of day by which a job should start to meet its first goal and the next one.
+/// Wall-clock times by which a job should start to meet its first goal and its next later goal.
 struct StartGoals {
     first: WallMs,
     next: Option<WallMs>,
 }
 
 impl StartGoals {
-    /// From the times of day at which a job should be complete, of which the first comes first.
-    fn of(goals: &[WallMs], start_before_due: Millis) -> Option<StartGoals> {
+    /// Derives the start times from the wall-clock times by which a job should be complete. The first entry is
+    /// the first goal, and the next goal is the first entry later than that.
+    fn of(goals: &[WallMs], start_lead_ms: Millis) -> Option<StartGoals> {
         let first = *goals.first()?;
         let next = goals.iter().find(|goal| **goal > first);
         Some(StartGoals {
-            first: first.saturating_sub(start_before_due),
-            next: next.map(|goal| goal.saturating_sub(start_before_due)),
+            first: first.saturating_sub(start_lead_ms),
+            next: next.map(|goal| goal.saturating_sub(start_lead_ms)),
         })
     }
 }
 
-/// Pending tasks of a job, and the machines on which tasks of the same chunks failed.
+/// The indices of a job's pending tasks and the machines on which tasks of the same chunks failed.
 #[derive(Default)]
 struct PendingTasks {
     indices: Vec<u32>,
     avoided_machines: Vec<String>,
 }
 
-/// Tasks of a batch that begin first when it has waited for long.
-fn first_part(spec: &JobSpec) -> u32 {
+/// Returns the number of a batch's tasks that are started first once the batch is overdue.
+fn first_part_tasks(spec: &JobSpec) -> u32 {
     (spec.tasks / BEGIN_PART).max(1)
 }
 
-/// For a batch that has waited since `ready_at`, too long, and of which no more than its first part has begun:
-/// how many of its tasks have. That part counts as urgent, or urgent work would preempt it again and again.
-pub fn overdue_batch_begun(
+/// Returns how many tasks of a batch have started, if the batch has waited too long since `ready_at` and no more
+/// than its first part has started. Callers treat that part as urgent: otherwise urgent work would preempt it
+/// repeatedly.
+pub fn started_tasks_of_overdue_batch(
     cache: &StateCache,
     settings: &Settings,
     id: &str,
@@ -351,6 +361,6 @@
         .open_job(id)
         .filter(|spec| spec.kind == JobKind::Array)?;
     let counts = cache.counts(id);
-    let begun = counts.assigned + counts.done;
-    (begun <= first_part(spec)).then_some(begun)
+    let started_tasks = counts.assigned + counts.done;
+    (started_tasks <= first_part_tasks(spec)).then_some(started_tasks)
 }
--- a/crates/core/src/scheduling/placement.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -1,46 +1,47 @@
-//! Placement: pending work matched to candidate machines, packed into one transaction.
+//! Placement: assigns pending work to candidate machines and packs the claims into one transaction.
 //!
-//! As in the paper (section 5): each free machine names the work it serves best, for each job the
-//! machine idle longest wins, and one conditional transaction allocates it.
+//! Follows section 5 of the paper: each free machine proposes the work that it serves best, the machine that has
+//! been idle longest wins each job, and one conditional transaction makes the allocation.
 
 use crate::model::{JobKind, JobPriority, JobSpec, Millis, TaskId};
-use crate::scheduling::candidates::{fetch_ms, min_request, Candidate};
+use crate::scheduling::candidates::{image_fetch_ms, min_request, Candidate};
 use crate::scheduling::claims::{self, zone_room, ClaimRequest, Refusal};
 use crate::scheduling::cluster_view::ClusterView;
 use crate::scheduling::pending_work::PendingWork;
 use crate::scheduling::service_reserve::ServiceReserve;
 use crate::state::{CasTransaction, TransactionBuilder, ZoneSpreadRecord};
 
-/// A task that a plan claims for a machine.
+/// A task and the machine that a plan claims for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedClaim {
     pub task: TaskId,
     pub machine: String,
 }
 
-/// A machine that will fetch an image for the plan, and the milliseconds it will be fetching then.
+/// A machine that has to fetch an image for the plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFetch {
     pub machine: String,
-    pub fetch_ms: Millis,
+    /// Milliseconds until all fetches of the machine are complete, including this one.
+    pub pending_fetch_ms: Millis,
 }
 
-/// What a scheduling pass places.
+/// The claims of one scheduling pass.
 #[derive(Debug, Default)]
 pub struct Plan {
     pub transaction: CasTransaction,
     pub claims: Vec<PlannedClaim>,
     pub fetches: Vec<PlannedFetch>,
-    /// The plan ended for lack of space in the transaction rather than of work.
+    /// Whether planning ended because the transaction had no space left, with work still unplaced.
     pub is_transaction_full: bool,
 }
 
-/// The transaction holds no more changes.
+/// The error for a transaction that has no space for another claim.
 struct TransactionFull;
 
-/// Places pending work, which is in order of urgency, by a transaction of at most `max_changes` changes.
-/// Within a group of equal urgency a machine first serves the jobs whose image it has. Per job the best
-/// machine wins, and is filled. Tasks that are placed are taken out of `work`.
+/// Places pending work, given in order of urgency, in a transaction of at most `max_changes` changes. Within a
+/// group of equal urgency, jobs are first placed on machines that cache their image. Each job fills its best
+/// machine before the next one. Placed tasks are removed from `work`.
 pub fn plan(
     view: ClusterView,
     work: &mut [PendingWork],
@@ -54,7 +55,7 @@
         claims: Vec::new(),
         fetches: Vec::new(),
     };
-    // Claims only take resources: a machine too full for all the work now remains so in this pass.
+    // Claims only reduce free resources, so a machine too full for any of the work stays so during this pass.
     let min = min_request(work);
     machines.retain(|machine| machine.free.fits(&min));
     let outcome = draft.place_all(work, machines);
@@ -66,46 +67,48 @@
     }
 }
 
-/// How well a machine serves a job: the least is the best.
+/// How well a machine suits a job. The lowest rank is the best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineRank {
-    /// Tasks of the job failed on it. A faulty machine is soon free again, and would attract all pending work.
+    /// Whether tasks of the job failed on it. A faulty machine is soon free again and would otherwise attract all
+    /// pending work.
     is_avoided: bool,
-    /// Seconds until it has the image, where that matters.
+    /// Seconds until it has fetched the image; 0 for work that can wait for a fetch.
     fetch_s: Millis,
-    /// An ordinary machine for work that may use spot ones.
-    is_ordinary_for_spot: bool,
-    /// How far it is from the right size.
-    size: u64,
+    /// Whether it is an on-demand machine although the work may use spot machines.
+    is_on_demand_for_spot_work: bool,
+    /// Its rank by size; see `PlanDraft::size_rank`.
+    size_rank: u64,
     is_idle: bool,
     reports_elsewhere: bool,
     last_assigned_at: Millis,
-    /// Its position among the candidates.
+    /// Its index in the list of candidates.
     position: usize,
 }
 
-/// A machine, by its position, on which tasks of a job are to be placed next.
-struct Visit {
+/// One step of a job's placement, which places tasks on one machine.
+struct PlacementStep {
+    /// The machine's index in the list of candidates.
     position: usize,
-    /// The most tasks of the job that the machine may hold in this visit, if there is a bound.
+    /// The most tasks of the job that the machine may hold after this step, if there is a bound.
     max_tasks: Option<usize>,
 }
 
-/// The placement of one job's tasks.
+/// The placement in progress of one job's tasks.
 struct JobPlacement<'a> {
     spec: &'a JobSpec,
     image: Option<u32>,
-    /// Only machines that have its image, and on which it has not failed.
+    /// Whether only machines that cache its image, and on which it has not failed, are considered.
     cached_image_only: bool,
-    /// Of a service that others serve as well: tasks that one machine gets at first.
+    /// For a service of several replicas: the most tasks per machine while each machine gets its share.
     machine_share: Option<usize>,
-    /// Of a service that is spread evenly: tasks that one zone gets at first.
+    /// For a service that is spread evenly over zones: the most tasks per zone while the zone share applies.
     zone_share: Option<u32>,
-    /// Its tasks by zone, as far as the zone share counts them.
-    zones: ZoneSpreadRecord,
+    /// The number of its tasks per zone, for comparison with `zone_share`.
+    zone_spread: ZoneSpreadRecord,
 }
 
-/// A plan in the making.
+/// A plan under construction.
 struct PlanDraft<'a> {
     view: ClusterView<'a>,
     transaction: TransactionBuilder<'a>,
@@ -130,7 +133,7 @@
         Ok(())
     }
 
-    /// Places a job's pending tasks on the machines that suit it best, until there are no more.
+    /// Places a job's pending tasks on the machines that suit it best, until no task or no machine is left.
     fn place_job(
         &mut self,
         work: &mut PendingWork,
@@ -145,15 +148,16 @@
         }
         let mut job = self.job_placement(work, spec, cached_image_only);
         let ranked = self.rank_machines(&job, work, machines);
-        for visit in job.visits(&ranked) {
-            let machine = &mut machines[visit.position];
+        for step in job.placement_steps(&ranked) {
+            let machine = &mut machines[step.position];
             let claims_before = self.claims.len();
-            self.place_on(&mut job, work, machine, visit.max_tasks)?;
+            self.place_on(&mut job, work, machine, step.max_tasks)?;
             if !machine.has_image(job.image) && self.claims.len() > claims_before {
-                machine.fetch_ms += fetch_ms(self.view.machine_types, machine.record, spec);
+                machine.pending_fetch_ms +=
+                    image_fetch_ms(self.view.machine_types, machine.record, spec);
                 self.fetches.push(PlannedFetch {
                     machine: machine.id.to_string(),
-                    fetch_ms: machine.fetch_ms,
+                    pending_fetch_ms: machine.pending_fetch_ms,
                 });
             }
             if work.indices.is_empty() {
@@ -163,9 +167,10 @@
         Ok(())
     }
 
-    /// How a job is spread. The loss of one machine, or of a zone, is to take a bounded part of a service
-    /// where others can serve it as well: first each gets its share at most, then what is left goes to the
-    /// best. Of zones that holds also where only one has the image: a fetch is short, a zone's loss is not.
+    /// Determines how a job is spread over machines and zones. The loss of one machine or zone should take only a
+    /// bounded part of a service that others can serve as well. So each machine and zone first gets at most its
+    /// share, and the remaining tasks go to the best machines. The zone share applies even if only one zone
+    /// caches the image, because a fetch is short and the loss of a zone is not.
     fn job_placement(
         &self,
         work: &PendingWork,
@@ -183,7 +188,7 @@
             && zone_count > 1
             && !spec.zone_affinity
             && spec.zone.is_none();
-        let zones = match cache.job(&work.job) {
+        let zone_spread = match cache.job(&work.job) {
             Some(job) if is_spread_evenly && machine_share.is_some() => {
                 claims::zones_of(&self.transaction, job, &work.job, &settings.zones)
             }
@@ -195,11 +200,11 @@
             cached_image_only,
             machine_share,
             zone_share: is_spread_evenly.then(|| spec.tasks.div_ceil(zone_count)),
-            zones,
+            zone_spread,
         }
     }
 
-    /// Machines that may take a task of the job, the best first.
+    /// Returns the machines that may take a task of the job, the best first.
     fn rank_machines(
         &self,
         job: &JobPlacement,
@@ -219,20 +224,20 @@
             if job.cached_image_only && (is_avoided || !machine.has_image(job.image)) {
                 continue;
             }
-            // Urgent work has to start at once: a machine that fetches its image sooner comes before others.
-            // The rest can wait for it.
+            // Urgent work has to start at once, so it prefers machines that have the image sooner. Other work can
+            // wait for the fetch.
             let fetch_s = match is_urgent && !job.cached_image_only {
                 true => {
-                    let own_ms = fetch_ms(self.view.machine_types, record, job.spec);
-                    (machine.fetch_ms + own_ms) / 1000
+                    let own_fetch_ms = image_fetch_ms(self.view.machine_types, record, job.spec);
+                    (machine.pending_fetch_ms + own_fetch_ms) / 1000
                 }
                 false => 0,
             };
             ranked.push(MachineRank {
                 is_avoided,
                 fetch_s,
-                is_ordinary_for_spot: job.spec.spot && !record.spot,
-                size: self.size_rank(machine, job.spec),
+                is_on_demand_for_spot_work: job.spec.spot && !record.spot,
+                size_rank: self.size_rank(machine, job.spec),
                 is_idle: !machine.is_busy,
                 reports_elsewhere: !machine.reports_here,
                 last_assigned_at: machine.last_assigned_at,
@@ -243,8 +248,9 @@
         ranked
     }
 
-    /// Services gather on the largest ordinary machines, whose caches come to hold all their images, and
-    /// other work uses these last: capacity kept for the next service is then where it starts without a fetch.
+    /// Returns the rank of a machine by its size. Services prefer the largest machines, whose caches come to hold
+    /// all services' images, and batches use these last. The capacity reserved for the next service is then on
+    /// machines where it starts without a fetch.
     fn size_rank(&self, machine: &Candidate, spec: &JobSpec) -> u64 {
         let machine_type = self.view.machine_types.get(&machine.record.type_name);
         let cpus = machine_type.map_or(0, |t| t.room.cpus);
@@ -255,7 +261,7 @@
         }
     }
 
-    /// Places tasks of a job on one machine as long as it may take them.
+    /// Places tasks of a job on one machine while it may take them.
     fn place_on(
         &mut self,
         job: &mut JobPlacement,
@@ -263,16 +269,16 @@
         machine: &mut Candidate,
         max_tasks: Option<usize>,
     ) -> Result<(), TransactionFull> {
-        let mut tasks_there = match max_tasks {
-            Some(_) => self.assigned_there(machine.id, &work.job),
+        let mut tasks_on_machine = match max_tasks {
+            Some(_) => self.assigned_on_machine(machine.id, &work.job),
             None => 0,
         };
         while let Some(task) = work.next_task() {
             if !machine.free.fits(&work.resources)
-                || max_tasks.is_some_and(|max| tasks_there >= max)
-                || job.has_zone_share(&machine.record.zone, max_tasks)
+                || max_tasks.is_some_and(|max| tasks_on_machine >= max)
+                || job.zone_has_its_share(&machine.record.zone, max_tasks)
                 || !self.reserve.allows(work, machine.record)
-                || zone_room(job.spec, &work.zones, &machine.record.zone) == 0
+                || zone_room(job.spec, &work.zone_spread, &machine.record.zone) == 0
             {
                 break;
             }
@@ -283,42 +289,43 @@
                     machine.free = machine.free.less(&work.resources);
                     machine.is_busy = true;
                     self.reserve.assign(machine.record, work.resources.cpus);
-                    *work.zones.zones.entry(zone.clone()).or_default() += 1;
-                    *job.zones.zones.entry(zone.clone()).or_default() += 1;
+                    *work.zone_spread.zones.entry(zone.clone()).or_default() += 1;
+                    *job.zone_spread.zones.entry(zone.clone()).or_default() += 1;
                     work.indices.pop_front();
-                    tasks_there += 1;
+                    tasks_on_machine += 1;
                 }
-                Err(Refusal::TaskTaken) => {
+                Err(Refusal::TaskNotPending) => {
                     work.indices.pop_front();
                 }
-                // The rest of that chunk has to wait for tasks of it to end; others go on.
+                // The chunk's other tasks wait until some of its tasks end. Tasks of other chunks are placed.
                 Err(Refusal::ChunkFull) => {
                     let job = self.view.cache.job(&work.job);
                     let chunk_size = job.map_or(1, |job| job.chunk.max(1));
-                    let chunk = index / chunk_size;
-                    work.indices.retain(|index| index / chunk_size != chunk);
+                    let full_chunk = index / chunk_size;
+                    work.indices
+                        .retain(|index| index / chunk_size != full_chunk);
                 }
-                Err(Refusal::Full) => return Err(TransactionFull),
+                Err(Refusal::TransactionFull) => return Err(TransactionFull),
                 Err(
-                    Refusal::JobOver
+                    Refusal::JobClosed
                     | Refusal::Blocked
-                    | Refusal::MachineBusy
-                    | Refusal::WrongPlace
+                    | Refusal::MachineUnavailable
+                    | Refusal::MachineExcluded
                     | Refusal::TeamLimit
-                    | Refusal::Paused,
+                    | Refusal::ChunkPaused,
                 ) => break,
             }
         }
         Ok(())
     }
 
-    /// Tasks of a job that are assigned to a machine.
-    fn assigned_there(&self, machine: &str, job: &str) -> usize {
+    /// Returns the number of a job's tasks that are assigned to a machine.
+    fn assigned_on_machine(&self, machine: &str, job: &str) -> usize {
         let assignments = self.view.cache.assignments(machine);
         assignments.filter(|(task, _)| task.job == job).count()
     }
 
-    /// Claims one task for a machine; a refusal leaves the plan as it was.
+    /// Claims one task for a machine. A refusal leaves the plan unchanged.
     fn claim(&mut self, task: TaskId, machine: &Candidate) -> Result<(), Refusal> {
         let request = ClaimRequest {
             task: &task,
@@ -337,26 +344,29 @@
 }
 
 impl JobPlacement<'_> {
-    /// Machines in the order in which they are tried: a service that is spread first gives each its share,
-    /// then fills the best.
-    fn visits(&self, ranked: &[MachineRank]) -> Vec<Visit> {
-        let all = |max_tasks: Option<usize>| {
-            ranked.iter().map(move |rank| Visit {
+    /// Returns the steps in which machines are tried. A service that is spread first gives each machine its
+    /// share and then fills the best machines.
+    fn placement_steps(&self, ranked: &[MachineRank]) -> Vec<PlacementStep> {
+        let all_machines = |max_tasks: Option<usize>| {
+            ranked.iter().map(move |rank| PlacementStep {
                 position: rank.position,
                 max_tasks,
             })
         };
         match self.machine_share {
-            Some(share) => all(Some(share)).chain(all(None)).collect(),
-            None => all(None).collect(),
+            Some(share) => all_machines(Some(share))
+                .chain(all_machines(None))
+                .collect(),
+            None => all_machines(None).collect(),
         }
     }
 
-    /// Whether a zone holds its share of an evenly spread service. The share binds while machines are given
-    /// their shares, or have the image; what is left after that goes wherever it fits.
-    fn has_zone_share(&self, zone: &str, max_tasks: Option<usize>) -> bool {
-        let is_bound = self.cached_image_only || max_tasks.is_some();
-        let has_share = |share| self.zones.count(zone) >= share;
-        is_bound && self.zone_share.is_some_and(has_share)
+    /// Returns whether a zone already holds its share of an evenly spread service. The share applies in steps that
+    /// bound the tasks per machine or that consider only machines with the image. Tasks left after these steps
+    /// may be placed in any zone.
+    fn zone_has_its_share(&self, zone: &str, max_tasks: Option<usize>) -> bool {
+        let share_applies = self.cached_image_only || max_tasks.is_some();
+        let holds_share = |share| self.zone_spread.count(zone) >= share;
+        share_applies && self.zone_share.is_some_and(holds_share)
     }
 }
--- a/crates/core/src/scheduling/preemption.rs
+++ b/crates/core/src/scheduling/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption: which tasks to stop so that pending work gets capacity: those of lower priority, and, for work
-//! within its team's guarantee, what other teams run beyond theirs.
+//! Preemption: chooses the tasks to stop so that pending work gets capacity. Victims are tasks of lower priority
+//! and, for work within its team's guarantee, tasks that other teams run beyond their guarantees.
 
 use crate::constants::{PREEMPT_TASKS, PREEMPT_WASTE_MS};
 use crate::model::{JobKind, JobPriority, JobSpec, Millis, Resources, TaskId};
@@ -11,37 +11,38 @@
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-/// What a controller knows of machines, jobs and attempts beside the records.
-pub struct Observations<'a> {
-    /// Whether a machine may be counted on for pending work.
+/// What a controller knows about machines, jobs and attempts that is not in the state cache.
+pub struct PreemptionContext<'a> {
+    /// Returns whether pending work may use a machine.
     pub is_usable: &'a dyn Fn(&str) -> bool,
-    /// What a job counts as for the sake of those that depend on it.
+    /// Returns the priority of a running job, including the priority inherited from jobs that depend on it.
     pub priority: &'a dyn Fn(&str, &JobSpec) -> JobPriority,
-    /// Milliseconds since an attempt was assigned.
-    pub assigned_for: &'a dyn Fn(u64) -> Millis,
-    /// Whether an attempt of a task is about to end by itself.
+    /// Returns the milliseconds since an attempt was assigned.
+    pub assigned_for_ms: &'a dyn Fn(u64) -> Millis,
+    /// Returns whether an attempt of a task is about to end without being stopped.
     pub is_about_to_end: &'a dyn Fn(&TaskId, u64) -> bool,
 }
 
-/// A machine as it will be once the stops under way have taken effect.
+/// A machine in the state that it will have after the stops in progress.
 struct PreemptionTarget<'a> {
     id: &'a str,
     record: &'a MachineRecord,
-    /// What will be free on it.
+    /// The resources that will be free on it.
     available: Resources,
-    /// What of that is free already.
+    /// The part of `available` that is free now.
     free: Resources,
-    /// Tasks that may be stopped there, the least wasteful first.
+    /// Tasks that may be stopped on it, those that waste the least work first.
     victims: Vec<Victim<'a>>,
 }
 
 impl PreemptionTarget<'_> {
-    /// What is available there to a preemptor. What is free now on ordinary machines was denied to urgent work
-    /// that uses no others: it is kept for services, and waiting for it would be in vain.
+    /// Returns the resources available on the machine to a preemptor. Resources that are free now on on-demand
+    /// machines don't count for urgent work that can't use spot machines: the placement step has just denied
+    /// them to that work because they are reserved for services, and it will go on doing so.
     fn available_to(&self, preemptor: &Preemptor) -> Resources {
-        let is_urgent =
-            preemptor.priority == JobPriority::High && !preemptor.service_reserve_is_open;
-        match is_urgent && !preemptor.spec.spot && !self.record.spot {
+        let is_denied_reserve =
+            preemptor.priority == JobPriority::High && !preemptor.is_service_reserve_open;
+        match is_denied_reserve && !preemptor.spec.spot && !self.record.spot {
             true => self.available.less(&self.free),
             false => self.available,
         }
@@ -56,82 +57,87 @@
     resources: Resources,
     priority: JobPriority,
     is_service: bool,
-    /// Milliseconds of work that stopping it wastes.
+    /// Milliseconds of work lost by stopping it.
     wasted_ms: Millis,
 }
 
-/// Thousandths of processors that teams run beyond their guarantees, apart from what is being stopped.
-type Borrowed<'a> = BTreeMap<&'a str, u64>;
+/// Thousandths of processors that each team uses beyond its guarantee, without tasks that are being stopped.
+type BorrowedCpus<'a> = BTreeMap<&'a str, u64>;
 
-/// Pending work for which capacity is made.
+/// Pending work for which running tasks may be preempted.
 struct Preemptor<'a> {
     work: &'a PendingWork,
     spec: &'a JobSpec,
     priority: JobPriority,
-    /// Most milliseconds of work that a stop for it may waste.
+    /// The most milliseconds of work that one stop for it may waste.
     max_wasted_ms: Millis,
-    service_reserve_is_open: bool,
-    /// Its job's tasks by zone, with those that capacity has been found for.
-    zones: ZoneSpreadRecord,
+    is_service_reserve_open: bool,
+    /// The number of its job's tasks per zone, including the tasks that capacity has been found for.
+    zone_spread: ZoneSpreadRecord,
 }
 
 impl Preemptor<'_> {
-    /// Whether a task may be stopped for it, by priority or since the task's team gives back what it borrowed.
-    fn may_preempt(&self, victim: &Victim, borrowed: &Borrowed) -> bool {
+    /// Returns whether a task may be stopped for it, either because of its priority or to reclaim capacity that
+    /// the task's team has borrowed.
+    fn may_preempt(&self, victim: &Victim, borrowed: &BorrowedCpus) -> bool {
         victim.wasted_ms <= self.max_wasted_ms
-            && (victim.priority < self.priority && !self.would_bounce(victim, borrowed)
+            && (victim.priority < self.priority && !self.would_be_reclaimed(victim, borrowed)
                 || self.may_reclaim(victim, borrowed))
     }
 
-    /// Work within its guarantee reclaims what other teams have borrowed. Services are not moved about for
-    /// that: they are down meanwhile.
-    fn may_reclaim(&self, victim: &Victim, borrowed: &Borrowed) -> bool {
+    /// Returns whether it may reclaim a victim's capacity: work within its team's guarantee may reclaim what
+    /// other teams have borrowed. Services are exempt, since they would be down while they migrate.
+    fn may_reclaim(&self, victim: &Victim, borrowed: &BorrowedCpus) -> bool {
         self.work.is_within_guarantee
             && !victim.is_service
             && victim.team != self.spec.team
             && is_borrowed(victim, borrowed)
     }
 
-    /// Beyond its own guarantee a team's batches stop nothing of what others are guaranteed: those would get
-    /// the capacity back by the same right, and so on.
-    fn would_bounce(&self, victim: &Victim, borrowed: &Borrowed) -> bool {
-        self.work.urgency.borrowed
+    /// Returns whether the victim's team would reclaim the capacity at once. Batches beyond their own team's
+    /// guarantee therefore don't preempt tasks that run within another team's guarantee: each team would
+    /// preempt the other in turn.
+    fn would_be_reclaimed(&self, victim: &Victim, borrowed: &BorrowedCpus) -> bool {
+        self.work.urgency.is_borrowed
             && self.priority != JobPriority::Production
             && victim.team != self.spec.team
             && !is_borrowed(victim, borrowed)
     }
 
-    /// Whether its tasks may run on a machine, whatever runs there now.
+    /// Returns whether its tasks may run on a machine, regardless of what runs on it now.
     fn may_run_on(&self, view: &ClusterView, machine: &PreemptionTarget) -> bool {
         let record = machine.record;
         self.spec
             .allows(&record.type_name, &record.zone, record.spot)
-            && zone_room(self.spec, &self.zones, &record.zone) > 0
+            && zone_room(self.spec, &self.zone_spread, &record.zone) > 0
             && (!self.work.requires_cached_image
                 || view.cache.has_image(machine.id, &self.spec.image))
     }
 
-    /// Counts one of its tasks on a machine.
+    /// Counts one of its tasks as placed on a machine.
     fn assign(&mut self, machine: &mut PreemptionTarget) {
         machine.available = machine.available.less(&self.spec.resources);
         let zone = machine.record.zone.clone();
-        *self.zones.zones.entry(zone).or_default() += 1;
+        *self.zone_spread.zones.entry(zone).or_default() += 1;
     }
 }
 
-fn is_borrowed(victim: &Victim, borrowed: &Borrowed) -> bool {
+/// Returns whether a victim runs on capacity that its team has borrowed.
+fn is_borrowed(victim: &Victim, borrowed: &BorrowedCpus) -> bool {
     borrowed
         .get(victim.team)
         .is_some_and(|cpus| *cpus >= victim.resources.cpus)
 }
 
-fn give_back(borrowed: &mut Borrowed, victim: &Victim) {
+/// Subtracts a stopped victim from the processors that its team has borrowed.
+fn subtract_borrowed(borrowed: &mut BorrowedCpus, victim: &Victim) {
     if let Some(cpus) = borrowed.get_mut(victim.team) {
         *cpus = cpus.saturating_sub(victim.resources.cpus);
     }
 }
 
-/// Tasks of a job that could soon be on machines with its image, if work of lower priority there is stopped.
+/// Returns how many tasks of a job would fit on machines that cache its image if batch tasks of lower priority
+/// there were preempted.
 pub fn preemptible_capacity_with_image(
     view: &ClusterView,
     work: &PendingWork,
@@ -146,35 +152,35 @@
         let may_run_on = machine.phase == MachinePhase::Up
             && view.cache.has_image(id, &spec.image)
             && spec.allows(&machine.type_name, &machine.zone, machine.spot)
-            && zone_room(spec, &work.zones, &machine.zone) > 0
+            && zone_room(spec, &work.zone_spread, &machine.zone) > 0
             && is_usable(id);
         let machine_type = view.machine_types.get(&machine.type_name);
         let Some(machine_type) = machine_type.filter(|_| may_run_on) else {
             continue;
         };
-        let mut staying = Resources::default();
+        let mut retained = Resources::default();
         for (task, placed) in view.cache.assignments(id) {
             let is_preemptible = |other: &JobSpec| {
                 other.kind == JobKind::Array && priority(&task.job, other) < work.own_priority
             };
             if !view.cache.open_job(&task.job).is_some_and(is_preemptible) {
-                staying = staying.plus(&placed.resources);
+                retained = retained.plus(&placed.resources);
             }
         }
-        tasks += machine_type.room.less(&staying).count(&spec.resources);
+        tasks += machine_type.room.less(&retained).count(&spec.resources);
     }
     tasks
 }
 
-/// Attempts to stop so that pending work gets started. The service reserve is open to priorities above
-/// `reserve_open_to`.
+/// Chooses the attempts to stop so that pending work can start. The service reserve is open to work of a
+/// priority above `reserve_open_to`.
 pub fn choose_stops(
     view: ClusterView,
     work: &[PendingWork],
-    observations: &Observations,
+    context: &PreemptionContext,
     reserve_open_to: Option<JobPriority>,
 ) -> Vec<Stop> {
-    let mut plan = PreemptionPlan::new(view, observations);
+    let mut plan = PreemptionPlan::new(view, context);
     for work in work {
         let Some(spec) = view.cache.open_job(&work.job) else {
             continue;
@@ -191,29 +197,29 @@
                 JobPriority::Production => Millis::MAX,
                 JobPriority::High | JobPriority::Normal | JobPriority::Low => PREEMPT_WASTE_MS,
             },
-            service_reserve_is_open: reserve_open_to.is_some_and(|lowest| priority > lowest),
-            zones: work.zones.clone(),
+            is_service_reserve_open: reserve_open_to.is_some_and(|lowest| priority > lowest),
+            zone_spread: work.zone_spread.clone(),
         });
     }
     plan.stops
 }
 
-/// Stops chosen so far, and the cluster as it will be after them.
+/// The stops chosen so far and the cluster in the state that it will have after them.
 struct PreemptionPlan<'a> {
     view: ClusterView<'a>,
     machines: Vec<PreemptionTarget<'a>>,
-    borrowed: Borrowed<'a>,
-    /// The lowest priority of what runs.
+    borrowed: BorrowedCpus<'a>,
+    /// The lowest priority of any running task.
     lowest_priority: JobPriority,
     stops: Vec<Stop>,
 }
 
 impl<'a> PreemptionPlan<'a> {
-    fn new(view: ClusterView<'a>, observations: &Observations) -> PreemptionPlan<'a> {
+    fn new(view: ClusterView<'a>, context: &PreemptionContext) -> PreemptionPlan<'a> {
         let mut plan = PreemptionPlan {
             view,
             machines: Vec::new(),
-            borrowed: Borrowed::new(),
+            borrowed: BorrowedCpus::new(),
             lowest_priority: JobPriority::Production,
             stops: Vec::new(),
         };
@@ -221,9 +227,9 @@
             let machine_type = view
                 .machine_types
                 .get(&record.type_name)
-                .filter(|_| record.phase == MachinePhase::Up && (observations.is_usable)(id));
+                .filter(|_| record.phase == MachinePhase::Up && (context.is_usable)(id));
             if let Some(machine_type) = machine_type {
-                plan.add_machine(id, record, machine_type.room, observations);
+                plan.add_machine(id, record, machine_type.room, context);
             }
         }
         for (team, cpus) in &mut plan.borrowed {
@@ -233,30 +239,31 @@
         plan
     }
 
-    /// Adds a machine of a type with these resources. Until all are added, `borrowed` counts all that teams run.
+    /// Adds a machine with `total` resources. Until all machines are added, `borrowed` holds the whole usage of
+    /// each team.
     fn add_machine(
         &mut self,
         id: &'a str,
         record: &'a MachineRecord,
         total: Resources,
-        observations: &Observations,
+        context: &PreemptionContext,
     ) {
         let cache = self.view.cache;
-        let mut staying = Resources::default();
+        let mut retained = Resources::default();
         let mut victims = Vec::new();
         let running = cache
             .assignments(id)
             .filter(|(_, placed)| placed.assignment.stop.is_none());
         for (task, placed) in running {
-            staying = staying.plus(&placed.resources);
+            retained = retained.plus(&placed.resources);
             let Some(spec) = cache.open_job(&task.job) else {
                 continue;
             };
             *self.borrowed.entry(&spec.team).or_default() += placed.resources.cpus;
-            let priority = (observations.priority)(&task.job, spec);
+            let priority = (context.priority)(&task.job, spec);
             self.lowest_priority = self.lowest_priority.min(priority);
             let attempt = placed.assignment.attempt;
-            if (observations.is_about_to_end)(task, attempt) {
+            if (context.is_about_to_end)(task, attempt) {
                 continue;
             }
             let has_checkpoints = spec.checkpoint_interval_s > 0.0;
@@ -269,7 +276,7 @@
                 is_service: spec.kind == JobKind::Service,
                 wasted_ms: match has_checkpoints {
                     true => 0,
-                    false => (observations.assigned_for)(attempt),
+                    false => (context.assigned_for_ms)(attempt),
                 },
             });
         }
@@ -277,19 +284,20 @@
         self.machines.push(PreemptionTarget {
             id,
             record,
-            available: total.less(&staying),
+            available: total.less(&retained),
             free: total.less(&cache.used(id)),
             victims,
         });
     }
 
-    /// Whether anything that runs might be stopped for the work.
+    /// Returns whether any running task might be stopped for the work.
     fn has_victims_for(&self, work: &PendingWork) -> bool {
         let may_reclaim = work.is_within_guarantee && self.borrowed.values().any(|cpus| *cpus > 0);
         self.lowest_priority < work.own_priority || may_reclaim
     }
 
-    /// Finds capacity for the preemptor's tasks: what is available already or being freed, else by stops.
+    /// Finds capacity for the preemptor's tasks: first capacity that is available or being freed, otherwise by
+    /// stopping victims.
     fn preempt_for(&mut self, mut preemptor: Preemptor) {
         let tasks = preemptor.work.indices.len().min(PREEMPT_TASKS);
         let resources = &preemptor.spec.resources;
@@ -305,16 +313,17 @@
             if self.stops.len() >= PREEMPT_TASKS {
                 break;
             }
-            let Some((machine, victims)) = self.cheapest_stop(&preemptor) else {
+            let Some((position, victims)) = self.cheapest_stop(&preemptor) else {
                 break;
             };
-            self.stop_on(machine, victims, &preemptor);
-            preemptor.assign(&mut self.machines[machine]);
+            self.stop_victims(position, victims, &preemptor);
+            preemptor.assign(&mut self.machines[position]);
         }
     }
 
-    /// The machine, by its position, where one task of the preemptor costs least, and how many victims it
-    /// takes there: first machines with its image, then those where less work is wasted by fewer stops.
+    /// Returns the position of the machine on which capacity for one task of the preemptor costs least, and the
+    /// number of victims to stop there. Machines that cache its image come first, then those on which less work
+    /// is wasted, then those with fewer victims.
     fn cheapest_stop(&self, preemptor: &Preemptor) -> Option<(usize, usize)> {
         let cache = self.view.cache;
         let costs = self.machines.iter().enumerate();
@@ -328,9 +337,9 @@
         Some((position, victims))
     }
 
-    /// Stops the first so many victims on a machine that may be stopped for the preemptor.
-    fn stop_on(&mut self, machine: usize, victims: usize, preemptor: &Preemptor) {
-        let machine = &mut self.machines[machine];
+    /// Stops the first `victims` tasks that the preemptor may preempt on the machine at `position`.
+    fn stop_victims(&mut self, position: usize, victims: usize, preemptor: &Preemptor) {
+        let machine = &mut self.machines[position];
         let mut stopped = 0;
         for victim in std::mem::take(&mut machine.victims) {
             if stopped >= victims || !preemptor.may_preempt(&victim, &self.borrowed) {
@@ -338,7 +347,7 @@
                 continue;
             }
             stopped += 1;
-            give_back(&mut self.borrowed, &victim);
+            subtract_borrowed(&mut self.borrowed, &victim);
             machine.available = machine.available.plus(&victim.resources);
             self.stops.push(Stop {
                 machine: machine.id.to_string(),
@@ -350,17 +359,18 @@
     }
 }
 
-/// What it costs to make a machine take one more task.
+/// The cost of freeing capacity for one task on a machine.
 struct StopCost {
     victims: usize,
     wasted_ms: Millis,
 }
 
-/// How many victims, the least wasteful first, free enough on a machine, and what that wastes.
+/// Returns how many victims, those that waste the least work first, free enough capacity on a machine, and how
+/// much work that wastes. Returns `None` if all victims together don't free enough.
 fn stop_cost(
     machine: &PreemptionTarget,
     preemptor: &Preemptor,
-    borrowed: &Borrowed,
+    borrowed: &BorrowedCpus,
 ) -> Option<StopCost> {
     let mut available = machine.available_to(preemptor);
     let mut cost = StopCost {
@@ -373,7 +383,7 @@
             continue;
         }
         if borrowed.contains_key(victim.team) {
-            give_back(borrowed.to_mut(), victim);
+            subtract_borrowed(borrowed.to_mut(), victim);
         }
         available = available.plus(&victim.resources);
         cost.wasted_ms = cost.wasted_ms.saturating_add(victim.wasted_ms);
--- a/crates/core/src/scheduling/preemption_step.rs
+++ b/crates/core/src/scheduling/preemption_step.rs
@@ -1,4 +1,4 @@
-//! The scheduling pass's preemption step: when pending work may preempt, and which stops are recorded.
+//! The preemption step of the scheduling pass: decides when pending work may preempt, and records the stops.
 
 use crate::constants::{
     PREEMPT_AFTER_MS, PREEMPT_GAP_MS, PREEMPT_LATER_MS, SPARED_CHANCE, SPARED_MS,
@@ -7,14 +7,14 @@
 use crate::jobs::dependencies;
 use crate::model::{JobPriority, JobSpec, Millis, TaskId};
 use crate::scheduling::pass::InheritedPriorities;
-use crate::scheduling::pending_work::{overdue_batch_begun, PendingWork};
-use crate::scheduling::preemption::{self, Observations};
+use crate::scheduling::pending_work::{started_tasks_of_overdue_batch, PendingWork};
+use crate::scheduling::preemption::{self, PreemptionContext};
 use crate::scheduling::service_reserve;
 use crate::scheduling::stops::Stop;
 
-/// Milliseconds that work waits before it may preempt; none if it may not. Urgent work is not kept waiting;
-/// other work waits a little for capacity that comes free by itself.
-fn preempts_after_ms(work: &PendingWork) -> Option<Millis> {
+/// Returns the milliseconds that work must have been pending before it may preempt, or `None` if it never may.
+/// Less urgent work waits longer, since capacity often becomes free without preemption.
+fn preemption_delay_ms(work: &PendingWork) -> Option<Millis> {
     match work.own_priority {
         _ if work.requires_cached_image => Some(0),
         JobPriority::High | JobPriority::Production => Some(PREEMPT_AFTER_MS),
@@ -25,7 +25,7 @@
 }
 
 impl Controller {
-    /// Stops running work for pending work that found no machine.
+    /// Preempts running tasks for pending work that found no machine.
     pub(super) fn preempt(&mut self, work: &[PendingWork], inherited: &InheritedPriorities) {
         if work.is_empty()
             || !self.may_write()
@@ -33,56 +33,58 @@
         {
             return;
         }
-        let Some(preemptors) = self.work_that_may_preempt(work) else {
+        let Some(preemptors) = self.work_allowed_to_preempt(work) else {
             return;
         };
-        let stops = self.choose_preempted(work, &preemptors, inherited);
+        let stops = self.choose_preemptions(work, &preemptors, inherited);
         if self.commit_stops(stops, None).stops > 0 {
             self.scheduling.last_preemption_at = self.now;
         }
     }
 
-    /// Work that has waited for long enough. If there is none, a pass comes when the first has.
-    fn work_that_may_preempt(&mut self, work: &[PendingWork]) -> Option<Vec<PendingWork>> {
-        let mut next_ms = Millis::MAX;
+    /// Returns the work that has been pending long enough to preempt. If there is none, schedules a pass for the
+    /// time at which the first will have been.
+    fn work_allowed_to_preempt(&mut self, work: &[PendingWork]) -> Option<Vec<PendingWork>> {
+        let mut shortest_wait_ms = Millis::MAX;
         let mut preemptors: Vec<PendingWork> = Vec::new();
         for work in work {
-            let Some(after_ms) = preempts_after_ms(work) else {
+            let Some(delay_ms) = preemption_delay_ms(work) else {
                 continue;
             };
-            match (work.ready_at + after_ms).saturating_sub(self.wall) {
+            match (work.ready_at + delay_ms).saturating_sub(self.wall) {
                 0 => preemptors.push(work.clone()),
-                left_ms => next_ms = next_ms.min(left_ms),
+                remaining_ms => shortest_wait_ms = shortest_wait_ms.min(remaining_ms),
             }
         }
         if preemptors.is_empty() {
-            let at = self.now.saturating_add(next_ms);
-            self.scheduling.pass_no_later_than(at);
+            let pass_at = self.now.saturating_add(shortest_wait_ms);
+            self.scheduling.schedule_pass_by(pass_at);
             return None;
         }
         Some(preemptors)
     }
 
-    fn choose_preempted(
+    fn choose_preemptions(
         &self,
         work: &[PendingWork],
         preemptors: &[PendingWork],
         inherited: &InheritedPriorities,
     ) -> Vec<Stop> {
-        let spares_ending = self.settings.learned.stops;
-        let observations = Observations {
+        let spares_ending_tasks = self.settings.learned.stops;
+        let context = PreemptionContext {
             is_usable: &|id| self.is_usable(id),
             priority: &|id, spec| self.priority_against_preemption(id, spec, inherited),
-            assigned_for: &|attempt| self.assigned_for(attempt),
+            assigned_for_ms: &|attempt| self.assigned_for_ms(attempt),
             is_about_to_end: &|task: &TaskId, attempt| {
-                spares_ending && self.about_to_end(task, attempt, SPARED_MS, SPARED_CHANCE)
+                spares_ending_tasks && self.about_to_end(task, attempt, SPARED_MS, SPARED_CHANCE)
             },
         };
-        let open_to = service_reserve::reserve_open_to(work, self.wall);
-        preemption::choose_stops(self.cluster_view(), preemptors, &observations, open_to)
+        let reserve_open_to = service_reserve::reserve_open_to(work, self.wall);
+        preemption::choose_stops(self.cluster_view(), preemptors, &context, reserve_open_to)
     }
 
-    /// What a running job counts as: its first part counts as urgent if it has begun late.
+    /// Returns the priority by which a running job resists preemption. The first part of a batch that started
+    /// late counts as urgent.
     fn priority_against_preemption(
         &self,
         id: &str,
@@ -94,18 +96,19 @@
             return priority;
         }
         let ready_at = (self.cache.job(id)).map_or(0, |job| self.cache.ready_at(job));
-        match overdue_batch_begun(&self.cache, &self.settings, id, ready_at, self.wall) {
+        match started_tasks_of_overdue_batch(&self.cache, &self.settings, id, ready_at, self.wall) {
             Some(_) => JobPriority::High,
             None => priority,
         }
     }
 
-    /// Milliseconds since an attempt was assigned, going by the revision that it is named after.
-    fn assigned_for(&self, attempt: u64) -> Millis {
+    /// Returns the milliseconds since an attempt was assigned, derived from the time of the revision that
+    /// identifies the attempt.
+    fn assigned_for_ms(&self, attempt: u64) -> Millis {
         let times = &self.sync.revision_times;
         let position = times.partition_point(|(revision, _)| *revision <= attempt);
         match times.get(position) {
-            // Older than all that is remembered.
+            // The attempt is older than all remembered revisions.
             _ if position == 0 => Millis::MAX,
             Some((_, at)) => self.now - at,
             None => 0,
--- a/crates/core/src/scheduling/quota_enforcement.rs
+++ b/crates/core/src/scheduling/quota_enforcement.rs
@@ -1,6 +1,6 @@
-//! Quota enforcement: evictions for limits that were lowered. What a team runs above its limit is stopped, the
-//! least important first, until the rest fits. Claims keep to the new limit from its commit on, so this only
-//! ends what was claimed before.
+//! Quota enforcement: evicts tasks of teams whose limit was lowered below their usage, the least important tasks
+//! first, until the rest fits. Claims respect a new limit from its commit on, so only tasks claimed before that
+//! are evicted.
 
 use crate::configuration::Policy;
 use crate::controller::Controller;
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// A task that may be evicted for its team's limit.
+/// A task that may be evicted because its team is above its limit.
 struct EvictionCandidate {
     task: TaskId,
     machine: String,
@@ -21,7 +21,7 @@
 }
 
 impl EvictionCandidate {
-    fn of(job: &str, spec: &JobSpec, index: u32, assignment: &Assignment) -> EvictionCandidate {
+    fn new(job: &str, spec: &JobSpec, index: u32, assignment: &Assignment) -> EvictionCandidate {
         EvictionCandidate {
             task: TaskId {
                 job: job.to_string(),
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Batches before services, lower priorities before higher ones, the youngest first.
+    /// Returns the eviction order: batches before services, lower before higher priorities, latest claims first.
     fn sort_key(&self) -> impl Ord {
         (self.is_service, self.priority, Reverse(self.attempt))
     }
 }
 
-/// What a team uses, and what may be evicted of it.
+/// The usage of a team above its limit and the tasks that may be evicted.
 #[derive(Default)]
 struct TeamUsage {
     /// Thousandths of processors.
@@ -52,12 +52,12 @@
 }
 
 impl TeamUsage {
-    /// Stops, the least important first, until the rest fits the team's limit.
+    /// Chooses tasks to stop, the least important first, until the rest fits the team's limit.
     fn stops(mut self, team: &Team) -> Vec<Stop> {
         self.candidates.sort_by_key(EvictionCandidate::sort_key);
         let mut stops = Vec::new();
         for candidate in self.candidates {
-            if !is_over(team, self.cpus, self.gpus) {
+            if !is_over_limit(team, self.cpus, self.gpus) {
                 break;
             }
             let resources = candidate.resources;
@@ -78,34 +78,34 @@
     }
 }
 
-/// Whether usage is above a limit; a limit of 0 is none.
+/// Returns whether usage is above a limit. A limit of 0 means no limit.
 fn exceeds(used: u64, limit: u64) -> bool {
     limit > 0 && used > limit
 }
 
-fn is_over(team: &Team, cpus: u64, gpus: u64) -> bool {
+fn is_over_limit(team: &Team, cpus: u64, gpus: u64) -> bool {
     exceeds(cpus, team.cpus_max) || exceeds(gpus, team.gpus_max)
 }
 
-/// Teams whose assignments use more than their limits.
-fn teams_over<'a>(cache: &StateCache, policy: &'a Policy) -> BTreeMap<&'a str, &'a Team> {
-    let over = policy.teams.values().filter(|team| {
+/// Returns the teams whose usage is above their limits, by name.
+fn teams_over_limit<'a>(cache: &StateCache, policy: &'a Policy) -> BTreeMap<&'a str, &'a Team> {
+    let teams = policy.teams.values().filter(|team| {
         let used = cache.usage(&team.name);
-        is_over(team, used.cpus, used.gpus)
+        is_over_limit(team, used.cpus, used.gpus)
     });
-    over.map(|team| (team.name.as_str(), team)).collect()
+    teams.map(|team| (team.name.as_str(), team)).collect()
 }
 
-/// Stops by which each team's usage fits its limit. What is being stopped already, or belongs to a cancelled
-/// job, is counted as gone.
+/// Returns the stops that bring each team's usage down to its limit. Tasks that are already being stopped or belong
+/// to a cancelled job count as gone.
 pub fn stops_over_limits(cache: &StateCache, policy: &Policy) -> Vec<Stop> {
-    let over = teams_over(cache, policy);
-    if over.is_empty() {
+    let teams = teams_over_limit(cache, policy);
+    if teams.is_empty() {
         return Vec::new();
     }
     let mut usage: BTreeMap<&str, TeamUsage> = BTreeMap::new();
     for (id, _, spec) in cache.open_jobs() {
-        let Some((team, _)) = over.get_key_value(spec.team.as_str()) else {
+        let Some((team, _)) = teams.get_key_value(spec.team.as_str()) else {
             continue;
         };
         let used = usage.entry(*team).or_default();
@@ -113,29 +113,30 @@
         for (index, assignment) in assigned.filter(|(_, assignment)| assignment.stop.is_none()) {
             used.cpus += spec.resources.cpus;
             used.gpus += spec.resources.gpus;
-            let candidate = EvictionCandidate::of(id, spec, index, assignment);
+            let candidate = EvictionCandidate::new(id, spec, index, assignment);
             used.candidates.push(candidate);
         }
     }
     let stops = usage
         .into_iter()
-        .filter_map(|(name, used)| Some(used.stops(over.get(name)?)));
+        .filter_map(|(name, used)| Some(used.stops(teams.get(name)?)));
     stops.flatten().collect()
 }
 
 impl Controller {
-    /// Stops what is above limits that were lowered. Only where a configuration is on record: limits from
-    /// the settings file don't change while controllers run.
+    /// Evicts tasks of teams that are above a lowered limit. Does nothing unless a configuration is stored: limits
+    /// from the settings file don't change while controllers run.
     pub(crate) fn evict_over_limits(&mut self) {
-        let configured = self.settings.policy.version > 0 && self.configuration.is_readable();
-        if !configured || !self.settings.checks.eviction || !self.may_write() {
+        let has_configuration =
+            self.settings.policy.version > 0 && self.configuration.is_readable();
+        if !has_configuration || !self.settings.checks.eviction || !self.may_write() {
             return;
         }
         let stops = stops_over_limits(&self.cache, &self.settings.policy);
         if stops.is_empty() || self.changes_left() < self.min_changes() {
             return;
         }
-        // If a newer configuration raises the limits meanwhile, nothing has to go.
+        // A newer configuration may raise the limits meanwhile, and then this transaction must fail.
         let condition = RevisionCondition {
             key: Key::Configuration,
             mod_revision: self.settings.policy.mod_revision,
--- a/crates/core/src/scheduling/rescheduling.rs
+++ b/crates/core/src/scheduling/rescheduling.rs
@@ -1,60 +1,60 @@
-//! Rescheduling: which running tasks are migrated, for whatever reason: one planner, one budget.
+//! Rescheduling: chooses the running tasks to migrate, for all reasons under one budget.
 //!
-//! A migration stops a task where it runs and lets it be placed anew. Each states what it gains and what it
-//! costs, in seconds of a replica's time; it is made only if the gain is clearly more. A service never
-//! loses two tasks at a time, nor one while another is missing, and no task migrates twice within
-//! `MOVE_AGAIN_MS`. A migration consists of a stop on record and a claim, which survive the end of any
-//! controller.
+//! A migration stops a task on its machine and lets it be placed again. Its gain and its cost are given in seconds
+//! of a replica's time, and it is made only if the gain clearly exceeds the cost. A service never loses two tasks
+//! at a time, nor one while another is missing, and no task migrates twice within `MOVE_AGAIN_MS`. A migration
+//! consists of a recorded stop and a claim, so it survives the end of any controller.
 
 use crate::constants::{MOVES_REMEMBERED, MOVE_AGAIN_MS, MOVE_WORTH, SPREAD_GAIN_S};
 use crate::model::{Millis, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Why a task is migrated, the most urgent first.
+/// The reason why a task is migrated, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MigrationReason {
-    /// Its machine is faulty, about to be reclaimed, or to be returned.
-    Leaving,
-    /// Its zone holds more of its service than its share.
-    Spread,
+    /// Its machine is faulty, cut off from the controllers, about to be reclaimed, or to be returned.
+    MachineLeaving,
+    /// Its zone holds more of its service's tasks than the zone's share.
+    ZoneSpread,
 }
 
 impl fmt::Display for MigrationReason {
-    /// As it is stored with the stop.
+    /// Formats the reason as it is stored with the stop.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            MigrationReason::Leaving => "moved",
-            MigrationReason::Spread => "spread",
+            MigrationReason::MachineLeaving => "moved",
+            MigrationReason::ZoneSpread => "spread",
         })
     }
 }
 
-/// A migration that could be made.
+/// A possible migration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MigrationCandidate {
     pub task: TaskId,
     pub attempt: u64,
-    /// The machine that it leaves.
+    /// The machine that the task leaves.
     pub machine: String,
     pub reason: MigrationReason,
-    /// Seconds of a replica's time that it saves, as far as can be told.
+    /// The estimated seconds of a replica's time that it saves.
     pub gain_s: f64,
-    /// Seconds of a replica's time that it takes.
+    /// The seconds of a replica's time that it costs.
     pub cost_s: f64,
 }
 
 impl MigrationCandidate {
-    /// Whether it gains clearly more than it costs. A task on a machine that is to go has no choice.
+    /// Returns whether it gains clearly more than it costs. A task on a machine that leaves has to migrate in any
+    /// case.
     fn is_worthwhile(&self) -> bool {
-        self.reason == MigrationReason::Leaving || self.gain_s >= MOVE_WORTH * self.cost_s
+        self.reason == MigrationReason::MachineLeaving || self.gain_s >= MOVE_WORTH * self.cost_s
     }
 
     fn net_gain_s(&self) -> f64 {
         self.gain_s - self.cost_s
     }
 
-    /// The order in which migrations are made.
+    /// Compares by the order in which migrations are made.
     fn compare(&self, other: &MigrationCandidate) -> std::cmp::Ordering {
         (self.reason.cmp(&other.reason))
             .then(other.net_gain_s().total_cmp(&self.net_gain_s()))
@@ -62,11 +62,11 @@
     }
 }
 
-/// Migrations made lately, and when the next may be made.
+/// Recent migrations and the time of the last migration round.
 #[derive(Debug, Default)]
 pub struct MigrationHistory {
     migrated_at: BTreeMap<TaskId, Millis>,
-    /// When migrations were last considered.
+    /// When the last migration round ran.
     pub last_round_at: Millis,
 }
 
@@ -78,8 +78,8 @@
         }
     }
 
-    /// The migrations to be made now, at most `max`. `incomplete`: services of which a task is not running
-    /// or is being migrated already.
+    /// Chooses at most `max` migrations to make now. `incomplete` holds the services of which a task is not running
+    /// or is already migrating.
     pub fn choose(
         &mut self,
         now: Millis,
@@ -105,18 +105,19 @@
         candidates
     }
 
-    /// A task on a machine that is to go has no choice, however lately it migrated.
+    /// Returns whether the task may migrate again. A task on a machine that leaves may, however recently it migrated.
     fn may_migrate_again(&self, candidate: &MigrationCandidate) -> bool {
-        candidate.reason == MigrationReason::Leaving
+        candidate.reason == MigrationReason::MachineLeaving
             || !self.migrated_at.contains_key(&candidate.task)
     }
 }
 
-/// Seconds that one migration to an even spread gains, for a service of so many tasks of which `fullest` are in
-/// its fullest zone: where that is more than the zone's share, the loss of the zone takes fewer of them.
-pub fn spread_gain_s(tasks: u32, fullest: u32, zones: usize) -> f64 {
+/// Returns the seconds gained by one migration towards an even spread, for a service of `tasks` tasks of which
+/// `tasks_in_fullest` are in its fullest zone. If these exceed the zone's share, then after the migration the loss
+/// of that zone takes fewer of them.
+pub fn spread_gain_s(tasks: u32, tasks_in_fullest: u32, zones: usize) -> f64 {
     let share = tasks.div_ceil(zones.max(1) as u32);
-    f64::from(fullest.saturating_sub(share).min(1)) * SPREAD_GAIN_S
+    f64::from(tasks_in_fullest.saturating_sub(share).min(1)) * SPREAD_GAIN_S
 }
 
 #[cfg(test)]
--- a/crates/core/src/scheduling/schedule.rs
+++ b/crates/core/src/scheduling/schedule.rs
@@ -1,29 +1,29 @@
-//! The schedule of scheduling passes, and what is kept from one to the next.
+//! The schedule of scheduling passes and the state that is kept between passes.
 
 use crate::model::Millis;
 use crate::scheduling::deferral::CachedQueueOrder;
 use crate::scheduling::rescheduling::MigrationHistory;
 
-/// When the next scheduling pass is due, and what is kept from earlier ones.
+/// The time of the next scheduling pass and the state kept from earlier passes.
 pub(crate) struct Schedule {
-    /// The order of the queue, kept for a moment.
+    /// The cached queue order, which expires after `QUEUE_ORDER_CACHE_MS`.
     pub(crate) queue_order: CachedQueueOrder,
     /// Whether the last scheduling pass found pending work.
     pub(crate) has_pending_work: bool,
-    /// When tasks were last preempted.
+    /// When this controller last preempted tasks.
     pub(crate) last_preemption_at: Millis,
-    /// Since when no work is pending and nothing is being provisioned.
+    /// The time since which no work has been pending and no instance request has been open.
     pub(crate) idle_since: Millis,
-    /// Migrations made lately, and when the next may be made.
+    /// Recent migrations and the time of the last migration round.
     pub(crate) migrations: MigrationHistory,
-    /// A pass is due at once.
+    /// Whether a pass is due at once.
     pub(crate) pass_requested: bool,
-    /// A pass is due then in any case.
+    /// The time at which the next pass is due even if none is requested.
     pub(crate) next_pass_at: Millis,
 }
 
 impl Schedule {
-    /// The schedule of a controller that starts: its first pass is due.
+    /// Creates the schedule of a controller that starts at `now`, with its first pass due at once.
     pub(crate) fn new(now: Millis) -> Schedule {
         Schedule {
             queue_order: CachedQueueOrder::default(),
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Makes the next pass due then, unless it is due earlier.
-    pub(crate) fn pass_no_later_than(&mut self, at: Millis) {
+    /// Makes the next pass due at `at`, unless it is due earlier.
+    pub(crate) fn schedule_pass_by(&mut self, at: Millis) {
         self.next_pass_at = self.next_pass_at.min(at);
     }
 }
--- a/crates/core/src/scheduling/service_reserve.rs
+++ b/crates/core/src/scheduling/service_reserve.rs
@@ -1,7 +1,7 @@
 //! The service reserve: capacity per zone that work of lower priority leaves free for services.
 //!
-//! A service starts at once or is late, whereas a batch can wait: on ordinary machines capacity for the
-//! largest service there is stays free.
+//! A service that does not start at once is late, whereas a batch can wait. Enough capacity for services as large
+//! as the current largest one is therefore kept free on on-demand machines.
 
 use crate::constants::{RESERVE_PART, RESERVE_PATIENCE_MS, RESERVE_SERVICES};
 use crate::model::{JobKind, JobPriority, WallMs};
@@ -11,65 +11,66 @@
 use crate::state::{MachineRecord, StateCache};
 use std::collections::BTreeMap;
 
-/// Thousandths of processors of a zone's ordinary machines.
+/// The processors, in thousandths, of a zone's on-demand machines.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneCapacity {
     free: u64,
     total: u64,
 }
 
-/// Capacity on ordinary machines, per zone, that work of lower priority leaves free for services.
+/// The reserve and the capacity of each zone during one scheduling pass.
 pub struct ServiceReserve {
     /// Thousandths of processors to keep free in each zone.
-    per_zone: u64,
+    cpus_per_zone: u64,
     zones: BTreeMap<String, ZoneCapacity>,
-    /// The time of day.
+    /// The current wall-clock time.
     wall: WallMs,
-    /// It is open to this priority and those above.
+    /// The lowest priority to which the reserve is open, if any.
     open_to: Option<JobPriority>,
 }
 
-/// The lowest priority of which something has waited for so long that the service reserve is open to it. It
-/// is open to all above as well: otherwise capacity that preemption frees for these goes to work that has
-/// waited longer, which is preempted for them again, and so on.
+/// Returns the lowest priority of any work that has waited so long that the service reserve is open to it. The
+/// reserve is open to all higher priorities as well: otherwise capacity that preemption frees for work of a higher
+/// priority would go to the work that has waited longer, which would be preempted again, in a cycle.
 pub fn reserve_open_to(work: &[PendingWork], wall: WallMs) -> Option<JobPriority> {
     work.iter()
-        .filter(|work| has_lost_patience(work, wall))
+        .filter(|work| has_waited_long(work, wall))
         .map(|work| work.urgency.priority.0)
         .min()
 }
 
-fn has_lost_patience(work: &PendingWork, wall: WallMs) -> bool {
+/// Returns whether the work has waited so long that the service reserve may be opened to it.
+fn has_waited_long(work: &PendingWork, wall: WallMs) -> bool {
     wall > work.ready_at + RESERVE_PATIENCE_MS
 }
 
 impl ServiceReserve {
-    /// The reserve as a scheduling pass finds it.
+    /// Creates the reserve from the state of the cluster at the start of a scheduling pass.
     pub fn new(view: ClusterView, work: &[PendingWork], machines: &[Candidate]) -> ServiceReserve {
         let mut zones: BTreeMap<String, ZoneCapacity> = BTreeMap::new();
         for machine in machines.iter().filter(|machine| !machine.record.spot) {
             let zone = zones.entry(machine.record.zone.clone()).or_default();
             zone.free += machine.free.cpus;
         }
-        let ordinary = view
+        let on_demand = view
             .cache
             .machines()
             .filter(|(_, record, _)| record.is_up() && !record.spot);
-        for (_, record, _) in ordinary {
+        for (_, record, _) in on_demand {
             let machine_type = view.machine_types.get(&record.type_name);
             let zone = zones.entry(record.zone.clone()).or_default();
             zone.total += machine_type.map_or(0, |t| t.room.cpus);
         }
         let zone_count = view.settings.zones.len().max(1) as u64;
         ServiceReserve {
-            per_zone: largest_service_cpus(view.cache) * RESERVE_SERVICES / zone_count,
+            cpus_per_zone: largest_service_cpus(view.cache) * RESERVE_SERVICES / zone_count,
             zones,
             wall: view.wall,
             open_to: reserve_open_to(work, view.wall),
         }
     }
 
-    /// Whether a task of the work may be placed on the machine.
+    /// Returns whether the reserve allows a task of the work on the machine.
     pub fn allows(&self, work: &PendingWork, machine: &MachineRecord) -> bool {
         machine.spot
             || work.urgency.priority.0 == JobPriority::Production
@@ -77,7 +78,7 @@
             || self.leaves_enough(work.resources.cpus, &machine.zone)
     }
 
-    /// Counts processors of a machine as no longer free.
+    /// Counts processors of a machine as used.
     pub fn assign(&mut self, machine: &MachineRecord, cpus: u64) {
         if !machine.spot {
             let zone = self.zones.entry(machine.zone.clone()).or_default();
@@ -85,26 +86,28 @@
         }
     }
 
+    /// Returns whether the reserve of a zone stays free if `cpus` more of its processors are used.
     fn leaves_enough(&self, cpus: u64, zone: &str) -> bool {
         let zone = self.zones.get(zone).copied().unwrap_or_default();
-        // A small site keeps nothing back: part of a service's capacity helps nobody.
-        let kept = match self.per_zone <= zone.total / RESERVE_PART {
-            true => self.per_zone,
+        // A small zone reserves nothing, since capacity for only a part of a service would be of no use.
+        let reserved_cpus = match self.cpus_per_zone <= zone.total / RESERVE_PART {
+            true => self.cpus_per_zone,
             false => 0,
         };
-        zone.free >= kept + cpus
+        zone.free >= reserved_cpus + cpus
     }
 
-    /// Work of the priority that it was opened for must have waited long itself; work above that need not.
+    /// Returns whether the reserve is open to the work. Work of exactly the priority that the reserve is open to must
+    /// have waited long itself; work of a higher priority need not.
     fn is_open_to(&self, work: &PendingWork) -> bool {
         let priority = work.urgency.priority.0;
         self.open_to.is_some_and(|open_to| {
-            priority > open_to || priority == open_to && has_lost_patience(work, self.wall)
+            priority > open_to || priority == open_to && has_waited_long(work, self.wall)
         })
     }
 }
 
-/// Thousandths of processors that all replicas of the largest service of production priority request.
+/// Returns the processors, in thousandths, that all replicas of the largest service of production priority request.
 fn largest_service_cpus(cache: &StateCache) -> u64 {
     cache
         .open_jobs()
--- a/crates/core/src/scheduling/stops.rs
+++ b/crates/core/src/scheduling/stops.rs
@@ -1,4 +1,4 @@
-//! Stops on record: attempts that are to end though they run well, each with the reason that is recorded.
+//! Stops: records on an assignment that its attempt, though healthy, is to end, and the reason.
 
 use crate::controller::{Controller, PendingOperation, RequestClass};
 use crate::model::TaskId;
@@ -6,12 +6,12 @@
 use crate::state::{Key, TransactionBuilder};
 use std::fmt;
 
-/// Why an attempt is stopped. Its text is stored with the assignment.
+/// The reason why an attempt is stopped. Its text is stored with the assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
     /// Pending work needs the resources.
     Preempted,
-    /// The task is placed anew elsewhere.
+    /// The task is to be placed on another machine.
     Migrated(MigrationReason),
     /// Its team is above its limit.
     OverLimit,
@@ -27,7 +27,7 @@
     }
 }
 
-/// An attempt to stop.
+/// A stop of one attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stop {
     pub machine: String,
@@ -36,52 +36,52 @@
     pub reason: StopReason,
 }
 
-/// A condition of a transaction beside the records that it changes: the revision of a record.
+/// A transaction condition on the revision of a record that the transaction does not change.
 pub(crate) struct RevisionCondition {
     pub(crate) key: Key,
     pub(crate) mod_revision: u64,
 }
 
-/// What became of stops.
+/// The outcome of `commit_stops`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StopOutcome {
-    /// Stops that one transaction had space for.
+    /// The number of stops that fitted into the transaction.
     pub(crate) stops: usize,
-    /// A transaction was sent.
+    /// Whether a transaction was sent.
     pub(crate) is_sent: bool,
 }
 
 impl Controller {
-    /// Records stops by one transaction, as many as it has space for.
+    /// Records as many of the stops as fit into one transaction.
     pub(crate) fn commit_stops(
         &mut self,
         stops: Vec<Stop>,
         condition: Option<RevisionCondition>,
     ) -> StopOutcome {
         let max_bytes = self.settings.max_value_bytes;
-        let conditions = 1 + usize::from(condition.is_some());
+        let condition_count = 1 + usize::from(condition.is_some());
         let mut draft = TransactionBuilder::new(&self.cache);
-        let mut chosen = Vec::new();
+        let mut stopped_tasks = Vec::new();
         for stop in stops {
-            if !draft.has_room(&self.settings, 1, conditions, max_bytes as usize) {
+            if !draft.has_room(&self.settings, 1, condition_count, max_bytes as usize) {
                 break;
             }
             self.edit_assignment(&mut draft, &stop.task, stop.attempt, |assignment| {
                 assignment.stop = Some(stop.reason.to_string());
             });
-            chosen.push((stop.machine, stop.task));
+            stopped_tasks.push((stop.machine, stop.task));
         }
         if let Some(condition) = condition {
             draft.rests_on_revision(condition.key, condition.mod_revision);
         }
         let oversized = draft.drop_oversized(max_bytes);
         let outcome = StopOutcome {
-            stops: chosen.len(),
+            stops: stopped_tasks.len(),
             is_sent: !draft.is_empty(),
         };
         if outcome.is_sent {
             let transaction = draft.finish();
-            let purpose = PendingOperation::Stop(chosen);
+            let purpose = PendingOperation::Stop(stopped_tasks);
             self.commit_assignments(transaction, purpose, RequestClass::Claim);
         }
         self.log_oversized(oversized);
