--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -1,4 +1,4 @@
-//! Requests to the cloud: its machine types and instance lists, instance requests and deletions under way.
+//! Requests to the cloud: machine types, instance lists, instance requests and deletions.
 
 use crate::constants::{
     CONTROLLER_STAGGER_MS, DELETE_MAX, DELETE_RETRY_MS, INSTANCE_LIST_INTERVAL_MS,
@@ -17,7 +17,7 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// Handles the cloud's answer to a request, or that it failed.
+    /// Handles the cloud's response to a request, or the failure of the request.
     pub(crate) fn handle_cloud_response(&mut self, token: OperationId, response: CloudResponse) {
         let Some((purpose, _)) = self.operations.outstanding.remove(&token) else {
             return;
@@ -34,21 +34,23 @@
             (PendingOperation::Instances, response) => {
                 self.provisioning.instance_list_in_flight = false;
                 if let CloudResponse::Instances { instances, more } = response {
-                    let last = instances.last().map(|instance| instance.name.clone());
+                    let last_name = instances.last().map(|instance| instance.name.clone());
                     self.reconcile_instances(instances);
                     if more {
                         self.provisioning.instance_list_in_flight = true;
-                        let next_page = CloudOperation::List { after: last };
+                        let next_page = CloudOperation::List { after: last_name };
                         self.send_to_cloud(next_page, PendingOperation::Instances);
                     }
                 }
             }
-            (PendingOperation::Provision(n), response) => {
-                self.provisioning.request_tried_at.insert(n, self.now);
-                self.provisioning.requests_in_flight.remove(&n);
+            (PendingOperation::Provision(number), response) => {
+                self.provisioning.request_tried_at.insert(number, self.now);
+                self.provisioning.requests_in_flight.remove(&number);
                 match response {
-                    CloudResponse::Provisioned(instances) => self.record_provisioned(n, instances),
-                    CloudResponse::NoCapacity => self.record_provisioned(n, Vec::new()),
+                    CloudResponse::Provisioned(instances) => {
+                        self.record_provisioned(number, instances)
+                    }
+                    CloudResponse::NoCapacity => self.record_provisioned(number, Vec::new()),
                     _ => {}
                 }
             }
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Places and provisions by these machine types from now on.
+    /// Sets the machine types that placement and provisioning use, and requests a scheduling pass.
     pub(crate) fn use_machine_types(&mut self, machine_types: &[MachineType]) {
         let by_name = |t: &MachineType| (t.name.clone(), t.clone());
         self.machine_types = machine_types.iter().map(by_name).collect();
@@ -74,8 +76,8 @@
         self.scheduling.pass_requested = true;
     }
 
-    /// Records the types for controllers that start while the cloud is down. Changed prices alone are no
-    /// reason to.
+    /// Stores the machine types for controllers that start while the cloud is down. Does nothing if only prices have
+    /// changed.
     fn store_machine_types(&mut self, machine_types: Vec<MachineType>) {
         let known = self.cache.machine_types();
         let is_known = known
@@ -85,7 +87,7 @@
         }
         let record = Record::MachineTypes(MachineTypesRecord { machine_types });
         if !fits_value(&record, self.settings.max_value_bytes) {
-            return; // each controller reads them from the cloud
+            return; // Each controller then reads them from the cloud.
         }
         let mut draft = TransactionBuilder::new(&self.cache);
         draft.put(Key::MachineTypes, record);
@@ -97,29 +99,29 @@
         );
     }
 
-    /// Sends an instance request that is on record.
-    pub(crate) fn send_instance_request(&mut self, n: u64) {
-        let Some(request) = self.cache.instance_request(&n).cloned() else {
+    /// Sends a recorded instance request to the cloud.
+    pub(crate) fn send_instance_request(&mut self, number: u64) {
+        let Some(request) = self.cache.instance_request(&number).cloned() else {
             return;
         };
-        self.provisioning.request_tried_at.insert(n, self.now);
-        self.provisioning.requests_in_flight.insert(n);
+        self.provisioning.request_tried_at.insert(number, self.now);
+        self.provisioning.requests_in_flight.insert(number);
         self.send_to_cloud(
             CloudOperation::Provision {
-                name: format!("g-{n}"),
+                name: format!("g-{number}"),
                 type_name: request.type_name,
                 zone: request.zone,
                 spot: request.spot,
                 count: request.count,
             },
-            PendingOperation::Provision(n),
+            PendingOperation::Provision(number),
         );
     }
 
-    /// Records what an instance request brought. After an empty or partial answer the offer counts as
-    /// unavailable for a while.
-    fn record_provisioned(&mut self, n: u64, instances: Vec<String>) {
-        let request = self.cache.instance_request(&n);
+    /// Records the machines that an instance request provisioned. After an empty or partial response the offer counts
+    /// as unavailable for `OFFER_UNAVAILABLE_MS`.
+    fn record_provisioned(&mut self, number: u64, instances: Vec<String>) {
+        let request = self.cache.instance_request(&number);
         let Some(request) = request.filter(|r| r.instances.is_none()).cloned() else {
             return;
         };
@@ -134,33 +136,33 @@
         let max_bytes = self.settings.max_value_bytes;
         let mut draft = TransactionBuilder::new(&self.cache);
         if (instances.len() as u32) < request.count {
-            let mut fleet = draft.fleet();
-            fleet.refused.retain(|_, until| *until > self.wall);
-            let until = self.wall + OFFER_UNAVAILABLE_MS;
-            fleet.refused.insert(request.offer(), until);
-            let record = fitting_fleet(fleet, max_bytes);
+            let mut provisioning = draft.fleet();
+            provisioning.refused.retain(|_, until| *until > self.wall);
+            let refused_until = self.wall + OFFER_UNAVAILABLE_MS;
+            provisioning.refused.insert(request.offer(), refused_until);
+            let record = fit_provisioning_record(provisioning, max_bytes);
             draft.put(Key::Provisioning, record);
         }
         if instances.is_empty() {
-            draft.remove(Key::InstanceRequest(n));
+            draft.remove(Key::InstanceRequest(number));
         } else {
-            let record = fitting_request(request, instances, max_bytes);
-            draft.put(Key::InstanceRequest(n), record);
+            let record = fit_instance_request(request, instances, max_bytes);
+            draft.put(Key::InstanceRequest(number), record);
         }
         let transaction = draft.finish();
         self.commit(
             transaction,
-            PendingOperation::RecordProvisioned(n),
+            PendingOperation::RecordProvisioned(number),
             RequestClass::Claim,
         );
     }
 
-    /// Whether a machine that an instance request brought is still to come.
+    /// Returns whether a machine that an instance request provisioned is still expected to come up.
     pub(crate) fn on_its_way(&self, id: &str) -> bool {
         self.cache.machine(id).is_none() && !self.workers.recently_deleted.contains(id)
     }
 
-    /// Removes records of instance requests all of whose machines have come, or gone again.
+    /// Removes the records of instance requests whose machines have all come up or been deleted again.
     pub(crate) fn remove_completed_requests(&mut self) {
         let is_complete = |request: &InstanceRequestRecord| {
             let instances = request.instances.as_ref();
@@ -169,30 +171,30 @@
         let due: Vec<u64> = self
             .cache
             .instance_requests()
-            .filter(|(n, request, _)| {
+            .filter(|(number, request, _)| {
                 is_complete(request)
-                    && !self.provisioning.removing_requests.contains(n)
+                    && !self.provisioning.removing_requests.contains(number)
                     && (request.controller == self.settings.controller || self.on_duty())
             })
-            .map(|(n, _, _)| *n)
+            .map(|(number, _, _)| *number)
             .collect();
-        for n in due {
+        for number in due {
             let mut draft = TransactionBuilder::new(&self.cache);
-            draft.remove(Key::InstanceRequest(n));
+            draft.remove(Key::InstanceRequest(number));
             let transaction = draft.finish();
-            self.provisioning.removing_requests.insert(n);
+            self.provisioning.removing_requests.insert(number);
             self.commit(
                 transaction,
-                PendingOperation::RemoveInstanceRequest(n),
+                PendingOperation::RemoveInstanceRequest(number),
                 RequestClass::Housekeeping,
             );
         }
     }
 
-    /// Deletes machines whose deletion is committed, as long as their records stand.
+    /// Requests the deletion of machines whose deletion is committed and whose records still exist.
     pub(crate) fn send_deletions(&mut self) {
-        // One request at a time, for all that are due: the cloud takes few, and queued deletions must not hold
-        // up instance requests.
+        // All due machines are deleted in one request at a time, because the cloud accepts few requests and queued
+        // deletions must not delay instance requests.
         if self.provisioning.deletion_in_flight {
             return;
         }
@@ -223,10 +225,10 @@
         self.send_to_cloud(CloudOperation::Delete { machines: due }, purpose);
     }
 
-    /// Reconciles a page of the cloud's instance list with the records.
+    /// Reconciles a page of the cloud's instance list with the machine records.
     fn reconcile_instances(&mut self, instances: Vec<CloudInstance>) {
-        // The list shows machines that are gone for up to twice its lag, and a controller that has
-        // just started does not know that they are.
+        // The list shows deleted machines for up to twice its lag, and a controller that has just started does not
+        // know that they were deleted.
         let lag_ms = self.settings.list_lag_ms * 2 + INSTANCE_LIST_INTERVAL_MS;
         let now = self.now;
         self.provisioning
@@ -248,17 +250,18 @@
         }
     }
 
-    /// A machine without a record, provisioned by a request of which there is no record either. One that is up
-    /// sends heartbeats; one that never comes up is found here, and adopted once it has been listed for so long.
+    /// Tracks a listed machine that has no record and belongs to no recorded instance request. Such a machine is
+    /// found by its heartbeats if it is up. One that never comes up is found only here and is adopted once it has
+    /// been listed for `lag_ms`.
     fn observe_unmanaged(&mut self, instance: CloudInstance, lag_ms: Millis) {
-        let is_expected = self.may_be_requested(&instance.name);
-        if is_expected || self.workers.recently_deleted.contains(&instance.name) {
+        let may_be_requested = self.may_be_requested(&instance.name);
+        if may_be_requested || self.workers.recently_deleted.contains(&instance.name) {
             self.provisioning.unmanaged.remove(&instance.name);
             return;
         }
-        let first_seen = self.provisioning.unmanaged.entry(instance.name.clone());
-        let first_seen = *first_seen.or_insert(self.now);
-        if self.now < first_seen + lag_ms {
+        let entry = self.provisioning.unmanaged.entry(instance.name.clone());
+        let first_seen_at = *entry.or_insert(self.now);
+        if self.now < first_seen_at + lag_ms {
             return;
         }
         self.provisioning.unmanaged.remove(&instance.name);
@@ -280,7 +283,7 @@
         );
     }
 
-    /// Whether a machine was or may have been brought by an instance request on record.
+    /// Returns whether a recorded instance request provisioned, or may have provisioned, a machine.
     fn may_be_requested(&self, name: &String) -> bool {
         let mut requests = self.cache.instance_requests();
         requests.any(|(_, request, _)| match &request.instances {
@@ -289,54 +292,54 @@
         })
     }
 
-    /// Sends instance requests again whose outcome is not on record.
+    /// Resends instance requests whose outcome is not recorded.
     pub(crate) fn retry_instance_requests(&mut self) {
-        let on_record: BTreeSet<u64> = self.cache.instance_requests().map(|(n, _, _)| *n).collect();
+        let recorded: BTreeSet<u64> = self.cache.instance_requests().map(|(n, _, _)| *n).collect();
         let tracker = &mut self.provisioning;
-        tracker
-            .request_tried_at
-            .retain(|n, _| on_record.contains(n));
+        tracker.request_tried_at.retain(|n, _| recorded.contains(n));
         tracker
             .request_known_since
-            .retain(|n, _| on_record.contains(n));
+            .retain(|n, _| recorded.contains(n));
         let mut due = Vec::new();
-        for (n, request, _) in self.cache.instance_requests() {
-            let retry_ms = self.request_retry_ms(*n, request);
+        for (number, request, _) in self.cache.instance_requests() {
+            let retry_ms = self.request_retry_ms(*number, request);
             let tracker = &mut self.provisioning;
-            let known_since = *tracker.request_known_since.entry(*n).or_insert(self.now);
-            let tried_at = tracker.request_tried_at.get(n).copied();
-            let is_in_flight = tracker.requests_in_flight.contains(n);
+            let known_since = tracker.request_known_since.entry(*number);
+            let known_since = *known_since.or_insert(self.now);
+            let tried_at = tracker.request_tried_at.get(number).copied();
+            let is_in_flight = tracker.requests_in_flight.contains(number);
             if request.instances.is_none()
                 && !is_in_flight
                 && self.now >= tried_at.unwrap_or(known_since) + retry_ms
             {
-                due.push(*n);
+                due.push(*number);
             }
         }
-        for n in due {
-            self.send_instance_request(n);
+        for number in due {
+            self.send_instance_request(number);
         }
     }
 
-    /// Milliseconds after which an instance request is sent again. It is always sent by the same name, so that
-    /// the cloud serves it once, whoever sends it.
-    fn request_retry_ms(&self, n: u64, request: &InstanceRequestRecord) -> Millis {
+    /// Returns the milliseconds after which an instance request is resent. Every controller sends it under the same
+    /// name, so that the cloud serves it only once.
+    fn request_retry_ms(&self, number: u64, request: &InstanceRequestRecord) -> Millis {
         let stagger_ms = self.settings.controller_index() * CONTROLLER_STAGGER_MS;
         if self.peers.is_away(&request.controller) {
             PROVISION_RETRY_SOON_MS + stagger_ms
         } else if request.controller != self.settings.controller {
             PROVISION_RETRY_MS * 2 + stagger_ms
-        } else if self.provisioning.request_tried_at.contains_key(&n) || !self.settings.checks.doubt
+        } else if self.provisioning.request_tried_at.contains_key(&number)
+            || !self.settings.checks.doubt
         {
             PROVISION_RETRY_MS
         } else {
-            // Never sent: the transaction that recorded it got no answer.
+            // The request was never sent, because the transaction that recorded it got no response.
             PROVISION_RETRY_SOON_MS
         }
     }
 }
 
-/// Machine types in order of their names, without prices.
+/// Returns the machine types sorted by name, with their prices set to 0.
 fn without_prices(machine_types: &[MachineType]) -> Vec<MachineType> {
     let mut machine_types = machine_types.to_vec();
     for machine_type in &mut machine_types {
@@ -347,24 +350,25 @@
     machine_types
 }
 
+/// Returns whether a record fits into a value of `max_bytes` bytes.
 fn fits_value(record: &Record, max_bytes: u64) -> bool {
     formats::stored_bytes(record, formats::LATEST) as u64 <= max_bytes
 }
 
-/// The record without the refused offers that it has no space for. They are a hint: the others are requested
-/// once more than needed.
-fn fitting_fleet(mut fleet: ProvisioningRecord, max_bytes: u64) -> Record {
+/// Returns the record, without refused offers that don't fit into a value. Refused offers are only a hint: an offer
+/// that is dropped is requested once more than necessary.
+fn fit_provisioning_record(mut provisioning: ProvisioningRecord, max_bytes: u64) -> Record {
     loop {
-        let record = Record::Provisioning(fleet.clone());
-        if fits_value(&record, max_bytes) || fleet.refused.pop_first().is_none() {
+        let record = Record::Provisioning(provisioning.clone());
+        if fits_value(&record, max_bytes) || provisioning.refused.pop_first().is_none() {
             return record;
         }
     }
 }
 
-/// The record of a request's outcome, without the machines that it has no space for: these get their records
-/// when they send heartbeats or are listed.
-fn fitting_request(
+/// Returns the record of a request's outcome, without machines whose names don't fit into a value. Those machines get
+/// their records when they send heartbeats or are listed.
+fn fit_instance_request(
     request: InstanceRequestRecord,
     mut instances: Vec<String>,
     max_bytes: u64,
--- a/crates/core/src/provisioning/mod.rs
+++ b/crates/core/src/provisioning/mod.rs
@@ -1,4 +1,4 @@
-//! Provisioning: which machines are provisioned and returned, and the requests to the cloud under way.
+//! Provisioning: decides which machines to provision and return, and tracks the requests to the cloud.
 
 mod cloud;
 pub mod demand;
--- a/crates/core/src/provisioning/scale_in.rs
+++ b/crates/core/src/provisioning/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale-in: expensive machines whose services fit elsewhere are drained, to be returned when they are empty.
+//! Scale-in: drains expensive machines whose services fit on others, so that they can be returned when empty.
 
 use crate::constants::{RESERVE_SERVICES, SCALE_IN_AFTER_MS, SCALE_IN_PRICE_FACTOR};
 use crate::controller::{Controller, PendingOperation, RequestClass};
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Controller {
-    /// Drains at most `max` machines that are expensive for what they still do.
+    /// Drains at most `max` machines that are expensive for the services that they still run.
     pub(crate) fn drain_for_scale_in(&mut self, max: usize) {
         let is_old_enough = |id: &str| {
             let up_since = self.workers.observations.of(id).up_since;
@@ -38,9 +38,9 @@
     }
 }
 
-/// Machines, at most `max`, that are expensive for what they still do and whose services all fit elsewhere,
-/// on machines that have their images. Drained, they can be returned. What draining machines still hold
-/// counts as placed elsewhere already.
+/// Returns at most `max` machines that are expensive for the services that they still run and whose services all
+/// fit on other machines that cache their images. Once drained, they can be returned. Tasks of machines that are
+/// already draining count as migrated.
 pub fn scale_in_candidates(
     cache: &StateCache,
     machine_types: &HashMap<String, MachineType>,
@@ -74,7 +74,7 @@
     let mut targets = MigrationTargets::new(cache, machine_types);
     for (id, record, _) in cache.machines() {
         if record.phase == MachinePhase::Draining {
-            targets.take_over(id);
+            targets.try_migrate_all(id);
         }
     }
     let mut chosen = Vec::new();
@@ -82,7 +82,7 @@
         if chosen.len() >= max {
             break;
         }
-        if targets.take_over(id) {
+        if targets.try_migrate_all(id) {
             chosen.push(id.to_string());
         }
     }
@@ -96,7 +96,7 @@
     })
 }
 
-/// An ordinary machine that is up.
+/// An on-demand machine that is up.
 struct MigrationTarget<'a> {
     record: &'a MachineRecord,
     free: Resources,
@@ -106,9 +106,9 @@
 struct MigrationTargets<'a> {
     cache: &'a StateCache,
     machines: BTreeMap<&'a str, MigrationTarget<'a>>,
-    /// Of these, those that others' tasks are to migrate to: they stay.
-    used: BTreeSet<&'a str>,
-    /// Thousandths of processors that must stay free, so that a new service of the largest size starts at once.
+    /// Of these, the machines that receive tasks of others and so are not drained.
+    receiving: BTreeSet<&'a str>,
+    /// Thousandths of processors that must stay free so that a new service of the largest size starts at once.
     reserved_cpus: u64,
 }
 
@@ -136,60 +136,62 @@
         MigrationTargets {
             cache,
             machines,
-            used: BTreeSet::new(),
+            receiving: BTreeSet::new(),
             reserved_cpus: largest_service_cpus * RESERVE_SERVICES,
         }
     }
 
-    /// Finds targets for all that a machine holds, and counts it there; nothing changes if there are none.
-    fn take_over(&mut self, id: &'a str) -> bool {
+    /// Finds targets for all tasks of a machine and counts the tasks there. Returns whether this succeeded; if not,
+    /// nothing changes.
+    fn try_migrate_all(&mut self, id: &'a str) -> bool {
         let record = self.cache.machine(id);
-        let Some(leaving) = record.filter(|_| !self.used.contains(id)) else {
+        let Some(source) = record.filter(|_| !self.receiving.contains(id)) else {
             return false;
         };
-        let mut taken: BTreeMap<&'a str, Resources> = BTreeMap::new();
+        let mut planned: BTreeMap<&'a str, Resources> = BTreeMap::new();
         for (task, placed) in self.cache.assignments(id) {
-            let Some(target) = self.target(id, &leaving.zone, &task.job, placed, &taken) else {
+            let Some(target) = self.target(id, &source.zone, &task.job, placed, &planned) else {
                 return false;
             };
-            let sum = taken.entry(target).or_default();
+            let sum = planned.entry(target).or_default();
             *sum = sum.plus(&placed.resources);
         }
-        // What is left must still take a new service of the largest size at once.
+        // The free capacity left afterwards must still take a new service of the largest size at once.
         let others = self.machines.iter().filter(|(other, _)| **other != id);
-        let left: u64 = others.map(|(_, target)| target.free.cpus).sum();
-        let needed: u64 = taken.values().map(|resources| resources.cpus).sum();
-        if left < self.reserved_cpus + needed && leaving.phase == MachinePhase::Up {
+        let free_cpus: u64 = others.map(|(_, target)| target.free.cpus).sum();
+        let planned_cpus: u64 = planned.values().map(|resources| resources.cpus).sum();
+        if free_cpus < self.reserved_cpus + planned_cpus && source.phase == MachinePhase::Up {
             return false;
         }
-        for (other, resources) in taken {
+        for (other, resources) in planned {
             if let Some(target) = self.machines.get_mut(other) {
                 target.free = target.free.less(&resources);
             }
-            self.used.insert(other);
+            self.receiving.insert(other);
         }
         self.machines.remove(id);
         true
     }
 
-    /// Where a task of a job may migrate to from a machine, beside what has been `taken` on its account: the
-    /// fullest machine that takes it, since emptier ones may be drained as well. Only within its zone: the
-    /// job's spread over zones does not change then.
+    /// Returns the machine that a task of a job may migrate to from the machine `source`, in addition to the
+    /// resources already `planned` for the source's other tasks. Chooses the fullest machine that takes the task,
+    /// since emptier ones may be drained as well. Only machines in the same zone are considered, so that the job's
+    /// spread over zones does not change.
     fn target(
         &self,
-        leaving: &str,
+        source: &str,
         zone: &str,
         job: &str,
         placed: &Placed,
-        taken: &BTreeMap<&'a str, Resources>,
+        planned: &BTreeMap<&'a str, Resources>,
     ) -> Option<&'a str> {
         let spec = self.cache.open_job(job)?;
         let fitting = self.machines.iter().filter(|(id, target)| {
             let record = target.record;
-            let taken = taken.get(*id).copied().unwrap_or_default();
-            **id != leaving
+            let planned = planned.get(*id).copied().unwrap_or_default();
+            **id != source
                 && record.zone == zone
-                && target.free.less(&taken).fits(&placed.resources)
+                && target.free.less(&planned).fits(&placed.resources)
                 && self.cache.has_image(id, &spec.image)
                 && spec.allows(&record.type_name, &record.zone, record.spot)
         });
--- a/crates/core/src/provisioning/tracker.rs
+++ b/crates/core/src/provisioning/tracker.rs
@@ -1,42 +1,42 @@
-//! The requests to the cloud that are under way, and what earlier ones brought.
+//! State of the requests to the cloud: those in flight and the results of earlier ones.
 
 use crate::constants::INSTANCE_LIST_INTERVAL_MS;
 use crate::model::Millis;
 use foldhash::{HashMap, HashMapExt};
 use std::collections::BTreeSet;
 
-/// Requests to the cloud under way, and what is remembered of earlier ones.
+/// The state of a controller's requests to the cloud.
 pub(crate) struct ProvisioningTracker {
-    /// When the cloud's machine types were last read.
+    /// When the cloud's machine types were last read, if they were.
     pub(crate) machine_types_read_at: Option<Millis>,
-    /// The machine types are being read.
+    /// Whether a request for the machine types is in flight.
     pub(crate) machine_types_in_flight: bool,
-    /// Since when each instance request is known here.
+    /// When this controller first saw each instance request, by its number.
     pub(crate) request_known_since: HashMap<u64, Millis>,
-    /// When each instance request was last sent from here.
+    /// When this controller last sent each instance request, by its number.
     pub(crate) request_tried_at: HashMap<u64, Millis>,
-    /// Records of new instance requests are being written.
+    /// Whether a transaction that records new instance requests is in flight.
     pub(crate) request_creation_in_flight: bool,
-    /// Instance requests whose record is being removed.
+    /// Numbers of the instance requests whose records are being removed.
     pub(crate) removing_requests: BTreeSet<u64>,
-    /// Instance requests that the cloud has not answered yet.
+    /// Numbers of the instance requests that the cloud has not answered yet.
     pub(crate) requests_in_flight: BTreeSet<u64>,
-    /// Machines that the cloud has deleted.
+    /// Machines whose deletion the cloud has confirmed.
     pub(crate) deletion_confirmed: BTreeSet<String>,
-    /// When each deletion was last requested.
+    /// When this controller last requested the deletion of each machine.
     pub(crate) deletion_tried_at: HashMap<String, Millis>,
-    /// A deletion has no answer yet; one is sent at a time.
+    /// Whether a deletion request is in flight. Only one is sent at a time.
     pub(crate) deletion_in_flight: bool,
-    /// Listed machines that no record names, and when they were first seen.
+    /// Machines in the instance list that have no record, and when they were first seen.
     pub(crate) unmanaged: HashMap<String, Millis>,
-    /// When the cloud's instances are listed next.
+    /// When the cloud's instances are to be listed next.
     pub(crate) next_instance_list_at: Millis,
-    /// The instances are being listed.
+    /// Whether an instance list request is in flight.
     pub(crate) instance_list_in_flight: bool,
 }
 
 impl ProvisioningTracker {
-    /// The tracker of a controller that starts.
+    /// Creates the tracker of a controller that starts at `now`.
     pub(crate) fn new(now: Millis) -> ProvisioningTracker {
         ProvisioningTracker {
             machine_types_read_at: None,
