--- a/crates/core/src/provisioning/demand.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -5,7 +5,7 @@
     PROVISION_REQUESTS_AT_ONCE,
 };
 use crate::model::{JobSpec, MachineType, Resources, WallMs};
-use crate::scheduling::claims::zone_room;
+use crate::scheduling::claims::remaining_zone_tasks;
 use crate::scheduling::pending_work::PendingWork;
 use crate::state::{offer_key, MachinePhase, ProvisioningRecord, StateCache, ZoneSpreadRecord};
 use foldhash::HashMap;
@@ -69,7 +69,7 @@
             && self
                 .spec
                 .allows(&instance.type_name, &instance.zone, instance.spot)
-            && zone_room(self.spec, &self.zone_spread, &instance.zone) > 0
+            && remaining_zone_tasks(self.spec, &self.zone_spread, &instance.zone) > 0
         {
             instance.free = instance.free.less(&self.spec.resources);
             let zone = instance.zone.clone();
@@ -235,7 +235,7 @@
             .refused
             .get(&offer_key(&machine_type.name, zone, spot))
             .is_some_and(|until| *until > self.wall);
-        let allowed_in_zone = u64::from(zone_room(tasks.spec, &tasks.zone_spread, zone));
+        let allowed_in_zone = u64::from(remaining_zone_tasks(tasks.spec, &tasks.zone_spread, zone));
         let fits = machine_type.room.count(&tasks.spec.resources);
         let served_tasks = fits.min(tasks.count).min(allowed_in_zone);
         let is_offered = !is_refused
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -76,7 +76,7 @@
 
 /// Returns the number of a job's assigned tasks per zone, including the claims of the draft. A task on a machine
 /// without a record counts for every zone, which can only refuse too many claims, never too few.
-pub fn zones_of(
+pub fn zone_spread_of(
     draft: &TransactionBuilder,
     job: &JobRecord,
     id: &str,
@@ -102,7 +102,7 @@
 }
 
 /// Returns how many more tasks of a job its zone rules allow in a zone.
-pub fn zone_room(spec: &JobSpec, zone_spread: &ZoneSpreadRecord, zone: &str) -> u32 {
+pub fn remaining_zone_tasks(spec: &JobSpec, zone_spread: &ZoneSpreadRecord, zone: &str) -> u32 {
     if !spec.zone_affinity && !spec.topology_spread {
         return spec.tasks;
     }
@@ -234,8 +234,8 @@
             return Err(Refusal::MachineUnavailable);
         }
         if spec.zone_affinity || spec.topology_spread {
-            let zone_spread = zones_of(draft, self.job, &task.job, &settings.zones);
-            if zone_room(spec, &zone_spread, &machine.zone) == 0 {
+            let zone_spread = zone_spread_of(draft, self.job, &task.job, &settings.zones);
+            if remaining_zone_tasks(spec, &zone_spread, &machine.zone) == 0 {
                 return Err(Refusal::MachineExcluded);
             }
         }
@@ -310,7 +310,7 @@
             draft.put(Key::Team(spec.team.clone()), Record::Team(usage));
         }
         if records_zone_spread(spec, job) {
-            let zone_spread = zones_of(draft, job, &task.job, &settings.zones);
+            let zone_spread = zone_spread_of(draft, job, &task.job, &settings.zones);
             draft.put(
                 Key::ZoneSpread(task.job.clone()),
                 Record::ZoneSpread(zone_spread),
@@ -326,7 +326,7 @@
 }
 
 /// Returns the most changes that a release adds to a draft.
-pub fn release_changes(
+pub fn max_release_changes(
     draft: &TransactionBuilder,
     task: &TaskId,
     outcome: AttemptOutcome,
@@ -354,7 +354,7 @@
 }
 
 /// Ends the assignment of an attempt. The caller must have proof that the attempt has ended or never started.
-/// `release_changes` returns the most records that this changes.
+/// `max_release_changes` returns the most records that this changes.
 pub fn release(
     draft: &mut TransactionBuilder,
     task: &TaskId,
--- a/crates/core/src/scheduling/migration_step.rs
+++ b/crates/core/src/scheduling/migration_step.rs
@@ -196,7 +196,7 @@
             return None;
         }
         let draft = TransactionBuilder::new(&self.cache);
-        let zone_spread = claims::zones_of(&draft, job, id, &self.settings.zones);
+        let zone_spread = claims::zone_spread_of(&draft, job, id, &self.settings.zones);
         let (fullest_zone, tasks) = zone_spread.zones.iter().max_by_key(|(_, tasks)| **tasks)?;
         let gain_s = rescheduling::spread_gain_s(job.tasks, *tasks, free.len());
         if gain_s <= 0.0 {
--- a/crates/core/src/scheduling/pending_work.rs
+++ b/crates/core/src/scheduling/pending_work.rs
@@ -53,7 +53,9 @@
     ) -> PendingWork {
         let has_zone_rules = (spec.zone_affinity || spec.topology_spread) && job.tasks > 1;
         let zone_spread = match has_zone_rules {
-            true => claims::zones_of(&TransactionBuilder::new(cache), job, id, &settings.zones),
+            true => {
+                claims::zone_spread_of(&TransactionBuilder::new(cache), job, id, &settings.zones)
+            }
             false => ZoneSpreadRecord::default(),
         };
         let ready_at = cache.ready_at(job);
--- a/crates/core/src/scheduling/placement.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -5,7 +5,7 @@
 
 use crate::model::{JobKind, JobPriority, JobSpec, Millis, TaskId};
 use crate::scheduling::candidates::{image_fetch_ms, min_request, Candidate};
-use crate::scheduling::claims::{self, zone_room, ClaimRequest, Refusal};
+use crate::scheduling::claims::{self, remaining_zone_tasks, ClaimRequest, Refusal};
 use crate::scheduling::cluster_view::ClusterView;
 use crate::scheduling::pending_work::PendingWork;
 use crate::scheduling::service_reserve::ServiceReserve;
@@ -190,7 +190,7 @@
             && spec.zone.is_none();
         let zone_spread = match cache.job(&work.job) {
             Some(job) if is_spread_evenly && machine_share.is_some() => {
-                claims::zones_of(&self.transaction, job, &work.job, &settings.zones)
+                claims::zone_spread_of(&self.transaction, job, &work.job, &settings.zones)
             }
             _ => ZoneSpreadRecord::default(),
         };
@@ -278,7 +278,7 @@
                 || max_tasks.is_some_and(|max| tasks_on_machine >= max)
                 || job.zone_has_its_share(&machine.record.zone, max_tasks)
                 || !self.reserve.allows(work, machine.record)
-                || zone_room(job.spec, &work.zone_spread, &machine.record.zone) == 0
+                || remaining_zone_tasks(job.spec, &work.zone_spread, &machine.record.zone) == 0
             {
                 break;
             }
--- a/crates/core/src/scheduling/preemption.rs
+++ b/crates/core/src/scheduling/preemption.rs
@@ -3,7 +3,7 @@
 
 use crate::constants::{PREEMPT_TASKS, PREEMPT_WASTE_MS};
 use crate::model::{JobKind, JobPriority, JobSpec, Millis, Resources, TaskId};
-use crate::scheduling::claims::zone_room;
+use crate::scheduling::claims::remaining_zone_tasks;
 use crate::scheduling::cluster_view::ClusterView;
 use crate::scheduling::pending_work::PendingWork;
 use crate::scheduling::stops::{Stop, StopReason};
@@ -109,7 +109,7 @@
         let record = machine.record;
         self.spec
             .allows(&record.type_name, &record.zone, record.spot)
-            && zone_room(self.spec, &self.zone_spread, &record.zone) > 0
+            && remaining_zone_tasks(self.spec, &self.zone_spread, &record.zone) > 0
             && (!self.work.requires_cached_image
                 || view.cache.has_image(machine.id, &self.spec.image))
     }
@@ -152,7 +152,7 @@
         let may_run_on = machine.phase == MachinePhase::Up
             && view.cache.has_image(id, &spec.image)
             && spec.allows(&machine.type_name, &machine.zone, machine.spot)
-            && zone_room(spec, &work.zone_spread, &machine.zone) > 0
+            && remaining_zone_tasks(spec, &work.zone_spread, &machine.zone) > 0
             && is_usable(id);
         let machine_type = view.machine_types.get(&machine.type_name);
         let Some(machine_type) = machine_type.filter(|_| may_run_on) else {
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -181,7 +181,7 @@
     fn draft_results(&self, draft: &mut ResultsDraft) -> Vec<(TaskId, u64)> {
         let mut released = Vec::new();
         for (task, attempt, outcome) in self.results_in_turn() {
-            let changes = claims::release_changes(&draft.builder, task, outcome);
+            let changes = claims::max_release_changes(&draft.builder, task, outcome);
             if !draft.has_room_besides_machines(changes) {
                 draft.is_full = true;
                 break;
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -64,7 +64,7 @@
             resources.fits(&spec.resources)
                 && spec.allows(machine_type, zone, *spot)
                 && zone != present_zone
-                && claims::zone_room(spec, spread, zone) > 0
+                && claims::remaining_zone_tasks(spec, spread, zone) > 0
         };
         let Some(index) = self.free.iter().position(allowed) else {
             self.jobs_without_capacity.insert(spec.id.clone());
@@ -326,7 +326,7 @@
             return ZoneSpreadRecord::default();
         }
         let draft = TransactionBuilder::new(&self.cache);
-        claims::zones_of(&draft, job, id, &self.settings.zones)
+        claims::zone_spread_of(&draft, job, id, &self.settings.zones)
     }
 
     /// Times of day by which a job is to be done, in ascending order: its class's service-level objectives
