--- a/crates/core/src/scheduling/candidates.rs
+++ b/crates/core/src/scheduling/candidates.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::FETCH_MAX_MS;
 use crate::model::{JobSpec, MachineType, Millis, Resources};
-use crate::scheduling::claims::Carrier;
+use crate::scheduling::claims::StartChannel;
 use crate::scheduling::pending_work::PendingWork;
 use crate::state::MachineRecord;
 use foldhash::HashMap;
@@ -26,7 +26,7 @@
     /// Milliseconds until the image fetches in progress on it are complete. Fetches share the machine's rate.
     pub pending_fetch_ms: Millis,
     /// The channel by which this controller would deliver a start command to it.
-    pub carrier: Carrier,
+    pub start_channel: StartChannel,
 }
 
 impl<'a> Candidate<'a> {
@@ -42,7 +42,7 @@
             reports_here: false,
             is_busy: true,
             pending_fetch_ms: 0,
-            carrier: Carrier::Answer,
+            start_channel: StartChannel::HeartbeatReply,
         }
     }
 
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -45,11 +45,11 @@
 
 /// The channel by which a start command is delivered to the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Carrier {
+pub enum StartChannel {
     /// The reply to its next heartbeat, whichever controller receives that.
-    Answer,
+    HeartbeatReply,
     /// A single direct command to one incarnation of the worker.
-    Command {
+    DirectCommand {
         incarnation: u64,
         /// The machine's fencing token.
         token: u64,
@@ -126,7 +126,7 @@
     pub machine: &'a str,
     /// The free resources of the machine, less those of earlier claims in the draft.
     pub free: Resources,
-    pub carrier: Carrier,
+    pub start_channel: StartChannel,
 }
 
 /// Adds the claim of one task for a machine to the draft. A refused claim is not added.
@@ -297,9 +297,11 @@
             machine,
             attempt,
             reply_start: None,
-            direct_start: match self.request.carrier {
-                Carrier::Answer => None,
-                Carrier::Command { incarnation, token } => Some(DirectStart { incarnation, token }),
+            direct_start: match self.request.start_channel {
+                StartChannel::HeartbeatReply => None,
+                StartChannel::DirectCommand { incarnation, token } => {
+                    Some(DirectStart { incarnation, token })
+                }
             },
             stop: None,
         });
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -141,7 +141,7 @@
                 reports_here: liveness.reports_here(),
                 is_busy: self.cache.assigned_tasks(id) > 0,
                 pending_fetch_ms: fetching_until.map_or(0, |until| until.saturating_sub(self.now)),
-                carrier: self.delivery_for(&liveness, record),
+                start_channel: self.delivery_for(&liveness, record),
             });
         }
         machines
--- a/crates/core/src/scheduling/placement.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -331,7 +331,7 @@
             task: &task,
             machine: machine.id,
             free: machine.free,
-            carrier: machine.carrier,
+            start_channel: machine.start_channel,
         };
         let (settings, wall) = (self.view.settings, self.view.wall);
         claims::claim(&mut self.transaction, settings, &request, wall)?;
--- a/crates/core/src/workers/commands.rs
+++ b/crates/core/src/workers/commands.rs
@@ -3,7 +3,7 @@
 use crate::constants::{COMMAND_PAUSE_MS, NO_INCARNATION};
 use crate::controller::{ClaimedTask, CommandOutcome, Controller, Effect};
 use crate::model::{DirectStart, TaskId, WorkerCommand};
-use crate::scheduling::claims::Carrier;
+use crate::scheduling::claims::StartChannel;
 use crate::state::MachineRecord;
 use crate::workers::observations::Liveness;
 use std::collections::BTreeMap;
@@ -11,16 +11,16 @@
 impl Controller {
     /// How a start gets from here to a machine: by a direct command, unless the last one
     /// failed; then by the answer to a heartbeat.
-    pub(crate) fn delivery_for(&self, liveness: &Liveness, m: &MachineRecord) -> Carrier {
+    pub(crate) fn delivery_for(&self, liveness: &Liveness, m: &MachineRecord) -> StartChannel {
         let refused = liveness.observation.command_failed_at;
         let failed = refused.is_some_and(|at| self.now < at + COMMAND_PAUSE_MS);
         let incarnation = liveness.incarnation();
         let token = self.cache.term().map(|term| term + m.token_offset);
         match (token, incarnation) {
             (Some(token), Some(incarnation)) if !failed && !m.address.is_empty() => {
-                Carrier::Command { incarnation, token }
+                StartChannel::DirectCommand { incarnation, token }
             }
-            _ => Carrier::Answer,
+            _ => StartChannel::HeartbeatReply,
         }
     }
 
