--- a/crates/core/src/scheduling/pending_work.rs
+++ b/crates/core/src/scheduling/pending_work.rs
@@ -44,7 +44,7 @@
 
 impl PendingWork {
     /// Creates a job's pending work with no tasks, with the job's own priority and without a goal.
-    pub fn of(
+    pub fn new(
         cache: &StateCache,
         settings: &Settings,
         id: &str,
@@ -170,7 +170,7 @@
         // Work that can meet no goal is late in any case, so it comes after work that can still meet one.
         let due_without_goal = (ready_at + NO_GOAL_MS).saturating_sub(start_lead_ms);
         let due = goals.as_ref().map_or(due_without_goal, |goals| goals.first);
-        let template = PendingWork::of(self.cache, self.settings, id, job, spec);
+        let template = PendingWork::new(self.cache, self.settings, id, job, spec);
         let work = PendingWork {
             urgency: Urgency {
                 priority: Reverse(dependencies::priority(self.inherited, id, spec)),
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -268,7 +268,7 @@
         let pending = |(id, indices): (&str, Vec<u32>)| {
             let job = self.cache.job(id)?;
             let spec = job.open()?;
-            let mut work = PendingWork::of(&self.cache, &self.settings, id, job, spec);
+            let mut work = PendingWork::new(&self.cache, &self.settings, id, job, spec);
             work.indices = indices.into();
             Some(work)
         };
