--- a/crates/core/src/controller/housekeeping.rs
+++ b/crates/core/src/controller/housekeeping.rs
@@ -120,7 +120,7 @@
         self.evict_over_limits();
         self.send_deletions();
         self.list_instances();
-        self.move_services();
+        self.migrate_services();
     }
 
     fn list_instances(&mut self) {
--- a/crates/core/src/scheduling/migration_step.rs
+++ b/crates/core/src/scheduling/migration_step.rs
@@ -32,7 +32,7 @@
 
 impl Controller {
     /// Migrates services' tasks, a few at a time, and drains expensive machines whose services fit on others.
-    pub(crate) fn move_services(&mut self) {
+    pub(crate) fn migrate_services(&mut self) {
         if self.scheduling.has_pending_work || self.cache.instance_requests().next().is_some() {
             self.scheduling.idle_since = self.now;
         }
@@ -118,8 +118,9 @@
     fn migration_candidates(&self) -> Vec<MigrationCandidate> {
         let draining = self.cache.machines();
         let draining = draining.filter(|(_, m, _)| m.phase == MachinePhase::Draining);
-        let leaving: Vec<MigrationCandidate> =
-            draining.flat_map(|(id, _, _)| self.moves_off(id)).collect();
+        let leaving: Vec<MigrationCandidate> = draining
+            .flat_map(|(id, _, _)| self.migrations_off(id))
+            .collect();
         let is_spread = self.settings.tuning.even_spread && self.settings.zones.len() > 1;
         match is_spread && leaving.is_empty() {
             true => self.spread_candidates(),
@@ -128,7 +129,7 @@
     }
 
     /// Returns the migrations of all services' tasks off a machine.
-    pub(crate) fn moves_off<'a>(
+    pub(crate) fn migrations_off<'a>(
         &'a self,
         id: &'a str,
     ) -> impl Iterator<Item = MigrationCandidate> + 'a {
--- a/crates/core/src/zones/detector.rs
+++ b/crates/core/src/zones/detector.rs
@@ -248,7 +248,7 @@
             return Vec::new();
         }
         let migrations = outbound_lost.into_iter();
-        migrations.flat_map(|id| self.moves_off(id)).collect()
+        migrations.flat_map(|id| self.migrations_off(id)).collect()
     }
 
     /// Whether tasks may be placed on a machine, or preempted on it: it sent a heartbeat lately, has answered
