--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -27,7 +27,7 @@
                 self.provisioning.machine_types_in_flight = false;
                 if let CloudResponse::Types(machine_types) = response {
                     self.provisioning.machine_types_read_at = Some(self.now);
-                    self.use_machine_types(&machine_types);
+                    self.set_machine_types(&machine_types);
                     self.store_machine_types(machine_types);
                 }
             }
@@ -68,7 +68,7 @@
     }
 
     /// Sets the machine types that placement and provisioning use, and requests a scheduling pass.
-    pub(crate) fn use_machine_types(&mut self, machine_types: &[MachineType]) {
+    pub(crate) fn set_machine_types(&mut self, machine_types: &[MachineType]) {
         let by_name = |t: &MachineType| (t.name.clone(), t.clone());
         self.machine_types = machine_types.iter().map(by_name).collect();
         let cache_gb = |t: &MachineType| (t.name.clone(), t.cache_gb);
@@ -158,7 +158,7 @@
     }
 
     /// Returns whether a machine that an instance request provisioned is still expected to come up.
-    pub(crate) fn on_its_way(&self, id: &str) -> bool {
+    pub(crate) fn is_expected_instance(&self, id: &str) -> bool {
         self.cache.machine(id).is_none() && !self.workers.recently_deleted.contains(id)
     }
 
@@ -166,7 +166,8 @@
     pub(crate) fn remove_completed_requests(&mut self) {
         let is_complete = |request: &InstanceRequestRecord| {
             let instances = request.instances.as_ref();
-            instances.is_some_and(|instances| !instances.iter().any(|id| self.on_its_way(id)))
+            instances
+                .is_some_and(|instances| !instances.iter().any(|id| self.is_expected_instance(id)))
         };
         let due: Vec<u64> = self
             .cache
--- a/crates/core/src/provisioning/scale_out.rs
+++ b/crates/core/src/provisioning/scale_out.rs
@@ -25,7 +25,9 @@
         let view = ProvisioningView {
             cache: &self.cache,
             machine_types: &self.machine_types,
-            is_expected: &|id| self.settings.checks.instance_requests && self.on_its_way(id),
+            is_expected: &|id| {
+                self.settings.checks.instance_requests && self.is_expected_instance(id)
+            },
             is_zone_unreachable: &|zone| self.is_zone_unreachable(zone),
             wall: self.wall,
         };
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -130,7 +130,7 @@
     fn list_completed(&mut self) {
         if self.machine_types.is_empty() {
             if let Some(record) = self.cache.machine_types().cloned() {
-                self.use_machine_types(&record.machine_types);
+                self.set_machine_types(&record.machine_types);
             }
         }
         let revision = self.sync.list.revision;
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -256,7 +256,8 @@
             let known_since = known_since.copied().unwrap_or(self.now);
             if self.now - known_since > self.boot_limit_ms(&request.type_name) {
                 let instances = request.instances.iter().flatten();
-                let missing = |id: &&String| self.on_its_way(id) && !self.recently_reported(id);
+                let missing =
+                    |id: &&String| self.is_expected_instance(id) && !self.recently_reported(id);
                 for id in instances.filter(missing) {
                     terminations.push((id.clone(), TerminationReason::NeverCameUp));
                 }
