--- a/crates/core/src/workers/commands.rs
+++ b/crates/core/src/workers/commands.rs
@@ -3,7 +3,7 @@
 use crate::constants::{COMMAND_BACKOFF_MS, NO_INCARNATION};
 use crate::controller::{ClaimedTask, CommandOutcome, Controller, Effect};
 use crate::model::{DirectStart, TaskId, WorkerCommand};
-use crate::scheduling::claims::Carrier;
+use crate::scheduling::claims::StartChannel;
 use crate::state::MachineRecord;
 use crate::workers::observations::Liveness;
 use std::collections::BTreeMap;
@@ -11,16 +11,20 @@
 impl Controller {
     /// Returns how a start is delivered to a machine: by a direct command, or in the reply to a
     /// heartbeat if the last direct command failed recently.
-    pub(crate) fn delivery_for(&self, liveness: &Liveness, machine: &MachineRecord) -> Carrier {
+    pub(crate) fn delivery_for(
+        &self,
+        liveness: &Liveness,
+        machine: &MachineRecord,
+    ) -> StartChannel {
         let failed_at = liveness.observation.command_failed_at;
         let failed_recently = failed_at.is_some_and(|at| self.now < at + COMMAND_BACKOFF_MS);
         let incarnation = liveness.incarnation();
         let token = self.cache.term().map(|term| term + machine.token_offset);
         match (token, incarnation) {
             (Some(token), Some(incarnation)) if !failed_recently && !machine.address.is_empty() => {
-                Carrier::Command { incarnation, token }
+                StartChannel::DirectCommand { incarnation, token }
             }
-            _ => Carrier::Answer,
+            _ => StartChannel::HeartbeatReply,
         }
     }
 
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -185,7 +185,7 @@
     fn draft_results(&self, draft: &mut ResultsDraft) -> Vec<(TaskId, u64)> {
         let mut released = Vec::new();
         for (task, attempt, outcome) in self.results_in_priority_order() {
-            let changes = claims::release_changes(&draft.builder, task, outcome);
+            let changes = claims::max_release_changes(&draft.builder, task, outcome);
             if !draft.has_unreserved_room(changes) {
                 draft.is_full = true;
                 break;
