--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -1,5 +1,5 @@
-//! The controller's list and watch of the shared records, and how far its cache is known to be
-//! current.
+//! Lists and watches the shared records in the state store, applies each change to the state cache,
+//! and tracks up to which revision the cache is known to be current.
 
 use crate::constants::{PEER_CHANGE_PASS_DELAY_MS, REVISION_TIMES_KEPT};
 use crate::controller::{
@@ -9,44 +9,44 @@
 use crate::state::{ChunkRecord, JobPhase, Key, Record};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Between the passes that the controllers, in order, make for the same change: milliseconds.
+/// Interval between the scheduling passes that successive controllers make for the same change.
 const PASS_STAGGER_MS: Millis = 100;
 
-/// The list of all records, read page by page.
+/// Progress of a list of all records, which the controller reads page by page.
 #[derive(Default)]
 pub(crate) struct ListProgress {
-    /// Counts the lists; pages of an earlier one are ignored.
+    /// Number of this list; the controller ignores pages of an earlier one.
     pub(crate) round: u64,
     /// Keys read so far.
     pub(crate) listed: BTreeSet<Key>,
-    /// The first page's revision, from which the watch goes on; 0 before that page.
+    /// The revision of the first page, from which the watch starts; 0 before that page.
     pub(crate) revision: u64,
-    /// The latest revision among the records read: until the watch has reached it, the cache may
-    /// lack what was written between two pages.
+    /// The highest modification revision among the records read. Until the watch has reached it,
+    /// the cache may lack changes that were committed between the reads of two pages.
     pub(crate) max_mod_revision: u64,
-    /// A page is being read.
+    /// Whether a request for a page is outstanding.
     pub(crate) in_flight: bool,
 }
 
-/// How far the state cache is known to be current: the list, the watch, and the responses of the
-/// state service.
+/// The state of the list and the watch, and the evidence that the state cache is current.
 pub(crate) struct ListWatch {
-    /// All records were read once, and the watch goes on from there.
+    /// Whether a list of all records is complete, and the watch continues from its revision.
     pub(crate) has_listed: bool,
-    /// The list under way.
+    /// The list in progress.
     pub(crate) list: ListProgress,
-    /// When the state service last answered a request that was sent since the last pause.
+    /// Time of the last response of the state store to a request that this controller sent after
+    /// its last pause.
     pub(crate) last_response_at: Option<Millis>,
-    /// Since when the watch is behind a revision that a read proved.
+    /// Time since which the watch is behind a revision that a linearizable read returned.
     pub(crate) watch_lag_since: Option<Millis>,
-    /// When the watch was last opened.
+    /// Time at which the watch was last opened.
     pub(crate) watch_opened_at: Millis,
-    /// Revisions and when they became known here.
+    /// Recent revisions and the time at which this controller learnt of each.
     pub(crate) revision_times: VecDeque<(u64, Millis)>,
 }
 
 impl ListWatch {
-    /// Before the first list. `now`: when the controller starts.
+    /// Returns the state before the first list; `now` is the start time of the controller.
     pub(crate) fn new(now: Millis) -> ListWatch {
         ListWatch {
             has_listed: false,
@@ -58,7 +58,7 @@
         }
     }
 
-    fn note_revision(&mut self, revision: u64, now: Millis) {
+    fn record_revision(&mut self, revision: u64, now: Millis) {
         self.revision_times.push_back((revision, now));
         if self.revision_times.len() > REVISION_TIMES_KEPT {
             self.revision_times.pop_front();
@@ -66,17 +66,17 @@
     }
 }
 
-/// Who made a change that the cache takes up.
+/// The source from which this controller learnt of a change to a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ChangeOrigin {
-    /// A transaction of this controller, known by its response.
+    /// The response to a transaction of this controller.
     OwnTransaction,
-    /// Any controller: the change came with the watch.
+    /// The watch; any controller may have made the change.
     Watch,
 }
 
 impl Controller {
-    /// Reads all records anew, from the first page on.
+    /// Starts a new list of all records, from the first page on.
     pub(crate) fn start_list(&mut self) {
         self.sync.has_listed = false;
         self.sync.list.round += 1;
@@ -96,7 +96,7 @@
         });
     }
 
-    /// Takes up a page of a list; the last one completes it.
+    /// Applies a page of a list, and requests the next page or completes the list.
     pub(super) fn list_page_received(&mut self, round: u64, response: StateResponse) {
         if round != self.sync.list.round {
             return;
@@ -109,7 +109,7 @@
             revision,
         } = response
         else {
-            return; // the next tick starts the list anew
+            return; // the next tick restarts the list
         };
         if self.sync.list.revision == 0 {
             self.sync.list.revision = revision;
@@ -146,8 +146,8 @@
         self.emit(Effect::Watch { since: revision });
     }
 
-    /// Takes up changes that the watch brought, all of them up to `revision`. A change without a
-    /// record is a removal.
+    /// Applies the changes that the watch delivered, which are complete up to `revision`. A change
+    /// without a record is a removal.
     pub(crate) fn watched(&mut self, revision: u64, changes: Vec<(Key, u64, Option<Record>)>) {
         for (key, mod_revision, record) in changes {
             tracing::debug!(
@@ -160,14 +160,14 @@
             self.apply(key, mod_revision, record, ChangeOrigin::Watch);
         }
         self.cache.revision = self.cache.revision.max(revision);
-        self.sync.note_revision(self.cache.revision, self.now);
+        self.sync.record_revision(self.cache.revision, self.now);
         self.state_changed = true;
         self.apply_stored_configuration();
         self.serve_caught_up_reads();
     }
 
-    /// Applies one change to the cache, and has all that follows from it done. Without a record it
-    /// is a removal.
+    /// Applies one change to the cache and triggers the actions that depend on it, such as a
+    /// scheduling pass. A change without a record is a removal.
     pub(super) fn apply(
         &mut self,
         key: Key,
@@ -183,11 +183,11 @@
     }
 
     fn apply_put(&mut self, key: Key, mod_revision: u64, record: Record, origin: ChangeOrigin) {
-        if self.calls_for_pass(&key, &record) {
+        if self.requires_pass(&key, &record) {
             self.request_pass(origin);
         }
         if let (Key::Chunk(job, n), Record::Chunk(chunk)) = (&key, &record) {
-            self.note_new_claims(job, *n, chunk);
+            self.record_new_claims(job, *n, chunk);
             self.assignments_changed(job, *n, chunk);
         }
         let run_times_class = match &key {
@@ -197,8 +197,8 @@
         let fenced_machine = self.machine_with_raised_token(&key, &record);
         self.cache.put(key, mod_revision, record);
         if let Some(machine) = fenced_machine {
-            // An empty command: the worker sends a heartbeat as soon as it has seen the higher
-            // token.
+            // An empty command delivers the higher fencing token; the worker answers it with a
+            // heartbeat at once.
             self.send_command(machine, Vec::new());
         }
         if let Some(class) = run_times_class {
@@ -218,8 +218,9 @@
         }
     }
 
-    /// Whether a change that is not in the cache yet may let something be placed.
-    fn calls_for_pass(&self, key: &Key, record: &Record) -> bool {
+    /// Returns whether a change that is not in the cache yet may allow the scheduler to place a
+    /// task.
+    fn requires_pass(&self, key: &Key, record: &Record) -> bool {
         match (key, record) {
             (Key::Machine(_) | Key::Chunk(..), _) => true,
             (Key::Job(id), Record::Job(job)) => {
@@ -231,8 +232,9 @@
         }
     }
 
-    /// Follows the starts of tasks that a chunk's change claims, whoever claimed them.
-    fn note_new_claims(&mut self, job: &str, n: u32, chunk: &ChunkRecord) {
+    /// Starts tracking the task starts of the claims that a chunk's change adds, whichever
+    /// controller made them.
+    fn record_new_claims(&mut self, job: &str, n: u32, chunk: &ChunkRecord) {
         let claim_revision = self.cache.claim_revision(job, n);
         for (index, assignment) in chunk.assigned() {
             if assignment.attempt != claim_revision {
@@ -250,18 +252,19 @@
         }
     }
 
-    /// The machine whose fencing token a change raises, if this controller asked for that.
+    /// Returns the machine whose fencing token a change raises, if this controller requested the
+    /// raise.
     fn machine_with_raised_token(&mut self, key: &Key, record: &Record) -> Option<String> {
         let (Key::Machine(id), Record::Machine(machine)) = (key, record) else {
             return None;
         };
-        let before = self.cache.machine(id).map_or(0, |m| m.token_offset);
-        let is_raised = machine.token_offset > before;
+        let cached_offset = self.cache.machine(id).map_or(0, |m| m.token_offset);
+        let is_raised = machine.token_offset > cached_offset;
         (is_raised && self.workers.starts.take_token_raise(id)).then(|| id.clone())
     }
 
-    /// An own change calls for a pass at once; another's for a later one, as the controller that
-    /// made the change goes first.
+    /// Requests a scheduling pass: at once for a change of this controller, and after a delay for a
+    /// change from the watch, because the controller that made the change schedules first.
     fn request_pass(&mut self, origin: ChangeOrigin) {
         match origin {
             ChangeOrigin::OwnTransaction => self.scheduling.pass_requested = true,
--- a/crates/core/src/state/reads.rs
+++ b/crates/core/src/state/reads.rs
@@ -1,5 +1,5 @@
-//! Linearizable reads of the state service's current revision, and the user requests that wait for
-//! one: each is served once the watch has reached the revision that its read returned.
+//! Issues linearizable reads of the state store's current revision, and serves each user request
+//! once the watch has reached the revision that the request's read returned.
 
 use crate::constants::{PENDING_READS_MAX, READ_INDEX_INTERVAL_MS, STATE_PROBE_INTERVAL_MS};
 use crate::controller::{
@@ -8,34 +8,34 @@
 };
 use crate::model::Millis;
 
-/// A revision that a read returned and the watch has not reached yet.
+/// A read whose revision the watch has not reached yet.
 pub(crate) struct PendingRead {
-    /// The revision.
+    /// The revision that the read returned.
     pub(crate) revision: u64,
-    /// The latest read that it stands for.
+    /// The operation of the read, or of the latest of several merged reads.
     pub(crate) operation: OperationId,
-    /// Requests to serve once the watch has reached it.
+    /// Requests to serve once the watch has reached the revision.
     pub(crate) requests: Vec<RequestId>,
 }
 
-/// Linearizable reads, and the user requests that wait for them.
+/// The linearizable reads of a controller, and the user requests that wait for them.
 pub(crate) struct LinearizableReads {
-    /// When a read was last issued, or is taken to have been.
+    /// Time of the last read, for the probe interval; the controller sets it back to force a probe.
     pub(crate) last_requested_at: Millis,
-    /// A read has no response yet; one is sent at a time.
+    /// Whether a read is outstanding; the controller sends one at a time.
     pub(crate) in_flight: bool,
-    /// When the last read was sent.
+    /// Time at which the last read was sent.
     pub(crate) last_issued_at: Millis,
-    /// Requests that the next read is for.
+    /// Requests that wait for the next read to be sent.
     pub(crate) unissued: Vec<RequestId>,
-    /// Requests that the read under way is for.
+    /// Requests that wait for the outstanding read.
     pub(crate) issued: Vec<RequestId>,
     /// Reads whose revision the watch has not reached, oldest first.
     pub(crate) behind_watch: Vec<PendingRead>,
 }
 
 impl LinearizableReads {
-    /// None issued yet.
+    /// Returns the state before the first read.
     pub(crate) fn new() -> LinearizableReads {
         LinearizableReads {
             last_requested_at: 0,
@@ -47,18 +47,19 @@
         }
     }
 
-    /// Whether a read may be sent now, as far as the earlier ones go.
+    /// Returns whether the controller may send a read now: none is outstanding, and the minimum
+    /// interval since the last one has passed.
     fn may_issue(&self, now: Millis) -> bool {
         !self.in_flight && now >= self.last_issued_at + READ_INDEX_INTERVAL_MS
     }
 
-    /// Whether a read is sent though no request waits for one: it shows that the state service is
-    /// reached.
+    /// Returns whether the controller sends a read although no request waits for one, to check that
+    /// the state store is reachable.
     fn is_probe_due(&self, now: Millis) -> bool {
         now >= self.last_requested_at + STATE_PROBE_INTERVAL_MS
     }
 
-    /// Marks a read as sent, for the requests that waited for it.
+    /// Marks a read as sent on behalf of the waiting requests.
     fn mark_issued(&mut self, now: Millis) {
         self.in_flight = true;
         self.last_issued_at = now;
@@ -66,8 +67,9 @@
         self.issued = std::mem::take(&mut self.unissued);
     }
 
-    /// Requests wait for the watch to reach a revision. Reads of the same revision are merged; so
-    /// are later ones once many wait, which serves these requests no earlier than they may be.
+    /// Queues requests until the watch has reached a revision. Merges reads of the same revision,
+    /// and, once `PENDING_READS_MAX` reads wait, any later read into the last one. A merged entry
+    /// has the higher revision, so no request is served before the revision of its own read.
     fn await_watch(&mut self, revision: u64, operation: OperationId, requests: Vec<RequestId>) {
         let is_full = self.behind_watch.len() >= PENDING_READS_MAX;
         match self.behind_watch.last_mut() {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Takes out the reads whose revision the watch has reached.
+    /// Removes and returns the reads whose revision the watch has reached.
     fn take_caught_up(&mut self, revision: u64) -> Vec<PendingRead> {
         let reads = std::mem::take(&mut self.behind_watch).into_iter();
         let (caught_up, behind) = reads.partition(|read| read.revision <= revision);
@@ -94,7 +96,7 @@
 }
 
 impl Controller {
-    /// Sends a read, if one is needed and may be sent.
+    /// Sends a linearizable read if a request or a due probe needs one, and one may be sent.
     pub(crate) fn issue_read_index(&mut self) {
         let is_needed = !self.reads.unissued.is_empty() || self.reads.is_probe_due(self.now);
         if !is_needed || !self.sync.has_listed || !self.reads.may_issue(self.now) {
@@ -109,12 +111,14 @@
         });
     }
 
-    /// Takes up the response to a read: its requests wait for the watch, or for another read.
+    /// Handles the response to a read: queues its requests until the watch has caught up, or
+    /// retries the read for them if it failed.
     pub(super) fn read_index_completed(&mut self, operation: OperationId, response: StateResponse) {
         self.reads.in_flight = false;
         let requests = std::mem::take(&mut self.reads.issued);
         if operation < self.lifecycle.first_operation_since_resume {
-            // Issued before this controller was paused: its cache may be outdated since.
+            // The controller sent this read before it was paused, so the returned revision doesn't
+            // prove that its cache is current now.
             return;
         }
         let StateResponse::ReadIndex { revision } = response else {
@@ -130,7 +134,7 @@
         self.serve_caught_up_reads();
     }
 
-    /// Serves the requests whose read the watch has caught up with.
+    /// Serves the requests of all reads whose revision the watch has reached.
     pub(super) fn serve_caught_up_reads(&mut self) {
         let caught_up = self.reads.take_caught_up(self.cache.revision);
         if self.reads.behind_watch.is_empty() {
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of the state service: each kind of pending operation handles its own.
+//! Handles the responses of the state store, by the kind of the pending operation.
 
 use crate::constants::{PROVISION_RETRY_MS, PROVISION_RETRY_SOON_MS};
 use crate::controller::{
@@ -9,12 +9,13 @@
 use crate::state::list_watch::ChangeOrigin;
 use crate::state::{CasTransaction, JobPhase, Key, Record};
 
-/// After instance requests that could not be written: milliseconds until the next scheduling pass.
+/// Delay of the next scheduling pass after a transaction with instance requests that did not
+/// commit.
 const INSTANCE_REQUEST_RETRY_PASS_MS: Millis = 200;
 
 impl Controller {
-    /// Handles the outcome of an operation that was sent to the state service. One that is not
-    /// outstanding any more is ignored.
+    /// Handles the response to an operation of the state store. Ignores a response to an operation
+    /// that is no longer outstanding.
     pub(crate) fn handle_state_response(
         &mut self,
         operation: OperationId,
@@ -23,15 +24,16 @@
         let Some((purpose, transaction)) = self.operations.outstanding.remove(&operation) else {
             return;
         };
-        self.note_response_time(operation, &response);
+        self.record_response_time(operation, &response);
         if let Some(transaction) = &transaction {
             self.apply_outcome(&purpose, transaction, &response);
         }
         self.complete_operation(operation, purpose, response);
     }
 
-    /// The state service was reached, unless the operation is older than the last pause.
-    fn note_response_time(&mut self, operation: OperationId, response: &StateResponse) {
+    /// Records that the state store responded now, unless the controller sent the operation before
+    /// its last pause.
+    fn record_response_time(&mut self, operation: OperationId, response: &StateResponse) {
         match response {
             StateResponse::Unavailable | StateResponse::NoAnswer => {}
             _ if operation < self.lifecycle.first_operation_since_resume => {}
@@ -39,7 +41,8 @@
         }
     }
 
-    /// What holds for each transaction, whatever it was for.
+    /// Handles the outcome of a transaction as far as it is the same for all purposes: applies a
+    /// committed one to the cache, counts a conflict, and handles a refusal.
     fn apply_outcome(
         &mut self,
         purpose: &PendingOperation,
@@ -59,9 +62,10 @@
     }
 
     fn apply_committed(&mut self, transaction: &CasTransaction, revision: u64) {
-        // What the watch has passed is in the cache, with all later changes. Applied once more, a
-        // record that was removed since would be in the cache again, for good.
-        let is_behind_watch = revision <= self.cache.revision;
+        // The watch has already applied this transaction and all later changes up to its revision.
+        // If the transaction were applied again, a record that was removed since would return to
+        // the cache and stay there.
+        let is_applied_by_watch = revision <= self.cache.revision;
         for (key, record) in &transaction.changes {
             if let (Key::Job(job), Some(Record::Job(record))) = (key, record) {
                 if record.phase == JobPhase::Done {
@@ -70,7 +74,7 @@
                 }
             }
         }
-        if is_behind_watch {
+        if is_applied_by_watch {
             return;
         }
         for (key, record) in &transaction.changes {
@@ -145,7 +149,7 @@
             }
             PendingOperation::RemoveObsolete => self.cleanup.removal_in_flight = false,
             PendingOperation::Term => self.upgrade.term_in_flight = false,
-            // Operations of the cloud: they have responses of their own.
+            // Cloud operations: the controller handles their responses elsewhere.
             PendingOperation::Provision(_)
             | PendingOperation::Deprovision(_)
             | PendingOperation::MachineTypes
@@ -176,8 +180,8 @@
             }
             self.send_starts(claimed);
         } else {
-            // Another controller won, or the outcome is unknown: the next pass decides anew, once
-            // the watch shows which.
+            // Another controller's transaction conflicted, or the outcome is unknown: the next pass
+            // decides again, once the watch shows which.
             tracing::debug!(tasks = claimed.len(), "claim not committed");
         }
         self.scheduling.pass_requested = true;
@@ -190,7 +194,8 @@
             self.scheduling.next_pass_at = self.scheduling.next_pass_at.min(at);
             return;
         }
-        // The watch may have shown some of them before this response; these are under way.
+        // The watch may have delivered some of the records before this response, and the controller
+        // has then already sent their requests to the cloud.
         let in_flight = &self.provisioning.requests_in_flight;
         let unsent: Vec<u64> = numbers
             .into_iter()
@@ -203,12 +208,13 @@
 
     fn provisioned_written(&mut self, number: u64, committed: bool) {
         if committed {
-            // What the cloud refused for this request is to be requested elsewhere.
+            // A new pass requests the instances that the cloud refused from another offer.
             self.scheduling.pass_requested = true;
             return;
         }
-        // The cloud answers a repeated request of the same name as it did the first: it is sent
-        // again soon. Shortly after a start the time is less than the usual pause.
+        // Retries soon: the cloud answers a repeated request of the same name as it did the first
+        // time. The subtraction saturates because shortly after a start `now` is less than the
+        // usual retry interval.
         let tried_at = (self.now + PROVISION_RETRY_SOON_MS).saturating_sub(PROVISION_RETRY_MS);
         self.provisioning.request_tried_at.insert(number, tried_at);
     }
@@ -220,9 +226,10 @@
         }
     }
 
-    /// The state service refused a transaction as malformed: a record has most likely outgrown its
-    /// limit. The largest one is logged and not written again until somebody has changed it, so
-    /// that the same transaction is not sent for ever, and the others in it are written.
+    /// Handles a transaction that the state store refused as malformed, most likely because a
+    /// record exceeds the size limit. Logs the largest record, and doesn't write it again until it
+    /// has changed on record: otherwise the controller would send the same transaction forever, and
+    /// would never write the other records in it.
     fn handle_refused_transaction(
         &mut self,
         purpose: &PendingOperation,
@@ -244,9 +251,10 @@
         }
     }
 
-    /// An operation has had no response for long. It may take effect seconds later, and nothing
-    /// waits for that: assignments are written anew, and a user's request is read and decided anew.
-    /// Whatever is sent instead is conditional on the same revisions, so only one of them commits.
+    /// Handles an operation that had no response before its timeout. The state store may still
+    /// commit it seconds later, but the controller doesn't wait: it writes assignments again, and
+    /// decides a user's request again after another read. The new transaction is conditional on the
+    /// same revisions, so at most one of the two commits.
     pub(crate) fn handle_state_timeout(&mut self, operation: OperationId) {
         if !self.settings.checks.unanswered {
             return;
--- a/crates/core/src/state/transaction.rs
+++ b/crates/core/src/state/transaction.rs
@@ -1,4 +1,4 @@
-//! Conditional transactions over a controller's state cache.
+//! Compare-and-swap transactions, built from the records in a controller's state cache.
 
 use super::{
     Assignment, ChunkRecord, JobPhase, Key, MachineRecord, ProvisioningRecord, Record, StateCache,
@@ -13,19 +13,20 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// A compare-and-swap transaction: if all conditions hold, all changes take effect as one.
+/// A compare-and-swap transaction: the state store applies all changes atomically if all conditions
+/// hold, and none otherwise.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CasTransaction {
-    /// Keys, with the revision that each must still have; 0: no record.
+    /// Keys and the revision that each must still have; 0 means that there must be no record.
     pub conditions: Vec<(Key, u64)>,
-    /// Keys and their new records; `None` removes the key.
+    /// Keys and their new records; `None` removes the record.
     pub changes: Vec<(Key, Option<Record>)>,
     /// The format in which the records are stored.
     pub format: u32,
 }
 
 impl CasTransaction {
-    /// The text that the state service takes.
+    /// Returns the request body in the JSON form of the state store.
     pub fn text(&self) -> String {
         let conditions: Vec<Value> = (self.conditions.iter())
             .map(|(key, mod_revision)| json!({"k": key.path(), "stamp": mod_revision}))
@@ -40,167 +41,173 @@
     }
 }
 
-/// Builds a transaction over the cached records. Whatever is read through it becomes a condition,
-/// so that the transaction commits only if nothing that it depends on has changed meanwhile.
+/// A builder of a transaction from cached records. Each record that the builder writes, or reads
+/// for a decision, becomes a condition, so that the transaction commits only if no record that it
+/// depends on has changed in the meantime.
 pub struct TransactionBuilder<'a> {
-    /// The cache that it is built over.
+    /// The cache that supplies the records and their revisions.
     pub cache: &'a StateCache,
     conditions: BTreeMap<Key, u64>,
     changes: BTreeMap<Key, Option<Record>>,
-    /// What the claims in it add to their teams' usage.
-    claimed: BTreeMap<String, TeamRecord>,
-    /// Bytes of the changes, at most.
-    bytes: usize,
-    /// Changes that it may hold.
+    /// Resources that the claims in the transaction add to each team's usage.
+    claimed_usage: BTreeMap<String, TeamRecord>,
+    /// Upper bound of the size of the changes.
+    change_bytes: usize,
+    /// Maximum number of changes, besides the limit of the state store.
     max_changes: usize,
 }
 
 impl<'a> TransactionBuilder<'a> {
-    /// A builder for as many changes as the state service takes.
+    /// Creates a builder whose number of changes only the state store limits.
     pub fn new(cache: &'a StateCache) -> TransactionBuilder<'a> {
         TransactionBuilder {
             cache,
             conditions: BTreeMap::new(),
             changes: BTreeMap::new(),
-            claimed: BTreeMap::new(),
-            bytes: 0,
+            claimed_usage: BTreeMap::new(),
+            change_bytes: 0,
             max_changes: usize::MAX,
         }
     }
-    /// A builder for at most so many changes.
+    /// Creates a builder for at most `max_changes` changes.
     pub fn limited(cache: &'a StateCache, max_changes: usize) -> TransactionBuilder<'a> {
         TransactionBuilder {
             max_changes,
             ..TransactionBuilder::new(cache)
         }
     }
-    /// The transaction takes effect only if this key has not changed.
+    /// Adds the condition that the record of this key is still the cached one.
     pub fn rests_on(&mut self, key: Key) {
         let mod_revision = self.cache.mod_revision(&key);
         self.conditions.entry(key).or_insert(mod_revision);
     }
-    /// The transaction takes effect only if this key is at a revision that was read earlier.
+    /// Adds the condition that this key is still at a revision that was read earlier.
     pub fn rests_on_revision(&mut self, key: Key, mod_revision: u64) {
         self.conditions.entry(key).or_insert(mod_revision);
     }
-    /// A machine's record, which the transaction is then conditional on.
+    /// Returns a machine's record with the changes so far, and makes the transaction conditional on
+    /// it.
     pub fn machine(&mut self, id: &str) -> Option<MachineRecord> {
         let key = Key::Machine(id.to_string());
         self.rests_on(key.clone());
         match self.changes.get(&key) {
-            Some(Some(Record::Machine(m))) => Some(m.clone()),
+            Some(Some(Record::Machine(machine))) => Some(machine.clone()),
             Some(_) => None,
             None => self.cache.machine(id).cloned(),
         }
     }
-    /// The record of provisioning, which the transaction is then conditional on.
+    /// Returns the provisioning record with the changes so far, and makes the transaction
+    /// conditional on it.
     pub fn fleet(&mut self) -> ProvisioningRecord {
         self.rests_on(Key::Provisioning);
         match self.changes.get(&Key::Provisioning) {
-            Some(Some(Record::Provisioning(f))) => f.clone(),
+            Some(Some(Record::Provisioning(provisioning))) => provisioning.clone(),
             _ => self.cache.fleet(),
         }
     }
-    /// Whether a job's failures are no evidence against machines: it seems to be at fault itself, or
-    /// that is not known, as of a cancelled one.
+    /// Returns whether a job's failures must not count against the machines that it ran on: the job
+    /// itself appears to be faulty, or the cache can't tell, as for a cancelled or unknown job.
     pub fn suspect(&self, job: &str) -> bool {
         let Some(record) = self.cache.job(job) else {
             return true;
         };
-        let drafted = |(key, change): (&Key, &Option<Record>)| match (key, change) {
-            (Key::Chunk(id, _), Some(Record::Chunk(c))) if id == job => Some(c.clone()),
+        let changed_chunk = |(key, change): (&Key, &Option<Record>)| match (key, change) {
+            (Key::Chunk(id, _), Some(Record::Chunk(chunk))) if id == job => Some(chunk.clone()),
             _ => None,
         };
-        let chunks: Vec<ChunkRecord> = self.changes.iter().filter_map(drafted).collect();
-        let fails = chunks.iter().any(|c| c.failed_on.len() >= FAULTY_MACHINES);
-        let succeeds = self.cache.counts(job).done > 0 || chunks.iter().any(|c| c.done() > 0);
+        let chunks: Vec<ChunkRecord> = self.changes.iter().filter_map(changed_chunk).collect();
+        let has_failed = chunks.iter().any(|c| c.failed_on.len() >= FAULTY_MACHINES);
+        let has_succeeded = self.cache.counts(job).done > 0 || chunks.iter().any(|c| c.done() > 0);
         match record.phase {
             JobPhase::Done => false,
             JobPhase::Cancelled => true,
-            JobPhase::Open => !succeeds && (fails || self.cache.suspect(job)),
+            JobPhase::Open => !has_succeeded && (has_failed || self.cache.suspect(job)),
         }
     }
-    /// A chunk with the changes so far; none if it is neither on record nor added.
+    /// Returns a chunk with the changes so far, or none if neither the cache nor the transaction
+    /// has it.
     pub fn chunk(&self, job: &str, n: u32) -> Option<&ChunkRecord> {
         match self.changes.get(&Key::Chunk(job.to_string(), n)) {
-            Some(Some(Record::Chunk(c))) => Some(c),
+            Some(Some(Record::Chunk(chunk))) => Some(chunk),
             Some(_) => None,
             None => self.cache.chunk(job, n),
         }
     }
-    /// A task's assignment with the changes so far.
+    /// Returns a task's assignment with the changes so far.
     pub fn assignment(&self, task: &TaskId) -> Option<&Assignment> {
         let n = self.cache.job(&task.job)?.chunk_of(task.index);
         self.chunk(&task.job, n)?.assignment(task.index)
     }
-    /// A chunk to be changed; `fresh` makes one that is not on record yet. None if it can't be
-    /// written.
+    /// Adds a chunk to the changes and returns it for modification. `new_chunk` creates a chunk
+    /// that has no record yet. Returns none if the state store refused the chunk as it is, or if
+    /// `new_chunk` creates none.
     pub fn chunk_mut(
         &mut self,
         job: &str,
         n: u32,
-        fresh: impl FnOnce() -> Option<ChunkRecord>,
+        new_chunk: impl FnOnce() -> Option<ChunkRecord>,
     ) -> Option<&mut ChunkRecord> {
         let key = Key::Chunk(job.to_string(), n);
         if self.cache.is_refused(&key) {
             return None;
         }
         if !self.changes.contains_key(&key) {
-            let chunk = self.cache.chunk(job, n).cloned().or_else(fresh)?;
+            let chunk = self.cache.chunk(job, n).cloned().or_else(new_chunk)?;
             self.put(key.clone(), Record::Chunk(chunk));
         }
         match self.changes.get_mut(&key) {
-            Some(Some(Record::Chunk(c))) => Some(c),
+            Some(Some(Record::Chunk(chunk))) => Some(chunk),
             _ => None,
         }
     }
-    /// Writes a record, conditional on the cached one.
+    /// Adds a put of a record, conditional on the cached record. Skips a machine's record that the
+    /// state store refused.
     pub fn put(&mut self, key: Key, record: Record) {
         if matches!(key, Key::Machine(_)) && self.cache.is_refused(&key) {
             return;
         }
         self.rests_on(key.clone());
-        self.bytes += match &record {
-            Record::Chunk(c) => c.size(),
+        self.change_bytes += match &record {
+            Record::Chunk(chunk) => chunk.size(),
             _ if self.changes.contains_key(&key) => 0,
             _ => SMALL_RECORD_BYTES,
         };
         self.changes.insert(key, Some(record));
     }
-    /// Removes a record, conditional on the cached one.
+    /// Adds the removal of a record, conditional on the cached record.
     pub fn remove(&mut self, key: Key) {
         self.rests_on(key.clone());
         self.changes.insert(key, None);
     }
-    /// A team's usage with the claims so far.
+    /// Returns a team's usage including the claims in the transaction.
     pub fn usage(&self, team: &str) -> TeamRecord {
         let mut usage = self.cache.usage(team);
-        if let Some(more) = self.claimed.get(team) {
-            usage.cpus = usage.cpus.saturating_add(more.cpus);
-            usage.gpus = usage.gpus.saturating_add(more.gpus);
+        if let Some(claimed) = self.claimed_usage.get(team) {
+            usage.cpus = usage.cpus.saturating_add(claimed.cpus);
+            usage.gpus = usage.gpus.saturating_add(claimed.gpus);
         }
         usage
     }
-    /// Adds a claim to a team's usage.
+    /// Adds the resources of a claim to a team's usage.
     pub fn use_more(&mut self, team: &str, resources: &Resources) {
-        let claimed = self.claimed.entry(team.to_string()).or_default();
+        let claimed = self.claimed_usage.entry(team.to_string()).or_default();
         claimed.cpus = claimed.cpus.saturating_add(resources.cpus);
         claimed.gpus = claimed.gpus.saturating_add(resources.gpus);
     }
-    /// Whether it holds no changes.
+    /// Returns whether the transaction has no changes.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
-    /// Whether it changes this key.
+    /// Returns whether the transaction changes this key.
     pub fn touches(&self, key: &Key) -> bool {
         self.changes.contains_key(key)
     }
-    /// How many changes it holds.
+    /// Returns the number of changes.
     pub fn ops(&self) -> usize {
         self.changes.len()
     }
-    /// Whether so many more changes and conditions, and so many more bytes, keep the state service's
-    /// limits.
+    /// Returns whether the transaction stays within the limits of the state store with this many
+    /// additional changes, conditions and bytes.
     pub fn has_room(
         &self,
         settings: &Settings,
@@ -211,45 +218,46 @@
         self.changes.len() + changes <= settings.max_transaction_changes.min(self.max_changes)
             && self.conditions.len() + conditions
                 <= settings.max_transaction_changes * CONDITIONS_PER_OP
-            && self.bytes + self.conditions.len() * KEY_BYTES + bytes <= TXN_BYTES
+            && self.change_bytes + self.conditions.len() * KEY_BYTES + bytes <= TXN_BYTES
     }
-    /// A record that it holds became larger by so many bytes.
+    /// Counts bytes by which a record in the transaction has grown.
     pub fn grow(&mut self, bytes: usize) {
-        self.bytes += bytes;
+        self.change_bytes += bytes;
     }
-    /// Removes chunks that have become too large for a value, and returns their keys and sizes.
-    /// A chunk that a version before format 2 stored beyond the smaller of two limits is written
-    /// again in that format as long as it does not grow: the larger limit holds while such a
-    /// version serves. All else in the transaction goes ahead.
+    /// Removes the chunks that exceed the maximum value size from the changes, and returns their
+    /// keys and sizes in bytes. The other changes stay in the transaction.
+    ///
+    /// While format 1 is in use, a chunk that is stored already and larger than `max_value_bytes`
+    /// may be rewritten as long as it doesn't grow: versions before format 2 use a larger limit.
     pub fn drop_oversized(&mut self, max_value_bytes: u64) -> Vec<(Key, usize)> {
         let format = self.cache.format();
-        let mut large = Vec::new();
+        let mut oversized = Vec::new();
         for (key, change) in &self.changes {
-            let (Key::Chunk(job, n), Some(Record::Chunk(c))) = (key, change) else {
+            let (Key::Chunk(job, n), Some(Record::Chunk(chunk))) = (key, change) else {
                 continue;
             };
-            if c.size() as u64 <= max_value_bytes {
+            if chunk.size() as u64 <= max_value_bytes {
                 continue;
             }
-            let bytes = |c: &ChunkRecord| {
-                let record = Record::Chunk(c.clone());
+            let stored_bytes = |chunk: &ChunkRecord| {
+                let record = Record::Chunk(chunk.clone());
                 formats::stored_bytes(&record, format)
             };
-            let now = bytes(c);
-            let before = match format {
-                formats::OLDEST => self.cache.chunk(job, *n).map_or(0, bytes),
+            let new_bytes = stored_bytes(chunk);
+            let old_bytes = match format {
+                formats::OLDEST => self.cache.chunk(job, *n).map_or(0, stored_bytes),
                 _ => 0,
             };
-            if now > before.max(max_value_bytes as usize) {
-                large.push((key.clone(), now));
+            if new_bytes > old_bytes.max(max_value_bytes as usize) {
+                oversized.push((key.clone(), new_bytes));
             }
         }
-        for (key, _) in &large {
+        for (key, _) in &oversized {
             self.changes.remove(key);
         }
-        large
+        oversized
     }
-    /// The transaction.
+    /// Returns the finished transaction, with the format that all controllers can read.
     pub fn finish(self) -> CasTransaction {
         CasTransaction {
             format: self.cache.format(),
