--- a/crates/core/src/state/formats.rs
+++ b/crates/core/src/state/formats.rs
@@ -1,24 +1,26 @@
-//! Versions of what controllers store, so that two versions of the program serve on the same data.
+//! Versions of the storage format, which allow controllers of two program versions to work on the
+//! same stored data.
 //!
-//! Each controller records the latest format that it reads under `g/format/NODE`. What an older one
-//! would not read, or would drop when it writes a record anew, is written only in a format that
-//! every member named by the settings has on record. Heartbeats and silence prove nothing here: a
-//! controller that ends before it is upgraded comes back old. A controller is upgraded once, so the common
-//! format never falls.
+//! Each controller records the latest format that it reads under `g/format/NODE`. Controllers write
+//! data that an older version can't read, or would drop when it rewrites a record, only in a format
+//! that every controller named in the settings has recorded. Heartbeats, or missing heartbeats,
+//! prove nothing here: a controller that stops before its upgrade restarts with the old version.
+//! Controllers are never downgraded, so the common format never decreases.
 //!
-//! | format | what came with it | when what it replaced may be dropped |
+//! | format | introduced | when support for the replaced form may be removed |
 //! |---|---|---|
-//! | 1 | records as JSON objects throughout | once no site has chunks from before format 2: every chunk is gone with its job's last assignment, so a day after an upgrade |
+//! | 1 | all records as JSON objects | when no site has chunks from before format 2; a chunk is removed with its job's last assignment, so this is a day after an upgrade |
 //! | 2 | compact chunks; jobs with dependencies | |
-//! | 3 | cancellations are confirmed when all tasks are gone (`g/settled`); records as in 2 | |
-//! | 4 | configurations on record (`g/configurable`); teams in a form that earlier versions can't read | |
+//! | 3 | cancellations are confirmed when all tasks have ended (`g/settled`); records as in 2 | |
+//! | 4 | stored configurations (`g/configurable`); team records in a form that earlier versions can't read | |
 //!
-//! A compact chunk writes its tasks as words: `=N` tasks wait, `+N` are done, and an assignment is
-//! `MACHINE:ATTEMPT[:START][!STOP][*N]`. The machine's name lacks what all have in common, the
-//! attempt is counted from the lowest, in base 36. START is left out if it is the usual one of
-//! the chunk, `n` for none, `sSESSION.TALLY` for a heartbeat's answer, `dSESSION.TOKEN` for a
-//! direct command. STOP is the number of a reason, and N repeats the word for tasks that follow.
-//! A task takes some 8 bytes so instead of some 45, and a hundred of them fit into 2 KiB.
+//! A compact chunk stores its tasks as words: `=N` stands for N pending tasks, `+N` for N done
+//! tasks, and `MACHINE:ATTEMPT[:START][!STOP][*N]` for an assignment. MACHINE is the machine's name
+//! without the common prefix of all names in the chunk. ATTEMPT is the difference to the lowest
+//! attempt, in base 36. START is omitted if it is the most frequent one of the chunk; otherwise it
+//! is `n` for none, `sSESSION.TALLY` for the reply to a heartbeat, or `dSESSION.TOKEN` for a direct
+//! command. STOP is the index of a stop reason. `*N` means that N consecutive tasks have this word.
+//! A task takes about 8 bytes instead of about 45, so a hundred of them fit into 2 KiB.
 
 use crate::constants::{
     ASSIGNMENT_BYTES, ASSIGNMENT_EDIT_BYTES, CHUNK_BASE_BYTES, CHUNK_TASKS, CHUNK_TASK_BYTES,
@@ -31,15 +33,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-/// The format of a version that records none.
+/// The format of versions that don't record one.
 pub const OLDEST: u32 = 1;
-/// From this one on chunks are compact and jobs may have dependencies.
+/// The first format with compact chunks and jobs with dependencies.
 pub const PIPELINES: u32 = 2;
-/// From this one on cancellations are confirmed when all tasks are gone.
+/// The first format in which cancellations are confirmed when all tasks have ended.
 pub const CONFIRMED_CANCELLATION: u32 = 3;
-/// From this one on configurations may be on record.
+/// The first format with stored configurations.
 pub const STORED_CONFIGURATION: u32 = 4;
-/// The latest format that this version reads and writes.
+/// The latest format that this program version reads and writes.
 pub const LATEST: u32 = STORED_CONFIGURATION;
 
 /// The latest format that a controller reads.
@@ -49,24 +51,26 @@
     pub version: u32,
 }
 
-/// A chunk's record in format 2.
+/// The stored form of a [`ChunkRecord`] from format 2 on.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct CompactChunk {
     #[serde(rename = "i", default)]
     first: u32,
+    /// The tasks as words, separated by spaces.
     #[serde(rename = "z")]
-    tasks: String,
-    /// The common prefix of the names of all its machines.
+    task_words: String,
+    /// Common prefix of the escaped names of all machines in the chunk.
     #[serde(rename = "m", default, skip_serializing_if = "String::is_empty")]
-    prefix: String,
-    /// The lowest of its attempts.
+    machine_prefix: String,
+    /// The lowest attempt.
     #[serde(rename = "a", default)]
-    attempt: u64,
-    /// The most frequent start delivery.
+    lowest_attempt: u64,
+    /// The most frequent start delivery, as a word.
     #[serde(rename = "s", default, skip_serializing_if = "String::is_empty")]
-    start: String,
+    common_delivery: String,
+    /// Distinct stop reasons, in order.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
-    stops: Vec<String>,
+    stop_reasons: Vec<String>,
     #[serde(rename = "o", default)]
     team: String,
     #[serde(rename = "u", default)]
@@ -79,10 +83,11 @@
     pause_until: WallMs,
 }
 
-/// A start's delivery as a word: `n`, or `s` and the heartbeat's position, then `d` and the direct command's pair.
+/// Encodes a start delivery as a word: `n` for none, else `s` and the position of the heartbeat,
+/// followed by `d` and the pair of numbers of the direct command.
 fn delivery_word(delivery: StartDelivery) -> String {
-    let part = |kind: char, pair: Option<(u64, u64)>| {
-        pair.map_or(String::new(), |(a, b)| format!("{kind}{a}.{b}"))
+    let part = |kind: char, numbers: Option<(u64, u64)>| {
+        numbers.map_or(String::new(), |(a, b)| format!("{kind}{a}.{b}"))
     };
     match (delivery.reply, delivery.direct) {
         (None, None) => "n".into(),
@@ -90,90 +95,93 @@
     }
 }
 
-/// The delivery that a word stands for; none for what no version has written.
-fn read_delivery(word: &str) -> Option<StartDelivery> {
+/// Parses the word of a start delivery; returns none if the word is invalid.
+fn parse_delivery(word: &str) -> Option<StartDelivery> {
     if word == "n" {
         return Some(StartDelivery::default());
     }
-    let pair = |s: &str| -> Option<(u64, u64)> {
-        let (a, b) = s.split_once('.')?;
-        Some((a.parse().ok()?, b.parse().ok()?))
+    let parse_pair = |text: &str| -> Option<(u64, u64)> {
+        let (first, second) = text.split_once('.')?;
+        Some((first.parse().ok()?, second.parse().ok()?))
     };
     let (reply, direct) = match word.split_once('d') {
-        Some((reply, direct)) => (reply, Some(pair(direct)?.into())),
+        Some((reply, direct)) => (reply, Some(parse_pair(direct)?.into())),
         None => (word, None),
     };
     let reply = match reply.strip_prefix('s') {
-        Some(reply) => Some(pair(reply)?.into()),
+        Some(reply) => Some(parse_pair(reply)?.into()),
         None if reply.is_empty() && direct.is_some() => None,
         None => return None,
     };
     Some(StartDelivery { reply, direct })
 }
 
-fn base36(mut n: u64) -> String {
+fn base36(mut number: u64) -> String {
     let mut digits = Vec::new();
     loop {
-        digits.push(char::from_digit((n % 36) as u32, 36).unwrap_or('0'));
-        n /= 36;
-        if n == 0 {
+        digits.push(char::from_digit((number % 36) as u32, 36).unwrap_or('0'));
+        number /= 36;
+        if number == 0 {
             return digits.iter().rev().collect();
         }
     }
 }
 
-/// What all these names begin with.
+/// Returns the longest common prefix of the names.
 fn common_prefix<'a>(mut names: impl Iterator<Item = &'a str>) -> &'a str {
     let Some(mut prefix) = names.next() else {
         return "";
     };
     for name in names {
-        let same = prefix.bytes().zip(name.bytes());
-        let len = same.take_while(|(a, b)| a == b).count();
-        prefix = &prefix[..len];
+        let byte_pairs = prefix.bytes().zip(name.bytes());
+        let common_bytes = byte_pairs.take_while(|(a, b)| a == b).count();
+        prefix = &prefix[..common_bytes];
     }
     prefix
 }
 
 impl CompactChunk {
+    /// Encodes a chunk in the compact form.
     pub(crate) fn of(chunk: &ChunkRecord) -> CompactChunk {
-        let assigned = || chunk.assigned().map(|(_, b)| b);
-        let names: BTreeMap<&str, String> = assigned()
-            .map(|b| (b.machine.as_str(), escape(&b.machine)))
+        let assignments = || chunk.assigned().map(|(_, assignment)| assignment);
+        let escaped_names: BTreeMap<&str, String> = assignments()
+            .map(|a| (a.machine.as_str(), escape(&a.machine)))
             .collect();
-        // Escaped names are plain ASCII: any byte is a place to cut.
-        let prefix = common_prefix(names.values().map(String::as_str));
-        let attempt = assigned().map(|b| b.attempt).min().unwrap_or(0);
-        let mut starts: BTreeMap<StartDelivery, usize> = BTreeMap::new();
-        for b in assigned() {
-            *starts.entry(b.delivery()).or_default() += 1;
+        // Escaped names are ASCII, so a name can be cut at any byte.
+        let prefix = common_prefix(escaped_names.values().map(String::as_str));
+        let lowest_attempt = assignments().map(|a| a.attempt).min().unwrap_or(0);
+        let mut delivery_counts: BTreeMap<StartDelivery, usize> = BTreeMap::new();
+        for assignment in assignments() {
+            *delivery_counts.entry(assignment.delivery()).or_default() += 1;
         }
-        let usual = starts.iter().max_by_key(|(_, n)| **n).map(|(s, _)| *s);
-        let stops: BTreeSet<&String> = assigned().filter_map(|b| b.stop.as_ref()).collect();
-        let stops: Vec<String> = stops.into_iter().cloned().collect();
+        let most_frequent = delivery_counts.iter().max_by_key(|(_, count)| **count);
+        let common_delivery = most_frequent.map(|(delivery, _)| *delivery);
+        let reasons: BTreeSet<&String> = assignments().filter_map(|a| a.stop.as_ref()).collect();
+        let stop_reasons: Vec<String> = reasons.into_iter().cloned().collect();
         let mut words = String::new();
-        for same in chunk.tasks.chunk_by(|a, b| a == b) {
+        for equal_tasks in chunk.tasks.chunk_by(|a, b| a == b) {
             if !words.is_empty() {
                 words.push(' ');
             }
-            let n = same.len();
-            let _ = match &same[0] {
-                TaskState::Pending => write!(words, "={n}"),
-                TaskState::Done => write!(words, "+{n}"),
+            let count = equal_tasks.len();
+            let _ = match &equal_tasks[0] {
+                TaskState::Pending => write!(words, "={count}"),
+                TaskState::Done => write!(words, "+{count}"),
                 TaskState::Assigned(assignment) => {
-                    let name = names.get(assignment.machine.as_str());
+                    let name = escaped_names.get(assignment.machine.as_str());
                     let name = name.and_then(|name| name.get(prefix.len()..));
-                    let attempts_above = assignment.attempt - attempt;
-                    let mut word = format!("{}:{}", name.unwrap_or(""), base36(attempts_above));
-                    if Some(assignment.delivery()) != usual {
+                    let attempt_offset = assignment.attempt - lowest_attempt;
+                    let mut word = format!("{}:{}", name.unwrap_or(""), base36(attempt_offset));
+                    if Some(assignment.delivery()) != common_delivery {
                         word += &format!(":{}", delivery_word(assignment.delivery()));
                     }
-                    let stop = assignment.stop.as_ref();
-                    if let Some(at) = stop.and_then(|s| stops.iter().position(|x| x == s)) {
-                        word += &format!("!{at}");
+                    let reason = assignment.stop.as_ref();
+                    let position = |reason: &String| stop_reasons.iter().position(|r| r == reason);
+                    if let Some(index) = reason.and_then(position) {
+                        word += &format!("!{index}");
                     }
-                    if n > 1 {
-                        word += &format!("*{n}");
+                    if count > 1 {
+                        word += &format!("*{count}");
                     }
                     write!(words, "{word}")
                 }
@@ -181,11 +189,11 @@
         }
         CompactChunk {
             first: chunk.first,
-            tasks: words,
-            prefix: prefix.to_string(),
-            attempt,
-            start: usual.map_or(String::new(), delivery_word),
-            stops,
+            task_words: words,
+            machine_prefix: prefix.to_string(),
+            lowest_attempt,
+            common_delivery: common_delivery.map_or(String::new(), delivery_word),
+            stop_reasons,
             team: chunk.team.clone(),
             resources: chunk.resources,
             failed_on: chunk.failed_on.clone(),
@@ -194,45 +202,49 @@
         }
     }
 
-    fn assignment(&self, word: &str) -> Option<(Assignment, usize)> {
-        let (word, n) = match word.split_once('*') {
-            Some((word, n)) => (word, n.parse().ok()?),
+    /// Parses the word of an assignment, and the number of consecutive tasks that have it.
+    fn parse_assignment(&self, word: &str) -> Option<(Assignment, usize)> {
+        let (word, count) = match word.split_once('*') {
+            Some((word, count)) => (word, count.parse().ok()?),
             None => (word, 1),
         };
-        let (word, stop) = match word.split_once('!') {
-            Some((word, at)) => (word, Some(self.stops.get(at.parse::<usize>().ok()?)?)),
+        let (word, stop_reason) = match word.split_once('!') {
+            Some((word, index)) => {
+                let index = index.parse::<usize>().ok()?;
+                (word, Some(self.stop_reasons.get(index)?))
+            }
             None => (word, None),
         };
         let mut parts = word.split(':');
-        let machine = unescape(&format!("{}{}", self.prefix, parts.next()?))?;
-        let attempt = u64::from_str_radix(parts.next()?, 36).ok()?;
-        let delivery = read_delivery(parts.next().unwrap_or(&self.start))?;
+        let machine = unescape(&format!("{}{}", self.machine_prefix, parts.next()?))?;
+        let attempt_offset = u64::from_str_radix(parts.next()?, 36).ok()?;
+        let delivery = parse_delivery(parts.next().unwrap_or(&self.common_delivery))?;
         let assignment = Assignment {
             machine,
-            attempt: self.attempt.checked_add(attempt)?,
+            attempt: self.lowest_attempt.checked_add(attempt_offset)?,
             reply_start: delivery.reply,
             direct_start: delivery.direct,
-            stop: stop.cloned(),
+            stop: stop_reason.cloned(),
         };
-        Some((assignment, n))
+        Some((assignment, count))
     }
 
-    /// The chunk that it stands for; none for what no version has written.
+    /// Decodes the chunk; returns none if the stored value is invalid.
     pub(crate) fn read(self) -> Option<ChunkRecord> {
         let mut tasks = Vec::new();
-        for word in self.tasks.split_ascii_whitespace() {
-            let (state, n): (TaskState, usize) = match word.split_at_checked(1)? {
-                ("=", n) => (TaskState::Pending, n.parse().ok()?),
-                ("+", n) => (TaskState::Done, n.parse().ok()?),
+        for word in self.task_words.split_ascii_whitespace() {
+            let (state, count): (TaskState, usize) = match word.split_at_checked(1)? {
+                ("=", count) => (TaskState::Pending, count.parse().ok()?),
+                ("+", count) => (TaskState::Done, count.parse().ok()?),
                 _ => {
-                    let (assignment, n) = self.assignment(word)?;
-                    (TaskState::Assigned(assignment), n)
+                    let (assignment, count) = self.parse_assignment(word)?;
+                    (TaskState::Assigned(assignment), count)
                 }
             };
-            if n > JOB_TASKS as usize - tasks.len() {
+            if count > JOB_TASKS as usize - tasks.len() {
                 return None;
             }
-            tasks.extend(std::iter::repeat_n(state, n));
+            tasks.extend(std::iter::repeat_n(state, count));
         }
         Some(ChunkRecord {
             first: self.first,
@@ -246,22 +258,24 @@
     }
 }
 
-/// Bytes that a record takes in a format, spaces between its fields allowed for.
+/// Returns the size in bytes of a record in a format, with an allowance for spaces between the
+/// fields.
 pub fn stored_bytes(record: &Record, format: u32) -> usize {
     record.value(format).to_string().len() + VALUE_SPARE_BYTES
 }
 
-/// Tasks per chunk of a new job: as many as fit into a value when all are assigned.
+/// Returns the number of tasks per chunk for a new job: as many as fit into a value when all of
+/// them are assigned.
 pub fn chunk_tasks(format: u32, max_value_bytes: u64) -> u32 {
-    let fit = match format {
+    let max_tasks = match format {
         OLDEST => max_value_bytes / CHUNK_TASK_BYTES,
         _ => max_value_bytes.saturating_sub(CHUNK_BASE_BYTES as u64 * 2) / COMPACT_TASK_BYTES,
     };
-    fit.clamp(1, CHUNK_TASKS as u64) as u32
+    max_tasks.clamp(1, CHUNK_TASKS as u64) as u32
 }
 
-/// Whether a chunk can hold one more assignment, even if all of them get another start delivery or a
-/// reason to stop later.
+/// Returns whether a chunk can hold one more assignment, even if each assignment later gets another
+/// start delivery or a stop reason.
 pub fn takes_one_more(
     chunk: &ChunkRecord,
     machine: &str,
@@ -269,11 +283,12 @@
     max_value_bytes: u64,
 ) -> bool {
     let max_bytes = max_value_bytes as usize;
-    let later = (chunk.assigned().count() + 1) * ASSIGNMENT_EDIT_BYTES;
-    let plain = chunk.size() + ASSIGNMENT_BYTES + machine.len() + VALUE_SPARE_BYTES + later;
-    if plain <= max_bytes || format == OLDEST {
-        return plain <= max_bytes;
+    let edit_bytes = (chunk.assigned().count() + 1) * ASSIGNMENT_EDIT_BYTES;
+    let json_bytes =
+        chunk.size() + ASSIGNMENT_BYTES + machine.len() + VALUE_SPARE_BYTES + edit_bytes;
+    if json_bytes <= max_bytes || format == OLDEST {
+        return json_bytes <= max_bytes;
     }
-    let now = stored_bytes(&Record::Chunk(chunk.clone()), format);
-    now + machine.len() + COMPACT_ASSIGNMENT_BYTES + later <= max_bytes
+    let compact_bytes = stored_bytes(&Record::Chunk(chunk.clone()), format);
+    compact_bytes + machine.len() + COMPACT_ASSIGNMENT_BYTES + edit_bytes <= max_bytes
 }
--- a/crates/core/src/state/key.rs
+++ b/crates/core/src/state/key.rs
@@ -1,6 +1,6 @@
-//! Keys of the shared records, and the paths under which the state service stores them.
+//! Keys of the shared records, and the paths under which the state store keeps them.
 
-/// The prefix of all paths; one watch covers them all.
+/// The prefix of all paths, so that a single watch covers all records.
 pub const PREFIX: &str = "g/";
 
 /// The key of a shared record.
@@ -10,72 +10,72 @@
     Term,
     /// The cloud's machine types.
     MachineTypes,
-    /// What controllers share about provisioning.
+    /// The provisioning state that all controllers share.
     Provisioning,
     /// A job, by its id.
     Job(String),
-    /// A chunk of a job's tasks, by the job's id and the chunk's number.
+    /// A chunk of a job's tasks, by the job's id and the number of the chunk.
     Chunk(String, u32),
-    /// Tasks of a job per zone, by the job's id.
+    /// Live tasks of a job per zone, by the job's id.
     ZoneSpread(String),
     /// A machine, by its name.
     Machine(String),
-    /// What a team uses, by its name.
+    /// The resource usage of a team, by the team's name.
     Team(String),
-    /// A request for instances, by its number.
+    /// A request for new instances, by its number.
     InstanceRequest(u64),
-    /// The latest format that a controller reads, by its name. Versions before format 2 ignore keys
-    /// of this kind.
+    /// The latest storage format that a controller reads, by the controller's name. Versions before
+    /// format 2 ignore keys of this kind.
     Format(String),
-    /// Once on record, cancellations are confirmed when all tasks are gone; see
+    /// The marker from whose revision on cancellations are confirmed when all tasks have ended; see
     /// `jobs::cancellation`. Versions before format 3 ignore it.
     CancellationConfirmation,
-    /// What is known of a class's run times, by a hash of team and class. Versions that don't know
-    /// keys of this kind ignore them, and no decision depends on them.
+    /// The run-time statistics of a job class, by a hash of team and class. Versions that don't
+    /// know keys of this kind ignore them; no decision requires them.
     RunTimes(u64),
     /// The version of the configuration that is in force.
     Configuration,
-    /// A page of a version of the configuration, by version and number.
+    /// A page of a configuration version, by version and page number.
     ConfigurationPage(u64, u32),
-    /// Once on record, configurations may be. Versions before format 4 ignore it, as all keys of
-    /// configurations.
+    /// The marker that allows stored configurations. Versions before format 4 ignore it, like all
+    /// keys of configurations.
     ConfigurationEnabled,
-    /// The version of the configuration that a controller follows.
+    /// The configuration version that a controller applies, by the controller's name.
     ObservedVersion(String),
 }
 
-/// A name as a part of a path: bytes other than letters, digits, `-`, `_` and `.` as `~` and two
-/// hexadecimal digits.
-pub(crate) fn escape(s: &str) -> String {
-    let mut out = String::with_capacity(s.len());
-    for b in s.bytes() {
-        if b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.' {
-            out.push(b as char);
+/// Escapes a name for use as a part of a path: each byte other than an ASCII letter or digit, `-`,
+/// `_` and `.` becomes `~` and two hexadecimal digits.
+pub(crate) fn escape(name: &str) -> String {
+    let mut escaped = String::with_capacity(name.len());
+    for byte in name.bytes() {
+        if byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_' || byte == b'.' {
+            escaped.push(byte as char);
         } else {
-            out.push_str(&format!("~{b:02x}"));
+            escaped.push_str(&format!("~{byte:02x}"));
         }
     }
-    out
+    escaped
 }
 
-/// The name that `escape` made a part of a path from; none for what it can't have made.
-pub(crate) fn unescape(s: &str) -> Option<String> {
-    let mut out = Vec::with_capacity(s.len());
-    let mut bytes = s.bytes();
-    while let Some(b) = bytes.next() {
-        if b == b'~' {
-            let hi = (bytes.next()? as char).to_digit(16)?;
-            let lo = (bytes.next()? as char).to_digit(16)?;
-            out.push((hi * 16 + lo) as u8);
+/// Reverses [`escape`]; returns none if the text isn't a valid escaped name.
+pub(crate) fn unescape(escaped: &str) -> Option<String> {
+    let mut name = Vec::with_capacity(escaped.len());
+    let mut bytes = escaped.bytes();
+    while let Some(byte) = bytes.next() {
+        if byte == b'~' {
+            let high = (bytes.next()? as char).to_digit(16)?;
+            let low = (bytes.next()? as char).to_digit(16)?;
+            name.push((high * 16 + low) as u8);
         } else {
-            out.push(b);
+            name.push(byte);
         }
     }
-    String::from_utf8(out).ok()
+    String::from_utf8(name).ok()
 }
 
 impl Key {
-    /// The path under which the state service stores the record.
+    /// Returns the path under which the state store keeps the record.
     pub fn path(&self) -> String {
         match self {
             Key::Term => "g/term".into(),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The key of a path; none for paths of no kind that this version knows.
+    /// Parses a path; returns none if this version doesn't know a key of its kind.
     pub fn parse(path: &str) -> Option<Key> {
         let mut parts = path.strip_prefix(PREFIX)?.split('/');
         let kind = parts.next()?;
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -1,4 +1,4 @@
-//! What the shared records hold, and how each is stored.
+//! Types of the shared records, and their conversion to and from stored values.
 
 use super::Key;
 use crate::configuration::{
@@ -13,95 +13,95 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// How far a job is. `Done` and `Cancelled` are final.
+/// The phase of a job. `Done` and `Cancelled` are final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobPhase {
-    /// Accepted, with tasks to run.
+    /// Accepted and not finished yet.
     Open,
-    /// All its tasks are done.
+    /// All tasks are done.
     Done,
-    /// Cancelled by its user, or with a dependency.
+    /// Cancelled by its user, or because a dependency was cancelled.
     Cancelled,
 }
 
 /// An accepted job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// How far it is.
+    /// The job's phase.
     pub phase: JobPhase,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Tasks per chunk; the same for all controllers and for the job's whole life.
+    /// Tasks per chunk; the same for all controllers, and constant for the life of the job.
     pub chunk: u32,
-    /// Time of day at which it was accepted.
+    /// Wall-clock time at which a controller accepted the job.
     pub at: WallMs,
-    /// Time of day at which it was done or cancelled; 0 before.
+    /// Wall-clock time at which the job was done or cancelled; 0 before.
     #[serde(default)]
     pub ended: WallMs,
-    /// What its user submitted; dropped once the job is over. Boxed, so that the many jobs that are
-    /// over take little memory.
+    /// The specification that the user submitted; removed once the job is done or cancelled. Boxed,
+    /// because most jobs in the cache are finished and take less memory without it.
     pub spec: Option<Box<JobSpec>>,
 }
 
 impl JobRecord {
-    /// What an open job asks for; none once it is over.
+    /// Returns the specification of an open job, or none once it is done or cancelled.
     pub fn open(&self) -> Option<&JobSpec> {
         match self.phase {
             JobPhase::Open => self.spec.as_deref(),
             _ => None,
         }
     }
-    /// Into how many chunks its tasks are divided.
+    /// Returns the number of chunks that hold the tasks.
     pub fn chunks(&self) -> u32 {
         self.tasks.div_ceil(self.chunk.max(1))
     }
-    /// The number of the chunk that holds a task.
+    /// Returns the number of the chunk that holds a task.
     pub fn chunk_of(&self, index: u32) -> u32 {
         index / self.chunk.max(1)
     }
-    /// The record of the job when it ends in this phase, at time of day `wall`.
-    pub fn over(&self, phase: JobPhase, wall: WallMs) -> JobRecord {
+    /// Returns the record of the job after it ends in a final phase at `ended_at`.
+    pub fn over(&self, phase: JobPhase, ended_at: WallMs) -> JobRecord {
         JobRecord {
             phase,
-            ended: wall,
+            ended: ended_at,
             spec: None,
             ..self.clone()
         }
     }
 }
 
-/// A task's assignment to a machine. It is in the task's chunk from the claim until its attempt is
-/// proven gone.
+/// A task's assignment to a machine. The chunk holds it from the claim until a controller has proof
+/// that the attempt no longer runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assignment {
     /// The machine's name.
     #[serde(rename = "m")]
     pub machine: String,
-    /// The attempt: the revision that the claim was conditional on.
+    /// The attempt's number, which is the revision that the claim was conditional on.
     #[serde(rename = "a")]
     pub attempt: u64,
-    /// The heartbeat whose answer contains the start.
+    /// The heartbeat whose reply contains the start.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub reply_start: Option<HeartbeatPosition>,
-    /// The direct command that contains the start. One is sent at most.
+    /// The direct command that contains the start; a controller sends at most one.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub direct_start: Option<DirectStart>,
-    /// Set once the task is to be stopped: the reason.
+    /// The reason to stop the task, once a controller has decided to stop it.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub stop: Option<String>,
 }
 
-/// How the start of an assigned task is delivered to its worker.
+/// The way in which the start of an assigned task is delivered to its worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StartDelivery {
-    /// In the answer to this heartbeat.
+    /// The heartbeat whose reply contains the start.
     pub reply: Option<HeartbeatPosition>,
-    /// By this direct command.
+    /// The direct command that contains the start.
     pub direct: Option<DirectStart>,
 }
 
 impl Assignment {
-    /// How its start is delivered to its worker.
+    /// Returns how the start is delivered to the worker.
     pub fn delivery(&self) -> StartDelivery {
         StartDelivery {
             reply: self.reply_start,
@@ -110,25 +110,25 @@
     }
 }
 
-/// How far a task is.
+/// The state of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waits for a machine.
+    /// Waiting for a machine.
     #[serde(rename = "w")]
     Pending,
-    /// Has succeeded; final.
+    /// Succeeded; final.
     #[serde(rename = "d")]
     Done,
-    /// Is assigned to a machine.
+    /// Assigned to a machine.
     #[serde(rename = "b")]
     Assigned(Assignment),
 }
 
 impl TaskState {
-    /// The assignment of an assigned task.
+    /// Returns the assignment of an assigned task.
     pub fn assignment(&self) -> Option<&Assignment> {
         match self {
-            TaskState::Assigned(b) => Some(b),
+            TaskState::Assigned(assignment) => Some(assignment),
             _ => None,
         }
     }
@@ -137,134 +137,134 @@
 /// Consecutive tasks of a job, stored as one record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChunkRecord {
-    /// Number of the first task in it.
+    /// Index in the job of the first task.
     #[serde(rename = "i", default)]
     pub first: u32,
-    /// The state of each task, from the first on.
+    /// State of each task, in order of the task index.
     #[serde(rename = "t")]
     pub tasks: Vec<TaskState>,
-    /// The job's team, whose quota its tasks use: known after the job is over, as `resources` are.
+    /// Team whose quota the tasks use; kept here, like `resources`, for after the job has ended.
     #[serde(rename = "o", default)]
     pub team: String,
-    /// What each task uses.
+    /// Resources that each task uses.
     #[serde(rename = "u", default)]
     pub resources: Resources,
-    /// Machines on which tasks of this chunk failed, without repeats.
+    /// Distinct machines on which tasks of this chunk failed.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub failed_on: Vec<String>,
+    /// Number of failures, from which the backoff follows.
     #[serde(rename = "n", default)]
     pub fails: u32,
-    /// Time of day before which nothing of this chunk is started again.
+    /// Wall-clock time until which controllers start no task of this chunk again.
     #[serde(rename = "p", default)]
     pub pause_until: WallMs,
 }
 
 impl ChunkRecord {
-    /// Chunk `n` before it is on record: all its tasks are pending.
+    /// Creates chunk `n` of a job, with all tasks pending.
     pub fn fresh(job: &JobRecord, spec: &JobSpec, n: u32) -> ChunkRecord {
         let first = n.saturating_mul(job.chunk);
-        let len = job.tasks.saturating_sub(first).min(job.chunk);
+        let task_count = job.tasks.saturating_sub(first).min(job.chunk);
         ChunkRecord {
             first,
-            tasks: vec![TaskState::Pending; len as usize],
+            tasks: vec![TaskState::Pending; task_count as usize],
             team: spec.team.clone(),
             resources: spec.resources,
             ..ChunkRecord::default()
         }
     }
-    /// How many of its tasks are done.
+    /// Returns the number of tasks that are done.
     pub fn done(&self) -> u32 {
         self.tasks.iter().filter(|t| **t == TaskState::Done).count() as u32
     }
-    /// Tasks that are assigned, by their number in the job.
+    /// Returns the assigned tasks by their index in the job.
     pub fn assigned(&self) -> impl Iterator<Item = (u32, &Assignment)> {
         let tasks = self.tasks.iter().enumerate();
         tasks.filter_map(|(i, t)| Some((self.first + i as u32, t.assignment()?)))
     }
-    /// The assignment of a task, by its number in the job.
+    /// Returns the assignment of a task, by its index in the job.
     pub fn assignment(&self, index: u32) -> Option<&Assignment> {
-        let slot = index.checked_sub(self.first)?;
-        self.tasks.get(slot as usize)?.assignment()
+        let offset = index.checked_sub(self.first)?;
+        self.tasks.get(offset as usize)?.assignment()
     }
-    /// The same, to be changed.
+    /// Returns the assignment of a task for modification, by its index in the job.
     pub fn assignment_mut(&mut self, index: u32) -> Option<&mut Assignment> {
-        let slot = index.checked_sub(self.first)?;
-        match self.tasks.get_mut(slot as usize)? {
-            TaskState::Assigned(b) => Some(b),
+        let offset = index.checked_sub(self.first)?;
+        match self.tasks.get_mut(offset as usize)? {
+            TaskState::Assigned(assignment) => Some(assignment),
             _ => None,
         }
     }
-    /// Bytes that its value takes at most.
+    /// Returns an upper bound of the size of the stored value in format 1, in bytes.
     pub fn size(&self) -> usize {
-        let tasks: usize = (self.tasks.iter())
-            .map(|t| t.assignment().map_or(4, assignment_size))
+        let task_bytes: usize = (self.tasks.iter())
+            .map(|t| t.assignment().map_or(4, assignment_bytes))
             .sum();
-        let failed: usize = self.failed_on.iter().map(|m| m.len() + 3).sum();
-        CHUNK_BASE_BYTES + self.team.len() + failed + tasks
+        let failed_on_bytes: usize = self.failed_on.iter().map(|m| m.len() + 3).sum();
+        CHUNK_BASE_BYTES + self.team.len() + failed_on_bytes + task_bytes
     }
 }
 
-fn assignment_size(assignment: &Assignment) -> usize {
+fn assignment_bytes(assignment: &Assignment) -> usize {
     let stop = assignment.stop.as_ref();
     ASSIGNMENT_BYTES + assignment.machine.len() + stop.map_or(0, |reason| reason.len() + 7)
 }
 
-/// Live tasks per zone, for jobs of several chunks whose zones depend on one another.
+/// Live tasks per zone, for jobs of several chunks where each task's zone depends on the others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneSpreadRecord {
-    /// Tasks by zone.
+    /// Number of live tasks by zone.
     pub zones: BTreeMap<String, u32>,
 }
 
-/// Where a machine is in its life.
+/// The lifecycle phase of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachinePhase {
-    /// Provisioned; no heartbeat received yet.
+    /// Provisioned; no controller has received a heartbeat yet.
     Booting,
-    /// Its worker has sent heartbeats.
+    /// The worker has sent heartbeats.
     Up,
-    /// Gets no new tasks: spot notice, faulty, or about to be deprovisioned.
+    /// Gets no new tasks, because of a spot notice or faults, or before it is deprovisioned.
     Draining,
-    /// Its deletion was committed; assignments stay until the cloud has answered 200.
+    /// Its deletion is committed; its assignments stay until the cloud has answered with 200.
     #[serde(rename = "Returning")]
     Deprovisioning,
 }
 
-/// A machine.
+/// A machine of the cluster.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Its machine type.
+    /// Name of the machine type.
     #[serde(rename = "type")]
     pub type_name: String,
-    /// Its zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Where it is in its life.
+    /// The lifecycle phase.
     pub phase: MachinePhase,
-    /// Time of day at which the record was made.
+    /// Wall-clock time at which a controller created the record.
     pub at: WallMs,
-    /// The address of its worker; empty before the first heartbeat.
+    /// Address of the worker; empty before the first heartbeat.
     #[serde(default)]
     pub address: String,
-    /// Jobs that failed on it since its last success.
+    /// Jobs that failed on the machine since the last success of a task on it.
     #[serde(default)]
     pub faults: Vec<String>,
-    /// By how much this machine's fencing token exceeds the shared term.
-    #[serde(default)]
-    #[serde(rename = "raised")]
+    /// Difference between this machine's fencing token and the shared term.
+    #[serde(rename = "raised", default)]
     pub token_offset: u64,
 }
 
 impl ZoneSpreadRecord {
-    /// Live tasks in a zone.
+    /// Returns the number of live tasks in a zone.
     pub fn count(&self, zone: &str) -> u32 {
         self.zones.get(zone).copied().unwrap_or(0)
     }
 }
 
 impl MachineRecord {
-    /// A machine without faults, whose address is not known yet.
+    /// Creates the record of a machine without faults and with no known address.
     pub fn new(
         type_name: &str,
         zone: &str,
@@ -283,45 +283,44 @@
             token_offset: 0,
         }
     }
-    /// Whether its worker has sent heartbeats, and its deletion is not committed.
+    /// Returns whether the worker has sent heartbeats and the machine's deletion isn't committed.
     pub fn is_up(&self) -> bool {
         matches!(self.phase, MachinePhase::Up | MachinePhase::Draining)
     }
 }
 
-/// Processors and GPUs in use. Each claim of a team with a limit writes it as a record, so that of
-/// two claims that don't both fit into the limit one conflicts. What is in use is counted from the
-/// assignments.
+/// CPUs and GPUs in use, as counted from the assignments. Each claim of a team with a quota writes
+/// the record, so that of two concurrent claims that together exceed the quota one conflicts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamRecord {
-    /// Thousandths of processors.
+    /// CPUs, in thousandths.
     #[serde(alias = "c")]
     pub cpus: u64,
-    /// Thousandths of GPUs.
+    /// GPUs, in thousandths.
     #[serde(alias = "g")]
     pub gpus: u64,
 }
 
-/// The same from format 4 on. Versions that know limits from the settings file only can't read it:
-/// they keep the record that they had, and their claims for that team always conflict.
+/// The stored form of a [`TeamRecord`] from format 4 on. Versions that know quotas only from the
+/// settings can't parse it: they keep an outdated record cached, so their claims always conflict.
 #[derive(Serialize)]
-struct FencedTeam {
+struct FencedTeamValue {
     #[serde(rename = "c")]
     cpus: u64,
     #[serde(rename = "g")]
     gpus: u64,
 }
 
-impl FencedTeam {
-    fn of(team: &TeamRecord) -> FencedTeam {
-        FencedTeam {
+impl FencedTeamValue {
+    fn of(team: &TeamRecord) -> FencedTeamValue {
+        FencedTeamValue {
             cpus: team.cpus,
             gpus: team.gpus,
         }
     }
 }
 
-/// A request for new instances: committed before its name is used with the cloud.
+/// A request for new instances, committed before a controller uses its name with the cloud.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstanceRequestRecord {
     #[serde(rename = "type")]
@@ -332,20 +331,20 @@
     #[serde(rename = "node")]
     pub controller: String,
     pub at: WallMs,
-    /// The machines that it created. The record is removed once each of them has one of its own.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "hosts")]
+    /// Names of the machines that the cloud created for the request. A controller removes the
+    /// request once each of them has a machine record.
+    #[serde(rename = "hosts", default, skip_serializing_if = "Option::is_none")]
     pub instances: Option<Vec<String>>,
 }
 
 impl InstanceRequestRecord {
-    /// The key of the offer that it asks for.
+    /// Returns the key of the requested offer.
     pub fn offer(&self) -> String {
         offer_key(&self.type_name, &self.zone, self.spot)
     }
 }
 
-/// The key of an offer of the cloud: machine type, zone, spot or ordinary.
+/// Returns the key of an offer of the cloud: machine type, zone, and whether spot or ordinary.
 pub fn offer_key(type_name: &str, zone: &str, spot: bool) -> String {
     format!(
         "{type_name}|{zone}|{}",
@@ -353,13 +352,12 @@
     )
 }
 
-/// What controllers share about provisioning.
+/// The provisioning state that all controllers share.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningRecord {
-    /// Number of the next instance request; numbers are never used twice.
+    /// Number of the next instance request; a number is never reused.
     pub next: u64,
-    /// Offers that the cloud refused lately, each with the time of day until which it is not asked
-    /// for again.
+    /// Offers that the cloud refused, and the wall-clock time until which none is requested again.
     #[serde(default)]
     pub refused: BTreeMap<String, WallMs>,
 }
@@ -367,12 +365,12 @@
 /// The shared term.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TermRecord {
-    /// The base of all fencing tokens; only ever raised.
+    /// The base of all fencing tokens; it never decreases.
     pub term: u64,
 }
 
-/// From this record's revision on cancellations are confirmed only once all tasks are gone. Written
-/// once, never changed.
+/// A marker: controllers confirm each cancellation that is committed after this record's revision
+/// only once all tasks of the job have ended. Written once and never changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CancellationConfirmationRecord {
     /// The format that introduced it.
@@ -380,28 +378,28 @@
     pub version: u32,
 }
 
-/// What is known of a class's run times.
+/// The run-time statistics of a job class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunTimesRecord {
-    /// As far as it fits; the key tells classes apart.
+    /// Name of the team, truncated to the space available; the key identifies the class.
     pub team: String,
+    /// Name of the class, truncated likewise.
     pub class: String,
-    /// Time of day of the latest change: when too many are kept, the one unchanged for longest is
-    /// removed.
+    /// Wall-clock time of the latest change; of too many records, the one unchanged longest goes.
     pub at: WallMs,
+    /// The statistics in packed form.
     #[serde(flatten)]
     pub packed: glenmount_runtime_estimates::history::Packed,
 }
 
-/// The cloud's machine types as last read: a controller that starts while the cloud is down knows
-/// what jobs can run.
+/// The cloud's machine types as last read, for a controller that starts while the cloud is down.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypesRecord {
     #[serde(rename = "types")]
     pub machine_types: Vec<MachineType>,
 }
 
-/// A shared record of any kind; its key says which.
+/// A shared record of any kind; the key determines the kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     Term(TermRecord),
@@ -422,36 +420,36 @@
     ObservedVersion(ObservedVersionRecord),
 }
 
-/// Parses a record as the kind that its key says.
-macro_rules! read_as {
-    ($key:expr, $compact:expr, $read:expr) => {
+/// Parses a record of the kind that its key determines.
+macro_rules! parse_as_kind_of {
+    ($key:expr, $is_compact:expr, $parse:expr) => {
         match $key {
-            Key::Term => $read.ok().map(Record::Term),
-            Key::MachineTypes => $read.ok().map(Record::MachineTypes),
-            Key::Provisioning => $read.ok().map(Record::Provisioning),
-            Key::Job(_) => $read.ok().map(Record::Job),
-            Key::Chunk(..) if $compact => {
-                let chunk: Option<CompactChunk> = $read.ok();
+            Key::Term => $parse.ok().map(Record::Term),
+            Key::MachineTypes => $parse.ok().map(Record::MachineTypes),
+            Key::Provisioning => $parse.ok().map(Record::Provisioning),
+            Key::Job(_) => $parse.ok().map(Record::Job),
+            Key::Chunk(..) if $is_compact => {
+                let chunk: Option<CompactChunk> = $parse.ok();
                 chunk?.read().map(Record::Chunk)
             }
-            Key::Chunk(..) => $read.ok().map(Record::Chunk),
-            Key::ZoneSpread(_) => $read.ok().map(Record::ZoneSpread),
-            Key::Machine(_) => $read.ok().map(Record::Machine),
-            Key::Team(_) => $read.ok().map(Record::Team),
-            Key::InstanceRequest(_) => $read.ok().map(Record::InstanceRequest),
-            Key::Format(_) => $read.ok().map(Record::Format),
-            Key::CancellationConfirmation => $read.ok().map(Record::CancellationConfirmation),
-            Key::RunTimes(_) => $read.ok().map(Record::RunTimes),
-            Key::Configuration => $read.ok().map(Record::Configuration),
-            Key::ConfigurationPage(..) => $read.ok().map(Record::ConfigurationPage),
-            Key::ConfigurationEnabled => $read.ok().map(Record::ConfigurationEnabled),
-            Key::ObservedVersion(_) => $read.ok().map(Record::ObservedVersion),
+            Key::Chunk(..) => $parse.ok().map(Record::Chunk),
+            Key::ZoneSpread(_) => $parse.ok().map(Record::ZoneSpread),
+            Key::Machine(_) => $parse.ok().map(Record::Machine),
+            Key::Team(_) => $parse.ok().map(Record::Team),
+            Key::InstanceRequest(_) => $parse.ok().map(Record::InstanceRequest),
+            Key::Format(_) => $parse.ok().map(Record::Format),
+            Key::CancellationConfirmation => $parse.ok().map(Record::CancellationConfirmation),
+            Key::RunTimes(_) => $parse.ok().map(Record::RunTimes),
+            Key::Configuration => $parse.ok().map(Record::Configuration),
+            Key::ConfigurationPage(..) => $parse.ok().map(Record::ConfigurationPage),
+            Key::ConfigurationEnabled => $parse.ok().map(Record::ConfigurationEnabled),
+            Key::ObservedVersion(_) => $parse.ok().map(Record::ObservedVersion),
         }
     };
 }
 
 impl Record {
-    /// The value as it is stored in a format.
+    /// Returns the value that is stored in a format.
     pub fn value(&self, format: u32) -> Value {
         let value = match self {
             Record::Term(r) => serde_json::to_value(r),
@@ -463,7 +461,7 @@
             Record::ZoneSpread(r) => serde_json::to_value(r),
             Record::Machine(r) => serde_json::to_value(r),
             Record::Team(r) if format < formats::STORED_CONFIGURATION => serde_json::to_value(r),
-            Record::Team(r) => serde_json::to_value(FencedTeam::of(r)),
+            Record::Team(r) => serde_json::to_value(FencedTeamValue::of(r)),
             Record::InstanceRequest(r) => serde_json::to_value(r),
             Record::Format(r) => serde_json::to_value(r),
             Record::CancellationConfirmation(r) => serde_json::to_value(r),
@@ -476,21 +474,21 @@
         value.unwrap_or(Value::Null)
     }
 
-    /// Parses a stored value; none if it is not a record of its key's kind.
+    /// Parses a stored value; returns none if it isn't a record of the key's kind.
     pub fn read(key: &Key, value: Value) -> Option<Record> {
-        let compact = value.get("z").is_some();
-        read_as!(key, compact, serde_json::from_value(value))
+        let is_compact = value.get("z").is_some();
+        parse_as_kind_of!(key, is_compact, serde_json::from_value(value))
     }
 
-    /// The same from the value's text, without a tree of JSON values between: every controller reads
-    /// every change that any of them makes.
+    /// Parses the JSON text of a stored value like [`Record::read`], but without an intermediate
+    /// tree of JSON values, because every controller parses every change of all controllers.
     pub fn read_text(key: &Key, text: &str) -> Option<Record> {
         #[derive(Deserialize)]
-        struct Form {
+        struct CompactTasks {
             z: Option<IgnoredAny>,
         }
-        let form = |text| serde_json::from_str::<Form>(text).ok();
-        let compact = matches!(key, Key::Chunk(..)) && form(text).is_some_and(|f| f.z.is_some());
-        read_as!(key, compact, serde_json::from_str(text))
+        let read = |text| serde_json::from_str::<CompactTasks>(text).ok();
+        let is_compact = matches!(key, Key::Chunk(..)) && read(text).is_some_and(|c| c.z.is_some());
+        parse_as_kind_of!(key, is_compact, serde_json::from_str(text))
     }
 }
