--- a/crates/core/src/state/cache/assignments.rs
+++ b/crates/core/src/state/cache/assignments.rs
@@ -1,11 +1,12 @@
-//! Indexes derived from chunks: tasks per machine, their resources, usage per team, counts per job.
+//! Indexes that the cache derives from chunks: tasks and used resources per machine, resource usage
+//! per team, and task counts per job.
 
 use super::StateCache;
 use crate::model::{Resources, TaskId};
 use crate::state::{Assignment, ChunkRecord, TeamRecord};
 use std::collections::BTreeMap;
 
-/// A machine's assignments, and the resources that they use.
+/// The tasks assigned to a machine, and the resources that they use.
 #[derive(Debug, Default)]
 pub(super) struct MachineAssignments {
     tasks: BTreeMap<TaskId, Placed>,
@@ -17,20 +18,21 @@
 pub struct Placed {
     /// The assignment on record.
     pub assignment: Assignment,
-    /// What one task of the job uses.
+    /// Resources that the task uses.
     pub resources: Resources,
 }
 
-/// How many tasks of a job are assigned, and how many done.
+/// The numbers of assigned and of done tasks of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// Tasks that are assigned to a machine.
+    /// Number of tasks that are assigned to a machine.
     pub assigned: u32,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
 }
 
-/// The assignments of `chunk` that `other`, an earlier or later state of it, lacks or has otherwise.
+/// Returns the assignments of `chunk` that are absent or different in `other`, an earlier or later
+/// version of the same chunk.
 fn assignments_missing_in<'a>(
     chunk: Option<&'a ChunkRecord>,
     other: Option<&'a ChunkRecord>,
@@ -42,54 +44,54 @@
 }
 
 impl StateCache {
-    /// Jobs with chunks on record, open or not, and their counts.
+    /// Returns the jobs with chunks on record, in any phase, and their task counts.
     pub fn counted(&self) -> impl Iterator<Item = (&str, Counts)> {
         let counts = self.counts.iter();
         counts.map(|(job, counts)| (job.as_str(), *counts))
     }
 
-    /// A job's counts.
+    /// Returns the task counts of a job.
     pub fn counts(&self, job: &str) -> Counts {
         self.counts.get(job).copied().unwrap_or_default()
     }
 
-    /// Tasks assigned to a machine.
+    /// Returns the tasks assigned to a machine.
     pub fn assignments(&self, machine: &str) -> impl Iterator<Item = (&TaskId, &Placed)> {
         let assigned = self.assigned.get(machine).into_iter();
         assigned.flat_map(|assigned| &assigned.tasks)
     }
 
-    /// A task's assignment, if it is to this machine.
+    /// Returns the assignment of a task to this machine, if there is one.
     pub fn assignment(&self, machine: &str, task: &TaskId) -> Option<&Placed> {
         self.assigned.get(machine)?.tasks.get(task)
     }
 
-    /// The assignment of one attempt of a task, to whatever machine.
+    /// Returns the assignment of an attempt of a task, on any machine.
     pub fn attempt(&self, task: &TaskId, attempt: u64) -> Option<&Assignment> {
         let n = self.job(&task.job)?.chunk_of(task.index);
         let assignment = self.chunk(&task.job, n)?.assignment(task.index);
         assignment.filter(|assignment| assignment.attempt == attempt)
     }
 
-    /// How many tasks are assigned to a machine.
+    /// Returns the number of tasks assigned to a machine.
     pub fn assigned_tasks(&self, machine: &str) -> usize {
         let assigned = self.assigned.get(machine);
         assigned.map_or(0, |assigned| assigned.tasks.len())
     }
 
-    /// Resources that the tasks assigned to a machine use.
+    /// Returns the resources that the tasks assigned to a machine use.
     pub fn used(&self, machine: &str) -> Resources {
         let assigned = self.assigned.get(machine);
         assigned.map_or(Resources::default(), |assigned| assigned.used)
     }
 
-    /// What a team's assigned tasks use.
+    /// Returns the resources that the assigned tasks of a team use.
     pub fn usage(&self, team: &str) -> TeamRecord {
         self.usage.get(team).cloned().unwrap_or_default()
     }
 
-    /// Updates what is derived from chunks when one changes: `old` and `new` are its states before
-    /// and after, none without a record.
+    /// Updates the indexes after a change of a chunk. `old` and `new` are the chunk before and
+    /// after the change; none means that there was, or is, no record.
     pub(super) fn update_assignments(
         &mut self,
         job: &str,
--- a/crates/core/src/state/cache/images.rs
+++ b/crates/core/src/state/cache/images.rs
@@ -1,16 +1,17 @@
-//! Images that machines have had: hints for placement.
+//! Hints for placement: the images that each machine probably has in its cache.
 
 use super::StateCache;
 use crate::constants::{IMAGES_KNOWN, MACHINE_IMAGES};
 use foldhash::HashMap;
 
-/// Images that machines have had. Only hints: they are not on record, where each would cost a put.
+/// The images that machines have fetched. They are hints only, kept in memory: to record them in
+/// the state store would cost a write for each.
 #[derive(Debug, Default)]
 pub(super) struct ImageHints {
-    /// Images of each machine by number, latest last, with their size in GB.
+    /// Image ids and sizes in GB by machine, the most recently used image last.
     by_machine: HashMap<String, Vec<(u32, f64)>>,
-    /// Numbers that stand for images.
-    numbers: HashMap<String, u32>,
+    /// Ids of images by name, to store each name only once.
+    ids: HashMap<String, u32>,
 }
 
 impl ImageHints {
@@ -18,28 +19,29 @@
         self.by_machine.remove(machine);
     }
 
-    /// The number that stands for an image, a new one if there is none yet; none once as many are
-    /// known as are kept.
-    fn number(&mut self, image: &str) -> Option<u32> {
-        let next = self.numbers.len();
-        match self.numbers.get(image) {
-            Some(number) => Some(*number),
-            None if next < IMAGES_KNOWN => {
-                self.numbers.insert(image.to_string(), next as u32);
-                Some(next as u32)
+    /// Returns the id of an image, and assigns one to a new image. Returns none for a new image
+    /// once `IMAGES_KNOWN` ids are assigned.
+    fn id_or_new(&mut self, image: &str) -> Option<u32> {
+        let next_id = self.ids.len();
+        match self.ids.get(image) {
+            Some(id) => Some(*id),
+            None if next_id < IMAGES_KNOWN => {
+                self.ids.insert(image.to_string(), next_id as u32);
+                Some(next_id as u32)
             }
             None => None,
         }
     }
 
-    /// A machine gets an image; the oldest go while all together exceed its capacity.
-    fn note(&mut self, machine: &str, image: &str, image_gb: f64, capacity_gb: f64) {
-        let Some(number) = self.number(image) else {
+    /// Records that a machine fetches an image, and drops the machine's oldest images while their
+    /// number or total size exceeds the limit.
+    fn record(&mut self, machine: &str, image: &str, image_gb: f64, capacity_gb: f64) {
+        let Some(id) = self.id_or_new(image) else {
             return;
         };
         let images = self.by_machine.entry(machine.to_string()).or_default();
-        images.retain(|(known, _)| *known != number);
-        images.push((number, image_gb));
+        images.retain(|(known_id, _)| *known_id != id);
+        images.push((id, image_gb));
         while images.len() > 1
             && (images.len() > MACHINE_IMAGES
                 || images.iter().map(|(_, gb)| gb).sum::<f64>() > capacity_gb)
@@ -48,60 +50,61 @@
         }
     }
 
-    /// Adds a peer's hints of a machine; the own ones count as later.
-    fn merge(&mut self, machine: &str, hints: &[(String, f64)]) {
-        let own = self.by_machine.remove(machine).unwrap_or_default();
+    /// Merges a peer's hints for a machine. The hints of this controller count as more recent.
+    fn merge(&mut self, machine: &str, peer_hints: &[(String, f64)]) {
+        let own_images = self.by_machine.remove(machine).unwrap_or_default();
         let mut merged: Vec<(u32, f64)> = Vec::new();
-        for (image, gb) in hints.iter().take(MACHINE_IMAGES) {
-            if let Some(number) = self.number(image) {
-                merged.push((number, *gb));
+        for (image, image_gb) in peer_hints.iter().take(MACHINE_IMAGES) {
+            if let Some(id) = self.id_or_new(image) {
+                merged.push((id, *image_gb));
             }
         }
-        merged.retain(|(number, _)| !own.iter().any(|(known, _)| known == number));
-        merged.extend(own);
+        merged.retain(|(id, _)| !own_images.iter().any(|(own_id, _)| own_id == id));
+        merged.extend(own_images);
         let excess = merged.len().saturating_sub(MACHINE_IMAGES);
-        let latest = merged.split_off(excess);
-        self.by_machine.insert(machine.to_string(), latest);
+        let most_recent = merged.split_off(excess);
+        self.by_machine.insert(machine.to_string(), most_recent);
     }
 }
 
 impl StateCache {
-    /// Whether a machine has had an image, as far as is known here.
+    /// Returns whether a machine has fetched an image, according to the hints.
     pub fn has_image(&self, machine: &str, image: &str) -> bool {
-        let has = |number| {
+        let is_on_machine = |id| {
             let images = self.images_of(machine);
-            images.iter().any(|(known, _)| *known == number)
+            images.iter().any(|(known_id, _)| *known_id == id)
         };
-        self.image_id(image).is_some_and(has)
+        self.image_id(image).is_some_and(is_on_machine)
     }
 
-    /// The number that stands for an image.
+    /// Returns the id of an image. Ids are local to this cache.
     pub fn image_id(&self, image: &str) -> Option<u32> {
-        self.images.numbers.get(image).copied()
+        self.images.ids.get(image).copied()
     }
 
-    /// Images that a machine has had, by their numbers, with their size in GB.
+    /// Returns the ids and sizes in GB of the images that a machine has fetched.
     pub fn images_of(&self, machine: &str) -> &[(u32, f64)] {
         let images = self.images.by_machine.get(machine);
         images.map_or(&[], |images| images)
     }
 
-    /// All hints: machine, then images with their size in GB, latest last.
+    /// Returns all hints by machine: image names and sizes in GB, the most recently used image
+    /// last.
     pub fn image_hints(&self) -> Vec<(String, Vec<(String, f64)>)> {
-        let numbers = self.images.numbers.iter();
-        let names: HashMap<u32, &String> = numbers.map(|(image, n)| (*n, image)).collect();
-        let named = |(number, gb): &(u32, f64)| Some(((*names.get(number)?).clone(), *gb));
+        let ids = self.images.ids.iter();
+        let names: HashMap<u32, &String> = ids.map(|(image, id)| (*id, image)).collect();
+        let with_name = |(id, gb): &(u32, f64)| Some(((*names.get(id)?).clone(), *gb));
         self.images
             .by_machine
             .iter()
             .map(|(machine, images)| {
-                let images = images.iter().filter_map(named).collect();
+                let images = images.iter().filter_map(with_name).collect();
                 (machine.clone(), images)
             })
             .collect()
     }
 
-    /// Adds the hints of a peer for machines on record.
+    /// Merges the hints of a peer for the machines on record.
     pub fn take_hints(&mut self, hints: &[(String, Vec<(String, f64)>)]) {
         for (machine, images) in hints {
             if self.machines.contains_key(machine) {
@@ -110,7 +113,7 @@
         }
     }
 
-    /// A task of a job was assigned to a machine, which fetches the job's image.
+    /// Records that a machine fetches the image of a job, because a task of it was assigned there.
     pub(super) fn note_image(&mut self, machine: &str, job: &str) {
         let Some(spec) = self.jobs.get(job).and_then(|(job, _)| job.spec.as_ref()) else {
             return;
@@ -121,6 +124,6 @@
             .copied()
             .unwrap_or(f64::INFINITY);
         self.images
-            .note(machine, &spec.image, spec.image_gb, capacity_gb);
+            .record(machine, &spec.image, spec.image_gb, capacity_gb);
     }
 }
--- a/crates/core/src/state/cache/jobs.rs
+++ b/crates/core/src/state/cache/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of the cache: which are open, which wait for machines, and which depend on which.
+//! Queries of the cache for jobs: open jobs, jobs that wait for machines, and dependencies.
 
 use super::StateCache;
 use crate::constants::FAULTY_MACHINES;
@@ -7,17 +7,18 @@
 use std::collections::BTreeSet;
 
 impl StateCache {
-    /// What an open job asks for.
+    /// Returns the specification of an open job.
     pub fn open_job(&self, id: &str) -> Option<&JobSpec> {
         self.job(id).and_then(|job| job.open())
     }
 
-    /// Open jobs, in order of their names.
+    /// Returns the open jobs in order of their ids.
     pub fn open_jobs(&self) -> impl Iterator<Item = (&str, &JobRecord, &JobSpec)> {
         self.with_specs(&self.open)
     }
 
-    /// Open jobs with tasks that wait for a machine, and for no other job, in order of their names.
+    /// Returns the open jobs that have pending tasks and no unfinished dependency, in order of
+    /// their ids.
     pub fn waiting_jobs(&self) -> impl Iterator<Item = (&str, &JobRecord, &JobSpec)> {
         self.with_specs(&self.waiting)
     }
@@ -32,7 +33,7 @@
         })
     }
 
-    /// Updates whether a job is among those that wait for a machine.
+    /// Adds a job to the index of jobs that wait for machines, or removes it.
     pub(super) fn update_waiting(&mut self, id: &str) {
         let counts = self.counts(id);
         let job = self.job(id).filter(|job| job.open().is_some());
@@ -46,29 +47,31 @@
         }
     }
 
-    /// Whether an open job has a dependency that is not done on record. `Done` is final, so a job
-    /// that is not blocked never is again.
+    /// Returns whether an open job has a dependency that isn't done on record. `Done` is final, so
+    /// an unblocked job never becomes blocked again.
     pub fn blocked(&self, id: &str) -> bool {
         let is_done = |id: &String| self.job(id).is_some_and(|job| job.phase == JobPhase::Done);
         let spec = self.open_job(id);
         spec.is_some_and(|spec| !spec.dependencies.iter().all(is_done))
     }
 
-    /// Whether an open job depends, directly or through others, on one whose cancellation is
-    /// confirmed. Nothing of it has run or ever will, so it counts as cancelled before its own
-    /// record says so.
+    /// Returns whether an open job depends, directly or transitively, on a job whose cancellation
+    /// is confirmed. No task of such a job has run or will run, so it counts as cancelled before
+    /// its own record is.
     pub fn doomed(&self, id: &str) -> bool {
         self.dependents.doomed().contains(id) && self.depends_on_confirmed_cancellation(id)
     }
 
     fn depends_on_confirmed_cancellation(&self, id: &str) -> bool {
         let mut unvisited: Vec<&str> = vec![id];
-        let mut seen: BTreeSet<&str> = BTreeSet::new();
+        let mut visited: BTreeSet<&str> = BTreeSet::new();
         while let Some(id) = unvisited.pop() {
             for dependency in self.open_job(id).iter().flat_map(|s| &s.dependencies) {
                 match self.job(dependency).map(|job| job.phase) {
                     Some(JobPhase::Cancelled) if !self.ending(dependency) => return true,
-                    Some(JobPhase::Open) if seen.insert(dependency) => unvisited.push(dependency),
+                    Some(JobPhase::Open) if visited.insert(dependency) => {
+                        unvisited.push(dependency)
+                    }
                     _ => {}
                 }
             }
@@ -76,9 +79,10 @@
         false
     }
 
-    /// Whether a job is cancelled on record, but its cancellation not to be confirmed yet: tasks of
-    /// it may still run somewhere. The cache must have reached the cancellation, or it may lack a
-    /// claim that came before. No claim comes after, so once this is false it remains so.
+    /// Returns whether a job is cancelled on record, but the controller must not confirm the
+    /// cancellation yet, because tasks of the job may still run. The cache must have reached the
+    /// revision of the cancellation; otherwise it may lack an earlier claim. No claim follows a
+    /// cancellation, so once this returns false it stays false.
     pub fn ending(&self, id: &str) -> bool {
         let cancelled_at = self.job_revision(id);
         let confirmed_from = self.mod_revision(&Key::CancellationConfirmation);
@@ -89,21 +93,22 @@
             && (self.revision < cancelled_at || self.counts(id).assigned > 0)
     }
 
-    /// Which open jobs depend on which.
+    /// Returns the index of open jobs by their dependencies.
     pub fn dependents(&self) -> &Dependents {
         &self.dependents
     }
 
-    /// From which time of day on a job's tasks could start: its acceptance, or the end of the last
-    /// of its dependencies. The same for every controller.
+    /// Returns the wall-clock time from which a job's tasks could start: the acceptance of the job
+    /// or the end of its last dependency, whichever is later. All controllers compute the same
+    /// value.
     pub fn ready_at(&self, job: &JobRecord) -> WallMs {
         let dependencies = job.spec.iter().flat_map(|spec| &spec.dependencies);
         let ends = dependencies.filter_map(|id| self.job(id).map(|job| job.ended));
         ends.fold(job.at, WallMs::max)
     }
 
-    /// Updates what is derived from a job's record when it changed. `old_dependencies`: those that
-    /// it had before.
+    /// Updates the indexes after a change of a job's record. `old_dependencies` are the
+    /// dependencies before the change.
     pub(super) fn job_changed(&mut self, id: &str, old_dependencies: Vec<String>) {
         let spec = self.open_job(id);
         let dependencies = spec.map_or(Vec::new(), |spec| spec.dependencies.clone());
@@ -125,8 +130,8 @@
         }
     }
 
-    /// Whether a job seems to have been submitted with a mistake: it has failed on several machines
-    /// and nothing of it has ever succeeded.
+    /// Returns whether a job itself appears to be faulty: its tasks have failed on several
+    /// machines, and none has ever succeeded.
     pub fn suspect(&self, job: &str) -> bool {
         let has_failed = |chunk: &ChunkRecord| chunk.failed_on.len() >= FAULTY_MACHINES;
         let mut chunks = self.chunks_of(job);
--- a/crates/core/src/state/cache/mod.rs
+++ b/crates/core/src/state/cache/mod.rs
@@ -1,4 +1,4 @@
-//! A controller's copy of the shared records, and what is gathered from them.
+//! A controller's cache of the shared records, and the indexes derived from them.
 
 mod assignments;
 mod images;
@@ -26,7 +26,7 @@
 /// Records of one kind by key, each with the revision of its latest change.
 type Table<K, R> = BTreeMap<K, (R, u64)>;
 
-/// A controller's copy of the shared records, complete up to a revision, with indexes derived from
+/// A controller's cache of the shared records, complete up to a revision, with indexes derived from
 /// them.
 #[derive(Debug, Default)]
 pub struct StateCache {
@@ -48,35 +48,36 @@
     observed_versions: Table<String, ObservedVersionRecord>,
     /// Names of all controllers, from the settings.
     pub members: Vec<String>,
-    /// Records that the state service refused to store as large as they would have become, and the
-    /// revision at which that was tried.
+    /// Records whose changed value the state store refused, most likely because of its size, each
+    /// with its revision at that time.
     refused: BTreeMap<Key, u64>,
     /// The revision up to which the cache is complete.
     pub revision: u64,
-    /// Open jobs.
+    /// Ids of the open jobs.
     open: BTreeSet<String>,
-    /// Open jobs with tasks that are neither done nor assigned, and no unfinished dependency.
+    /// Ids of the open jobs that have pending tasks and no unfinished dependency.
     waiting: BTreeSet<String>,
     dependents: Dependents,
-    /// Per job with chunks on record.
+    /// Task counts of each job with chunks on record.
     counts: BTreeMap<String, Counts>,
-    /// Per machine with assignments.
+    /// Assignments of each machine that has any.
     assigned: HashMap<String, assignments::MachineAssignments>,
-    /// What the assignments of each team use.
+    /// Resources that the assignments of each team use.
     usage: BTreeMap<String, TeamRecord>,
     images: ImageHints,
-    /// Space for images per machine type, in GB.
+    /// Space for images by machine type, in GB.
     pub cache_gb: HashMap<String, f64>,
 }
 
-/// A method for one record of a kind by key, and one for all, in key order, with their revisions.
+/// Defines two accessors for a kind of record: one for a single record by key, and one for all
+/// records with their revisions, in key order.
 macro_rules! accessors {
     ($one:ident, $all:ident, $table:ident, $record:ty, $key:ty) => {
-        /// The record of this key.
+        /// Returns the record of this key.
         pub fn $one(&self, key: &$key) -> Option<&$record> {
             self.$table.get(key).map(|(r, _)| r)
         }
-        /// All of them, in order of their keys: key, record, revision of its latest change.
+        /// Returns all records in key order: key, record, and the revision of its latest change.
         pub fn $all(&self) -> impl Iterator<Item = (&$key, &$record, u64)> {
             self.$table.iter().map(|(key, (record, mod_revision))| {
                 let key: &$key = key;
@@ -99,38 +100,39 @@
     );
     accessors!(class_runs, all_runs, run_times, RunTimesRecord, u64);
 
-    /// The latest format that every controller reads.
+    /// Returns the latest format that all controllers read.
     pub fn format(&self) -> u32 {
         let formats = self.members.iter().map(|member| self.format_of(member));
-        let common = formats.min().unwrap_or(formats::OLDEST);
-        common.min(formats::LATEST)
+        let common_format = formats.min().unwrap_or(formats::OLDEST);
+        common_format.min(formats::LATEST)
     }
 
-    /// The latest format that a controller reads, as it has on record.
+    /// Returns the latest format that a controller reads, according to its record.
     pub fn format_of(&self, controller: &String) -> u32 {
         let row = self.formats.get(controller);
         row.map_or(formats::OLDEST, |(format, _)| format.version)
     }
 
-    /// The revision of a job's latest change; 0 without a record.
+    /// Returns the revision of a job's latest change, or 0 without a record.
     pub fn job_revision(&self, id: &str) -> u64 {
         let row = self.jobs.get(id);
         row.map_or(0, |(_, mod_revision)| *mod_revision)
     }
 
-    /// Chunk `n` of a job, if it is on record.
+    /// Returns chunk `n` of a job, if it is on record.
     pub fn chunk(&self, job: &str, n: u32) -> Option<&ChunkRecord> {
         self.chunks.get(job)?.get(&n).map(|(chunk, _)| chunk)
     }
 
-    /// The revision of a chunk's latest change; 0 without a record.
+    /// Returns the revision of a chunk's latest change, or 0 without a record.
     pub fn chunk_revision(&self, job: &str, n: u32) -> u64 {
         let row = self.chunks.get(job).and_then(|chunks| chunks.get(&n));
         row.map_or(0, |(_, mod_revision)| *mod_revision)
     }
 
-    /// The revision that a claim in this chunk is conditional on, and its attempt. A chunk that
-    /// is not on record yet has none: its job's serves once, and is lower than all that follow.
+    /// Returns the revision that a claim in this chunk is conditional on, which is also the number
+    /// of the attempt. A chunk that isn't on record yet has no revision. Its first claim uses the
+    /// revision of the job, which is lower than all later revisions of the chunk.
     pub fn claim_revision(&self, job: &str, n: u32) -> u64 {
         match self.chunk_revision(job, n) {
             0 => self.job_revision(job),
@@ -138,51 +140,51 @@
         }
     }
 
-    /// A job's chunks on record, by number.
+    /// Returns a job's chunks on record, by number.
     pub fn chunks_of(&self, job: &str) -> impl Iterator<Item = (u32, &ChunkRecord)> {
         let chunks = self.chunks.get(job).into_iter().flatten();
         chunks.map(|(n, (chunk, _))| (*n, chunk))
     }
 
-    /// What is on record of provisioning.
+    /// Returns the provisioning record, or an empty one if there is none.
     pub fn fleet(&self) -> ProvisioningRecord {
         let row = self.provisioning.get(&());
         row.map_or(ProvisioningRecord::default(), |(record, _)| record.clone())
     }
 
-    /// The machine types on record.
+    /// Returns the machine types on record.
     pub fn machine_types(&self) -> Option<&MachineTypesRecord> {
         self.machine_types.get(&()).map(|(record, _)| record)
     }
 
-    /// The shared term, the base of all fencing tokens.
+    /// Returns the shared term, the base of all fencing tokens.
     pub fn term(&self) -> Option<u64> {
         self.term.get(&()).map(|(record, _)| record.term)
     }
 
-    /// The version of the configuration on record, and its revision.
+    /// Returns the configuration version on record, and the record's revision.
     pub fn configuration(&self) -> Option<(&ConfigurationVersionRecord, u64)> {
         let row = self.configuration.get(&());
         row.map(|(record, mod_revision)| (record, *mod_revision))
     }
 
-    /// Page `n` of a version of the configuration.
+    /// Returns page `n` of a configuration version.
     pub fn configuration_page(&self, version: u64, n: u32) -> Option<&ConfigurationPageRecord> {
         let row = self.configuration_pages.get(&(version, n));
         row.map(|(page, _)| page)
     }
 
-    /// How many pages of all versions of the configuration are on record.
+    /// Returns the number of pages on record of all configuration versions.
     pub fn configuration_pages(&self) -> usize {
         self.configuration_pages.len()
     }
 
-    /// Whether configurations may be put on record.
+    /// Returns whether controllers may store configurations.
     pub fn is_configurable(&self) -> bool {
         !self.configuration_enabled.is_empty()
     }
 
-    /// The version of the configuration that a controller follows, as it has on record.
+    /// Returns the configuration version that a controller applies, according to its record.
     pub fn followed_by(&self, controller: &String) -> Option<u64> {
         let row = self.observed_versions.get(controller);
         row.map(|(record, _)| record.version)
--- a/crates/core/src/state/cache/refused.rs
+++ b/crates/core/src/state/cache/refused.rs
@@ -1,11 +1,12 @@
-//! Records that the state service refused to store.
+//! Tracks the records that the state store refused to store.
 
 use super::StateCache;
 use crate::constants::REFUSED_RECORDS_KEPT;
 use crate::state::Key;
 
 impl StateCache {
-    /// The state service refused a record: it is not to be written again as it is now.
+    /// Marks a record as refused by the state store, so that the controller doesn't write it again
+    /// until it has changed.
     pub fn mark_refused(&mut self, key: Key) {
         let mod_revision = self.mod_revision(&key);
         let mut refused = std::mem::take(&mut self.refused);
@@ -16,12 +17,14 @@
         }
     }
 
-    /// Refused records are tried once more: the limits may have been raised.
+    /// Clears all marks, so that the controller retries refused records: an operator may have
+    /// raised the limits of the state store.
     pub fn retry_refused(&mut self) {
         self.refused.clear();
     }
 
-    /// Whether a record was refused and has not changed since: then it is not written.
+    /// Returns whether the state store refused a record that hasn't changed since. The controller
+    /// doesn't write such a record.
     pub fn is_refused(&self, key: &Key) -> bool {
         let refused_at = self.refused.get(key);
         refused_at.is_some_and(|at| *at == self.mod_revision(key))
--- a/crates/core/src/state/cache/tables.rs
+++ b/crates/core/src/state/cache/tables.rs
@@ -1,14 +1,14 @@
-//! Records by key: reading, writing and removing them in the cache, whatever their kind.
+//! Reads, puts and removes records of any kind in the cache by their key.
 
 use super::{StateCache, Table};
 use crate::state::{Key, Record};
 use std::collections::BTreeSet;
 
-/// Puts a record unless one as new is there; whether it did.
+/// Puts a record unless the table has one of the same or a later revision. Returns whether it did.
 fn put_newer<K: Ord, R>(table: &mut Table<K, R>, key: K, record: R, mod_revision: u64) -> bool {
     if table
         .get(&key)
-        .is_some_and(|(_, known)| *known >= mod_revision)
+        .is_some_and(|(_, cached_revision)| *cached_revision >= mod_revision)
     {
         return false;
     }
@@ -16,18 +16,18 @@
     true
 }
 
-/// Removes a record that is older than this revision.
+/// Removes a record whose revision is lower than this one.
 fn remove_older<K: Ord, R>(table: &mut Table<K, R>, key: &K, mod_revision: u64) {
     if table
         .get(key)
-        .is_some_and(|(_, known)| *known < mod_revision)
+        .is_some_and(|(_, cached_revision)| *cached_revision < mod_revision)
     {
         table.remove(key);
     }
 }
 
 impl StateCache {
-    /// The revision of a record's latest change; 0 without a record.
+    /// Returns the revision of a record's latest change, or 0 without a record.
     pub fn mod_revision(&self, key: &Key) -> u64 {
         fn of<R>(row: Option<&(R, u64)>) -> u64 {
             row.map_or(0, |(_, mod_revision)| *mod_revision)
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A copy of a record.
+    /// Returns a copy of a record.
     pub fn get(&self, key: &Key) -> Option<Record> {
         Some(match key {
             Key::Term => Record::Term(self.term.get(&())?.0.clone()),
@@ -82,7 +82,8 @@
         })
     }
 
-    /// Puts a record, unless one as new is in the cache already.
+    /// Puts a record, unless the cache has the same or a later revision of it, and updates the
+    /// indexes.
     pub fn put(&mut self, key: Key, mod_revision: u64, record: Record) {
         match (key, record) {
             (Key::Term, Record::Term(r)) => {
@@ -95,13 +96,13 @@
                 put_newer(&mut self.provisioning, (), r, mod_revision);
             }
             (Key::Job(id), Record::Job(r)) => {
-                let open = r.open().is_some();
+                let is_open = r.open().is_some();
                 let dependencies = self
                     .open_job(&id)
                     .map_or(Vec::new(), |s| s.dependencies.clone());
                 if put_newer(&mut self.jobs, id.clone(), r, mod_revision) {
                     self.job_changed(&id, dependencies);
-                    match open {
+                    match is_open {
                         true => self.open.insert(id),
                         false => self.open.remove(&id),
                     };
@@ -111,7 +112,7 @@
                 let chunks = self.chunks.entry(id.clone()).or_default();
                 if chunks
                     .get(&n)
-                    .is_some_and(|(_, known)| *known >= mod_revision)
+                    .is_some_and(|(_, cached_revision)| *cached_revision >= mod_revision)
                 {
                     return;
                 }
@@ -133,7 +134,7 @@
             }
             (Key::Format(controller), Record::Format(r)) => {
                 put_newer(&mut self.formats, controller, r, mod_revision);
-                // What was too large in the old format may fit in the new one.
+                // A record that was too large in the old format may fit in the new one.
                 self.retry_refused();
             }
             (Key::CancellationConfirmation, Record::CancellationConfirmation(r)) => {
@@ -158,7 +159,8 @@
         }
     }
 
-    /// Removes a record, unless the one in the cache is as new as this revision.
+    /// Removes a record, unless the cache has the same or a later revision of it, and updates the
+    /// indexes.
     pub fn remove(&mut self, key: &Key, mod_revision: u64) {
         match key {
             Key::Term => remove_older(&mut self.term, &(), mod_revision),
@@ -180,7 +182,7 @@
                 };
                 if chunks
                     .get(n)
-                    .is_some_and(|(_, known)| *known < mod_revision)
+                    .is_some_and(|(_, cached_revision)| *cached_revision < mod_revision)
                 {
                     let old = chunks.remove(n).map(|(c, _)| c);
                     if chunks.is_empty() {
@@ -259,8 +261,8 @@
             .collect()
     }
 
-    /// After a list that began at `revision`: records that it did not hold are removed, unless they
-    /// were written later.
+    /// Removes the records that are absent from a list that began at `revision`, unless they were
+    /// written after that revision.
     pub fn retain_listed(&mut self, listed: &BTreeSet<Key>, revision: u64) {
         for key in self.keys() {
             if !listed.contains(&key) {
@@ -269,12 +271,12 @@
         }
     }
 
-    /// How many records there are.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.keys().len()
     }
 
-    /// Whether there are no records.
+    /// Returns whether the cache has no records.
     pub fn is_empty(&self) -> bool {
         self.keys().is_empty()
     }
--- a/crates/core/src/state/dependents.rs
+++ b/crates/core/src/state/dependents.rs
@@ -1,36 +1,38 @@
-//! Which open jobs depend on which, and which of them on a cancelled one.
+//! An index of the open jobs by their dependencies, and of those that depend on a cancelled job.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Open jobs by their dependencies, and those that depend on a cancelled job.
+/// An index of the open jobs by their dependencies, and of those that depend on a cancelled job.
 #[derive(Debug, Default)]
 pub struct Dependents {
+    /// Open jobs, by each of their dependencies.
     by_dependency: BTreeMap<String, BTreeSet<String>>,
-    doomed: BTreeSet<String>,
+    /// Open jobs that depend on a cancelled job, directly or transitively.
+    with_cancelled_dependency: BTreeSet<String>,
 }
 
 impl Dependents {
-    /// Open jobs, by each of their dependencies.
+    /// Returns the open jobs, by each of their dependencies.
     pub(crate) fn by_awaited(&self) -> &BTreeMap<String, BTreeSet<String>> {
         &self.by_dependency
     }
 
-    /// Open jobs that depend on a cancelled one, directly or through others.
+    /// Returns the open jobs that depend on a cancelled job, directly or transitively.
     pub fn doomed(&self) -> &BTreeSet<String> {
-        &self.doomed
+        &self.with_cancelled_dependency
     }
 
-    /// Open jobs that name this one as a dependency.
+    /// Returns the open jobs that name this job as a dependency.
     pub fn of(&self, id: &str) -> Vec<String> {
         self.by_dependency
             .get(id)
             .map_or(Vec::new(), |jobs| jobs.iter().cloned().collect())
     }
 
-    /// A job's dependencies changed; it has none once it is over.
-    pub(crate) fn link(&mut self, id: &str, before: &[String], now: &[String]) {
-        if before != now {
-            for dependency in before {
+    /// Replaces a job's dependencies in the index. A job that is done or cancelled has none.
+    pub(crate) fn link(&mut self, id: &str, old: &[String], new: &[String]) {
+        if old != new {
+            for dependency in old {
                 if let Some(jobs) = self.by_dependency.get_mut(dependency) {
                     jobs.remove(id);
                     if jobs.is_empty() {
@@ -38,28 +40,28 @@
                     }
                 }
             }
-            for dependency in now {
+            for dependency in new {
                 let jobs = self.by_dependency.entry(dependency.clone()).or_default();
                 jobs.insert(id.to_string());
             }
         }
-        if now.is_empty() {
-            self.doomed.remove(id);
+        if new.is_empty() {
+            self.with_cancelled_dependency.remove(id);
         }
     }
 
-    /// An open job depends on a cancelled one, and so do its dependents.
+    /// Marks an open job and its transitive dependents as dependent on a cancelled job.
     pub(crate) fn doom(&mut self, id: &str) {
         let mut unvisited = vec![id.to_string()];
         while let Some(id) = unvisited.pop() {
-            if !self.doomed.contains(&id) {
+            if !self.with_cancelled_dependency.contains(&id) {
                 unvisited.extend(self.of(&id));
-                self.doomed.insert(id);
+                self.with_cancelled_dependency.insert(id);
             }
         }
     }
 
-    /// A job was cancelled: its dependents depend on a cancelled one.
+    /// Marks all transitive dependents of a cancelled job.
     pub(crate) fn cancelled(&mut self, id: &str) {
         for dependent in self.of(id) {
             self.doom(&dependent);
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,7 +1,8 @@
-//! Shared records: their keys, their values, a controller's copy of them, and conditional transactions.
+//! The shared records in the state store: their keys and values, a controller's cache of them, and
+//! compare-and-swap transactions.
 //!
-//! Values know keys, the cache knows both, and transactions are built over the cache: none of them knows
-//! what stands after it here.
+//! Dependencies point one way: keys depend on none of the others, values on keys, the cache on keys
+//! and values, and transactions on all three.
 
 mod cache;
 mod dependents;
--- a/crates/core/src/state/write_control.rs
+++ b/crates/core/src/state/write_control.rs
@@ -1,4 +1,5 @@
-//! When, and how much, a controller may write to the state service.
+//! Limits when and how much a controller writes to the state store: the rate of changes, and the
+//! retries of transactions on assignments after a conflict.
 
 use crate::constants::{CONFLICT_PAUSE_MS, WRITE_BURST_S};
 use crate::controller::{Controller, OperationId, StateResponse};
@@ -8,39 +9,40 @@
 use crate::token_bucket::TokenBucket;
 use std::collections::BTreeSet;
 
-/// When a transaction on assignments is tried again after one that did not commit.
+/// The condition for the next transaction on assignments after one that didn't commit. Either of
+/// the two suffices.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AssignmentRetry {
-    /// As soon as the cache has reached this revision, ...
+    /// The revision that the cache must have reached.
     revision: u64,
-    /// ... and at this time in any case.
+    /// The time from which the controller retries at any revision.
     at: Millis,
 }
 
-/// When, and how much, this controller may write to the state service.
+/// The write budget of a controller, and the state of its transactions on assignments.
 pub(crate) struct WriteControl {
-    /// Changes that may be sent, refilled at the rate that the settings give.
+    /// Rate limit of the changes that the controller sends; the settings give the rate.
     pub(crate) budget: TokenBucket,
-    /// When the state service last refused requests as too many.
+    /// Time at which the state store last rejected requests because of its rate limit.
     pub(crate) throttled_at: Option<Millis>,
-    /// The next changes are a scheduling pass's: result writes and passes alternate while changes
-    /// are short.
+    /// Whether the next changes in the budget are reserved for a scheduling pass. Writes of results
+    /// and passes alternate while the budget is short.
     pub(crate) pass_goes_first: bool,
-    /// Changes that a write of results may hold: halved by each conflict, since a transaction that
-    /// fails costs as many as one that commits.
+    /// Maximum number of changes in a transaction that writes results. Each conflict halves it,
+    /// because a failed transaction costs as much of the rate limit as a committed one.
     pub(crate) max_result_changes: usize,
     /// The latest transaction on assignments, while it is outstanding.
     pub(crate) assignment_write: Option<OperationId>,
-    /// After a transaction on assignments that did not commit.
+    /// The condition for a retry, after a transaction on assignments that didn't commit.
     pub(crate) assignment_retry: Option<AssignmentRetry>,
-    /// Records logged as too large for a value.
+    /// Records that the controller has logged as too large for a value.
     pub(crate) oversized_logged: BTreeSet<Key>,
-    /// When records that the state service refused were last tried again.
+    /// Time at which the controller last retried records that the state store had refused.
     pub(crate) refused_records_retried_at: Millis,
 }
 
 impl WriteControl {
-    /// With a full budget. `now`: when the controller starts.
+    /// Returns the initial state with a full budget; `now` is the start time of the controller.
     pub(crate) fn new(settings: &Settings, now: Millis) -> WriteControl {
         WriteControl {
             budget: TokenBucket::new(settings.write_rps, WRITE_BURST_S, now),
@@ -54,9 +56,9 @@
         }
     }
 
-    /// Notes the end of a transaction on assignments. One that did not commit is tried again once
-    /// the watch has brought what conflicted: at once it would meet the same conflict, and
-    /// conflicts cost budget.
+    /// Records the outcome of a transaction on assignments. After one that didn't commit, the
+    /// controller waits until the watch has delivered the conflicting change: an immediate retry
+    /// would meet the same conflict, and conflicts use up the write budget.
     fn assignment_write_finished(&mut self, response: &StateResponse, now: Millis) {
         let at = now + CONFLICT_PAUSE_MS;
         self.assignment_write = None;
@@ -73,7 +75,8 @@
         };
     }
 
-    /// Whether a transaction on assignments may be sent, with the cache at `revision`.
+    /// Returns whether the controller may send a transaction on assignments, with the cache at
+    /// `revision`.
     fn may_write_assignments(&self, revision: u64, now: Millis) -> bool {
         let may_retry = |retry: AssignmentRetry| revision >= retry.revision || now >= retry.at;
         self.assignment_write.is_none() && self.assignment_retry.is_none_or(may_retry)
@@ -81,20 +84,21 @@
 }
 
 impl Controller {
-    /// A transaction on assignments has a response.
+    /// Handles the response to a transaction on assignments.
     pub(super) fn assignment_write_finished(
         &mut self,
         operation: OperationId,
         response: &StateResponse,
     ) {
         self.state_changed = true;
-        // One that had no response in time holds up nothing any more: others were sent since.
+        // A transaction that timed out no longer blocks others, so its late response changes
+        // nothing here.
         if self.writes.assignment_write == Some(operation) {
             self.writes.assignment_write_finished(response, self.now);
         }
     }
 
-    /// Whether a transaction on assignments may be sent now.
+    /// Returns whether the controller may send a transaction on assignments now.
     pub(crate) fn may_write(&self) -> bool {
         self.writes
             .may_write_assignments(self.cache.revision, self.now)
