--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -63,7 +63,7 @@
         {
             return;
         }
-        let mut draft = TransactionBuilder::limited(&self.cache, most);
+        let mut draft = TransactionBuilder::with_max_changes(&self.cache, most);
         let mut jobs = Vec::new();
         for id in self.cache.dependents().doomed() {
             let Some(job) = self.cache.job(id).filter(|_| self.cache.doomed(id)) else {
@@ -102,13 +102,13 @@
                 continue;
             }
             for (n, _) in self.cache.chunks_of(job) {
-                if draft.ops() < self.settings.max_transaction_changes.div_ceil(2) {
+                if draft.change_count() < self.settings.max_transaction_changes.div_ceil(2) {
                     draft.remove(Key::Chunk(job.to_string(), n));
                 }
             }
         }
         for (job, _, _) in self.cache.places() {
-            if draft.ops() < self.settings.max_transaction_changes.div_ceil(2)
+            if draft.change_count() < self.settings.max_transaction_changes.div_ceil(2)
                 && self
                     .cache
                     .job(job)
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -172,7 +172,7 @@
         builder.put(Key::Job(id), Record::Job(cancelled));
         // Whether the cancellation is answered at its commit, or once it is confirmed, is the order
         // of the two revisions.
-        builder.rests_on(Key::CancellationConfirmation);
+        builder.add_condition(Key::CancellationConfirmation);
         let transaction = builder.finish();
         let purpose = PendingOperation::UserRequest(request);
         self.commit(transaction, purpose, RequestClass::User);
@@ -201,7 +201,8 @@
         let mut builder = TransactionBuilder::new(&self.cache);
         builder.put(Key::Job(id), Record::Job(record));
         if self.settings.checks.configured {
-            builder.rests_on_revision(Key::Configuration, self.settings.policy.mod_revision);
+            builder
+                .add_condition_at_revision(Key::Configuration, self.settings.policy.mod_revision);
         }
         let transaction = builder.finish();
         let purpose = PendingOperation::UserRequest(request);
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -134,7 +134,7 @@
         let max_bytes = self.settings.max_value_bytes;
         let mut draft = TransactionBuilder::new(&self.cache);
         if (instances.len() as u32) < request.count {
-            let mut fleet = draft.fleet();
+            let mut fleet = draft.provisioning_record();
             fleet.refused.retain(|_, until| *until > self.wall);
             let until = self.wall + OFFER_UNAVAILABLE_MS;
             fleet.refused.insert(request.offer(), until);
--- a/crates/core/src/provisioning/demand.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -83,7 +83,7 @@
     /// What to provision for pending work that no machine, present or on its way, can take: per job the
     /// cheapest way to serve it, offers refused lately passed over.
     pub fn demand(&self, work: &[PendingWork]) -> Vec<InstanceDemand> {
-        let offers = self.cache.fleet();
+        let offers = self.cache.provisioning_record();
         let mut instances = self.instances_on_their_way();
         let on_their_way = instances.len();
         let max = PROVISION_MAX_INSTANCES as usize * PROVISION_REQUESTS_AT_ONCE;
--- a/crates/core/src/provisioning/scale_out.rs
+++ b/crates/core/src/provisioning/scale_out.rs
@@ -45,7 +45,7 @@
         let max_requests =
             PROVISION_REQUESTS_AT_ONCE.min(self.settings.max_transaction_changes - 1);
         let mut draft = TransactionBuilder::new(&self.cache);
-        let mut fleet = draft.fleet();
+        let mut fleet = draft.provisioning_record();
         let mut created = Vec::new();
         for demand in demand.into_iter().take(max_requests) {
             let n = fleet.next;
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -358,7 +358,7 @@
             }
         }
         let rate = self.settings.write_rps.min(self.settings.next_write_rps) * LEARN_SHARE;
-        let pause = draft.ops() as f64 * 1e3 / rate.max(1e-6);
+        let pause = draft.change_count() as f64 * 1e3 / rate.max(1e-6);
         self.run_times.record_at = self.now + pause as Millis;
         self.run_times.recording_in_flight = true;
         self.run_times.book.sent(class, &batches);
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -250,13 +250,13 @@
         team: &Team,
     ) -> bool {
         let (job_id, bytes) = (&self.request.task.job, self.assignment_bytes());
-        if draft.touches(&self.chunk_key()) {
+        if draft.has_change(&self.chunk_key()) {
             return draft.has_room(settings, 0, 1, bytes);
         }
         // With the records of its team and places, which may be new to the draft as well.
-        let adds_team = is_limited(team) && !draft.touches(&Key::Team(self.spec.team.clone()));
-        let adds_zones =
-            counts_zones(self.spec, self.job) && !draft.touches(&Key::ZoneSpread(job_id.clone()));
+        let adds_team = is_limited(team) && !draft.has_change(&Key::Team(self.spec.team.clone()));
+        let adds_zones = counts_zones(self.spec, self.job)
+            && !draft.has_change(&Key::ZoneSpread(job_id.clone()));
         let known_chunk = draft
             .chunk(job_id, self.chunk)
             .map_or(0, |chunk| chunk.size());
@@ -281,10 +281,10 @@
         // No two claims of a task that take effect share their attempt, whatever arrives late or
         // twice: each changes the revision that it was conditional on.
         let attempt = draft.cache.claim_revision(&task.job, self.chunk);
-        draft.rests_on(Key::Job(task.job.clone()));
-        draft.rests_on(Key::Machine(machine.clone()));
+        draft.add_condition(Key::Job(task.job.clone()));
+        draft.add_condition(Key::Machine(machine.clone()));
         if settings.checks.configured {
-            draft.rests_on_revision(Key::Configuration, settings.policy.mod_revision);
+            draft.add_condition_at_revision(Key::Configuration, settings.policy.mod_revision);
         }
         let chunk = draft
             .chunk_mut(&task.job, self.chunk, || {
@@ -303,8 +303,8 @@
             },
             stop: None,
         });
-        draft.grow(self.assignment_bytes());
-        draft.use_more(&spec.team, &spec.resources);
+        draft.add_bytes(self.assignment_bytes());
+        draft.add_usage(&spec.team, &spec.resources);
         if is_limited(team) {
             let usage = draft.usage(&spec.team);
             draft.put(Key::Team(spec.team.clone()), Record::Team(usage));
@@ -343,7 +343,7 @@
         AttemptOutcome::Refused | AttemptOutcome::Terminated => false,
     };
     let may_finish_job = outcome == AttemptOutcome::Done && job.chunks() == 1;
-    let adds = |key: Key| usize::from(!draft.touches(&key));
+    let adds = |key: Key| usize::from(!draft.has_change(&key));
     adds(Key::Chunk(task.job.clone(), chunk))
         + usize::from(may_finish_job) * adds(Key::Job(task.job.clone()))
         + usize::from(may_change_machine) * adds(Key::Machine(machine))
@@ -453,7 +453,10 @@
         machine.faults.push(job.to_string());
     }
     // Jobs submitted with a mistake fail everywhere: two of them say nothing about a machine.
-    let telling = machine.faults.iter().filter(|job| !draft.suspect(job));
+    let telling = machine
+        .faults
+        .iter()
+        .filter(|job| !draft.is_suspect_job(job));
     let is_faulty = telling.count() >= SICK_JOBS;
     if is_faulty && machine.phase == MachinePhase::Up {
         machine.phase = MachinePhase::Draining;
--- a/crates/core/src/scheduling/pending_work.rs
+++ b/crates/core/src/scheduling/pending_work.rs
@@ -151,7 +151,7 @@
         spec: &JobSpec,
     ) -> Option<(PendingWork, Option<StartGoals>)> {
         let mut pending = self.pending_tasks(id, job);
-        let is_suspect = self.cache.suspect(id);
+        let is_suspect = self.cache.is_suspect_job(id);
         if is_suspect {
             let nothing_runs = self.cache.counts(id).assigned == 0;
             pending.indices.truncate(usize::from(nothing_runs));
--- a/crates/core/src/scheduling/placement.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -49,7 +49,7 @@
 ) -> Plan {
     let mut draft = PlanDraft {
         view,
-        transaction: TransactionBuilder::limited(view.cache, max_changes),
+        transaction: TransactionBuilder::with_max_changes(view.cache, max_changes),
         reserve: ServiceReserve::new(view, work, machines),
         claims: Vec::new(),
         fetches: Vec::new(),
--- a/crates/core/src/scheduling/stops.rs
+++ b/crates/core/src/scheduling/stops.rs
@@ -72,7 +72,7 @@
             chosen.push((stop.machine, stop.task));
         }
         if let Some(condition) = condition {
-            draft.rests_on_revision(condition.key, condition.mod_revision);
+            draft.add_condition_at_revision(condition.key, condition.mod_revision);
         }
         let oversized = draft.drop_oversized(max_bytes);
         let outcome = StopOutcome {
--- a/crates/core/src/state/cache/jobs.rs
+++ b/crates/core/src/state/cache/jobs.rs
@@ -132,7 +132,7 @@
 
     /// Returns whether a job itself appears to be faulty: its tasks have failed on several
     /// machines, and none has ever succeeded.
-    pub fn suspect(&self, job: &str) -> bool {
+    pub fn is_suspect_job(&self, job: &str) -> bool {
         let has_failed = |chunk: &ChunkRecord| chunk.failed_on.len() >= FAULTY_MACHINES;
         let mut chunks = self.chunks_of(job);
         self.counts(job).done == 0 && chunks.any(|(_, chunk)| has_failed(chunk))
--- a/crates/core/src/state/cache/mod.rs
+++ b/crates/core/src/state/cache/mod.rs
@@ -147,7 +147,7 @@
     }
 
     /// Returns the provisioning record, or an empty one if there is none.
-    pub fn fleet(&self) -> ProvisioningRecord {
+    pub fn provisioning_record(&self) -> ProvisioningRecord {
         let row = self.provisioning.get(&());
         row.map_or(ProvisioningRecord::default(), |(record, _)| record.clone())
     }
--- a/crates/core/src/state/transaction.rs
+++ b/crates/core/src/state/transaction.rs
@@ -27,7 +27,7 @@
 
 impl CasTransaction {
     /// Returns the request body in the JSON form of the state store.
-    pub fn text(&self) -> String {
+    pub fn request_body(&self) -> String {
         let conditions: Vec<Value> = (self.conditions.iter())
             .map(|(key, mod_revision)| json!({"k": key.path(), "stamp": mod_revision}))
             .collect();
@@ -70,26 +70,26 @@
         }
     }
     /// Creates a builder for at most `max_changes` changes.
-    pub fn limited(cache: &'a StateCache, max_changes: usize) -> TransactionBuilder<'a> {
+    pub fn with_max_changes(cache: &'a StateCache, max_changes: usize) -> TransactionBuilder<'a> {
         TransactionBuilder {
             max_changes,
             ..TransactionBuilder::new(cache)
         }
     }
     /// Adds the condition that the record of this key is still the cached one.
-    pub fn rests_on(&mut self, key: Key) {
+    pub fn add_condition(&mut self, key: Key) {
         let mod_revision = self.cache.mod_revision(&key);
         self.conditions.entry(key).or_insert(mod_revision);
     }
     /// Adds the condition that this key is still at a revision that was read earlier.
-    pub fn rests_on_revision(&mut self, key: Key, mod_revision: u64) {
+    pub fn add_condition_at_revision(&mut self, key: Key, mod_revision: u64) {
         self.conditions.entry(key).or_insert(mod_revision);
     }
     /// Returns a machine's record with the changes so far, and makes the transaction conditional on
     /// it.
     pub fn machine(&mut self, id: &str) -> Option<MachineRecord> {
         let key = Key::Machine(id.to_string());
-        self.rests_on(key.clone());
+        self.add_condition(key.clone());
         match self.changes.get(&key) {
             Some(Some(Record::Machine(machine))) => Some(machine.clone()),
             Some(_) => None,
@@ -98,16 +98,16 @@
     }
     /// Returns the provisioning record with the changes so far, and makes the transaction
     /// conditional on it.
-    pub fn fleet(&mut self) -> ProvisioningRecord {
-        self.rests_on(Key::Provisioning);
+    pub fn provisioning_record(&mut self) -> ProvisioningRecord {
+        self.add_condition(Key::Provisioning);
         match self.changes.get(&Key::Provisioning) {
             Some(Some(Record::Provisioning(provisioning))) => provisioning.clone(),
-            _ => self.cache.fleet(),
+            _ => self.cache.provisioning_record(),
         }
     }
     /// Returns whether a job's failures must not count against the machines that it ran on: the job
     /// itself appears to be faulty, or the cache can't tell, as for a cancelled or unknown job.
-    pub fn suspect(&self, job: &str) -> bool {
+    pub fn is_suspect_job(&self, job: &str) -> bool {
         let Some(record) = self.cache.job(job) else {
             return true;
         };
@@ -121,7 +121,7 @@
         match record.phase {
             JobPhase::Done => false,
             JobPhase::Cancelled => true,
-            JobPhase::Open => !has_succeeded && (has_failed || self.cache.suspect(job)),
+            JobPhase::Open => !has_succeeded && (has_failed || self.cache.is_suspect_job(job)),
         }
     }
     /// Returns a chunk with the changes so far, or none if neither the cache nor the transaction
@@ -166,7 +166,7 @@
         if matches!(key, Key::Machine(_)) && self.cache.is_refused(&key) {
             return;
         }
-        self.rests_on(key.clone());
+        self.add_condition(key.clone());
         self.change_bytes += match &record {
             Record::Chunk(chunk) => chunk.size(),
             _ if self.changes.contains_key(&key) => 0,
@@ -176,7 +176,7 @@
     }
     /// Adds the removal of a record, conditional on the cached record.
     pub fn remove(&mut self, key: Key) {
-        self.rests_on(key.clone());
+        self.add_condition(key.clone());
         self.changes.insert(key, None);
     }
     /// Returns a team's usage including the claims in the transaction.
@@ -189,7 +189,7 @@
         usage
     }
     /// Adds the resources of a claim to a team's usage.
-    pub fn use_more(&mut self, team: &str, resources: &Resources) {
+    pub fn add_usage(&mut self, team: &str, resources: &Resources) {
         let claimed = self.claimed_usage.entry(team.to_string()).or_default();
         claimed.cpus = claimed.cpus.saturating_add(resources.cpus);
         claimed.gpus = claimed.gpus.saturating_add(resources.gpus);
@@ -199,11 +199,11 @@
         self.changes.is_empty()
     }
     /// Returns whether the transaction changes this key.
-    pub fn touches(&self, key: &Key) -> bool {
+    pub fn has_change(&self, key: &Key) -> bool {
         self.changes.contains_key(key)
     }
     /// Returns the number of changes.
-    pub fn ops(&self) -> usize {
+    pub fn change_count(&self) -> usize {
         self.changes.len()
     }
     /// Returns whether the transaction stays within the limits of the state store with this many
@@ -221,7 +221,7 @@
             && self.change_bytes + self.conditions.len() * KEY_BYTES + bytes <= TXN_BYTES
     }
     /// Counts bytes by which a record in the transaction has grown.
-    pub fn grow(&mut self, bytes: usize) {
+    pub fn add_bytes(&mut self, bytes: usize) {
         self.change_bytes += bytes;
     }
     /// Removes the chunks that exceed the maximum value size from the changes, and returns their
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -78,7 +78,7 @@
         let waiting = in_use.len() + self.write_back.machine_updates.len();
         let limit = max_changes.min(self.settings.max_transaction_changes);
         let mut draft = ResultsDraft {
-            builder: TransactionBuilder::limited(&self.cache, max_changes),
+            builder: TransactionBuilder::with_max_changes(&self.cache, max_changes),
             settings: &self.settings,
             kept_for_machines: waiting.min(limit / 2),
             is_full: false,
@@ -202,7 +202,7 @@
             let mut any = false;
             for (task, attempt) in self.starts_for_reply(held) {
                 let key = self.chunk_key(&task);
-                let is_touched = key.is_some_and(|key| draft.builder.touches(&key));
+                let is_touched = key.is_some_and(|key| draft.builder.has_change(&key));
                 if !draft.has_room_besides_machines(usize::from(!is_touched)) {
                     draft.is_full = true;
                     break;
@@ -261,7 +261,7 @@
                 continue;
             };
             let key = Key::Machine(id.clone());
-            if !draft.builder.touches(&key) {
+            if !draft.builder.has_change(&key) {
                 draft.builder.put(key, Record::Machine(machine));
             }
         }
--- a/crates/core/tests/pinned_forms.rs
+++ b/crates/core/tests/pinned_forms.rs
@@ -159,6 +159,6 @@
 fn transactions_are_written_as_the_state_service_takes_them() {
     for [format, text] in lines(TRANSACTIONS) {
         let format: u32 = format.parse().expect("a format's number");
-        assert_eq!(transaction(format, text).text(), text);
+        assert_eq!(transaction(format, text).request_body(), text);
     }
 }
--- a/crates/ctl/src/state_client.rs
+++ b/crates/ctl/src/state_client.rs
@@ -191,7 +191,10 @@
     ///
     /// If the state service is not reached, keeps refusing, or rejects the transaction itself.
     pub fn commit(&self, transaction: &CasTransaction) -> Result<CommitOutcome, StateClientError> {
-        let (url, text) = (format!("http://{}/txn", self.address), transaction.text());
+        let (url, text) = (
+            format!("http://{}/txn", self.address),
+            transaction.request_body(),
+        );
         with_retries(|| self.try_commit(&url, &text))
     }
 
--- a/crates/glenmount/src/state_client/exchange.rs
+++ b/crates/glenmount/src/state_client/exchange.rs
@@ -103,7 +103,7 @@
 async fn execute(http: &HttpClient, operation: &StateOperation) -> Option<StateResponse> {
     let answer = match operation {
         StateOperation::Transaction(transaction) => {
-            let body = transaction.text();
+            let body = transaction.request_body();
             http.post(wire::TRANSACTION_PATH, body, LIMITS).await
         }
         StateOperation::ReadIndex => http.get(wire::BARRIER_PATH, LIMITS).await,
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -201,7 +201,7 @@
             StateOperation::Transaction(transaction) => {
                 self.number(1);
                 self.number(u64::from(transaction.format));
-                self.text(&transaction.text());
+                self.text(&transaction.request_body());
             }
             StateOperation::ReadIndex => self.number(2),
             StateOperation::List { after } => {
