--- a/crates/core/src/configuration/rollout.rs
+++ b/crates/core/src/configuration/rollout.rs
@@ -40,7 +40,9 @@
 
     /// Adds the record that enables configurations on record, once every controller reads them.
     pub(crate) fn draft_configuration_enabled(&self, draft: &mut TransactionBuilder) {
-        if self.cache.format() >= formats::STORED_CONFIGURATION && !self.cache.is_configurable() {
+        if self.cache.common_format() >= formats::STORED_CONFIGURATION
+            && !self.cache.is_configuration_enabled()
+        {
             let version = formats::STORED_CONFIGURATION;
             let record = Record::ConfigurationEnabled(ConfigurationEnabledRecord { version });
             draft.put(Key::ConfigurationEnabled, record);
@@ -49,12 +51,12 @@
 
     /// Enables configurations on record, once, and records the version that this controller follows.
     pub(crate) fn record_observed_version(&mut self) {
-        if self.cache.format() < formats::STORED_CONFIGURATION {
+        if self.cache.common_format() < formats::STORED_CONFIGURATION {
             return;
         }
         let is_confirmation_enabled = self.cache.mod_revision(&Key::CancellationConfirmation) > 0;
         if is_confirmation_enabled
-            && !self.cache.is_configurable()
+            && !self.cache.is_configuration_enabled()
             && !self.upgrade.configuration_enabling_in_flight
         {
             let mut draft = TransactionBuilder::new(&self.cache);
@@ -68,7 +70,7 @@
             );
         }
         let version = self.settings.policy.version;
-        let on_record = self.cache.followed_by(&self.settings.controller);
+        let on_record = self.cache.observed_version(&self.settings.controller);
         if self
             .configuration
             .start_recording_version(version, on_record)
--- a/crates/core/src/controller/upgrade.rs
+++ b/crates/core/src/controller/upgrade.rs
@@ -54,7 +54,7 @@
     }
 
     fn log_format(&mut self) {
-        let format = self.cache.format();
+        let format = self.cache.common_format();
         let is_old = |name: &&String| self.cache.format_of(name) < formats::LATEST;
         let old = self.settings.controllers.iter().filter(is_old);
         let old: Vec<&str> = old.map(String::as_str).collect();
@@ -74,7 +74,7 @@
     /// be in force any time: from the first such answer on this controller keeps to them.
     pub(super) fn throttled(&mut self) {
         self.writes.throttled_at = Some(self.now);
-        if self.cache.format() == formats::LATEST {
+        if self.cache.common_format() == formats::LATEST {
             self.writes.budget.slow_down(self.settings.next_write_rps);
         }
     }
--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -25,7 +25,7 @@
 use crate::model::{JobState, TaskId, TaskPhase, TaskStatus, WorkerCommand, WorkerHeartbeat};
 use crate::state::formats;
 use crate::state::{
-    CancellationConfirmationRecord, Counts, JobPhase, Key, MachinePhase, Placed, Record,
+    AssignedTask, CancellationConfirmationRecord, JobPhase, Key, MachinePhase, Record, TaskCounts,
     TermRecord, TransactionBuilder,
 };
 
@@ -36,7 +36,7 @@
     pub(crate) fn record_cancellation_confirmation(&mut self) {
         let confirmed_from = self.cache.mod_revision(&Key::CancellationConfirmation);
         if self.upgrade.confirmation_in_flight
-            || self.cache.format() < formats::CONFIRMED_CANCELLATION
+            || self.cache.common_format() < formats::CONFIRMED_CANCELLATION
         {
             return;
         }
@@ -53,12 +53,16 @@
             (_, Some(term))
                 if term < CONFIRMED_CANCELLATION_TERM && self.cache.revision >= confirmed_from =>
             {
-                let is_earlier_and_unfinished = |(job, counts): (&str, Counts)| {
+                let is_earlier_and_unfinished = |(job, counts): (&str, TaskCounts)| {
                     let phase = self.cache.job(job).map(|j| j.phase);
                     let before = self.cache.job_revision(job) < confirmed_from;
                     counts.assigned > 0 && phase == Some(JobPhase::Cancelled) && before
                 };
-                if self.cache.counted().any(is_earlier_and_unfinished) {
+                if self
+                    .cache
+                    .task_counts_by_job()
+                    .any(is_earlier_and_unfinished)
+                {
                     return;
                 }
                 let term = term + CONFIRMED_CANCELLATION_TERM;
@@ -120,7 +124,7 @@
         let confirmed = |id: &RequestId| {
             let request: &UserRequest = self.requests.open.get(id)?;
             let is_cancel = matches!(request.kind, RequestKind::Cancel);
-            let is_confirmed = is_cancel && !self.cache.ending(&request.job);
+            let is_confirmed = is_cancel && !self.cache.is_cancellation_pending(&request.job);
             is_confirmed.then(|| (*id, request.job.clone()))
         };
         let awaiting = self.requests.awaiting_cancellation.iter();
@@ -140,7 +144,7 @@
             .cache
             .machine(id)
             .is_some_and(|m| self.is_zone_unreachable(&m.zone));
-        let other = |(task, _): (&TaskId, &Placed)| self.cache.open_job(&task.job).is_some();
+        let other = |(task, _): (&TaskId, &AssignedTask)| self.cache.open_job(&task.job).is_some();
         quiet && self.cache.assignments(id).any(other)
     }
 
--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -10,7 +10,7 @@
     /// A job of several chunks is done once all of them are; a done chunk never changes.
     pub(crate) fn finish_jobs(&mut self) {
         let mut due = Vec::new();
-        for (id, counts) in self.cache.counted() {
+        for (id, counts) in self.cache.task_counts_by_job() {
             let Some(job) = self.cache.job(id).filter(|j| j.phase == JobPhase::Open) else {
                 continue;
             };
@@ -36,7 +36,7 @@
     /// others follow should it not have. Until then such jobs are answered as cancelled all the
     /// same, so nothing depends on how soon that is.
     pub(crate) fn cancel_overdue_dependents(&mut self) {
-        let doomed = self.cache.dependents().doomed();
+        let doomed = self.cache.dependents().with_cancelled_dependency();
         self.cleanup
             .cancelled_dependency_since
             .retain(|id, _| doomed.contains(id));
@@ -65,8 +65,12 @@
         }
         let mut draft = TransactionBuilder::with_max_changes(&self.cache, most);
         let mut jobs = Vec::new();
-        for id in self.cache.dependents().doomed() {
-            let Some(job) = self.cache.job(id).filter(|_| self.cache.doomed(id)) else {
+        for id in self.cache.dependents().with_cancelled_dependency() {
+            let Some(job) = self
+                .cache
+                .job(id)
+                .filter(|_| self.cache.depends_on_cancelled(id))
+            else {
                 continue;
             };
             if !draft.has_room(&self.settings, 1, 1, SMALL_RECORD_BYTES) {
@@ -93,7 +97,7 @@
             return;
         }
         let mut draft = TransactionBuilder::new(&self.cache);
-        for (job, counts) in self.cache.counted() {
+        for (job, counts) in self.cache.task_counts_by_job() {
             let over = self
                 .cache
                 .job(job)
@@ -107,7 +111,7 @@
                 }
             }
         }
-        for (job, _, _) in self.cache.places() {
+        for (job, _, _) in self.cache.zone_spreads() {
             if draft.change_count() < self.settings.max_transaction_changes.div_ceil(2)
                 && self
                     .cache
@@ -151,7 +155,7 @@
             .deletion_tried_at
             .retain(|id, _| cache.machine(id).is_some());
         let mut starts = std::mem::take(&mut self.workers.starts);
-        let assigned = |(task, at): &Attempt| self.cache.attempt(task, *at).is_some();
+        let assigned = |(task, at): &Attempt| self.cache.assignment_of_attempt(task, *at).is_some();
         starts.forget(assigned, |id| self.last_worker_heartbeat(id).unwrap_or(0));
         self.workers.starts = starts;
     }
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -41,7 +41,7 @@
     cache: &StateCache,
     least_run_ms: &dyn Fn(&str, &JobSpec) -> u64,
 ) -> HashMap<String, InheritedPriority> {
-    let dependents = cache.dependents().by_awaited();
+    let dependents = cache.dependents().by_dependency();
     // Open jobs downstream that are still to be looked at, per job; those without go first.
     let mut left: HashMap<&str, usize> = HashMap::new();
     let mut next: Vec<&str> = Vec::new();
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -191,7 +191,7 @@
             self.answer(request, UserReply::Rejected(reason));
             return;
         }
-        if !spec.dependencies.is_empty() && self.cache.format() < formats::PIPELINES {
+        if !spec.dependencies.is_empty() && self.cache.common_format() < formats::PIPELINES {
             // A controller of an older version would start it at once.
             let after_s = UPGRADE_RETRY_AFTER_S;
             self.answer(request, UserReply::RetryAfter { after_s });
@@ -214,7 +214,7 @@
         JobRecord {
             phase: JobPhase::Open,
             tasks: spec.tasks,
-            chunk: formats::chunk_tasks(self.cache.format(), self.settings.max_value_bytes),
+            chunk: formats::chunk_tasks(self.cache.common_format(), self.settings.max_value_bytes),
             at: self.wall,
             ended: 0,
             spec: Some(spec),
@@ -267,7 +267,7 @@
         tracing::info!(job, "job cancelled");
         self.send_stops(&job);
         self.cancel_dependents();
-        if self.cache.ending(&job) {
+        if self.cache.is_cancellation_pending(&job) {
             self.await_cancellation(request);
             return;
         }
@@ -303,10 +303,10 @@
     /// Whether a job's state is final, though its record may not say so yet.
     fn is_final(&self, id: &str, job: &JobRecord) -> bool {
         match job.phase {
-            JobPhase::Open => self.cache.doomed(id),
+            JobPhase::Open => self.cache.depends_on_cancelled(id),
             JobPhase::Done => true,
             // While the records are read page by page the cache may lack what is assigned.
-            JobPhase::Cancelled => self.sync.has_listed && !self.cache.ending(id),
+            JobPhase::Cancelled => self.sync.has_listed && !self.cache.is_cancellation_pending(id),
         }
     }
 
@@ -330,14 +330,14 @@
         match job.phase {
             JobPhase::Done => (JobState::Done, job.tasks, 0),
             // Nobody has been told of it yet.
-            JobPhase::Cancelled if self.cache.ending(id) => {
-                let counts = self.cache.counts(id);
+            JobPhase::Cancelled if self.cache.is_cancellation_pending(id) => {
+                let counts = self.cache.task_counts(id);
                 (JobState::Running, counts.done, counts.assigned)
             }
             JobPhase::Cancelled => (JobState::Cancelled, 0, 0),
-            JobPhase::Open if self.cache.doomed(id) => (JobState::Cancelled, 0, 0),
+            JobPhase::Open if self.cache.depends_on_cancelled(id) => (JobState::Cancelled, 0, 0),
             JobPhase::Open => {
-                let counts = self.cache.counts(id);
+                let counts = self.cache.task_counts(id);
                 let state = match counts.assigned {
                     0 => JobState::Pending,
                     _ => JobState::Running,
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -21,7 +21,7 @@
         if outcome != HeartbeatOutcome::Accepted {
             return;
         }
-        self.cache.take_hints(&images);
+        self.cache.merge_image_hints(&images);
         if is_behind && self.sync.has_listed {
             // A linearizable read tells whether the watch lags.
             let at = self.now.saturating_sub(STATE_PROBE_INTERVAL_MS);
@@ -141,7 +141,7 @@
             ..status
         };
         // Versions before format 2 refuse a heartbeat with an element more.
-        let longer = self.sync.has_listed && self.cache.format() >= formats::PIPELINES;
+        let longer = self.sync.has_listed && self.cache.common_format() >= formats::PIPELINES;
         self.emit(Effect::PeerHeartbeat(PeerHeartbeat {
             controller: self.settings.controller.clone(),
             at: self.wall,
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -70,7 +70,7 @@
         let by_name = |t: &MachineType| (t.name.clone(), t.clone());
         self.machine_types = machine_types.iter().map(by_name).collect();
         let cache_gb = |t: &MachineType| (t.name.clone(), t.cache_gb);
-        self.cache.cache_gb = machine_types.iter().map(cache_gb).collect();
+        self.cache.image_cache_gb = machine_types.iter().map(cache_gb).collect();
         self.scheduling.pass_requested = true;
     }
 
--- a/crates/core/src/provisioning/scale_in.rs
+++ b/crates/core/src/provisioning/scale_in.rs
@@ -4,7 +4,7 @@
 use crate::controller::{Controller, PendingOperation, RequestClass};
 use crate::model::{JobKind, MachineType, Resources};
 use crate::state::{
-    Key, MachinePhase, MachineRecord, Placed, Record, StateCache, TransactionBuilder,
+    AssignedTask, Key, MachinePhase, MachineRecord, Record, StateCache, TransactionBuilder,
 };
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +22,7 @@
             let Some(mut machine) = draft.machine(&id) else {
                 continue;
             };
-            let assignments = self.cache.assigned_tasks(&id);
+            let assignments = self.cache.assigned_task_count(&id);
             tracing::info!(machine = id, assignments, "machine drained for scale-in");
             machine.phase = MachinePhase::Draining;
             draft.put(Key::Machine(id), Record::Machine(machine));
@@ -60,9 +60,9 @@
             true => machine_type.spot_price,
             false => machine_type.price,
         };
-        let used_cpus = cache.used(id).cpus.max(1) as f64;
+        let used_cpus = cache.used_resources(id).cpus.max(1) as f64;
         if record.phase == MachinePhase::Up
-            && cache.assigned_tasks(id) > 0
+            && cache.assigned_task_count(id) > 0
             && runs_services_only(cache, id)
             && price / used_cpus >= cheapest_per_cpu * SCALE_IN_PRICE_FACTOR
             && is_old_enough(id)
@@ -129,7 +129,7 @@
                 continue;
             }
             if let Some(machine_type) = machine_types.get(&record.type_name) {
-                let free = machine_type.room.less(&cache.used(id));
+                let free = machine_type.room.less(&cache.used_resources(id));
                 machines.insert(id, MigrationTarget { record, free });
             }
         }
@@ -180,7 +180,7 @@
         leaving: &str,
         zone: &str,
         job: &str,
-        placed: &Placed,
+        placed: &AssignedTask,
         taken: &BTreeMap<&'a str, Resources>,
     ) -> Option<&'a str> {
         let spec = self.cache.open_job(job)?;
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -210,7 +210,7 @@
         }
         let begun = self.run_times.begun.get(task).copied();
         let begun = begun.filter(|b| b.attempt == attempt);
-        let assigned = self.cache.attempt(task, attempt);
+        let assigned = self.cache.assignment_of_attempt(task, attempt);
         let (Some(begun), Some(assigned)) = (begun.filter(|b| b.runs), assigned) else {
             return;
         };
@@ -294,7 +294,7 @@
         if !self.learns() {
             return;
         }
-        match self.cache.class_runs(&class) {
+        match self.cache.run_times(&class) {
             Some(r) => {
                 let history = History::unpack(&r.packed).unwrap_or_else(|| {
                     tracing::warn!(
@@ -313,7 +313,7 @@
 
     /// The records were read anew.
     pub(crate) fn run_times_listed(&mut self) {
-        let classes: Vec<u64> = self.cache.all_runs().map(|(c, ..)| *c).collect();
+        let classes: Vec<u64> = self.cache.all_run_times().map(|(c, ..)| *c).collect();
         for class in classes {
             self.run_times_changed(class);
         }
@@ -350,8 +350,12 @@
         };
         let mut draft = TransactionBuilder::new(&self.cache);
         draft.put(Key::RunTimes(class), Record::RunTimes(record));
-        let kept: Vec<(WallMs, u64)> = self.cache.all_runs().map(|(c, r, _)| (r.at, *c)).collect();
-        let new = self.cache.class_runs(&class).is_none();
+        let kept: Vec<(WallMs, u64)> = self
+            .cache
+            .all_run_times()
+            .map(|(c, r, _)| (r.at, *c))
+            .collect();
+        let new = self.cache.run_times(&class).is_none();
         if new && kept.len() >= CLASSES_KEPT {
             if let Some((_, least)) = kept.iter().min() {
                 draft.remove(Key::RunTimes(*least));
@@ -396,7 +400,10 @@
         let now = self.now;
         let fresh = |estimate: &JobEstimate| now < estimate.at + ESTIMATE_MS;
         let stale = |id: &str| !self.run_times.estimates.get(id).is_some_and(fresh);
-        let running = self.cache.counted().filter(|(_, c)| c.assigned > 0);
+        let running = self
+            .cache
+            .task_counts_by_job()
+            .filter(|(_, c)| c.assigned > 0);
         let ids: BTreeSet<&str> = (self.cache.waiting_jobs())
             .map(|(id, ..)| id)
             .chain(running.map(|(id, _)| id))
@@ -495,11 +502,12 @@
     /// Forgets what belongs to what is over.
     pub(crate) fn forget_old_runs(&mut self) {
         let cache = &self.cache;
-        let assigned = |(task, attempt): &Attempt| cache.attempt(task, *attempt).is_some();
+        let assigned =
+            |(task, attempt): &Attempt| cache.assignment_of_attempt(task, *attempt).is_some();
         let learned = &mut self.run_times;
         learned
             .begun
-            .retain(|task, b| cache.attempt(task, b.attempt).is_some());
+            .retain(|task, b| cache.assignment_of_attempt(task, b.attempt).is_some());
         learned.ended.retain(|key, _| assigned(key));
         learned
             .saved_progress
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -140,7 +140,7 @@
     let task = request.task;
     let job = cache.job(&task.job).ok_or(Refusal::JobOver)?;
     let spec = job.open().ok_or(Refusal::JobOver)?;
-    if cache.blocked(&task.job) {
+    if cache.is_blocked(&task.job) {
         return Err(Refusal::Blocked);
     }
     let claim = Claim {
@@ -205,7 +205,7 @@
         if chunk.pause_until > wall {
             return Err(Refusal::Paused);
         }
-        let (format, max_bytes) = (cache.format(), settings.max_value_bytes);
+        let (format, max_bytes) = (cache.common_format(), settings.max_value_bytes);
         match formats::takes_one_more(chunk, self.request.machine, format, max_bytes) {
             true => Ok(()),
             false => Err(Refusal::ChunkFull),
--- a/crates/core/src/scheduling/deferral.rs
+++ b/crates/core/src/scheduling/deferral.rs
@@ -125,7 +125,7 @@
     fn running(&self) -> Running<'_> {
         let mut running = Running::default();
         for (id, _, spec) in self.cache.open_jobs() {
-            let assigned = self.cache.counts(id).assigned;
+            let assigned = self.cache.task_counts(id).assigned;
             let cpus = u64::from(assigned) * spec.resources.cpus;
             match spec.kind {
                 JobKind::Service => {
@@ -204,7 +204,7 @@
             let Some(team) = self.settings.policy.teams.get(&spec.team) else {
                 continue;
             };
-            let unfinished = u64::from(spec.tasks.saturating_sub(self.cache.counts(id).done));
+            let unfinished = u64::from(spec.tasks.saturating_sub(self.cache.task_counts(id).done));
             let (cpus, gpus) = usage.entry(&spec.team).or_default();
             *cpus += unfinished * spec.resources.cpus;
             *gpus += unfinished * spec.resources.gpus;
--- a/crates/core/src/scheduling/migration_step.rs
+++ b/crates/core/src/scheduling/migration_step.rs
@@ -10,7 +10,7 @@
 use crate::scheduling::rescheduling::{self, MigrationCandidate, MigrationReason};
 use crate::scheduling::stops::{Stop, StopReason};
 use crate::state::{
-    Assignment, JobRecord, MachinePhase, MachineRecord, Placed, TransactionBuilder,
+    AssignedTask, Assignment, JobRecord, MachinePhase, MachineRecord, TransactionBuilder,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -128,9 +128,10 @@
         &'a self,
         id: &'a str,
     ) -> impl Iterator<Item = MigrationCandidate> + 'a {
-        let is_movable =
-            move |(task, placed): &(&TaskId, &Placed)| self.is_movable(task, &placed.assignment);
-        let candidate = move |(task, placed): (&TaskId, &Placed)| MigrationCandidate {
+        let is_movable = move |(task, placed): &(&TaskId, &AssignedTask)| {
+            self.is_movable(task, &placed.assignment)
+        };
+        let candidate = move |(task, placed): (&TaskId, &AssignedTask)| MigrationCandidate {
             task: task.clone(),
             attempt: placed.assignment.attempt,
             machine: id.to_string(),
@@ -167,7 +168,7 @@
             free.entry(&record.zone).or_default().push(FreeMachine {
                 id,
                 record,
-                free: machine_type.room.less(&self.cache.used(id)),
+                free: machine_type.room.less(&self.cache.used_resources(id)),
             });
         }
         free
@@ -182,7 +183,7 @@
         free: &FreeByZone,
     ) -> Option<MigrationCandidate> {
         let is_spread = spec.kind == JobKind::Service && !spec.zone_affinity && spec.zone.is_none();
-        let is_complete = self.cache.counts(id).assigned == job.tasks;
+        let is_complete = self.cache.task_counts(id).assigned == job.tasks;
         if !is_spread || job.tasks < 2 || !is_complete {
             return None;
         }
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -107,7 +107,7 @@
             let Some(machine_type) = self.machine_types.get(&record.type_name) else {
                 continue;
             };
-            let free = machine_type.room.less(&self.cache.used(id));
+            let free = machine_type.room.less(&self.cache.used_resources(id));
             if free.cpus == 0
                 || free.ram == 0
                 || record.phase != MachinePhase::Up
@@ -137,7 +137,7 @@
                 free,
                 last_assigned_at: last_assigned_at.copied().unwrap_or(0),
                 reports_here: sight.reports_here(),
-                is_busy: self.cache.assigned_tasks(id) > 0,
+                is_busy: self.cache.assigned_task_count(id) > 0,
                 fetch_ms: fetching_until.map_or(0, |until| until.saturating_sub(self.now)),
                 carrier: self.delivery_for(&sight, record),
             });
--- a/crates/core/src/scheduling/pending_work.rs
+++ b/crates/core/src/scheduling/pending_work.rs
@@ -153,7 +153,7 @@
         let mut pending = self.pending_tasks(id, job);
         let is_suspect = self.cache.is_suspect_job(id);
         if is_suspect {
-            let nothing_runs = self.cache.counts(id).assigned == 0;
+            let nothing_runs = self.cache.task_counts(id).assigned == 0;
             pending.indices.truncate(usize::from(nothing_runs));
         }
         if pending.indices.is_empty() {
@@ -350,7 +350,7 @@
     let spec = cache
         .open_job(id)
         .filter(|spec| spec.kind == JobKind::Array)?;
-    let counts = cache.counts(id);
+    let counts = cache.task_counts(id);
     let begun = counts.assigned + counts.done;
     (begun <= first_part(spec)).then_some(begun)
 }
--- a/crates/core/src/scheduling/preemption.rs
+++ b/crates/core/src/scheduling/preemption.rs
@@ -278,7 +278,7 @@
             id,
             record,
             available: total.less(&staying),
-            free: total.less(&cache.used(id)),
+            free: total.less(&cache.used_resources(id)),
             victims,
         });
     }
--- a/crates/core/src/state/cache/assignments.rs
+++ b/crates/core/src/state/cache/assignments.rs
@@ -9,13 +9,13 @@
 /// The tasks assigned to a machine, and the resources that they use.
 #[derive(Debug, Default)]
 pub(super) struct MachineAssignments {
-    tasks: BTreeMap<TaskId, Placed>,
+    tasks: BTreeMap<TaskId, AssignedTask>,
     used: Resources,
 }
 
 /// A task's assignment, and the resources that it uses.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Placed {
+pub struct AssignedTask {
     /// The assignment on record.
     pub assignment: Assignment,
     /// Resources that the task uses.
@@ -24,7 +24,7 @@
 
 /// The numbers of assigned and of done tasks of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct TaskCounts {
     /// Number of tasks that are assigned to a machine.
     pub assigned: u32,
     /// Number of tasks that are done.
@@ -45,42 +45,42 @@
 
 impl StateCache {
     /// Returns the jobs with chunks on record, in any phase, and their task counts.
-    pub fn counted(&self) -> impl Iterator<Item = (&str, Counts)> {
+    pub fn task_counts_by_job(&self) -> impl Iterator<Item = (&str, TaskCounts)> {
         let counts = self.counts.iter();
         counts.map(|(job, counts)| (job.as_str(), *counts))
     }
 
     /// Returns the task counts of a job.
-    pub fn counts(&self, job: &str) -> Counts {
+    pub fn task_counts(&self, job: &str) -> TaskCounts {
         self.counts.get(job).copied().unwrap_or_default()
     }
 
     /// Returns the tasks assigned to a machine.
-    pub fn assignments(&self, machine: &str) -> impl Iterator<Item = (&TaskId, &Placed)> {
+    pub fn assignments(&self, machine: &str) -> impl Iterator<Item = (&TaskId, &AssignedTask)> {
         let assigned = self.assigned.get(machine).into_iter();
         assigned.flat_map(|assigned| &assigned.tasks)
     }
 
     /// Returns the assignment of a task to this machine, if there is one.
-    pub fn assignment(&self, machine: &str, task: &TaskId) -> Option<&Placed> {
+    pub fn assignment(&self, machine: &str, task: &TaskId) -> Option<&AssignedTask> {
         self.assigned.get(machine)?.tasks.get(task)
     }
 
     /// Returns the assignment of an attempt of a task, on any machine.
-    pub fn attempt(&self, task: &TaskId, attempt: u64) -> Option<&Assignment> {
+    pub fn assignment_of_attempt(&self, task: &TaskId, attempt: u64) -> Option<&Assignment> {
         let n = self.job(&task.job)?.chunk_of(task.index);
         let assignment = self.chunk(&task.job, n)?.assignment(task.index);
         assignment.filter(|assignment| assignment.attempt == attempt)
     }
 
     /// Returns the number of tasks assigned to a machine.
-    pub fn assigned_tasks(&self, machine: &str) -> usize {
+    pub fn assigned_task_count(&self, machine: &str) -> usize {
         let assigned = self.assigned.get(machine);
         assigned.map_or(0, |assigned| assigned.tasks.len())
     }
 
     /// Returns the resources that the tasks assigned to a machine use.
-    pub fn used(&self, machine: &str) -> Resources {
+    pub fn used_resources(&self, machine: &str) -> Resources {
         let assigned = self.assigned.get(machine);
         assigned.map_or(Resources::default(), |assigned| assigned.used)
     }
@@ -162,7 +162,7 @@
             job: job.to_string(),
             index,
         };
-        let placed = Placed {
+        let placed = AssignedTask {
             assignment: assignment.clone(),
             resources,
         };
@@ -172,6 +172,6 @@
         let usage = self.usage.entry(chunk.team.clone()).or_default();
         usage.cpus = usage.cpus.saturating_add(resources.cpus);
         usage.gpus = usage.gpus.saturating_add(resources.gpus);
-        self.note_image(&assignment.machine, job);
+        self.record_image(&assignment.machine, job);
     }
 }
--- a/crates/core/src/state/cache/images.rs
+++ b/crates/core/src/state/cache/images.rs
@@ -105,7 +105,7 @@
     }
 
     /// Merges the hints of a peer for the machines on record.
-    pub fn take_hints(&mut self, hints: &[(String, Vec<(String, f64)>)]) {
+    pub fn merge_image_hints(&mut self, hints: &[(String, Vec<(String, f64)>)]) {
         for (machine, images) in hints {
             if self.machines.contains_key(machine) {
                 self.images.merge(machine, images);
@@ -114,13 +114,13 @@
     }
 
     /// Records that a machine fetches the image of a job, because a task of it was assigned there.
-    pub(super) fn note_image(&mut self, machine: &str, job: &str) {
+    pub(super) fn record_image(&mut self, machine: &str, job: &str) {
         let Some(spec) = self.jobs.get(job).and_then(|(job, _)| job.spec.as_ref()) else {
             return;
         };
         let machine_type = self.machines.get(machine).map(|(m, _)| &m.type_name);
         let capacity_gb = machine_type
-            .and_then(|name| self.cache_gb.get(name))
+            .and_then(|name| self.image_cache_gb.get(name))
             .copied()
             .unwrap_or(f64::INFINITY);
         self.images
--- a/crates/core/src/state/cache/jobs.rs
+++ b/crates/core/src/state/cache/jobs.rs
@@ -35,10 +35,10 @@
 
     /// Adds a job to the index of jobs that wait for machines, or removes it.
     pub(super) fn update_waiting(&mut self, id: &str) {
-        let counts = self.counts(id);
+        let counts = self.task_counts(id);
         let job = self.job(id).filter(|job| job.open().is_some());
         let has_pending = job.is_some_and(|job| counts.assigned + counts.done < job.tasks);
-        if has_pending && !self.blocked(id) {
+        if has_pending && !self.is_blocked(id) {
             if !self.waiting.contains(id) {
                 self.waiting.insert(id.to_string());
             }
@@ -49,7 +49,7 @@
 
     /// Returns whether an open job has a dependency that isn't done on record. `Done` is final, so
     /// an unblocked job never becomes blocked again.
-    pub fn blocked(&self, id: &str) -> bool {
+    pub fn is_blocked(&self, id: &str) -> bool {
         let is_done = |id: &String| self.job(id).is_some_and(|job| job.phase == JobPhase::Done);
         let spec = self.open_job(id);
         spec.is_some_and(|spec| !spec.dependencies.iter().all(is_done))
@@ -58,8 +58,9 @@
     /// Returns whether an open job depends, directly or transitively, on a job whose cancellation
     /// is confirmed. No task of such a job has run or will run, so it counts as cancelled before
     /// its own record is.
-    pub fn doomed(&self, id: &str) -> bool {
-        self.dependents.doomed().contains(id) && self.depends_on_confirmed_cancellation(id)
+    pub fn depends_on_cancelled(&self, id: &str) -> bool {
+        self.dependents.with_cancelled_dependency().contains(id)
+            && self.depends_on_confirmed_cancellation(id)
     }
 
     fn depends_on_confirmed_cancellation(&self, id: &str) -> bool {
@@ -68,7 +69,9 @@
         while let Some(id) = unvisited.pop() {
             for dependency in self.open_job(id).iter().flat_map(|s| &s.dependencies) {
                 match self.job(dependency).map(|job| job.phase) {
-                    Some(JobPhase::Cancelled) if !self.ending(dependency) => return true,
+                    Some(JobPhase::Cancelled) if !self.is_cancellation_pending(dependency) => {
+                        return true
+                    }
                     Some(JobPhase::Open) if visited.insert(dependency) => {
                         unvisited.push(dependency)
                     }
@@ -83,14 +86,14 @@
     /// cancellation yet, because tasks of the job may still run. The cache must have reached the
     /// revision of the cancellation; otherwise it may lack an earlier claim. No claim follows a
     /// cancellation, so once this returns false it stays false.
-    pub fn ending(&self, id: &str) -> bool {
+    pub fn is_cancellation_pending(&self, id: &str) -> bool {
         let cancelled_at = self.job_revision(id);
         let confirmed_from = self.mod_revision(&Key::CancellationConfirmation);
         let job = self.job(id);
         job.is_some_and(|job| job.phase == JobPhase::Cancelled)
             && confirmed_from > 0
             && cancelled_at > confirmed_from
-            && (self.revision < cancelled_at || self.counts(id).assigned > 0)
+            && (self.revision < cancelled_at || self.task_counts(id).assigned > 0)
     }
 
     /// Returns the index of open jobs by their dependencies.
@@ -115,14 +118,16 @@
         let phase = self.job(id).map(|job| job.phase);
         let is_cancelled = |id: &String| {
             let phase = self.jobs.get(id).map(|(job, _)| job.phase);
-            phase == Some(JobPhase::Cancelled) || self.dependents.doomed().contains(id)
+            phase == Some(JobPhase::Cancelled)
+                || self.dependents.with_cancelled_dependency().contains(id)
         };
         let has_cancelled_dependency = dependencies.iter().any(is_cancelled);
-        self.dependents.link(id, &old_dependencies, &dependencies);
+        self.dependents
+            .set_dependencies(id, &old_dependencies, &dependencies);
         self.update_waiting(id);
         match phase {
-            Some(JobPhase::Cancelled) => self.dependents.cancelled(id),
-            _ if has_cancelled_dependency => self.dependents.doom(id),
+            Some(JobPhase::Cancelled) => self.dependents.mark_dependents_of_cancelled(id),
+            _ if has_cancelled_dependency => self.dependents.mark_cancelled_dependency(id),
             _ => {}
         }
         for dependent in self.dependents.of(id) {
@@ -135,6 +140,6 @@
     pub fn is_suspect_job(&self, job: &str) -> bool {
         let has_failed = |chunk: &ChunkRecord| chunk.failed_on.len() >= FAULTY_MACHINES;
         let mut chunks = self.chunks_of(job);
-        self.counts(job).done == 0 && chunks.any(|(_, chunk)| has_failed(chunk))
+        self.task_counts(job).done == 0 && chunks.any(|(_, chunk)| has_failed(chunk))
     }
 }
--- a/crates/core/src/state/cache/mod.rs
+++ b/crates/core/src/state/cache/mod.rs
@@ -6,7 +6,7 @@
 mod refused;
 mod tables;
 
-pub use assignments::{Counts, Placed};
+pub use assignments::{AssignedTask, TaskCounts};
 
 use crate::configuration::{
     ConfigurationEnabledRecord, ConfigurationPageRecord, ConfigurationVersionRecord,
@@ -59,14 +59,14 @@
     waiting: BTreeSet<String>,
     dependents: Dependents,
     /// Task counts of each job with chunks on record.
-    counts: BTreeMap<String, Counts>,
+    counts: BTreeMap<String, TaskCounts>,
     /// Assignments of each machine that has any.
     assigned: HashMap<String, assignments::MachineAssignments>,
     /// Resources that the assignments of each team use.
     usage: BTreeMap<String, TeamRecord>,
     images: ImageHints,
     /// Space for images by machine type, in GB.
-    pub cache_gb: HashMap<String, f64>,
+    pub image_cache_gb: HashMap<String, f64>,
 }
 
 /// Defines two accessors for a kind of record: one for a single record by key, and one for all
@@ -90,7 +90,13 @@
 impl StateCache {
     accessors!(job, jobs, jobs, JobRecord, str);
     accessors!(machine, machines, machines, MachineRecord, str);
-    accessors!(place, places, zone_spreads, ZoneSpreadRecord, str);
+    accessors!(
+        zone_spread,
+        zone_spreads,
+        zone_spreads,
+        ZoneSpreadRecord,
+        str
+    );
     accessors!(
         instance_request,
         instance_requests,
@@ -98,10 +104,10 @@
         InstanceRequestRecord,
         u64
     );
-    accessors!(class_runs, all_runs, run_times, RunTimesRecord, u64);
+    accessors!(run_times, all_run_times, run_times, RunTimesRecord, u64);
 
     /// Returns the latest format that all controllers read.
-    pub fn format(&self) -> u32 {
+    pub fn common_format(&self) -> u32 {
         let formats = self.members.iter().map(|member| self.format_of(member));
         let common_format = formats.min().unwrap_or(formats::OLDEST);
         common_format.min(formats::LATEST)
@@ -180,12 +186,12 @@
     }
 
     /// Returns whether controllers may store configurations.
-    pub fn is_configurable(&self) -> bool {
+    pub fn is_configuration_enabled(&self) -> bool {
         !self.configuration_enabled.is_empty()
     }
 
     /// Returns the configuration version that a controller applies, according to its record.
-    pub fn followed_by(&self, controller: &String) -> Option<u64> {
+    pub fn observed_version(&self, controller: &String) -> Option<u64> {
         let row = self.observed_versions.get(controller);
         row.map(|(record, _)| record.version)
     }
--- a/crates/core/src/state/cache/tables.rs
+++ b/crates/core/src/state/cache/tables.rs
@@ -60,7 +60,7 @@
             Key::Provisioning => Record::Provisioning(self.provisioning.get(&())?.0.clone()),
             Key::Job(id) => Record::Job(self.job(id)?.clone()),
             Key::Chunk(id, n) => Record::Chunk(self.chunk(id, *n)?.clone()),
-            Key::ZoneSpread(id) => Record::ZoneSpread(self.place(id)?.clone()),
+            Key::ZoneSpread(id) => Record::ZoneSpread(self.zone_spread(id)?.clone()),
             Key::Machine(id) => Record::Machine(self.machine(id)?.clone()),
             Key::Team(id) => Record::Team(self.teams.get(id)?.0.clone()),
             Key::InstanceRequest(n) => Record::InstanceRequest(self.instance_request(n)?.clone()),
@@ -68,7 +68,7 @@
             Key::CancellationConfirmation => {
                 Record::CancellationConfirmation(self.cancellation_confirmation.get(&())?.0.clone())
             }
-            Key::RunTimes(class) => Record::RunTimes(self.class_runs(class)?.clone()),
+            Key::RunTimes(class) => Record::RunTimes(self.run_times(class)?.clone()),
             Key::Configuration => Record::Configuration(self.configuration()?.0.clone()),
             Key::ConfigurationPage(version, n) => {
                 Record::ConfigurationPage(self.configuration_page(*version, *n)?.clone())
--- a/crates/core/src/state/dependents.rs
+++ b/crates/core/src/state/dependents.rs
@@ -13,12 +13,12 @@
 
 impl Dependents {
     /// Returns the open jobs, by each of their dependencies.
-    pub(crate) fn by_awaited(&self) -> &BTreeMap<String, BTreeSet<String>> {
+    pub(crate) fn by_dependency(&self) -> &BTreeMap<String, BTreeSet<String>> {
         &self.by_dependency
     }
 
     /// Returns the open jobs that depend on a cancelled job, directly or transitively.
-    pub fn doomed(&self) -> &BTreeSet<String> {
+    pub fn with_cancelled_dependency(&self) -> &BTreeSet<String> {
         &self.with_cancelled_dependency
     }
 
@@ -30,7 +30,7 @@
     }
 
     /// Replaces a job's dependencies in the index. A job that is done or cancelled has none.
-    pub(crate) fn link(&mut self, id: &str, old: &[String], new: &[String]) {
+    pub(crate) fn set_dependencies(&mut self, id: &str, old: &[String], new: &[String]) {
         if old != new {
             for dependency in old {
                 if let Some(jobs) = self.by_dependency.get_mut(dependency) {
@@ -51,7 +51,7 @@
     }
 
     /// Marks an open job and its transitive dependents as dependent on a cancelled job.
-    pub(crate) fn doom(&mut self, id: &str) {
+    pub(crate) fn mark_cancelled_dependency(&mut self, id: &str) {
         let mut unvisited = vec![id.to_string()];
         while let Some(id) = unvisited.pop() {
             if !self.with_cancelled_dependency.contains(&id) {
@@ -62,9 +62,9 @@
     }
 
     /// Marks all transitive dependents of a cancelled job.
-    pub(crate) fn cancelled(&mut self, id: &str) {
+    pub(crate) fn mark_dependents_of_cancelled(&mut self, id: &str) {
         for dependent in self.of(id) {
-            self.doom(&dependent);
+            self.mark_cancelled_dependency(&dependent);
         }
     }
 }
--- a/crates/core/src/state/transaction.rs
+++ b/crates/core/src/state/transaction.rs
@@ -117,7 +117,8 @@
         };
         let chunks: Vec<ChunkRecord> = self.changes.iter().filter_map(changed_chunk).collect();
         let has_failed = chunks.iter().any(|c| c.failed_on.len() >= FAULTY_MACHINES);
-        let has_succeeded = self.cache.counts(job).done > 0 || chunks.iter().any(|c| c.done() > 0);
+        let has_succeeded =
+            self.cache.task_counts(job).done > 0 || chunks.iter().any(|c| c.done() > 0);
         match record.phase {
             JobPhase::Done => false,
             JobPhase::Cancelled => true,
@@ -230,7 +231,7 @@
     /// While format 1 is in use, a chunk that is stored already and larger than `max_value_bytes`
     /// may be rewritten as long as it doesn't grow: versions before format 2 use a larger limit.
     pub fn drop_oversized(&mut self, max_value_bytes: u64) -> Vec<(Key, usize)> {
-        let format = self.cache.format();
+        let format = self.cache.common_format();
         let mut oversized = Vec::new();
         for (key, change) in &self.changes {
             let (Key::Chunk(job, n), Some(Record::Chunk(chunk))) = (key, change) else {
@@ -260,7 +261,7 @@
     /// Returns the finished transaction, with the format that all controllers can read.
     pub fn finish(self) -> CasTransaction {
         CasTransaction {
-            format: self.cache.format(),
+            format: self.cache.common_format(),
             conditions: self.conditions.into_iter().collect(),
             changes: self.changes.into_iter().collect(),
         }
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -193,8 +193,8 @@
     /// Machines that still hold a cancelled task when the time for its cancellation runs out.
     fn find_uncancelled(&self, terminations: &mut Terminations) {
         let confirmed_after_ms = (self.settings.cancel_ms as f64 * CANCEL_DELETE_SHARE) as u64;
-        for (job, counts) in self.cache.counted() {
-            let unconfirmed = self.cache.ending(job);
+        for (job, counts) in self.cache.task_counts_by_job() {
+            let unconfirmed = self.cache.is_cancellation_pending(job);
             let after_ms = match unconfirmed {
                 true => CANCEL_UNCONFIRMED_MS,
                 false => confirmed_after_ms,
@@ -225,7 +225,7 @@
             let first_seen_at = *observation.first_seen_at.get_or_insert(self.now);
             if machine.is_up() {
                 observation.up_since.get_or_insert(self.now);
-                if self.cache.assigned_tasks(id) == 0 {
+                if self.cache.assigned_task_count(id) == 0 {
                     let idle_since = *observation.idle_since.get_or_insert(self.now);
                     // Controllers take turns, so that not all of them record the deletion.
                     let stagger_ms = self.settings.controller_index() * CONTROLLER_STAGGER_MS;
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -3,7 +3,7 @@
 use crate::constants::{HEARTBEAT_HOLD_MS, REPLY_MAX_COMMANDS};
 use crate::controller::{Controller, RequestId, WorkerReply};
 use crate::model::{TaskId, TaskPhase, WorkerCommand, WorkerHeartbeat};
-use crate::state::Placed;
+use crate::state::AssignedTask;
 use crate::workers::heartbeats::HeldHeartbeat;
 use crate::workers::reconciliation::{is_start_fenced, outlived};
 
@@ -93,7 +93,8 @@
     /// to its transaction: nobody else has this heartbeat.
     fn starts_recorded_for(&self, held: &HeldHeartbeat) -> bool {
         let position = held.position();
-        let reply_start = |(_, p): (&TaskId, &Placed)| p.assignment.reply_start == Some(position);
+        let reply_start =
+            |(_, p): (&TaskId, &AssignedTask)| p.assignment.reply_start == Some(position);
         self.settings.checks.doubt
             && !held.early
             && self
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -141,14 +141,14 @@
     fn drop_outdated_evidence(&mut self) {
         let cache = &self.cache;
         self.write_back.results.retain(|(task, attempt), ended| {
-            let assignment = cache.attempt(task, *attempt);
+            let assignment = cache.assignment_of_attempt(task, *attempt);
             assignment.is_some_and(|assignment| {
                 let delivery = ended.rests_on;
                 delivery.is_none_or(|delivery| delivery == assignment.delivery())
             })
         });
         self.write_back.checkpoints_due.retain(|(task, attempt)| {
-            let assignment = cache.attempt(task, *attempt);
+            let assignment = cache.assignment_of_attempt(task, *attempt);
             assignment.is_some_and(|assignment| assignment.stop.is_none())
         });
         let mut updates = std::mem::take(&mut self.write_back.machine_updates);
@@ -174,7 +174,7 @@
                 let phase = self.cache.machine(id).map(|machine| machine.phase);
                 phase != Some(MachinePhase::Deprovisioning)
             })
-            .partition(|(id, _)| self.cache.assigned_tasks(id) > 0)
+            .partition(|(id, _)| self.cache.assigned_task_count(id) > 0)
     }
 
     /// Drafts that attempts have ended; returns which.
@@ -271,7 +271,7 @@
     fn draft_confirmed_deletions(&self, draft: &mut ResultsDraft) {
         for id in &self.provisioning.deletion_confirmed {
             // No claim can follow: each rests on the record as it was while the machine was up.
-            if self.cache.assigned_tasks(id) == 0 && draft.has_room(1) {
+            if self.cache.assigned_task_count(id) == 0 && draft.has_room(1) {
                 draft.builder.remove(Key::Machine(id.clone()));
             }
         }
@@ -290,7 +290,7 @@
         if machine.phase == MachinePhase::Deprovisioning {
             return false;
         }
-        let assignments = self.cache.assigned_tasks(id);
+        let assignments = self.cache.assigned_task_count(id);
         tracing::info!(
             machine = id,
             assignments,
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -10,7 +10,7 @@
 use crate::scheduling::claims;
 use crate::scheduling::pending_work::PendingWork;
 use crate::state::{
-    Assignment, JobRecord, MachinePhase, MachineRecord, Placed, TransactionBuilder,
+    AssignedTask, Assignment, JobRecord, MachinePhase, MachineRecord, TransactionBuilder,
     ZoneSpreadRecord,
 };
 use crate::workers::termination::TerminationReason;
@@ -229,7 +229,7 @@
     /// Whether a machine is left alone for the service that it runs inside a partitioned zone: nothing
     /// needs to be worked out for it then.
     fn is_left_to_serve(&self, id: &str, outage: &ZoneOutage) -> bool {
-        let serves = |(task, placed): (&TaskId, &Placed)| {
+        let serves = |(task, placed): (&TaskId, &AssignedTask)| {
             let spec = self.cache.open_job(&task.job);
             spec.is_some_and(|spec| spec.kind == JobKind::Service)
                 && !self.is_start_in_flight(id, task, &placed.assignment)
@@ -365,7 +365,7 @@
             let Some(machine_type) = machine_type.filter(|_| usable) else {
                 continue;
             };
-            let resources = machine_type.room.less(&self.cache.used(id));
+            let resources = machine_type.room.less(&self.cache.used_resources(id));
             if resources.cpus > 0 && !self.workers.marked_for_termination.contains_key(id) {
                 free.push(FreeCapacity {
                     machine_type: machine.type_name.clone(),
--- a/crates/core/tests/scenarios/dependencies.rs
+++ b/crates/core/tests/scenarios/dependencies.rs
@@ -353,12 +353,16 @@
         (dependent_job("j-3", 1, &["j-2"]), 0),
         (dependent_job("j-4", 1, &["j-3"]), 0),
     ]);
-    assert!(cache.blocked("j-1") && cache.waiting_jobs().next().is_none());
+    assert!(cache.is_blocked("j-1") && cache.waiting_jobs().next().is_none());
     assert!(
         !dependencies::pulls(&cache, &|_, spec| dependencies::least_run_ms(spec))
             .contains_key("j-2")
     );
     let over = cache.job("j-1").unwrap().over(JobPhase::Cancelled, 9);
     cache.put(Key::Job("j-1".into()), 9, Record::Job(over));
-    assert!(cache.doomed("j-2") && cache.doomed("j-3") && cache.doomed("j-4"));
+    assert!(
+        cache.depends_on_cancelled("j-2")
+            && cache.depends_on_cancelled("j-3")
+            && cache.depends_on_cancelled("j-4")
+    );
 }
