--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -127,7 +127,7 @@
             }
             Event::State { token, answer } => self.handle_state_response(token, answer),
             Event::StateTimeout { token } => self.handle_state_timeout(token),
-            Event::WatchUpdate { revision, changes } => self.watched(revision, changes),
+            Event::WatchUpdate { revision, changes } => self.handle_watch_update(revision, changes),
             Event::WatchGap => self.start_list(),
             Event::Throttled => self.throttled(),
             Event::Cloud { token, answer } => self.handle_cloud_response(token, answer),
--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -14,9 +14,14 @@
             let Some(job) = self.cache.job(id).filter(|j| j.phase == JobPhase::Open) else {
                 continue;
             };
-            if job.chunks() > 1 && counts.done == job.tasks && !self.cleanup.finishing.contains(id)
+            if job.chunk_count() > 1
+                && counts.done == job.tasks
+                && !self.cleanup.finishing.contains(id)
             {
-                due.push((id.to_string(), job.over(JobPhase::Done, self.wall)));
+                due.push((
+                    id.to_string(),
+                    job.with_final_phase(JobPhase::Done, self.wall),
+                ));
             }
         }
         for (id, over) in due {
@@ -76,7 +81,7 @@
             if !draft.has_room(&self.settings, 1, 1, SMALL_RECORD_BYTES) {
                 break;
             }
-            let over = job.over(JobPhase::Cancelled, self.wall);
+            let over = job.with_final_phase(JobPhase::Cancelled, self.wall);
             draft.put(Key::Job(id.clone()), Record::Job(over));
             jobs.push(id.clone());
         }
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -167,7 +167,7 @@
             self.await_cancellation(request);
             return;
         }
-        let cancelled = job.over(JobPhase::Cancelled, self.wall);
+        let cancelled = job.with_final_phase(JobPhase::Cancelled, self.wall);
         let mut builder = TransactionBuilder::new(&self.cache);
         builder.put(Key::Job(id), Record::Job(cancelled));
         // Whether the cancellation is answered at its commit, or once it is confirmed, is the order
@@ -191,7 +191,9 @@
             self.answer(request, UserReply::Rejected(reason));
             return;
         }
-        if !spec.dependencies.is_empty() && self.cache.common_format() < formats::PIPELINES {
+        if !spec.dependencies.is_empty()
+            && self.cache.common_format() < formats::COMPACT_CHUNKS_AND_DEPENDENCIES
+        {
             // A controller of an older version would start it at once.
             let after_s = UPGRADE_RETRY_AFTER_S;
             self.answer(request, UserReply::RetryAfter { after_s });
@@ -214,7 +216,10 @@
         JobRecord {
             phase: JobPhase::Open,
             tasks: spec.tasks,
-            chunk: formats::chunk_tasks(self.cache.common_format(), self.settings.max_value_bytes),
+            chunk: formats::tasks_per_chunk(
+                self.cache.common_format(),
+                self.settings.max_value_bytes,
+            ),
             at: self.wall,
             ended: 0,
             spec: Some(spec),
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -141,7 +141,8 @@
             ..status
         };
         // Versions before format 2 refuse a heartbeat with an element more.
-        let longer = self.sync.has_listed && self.cache.common_format() >= formats::PIPELINES;
+        let longer = self.sync.has_listed
+            && self.cache.common_format() >= formats::COMPACT_CHUNKS_AND_DEPENDENCIES;
         self.emit(Effect::PeerHeartbeat(PeerHeartbeat {
             controller: self.settings.controller.clone(),
             at: self.wall,
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -71,7 +71,7 @@
 
 /// Whether claims of a job's chunks must know of one another.
 fn counts_zones(spec: &JobSpec, job: &JobRecord) -> bool {
-    (spec.zone_affinity || spec.topology_spread) && job.chunks() > 1
+    (spec.zone_affinity || spec.topology_spread) && job.chunk_count() > 1
 }
 
 /// Assigned tasks of a job by zone, as the draft sees them. A machine without a record counts for every zone:
@@ -83,7 +83,7 @@
     zones: &[String],
 ) -> ZoneSpreadRecord {
     let mut places = ZoneSpreadRecord::default();
-    for n in 0..job.chunks() {
+    for n in 0..job.chunk_count() {
         let Some(chunk) = draft.chunk(id, n) else {
             continue;
         };
@@ -139,7 +139,7 @@
     let cache = draft.cache;
     let task = request.task;
     let job = cache.job(&task.job).ok_or(Refusal::JobOver)?;
-    let spec = job.open().ok_or(Refusal::JobOver)?;
+    let spec = job.open_spec().ok_or(Refusal::JobOver)?;
     if cache.is_blocked(&task.job) {
         return Err(Refusal::Blocked);
     }
@@ -206,7 +206,7 @@
             return Err(Refusal::Paused);
         }
         let (format, max_bytes) = (cache.common_format(), settings.max_value_bytes);
-        match formats::takes_one_more(chunk, self.request.machine, format, max_bytes) {
+        match formats::fits_another_assignment(chunk, self.request.machine, format, max_bytes) {
             true => Ok(()),
             false => Err(Refusal::ChunkFull),
         }
@@ -259,7 +259,7 @@
             && !draft.has_change(&Key::ZoneSpread(job_id.clone()));
         let known_chunk = draft
             .chunk(job_id, self.chunk)
-            .map_or(0, |chunk| chunk.size());
+            .map_or(0, |chunk| chunk.max_json_bytes());
         let new_chunk = CHUNK_BASE_BYTES + self.job.chunk as usize * 4;
         draft.has_room(
             settings,
@@ -288,7 +288,7 @@
         }
         let chunk = draft
             .chunk_mut(&task.job, self.chunk, || {
-                Some(ChunkRecord::fresh(job, spec, self.chunk))
+                Some(ChunkRecord::new(job, spec, self.chunk))
             })
             .ok_or(Refusal::JobOver)?;
         let slot = task.index.saturating_sub(chunk.first) as usize;
@@ -342,7 +342,7 @@
         AttemptOutcome::Done => has_faults,
         AttemptOutcome::Refused | AttemptOutcome::Terminated => false,
     };
-    let may_finish_job = outcome == AttemptOutcome::Done && job.chunks() == 1;
+    let may_finish_job = outcome == AttemptOutcome::Done && job.chunk_count() == 1;
     let adds = |key: Key| usize::from(!draft.has_change(&key));
     adds(Key::Chunk(task.job.clone(), chunk))
         + usize::from(may_finish_job) * adds(Key::Job(task.job.clone()))
@@ -367,7 +367,9 @@
         return;
     };
     let machine_id = assignment.machine.clone();
-    let is_array = job.open().is_none_or(|spec| spec.kind == JobKind::Array);
+    let is_array = job
+        .open_spec()
+        .is_none_or(|spec| spec.kind == JobKind::Array);
     let Some(chunk) = draft.chunk_mut(&task.job, n, || None) else {
         return;
     };
@@ -387,12 +389,12 @@
     }
     let has_assigned = chunk.assigned().next().is_some();
     let is_complete = chunk.done() == job.tasks;
-    if job.open().is_none() && !has_assigned {
+    if job.open_spec().is_none() && !has_assigned {
         // A job that is over stays so, and nothing of it is claimed any more.
         draft.remove(Key::Chunk(task.job.clone(), n));
-    } else if job.open().is_some() && job.chunks() == 1 && is_complete {
+    } else if job.open_spec().is_some() && job.chunk_count() == 1 && is_complete {
         draft.remove(Key::Chunk(task.job.clone(), 0));
-        let done = job.over(JobPhase::Done, wall);
+        let done = job.with_final_phase(JobPhase::Done, wall);
         draft.put(Key::Job(task.job.clone()), Record::Job(done));
     }
     update_machine_faults(draft, &machine_id, &task.job, outcome);
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -71,7 +71,7 @@
     }
 
     fn begin_pass(&mut self) {
-        self.writes.pass_goes_first = false;
+        self.writes.pass_has_priority = false;
         self.metrics.lookups += 1;
         self.scheduling.pass_requested = false;
         // Without the jitter controllers would make their passes, and conflicting claims, at the same time.
--- a/crates/core/src/scheduling/pending_work.rs
+++ b/crates/core/src/scheduling/pending_work.rs
@@ -185,7 +185,7 @@
     fn pending_tasks(&self, id: &str, job: &JobRecord) -> PendingTasks {
         let mut found = PendingTasks::default();
         let mut chunks_used = 0;
-        for n in 0..job.chunks() {
+        for n in 0..job.chunk_count() {
             if chunks_used >= PASS_MAX_CHUNKS {
                 break;
             }
--- a/crates/core/src/state/cache/jobs.rs
+++ b/crates/core/src/state/cache/jobs.rs
@@ -9,7 +9,7 @@
 impl StateCache {
     /// Returns the specification of an open job.
     pub fn open_job(&self, id: &str) -> Option<&JobSpec> {
-        self.job(id).and_then(|job| job.open())
+        self.job(id).and_then(|job| job.open_spec())
     }
 
     /// Returns the open jobs in order of their ids.
@@ -29,14 +29,14 @@
     ) -> impl Iterator<Item = (&'a str, &'a JobRecord, &'a JobSpec)> {
         ids.iter().filter_map(|id| {
             let job = self.job(id)?;
-            Some((id.as_str(), job, job.open()?))
+            Some((id.as_str(), job, job.open_spec()?))
         })
     }
 
     /// Adds a job to the index of jobs that wait for machines, or removes it.
     pub(super) fn update_waiting(&mut self, id: &str) {
         let counts = self.task_counts(id);
-        let job = self.job(id).filter(|job| job.open().is_some());
+        let job = self.job(id).filter(|job| job.open_spec().is_some());
         let has_pending = job.is_some_and(|job| counts.assigned + counts.done < job.tasks);
         if has_pending && !self.is_blocked(id) {
             if !self.waiting.contains(id) {
--- a/crates/core/src/state/cache/tables.rs
+++ b/crates/core/src/state/cache/tables.rs
@@ -96,7 +96,7 @@
                 put_newer(&mut self.provisioning, (), r, mod_revision);
             }
             (Key::Job(id), Record::Job(r)) => {
-                let is_open = r.open().is_some();
+                let is_open = r.open_spec().is_some();
                 let dependencies = self
                     .open_job(&id)
                     .map_or(Vec::new(), |s| s.dependencies.clone());
--- a/crates/core/src/state/formats.rs
+++ b/crates/core/src/state/formats.rs
@@ -36,7 +36,7 @@
 /// The format of versions that don't record one.
 pub const OLDEST: u32 = 1;
 /// The first format with compact chunks and jobs with dependencies.
-pub const PIPELINES: u32 = 2;
+pub const COMPACT_CHUNKS_AND_DEPENDENCIES: u32 = 2;
 /// The first format in which cancellations are confirmed when all tasks have ended.
 pub const CONFIRMED_CANCELLATION: u32 = 3;
 /// The first format with stored configurations.
@@ -142,7 +142,7 @@
 
 impl CompactChunk {
     /// Encodes a chunk in the compact form.
-    pub(crate) fn of(chunk: &ChunkRecord) -> CompactChunk {
+    pub(crate) fn encode(chunk: &ChunkRecord) -> CompactChunk {
         let assignments = || chunk.assigned().map(|(_, assignment)| assignment);
         let escaped_names: BTreeMap<&str, String> = assignments()
             .map(|a| (a.machine.as_str(), escape(&a.machine)))
@@ -230,7 +230,7 @@
     }
 
     /// Decodes the chunk; returns none if the stored value is invalid.
-    pub(crate) fn read(self) -> Option<ChunkRecord> {
+    pub(crate) fn decode(self) -> Option<ChunkRecord> {
         let mut tasks = Vec::new();
         for word in self.task_words.split_ascii_whitespace() {
             let (state, count): (TaskState, usize) = match word.split_at_checked(1)? {
@@ -266,7 +266,7 @@
 
 /// Returns the number of tasks per chunk for a new job: as many as fit into a value when all of
 /// them are assigned.
-pub fn chunk_tasks(format: u32, max_value_bytes: u64) -> u32 {
+pub fn tasks_per_chunk(format: u32, max_value_bytes: u64) -> u32 {
     let max_tasks = match format {
         OLDEST => max_value_bytes / CHUNK_TASK_BYTES,
         _ => max_value_bytes.saturating_sub(CHUNK_BASE_BYTES as u64 * 2) / COMPACT_TASK_BYTES,
@@ -276,7 +276,7 @@
 
 /// Returns whether a chunk can hold one more assignment, even if each assignment later gets another
 /// start delivery or a stop reason.
-pub fn takes_one_more(
+pub fn fits_another_assignment(
     chunk: &ChunkRecord,
     machine: &str,
     format: u32,
@@ -285,7 +285,7 @@
     let max_bytes = max_value_bytes as usize;
     let edit_bytes = (chunk.assigned().count() + 1) * ASSIGNMENT_EDIT_BYTES;
     let json_bytes =
-        chunk.size() + ASSIGNMENT_BYTES + machine.len() + VALUE_SPARE_BYTES + edit_bytes;
+        chunk.max_json_bytes() + ASSIGNMENT_BYTES + machine.len() + VALUE_SPARE_BYTES + edit_bytes;
     if json_bytes <= max_bytes || format == OLDEST {
         return json_bytes <= max_bytes;
     }
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -148,7 +148,11 @@
 
     /// Applies the changes that the watch delivered, which are complete up to `revision`. A change
     /// without a record is a removal.
-    pub(crate) fn watched(&mut self, revision: u64, changes: Vec<(Key, u64, Option<Record>)>) {
+    pub(crate) fn handle_watch_update(
+        &mut self,
+        revision: u64,
+        changes: Vec<(Key, u64, Option<Record>)>,
+    ) {
         for (key, mod_revision, record) in changes {
             tracing::debug!(
                 ?key,
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -45,14 +45,14 @@
 
 impl JobRecord {
     /// Returns the specification of an open job, or none once it is done or cancelled.
-    pub fn open(&self) -> Option<&JobSpec> {
+    pub fn open_spec(&self) -> Option<&JobSpec> {
         match self.phase {
             JobPhase::Open => self.spec.as_deref(),
             _ => None,
         }
     }
     /// Returns the number of chunks that hold the tasks.
-    pub fn chunks(&self) -> u32 {
+    pub fn chunk_count(&self) -> u32 {
         self.tasks.div_ceil(self.chunk.max(1))
     }
     /// Returns the number of the chunk that holds a task.
@@ -60,7 +60,7 @@
         index / self.chunk.max(1)
     }
     /// Returns the record of the job after it ends in a final phase at `ended_at`.
-    pub fn over(&self, phase: JobPhase, ended_at: WallMs) -> JobRecord {
+    pub fn with_final_phase(&self, phase: JobPhase, ended_at: WallMs) -> JobRecord {
         JobRecord {
             phase,
             ended: ended_at,
@@ -162,7 +162,7 @@
 
 impl ChunkRecord {
     /// Creates chunk `n` of a job, with all tasks pending.
-    pub fn fresh(job: &JobRecord, spec: &JobSpec, n: u32) -> ChunkRecord {
+    pub fn new(job: &JobRecord, spec: &JobSpec, n: u32) -> ChunkRecord {
         let first = n.saturating_mul(job.chunk);
         let task_count = job.tasks.saturating_sub(first).min(job.chunk);
         ChunkRecord {
@@ -196,7 +196,7 @@
         }
     }
     /// Returns an upper bound of the size of the stored value in format 1, in bytes.
-    pub fn size(&self) -> usize {
+    pub fn max_json_bytes(&self) -> usize {
         let task_bytes: usize = (self.tasks.iter())
             .map(|t| t.assignment().map_or(4, assignment_bytes))
             .sum();
@@ -430,7 +430,7 @@
             Key::Job(_) => $parse.ok().map(Record::Job),
             Key::Chunk(..) if $is_compact => {
                 let chunk: Option<CompactChunk> = $parse.ok();
-                chunk?.read().map(Record::Chunk)
+                chunk?.decode().map(Record::Chunk)
             }
             Key::Chunk(..) => $parse.ok().map(Record::Chunk),
             Key::ZoneSpread(_) => $parse.ok().map(Record::ZoneSpread),
@@ -456,8 +456,10 @@
             Record::MachineTypes(r) => serde_json::to_value(r),
             Record::Provisioning(r) => serde_json::to_value(r),
             Record::Job(r) => serde_json::to_value(r),
-            Record::Chunk(r) if format < formats::PIPELINES => serde_json::to_value(r),
-            Record::Chunk(r) => serde_json::to_value(CompactChunk::of(r)),
+            Record::Chunk(r) if format < formats::COMPACT_CHUNKS_AND_DEPENDENCIES => {
+                serde_json::to_value(r)
+            }
+            Record::Chunk(r) => serde_json::to_value(CompactChunk::encode(r)),
             Record::ZoneSpread(r) => serde_json::to_value(r),
             Record::Machine(r) => serde_json::to_value(r),
             Record::Team(r) if format < formats::STORED_CONFIGURATION => serde_json::to_value(r),
@@ -475,14 +477,14 @@
     }
 
     /// Parses a stored value; returns none if it isn't a record of the key's kind.
-    pub fn read(key: &Key, value: Value) -> Option<Record> {
+    pub fn from_value(key: &Key, value: Value) -> Option<Record> {
         let is_compact = value.get("z").is_some();
         parse_as_kind_of!(key, is_compact, serde_json::from_value(value))
     }
 
-    /// Parses the JSON text of a stored value like [`Record::read`], but without an intermediate
+    /// Parses the JSON text of a stored value like [`Record::from_value`], but without an intermediate
     /// tree of JSON values, because every controller parses every change of all controllers.
-    pub fn read_text(key: &Key, text: &str) -> Option<Record> {
+    pub fn parse(key: &Key, text: &str) -> Option<Record> {
         #[derive(Deserialize)]
         struct CompactTasks {
             z: Option<IgnoredAny>,
--- a/crates/core/src/state/transaction.rs
+++ b/crates/core/src/state/transaction.rs
@@ -169,7 +169,7 @@
         }
         self.add_condition(key.clone());
         self.change_bytes += match &record {
-            Record::Chunk(chunk) => chunk.size(),
+            Record::Chunk(chunk) => chunk.max_json_bytes(),
             _ if self.changes.contains_key(&key) => 0,
             _ => SMALL_RECORD_BYTES,
         };
@@ -237,7 +237,7 @@
             let (Key::Chunk(job, n), Some(Record::Chunk(chunk))) = (key, change) else {
                 continue;
             };
-            if chunk.size() as u64 <= max_value_bytes {
+            if chunk.max_json_bytes() as u64 <= max_value_bytes {
                 continue;
             }
             let stored_bytes = |chunk: &ChunkRecord| {
--- a/crates/core/src/state/write_control.rs
+++ b/crates/core/src/state/write_control.rs
@@ -27,7 +27,7 @@
     pub(crate) throttled_at: Option<Millis>,
     /// Whether the next changes in the budget are reserved for a scheduling pass. Writes of results
     /// and passes alternate while the budget is short.
-    pub(crate) pass_goes_first: bool,
+    pub(crate) pass_has_priority: bool,
     /// Maximum number of changes in a transaction that writes results. Each conflict halves it,
     /// because a failed transaction costs as much of the rate limit as a committed one.
     pub(crate) max_result_changes: usize,
@@ -47,7 +47,7 @@
         WriteControl {
             budget: TokenBucket::new(settings.write_rps, WRITE_BURST_S, now),
             throttled_at: None,
-            pass_goes_first: false,
+            pass_has_priority: false,
             max_result_changes: settings.max_transaction_changes,
             assignment_write: None,
             assignment_retry: None,
--- a/crates/core/src/workers/reconciliation.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -202,7 +202,8 @@
         };
         let n = job.chunk_of(task.index);
         self.cache.chunk_revision(&task.job, n) > attempt
-            || job.open().is_none() && self.cache.revision >= self.cache.job_revision(&task.job)
+            || job.open_spec().is_none()
+                && self.cache.revision >= self.cache.job_revision(&task.job)
     }
 }
 
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -54,7 +54,7 @@
                 }),
                 (TaskPhase::Exited(_), Some(_)) => {}
                 (phase, assignment) => {
-                    let over = job.is_none_or(|j| j.open().is_none());
+                    let over = job.is_none_or(|j| j.open_spec().is_none());
                     let stop = assignment.is_some_and(|b| b.stop.is_some());
                     if over || assignment.is_none() {
                         commands.push(WorkerCommand::Stop {
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -99,7 +99,7 @@
             self.log_oversized(large);
             return;
         }
-        self.writes.pass_goes_first = true;
+        self.writes.pass_has_priority = true;
         self.write_back.written_at = if is_full { 0 } else { self.now };
         let transaction = builder.finish();
         let purpose = PendingOperation::WriteResults {
@@ -122,9 +122,9 @@
         {
             return None;
         }
-        let pass_goes_first = self.writes.pass_goes_first && self.is_pass_due();
+        let pass_has_priority = self.writes.pass_has_priority && self.is_pass_due();
         let changes_left = self.changes_left();
-        if changes_left < self.min_changes() || pass_goes_first {
+        if changes_left < self.min_changes() || pass_has_priority {
             return None;
         }
         // Most events leave nothing to record.
@@ -359,7 +359,7 @@
     ) {
         if !committed {
             self.writes.max_result_changes = (self.writes.max_result_changes / 2).max(MIN_CHANGES);
-            self.writes.pass_goes_first = false;
+            self.writes.pass_has_priority = false;
             return;
         }
         self.writes.max_result_changes =
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -267,7 +267,7 @@
         }
         let pending = |(id, indices): (&str, Vec<u32>)| {
             let job = self.cache.job(id)?;
-            let spec = job.open()?;
+            let spec = job.open_spec()?;
             let mut work = PendingWork::of(&self.cache, &self.settings, id, job, spec);
             work.indices = indices.into();
             Some(work)
--- a/crates/core/tests/pinned_forms.rs
+++ b/crates/core/tests/pinned_forms.rs
@@ -29,9 +29,13 @@
 
 /// A record read from its text, which must not differ from what is read from its value.
 fn record(path: &str, text: &str) -> Record {
-    let record = Record::read_text(&key(path), text);
+    let record = Record::parse(&key(path), text);
     let value = serde_json::from_str(text).expect("samples are JSON");
-    assert_eq!(record, Record::read(&key(path), value), "{path} {text}");
+    assert_eq!(
+        record,
+        Record::from_value(&key(path), value),
+        "{path} {text}"
+    );
     record.unwrap_or_else(|| panic!("unreadable: {path} {text}"))
 }
 
@@ -114,7 +118,7 @@
     for [path, text, refusal] in lines(REFUSED) {
         let found = match Key::parse(path) {
             None => "no such key",
-            Some(key) => match Record::read_text(&key, text) {
+            Some(key) => match Record::parse(&key, text) {
                 None => "unreadable record",
                 Some(_) => "read",
             },
@@ -127,7 +131,7 @@
 fn records_that_are_cut_off_are_refused() {
     for [_, path, text] in lines(RECORDS) {
         for (end, _) in text.char_indices() {
-            assert_eq!(Record::read_text(&key(path), &text[..end]), None, "{path}");
+            assert_eq!(Record::parse(&key(path), &text[..end]), None, "{path}");
         }
     }
 }
--- a/crates/core/tests/scenarios/configuration_records.rs
+++ b/crates/core/tests/scenarios/configuration_records.rs
@@ -104,13 +104,13 @@
     let key = Key::Team("blue".into());
     let fenced = record.value(formats::STORED_CONFIGURATION);
     assert_eq!(previous_version::value(&key, fenced.clone()), None);
-    assert_eq!(Record::read(&key, fenced), Some(record.clone()));
+    assert_eq!(Record::from_value(&key, fenced), Some(record.clone()));
     let plain = record.value(formats::CONFIRMED_CANCELLATION);
     assert_eq!(
         previous_version::value(&key, plain.clone()),
         Some(plain.clone())
     );
-    assert_eq!(Record::read(&key, plain), Some(record));
+    assert_eq!(Record::from_value(&key, plain), Some(record));
 }
 
 /// 350 and 700 teams: the pages fit into small values, one transaction holds them, and they read back.
@@ -144,7 +144,7 @@
             assert!(value.to_string().len() <= LIMITS.max_value_bytes);
             assert_eq!(Key::parse(&key.path()).as_ref(), Some(key));
             assert_eq!(
-                Record::read_text(key, &value.to_string()).as_ref(),
+                Record::parse(key, &value.to_string()).as_ref(),
                 Some(record)
             );
         }
@@ -257,10 +257,10 @@
     ] {
         let text = record.value(formats::LATEST).to_string();
         for end in 0..text.len() {
-            assert_eq!(Record::read_text(&key, &text[..end]), None);
+            assert_eq!(Record::parse(&key, &text[..end]), None);
         }
         for foreign in ["[]", "7", "{\"v\":-1}", "{\"v\":\"x\"}", "{\"v\":1e400}"] {
-            assert_eq!(Record::read_text(&key, foreign), None, "{foreign}");
+            assert_eq!(Record::parse(&key, foreign), None, "{foreign}");
         }
     }
     for path in [
--- a/crates/core/tests/scenarios/dependencies.rs
+++ b/crates/core/tests/scenarios/dependencies.rs
@@ -358,7 +358,10 @@
         !dependencies::pulls(&cache, &|_, spec| dependencies::least_run_ms(spec))
             .contains_key("j-2")
     );
-    let over = cache.job("j-1").unwrap().over(JobPhase::Cancelled, 9);
+    let over = cache
+        .job("j-1")
+        .unwrap()
+        .with_final_phase(JobPhase::Cancelled, 9);
     cache.put(Key::Job("j-1".into()), 9, Record::Job(over));
     assert!(
         cache.depends_on_cancelled("j-2")
--- a/crates/core/tests/scenarios/runtime_estimates.rs
+++ b/crates/core/tests/scenarios/runtime_estimates.rs
@@ -213,7 +213,8 @@
     };
     let value = serde_json::to_string(&Record::RunTimes(record.clone()).value(3)).unwrap();
     let broken = value.replacen("\"n\":", "\"n\":9", 1);
-    let broken = Record::read(&key, serde_json::from_str(&broken).unwrap()).expect("its shape");
+    let broken =
+        Record::from_value(&key, serde_json::from_str(&broken).unwrap()).expect("its shape");
     sim.put_record(key, broken);
     sim.run(1_000);
     work(&mut sim, 10, 3, 2, "batch");
--- a/crates/core/tests/scenarios/storage_formats.rs
+++ b/crates/core/tests/scenarios/storage_formats.rs
@@ -52,8 +52,8 @@
     for (path, text) in SAMPLES {
         let key = Key::parse(path).unwrap();
         let value: Value = serde_json::from_str(text).unwrap();
-        let record = Record::read(&key, value.clone()).expect(path);
-        let text = Record::read_text(&key, &value.to_string());
+        let record = Record::from_value(&key, value.clone()).expect(path);
+        let text = Record::parse(&key, &value.to_string());
         assert_eq!(text.as_ref(), Some(&record), "{path}: from its text");
         assert_eq!(record.value(formats::OLDEST), value, "{path}");
         assert_eq!(
@@ -62,7 +62,7 @@
             "{path}"
         );
         // In the latest format it says the same.
-        let again = Record::read(&key, record.value(formats::LATEST));
+        let again = Record::from_value(&key, record.value(formats::LATEST));
         assert_eq!(again, Some(record), "{path}");
     }
 }
@@ -85,7 +85,7 @@
     let back = previous_version::value(&key, record.value(formats::LATEST)).unwrap();
     assert!(back["spec"].get("awaits").is_none());
     let key = Key::parse(SAMPLES[2].0).unwrap();
-    let chunk = Record::read(&key, serde_json::from_str(SAMPLES[2].1).unwrap()).unwrap();
+    let chunk = Record::from_value(&key, serde_json::from_str(SAMPLES[2].1).unwrap()).unwrap();
     assert_eq!(
         previous_version::value(&key, chunk.value(formats::LATEST)),
         None
@@ -94,12 +94,12 @@
     assert_eq!(compact, r#""=1 +1 1:0:d1.7 2:0!0""#);
     // Kept as written, should the way of writing change.
     let text = r#"{"i":0,"z":"=1 +1 1:0:d1.7 2:0!0","m":"n-00023","a":41,"s":"s2.88","x":["preempted"],"o":"hub","u":{"c":2000,"g":0,"r":3200},"f":["n-000230"],"n":1,"p":1700000001000}"#;
-    let read = Record::read(&key, serde_json::from_str(text).unwrap());
+    let read = Record::from_value(&key, serde_json::from_str(text).unwrap());
     assert_eq!(read, Some(chunk));
     let format = Key::Format("a node".into());
     assert_eq!(Key::parse(&format.path()), Some(format.clone()));
     let record = Record::Format(FormatRecord { version: 2 });
-    assert_eq!(Record::read(&format, record.value(2)), Some(record));
+    assert_eq!(Record::from_value(&format, record.value(2)), Some(record));
 }
 
 #[test]
@@ -134,7 +134,11 @@
         });
         let key = Key::Chunk("j-1".into(), 1);
         let value = chunk.value(formats::LATEST);
-        assert_eq!(Record::read(&key, value.clone()), Some(chunk), "{value}");
+        assert_eq!(
+            Record::from_value(&key, value.clone()),
+            Some(chunk),
+            "{value}"
+        );
     }
     let key = Key::Chunk("j-1".into(), 0);
     for z in [
@@ -148,7 +152,7 @@
         "é",
     ] {
         let value = serde_json::json!({"z": z});
-        assert_eq!(Record::read(&key, value), None, "{z}");
+        assert_eq!(Record::from_value(&key, value), None, "{z}");
     }
 }
 
@@ -235,7 +239,7 @@
         pause_until: START_TIME_MS,
         ..ChunkRecord::default()
     };
-    let n = formats::chunk_tasks(formats::LATEST, most as u64);
+    let n = formats::tasks_per_chunk(formats::LATEST, most as u64);
     assert!(n > 80, "{n} tasks of a new job");
     fits(
         "a chunk, all booked and to be stopped",
@@ -256,7 +260,7 @@
         let mut assigned = 0;
         for i in 0..100usize {
             let machine = format!("{}{}", (b'a' + (i % 26) as u8) as char, "y".repeat(i % 30));
-            if !formats::takes_one_more(&chunk, &machine, format, limit) {
+            if !formats::fits_another_assignment(&chunk, &machine, format, limit) {
                 break;
             }
             chunk.tasks[i] = TaskState::Assigned(Assignment {
--- a/crates/ctl/src/config/records.rs
+++ b/crates/ctl/src/config/records.rs
@@ -121,7 +121,7 @@
         let open = stored
             .into_iter()
             .filter_map(|stored| match stored.record()? {
-                (_, Record::Job(job)) => job.open().cloned(),
+                (_, Record::Job(job)) => job.open_spec().cloned(),
                 _ => None,
             });
         Ok(open.collect())
--- a/crates/ctl/src/state_client.rs
+++ b/crates/ctl/src/state_client.rs
@@ -96,7 +96,7 @@
     /// The record that it holds, if it is one of glenmount's that is not damaged.
     pub fn record(self) -> Option<(Key, Record)> {
         let key = Key::parse(&self.key)?;
-        let record = Record::read(&key, self.value)?;
+        let record = Record::from_value(&key, self.value)?;
         Some((key, record))
     }
 }
--- a/crates/glenmount/src/tests/state_forms.rs
+++ b/crates/glenmount/src/tests/state_forms.rs
@@ -15,7 +15,7 @@
 fn operation(name: &str) -> StateOperation {
     match name {
         "transaction" => {
-            let record = Record::read_text(&key("g/term"), "{\"term\":3}");
+            let record = Record::parse(&key("g/term"), "{\"term\":3}");
             StateOperation::Transaction(CasTransaction {
                 conditions: vec![(key("g/term"), 17), (key("g/settled"), 0)],
                 changes: vec![
--- a/crates/glenmount/src/wire/state_store.rs
+++ b/crates/glenmount/src/wire/state_store.rs
@@ -66,7 +66,7 @@
     /// Nothing for a key or a record of a later version of this program.
     fn record(&self) -> Option<(Key, u64, Record)> {
         let key = Key::parse(&self.key)?;
-        let record = Record::read_text(&key, self.value.get())?;
+        let record = Record::parse(&key, self.value.get())?;
         Some((key, self.mod_revision, record))
     }
 }
@@ -109,7 +109,7 @@
             return Some((key, self.mod_revision, None));
         };
         let key = Key::parse(path)?;
-        let record = Record::read_text(&key, self.value?.get())?;
+        let record = Record::parse(&key, self.value?.get())?;
         Some((key, self.mod_revision, Some(record)))
     }
 }
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -147,7 +147,7 @@
             .records
             .values()
             .filter_map(|(record, _)| match record {
-                Record::Job(job) => job.open(),
+                Record::Job(job) => job.open_spec(),
                 _ => None,
             });
         let open: Vec<&JobSpec> = open.collect();
--- a/crates/simulation/src/previous_version.rs
+++ b/crates/simulation/src/previous_version.rs
@@ -231,7 +231,7 @@
 
 /// A record as that version reads it and would write it again; none for what it cannot read.
 pub fn record(key: &Key, record: &Record) -> Option<Record> {
-    Record::read(key, value(key, record.value(OLDEST))?)
+    Record::from_value(key, value(key, record.value(OLDEST))?)
 }
 
 /// What a controller of the previous version makes of records.
--- a/crates/simulation/src/state_store.rs
+++ b/crates/simulation/src/state_store.rs
@@ -259,7 +259,7 @@
         for (key, record) in transaction.changes {
             // Through JSON, as on the wire.
             if let Some(r) = &record {
-                let back = Record::read(&key, r.value(transaction.format));
+                let back = Record::from_value(&key, r.value(transaction.format));
                 assert_eq!(back.as_ref(), Some(r), "a record reads back");
             }
             self.store_change(key, record);
