--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -85,7 +85,7 @@
 /// others.
 pub fn deadline(job: &JobRecord, spec: &JobSpec) -> Option<WallMs> {
     let within = spec.deadline_s.map(|d| (d.max(0.0) * 1000.0) as u64);
-    within.map(|ms| job.at.saturating_add(ms))
+    within.map(|ms| job.accepted_at.saturating_add(ms))
 }
 
 /// Milliseconds that a task takes, going by its owner's estimate.
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -216,12 +216,12 @@
         JobRecord {
             phase: JobPhase::Open,
             tasks: spec.tasks,
-            chunk: formats::tasks_per_chunk(
+            tasks_per_chunk: formats::tasks_per_chunk(
                 self.cache.common_format(),
                 self.settings.max_value_bytes,
             ),
-            at: self.wall,
-            ended: 0,
+            accepted_at: self.wall,
+            ended_at: 0,
             spec: Some(spec),
         }
     }
--- a/crates/core/src/provisioning/demand.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -151,7 +151,7 @@
             zone: &m.zone,
             spot: m.spot,
             count: 1,
-            is_late: self.is_late(&m.type_name, m.at),
+            is_late: self.is_late(&m.type_name, m.created_at),
         });
         let requests = self.cache.instance_requests();
         let requested = requests.map(|(_, request, _)| ExpectedInstances {
@@ -165,7 +165,8 @@
                 }
                 None => request.count,
             },
-            is_late: request.instances.is_some() && self.is_late(&request.type_name, request.at),
+            is_late: request.instances.is_some()
+                && self.is_late(&request.type_name, request.created_at),
         });
         booting.chain(requested).collect()
     }
--- a/crates/core/src/provisioning/scale_out.rs
+++ b/crates/core/src/provisioning/scale_out.rs
@@ -48,8 +48,8 @@
         let mut fleet = draft.provisioning_record();
         let mut created = Vec::new();
         for demand in demand.into_iter().take(max_requests) {
-            let n = fleet.next;
-            fleet.next += 1;
+            let n = fleet.next_request_number;
+            fleet.next_request_number += 1;
             created.push(n);
             draft.put(
                 Key::InstanceRequest(n),
@@ -59,7 +59,7 @@
                     spot: demand.spot,
                     count: demand.count.min(max_instances),
                     controller: self.settings.controller.clone(),
-                    at: self.wall,
+                    created_at: self.wall,
                     instances: None,
                 }),
             );
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -243,7 +243,7 @@
             && self.run_times.saved_progress.len() < ATTEMPTS_FOLLOWED
         {
             // Stopped, it saved all its progress; lost with its machine, up to its last checkpoint.
-            let kept = match assigned.stop.is_some() {
+            let kept = match assigned.stop_reason.is_some() {
                 true => own,
                 false => (own / spec.checkpoint_interval_s).floor() * spec.checkpoint_interval_s,
             };
@@ -345,7 +345,7 @@
         let record = RunTimesRecord {
             team: shortened(team),
             class: shortened(name),
-            at: self.wall,
+            updated_at: self.wall,
             packed: history.pack(),
         };
         let mut draft = TransactionBuilder::new(&self.cache);
@@ -353,7 +353,7 @@
         let kept: Vec<(WallMs, u64)> = self
             .cache
             .all_run_times()
-            .map(|(c, r, _)| (r.at, *c))
+            .map(|(c, r, _)| (r.updated_at, *c))
             .collect();
         let new = self.cache.run_times(&class).is_none();
         if new && kept.len() >= CLASSES_KEPT {
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -198,7 +198,7 @@
         let Some(chunk) = draft.chunk(&task.job, self.chunk) else {
             return Ok(());
         };
-        let slot = (task.index % self.job.chunk.max(1)) as usize;
+        let slot = (task.index % self.job.tasks_per_chunk.max(1)) as usize;
         if chunk.tasks.get(slot) != Some(&TaskState::Pending) {
             return Err(Refusal::TaskTaken);
         }
@@ -260,7 +260,7 @@
         let known_chunk = draft
             .chunk(job_id, self.chunk)
             .map_or(0, |chunk| chunk.max_json_bytes());
-        let new_chunk = CHUNK_BASE_BYTES + self.job.chunk as usize * 4;
+        let new_chunk = CHUNK_BASE_BYTES + self.job.tasks_per_chunk as usize * 4;
         draft.has_room(
             settings,
             1 + usize::from(adds_team) + usize::from(adds_zones),
@@ -301,7 +301,7 @@
                 Carrier::Answer => None,
                 Carrier::Command { incarnation, token } => Some(DirectStart { incarnation, token }),
             },
-            stop: None,
+            stop_reason: None,
         });
         draft.add_bytes(self.assignment_bytes());
         draft.add_usage(&spec.team, &spec.resources);
@@ -403,13 +403,13 @@
 /// Counts a failure of a chunk's task. Failures on one faulty machine must not slow the job; a faulty job,
 /// which fails on several, must not be restarted in a loop.
 fn pause_after_failure(chunk: &mut ChunkRecord, machine_id: &str, wall: WallMs) {
-    chunk.fails = chunk.fails.saturating_add(1);
+    chunk.failure_count = chunk.failure_count.saturating_add(1);
     let is_known = chunk.failed_on.iter().any(|id| id == machine_id);
     if !is_known && chunk.failed_on.len() < FAULTY_MACHINES {
         chunk.failed_on.push(machine_id.to_string());
     }
     let doublings = match chunk.failed_on.len() >= FAULTY_MACHINES {
-        true => chunk.fails.min(FAIL_PAUSE_MAX_DOUBLINGS),
+        true => chunk.failure_count.min(FAIL_PAUSE_MAX_DOUBLINGS),
         false => 0,
     };
     chunk.pause_until = wall + (FAIL_PAUSE_MS << doublings).min(FAIL_PAUSE_MAX_MS);
--- a/crates/core/src/scheduling/migration_step.rs
+++ b/crates/core/src/scheduling/migration_step.rs
@@ -92,7 +92,9 @@
         let mut under_way = StopsUnderWay::default();
         for (id, _, _) in self.cache.machines() {
             let assignments = self.cache.assignments(id);
-            for (task, _) in assignments.filter(|(_, placed)| placed.assignment.stop.is_some()) {
+            for (task, _) in
+                assignments.filter(|(_, placed)| placed.assignment.stop_reason.is_some())
+            {
                 under_way.tasks += 1;
                 under_way.jobs.insert(task.job.clone());
             }
@@ -144,7 +146,7 @@
 
     fn is_movable(&self, task: &TaskId, assignment: &Assignment) -> bool {
         let spec = self.cache.open_job(&task.job);
-        assignment.stop.is_none() && spec.is_some_and(|spec| spec.kind == JobKind::Service)
+        assignment.stop_reason.is_none() && spec.is_some_and(|spec| spec.kind == JobKind::Service)
     }
 
     /// Services back to an even spread over zones, as after one was lost: a task of the fullest zone
@@ -205,7 +207,7 @@
         let zone_of = |machine: &str| self.cache.machine(machine).map(|record| &record.zone);
         let mut assigned = (self.cache.chunks_of(id)).flat_map(|(_, chunk)| chunk.assigned());
         let (index, assignment) = assigned.find(|(_, assignment)| {
-            zone_of(&assignment.machine) == Some(fullest) && assignment.stop.is_none()
+            zone_of(&assignment.machine) == Some(fullest) && assignment.stop_reason.is_none()
         })?;
         let job = id.to_string();
         Some(MigrationCandidate {
--- a/crates/core/src/scheduling/pending_work.rs
+++ b/crates/core/src/scheduling/pending_work.rs
@@ -191,8 +191,8 @@
             }
             let Some(chunk) = self.cache.chunk(id, n) else {
                 // A chunk without a record: none of its tasks has been claimed yet.
-                let end = job.tasks.min((n + 1).saturating_mul(job.chunk));
-                found.indices.extend(n * job.chunk..end);
+                let end = job.tasks.min((n + 1).saturating_mul(job.tasks_per_chunk));
+                found.indices.extend(n * job.tasks_per_chunk..end);
                 chunks_used += 1;
                 continue;
             };
--- a/crates/core/src/scheduling/placement.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -294,7 +294,7 @@
                 // The rest of that chunk has to wait for tasks of it to end; others go on.
                 Err(Refusal::ChunkFull) => {
                     let job = self.view.cache.job(&work.job);
-                    let chunk_size = job.map_or(1, |job| job.chunk.max(1));
+                    let chunk_size = job.map_or(1, |job| job.tasks_per_chunk.max(1));
                     let chunk = index / chunk_size;
                     work.indices.retain(|index| index / chunk_size != chunk);
                 }
--- a/crates/core/src/scheduling/preemption.rs
+++ b/crates/core/src/scheduling/preemption.rs
@@ -246,7 +246,7 @@
         let mut victims = Vec::new();
         let running = cache
             .assignments(id)
-            .filter(|(_, placed)| placed.assignment.stop.is_none());
+            .filter(|(_, placed)| placed.assignment.stop_reason.is_none());
         for (task, placed) in running {
             staying = staying.plus(&placed.resources);
             let Some(spec) = cache.open_job(&task.job) else {
--- a/crates/core/src/scheduling/quota_enforcement.rs
+++ b/crates/core/src/scheduling/quota_enforcement.rs
@@ -110,7 +110,9 @@
         };
         let used = usage.entry(*team).or_default();
         let assigned = cache.chunks_of(id).flat_map(|(_, chunk)| chunk.assigned());
-        for (index, assignment) in assigned.filter(|(_, assignment)| assignment.stop.is_none()) {
+        for (index, assignment) in
+            assigned.filter(|(_, assignment)| assignment.stop_reason.is_none())
+        {
             used.cpus += spec.resources.cpus;
             used.gpus += spec.resources.gpus;
             let candidate = EvictionCandidate::of(id, spec, index, assignment);
--- a/crates/core/src/scheduling/stops.rs
+++ b/crates/core/src/scheduling/stops.rs
@@ -67,7 +67,7 @@
                 break;
             }
             self.edit_assignment(&mut draft, &stop.task, stop.attempt, |assignment| {
-                assignment.stop = Some(stop.reason.to_string());
+                assignment.stop_reason = Some(stop.reason.to_string());
             });
             chosen.push((stop.machine, stop.task));
         }
--- a/crates/core/src/state/cache/jobs.rs
+++ b/crates/core/src/state/cache/jobs.rs
@@ -106,8 +106,8 @@
     /// value.
     pub fn ready_at(&self, job: &JobRecord) -> WallMs {
         let dependencies = job.spec.iter().flat_map(|spec| &spec.dependencies);
-        let ends = dependencies.filter_map(|id| self.job(id).map(|job| job.ended));
-        ends.fold(job.at, WallMs::max)
+        let ends = dependencies.filter_map(|id| self.job(id).map(|job| job.ended_at));
+        ends.fold(job.accepted_at, WallMs::max)
     }
 
     /// Updates the indexes after a change of a job's record. `old_dependencies` are the
--- a/crates/core/src/state/formats.rs
+++ b/crates/core/src/state/formats.rs
@@ -78,7 +78,7 @@
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     failed_on: Vec<String>,
     #[serde(rename = "n", default)]
-    fails: u32,
+    failure_count: u32,
     #[serde(rename = "p", default)]
     pause_until: WallMs,
 }
@@ -156,7 +156,8 @@
         }
         let most_frequent = delivery_counts.iter().max_by_key(|(_, count)| **count);
         let common_delivery = most_frequent.map(|(delivery, _)| *delivery);
-        let reasons: BTreeSet<&String> = assignments().filter_map(|a| a.stop.as_ref()).collect();
+        let reasons = assignments().filter_map(|a| a.stop_reason.as_ref());
+        let reasons: BTreeSet<&String> = reasons.collect();
         let stop_reasons: Vec<String> = reasons.into_iter().cloned().collect();
         let mut words = String::new();
         for equal_tasks in chunk.tasks.chunk_by(|a, b| a == b) {
@@ -175,7 +176,7 @@
                     if Some(assignment.delivery()) != common_delivery {
                         word += &format!(":{}", delivery_word(assignment.delivery()));
                     }
-                    let reason = assignment.stop.as_ref();
+                    let reason = assignment.stop_reason.as_ref();
                     let position = |reason: &String| stop_reasons.iter().position(|r| r == reason);
                     if let Some(index) = reason.and_then(position) {
                         word += &format!("!{index}");
@@ -197,7 +198,7 @@
             team: chunk.team.clone(),
             resources: chunk.resources,
             failed_on: chunk.failed_on.clone(),
-            fails: chunk.fails,
+            failure_count: chunk.failure_count,
             pause_until: chunk.pause_until,
         }
     }
@@ -224,7 +225,7 @@
             attempt: self.lowest_attempt.checked_add(attempt_offset)?,
             reply_start: delivery.reply,
             direct_start: delivery.direct,
-            stop: stop_reason.cloned(),
+            stop_reason: stop_reason.cloned(),
         };
         Some((assignment, count))
     }
@@ -252,7 +253,7 @@
             team: self.team,
             resources: self.resources,
             failed_on: self.failed_on,
-            fails: self.fails,
+            failure_count: self.failure_count,
             pause_until: self.pause_until,
         })
     }
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -32,14 +32,15 @@
     /// Number of tasks.
     pub tasks: u32,
     /// Tasks per chunk; the same for all controllers, and constant for the life of the job.
-    pub chunk: u32,
+    #[serde(rename = "chunk")]
+    pub tasks_per_chunk: u32,
     /// Wall-clock time at which a controller accepted the job.
-    pub at: WallMs,
+    #[serde(rename = "at")]
+    pub accepted_at: WallMs,
     /// Wall-clock time at which the job was done or cancelled; 0 before.
-    #[serde(default)]
-    pub ended: WallMs,
-    /// The specification that the user submitted; removed once the job is done or cancelled. Boxed,
-    /// because most jobs in the cache are finished and take less memory without it.
+    #[serde(rename = "ended", default)]
+    pub ended_at: WallMs,
+    /// The user's specification, removed when the job ends. Boxed so ended jobs use little memory.
     pub spec: Option<Box<JobSpec>>,
 }
 
@@ -53,25 +54,24 @@
     }
     /// Returns the number of chunks that hold the tasks.
     pub fn chunk_count(&self) -> u32 {
-        self.tasks.div_ceil(self.chunk.max(1))
+        self.tasks.div_ceil(self.tasks_per_chunk.max(1))
     }
     /// Returns the number of the chunk that holds a task.
     pub fn chunk_of(&self, index: u32) -> u32 {
-        index / self.chunk.max(1)
+        index / self.tasks_per_chunk.max(1)
     }
     /// Returns the record of the job after it ends in a final phase at `ended_at`.
     pub fn with_final_phase(&self, phase: JobPhase, ended_at: WallMs) -> JobRecord {
         JobRecord {
             phase,
-            ended: ended_at,
+            ended_at,
             spec: None,
             ..self.clone()
         }
     }
 }
 
-/// A task's assignment to a machine. The chunk holds it from the claim until a controller has proof
-/// that the attempt no longer runs.
+/// A task's assignment to a machine, kept from the claim until it is proven that the attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assignment {
     /// The machine's name.
@@ -88,7 +88,7 @@
     pub direct_start: Option<DirectStart>,
     /// The reason to stop the task, once a controller has decided to stop it.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
-    pub stop: Option<String>,
+    pub stop_reason: Option<String>,
 }
 
 /// The way in which the start of an assigned task is delivered to its worker.
@@ -154,7 +154,7 @@
     pub failed_on: Vec<String>,
     /// Number of failures, from which the backoff follows.
     #[serde(rename = "n", default)]
-    pub fails: u32,
+    pub failure_count: u32,
     /// Wall-clock time until which controllers start no task of this chunk again.
     #[serde(rename = "p", default)]
     pub pause_until: WallMs,
@@ -163,8 +163,8 @@
 impl ChunkRecord {
     /// Creates chunk `n` of a job, with all tasks pending.
     pub fn new(job: &JobRecord, spec: &JobSpec, n: u32) -> ChunkRecord {
-        let first = n.saturating_mul(job.chunk);
-        let task_count = job.tasks.saturating_sub(first).min(job.chunk);
+        let first = n.saturating_mul(job.tasks_per_chunk);
+        let task_count = job.tasks.saturating_sub(first).min(job.tasks_per_chunk);
         ChunkRecord {
             first,
             tasks: vec![TaskState::Pending; task_count as usize],
@@ -206,7 +206,7 @@
 }
 
 fn assignment_bytes(assignment: &Assignment) -> usize {
-    let stop = assignment.stop.as_ref();
+    let stop = assignment.stop_reason.as_ref();
     ASSIGNMENT_BYTES + assignment.machine.len() + stop.map_or(0, |reason| reason.len() + 7)
 }
 
@@ -244,7 +244,8 @@
     /// The lifecycle phase.
     pub phase: MachinePhase,
     /// Wall-clock time at which a controller created the record.
-    pub at: WallMs,
+    #[serde(rename = "at")]
+    pub created_at: WallMs,
     /// Address of the worker; empty before the first heartbeat.
     #[serde(default)]
     pub address: String,
@@ -270,14 +271,14 @@
         zone: &str,
         spot: bool,
         phase: MachinePhase,
-        at: WallMs,
+        created_at: WallMs,
     ) -> MachineRecord {
         MachineRecord {
             type_name: type_name.to_string(),
             zone: zone.to_string(),
             spot,
             phase,
-            at,
+            created_at,
             address: String::new(),
             faults: Vec::new(),
             token_offset: 0,
@@ -330,7 +331,8 @@
     pub count: u32,
     #[serde(rename = "node")]
     pub controller: String,
-    pub at: WallMs,
+    #[serde(rename = "at")]
+    pub created_at: WallMs,
     /// Names of the machines that the cloud created for the request. A controller removes the
     /// request once each of them has a machine record.
     #[serde(rename = "hosts", default, skip_serializing_if = "Option::is_none")]
@@ -356,7 +358,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningRecord {
     /// Number of the next instance request; a number is never reused.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_request_number: u64,
     /// Offers that the cloud refused, and the wall-clock time until which none is requested again.
     #[serde(default)]
     pub refused: BTreeMap<String, WallMs>,
@@ -386,7 +389,8 @@
     /// Name of the class, truncated likewise.
     pub class: String,
     /// Wall-clock time of the latest change; of too many records, the one unchanged longest goes.
-    pub at: WallMs,
+    #[serde(rename = "at")]
+    pub updated_at: WallMs,
     /// The statistics in packed form.
     #[serde(flatten)]
     pub packed: glenmount_runtime_estimates::history::Packed,
@@ -482,7 +486,7 @@
         parse_as_kind_of!(key, is_compact, serde_json::from_value(value))
     }
 
-    /// Parses the JSON text of a stored value like [`Record::from_value`], but without an intermediate
+    /// Parses the JSON text of a stored value, like [`Record::from_value`], without an intermediate
     /// tree of JSON values, because every controller parses every change of all controllers.
     pub fn parse(key: &Key, text: &str) -> Option<Record> {
         #[derive(Deserialize)]
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -69,7 +69,7 @@
         for (key, record) in &transaction.changes {
             if let (Key::Job(job), Some(Record::Job(record))) = (key, record) {
                 if record.phase == JobPhase::Done {
-                    let duration_ms = self.wall.saturating_sub(record.at);
+                    let duration_ms = self.wall.saturating_sub(record.accepted_at);
                     tracing::info!(job, tasks = record.tasks, duration_ms, "job completed");
                 }
             }
@@ -173,7 +173,10 @@
                 let (task, machine) = (&claim.task, &claim.machine);
                 self.workers.starts.answered(task, claim.attempt);
                 tracing::info!(%task, machine, "task claimed");
-                let accepted_at = self.cache.job(&task.job).map_or(self.wall, |job| job.at);
+                let accepted_at = self
+                    .cache
+                    .job(&task.job)
+                    .map_or(self.wall, |job| job.accepted_at);
                 let waited_ms = self.wall.saturating_sub(accepted_at);
                 self.metrics
                     .claimed(task, claim.attempt, waited_ms, self.now);
--- a/crates/core/src/workers/commands.rs
+++ b/crates/core/src/workers/commands.rs
@@ -82,7 +82,7 @@
     pub(crate) fn send_stop(&mut self, id: &str, task: &TaskId) {
         let assignment = self.cache.assignment(id, task).map(|p| &p.assignment);
         let Some((attempt, reason)) =
-            assignment.and_then(|b| Some((b.attempt, b.stop.as_deref()?)))
+            assignment.and_then(|b| Some((b.attempt, b.stop_reason.as_deref()?)))
         else {
             return;
         };
--- a/crates/core/src/workers/reconciliation.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -83,7 +83,7 @@
                 (None, None) => false,
             };
             let is_fenced = is_start_fenced(assignment, position, heartbeat.token);
-            let is_wanted = assignment.stop.is_none() && spec.is_some();
+            let is_wanted = assignment.stop_reason.is_none() && spec.is_some();
             let outcome = match phase {
                 Some(TaskPhase::Exited(cause)) => Some(outcome_of(cause)),
                 None if outlived(assignment, position) || is_fenced && !is_wanted => {
@@ -96,7 +96,7 @@
                 findings.ended.push((attempt, outcome, rests_on));
             } else if is_running
                 && heartbeat.notice_s.is_some()
-                && assignment.stop.is_none()
+                && assignment.stop_reason.is_none()
                 && spec.is_some_and(|spec| spec.checkpoint_interval_s > 0.0)
             {
                 // The machine is about to be reclaimed: what can save its progress does so now.
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -23,7 +23,7 @@
             .filter(|(task, p)| {
                 let b = &p.assignment;
                 b.reply_start != Some(position)
-                    && b.stop.is_none()
+                    && b.stop_reason.is_none()
                     && self.cache.open_job(&task.job).is_some()
                     && !shown(task, b.attempt)
                     // What was started in an earlier incarnation is gone, and on its way to be
@@ -55,7 +55,7 @@
                 (TaskPhase::Exited(_), Some(_)) => {}
                 (phase, assignment) => {
                     let over = job.is_none_or(|j| j.open_spec().is_none());
-                    let stop = assignment.is_some_and(|b| b.stop.is_some());
+                    let stop = assignment.is_some_and(|b| b.stop_reason.is_some());
                     if over || assignment.is_none() {
                         commands.push(WorkerCommand::Stop {
                             task: t.task.clone(),
@@ -76,7 +76,7 @@
         for (task, p) in self.cache.assignments(id) {
             let b = &p.assignment;
             if b.reply_start == Some(position)
-                && b.stop.is_none()
+                && b.stop_reason.is_none()
                 && !(heartbeat.tasks.iter()).any(|t| t.attempt == b.attempt && t.task == *task)
                 && self.cache.open_job(&task.job).is_some()
             {
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -149,7 +149,7 @@
         });
         self.write_back.checkpoints_due.retain(|(task, attempt)| {
             let assignment = cache.assignment_of_attempt(task, *attempt);
-            assignment.is_some_and(|assignment| assignment.stop.is_none())
+            assignment.is_some_and(|assignment| assignment.stop_reason.is_none())
         });
         let mut updates = std::mem::take(&mut self.write_back.machine_updates);
         updates.retain(|id, update| self.updated_record(id, update).is_some());
@@ -225,7 +225,7 @@
         for (task, attempt) in &self.write_back.checkpoints_due {
             if draft.has_room(1 + draft.kept_for_machines) {
                 self.edit_assignment(&mut draft.builder, task, *attempt, |assignment| {
-                    assignment.stop = Some("notice".into());
+                    assignment.stop_reason = Some("notice".into());
                 });
             }
         }
--- a/crates/core/tests/scenarios/dependencies.rs
+++ b/crates/core/tests/scenarios/dependencies.rs
@@ -37,9 +37,9 @@
         let record = JobRecord {
             phase: JobPhase::Open,
             tasks: spec.tasks,
-            chunk: 10,
-            at: *at,
-            ended: 0,
+            tasks_per_chunk: 10,
+            accepted_at: *at,
+            ended_at: 0,
             spec: Some(Box::new(spec.clone())),
         };
         cache.put(Key::Job(spec.id.clone()), i as u64 + 1, Record::Job(record));
@@ -54,7 +54,7 @@
     assert_eq!(state(&mut sim, 1, "j-4"), JobState::Pending);
     sim.run_until(60_000, "done", |sim| has_phase(sim, "j-4", JobPhase::Done));
     let ends = |sim: &Simulation, id: &str| match &sim.state.records[&Key::Job(id.into())] {
-        (Record::Job(j), _) => j.ended,
+        (Record::Job(j), _) => j.ended_at,
         _ => 0,
     };
     assert!(ends(&sim, "j-1") < ends(&sim, "j-2").min(ends(&sim, "j-3")));
--- a/crates/core/tests/scenarios/runtime_estimates.rs
+++ b/crates/core/tests/scenarios/runtime_estimates.rs
@@ -178,7 +178,7 @@
     let like = like.clone();
     for n in 0..CLASSES_KEPT as u64 {
         let old = RunTimesRecord {
-            at: like.at - 1_000_000 + n,
+            updated_at: like.updated_at - 1_000_000 + n,
             class: format!("old{n}"),
             ..like.clone()
         };
--- a/crates/core/tests/scenarios/storage_formats.rs
+++ b/crates/core/tests/scenarios/storage_formats.rs
@@ -76,9 +76,9 @@
     let record = Record::Job(JobRecord {
         phase: JobPhase::Open,
         tasks: 1,
-        chunk: 1,
-        at: 0,
-        ended: 0,
+        tasks_per_chunk: 1,
+        accepted_at: 0,
+        ended_at: 0,
         spec: Some(Box::new(spec)),
     });
     let key = Key::Job("j-000414".into());
@@ -122,7 +122,7 @@
                     attempt: [5, 5, 77, u64::MAX][rng.gen_range(0..4)],
                     reply_start: reply_start.filter(|_| n == 2).map(Into::into),
                     direct_start: direct_start.map(Into::into),
-                    stop: rng.gen_bool(0.2).then(|| "preempted".to_string()),
+                    stop_reason: rng.gen_bool(0.2).then(|| "preempted".to_string()),
                 }),
             })
             .collect();
@@ -174,9 +174,9 @@
     let job = |spec| JobRecord {
         phase: JobPhase::Open,
         tasks: 100_000,
-        chunk: 100,
-        at: START_TIME_MS,
-        ended: 0,
+        tasks_per_chunk: 100,
+        accepted_at: START_TIME_MS,
+        ended_at: 0,
         spec: Some(Box::new(spec)),
     };
     fits("a job with the longest names", Record::Job(job(spec)));
@@ -200,7 +200,7 @@
         spot: true,
         count: PROVISION_MAX_INSTANCES,
         controller: long(60),
-        at: START_TIME_MS,
+        created_at: START_TIME_MS,
         instances: Some(instances.collect()),
     };
     fits("a rental", Record::InstanceRequest(instance_request));
@@ -219,7 +219,10 @@
         .collect();
     fits(
         "the fleet",
-        Record::Provisioning(ProvisioningRecord { next: 9, refused }),
+        Record::Provisioning(ProvisioningRecord {
+            next_request_number: 9,
+            refused,
+        }),
     );
     let tasks = |n: u32| {
         let assignment = |i: u32| Assignment {
@@ -227,7 +230,7 @@
             attempt: 100_000 + i as u64 * 531,
             reply_start: Some((1 + i as u64 % 3, 1_000 + i as u64).into()),
             direct_start: None,
-            stop: Some("preempted".into()),
+            stop_reason: Some("preempted".into()),
         };
         let assigned = (0..n).map(|i| TaskState::Assigned(assignment(i)));
         assigned.collect::<Vec<_>>()
@@ -268,7 +271,7 @@
                 attempt: 1_000_000 - i as u64 * 7_919,
                 reply_start: None,
                 direct_start: Some((1, 1).into()),
-                stop: None,
+                stop_reason: None,
             });
             assigned += 1;
         }
@@ -276,7 +279,7 @@
         for task in &mut chunk.tasks {
             if let TaskState::Assigned(b) = task {
                 (b.reply_start, b.direct_start) = (Some((2, 1_234).into()), None);
-                b.stop = Some("preempted".into());
+                b.stop_reason = Some("preempted".into());
             }
         }
         let bytes = formats::stored_bytes(&Record::Chunk(chunk), format) as u64;
--- a/crates/ctl/src/estimates.rs
+++ b/crates/ctl/src/estimates.rs
@@ -99,7 +99,7 @@
             median_s: estimate.median_s,
             high_s: estimate.high_s,
             owner_bias: (!latest.is_empty()).then_some(bias),
-            at: record.at,
+            at: record.updated_at,
         }
     }
 
@@ -109,7 +109,9 @@
         let count = history.jobs().len() as i64;
         let jobs = history.jobs().iter().enumerate();
         jobs.map(|(i, job)| RunRecord {
-            start_ms: (record.at as i64).saturating_sub(count - i as i64).max(0),
+            start_ms: (record.updated_at as i64)
+                .saturating_sub(count - i as i64)
+                .max(0),
             secs: job.mean.exp(),
             team: record.team.clone(),
             class: record.class.clone(),
--- a/crates/ctl/tests/config.rs
+++ b/crates/ctl/tests/config.rs
@@ -210,9 +210,9 @@
     Record::Job(JobRecord {
         phase: JobPhase::Open,
         tasks: spec.tasks,
-        chunk: 100,
-        at: 1,
-        ended: 0,
+        tasks_per_chunk: 100,
+        accepted_at: 1,
+        ended_at: 0,
         spec: Some(Box::new(spec.clone())),
     })
 }
@@ -317,7 +317,7 @@
             attempt,
             reply_start: None,
             direct_start: None,
-            stop: None,
+            stop_reason: None,
         })
     };
     let chunk = ChunkRecord {
--- a/crates/ctl/tests/stored_estimates.rs
+++ b/crates/ctl/tests/stored_estimates.rs
@@ -45,7 +45,7 @@
     let record = RunTimesRecord {
         team: "red".into(),
         class: class.into(),
-        at: 1_700_000_000_000,
+        updated_at: 1_700_000_000_000,
         packed: history.pack(),
     };
     let key = Key::RunTimes(class_id("red", class)).path();
--- a/crates/loadtest/src/stand_ins/state_store/preload.rs
+++ b/crates/loadtest/src/stand_ins/state_store/preload.rs
@@ -20,9 +20,9 @@
     let record = Record::Job(JobRecord {
         phase: JobPhase::Done,
         tasks: 1 + index % MAX_TASKS,
-        chunk: CHUNK_TASKS,
-        at: accepted_ms,
-        ended: accepted_ms + RAN_FOR_MS,
+        tasks_per_chunk: CHUNK_TASKS,
+        accepted_at: accepted_ms,
+        ended_at: accepted_ms + RAN_FOR_MS,
         spec: None,
     });
     let text = record.value(LATEST).to_string();
--- a/crates/simulation/src/workers/tasks.rs
+++ b/crates/simulation/src/workers/tasks.rs
@@ -140,7 +140,9 @@
             .get(&Key::Chunk(task.job.clone(), job.chunk_of(task.index)))
         {
             _ if job.phase == JobPhase::Cancelled => Some("cancelled"),
-            Some((Record::Chunk(c), _)) => c.assignment(task.index).and_then(|b| b.stop.as_deref()),
+            Some((Record::Chunk(c), _)) => c
+                .assignment(task.index)
+                .and_then(|b| b.stop_reason.as_deref()),
             _ => None,
         };
         let (count, ms) = self
