--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -11,15 +11,18 @@
     /// changes.
     pub(crate) fn finish_jobs(&mut self) {
         let mut finished = Vec::new();
-        for (id, counts) in self.cache.counted() {
+        for (id, counts) in self.cache.task_counts_by_job() {
             let Some(job) = self.cache.job(id).filter(|j| j.phase == JobPhase::Open) else {
                 continue;
             };
-            if job.chunks() > 1
+            if job.chunk_count() > 1
                 && counts.done == job.tasks
                 && !self.cleanup.finishing_jobs.contains(id)
             {
-                finished.push((id.to_string(), job.over(JobPhase::Done, self.wall)));
+                finished.push((
+                    id.to_string(),
+                    job.with_final_phase(JobPhase::Done, self.wall),
+                ));
             }
         }
         for (id, over) in finished {
@@ -40,7 +43,7 @@
     /// it has not. Until then users are told all the same that such jobs are cancelled, so nothing
     /// depends on when it is recorded.
     pub(crate) fn cancel_overdue_dependents(&mut self) {
-        let doomed = self.cache.dependents().doomed();
+        let doomed = self.cache.dependents().with_cancelled_dependency();
         self.cleanup
             .cancelled_dependency_since
             .retain(|id, _| doomed.contains(id));
@@ -75,16 +78,20 @@
         {
             return;
         }
-        let mut builder = TransactionBuilder::limited(&self.cache, max_changes);
+        let mut builder = TransactionBuilder::with_max_changes(&self.cache, max_changes);
         let mut jobs = Vec::new();
-        for id in self.cache.dependents().doomed() {
-            let Some(job) = self.cache.job(id).filter(|_| self.cache.doomed(id)) else {
+        for id in self.cache.dependents().with_cancelled_dependency() {
+            let Some(job) = self
+                .cache
+                .job(id)
+                .filter(|_| self.cache.depends_on_cancelled(id))
+            else {
                 continue;
             };
             if !builder.has_room(&self.settings, 1, 1, SMALL_RECORD_BYTES) {
                 break;
             }
-            let over = job.over(JobPhase::Cancelled, self.wall);
+            let over = job.with_final_phase(JobPhase::Cancelled, self.wall);
             builder.put(Key::Job(id.clone()), Record::Job(over));
             jobs.push(id.clone());
         }
@@ -105,7 +112,7 @@
             return;
         }
         let mut builder = TransactionBuilder::new(&self.cache);
-        for (job, counts) in self.cache.counted() {
+        for (job, counts) in self.cache.task_counts_by_job() {
             let is_over = self
                 .cache
                 .job(job)
@@ -114,13 +121,13 @@
                 continue;
             }
             for (chunk, _) in self.cache.chunks_of(job) {
-                if builder.ops() < self.settings.max_transaction_changes.div_ceil(2) {
+                if builder.change_count() < self.settings.max_transaction_changes.div_ceil(2) {
                     builder.remove(Key::Chunk(job.to_string(), chunk));
                 }
             }
         }
-        for (job, _, _) in self.cache.places() {
-            if builder.ops() < self.settings.max_transaction_changes.div_ceil(2)
+        for (job, _, _) in self.cache.zone_spreads() {
+            if builder.change_count() < self.settings.max_transaction_changes.div_ceil(2)
                 && self
                     .cache
                     .job(job)
@@ -163,7 +170,8 @@
             .deletion_tried_at
             .retain(|id, _| cache.machine(id).is_some());
         let mut starts = std::mem::take(&mut self.workers.starts);
-        let is_assigned = |(task, attempt): &Attempt| self.cache.attempt(task, *attempt).is_some();
+        let is_assigned =
+            |(task, attempt): &Attempt| self.cache.assignment_of_attempt(task, *attempt).is_some();
         starts.prune(is_assigned, |id| {
             self.last_worker_heartbeat(id).unwrap_or(0)
         });
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -43,7 +43,7 @@
     cache: &StateCache,
     min_run_ms: &dyn Fn(&str, &JobSpec) -> u64,
 ) -> HashMap<String, InheritedPriority> {
-    let dependents = cache.dependents().by_awaited();
+    let dependents = cache.dependents().by_dependency();
     // Number of downstream jobs still to be visited, by job; jobs without any are visited first.
     let mut unvisited: HashMap<&str, usize> = HashMap::new();
     let mut ready: Vec<&str> = Vec::new();
@@ -89,7 +89,7 @@
 /// acceptance however long the job waited for others.
 pub fn own_deadline(job: &JobRecord, spec: &JobSpec) -> Option<WallMs> {
     let within_ms = spec.deadline_s.map(|d| (d.max(0.0) * 1000.0) as u64);
-    within_ms.map(|ms| job.at.saturating_add(ms))
+    within_ms.map(|ms| job.accepted_at.saturating_add(ms))
 }
 
 /// Returns the milliseconds that a task takes by its owner's estimate.
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -169,12 +169,12 @@
             self.await_cancellation(request);
             return;
         }
-        let cancelled = job.over(JobPhase::Cancelled, self.wall);
+        let cancelled = job.with_final_phase(JobPhase::Cancelled, self.wall);
         let mut builder = TransactionBuilder::new(&self.cache);
         builder.put(Key::Job(id), Record::Job(cancelled));
         // The order of this transaction's revision and that of the key decides whether the
         // cancellation is answered at its commit or once it is confirmed.
-        builder.rests_on(Key::CancellationConfirmation);
+        builder.add_condition(Key::CancellationConfirmation);
         let transaction = builder.finish();
         let purpose = PendingOperation::UserRequest(request);
         self.commit(transaction, purpose, RequestClass::User);
@@ -193,7 +193,9 @@
             self.reply_to_user(request, UserReply::Rejected(reason));
             return;
         }
-        if !spec.dependencies.is_empty() && self.cache.format() < formats::PIPELINES {
+        if !spec.dependencies.is_empty()
+            && self.cache.common_format() < formats::COMPACT_CHUNKS_AND_DEPENDENCIES
+        {
             // A controller of an older version would start the job at once.
             let after_s = UPGRADE_RETRY_AFTER_S;
             self.reply_to_user(request, UserReply::RetryAfter { after_s });
@@ -203,7 +205,8 @@
         let mut builder = TransactionBuilder::new(&self.cache);
         builder.put(Key::Job(id), Record::Job(record));
         if self.settings.checks.configuration_conditions {
-            builder.rests_on_revision(Key::Configuration, self.settings.policy.mod_revision);
+            builder
+                .add_condition_at_revision(Key::Configuration, self.settings.policy.mod_revision);
         }
         let transaction = builder.finish();
         let purpose = PendingOperation::UserRequest(request);
@@ -215,9 +218,12 @@
         JobRecord {
             phase: JobPhase::Open,
             tasks: spec.tasks,
-            chunk: formats::chunk_tasks(self.cache.format(), self.settings.max_value_bytes),
-            at: self.wall,
-            ended: 0,
+            tasks_per_chunk: formats::tasks_per_chunk(
+                self.cache.common_format(),
+                self.settings.max_value_bytes,
+            ),
+            accepted_at: self.wall,
+            ended_at: 0,
             spec: Some(spec),
         }
     }
@@ -280,7 +286,7 @@
         tracing::info!(job, "job cancelled");
         self.send_job_stops(&job);
         self.cancel_dependents();
-        if self.cache.ending(&job) {
+        if self.cache.is_cancellation_pending(&job) {
             self.await_cancellation(request);
             return;
         }
@@ -317,10 +323,10 @@
     /// Returns whether a job's state is final, though its record may not say so yet.
     fn is_final(&self, id: &str, job: &JobRecord) -> bool {
         match job.phase {
-            JobPhase::Open => self.cache.doomed(id),
+            JobPhase::Open => self.cache.depends_on_cancelled(id),
             JobPhase::Done => true,
             // While the records are listed page by page, the cache may lack assignments.
-            JobPhase::Cancelled => self.sync.has_listed && !self.cache.ending(id),
+            JobPhase::Cancelled => self.sync.has_listed && !self.cache.is_cancellation_pending(id),
         }
     }
 
@@ -346,14 +352,14 @@
         match job.phase {
             JobPhase::Done => (JobState::Done, job.tasks, 0),
             // No user has been told of the cancellation yet.
-            JobPhase::Cancelled if self.cache.ending(id) => {
-                let counts = self.cache.counts(id);
+            JobPhase::Cancelled if self.cache.is_cancellation_pending(id) => {
+                let counts = self.cache.task_counts(id);
                 (JobState::Running, counts.done, counts.assigned)
             }
             JobPhase::Cancelled => (JobState::Cancelled, 0, 0),
-            JobPhase::Open if self.cache.doomed(id) => (JobState::Cancelled, 0, 0),
+            JobPhase::Open if self.cache.depends_on_cancelled(id) => (JobState::Cancelled, 0, 0),
             JobPhase::Open => {
-                let counts = self.cache.counts(id);
+                let counts = self.cache.task_counts(id);
                 let state = match counts.assigned {
                     0 => JobState::Pending,
                     _ => JobState::Running,
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -72,7 +72,7 @@
         let by_name = |t: &MachineType| (t.name.clone(), t.clone());
         self.machine_types = machine_types.iter().map(by_name).collect();
         let cache_gb = |t: &MachineType| (t.name.clone(), t.cache_gb);
-        self.cache.cache_gb = machine_types.iter().map(cache_gb).collect();
+        self.cache.image_cache_gb = machine_types.iter().map(cache_gb).collect();
         self.scheduling.pass_requested = true;
     }
 
@@ -136,7 +136,7 @@
         let max_bytes = self.settings.max_value_bytes;
         let mut draft = TransactionBuilder::new(&self.cache);
         if (instances.len() as u32) < request.count {
-            let mut provisioning = draft.fleet();
+            let mut provisioning = draft.provisioning_record();
             provisioning.refused.retain(|_, until| *until > self.wall);
             let refused_until = self.wall + OFFER_UNAVAILABLE_MS;
             provisioning.refused.insert(request.offer(), refused_until);
--- a/crates/core/src/provisioning/demand.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -83,7 +83,7 @@
     /// Returns the instances to provision for pending work that no present or expected machine can take. Uses the
     /// cheapest offer for each job and skips offers that the cloud refused recently.
     pub fn demand(&self, work: &[PendingWork]) -> Vec<InstanceDemand> {
-        let offers = self.cache.fleet();
+        let offers = self.cache.provisioning_record();
         let mut instances = self.awaited_instances();
         let awaited = instances.len();
         let max = PROVISION_MAX_INSTANCES as usize * PROVISION_MAX_REQUESTS_PER_STEP;
@@ -153,7 +153,7 @@
             zone: &m.zone,
             spot: m.spot,
             count: 1,
-            is_late: self.is_late(&m.type_name, m.at),
+            is_late: self.is_late(&m.type_name, m.created_at),
         });
         let requests = self.cache.instance_requests();
         let requested = requests.map(|(_, request, _)| ExpectedInstances {
@@ -167,7 +167,8 @@
                 }
                 None => request.count,
             },
-            is_late: request.instances.is_some() && self.is_late(&request.type_name, request.at),
+            is_late: request.instances.is_some()
+                && self.is_late(&request.type_name, request.created_at),
         });
         booting.chain(requested).collect()
     }
--- a/crates/core/src/provisioning/scale_out.rs
+++ b/crates/core/src/provisioning/scale_out.rs
@@ -49,11 +49,11 @@
         let max_requests =
             PROVISION_MAX_REQUESTS_PER_STEP.min(self.settings.max_transaction_changes - 1);
         let mut draft = TransactionBuilder::new(&self.cache);
-        let mut provisioning = draft.fleet();
+        let mut provisioning = draft.provisioning_record();
         let mut created = Vec::new();
         for demand in demand.into_iter().take(max_requests) {
-            let number = provisioning.next;
-            provisioning.next += 1;
+            let number = provisioning.next_request_number;
+            provisioning.next_request_number += 1;
             created.push(number);
             draft.put(
                 Key::InstanceRequest(number),
@@ -63,7 +63,7 @@
                     spot: demand.spot,
                     count: demand.count.min(max_instances),
                     controller: self.settings.controller.clone(),
-                    at: self.wall,
+                    created_at: self.wall,
                     instances: None,
                 }),
             );
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -211,7 +211,7 @@
         }
         let observed = self.run_times.attempts.get(task).copied();
         let observed = observed.filter(|o| o.attempt == attempt && o.is_running);
-        let assigned = self.cache.attempt(task, attempt);
+        let assigned = self.cache.assignment_of_attempt(task, attempt);
         let (Some(observed), Some(assigned)) = (observed, assigned) else {
             return;
         };
@@ -242,7 +242,7 @@
             && self.run_times.saved_progress.len() < TRACKED_ATTEMPTS_MAX
         {
             // A stopped task saves all its progress; one lost with its machine keeps its last checkpoint.
-            let saved_secs = match assigned.stop.is_some() {
+            let saved_secs = match assigned.stop_reason.is_some() {
                 true => run_s,
                 false => (run_s / spec.checkpoint_interval_s).floor() * spec.checkpoint_interval_s,
             };
@@ -295,7 +295,7 @@
         if !self.estimates_run_times() {
             return;
         }
-        match self.cache.class_runs(&class) {
+        match self.cache.run_times(&class) {
             Some(record) => {
                 let history = History::unpack(&record.packed).unwrap_or_else(|| {
                     tracing::warn!(
@@ -314,7 +314,11 @@
 
     /// Applies the records of all classes after a list.
     pub(crate) fn apply_all_run_times_records(&mut self) {
-        let classes: Vec<u64> = self.cache.all_runs().map(|(class, ..)| *class).collect();
+        let classes: Vec<u64> = self
+            .cache
+            .all_run_times()
+            .map(|(class, ..)| *class)
+            .collect();
         for class in classes {
             self.apply_run_times_record(class);
         }
@@ -346,15 +350,15 @@
         let record = RunTimesRecord {
             team: truncated(team),
             class: truncated(name),
-            at: self.wall,
+            updated_at: self.wall,
             packed: history.pack(),
         };
         let mut draft = TransactionBuilder::new(&self.cache);
         draft.put(Key::RunTimes(class), Record::RunTimes(record));
-        let recorded: Vec<(WallMs, u64)> = (self.cache.all_runs())
-            .map(|(class, record, _)| (record.at, *class))
+        let recorded: Vec<(WallMs, u64)> = (self.cache.all_run_times())
+            .map(|(class, record, _)| (record.updated_at, *class))
             .collect();
-        let is_new = self.cache.class_runs(&class).is_none();
+        let is_new = self.cache.run_times(&class).is_none();
         if is_new && recorded.len() >= CLASSES_KEPT {
             if let Some((_, oldest)) = recorded.iter().min() {
                 draft.remove(Key::RunTimes(*oldest));
@@ -365,7 +369,7 @@
             .write_rps
             .min(self.settings.announced_write_rps)
             * RUN_TIME_WRITE_SHARE;
-        let pause_ms = draft.ops() as f64 * 1e3 / rate_per_s.max(1e-6);
+        let pause_ms = draft.change_count() as f64 * 1e3 / rate_per_s.max(1e-6);
         self.run_times.next_write_at = self.now + pause_ms as Millis;
         self.run_times.recording_in_flight = true;
         self.run_times.book.sent(class, &batches);
@@ -408,7 +412,7 @@
         let is_stale = |id: &str| !self.run_times.estimates.get(id).is_some_and(is_fresh);
         let running = self
             .cache
-            .counted()
+            .task_counts_by_job()
             .filter(|(_, counts)| counts.assigned > 0);
         let ids: BTreeSet<&str> = (self.cache.waiting_jobs())
             .map(|(id, ..)| id)
@@ -511,11 +515,14 @@
     /// Removes the state of ended attempts, closed jobs and deleted machines, and logs the counts.
     pub(crate) fn clean_up_run_times(&mut self) {
         let cache = &self.cache;
-        let is_assigned = |(task, attempt): &Attempt| cache.attempt(task, *attempt).is_some();
+        let is_assigned =
+            |(task, attempt): &Attempt| cache.assignment_of_attempt(task, *attempt).is_some();
         let run_times = &mut self.run_times;
-        run_times
-            .attempts
-            .retain(|task, observed| cache.attempt(task, observed.attempt).is_some());
+        run_times.attempts.retain(|task, observed| {
+            cache
+                .assignment_of_attempt(task, observed.attempt)
+                .is_some()
+        });
         run_times.ended_runs.retain(|key, _| is_assigned(key));
         run_times
             .saved_progress
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -71,7 +71,7 @@
 
 /// Returns whether claims of different chunks of a job must be counted together to apply its zone rules.
 fn records_zone_spread(spec: &JobSpec, job: &JobRecord) -> bool {
-    (spec.zone_affinity || spec.topology_spread) && job.chunks() > 1
+    (spec.zone_affinity || spec.topology_spread) && job.chunk_count() > 1
 }
 
 /// Returns the number of a job's assigned tasks per zone, including the claims of the draft. A task on a machine
@@ -83,7 +83,7 @@
     zones: &[String],
 ) -> ZoneSpreadRecord {
     let mut zone_spread = ZoneSpreadRecord::default();
-    for chunk_number in 0..job.chunks() {
+    for chunk_number in 0..job.chunk_count() {
         let Some(chunk) = draft.chunk(id, chunk_number) else {
             continue;
         };
@@ -139,8 +139,8 @@
     let cache = draft.cache;
     let task = request.task;
     let job = cache.job(&task.job).ok_or(Refusal::JobClosed)?;
-    let spec = job.open().ok_or(Refusal::JobClosed)?;
-    if cache.blocked(&task.job) {
+    let spec = job.open_spec().ok_or(Refusal::JobClosed)?;
+    if cache.is_blocked(&task.job) {
         return Err(Refusal::Blocked);
     }
     let claim = Claim {
@@ -198,15 +198,15 @@
         let Some(chunk) = draft.chunk(&task.job, self.chunk_number) else {
             return Ok(());
         };
-        let slot = (task.index % self.job.chunk.max(1)) as usize;
+        let slot = (task.index % self.job.tasks_per_chunk.max(1)) as usize;
         if chunk.tasks.get(slot) != Some(&TaskState::Pending) {
             return Err(Refusal::TaskNotPending);
         }
         if chunk.pause_until > wall {
             return Err(Refusal::ChunkPaused);
         }
-        let (format, max_bytes) = (cache.format(), settings.max_value_bytes);
-        match formats::takes_one_more(chunk, self.request.machine, format, max_bytes) {
+        let (format, max_bytes) = (cache.common_format(), settings.max_value_bytes);
+        match formats::fits_another_assignment(chunk, self.request.machine, format, max_bytes) {
             true => Ok(()),
             false => Err(Refusal::ChunkFull),
         }
@@ -250,17 +250,17 @@
         team: &Team,
     ) -> bool {
         let (job_id, bytes) = (&self.request.task.job, self.assignment_bytes());
-        if draft.touches(&self.chunk_key()) {
+        if draft.has_change(&self.chunk_key()) {
             return draft.has_room(settings, 0, 1, bytes);
         }
         // The records of its team and zone spread may be new to the draft as well.
-        let adds_team = has_limit(team) && !draft.touches(&Key::Team(self.spec.team.clone()));
+        let adds_team = has_limit(team) && !draft.has_change(&Key::Team(self.spec.team.clone()));
         let adds_zone_spread = records_zone_spread(self.spec, self.job)
-            && !draft.touches(&Key::ZoneSpread(job_id.clone()));
+            && !draft.has_change(&Key::ZoneSpread(job_id.clone()));
         let known_chunk_bytes = draft
             .chunk(job_id, self.chunk_number)
-            .map_or(0, |chunk| chunk.size());
-        let new_chunk_bytes = CHUNK_BASE_BYTES + self.job.chunk as usize * 4;
+            .map_or(0, |chunk| chunk.max_json_bytes());
+        let new_chunk_bytes = CHUNK_BASE_BYTES + self.job.tasks_per_chunk as usize * 4;
         draft.has_room(
             settings,
             1 + usize::from(adds_team) + usize::from(adds_zone_spread),
@@ -281,14 +281,14 @@
         // Claims of a task that take effect never share an attempt, even if a transaction arrives late or twice:
         // each changes the revision that it was conditional on.
         let attempt = draft.cache.claim_revision(&task.job, self.chunk_number);
-        draft.rests_on(Key::Job(task.job.clone()));
-        draft.rests_on(Key::Machine(machine.clone()));
+        draft.add_condition(Key::Job(task.job.clone()));
+        draft.add_condition(Key::Machine(machine.clone()));
         if settings.checks.configuration_conditions {
-            draft.rests_on_revision(Key::Configuration, settings.policy.mod_revision);
+            draft.add_condition_at_revision(Key::Configuration, settings.policy.mod_revision);
         }
         let chunk = draft
             .chunk_mut(&task.job, self.chunk_number, || {
-                Some(ChunkRecord::fresh(job, spec, self.chunk_number))
+                Some(ChunkRecord::new(job, spec, self.chunk_number))
             })
             .ok_or(Refusal::JobClosed)?;
         let slot = task.index.saturating_sub(chunk.first) as usize;
@@ -303,10 +303,10 @@
                     Some(DirectStart { incarnation, token })
                 }
             },
-            stop: None,
+            stop_reason: None,
         });
-        draft.grow(self.assignment_bytes());
-        draft.use_more(&spec.team, &spec.resources);
+        draft.add_bytes(self.assignment_bytes());
+        draft.add_usage(&spec.team, &spec.resources);
         if has_limit(team) {
             let usage = draft.usage(&spec.team);
             draft.put(Key::Team(spec.team.clone()), Record::Team(usage));
@@ -348,8 +348,8 @@
         AttemptOutcome::Done => has_faults,
         AttemptOutcome::Refused | AttemptOutcome::Terminated => false,
     };
-    let may_finish_job = outcome == AttemptOutcome::Done && job.chunks() == 1;
-    let adds = |key: Key| usize::from(!draft.touches(&key));
+    let may_finish_job = outcome == AttemptOutcome::Done && job.chunk_count() == 1;
+    let adds = |key: Key| usize::from(!draft.has_change(&key));
     adds(Key::Chunk(task.job.clone(), chunk_number))
         + usize::from(may_finish_job) * adds(Key::Job(task.job.clone()))
         + usize::from(may_change_machine) * adds(Key::Machine(machine))
@@ -373,7 +373,9 @@
         return;
     };
     let machine_id = assignment.machine.clone();
-    let is_array = job.open().is_none_or(|spec| spec.kind == JobKind::Array);
+    let is_array = job
+        .open_spec()
+        .is_none_or(|spec| spec.kind == JobKind::Array);
     let Some(chunk) = draft.chunk_mut(&task.job, chunk_number, || None) else {
         return;
     };
@@ -393,12 +395,12 @@
     }
     let has_assigned = chunk.assigned().next().is_some();
     let is_complete = chunk.done() == job.tasks;
-    if job.open().is_none() && !has_assigned {
+    if job.open_spec().is_none() && !has_assigned {
         // A closed job is never reopened, so no task of the chunk can be claimed any more.
         draft.remove(Key::Chunk(task.job.clone(), chunk_number));
-    } else if job.open().is_some() && job.chunks() == 1 && is_complete {
+    } else if job.open_spec().is_some() && job.chunk_count() == 1 && is_complete {
         draft.remove(Key::Chunk(task.job.clone(), 0));
-        let done = job.over(JobPhase::Done, wall);
+        let done = job.with_final_phase(JobPhase::Done, wall);
         draft.put(Key::Job(task.job.clone()), Record::Job(done));
     }
     update_machine_faults(draft, &machine_id, &task.job, outcome);
@@ -408,13 +410,13 @@
 /// machines: failures on one faulty machine must not slow the job, but a faulty job must not be restarted in a
 /// tight loop.
 fn pause_after_failure(chunk: &mut ChunkRecord, machine_id: &str, wall: WallMs) {
-    chunk.fails = chunk.fails.saturating_add(1);
+    chunk.failure_count = chunk.failure_count.saturating_add(1);
     let is_machine_known = chunk.failed_on.iter().any(|id| id == machine_id);
     if !is_machine_known && chunk.failed_on.len() < FAULTY_JOB_MIN_MACHINES {
         chunk.failed_on.push(machine_id.to_string());
     }
     let doublings = match chunk.failed_on.len() >= FAULTY_JOB_MIN_MACHINES {
-        true => chunk.fails.min(FAIL_PAUSE_MAX_DOUBLINGS),
+        true => chunk.failure_count.min(FAIL_PAUSE_MAX_DOUBLINGS),
         false => 0,
     };
     chunk.pause_until = wall + (TASK_BACKOFF_MS << doublings).min(TASK_BACKOFF_MAX_MS);
@@ -461,7 +463,10 @@
     }
     // A job submitted with a mistake fails on every machine, so failures of suspect jobs, however many, are no
     // evidence against this machine.
-    let counted_jobs = machine.faults.iter().filter(|job| !draft.suspect(job));
+    let counted_jobs = machine
+        .faults
+        .iter()
+        .filter(|job| !draft.is_suspect_job(job));
     let is_faulty = counted_jobs.count() >= FAULTY_MACHINE_MIN_JOBS;
     if is_faulty && machine.phase == MachinePhase::Up {
         machine.phase = MachinePhase::Draining;
--- a/crates/core/src/scheduling/migration_step.rs
+++ b/crates/core/src/scheduling/migration_step.rs
@@ -11,7 +11,7 @@
 use crate::scheduling::rescheduling::{self, MigrationCandidate, MigrationReason};
 use crate::scheduling::stops::{Stop, StopReason};
 use crate::state::{
-    Assignment, JobRecord, MachinePhase, MachineRecord, Placed, TransactionBuilder,
+    AssignedTask, Assignment, JobRecord, MachinePhase, MachineRecord, TransactionBuilder,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -100,7 +100,9 @@
         let mut in_progress = StopsInProgress::default();
         for (id, _, _) in self.cache.machines() {
             let assignments = self.cache.assignments(id);
-            for (task, _) in assignments.filter(|(_, placed)| placed.assignment.stop.is_some()) {
+            for (task, _) in
+                assignments.filter(|(_, placed)| placed.assignment.stop_reason.is_some())
+            {
                 in_progress.tasks += 1;
                 in_progress.jobs.insert(task.job.clone());
             }
@@ -137,9 +139,10 @@
         &'a self,
         id: &'a str,
     ) -> impl Iterator<Item = MigrationCandidate> + 'a {
-        let may_migrate =
-            move |(task, placed): &(&TaskId, &Placed)| self.may_migrate(task, &placed.assignment);
-        let candidate = move |(task, placed): (&TaskId, &Placed)| MigrationCandidate {
+        let may_migrate = move |(task, placed): &(&TaskId, &AssignedTask)| {
+            self.may_migrate(task, &placed.assignment)
+        };
+        let candidate = move |(task, placed): (&TaskId, &AssignedTask)| MigrationCandidate {
             task: task.clone(),
             attempt: placed.assignment.attempt,
             machine: id.to_string(),
@@ -156,7 +159,7 @@
     /// Returns whether an assignment is of a service and is not being stopped.
     fn may_migrate(&self, task: &TaskId, assignment: &Assignment) -> bool {
         let spec = self.cache.open_job(&task.job);
-        assignment.stop.is_none() && spec.is_some_and(|spec| spec.kind == JobKind::Service)
+        assignment.stop_reason.is_none() && spec.is_some_and(|spec| spec.kind == JobKind::Service)
     }
 
     /// Returns migrations that restore an even spread of services over zones, for example after a zone was lost.
@@ -180,7 +183,9 @@
             free.entry(&record.zone).or_default().push(FreeMachine {
                 id,
                 record,
-                free: machine_type.capacity.saturating_sub(&self.cache.used(id)),
+                free: machine_type
+                    .capacity
+                    .saturating_sub(&self.cache.used_resources(id)),
             });
         }
         free
@@ -196,7 +201,7 @@
         free: &FreeByZone,
     ) -> Option<MigrationCandidate> {
         let is_spread = spec.kind == JobKind::Service && !spec.zone_affinity && spec.zone.is_none();
-        let is_complete = self.cache.counts(id).assigned == job.tasks;
+        let is_complete = self.cache.task_counts(id).assigned == job.tasks;
         if !is_spread || job.tasks < 2 || !is_complete {
             return None;
         }
@@ -218,7 +223,7 @@
         let zone_of = |machine: &str| self.cache.machine(machine).map(|record| &record.zone);
         let mut assigned = (self.cache.chunks_of(id)).flat_map(|(_, chunk)| chunk.assigned());
         let (index, assignment) = assigned.find(|(_, assignment)| {
-            zone_of(&assignment.machine) == Some(fullest_zone) && assignment.stop.is_none()
+            zone_of(&assignment.machine) == Some(fullest_zone) && assignment.stop_reason.is_none()
         })?;
         let job = id.to_string();
         Some(MigrationCandidate {
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -74,7 +74,7 @@
     }
 
     fn begin_pass(&mut self) {
-        self.writes.pass_goes_first = false;
+        self.writes.pass_has_priority = false;
         self.metrics.scheduling_passes += 1;
         self.scheduling.pass_requested = false;
         // Without jitter, controllers would run their passes at the same time and make conflicting claims.
@@ -110,7 +110,9 @@
             let Some(machine_type) = self.machine_types.get(&record.type_name) else {
                 continue;
             };
-            let free = machine_type.capacity.saturating_sub(&self.cache.used(id));
+            let free = machine_type
+                .capacity
+                .saturating_sub(&self.cache.used_resources(id));
             if free.cpus == 0
                 || free.ram == 0
                 || record.phase != MachinePhase::Up
@@ -142,7 +144,7 @@
                 free,
                 last_assigned_at: last_assigned_at.copied().unwrap_or(0),
                 reports_here: liveness.reports_here(),
-                is_busy: self.cache.assigned_tasks(id) > 0,
+                is_busy: self.cache.assigned_task_count(id) > 0,
                 pending_fetch_ms: fetching_until.map_or(0, |until| until.saturating_sub(self.now)),
                 start_channel: self.delivery_for(&liveness, record),
             });
--- a/crates/core/src/scheduling/pending_work.rs
+++ b/crates/core/src/scheduling/pending_work.rs
@@ -157,9 +157,9 @@
         spec: &JobSpec,
     ) -> Option<(PendingWork, Option<StartGoals>)> {
         let mut pending = self.pending_tasks(id, job);
-        let is_suspect = self.cache.suspect(id);
+        let is_suspect = self.cache.is_suspect_job(id);
         if is_suspect {
-            let has_no_assigned_task = self.cache.counts(id).assigned == 0;
+            let has_no_assigned_task = self.cache.task_counts(id).assigned == 0;
             pending.indices.truncate(usize::from(has_no_assigned_task));
         }
         if pending.indices.is_empty() {
@@ -191,14 +191,18 @@
     fn pending_tasks(&self, id: &str, job: &JobRecord) -> PendingTasks {
         let mut pending_tasks = PendingTasks::default();
         let mut chunks_used = 0;
-        for chunk_number in 0..job.chunks() {
+        for chunk_number in 0..job.chunk_count() {
             if chunks_used >= PASS_MAX_CHUNKS {
                 break;
             }
             let Some(chunk) = self.cache.chunk(id, chunk_number) else {
                 // The chunk has no record because none of its tasks has been claimed yet.
-                let end = job.tasks.min((chunk_number + 1).saturating_mul(job.chunk));
-                pending_tasks.indices.extend(chunk_number * job.chunk..end);
+                let end = job
+                    .tasks
+                    .min((chunk_number + 1).saturating_mul(job.tasks_per_chunk));
+                pending_tasks
+                    .indices
+                    .extend(chunk_number * job.tasks_per_chunk..end);
                 chunks_used += 1;
                 continue;
             };
@@ -368,7 +372,7 @@
     let spec = cache
         .open_job(id)
         .filter(|spec| spec.kind == JobKind::Array)?;
-    let counts = cache.counts(id);
+    let counts = cache.task_counts(id);
     let started_tasks = counts.assigned + counts.done;
     (started_tasks <= first_part_tasks(spec)).then_some(started_tasks)
 }
--- a/crates/core/src/scheduling/placement.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -41,7 +41,7 @@
 
 /// Places pending work, given in order of urgency, in a transaction of at most `max_changes` changes. Within a
 /// group of equal urgency, jobs are first placed on machines that cache their image. Each job fills its best
-/// machine before the next one. Placed tasks are removed from `work`.
+/// machine before the next one. AssignedTask tasks are removed from `work`.
 pub fn plan(
     view: ClusterView,
     work: &mut [PendingWork],
@@ -50,7 +50,7 @@
 ) -> Plan {
     let mut draft = PlanDraft {
         view,
-        transaction: TransactionBuilder::limited(view.cache, max_changes),
+        transaction: TransactionBuilder::with_max_changes(view.cache, max_changes),
         reserve: ServiceReserve::new(view, work, machines),
         claims: Vec::new(),
         fetches: Vec::new(),
@@ -300,7 +300,7 @@
                 // The chunk's other tasks wait until some of its tasks end. Tasks of other chunks are placed.
                 Err(Refusal::ChunkFull) => {
                     let job = self.view.cache.job(&work.job);
-                    let chunk_size = job.map_or(1, |job| job.chunk.max(1));
+                    let chunk_size = job.map_or(1, |job| job.tasks_per_chunk.max(1));
                     let full_chunk = index / chunk_size;
                     work.indices
                         .retain(|index| index / chunk_size != full_chunk);
--- a/crates/core/src/scheduling/preemption.rs
+++ b/crates/core/src/scheduling/preemption.rs
@@ -256,7 +256,7 @@
         let mut victims = Vec::new();
         let running = cache
             .assignments(id)
-            .filter(|(_, placed)| placed.assignment.stop.is_none());
+            .filter(|(_, placed)| placed.assignment.stop_reason.is_none());
         for (task, placed) in running {
             retained = retained.saturating_add(&placed.resources);
             let Some(spec) = cache.open_job(&task.job) else {
@@ -288,7 +288,7 @@
             id,
             record,
             available: total.saturating_sub(&retained),
-            free: total.saturating_sub(&cache.used(id)),
+            free: total.saturating_sub(&cache.used_resources(id)),
             victims,
         });
     }
--- a/crates/core/src/scheduling/stops.rs
+++ b/crates/core/src/scheduling/stops.rs
@@ -67,12 +67,12 @@
                 break;
             }
             self.edit_assignment(&mut draft, &stop.task, stop.attempt, |assignment| {
-                assignment.stop = Some(stop.reason.to_string());
+                assignment.stop_reason = Some(stop.reason.to_string());
             });
             stopped_tasks.push((stop.machine, stop.task));
         }
         if let Some(condition) = condition {
-            draft.rests_on_revision(condition.key, condition.mod_revision);
+            draft.add_condition_at_revision(condition.key, condition.mod_revision);
         }
         let oversized = draft.drop_oversized(max_bytes);
         let outcome = StopOutcome {
--- a/crates/core/src/workers/commands.rs
+++ b/crates/core/src/workers/commands.rs
@@ -92,7 +92,7 @@
     pub(crate) fn send_stop(&mut self, id: &str, task: &TaskId) {
         let assignment = self.cache.assignment(id, task).map(|p| &p.assignment);
         let Some((attempt, reason)) = assignment
-            .and_then(|assignment| Some((assignment.attempt, assignment.stop.as_deref()?)))
+            .and_then(|assignment| Some((assignment.attempt, assignment.stop_reason.as_deref()?)))
         else {
             return;
         };
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -198,8 +198,8 @@
     fn find_machines_with_cancelled_tasks(&self, terminations: &mut Terminations) {
         let confirmed_after_ms =
             (self.settings.cancellation_timeout_ms as f64 * CANCEL_DELETE_SHARE) as u64;
-        for (job, counts) in self.cache.counted() {
-            let unconfirmed = self.cache.ending(job);
+        for (job, counts) in self.cache.task_counts_by_job() {
+            let unconfirmed = self.cache.is_cancellation_pending(job);
             let after_ms = match unconfirmed {
                 true => CANCEL_UNCONFIRMED_TIMEOUT_MS,
                 false => confirmed_after_ms,
@@ -207,7 +207,7 @@
             let timed_out = self.cache.job(job).is_some_and(|job| {
                 job.phase == JobPhase::Cancelled
                     && counts.assigned > 0
-                    && self.wall > job.ended + self.settings.clock_skew_ms + after_ms
+                    && self.wall > job.ended_at + self.settings.clock_skew_ms + after_ms
             });
             if !timed_out {
                 continue;
@@ -230,7 +230,7 @@
             let first_seen_at = *observation.first_seen_at.get_or_insert(self.now);
             if machine.is_up() {
                 observation.up_since.get_or_insert(self.now);
-                if self.cache.assigned_tasks(id) == 0 {
+                if self.cache.assigned_task_count(id) == 0 {
                     let idle_since = *observation.idle_since.get_or_insert(self.now);
                     // Controllers are staggered, so that not all of them record the deletion.
                     let stagger_ms = self.settings.controller_index() * CONTROLLER_STAGGER_MS;
--- a/crates/core/src/workers/reconciliation.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -90,7 +90,7 @@
                 (None, None) => false,
             };
             let is_fenced = is_start_fenced(assignment, position, heartbeat.token);
-            let is_wanted = assignment.stop.is_none() && spec.is_some();
+            let is_wanted = assignment.stop_reason.is_none() && spec.is_some();
             let outcome = match phase {
                 Some(TaskPhase::Exited(cause)) => Some(attempt_outcome(cause)),
                 None if predates_incarnation(assignment, position) || is_fenced && !is_wanted => {
@@ -103,7 +103,7 @@
                 findings.ended.push((attempt, outcome, conditional_on));
             } else if is_running
                 && heartbeat.notice_s.is_some()
-                && assignment.stop.is_none()
+                && assignment.stop_reason.is_none()
                 && spec.is_some_and(|spec| spec.checkpoint_interval_s > 0.0)
             {
                 // The machine is about to be reclaimed: tasks that can save a checkpoint do so now.
@@ -214,7 +214,8 @@
         };
         let n = job.chunk_of(task.index);
         self.cache.chunk_revision(&task.job, n) > attempt
-            || job.open().is_none() && self.cache.revision >= self.cache.job_revision(&task.job)
+            || job.open_spec().is_none()
+                && self.cache.revision >= self.cache.job_revision(&task.job)
     }
 }
 
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -3,7 +3,7 @@
 use crate::constants::{HEARTBEAT_REPLY_MAX_DELAY_MS, REPLY_MAX_COMMANDS};
 use crate::controller::{Controller, RequestId, WorkerReply};
 use crate::model::{TaskId, TaskPhase, WorkerCommand, WorkerHeartbeat};
-use crate::state::Placed;
+use crate::state::AssignedTask;
 use crate::workers::heartbeats::HeldHeartbeat;
 use crate::workers::reconciliation::{is_start_fenced, predates_incarnation};
 
@@ -24,7 +24,7 @@
             .filter(|(task, p)| {
                 let assignment = &p.assignment;
                 assignment.reply_start != Some(position)
-                    && assignment.stop.is_none()
+                    && assignment.stop_reason.is_none()
                     && self.cache.open_job(&task.job).is_some()
                     && !is_reported(task, assignment.attempt)
                     // A start of an earlier incarnation is lost, and its end is about to be
@@ -58,8 +58,9 @@
                 }),
                 (TaskPhase::Exited(_), Some(_)) => {}
                 (phase, assignment) => {
-                    let is_job_over = job.is_none_or(|j| j.open().is_none());
-                    let is_stopped = assignment.is_some_and(|assignment| assignment.stop.is_some());
+                    let is_job_over = job.is_none_or(|j| j.open_spec().is_none());
+                    let is_stopped =
+                        assignment.is_some_and(|assignment| assignment.stop_reason.is_some());
                     if is_job_over || assignment.is_none() {
                         commands.push(WorkerCommand::Stop {
                             task: status.task.clone(),
@@ -80,7 +81,7 @@
         for (task, p) in self.cache.assignments(id) {
             let assignment = &p.assignment;
             if assignment.reply_start == Some(position)
-                && assignment.stop.is_none()
+                && assignment.stop_reason.is_none()
                 && !(heartbeat.tasks.iter())
                     .any(|status| status.attempt == assignment.attempt && status.task == *task)
                 && self.cache.open_job(&task.job).is_some()
@@ -99,7 +100,8 @@
     /// heartbeat.
     fn has_recorded_starts(&self, held: &HeldHeartbeat) -> bool {
         let position = held.position();
-        let reply_start = |(_, p): (&TaskId, &Placed)| p.assignment.reply_start == Some(position);
+        let reply_start =
+            |(_, p): (&TaskId, &AssignedTask)| p.assignment.reply_start == Some(position);
         self.settings.checks.uncertain_outcomes
             && !held.needs_processing
             && self
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -81,7 +81,7 @@
         let waiting = in_use.len() + self.write_back.machine_updates.len();
         let limit = max_changes.min(self.settings.max_transaction_changes);
         let mut draft = ResultsDraft {
-            builder: TransactionBuilder::limited(&self.cache, max_changes),
+            builder: TransactionBuilder::with_max_changes(&self.cache, max_changes),
             settings: &self.settings,
             reserved_for_machines: waiting.min(limit / 2),
             is_full: false,
@@ -102,7 +102,7 @@
             self.log_oversized(oversized);
             return;
         }
-        self.writes.pass_goes_first = true;
+        self.writes.pass_has_priority = true;
         self.write_back.written_at = if is_full { 0 } else { self.now };
         let transaction = builder.finish();
         let purpose = PendingOperation::WriteResults {
@@ -125,9 +125,9 @@
         {
             return None;
         }
-        let pass_goes_first = self.writes.pass_goes_first && self.is_pass_due();
+        let pass_has_priority = self.writes.pass_has_priority && self.is_pass_due();
         let changes_left = self.changes_left();
-        if changes_left < self.min_changes() || pass_goes_first {
+        if changes_left < self.min_changes() || pass_has_priority {
             return None;
         }
         // Most events leave nothing to record.
@@ -144,15 +144,15 @@
     fn drop_outdated_evidence(&mut self) {
         let cache = &self.cache;
         self.write_back.results.retain(|(task, attempt), ended| {
-            let assignment = cache.attempt(task, *attempt);
+            let assignment = cache.assignment_of_attempt(task, *attempt);
             assignment.is_some_and(|assignment| {
                 let delivery = ended.conditional_on;
                 delivery.is_none_or(|delivery| delivery == assignment.delivery())
             })
         });
         self.write_back.checkpoints_due.retain(|(task, attempt)| {
-            let assignment = cache.attempt(task, *attempt);
-            assignment.is_some_and(|assignment| assignment.stop.is_none())
+            let assignment = cache.assignment_of_attempt(task, *attempt);
+            assignment.is_some_and(|assignment| assignment.stop_reason.is_none())
         });
         let mut updates = std::mem::take(&mut self.write_back.machine_updates);
         updates.retain(|id, update| self.updated_record(id, update).is_some());
@@ -178,7 +178,7 @@
                 let phase = self.cache.machine(id).map(|machine| machine.phase);
                 phase != Some(MachinePhase::Deprovisioning)
             })
-            .partition(|(id, _)| self.cache.assigned_tasks(id) > 0)
+            .partition(|(id, _)| self.cache.assigned_task_count(id) > 0)
     }
 
     /// Drafts the results of ended attempts; returns the attempts.
@@ -206,7 +206,7 @@
             let mut has_drafted = false;
             for (task, attempt) in self.starts_for_reply(held) {
                 let key = self.chunk_key(&task);
-                let is_touched = key.is_some_and(|key| draft.builder.touches(&key));
+                let is_touched = key.is_some_and(|key| draft.builder.has_change(&key));
                 if !draft.has_unreserved_room(usize::from(!is_touched)) {
                     draft.is_full = true;
                     break;
@@ -229,7 +229,7 @@
         for (task, attempt) in &self.write_back.checkpoints_due {
             if draft.has_room(1 + draft.reserved_for_machines) {
                 self.edit_assignment(&mut draft.builder, task, *attempt, |assignment| {
-                    assignment.stop = Some("notice".into());
+                    assignment.stop_reason = Some("notice".into());
                 });
             }
         }
@@ -265,7 +265,7 @@
                 continue;
             };
             let key = Key::Machine(id.clone());
-            if !draft.builder.touches(&key) {
+            if !draft.builder.has_change(&key) {
                 draft.builder.put(key, Record::Machine(machine));
             }
         }
@@ -276,7 +276,7 @@
         for id in &self.provisioning.deletion_confirmed {
             // No claim can follow: each is conditional on the record as it was while the machine
             // was up.
-            if self.cache.assigned_tasks(id) == 0 && draft.has_room(1) {
+            if self.cache.assigned_task_count(id) == 0 && draft.has_room(1) {
                 draft.builder.remove(Key::Machine(id.clone()));
             }
         }
@@ -298,7 +298,7 @@
         if machine.phase == MachinePhase::Deprovisioning {
             return false;
         }
-        let assignments = self.cache.assigned_tasks(id);
+        let assignments = self.cache.assigned_task_count(id);
         tracing::info!(
             machine = id,
             assignments,
@@ -372,7 +372,7 @@
         if !committed {
             self.writes.max_result_changes =
                 (self.writes.max_result_changes / 2).max(MIN_AVAILABLE_CHANGES);
-            self.writes.pass_goes_first = false;
+            self.writes.pass_has_priority = false;
             return;
         }
         self.writes.max_result_changes =
--- a/crates/core/tests/scenarios/dependencies.rs
+++ b/crates/core/tests/scenarios/dependencies.rs
@@ -37,9 +37,9 @@
         let record = JobRecord {
             phase: JobPhase::Open,
             tasks: spec.tasks,
-            chunk: 10,
-            at: *at,
-            ended: 0,
+            tasks_per_chunk: 10,
+            accepted_at: *at,
+            ended_at: 0,
             spec: Some(Box::new(spec.clone())),
         };
         cache.put(Key::Job(spec.id.clone()), i as u64 + 1, Record::Job(record));
@@ -54,7 +54,7 @@
     assert_eq!(state(&mut sim, 1, "j-4"), JobState::Pending);
     sim.run_until(60_000, "done", |sim| has_phase(sim, "j-4", JobPhase::Done));
     let ends = |sim: &Simulation, id: &str| match &sim.state.records[&Key::Job(id.into())] {
-        (Record::Job(j), _) => j.ended,
+        (Record::Job(j), _) => j.ended_at,
         _ => 0,
     };
     assert!(ends(&sim, "j-1") < ends(&sim, "j-2").min(ends(&sim, "j-3")));
@@ -355,12 +355,19 @@
         (dependent_job("j-3", 1, &["j-2"]), 0),
         (dependent_job("j-4", 1, &["j-3"]), 0),
     ]);
-    assert!(cache.blocked("j-1") && cache.waiting_jobs().next().is_none());
+    assert!(cache.is_blocked("j-1") && cache.waiting_jobs().next().is_none());
     assert!(!dependencies::inherited_priorities(&cache, &|_, spec| {
         dependencies::min_estimated_run_ms(spec)
     })
     .contains_key("j-2"));
-    let over = cache.job("j-1").unwrap().over(JobPhase::Cancelled, 9);
+    let over = cache
+        .job("j-1")
+        .unwrap()
+        .with_final_phase(JobPhase::Cancelled, 9);
     cache.put(Key::Job("j-1".into()), 9, Record::Job(over));
-    assert!(cache.doomed("j-2") && cache.doomed("j-3") && cache.doomed("j-4"));
+    assert!(
+        cache.depends_on_cancelled("j-2")
+            && cache.depends_on_cancelled("j-3")
+            && cache.depends_on_cancelled("j-4")
+    );
 }
--- a/crates/core/tests/scenarios/runtime_estimates.rs
+++ b/crates/core/tests/scenarios/runtime_estimates.rs
@@ -178,7 +178,7 @@
     let like = like.clone();
     for n in 0..CLASSES_KEPT as u64 {
         let old = RunTimesRecord {
-            at: like.at - 1_000_000 + n,
+            updated_at: like.updated_at - 1_000_000 + n,
             class: format!("old{n}"),
             ..like.clone()
         };
@@ -213,7 +213,8 @@
     };
     let value = serde_json::to_string(&Record::RunTimes(record.clone()).value(3)).unwrap();
     let broken = value.replacen("\"n\":", "\"n\":9", 1);
-    let broken = Record::read(&key, serde_json::from_str(&broken).unwrap()).expect("its shape");
+    let broken =
+        Record::from_value(&key, serde_json::from_str(&broken).unwrap()).expect("its shape");
     sim.put_record(key, broken);
     sim.run(1_000);
     work(&mut sim, 10, 3, 2, "batch");
--- a/crates/core/tests/scenarios/storage_formats.rs
+++ b/crates/core/tests/scenarios/storage_formats.rs
@@ -54,8 +54,8 @@
     for (path, text) in SAMPLES {
         let key = Key::parse(path).unwrap();
         let value: Value = serde_json::from_str(text).unwrap();
-        let record = Record::read(&key, value.clone()).expect(path);
-        let text = Record::read_text(&key, &value.to_string());
+        let record = Record::from_value(&key, value.clone()).expect(path);
+        let text = Record::parse(&key, &value.to_string());
         assert_eq!(text.as_ref(), Some(&record), "{path}: from its text");
         assert_eq!(record.value(formats::OLDEST), value, "{path}");
         assert_eq!(
@@ -64,7 +64,7 @@
             "{path}"
         );
         // In the latest format it says the same.
-        let again = Record::read(&key, record.value(formats::LATEST));
+        let again = Record::from_value(&key, record.value(formats::LATEST));
         assert_eq!(again, Some(record), "{path}");
     }
 }
@@ -78,16 +78,16 @@
     let record = Record::Job(JobRecord {
         phase: JobPhase::Open,
         tasks: 1,
-        chunk: 1,
-        at: 0,
-        ended: 0,
+        tasks_per_chunk: 1,
+        accepted_at: 0,
+        ended_at: 0,
         spec: Some(Box::new(spec)),
     });
     let key = Key::Job("j-000414".into());
     let back = previous_version::value(&key, record.value(formats::LATEST)).unwrap();
     assert!(back["spec"].get("awaits").is_none());
     let key = Key::parse(SAMPLES[2].0).unwrap();
-    let chunk = Record::read(&key, serde_json::from_str(SAMPLES[2].1).unwrap()).unwrap();
+    let chunk = Record::from_value(&key, serde_json::from_str(SAMPLES[2].1).unwrap()).unwrap();
     assert_eq!(
         previous_version::value(&key, chunk.value(formats::LATEST)),
         None
@@ -96,12 +96,12 @@
     assert_eq!(compact, r#""=1 +1 1:0:d1.7 2:0!0""#);
     // Kept as written, should the way of writing change.
     let text = r#"{"i":0,"z":"=1 +1 1:0:d1.7 2:0!0","m":"n-00023","a":41,"s":"s2.88","x":["preempted"],"o":"hub","u":{"c":2000,"g":0,"r":3200},"f":["n-000230"],"n":1,"p":1700000001000}"#;
-    let read = Record::read(&key, serde_json::from_str(text).unwrap());
+    let read = Record::from_value(&key, serde_json::from_str(text).unwrap());
     assert_eq!(read, Some(chunk));
     let format = Key::Format("a node".into());
     assert_eq!(Key::parse(&format.path()), Some(format.clone()));
     let record = Record::Format(FormatRecord { version: 2 });
-    assert_eq!(Record::read(&format, record.value(2)), Some(record));
+    assert_eq!(Record::from_value(&format, record.value(2)), Some(record));
 }
 
 #[test]
@@ -124,7 +124,7 @@
                     attempt: [5, 5, 77, u64::MAX][rng.gen_range(0..4)],
                     reply_start: reply_start.filter(|_| n == 2).map(Into::into),
                     direct_start: direct_start.map(Into::into),
-                    stop: rng.gen_bool(0.2).then(|| "preempted".to_string()),
+                    stop_reason: rng.gen_bool(0.2).then(|| "preempted".to_string()),
                 }),
             })
             .collect();
@@ -136,7 +136,11 @@
         });
         let key = Key::Chunk("j-1".into(), 1);
         let value = chunk.value(formats::LATEST);
-        assert_eq!(Record::read(&key, value.clone()), Some(chunk), "{value}");
+        assert_eq!(
+            Record::from_value(&key, value.clone()),
+            Some(chunk),
+            "{value}"
+        );
     }
     let key = Key::Chunk("j-1".into(), 0);
     for z in [
@@ -150,7 +154,7 @@
         "é",
     ] {
         let value = serde_json::json!({"z": z});
-        assert_eq!(Record::read(&key, value), None, "{z}");
+        assert_eq!(Record::from_value(&key, value), None, "{z}");
     }
 }
 
@@ -172,9 +176,9 @@
     let job = |spec| JobRecord {
         phase: JobPhase::Open,
         tasks: 100_000,
-        chunk: 100,
-        at: START_TIME_MS,
-        ended: 0,
+        tasks_per_chunk: 100,
+        accepted_at: START_TIME_MS,
+        ended_at: 0,
         spec: Some(Box::new(spec)),
     };
     fits("a job with the longest names", Record::Job(job(spec)));
@@ -198,7 +202,7 @@
         spot: true,
         count: PROVISION_MAX_INSTANCES,
         controller: long(60),
-        at: START_TIME_MS,
+        created_at: START_TIME_MS,
         instances: Some(instances.collect()),
     };
     fits("a rental", Record::InstanceRequest(instance_request));
@@ -217,7 +221,10 @@
         .collect();
     fits(
         "the fleet",
-        Record::Provisioning(ProvisioningRecord { next: 9, refused }),
+        Record::Provisioning(ProvisioningRecord {
+            next_request_number: 9,
+            refused,
+        }),
     );
     let tasks = |n: u32| {
         let assignment = |i: u32| Assignment {
@@ -225,7 +232,7 @@
             attempt: 100_000 + i as u64 * 531,
             reply_start: Some((1 + i as u64 % 3, 1_000 + i as u64).into()),
             direct_start: None,
-            stop: Some("preempted".into()),
+            stop_reason: Some("preempted".into()),
         };
         let assigned = (0..n).map(|i| TaskState::Assigned(assignment(i)));
         assigned.collect::<Vec<_>>()
@@ -237,7 +244,7 @@
         pause_until: START_TIME_MS,
         ..ChunkRecord::default()
     };
-    let n = formats::chunk_tasks(formats::LATEST, most as u64);
+    let n = formats::tasks_per_chunk(formats::LATEST, most as u64);
     assert!(n > 80, "{n} tasks of a new job");
     fits(
         "a chunk, all booked and to be stopped",
@@ -258,7 +265,7 @@
         let mut assigned = 0;
         for i in 0..100usize {
             let machine = format!("{}{}", (b'a' + (i % 26) as u8) as char, "y".repeat(i % 30));
-            if !formats::takes_one_more(&chunk, &machine, format, limit) {
+            if !formats::fits_another_assignment(&chunk, &machine, format, limit) {
                 break;
             }
             chunk.tasks[i] = TaskState::Assigned(Assignment {
@@ -266,7 +273,7 @@
                 attempt: 1_000_000 - i as u64 * 7_919,
                 reply_start: None,
                 direct_start: Some((1, 1).into()),
-                stop: None,
+                stop_reason: None,
             });
             assigned += 1;
         }
@@ -274,7 +281,7 @@
         for task in &mut chunk.tasks {
             if let TaskState::Assigned(b) = task {
                 (b.reply_start, b.direct_start) = (Some((2, 1_234).into()), None);
-                b.stop = Some("preempted".into());
+                b.stop_reason = Some("preempted".into());
             }
         }
         let bytes = formats::stored_bytes(&Record::Chunk(chunk), format) as u64;
--- a/crates/ctl/src/state_client.rs
+++ b/crates/ctl/src/state_client.rs
@@ -96,7 +96,7 @@
     /// The record that it holds, if it is one of glenmount's that is not damaged.
     pub fn record(self) -> Option<(Key, Record)> {
         let key = Key::parse(&self.key)?;
-        let record = Record::read(&key, self.value)?;
+        let record = Record::from_value(&key, self.value)?;
         Some((key, record))
     }
 }
@@ -191,7 +191,10 @@
     ///
     /// If the state service is not reached, keeps refusing, or rejects the transaction itself.
     pub fn commit(&self, transaction: &CasTransaction) -> Result<CommitOutcome, StateClientError> {
-        let (url, text) = (format!("http://{}/txn", self.address), transaction.text());
+        let (url, text) = (
+            format!("http://{}/txn", self.address),
+            transaction.request_body(),
+        );
         with_retries(|| self.try_commit(&url, &text))
     }
 
