--- a/crates/core/src/controller/housekeeping.rs
+++ b/crates/core/src/controller/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What a controller does as time passes, in this order, several times a second.
+//! Periodic work of a controller, several times a second and in a fixed order.
 
 use crate::constants::{
     FAILURE_DETECTION_INTERVAL_MS, FORGET_MS, INSTANCE_LIST_INTERVAL_MS, MACHINE_TYPES_INTERVAL_MS,
@@ -7,19 +7,21 @@
 use crate::controller::{CloudOperation, Controller, Effect, PendingOperation};
 
 impl Controller {
-    /// The clock ticked. Waiting users and workers are looked after with every tick, all else every `TICK_MS`.
+    /// Handles a tick of the clock. Every tick answers waiting users and workers; the remaining work is done
+    /// every `TICK_MS`.
     pub(super) fn tick(&mut self) {
-        self.peers.ticked(self.now - self.lifecycle.last_tick_at);
+        self.peers
+            .record_tick(self.now - self.lifecycle.last_tick_at);
         self.lifecycle.last_tick_at = self.now;
         self.expire_user_requests();
         self.reply_to_held_heartbeats();
-        // The first tick does all: users wait for the records to be read.
+        // The first tick does all work: users wait until the records have been listed.
         let last = self.lifecycle.last_housekeeping_at;
         if last.is_some_and(|at| self.now < at + TICK_MS) {
             return;
         }
         self.lifecycle.last_housekeeping_at = Some(self.now);
-        self.keep_in_touch();
+        self.maintain_connections();
         if !self.has_current_state() {
             return;
         }
@@ -36,15 +38,15 @@
         self.retry_instance_requests();
         self.remove_completed_requests();
         if self.on_duty() {
-            self.do_duties();
+            self.run_coordinator_tasks();
         }
     }
 
-    /// What is done without current state as well.
-    fn keep_in_touch(&mut self) {
+    /// Does the periodic work that needs no current state cache.
+    fn maintain_connections(&mut self) {
         self.log_problems();
         self.probe_partition();
-        self.judge_peers();
+        self.assess_peers();
         self.send_heartbeat();
         self.exit_if_drained();
         if !self.sync.has_listed && !self.sync.list.in_flight {
@@ -54,7 +56,8 @@
         self.reopen_lagging_watch();
     }
 
-    /// The client answers a failed request after a pause of its own, so tries are spaced there.
+    /// Reads the cloud's machine types when they are due. The cloud client delays its answer to a failed request,
+    /// so retries need no backoff here.
     fn read_machine_types(&mut self) {
         let last = self.provisioning.machine_types_read_at;
         let is_due = last.is_none_or(|at| self.now >= at + MACHINE_TYPES_INTERVAL_MS);
@@ -64,6 +67,7 @@
         }
     }
 
+    /// Reopens a watch that has lagged behind a known revision for `WATCH_TRAIL_MS`.
     fn reopen_lagging_watch(&mut self) {
         let Some(lagging_since) = self.sync.watch_lag_since else {
             return;
@@ -85,15 +89,15 @@
         }
     }
 
-    /// Forgets what belongs to machines that are gone, and logs what was counted.
+    /// Removes the data of deleted machines and old run times, and logs the counters.
     fn clean_up(&mut self) {
         if self.now < self.cleanup.last_cleanup_at + FORGET_MS {
             return;
         }
         self.cleanup.last_cleanup_at = self.now;
         if self.now >= self.lifecycle.started_at + STATS_MS {
-            let (records, held) = (self.cache.len(), self.workers.held_heartbeats.len());
-            self.metrics.report(self.now, records, held);
+            let (records, held_heartbeats) = (self.cache.len(), self.workers.held_heartbeats.len());
+            self.metrics.report(self.now, records, held_heartbeats);
         }
         self.forget_deleted_machines();
         self.forget_old_runs();
@@ -115,8 +119,8 @@
         }
     }
 
-    /// What one controller does for all.
-    fn do_duties(&mut self) {
+    /// Does the work that only the coordinator does.
+    fn run_coordinator_tasks(&mut self) {
         self.evict_over_limits();
         self.send_deletions();
         self.list_instances();
--- a/crates/core/src/controller/lifecycle.rs
+++ b/crates/core/src/controller/lifecycle.rs
@@ -1,25 +1,26 @@
-//! The life of this process: its start, pauses, ticks, and its end.
+//! Lifecycle of the process: start, pauses, ticks and shutdown.
 
 use crate::controller::readiness::Problem;
 use crate::controller::OperationId;
 use crate::model::Millis;
 use std::collections::BTreeMap;
 
-/// The life of this process: its start, pauses, ticks, and its end.
+/// Lifecycle of the process: start, pauses, ticks and shutdown.
 pub(crate) struct Lifecycle {
-    /// When the process began.
+    /// When the process started.
     pub(crate) started_at: Millis,
-    /// When it last went on after a pause; its start, if it never did.
+    /// When the process last resumed after a pause, or its start if it was never paused.
     pub(crate) resumed_at: Millis,
-    /// The cache dates from before that: no read issued since has been reached.
+    /// Whether the cache may date from before the last pause: it has not yet reached the revision of a read
+    /// issued since.
     pub(crate) view_predates_resume: bool,
-    /// Operations with lower ids began before that: their answers say nothing of now.
+    /// Operations with lower IDs were sent before the last pause. Their responses don't show the present state.
     pub(crate) first_operation_since_resume: OperationId,
-    /// Since when it has been asked to end.
+    /// When the process was asked to shut down.
     pub(crate) shutting_down_since: Option<Millis>,
-    /// Problems that were logged as begun, and since when.
+    /// Problems that were logged as begun, with their begin.
     pub(crate) ongoing_problems: BTreeMap<Problem, Millis>,
-    /// When a tick last did all of its work.
+    /// When a tick last did the complete periodic work.
     pub(crate) last_housekeeping_at: Option<Millis>,
     /// When the clock last ticked.
     pub(crate) last_tick_at: Millis,
--- a/crates/core/src/controller/messages.rs
+++ b/crates/core/src/controller/messages.rs
@@ -1,4 +1,4 @@
-//! What a controller is told, and what it asks for: events go in, effects come out.
+//! The interface of a controller: the events that it handles and the effects that it emits.
 
 use crate::model::{
     CloudInstance, HeartbeatPosition, JobSpec, JobState, MachineType, Millis, WallMs,
@@ -7,12 +7,12 @@
 use crate::state::{CasTransaction, Key, Record};
 use serde::{Deserialize, Serialize};
 
-/// Names a request that waits for an answer outside the core.
+/// Identifies a user's or worker's request that awaits a reply.
 pub type RequestId = u64;
-/// Names an operation of the core that waits for an outcome.
+/// Identifies an operation on the state store or the cloud that awaits a response.
 pub type OperationId = u64;
 
-/// Ranks work for the state service, most urgent first.
+/// Priority classes of requests to the state store, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
     User,
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum StateOperation {
     Transaction(CasTransaction),
-    /// A cheap read that tells the current revision.
+    /// Reads the current revision only, which is cheap.
     ReadIndex,
     List {
         after: Option<String>,
@@ -48,11 +48,11 @@
         more: bool,
         revision: u64,
     },
-    /// Malformed: a fault of this program.
+    /// The state store rejected the request as malformed, which is a bug of this program.
     Refused,
-    /// Certainly not executed.
+    /// The request was certainly not executed.
     Unavailable,
-    /// May have been executed, or may yet be.
+    /// The request may have been executed, or may still be.
     NoAnswer,
 }
 
@@ -87,38 +87,40 @@
     Failed,
 }
 
-/// What controllers tell one another, twice a second.
+/// The heartbeat that a controller sends to every peer twice a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
     #[serde(rename = "node")]
     pub controller: String,
-    /// The time of day at which it was made.
+    /// Wall-clock time at which the sender created it.
     pub at: WallMs,
-    /// Whether it reaches the state service and holds current records.
+    /// Whether the sender reaches the state store and its cache is current.
     #[serde(rename = "state_ok")]
     pub has_current_state: bool,
-    /// Whether workers reach it, as far as it knows.
+    /// Whether workers reach the sender, as far as it knows.
     #[serde(rename = "workers_ok")]
     pub workers_reachable: bool,
-    /// Workers whose heartbeats it got lately.
+    /// Workers whose heartbeats the sender received recently.
     #[serde(rename = "heard")]
     pub workers: Vec<HeardWorker>,
-    /// It has just started: peers tell it, once, what they remember of images.
+    /// Whether the sender has just started. Peers then send it the images cached on machines, once.
     #[serde(rename = "young")]
     pub just_started: bool,
+    /// Images cached on machines, with their sizes in GB, by machine.
     pub images: Vec<(String, Vec<(String, f64)>)>,
-    /// Left out until every controller reads frames that are longer than those of format 1.
+    /// Omitted until every controller reads frames longer than those of format 1.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<ControllerStatus>,
 }
 
-/// A worker that a controller got a heartbeat of: the latest one, and how long ago. Four elements on the wire.
+/// The latest heartbeat that a controller received from a worker. Encoded as an array of four elements.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(String, u64, u64, u64)")]
 pub struct HeardWorker {
     pub machine: String,
     pub incarnation: u64,
     pub sequence: u64,
+    /// Milliseconds since the controller received the heartbeat.
     pub age_ms: Millis,
 }
 
@@ -134,7 +136,7 @@
 }
 
 impl HeardWorker {
-    /// Where the heartbeat stands among its worker's.
+    /// Returns the position of the heartbeat in the sequence of its worker's heartbeats.
     pub fn position(&self) -> HeartbeatPosition {
         HeartbeatPosition {
             incarnation: self.incarnation,
@@ -143,38 +145,40 @@
     }
 }
 
-/// What a controller says of itself beyond that.
+/// The status of a controller, sent with its heartbeat from storage format 2 on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControllerStatus {
-    /// The time of day at which its process began: tells its lives apart.
+    /// Wall-clock time at which the process started. It identifies the process among those of the controller.
     pub life: WallMs,
-    /// Counts its heartbeats.
+    /// Sequence number of the heartbeat within the process.
     pub count: u64,
-    /// The revision that its copy has reached, and its term.
+    /// The revision of its state cache.
     pub revision: u64,
+    /// The term in its state cache.
     pub term: u64,
-    /// Operations without an answer.
+    /// Number of operations that await a response.
     pub under_way: u32,
-    /// Milliseconds by which its clock ticks late, on the whole.
+    /// Moving average of the delay of its ticks, in milliseconds.
     #[serde(rename = "late_ms")]
     pub tick_delay_ms: u32,
-    /// Machines that report to it.
+    /// Number of workers that send their heartbeats to it.
     pub reports: u32,
-    /// Peers whose last heartbeats it has not missed.
+    /// Peers whose heartbeats arrive on time.
     #[serde(rename = "hears")]
     pub heard_peers: Vec<String>,
-    /// The version of the configuration that it decides by; 0: that of the settings file.
+    /// Version of the configuration in force; 0 for the one of the settings file.
     pub configuration: u64,
 }
 
+/// The outcome of a direct command to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
     Accepted,
-    /// It answered, but refused: the machine lives.
+    /// The worker refused the command, so the machine is up.
     Refused,
-    /// There was no answer in time.
+    /// The worker did not answer before the timeout.
     NoAnswer,
-    /// It was never sent: says nothing of the machine.
+    /// The command was not sent, so its failure is no evidence about the machine.
     NotSent,
 }
 
@@ -201,35 +205,35 @@
         token: OperationId,
         answer: StateResponse,
     },
-    /// A transaction was sent a good while ago and has no answer, though one may yet come.
+    /// A transaction has had no answer within the timeout. An answer may still arrive.
     StateTimeout {
         token: OperationId,
     },
-    /// Changes up to a revision, in order.
+    /// The watch delivered changes up to a revision, in order.
     WatchUpdate {
         revision: u64,
         changes: Vec<(Key, u64, Option<Record>)>,
     },
-    /// The state service refused something for being asked too much; it will be sent again.
+    /// The state store rejected a request because of its rate limit. The client retries it.
     Throttled,
-    /// The watch can't go on from where it stood: the records must be read again.
+    /// The watch can't resume from its revision, so all records must be listed again.
     WatchGap,
     Cloud {
         token: OperationId,
         answer: CloudResponse,
     },
     PeerHeartbeat(PeerHeartbeat),
-    /// The connection by which a peer told its heartbeats ended, and it has no other.
+    /// The last connection over which a peer sent heartbeats was closed.
     LinkEnded {
         controller: String,
     },
-    /// The process is asked to end.
+    /// The process was asked to shut down.
     Shutdown,
-    /// What became of a direct command.
+    /// The outcome of a direct command.
     CommandResult {
         machine: String,
         reach: CommandOutcome,
-        /// The worker's report after the commands, where it was read.
+        /// The worker's heartbeat in its answer, if it was readable.
         report: Option<Box<WorkerHeartbeat>>,
     },
 }
@@ -287,12 +291,12 @@
         token: OperationId,
         op: CloudOperation,
     },
-    /// Follow changes from this revision on, giving up any watch that is open.
+    /// Opens a watch from this revision on and closes any watch that is open.
     Watch {
         since: u64,
     },
     PeerHeartbeat(PeerHeartbeat),
-    /// One direct command to a worker, never repeated.
+    /// Sends one request with direct commands to a worker. It is not retried.
     Command {
         machine: String,
         address: String,
@@ -300,6 +304,6 @@
         token: u64,
         commands: Vec<WorkerCommand>,
     },
-    /// Nothing is left to do before the process ends.
+    /// Ends the process: the graceful shutdown is complete.
     Exit,
 }
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -1,4 +1,4 @@
-//! A controller: takes events, keeps the state cache, and emits effects.
+//! The controller: handles events, maintains the state cache and emits effects.
 
 mod housekeeping;
 mod lifecycle;
@@ -31,28 +31,27 @@
 use crate::state::StateCache;
 use crate::workers::registry::WorkerRegistry;
 use crate::workers::write_back::WriteBack;
-use crate::zones::failures::Zones;
+use crate::zones::failures::ZoneTracker;
 use foldhash::{HashMap, HashMapExt};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
-/// A controller: every decision is made by its methods, by event.
+/// A controller. Its methods make every scheduling decision, one event at a time.
 pub struct Controller {
-    /// What it was told at its start; teams and objectives follow the configuration on record.
+    /// Settings read at the start. Teams and objectives are updated from the stored configuration.
     pub settings: Settings,
-    /// The state cache.
     pub cache: StateCache,
-    /// The cloud's machine types by name.
+    /// The cloud's machine types, by name.
     pub machine_types: HashMap<String, MachineType>,
     pub(crate) rng: SmallRng,
-    /// Steady time of the event that is handled.
+    /// Monotonic time of the current event.
     pub(crate) now: Millis,
-    /// Time of day of the event that is handled.
+    /// Wall-clock time of the current event.
     pub(crate) wall: WallMs,
-    /// The cache has changed in this event.
+    /// Whether the current event has changed the cache.
     pub(crate) state_changed: bool,
-    /// Effects of the event that is handled.
-    pub(crate) out: Vec<Effect>,
+    /// Effects of the current event.
+    pub(crate) effects: Vec<Effect>,
     pub(crate) lifecycle: Lifecycle,
     pub(crate) operations: OperationTracker,
     pub(crate) sync: ListWatch,
@@ -62,7 +61,7 @@
     pub(crate) workers: WorkerRegistry,
     pub(crate) write_back: WriteBack,
     pub(crate) peers: PeerTracker,
-    pub(crate) zones: Zones,
+    pub(crate) zones: ZoneTracker,
     pub(crate) provisioning: ProvisioningTracker,
     pub(crate) scheduling: Schedule,
     pub(crate) cleanup: CleanupState,
@@ -73,7 +72,8 @@
 }
 
 impl Controller {
-    /// One that has just started. `seed`: of all that it leaves to chance; `now`: steady time; `wall`: time of day.
+    /// Creates a controller that has just started. `seed` seeds its random number generator, `now` is the
+    /// monotonic time and `wall` the wall-clock time.
     pub fn new(settings: Settings, seed: u64, now: Millis, wall: WallMs) -> Controller {
         let mut cache = StateCache::default();
         cache.members = match settings.checks.format {
@@ -87,7 +87,7 @@
             now,
             wall,
             state_changed: false,
-            out: Vec::new(),
+            effects: Vec::new(),
             lifecycle: Lifecycle::new(now),
             operations: OperationTracker::new(),
             sync: ListWatch::new(now),
@@ -97,7 +97,7 @@
             workers: WorkerRegistry::new(now),
             write_back: WriteBack::new(),
             peers: PeerTracker::new(&settings, wall),
-            zones: Zones::default(),
+            zones: ZoneTracker::default(),
             provisioning: ProvisioningTracker::new(now),
             scheduling: Schedule::new(now),
             cleanup: CleanupState::new(),
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Takes one event at a steady time and a time of day; returns what is to be done.
+    /// Handles one event at a monotonic time and a wall-clock time. Returns the effects to carry out.
     pub fn handle(&mut self, now: Millis, wall: WallMs, event: Event) -> Vec<Effect> {
         let gap = now.saturating_sub(self.now);
         self.now = self.now.max(now);
@@ -129,7 +129,7 @@
             Event::StateTimeout { token } => self.handle_state_timeout(token),
             Event::WatchUpdate { revision, changes } => self.watched(revision, changes),
             Event::WatchGap => self.start_list(),
-            Event::Throttled => self.throttled(),
+            Event::Throttled => self.handle_throttling(),
             Event::Cloud { token, answer } => self.handle_cloud_response(token, answer),
             Event::CommandResult {
                 machine,
@@ -152,6 +152,6 @@
         }
         self.write_results();
         self.run_scheduling_pass();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 }
--- a/crates/core/src/controller/operations.rs
+++ b/crates/core/src/controller/operations.rs
@@ -1,4 +1,4 @@
-//! Operations outside of the core that wait for an outcome.
+//! Outstanding operations on the state store and the cloud.
 
 use crate::constants::THROTTLED_MS;
 use crate::controller::{
@@ -10,56 +10,56 @@
 use glenmount_runtime_estimates::book::ClassId;
 use glenmount_runtime_estimates::history::Batch;
 
-/// What an outstanding operation is for.
+/// The purpose of an outstanding operation.
 #[derive(Clone, Debug)]
 pub(crate) enum PendingOperation {
-    /// Reads the state service's current revision, so that what waits for a linearizable read can be answered.
+    /// Reads the state store's current revision, so that requests awaiting a linearizable read can be answered.
     ReadIndex,
-    /// Reads a page of all records.
+    /// Reads a page of the list of all records.
     List {
-        /// Which list the page belongs to: pages of an earlier one are dropped.
+        /// The list that the page belongs to. Pages of an earlier list are dropped.
         round: u64,
     },
     /// Commits a submission or cancellation.
     UserRequest(RequestId),
-    /// Writes evidence back: ends of attempts, starts in replies, machines.
+    /// Records observations from heartbeats: ends of attempts, starts to be sent in replies, machines.
     WriteResults {
-        /// Machines whose held heartbeats are answered with a start once it has committed.
+        /// Machines whose held heartbeats are answered with a start once the transaction has committed.
         reply_start: Vec<String>,
-        /// It marks machines for deprovisioning.
+        /// Whether the transaction marks machines for deprovisioning.
         returning: bool,
-        /// Attempts whose end it records.
+        /// Attempts whose end the transaction records.
         released: Vec<(TaskId, u64)>,
     },
-    /// Records runs of a class.
+    /// Records run times of a job class.
     RecordRunTimes(ClassId, Vec<Batch>),
     /// Claims tasks for machines.
     Claim(Vec<ClaimedTask>),
-    /// Records instance requests before their names are used.
+    /// Records instance requests before they are sent to the cloud under their names.
     CreateInstanceRequests(Vec<u64>),
     /// Asks the cloud for the instances of a recorded request.
     Provision(u64),
-    /// Records which instances a request brought.
+    /// Records which instances the cloud created for a request.
     RecordProvisioned(u64),
-    /// Removes a request whose instances all have records of their own.
+    /// Removes an instance request whose instances all have machine records.
     RemoveInstanceRequest(u64),
-    /// Marks tasks to be stopped, by machine.
+    /// Marks tasks to be stopped, with their machines.
     Stop(Vec<(String, TaskId)>),
     /// Asks the cloud to delete machines.
     Deprovision(Vec<String>),
     /// Records that a job is done.
     FinishJob(String),
-    /// Cancels jobs that need a cancelled one.
+    /// Cancels jobs that depend on a cancelled job.
     CancelDependents(Vec<String>),
-    /// Records which storage format this controller reads.
+    /// Records the storage format that this controller reads.
     RecordFormat,
-    /// Records that cancellations are confirmed from now on only when nothing is left of the job.
+    /// Records that controllers confirm a cancellation only after all tasks of the job have ended.
     ConfirmCancellations,
-    /// Records that configurations may be on record.
+    /// Records that configurations may be stored.
     EnableConfiguration,
-    /// Records which configuration this controller follows.
+    /// Records the configuration version that this controller applies.
     RecordObservedVersion,
-    /// Removes records that nothing needs any more.
+    /// Removes obsolete records.
     RemoveObsolete,
     /// Reads the cloud's machine types, or records them.
     MachineTypes,
@@ -69,7 +69,7 @@
     Term,
 }
 
-/// A task that a transaction claims: under which attempt, for which machine.
+/// A task that a transaction claims for a machine, and the attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ClaimedTask {
     pub task: TaskId,
@@ -77,11 +77,11 @@
     pub machine: String,
 }
 
-/// Operations outside of the core that wait for an outcome.
+/// Outstanding operations on the state store and the cloud.
 pub(crate) struct OperationTracker {
-    /// The id of the next operation.
+    /// ID of the next operation.
     pub(crate) next_id: OperationId,
-    /// Operations by id, with the transaction where one was sent.
+    /// Outstanding operations by ID, with the transaction of those that commit one.
     pub(crate) outstanding: HashMap<OperationId, (PendingOperation, Option<CasTransaction>)>,
 }
 
@@ -95,12 +95,12 @@
 }
 
 impl Controller {
-    /// Adds an effect to those of the event that is handled.
+    /// Adds an effect to those of the current event.
     pub(crate) fn emit(&mut self, effect: Effect) {
-        self.out.push(effect);
+        self.effects.push(effect);
     }
 
-    /// Gives a new operation its id, and keeps what its outcome is for.
+    /// Assigns an ID to a new operation and keeps its purpose until the response arrives.
     pub(crate) fn track_operation(
         &mut self,
         pending: PendingOperation,
@@ -114,7 +114,7 @@
         id
     }
 
-    /// Commits changes of assignments, one transaction after another.
+    /// Commits changes of assignments. One such transaction is in flight at a time.
     pub(crate) fn commit_assignments(
         &mut self,
         transaction: CasTransaction,
@@ -124,7 +124,7 @@
         self.writes.assignment_write = Some(self.commit(transaction, pending, request_class));
     }
 
-    /// Sends a transaction to the state service.
+    /// Sends a transaction to the state store.
     pub(crate) fn commit(
         &mut self,
         transaction: CasTransaction,
@@ -149,22 +149,23 @@
         self.emit(Effect::Cloud { token: id, op });
     }
 
-    /// Changes that may be sent to the state service now. The share of peers that do not
-    /// reach it goes to the others.
+    /// Returns the number of changes that the write budget allows now. Peers that do not reach the state
+    /// store leave their share of its rate limit to the others.
     pub(crate) fn changes_left(&mut self) -> usize {
-        let all = self.settings.controllers.len();
-        // A silent peer most likely is paused or is down. Should it only be the link that
-        // is cut, the service says that too much is asked, and its share is its own again.
+        let controllers = self.settings.controllers.len();
+        // A silent peer is most likely paused or down. If only the link to it is cut, both use its share
+        // and the state store throttles: then this controller keeps to its own share again.
         let silent = match self.writes.throttled_at {
             Some(at) if self.now < at + THROTTLED_MS => 0,
-            _ => all - 1 - self.peers.serving(self.now).min(all - 1),
+            _ => controllers - 1 - self.peers.heard_count(self.now).min(controllers - 1),
         };
-        let cut = self
+        let without_state = self
             .fresh_peers()
-            .filter(|s| !s.heartbeat.has_current_state)
+            .filter(|peer| !peer.heartbeat.has_current_state)
             .count();
-        let idle = cut + silent;
-        let times = all as f64 / all.saturating_sub(idle).max(1) as f64;
-        self.writes.budget.left(self.now, times)
+        let not_writing = without_state + silent;
+        let share_factor =
+            controllers as f64 / controllers.saturating_sub(not_writing).max(1) as f64;
+        self.writes.budget.left(self.now, share_factor)
     }
 }
--- a/crates/core/src/controller/pause.rs
+++ b/crates/core/src/controller/pause.rs
@@ -1,13 +1,13 @@
-//! What a controller does when it finds that its process was paused.
+//! Recovery of a controller whose process was paused.
 
 use crate::controller::Controller;
 use crate::controller::WorkerReply;
 use crate::model::Millis;
 
 impl Controller {
-    /// After a pause what was known before is old, and nothing is done on the strength of it. The cache counts as
-    /// current again once a read issued from now on has been reached; machines are judged and placed on after a
-    /// round of heartbeats, as after a start.
+    /// Discards observations from before a pause, so that the controller does not act on them. The cache counts as
+    /// current again once it has reached the revision of a read issued after the pause. Failure detection and
+    /// placement on machines resume after a round of heartbeats, as after a start.
     pub(super) fn reset_after_pause(&mut self, paused_ms: Millis) {
         let requests = self.requests.open.len();
         tracing::info!(paused_ms, requests, "resumed after a pause");
@@ -17,7 +17,7 @@
         self.sync.last_response_at = None;
         self.reads.last_requested_at = 0;
         self.answer_all_after_pause();
-        // Evidence that attempts ended stays true. What gave reason to act on machines does not.
+        // Evidence that attempts ended remains valid. Reasons to delete or update machines may not.
         self.workers.marked_for_termination.clear();
         self.write_back.machine_updates.clear();
         self.write_back.checkpoints_due.clear();
@@ -29,7 +29,7 @@
         self.workers.reachability.reset_after_pause();
     }
 
-    /// Users and workers that wait have given up, or are about to: they are told to come back.
+    /// Asks waiting users and workers to retry. Their requests have timed out, or are about to.
     fn answer_all_after_pause(&mut self) {
         for request in self.requests.open.keys().copied().collect::<Vec<_>>() {
             let reply = self.later();
--- a/crates/core/src/controller/readiness.rs
+++ b/crates/core/src/controller/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether a controller knows enough to decide anything, and whether users should be sent to it.
+//! Readiness of a controller: whether its state is current, and whether the load balancer should send users to it.
 
 use crate::constants::{ISOLATED_MS, PAUSE_READY_MS, STATE_LOST_MS, WATCH_LOST_MS};
 use crate::controller::Controller;
@@ -7,7 +7,7 @@
 use crate::workers::observations::Liveness;
 use std::fmt;
 
-/// What keeps a controller from serving as it should.
+/// A condition that keeps a controller from serving users normally.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Problem {
     ShuttingDown,
@@ -16,9 +16,9 @@
     NoTerm,
     WorkersUnreachable,
     StateUnreachable,
-    /// Neither the state service nor any peer is reached.
+    /// The controller reaches neither the state store nor any peer.
     Isolated,
-    /// It has just gone on after a pause, and has not read anything since.
+    /// The controller has just resumed after a pause, and no read has confirmed its cache since.
     Resuming,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl Controller {
-    /// Whether the records are known and current, and the state service answered lately.
+    /// Returns whether the state cache is complete and current and the state store answered recently.
     pub fn has_current_state(&self) -> bool {
         let is_lost = |lagging_since| self.now >= lagging_since + WATCH_LOST_MS;
         let answered_lately = |at| self.now.saturating_sub(at) <= STATE_LOST_MS;
@@ -48,20 +48,20 @@
             && self.sync.last_response_at.is_some_and(answered_lately)
     }
 
-    /// Milliseconds since the state service last answered, or since the start.
+    /// Returns the milliseconds since the state store last answered, or since the start.
     pub(crate) fn state_age(&self) -> Millis {
         let last = self.sync.last_response_at;
         self.now - last.unwrap_or(self.lifecycle.started_at)
     }
 
-    /// Whether sending users here helps them.
+    /// Returns whether the load balancer should send users to this controller.
     pub fn ready(&self) -> bool {
         self.not_ready().is_none()
     }
 
-    /// What keeps users from being sent here. While every controller has lost the state service none
-    /// is better than another: leaving the balancer would only prolong the outage, and here
-    /// they are at least told when to come back.
+    /// Returns the problem that makes this controller not ready. While no controller reaches the state store,
+    /// all stay ready: a controller that left the load balancer would only prolong the outage, and users
+    /// at least receive a retry time here.
     fn not_ready(&self) -> Option<Problem> {
         if self.lifecycle.shutting_down_since.is_some() {
             Some(Problem::ShuttingDown)
@@ -74,9 +74,9 @@
         } else if self.has_current_state() {
             let serves =
                 |peer: &Peer| peer.heartbeat.has_current_state && peer.heartbeat.workers_reachable;
-            let is_served_elsewhere = self.fresh_peers().any(serves);
-            let is_worse = !self.workers_reachable() && is_served_elsewhere;
-            is_worse.then_some(Problem::WorkersUnreachable)
+            let peer_serves = self.fresh_peers().any(serves);
+            let peer_serves_better = !self.workers_reachable() && peer_serves;
+            peer_serves_better.then_some(Problem::WorkersUnreachable)
         } else if self.peer_with_state().is_some() {
             Some(Problem::StateUnreachable)
         } else if self.is_isolated() {
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Cut off from the state service and from all peers, and for longer than both may hesitate:
-    /// most likely others serve users, who would poll here in vain for as long as the cut lasts.
+    /// Returns whether this controller reaches neither the state store nor any peer, for longer than both may be
+    /// delayed. Its peers most likely serve users, whose polls would fail here until the partition ends.
     fn is_isolated(&self) -> bool {
         self.settings.checks.alone
             && self.settings.controllers.len() > 1
@@ -97,7 +97,7 @@
             && self.state_age() >= ISOLATED_MS
     }
 
-    /// Logs when a problem that operators ask about begins and ends.
+    /// Logs the begin and the end of each problem.
     pub(super) fn log_problems(&mut self) {
         let not_ready = self.not_ready();
         let is_cut_off = self.sync.has_listed && !self.has_current_state();
@@ -115,61 +115,63 @@
             });
         }
         ongoing.retain(|problem, since| {
-            let lasts = problems.contains(&Some(*problem));
-            if !lasts {
+            let is_ongoing = problems.contains(&Some(*problem));
+            if !is_ongoing {
                 let duration_ms = self.now - *since;
                 tracing::info!(%problem, duration_ms, "problem ended");
             }
-            lasts
+            is_ongoing
         });
     }
 
-    /// Whether a round of heartbeats has come in since the start, or since the last pause: what was
-    /// not heard by then is silent, and what is not there is missing.
+    /// Returns whether every worker has had the time to send a heartbeat since the start, or since the last pause.
+    /// From then on a worker without a heartbeat is silent, and a task that no heartbeat lists is missing.
     pub(crate) fn has_heard_full_round(&self) -> bool {
-        !self.settings.checks.round || self.is_round_over()
+        !self.settings.checks.round || self.is_heartbeat_round_over()
     }
 
-    /// Whether a machine's own heartbeat has come in since then, here or at a peer. Work is placed
-    /// on it before all others have reported.
+    /// Returns whether this controller or a peer has received a heartbeat of a machine since the start, or since
+    /// the last pause. Such a machine gets tasks before all others have sent a heartbeat.
     pub(crate) fn has_reported_since_resume(&self, liveness: &Liveness) -> bool {
         let is_since = |at: Millis| at >= self.lifecycle.resumed_at;
         !self.settings.checks.heard
-            || self.is_round_over()
+            || self.is_heartbeat_round_over()
             || liveness.last_heartbeat_at().is_some_and(is_since)
     }
 
-    fn is_round_over(&self) -> bool {
+    fn is_heartbeat_round_over(&self) -> bool {
         self.now - self.lifecycle.resumed_at >= self.settings.report_due_ms()
     }
 
-    /// Whether the cache holds all that the list met, page by page.
+    /// Returns whether the cache has reached the highest revision among the records of the list. Its pages are
+    /// read at different revisions.
     pub(crate) fn has_synced(&self) -> bool {
         !self.settings.checks.caught_up || self.cache.revision >= self.sync.list.max_mod_revision
     }
 
-    /// Peers that were heard lately and are not known to have exited.
+    /// Returns the peers that sent a heartbeat recently and have not exited, as far as is known.
     pub(crate) fn fresh_peers(&self) -> impl Iterator<Item = &Peer> {
         self.peers.fresh(self.now)
     }
 
-    /// A peer that reaches the state service.
+    /// Returns the name of a peer that reaches the state store.
     pub(crate) fn peer_with_state(&self) -> Option<String> {
         let mut peers = self.fresh_peers();
         let peer = peers.find(|peer| peer.heartbeat.has_current_state)?;
         Some(peer.heartbeat.controller.clone())
     }
 
-    /// Whether this controller does what falls to the first one, in order of names, that reaches the state
-    /// service: lists, deletions, removals, moves. Two doing it at once is wasteful, not wrong.
+    /// Returns whether this controller is the coordinator: the first one by name that reaches the
+    /// state store. The coordinator lists and deletes instances, removes obsolete records and migrates
+    /// services. Two coordinators at the same time waste work, but do no harm.
     pub(crate) fn on_duty(&self) -> bool {
         let own_name = &self.settings.controller;
-        let before = self.settings.controllers.iter();
-        let mut before = before.take_while(|name| *name != own_name);
-        self.has_current_state() && !before.any(|name| self.peers.can_be_on_duty(self.now, name))
+        let controllers = self.settings.controllers.iter();
+        let mut preceding = controllers.take_while(|name| *name != own_name);
+        self.has_current_state() && !preceding.any(|name| self.peers.can_coordinate(self.now, name))
     }
 
-    /// The same, for those outside of the core.
+    /// Returns whether this controller is the coordinator, for callers outside of this crate.
     pub fn is_on_duty(&self) -> bool {
         self.on_duty()
     }
--- a/crates/core/src/controller/upgrade.rs
+++ b/crates/core/src/controller/upgrade.rs
@@ -1,27 +1,28 @@
-//! Rolling upgrades: which storage format each controller reads, and what is put on record once.
+//! Rolling upgrades: the storage format that each controller reads, and records that are written once.
 
 use crate::constants::REFUSED_RECORDS_KEPT;
 use crate::controller::{Controller, PendingOperation, RequestClass};
 use crate::state::formats::{self, FormatRecord};
 use crate::state::{Key, Record, TermRecord, TransactionBuilder};
 
-/// What a controller still has to put on record, and whether it is being written.
+/// Writes of the records that a controller writes once, as far as they are in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Upgrade {
-    /// The format that this controller reads.
+    /// Whether the write of the format that this controller reads is in flight.
     pub format_in_flight: bool,
-    /// From when on cancellations are confirmed only when nothing is left of the job.
+    /// Whether the write is in flight after which cancellations are confirmed only when all tasks of the job
+    /// have ended.
     pub confirmation_in_flight: bool,
-    /// That configurations may be on record.
+    /// Whether the write is in flight after which configurations may be stored.
     pub configuration_enabling_in_flight: bool,
-    /// The first term is being written.
+    /// Whether the write of the first term is in flight.
     pub term_in_flight: bool,
-    /// The common format, and how many controllers lack the latest, as last logged.
+    /// The common format and the number of controllers without the latest format, as last logged.
     pub format_logged: Option<(u32, usize)>,
 }
 
 impl Controller {
-    /// Writes the first term, where there is none.
+    /// Writes the first term if none is stored.
     pub(super) fn record_first_term(&mut self) {
         if self.cache.term().is_some() || self.upgrade.term_in_flight {
             return;
@@ -33,7 +34,7 @@
         self.commit(transaction, PendingOperation::Term, RequestClass::User);
     }
 
-    /// Records which format this controller reads, and logs how far a rolling upgrade is.
+    /// Records the format that this controller reads, and logs the progress of a rolling upgrade.
     pub(super) fn record_format(&mut self) {
         self.log_format();
         let known = self.cache.format_of(&self.settings.controller);
@@ -53,33 +54,35 @@
         );
     }
 
+    /// Logs the common format and the controllers that lack the latest one, when either has changed.
     fn log_format(&mut self) {
         let format = self.cache.format();
-        let is_old = |name: &&String| self.cache.format_of(name) < formats::LATEST;
-        let old = self.settings.controllers.iter().filter(is_old);
-        let old: Vec<&str> = old.map(String::as_str).collect();
-        if self.upgrade.format_logged == Some((format, old.len())) {
+        let is_outdated = |name: &&String| self.cache.format_of(name) < formats::LATEST;
+        let outdated = self.settings.controllers.iter().filter(is_outdated);
+        let outdated: Vec<&str> = outdated.map(String::as_str).collect();
+        if self.upgrade.format_logged == Some((format, outdated.len())) {
             return;
         }
-        if old.is_empty() {
+        if outdated.is_empty() {
             tracing::info!(format, "every controller has the latest format");
         } else {
-            let waits_for = old.join(" ");
+            let waits_for = outdated.join(" ");
             tracing::info!(format, waits_for, "rolling upgrade: old format in use");
         }
-        self.upgrade.format_logged = Some((format, old.len()));
+        self.upgrade.format_logged = Some((format, outdated.len()));
     }
 
-    /// The state service was asked too much. Once all controllers are upgraded its announced limits may
-    /// be in force any time: from the first such answer on this controller keeps to them.
-    pub(super) fn throttled(&mut self) {
+    /// Handles a rejection by the state store's rate limit. Once all controllers have the latest format, the
+    /// announced lower limit may take effect at any time, so this controller keeps to it from the first
+    /// rejection on.
+    pub(super) fn handle_throttling(&mut self) {
         self.writes.throttled_at = Some(self.now);
         if self.cache.format() == formats::LATEST {
             self.writes.budget.slow_down(self.settings.next_write_rps);
         }
     }
 
-    /// Says once of each record that it does not fit into a value any more.
+    /// Logs, once per record, that a record exceeds the state store's maximum value size.
     pub(crate) fn log_oversized(&mut self, records: Vec<(Key, usize)>) {
         let logged = &mut self.writes.oversized_logged;
         for (key, bytes) in records {
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -1,8 +1,8 @@
-//! What a controller does when a peer is lost or comes back, and the heartbeats between controllers.
+//! Failover when a peer is lost, and the heartbeats between controllers.
 //!
-//! Workers turn to another controller by themselves; this one expects them, and goes on with what the
-//! lost one had claimed, accepted, provisioned or deleted. Every step rests on records, so it does no
-//! harm that two do it, or that the peer lives.
+//! Workers of a lost peer switch to another controller by themselves. The remaining controllers continue the
+//! claims, jobs, instance requests and deletions of the lost peer. Each step is a transaction on stored records,
+//! so it does no harm if two controllers take it, or if the peer is still running.
 
 use crate::constants::{FAILOVER_STAGGER_MS, JUST_STARTED_MS, STATE_PROBE_INTERVAL_MS};
 use crate::controller::{Controller, ControllerStatus, Effect, HeardWorker, PeerHeartbeat};
@@ -11,7 +11,7 @@
 use crate::workers::starts::Attempt;
 
 impl Controller {
-    /// Takes a peer's heartbeat in.
+    /// Handles a heartbeat of a peer.
     pub(crate) fn receive_peer_heartbeat(&mut self, heartbeat: PeerHeartbeat) {
         let images = heartbeat.images.clone();
         let is_behind = self.is_behind(&heartbeat.controller);
@@ -23,29 +23,30 @@
         }
         self.cache.take_hints(&images);
         if is_behind && self.sync.has_listed {
-            // A linearizable read tells whether the watch lags.
+            // Makes the next linearizable read due, which shows whether the watch lags.
             let at = self.now.saturating_sub(STATE_PROBE_INTERVAL_MS);
             self.reads.last_requested_at = self.reads.last_requested_at.min(at);
         }
-        self.judge_peers();
+        self.assess_peers();
     }
 
-    /// Whether this cache still lacks what a peer had at its heartbeat before, half a second ago.
+    /// Returns whether this controller's cache lags behind the revision that a peer had reported with its previous
+    /// heartbeat, half a second ago.
     fn is_behind(&self, controller: &str) -> bool {
         let peer = self.peers.peer(controller);
         let status = peer.and_then(|peer| peer.heartbeat.status.as_ref());
         status.is_some_and(|status| status.revision > self.cache.revision)
     }
 
-    /// The connection by which a peer sent its heartbeats has ended, and it has no other.
+    /// Handles the end of the last connection over which a peer sent heartbeats.
     pub(crate) fn peer_link_ended(&mut self, controller: &str) {
         self.peers.link_ended(controller);
-        self.judge_peers();
+        self.assess_peers();
     }
 
-    /// Judges peers anew, and takes over from those that are newly lost.
-    pub(crate) fn judge_peers(&mut self) {
-        let (changes, completed) = self.peers.judge(self.now);
+    /// Reassesses the status of all peers and fails over from those that are newly lost.
+    pub(crate) fn assess_peers(&mut self) {
+        let (changes, completed) = self.peers.assess(self.now);
         for change in changes {
             tracing::info!(
                 controller = change.controller,
@@ -70,18 +71,20 @@
         }
     }
 
+    /// Schedules the tasks of a lost peer, and has its starts checked.
     fn fail_over_from(&mut self, lost: &PeerStatusChange) {
-        // What it accepted and had no time to place is placed now, by one controller after another.
-        let turn = self.now + self.settings.controller_index() * FAILOVER_STAGGER_MS;
-        self.scheduling.next_pass_at = self.scheduling.next_pass_at.min(turn);
+        // The peer may have accepted jobs without placing their tasks. The controllers run their scheduling passes
+        // one after another, so that they do not claim the same tasks.
+        let pass_at = self.now + self.settings.controller_index() * FAILOVER_STAGGER_MS;
+        self.scheduling.next_pass_at = self.scheduling.next_pass_at.min(pass_at);
         if self.settings.tuning.recover_starts {
             let heard_at = self.now - lost.silent_ms;
             self.workers.starts.peer_lost(self.now, heard_at);
         }
     }
 
-    /// Asks machines whether starts have arrived that a lost peer may have claimed without
-    /// sending them. One controller does.
+    /// Asks machines whether they received the starts of claims that a lost peer may have made without sending
+    /// the starts. Only the coordinator asks.
     pub(crate) fn check_starts_of_lost_peers(&mut self) {
         if !self.on_duty() {
             return;
@@ -91,10 +94,10 @@
         }
     }
 
-    /// Own claims of which it is not known whether they were carried out, but which the cache shows by now.
-    /// Nobody has sent their starts; nor may this controller, since a peer may have made the very same claim:
-    /// they are fenced at once, and go with the next answer to a heartbeat, rather than once a heartbeat has
-    /// lacked them.
+    /// Fences the starts of this controller's claims whose transactions got no answer but whose assignments are in
+    /// the cache by now. Nobody has sent their starts. This controller may not send them as they are, since a
+    /// peer may have made the same claim. Fenced at once, a start goes with the next reply to a heartbeat, and not
+    /// only after a heartbeat that lacks the task.
     pub(crate) fn fence_uncertain_claims(&mut self) {
         if !self.workers.starts.has_doubts() {
             return;
@@ -102,7 +105,7 @@
         let cache = &self.cache;
         let token = |(task, attempt): &Attempt, machine: &str| {
             let placed = cache.assignment(machine, task)?;
-            let assignment = Some(&placed.assignment).filter(|b| b.attempt == *attempt)?;
+            let assignment = Some(&placed.assignment).filter(|a| a.attempt == *attempt)?;
             assignment.direct_start.map(|start| start.token)
         };
         for (machine, token) in self.workers.starts.found_assigned(self.now, token) {
@@ -114,9 +117,9 @@
         }
     }
 
-    /// Sends a heartbeat to all peers, when one is due.
+    /// Sends a heartbeat to all peers when one is due.
     pub(crate) fn send_heartbeat(&mut self) {
-        let Some((images, status)) = self.peers.heartbeat_due(self.now) else {
+        let Some((includes_images, status)) = self.peers.heartbeat_due(self.now) else {
             return;
         };
         self.plan_handoff();
@@ -140,8 +143,8 @@
             configuration: self.settings.policy.version,
             ..status
         };
-        // Versions before format 2 refuse a heartbeat with an element more.
-        let longer = self.sync.has_listed && self.cache.format() >= formats::PIPELINES;
+        // Versions before format 2 reject a heartbeat with an additional element.
+        let includes_status = self.sync.has_listed && self.cache.format() >= formats::PIPELINES;
         self.emit(Effect::PeerHeartbeat(PeerHeartbeat {
             controller: self.settings.controller.clone(),
             at: self.wall,
@@ -150,15 +153,15 @@
                 && self.lifecycle.shutting_down_since.is_none(),
             workers,
             just_started: self.now - self.lifecycle.started_at < JUST_STARTED_MS,
-            images: match images {
+            images: match includes_images {
                 true => self.cache.image_hints(),
                 false => Vec::new(),
             },
-            status: longer.then_some(status),
+            status: includes_status.then_some(status),
         }));
     }
 
-    /// What this controller takes a peer to be, if it has ever heard it.
+    /// Returns the status of a peer, if it has ever sent a heartbeat to this controller.
     pub fn status_of(&self, controller: &str) -> Option<PeerStatus> {
         Some(self.peers.peer(controller)?.status())
     }
--- a/crates/core/src/peers/failure_detector.rs
+++ b/crates/core/src/peers/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Failure detection among peers: what has become of one that falls silent, and how its workers fail over.
+//! Failure detection among peers: the status of a peer without heartbeats, and the failover of its workers.
 
 use super::status::{PeerStatus, PeerStatusChange};
 use super::tracker::PeerTracker;
@@ -11,32 +11,32 @@
 use crate::peers::peer::Peer;
 use std::collections::BTreeSet;
 
-/// Workers of a lost peer on their way to other controllers: for the log, and to know when it is over.
+/// The failover of a lost peer's workers to other controllers.
 #[derive(Debug)]
 pub(super) struct Failover {
-    /// When the peer's last heartbeat came.
-    since: Millis,
-    /// Workers that no controller has heard since.
-    pub(super) expected: BTreeSet<String>,
-    /// How many workers there were.
+    /// When the peer's last heartbeat arrived.
+    started_at: Millis,
+    /// Workers from which no controller has received a heartbeat since.
+    pub(super) missing: BTreeSet<String>,
+    /// Number of workers that sent their heartbeats to the peer.
     workers: usize,
 }
 
-/// A failover that is over.
+/// A completed failover, as it is logged.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct CompletedFailover {
     /// The peer's name.
     pub controller: String,
-    /// How many workers reported to it.
+    /// Number of workers that sent their heartbeats to the peer.
     pub workers: usize,
-    /// How many of these no controller has heard since.
+    /// Number of these workers from which no controller has received a heartbeat since.
     pub missing: usize,
     pub duration_ms: Millis,
 }
 
 impl PeerTracker {
-    /// Judges all peers anew: whose status has changed, and which failovers are over.
-    pub fn judge(&mut self, now: Millis) -> (Vec<PeerStatusChange>, Vec<CompletedFailover>) {
+    /// Reassesses the status of all peers. Returns the status changes and the completed failovers.
+    pub fn assess(&mut self, now: Millis) -> (Vec<PeerStatusChange>, Vec<CompletedFailover>) {
         let mut changes = Vec::new();
         let controllers: Vec<String> = self.peers.keys().cloned().collect();
         for controller in controllers {
@@ -51,8 +51,8 @@
             let workers = peer.workers.len() + peer.failed_over;
             if status.is_away() && !previous.is_away() {
                 let failover = Failover {
-                    since: peer.at,
-                    expected: peer.workers.clone(),
+                    started_at: peer.at,
+                    missing: peer.workers.clone(),
                     workers,
                 };
                 self.failovers.insert(controller.clone(), failover);
@@ -68,27 +68,29 @@
         (changes, self.complete_failovers(now))
     }
 
-    /// A failover is over when hardly any worker is missing, or none more is likely to come.
+    /// Removes and returns the failovers that are complete: nearly all workers have reached another controller,
+    /// or so much time has passed that the others are unlikely to.
     fn complete_failovers(&mut self, now: Millis) -> Vec<CompletedFailover> {
         let max_ms = FAILOVER_MOVES_MAX * self.membership.worker_failover_ms;
-        let is_over = |failover: &Failover| {
-            let few = failover.workers / FAILOVER_MISSING_PART;
-            failover.expected.len() <= few || now > failover.since + max_ms
+        let is_complete = |failover: &Failover| {
+            let max_missing = failover.workers / FAILOVER_MISSING_PART;
+            failover.missing.len() <= max_missing || now > failover.started_at + max_ms
         };
-        let over = self.failovers.iter().filter(|(_, f)| is_over(f));
-        let over: Vec<String> = over.map(|(controller, _)| controller.clone()).collect();
-        let completed = over.into_iter().filter_map(|controller| {
+        let complete = self.failovers.iter().filter(|(_, f)| is_complete(f));
+        let complete: Vec<String> = complete.map(|(controller, _)| controller.clone()).collect();
+        let completed = complete.into_iter().filter_map(|controller| {
             let failover = self.failovers.remove(&controller)?;
             Some(CompletedFailover {
                 controller,
                 workers: failover.workers,
-                missing: failover.expected.len(),
-                duration_ms: now - failover.since,
+                missing: failover.missing.len(),
+                duration_ms: now - failover.started_at,
             })
         });
         completed.collect()
     }
 
+    /// Returns the present status of a peer.
     fn status_of(&self, now: Millis, controller: &str) -> PeerStatus {
         let Some(peer) = self.peers.get(controller) else {
             return PeerStatus::Silent;
@@ -96,24 +98,25 @@
         let silent_ms = now.saturating_sub(peer.at);
         let min_ms = self.membership.tuning.heartbeats_missed_ms;
         if peer.link_ended || silent_ms > peer.intervals.timeout_ms(min_ms) {
-            self.status_of_silent(now, peer)
+            self.status_of_silent_peer(now, peer)
         } else {
-            status_of_heard(peer)
+            status_of_heard_peer(peer)
         }
     }
 
-    /// The end of a link tells an exit; its workers, and what other peers hear, tell a paused controller from a
-    /// lost link.
-    fn status_of_silent(&self, now: Millis, peer: &Peer) -> PeerStatus {
+    /// Returns the status of a peer whose heartbeats are overdue or whose link has ended. The end of the link
+    /// indicates an exit. The peer's workers, and the peers that still receive its heartbeats, distinguish a paused
+    /// peer from a lost link.
+    fn status_of_silent_peer(&self, now: Millis, peer: &Peer) -> PeerStatus {
         let silent_ms = now.saturating_sub(peer.at);
         let workers = peer.workers.len();
         let failing_over = peer.failed_over > workers / FAILOVER_WORKERS_PART;
-        let staying = silent_ms > self.membership.worker_failover_ms
+        let workers_silent = silent_ms > self.membership.worker_failover_ms
             && workers >= FAILOVER_WORKERS_MIN
             && !failing_over;
-        if self.is_heard_by_others(now, peer) {
+        if self.is_heard_by_another_peer(now, peer) {
             PeerStatus::LinkLost
-        } else if staying {
+        } else if workers_silent {
             PeerStatus::CutOffWithWorkers
         } else if peer.link_ended {
             PeerStatus::Exited
@@ -124,9 +127,9 @@
         }
     }
 
-    /// Whether another peer says that it still hears this one. What it said before the silence began says
-    /// nothing of it.
-    fn is_heard_by_others(&self, now: Millis, silent: &Peer) -> bool {
+    /// Returns whether another peer reports that it still receives this peer's heartbeats. A report from before the
+    /// silence began is no evidence.
+    fn is_heard_by_another_peer(&self, now: Millis, silent: &Peer) -> bool {
         let name = &silent.heartbeat.controller;
         let earliest = silent.at + HEARTBEATS_MISSED_MS + PEER_OPINION_MARGIN_MS;
         let hears = |status: &ControllerStatus| status.heard_peers.iter().any(|n| n == name);
@@ -139,8 +142,8 @@
     }
 }
 
-/// The status of a peer whose heartbeats come.
-fn status_of_heard(peer: &Peer) -> PeerStatus {
+/// Returns the status of a peer whose heartbeats arrive on time.
+fn status_of_heard_peer(peer: &Peer) -> PeerStatus {
     let ticks_late = |status: &ControllerStatus| status.tick_delay_ms > TICK_DELAY_SLOW_MS;
     if !peer.heartbeat.has_current_state {
         PeerStatus::StateUnreachable
--- a/crates/core/src/peers/handoff.rs
+++ b/crates/core/src/peers/handoff.rs
@@ -1,4 +1,4 @@
-//! Handoff of workers from a controller that has more than its part of them to a peer that has fewer.
+//! Handoff of workers from a controller with more than its share of them to the peer with the fewest.
 
 use super::peer::Peer;
 use super::status::PeerStatus;
@@ -6,20 +6,20 @@
 use crate::constants::{HANDOFF_PROBE_MS, LOAD_SHARE, LOAD_SPARE, SLOW_PART, TICK_DELAY_SLOW_MS};
 use crate::model::Millis;
 
-/// Workers to be handed over until the next heartbeat.
+/// The handoff that is planned until the next heartbeat.
 #[derive(Debug, Default)]
 pub(super) struct Handoff {
     planned: Option<PlannedHandoff>,
-    /// When a single worker was last handed to a peer that has none.
-    probed_at: Millis,
+    /// When a single worker was last handed over to a peer without workers, as a probe.
+    last_probe_at: Millis,
 }
 
 #[derive(Debug)]
 struct PlannedHandoff {
-    /// The peer that gets them.
+    /// The peer that the workers are handed over to.
     target: String,
-    /// How many are still to be handed over.
-    left: usize,
+    /// Number of workers that are still to be handed over.
+    remaining: usize,
 }
 
 impl Handoff {
@@ -29,57 +29,71 @@
 }
 
 impl PeerTracker {
-    /// Workers that lost their controller all turn to the next one, and stay there: it would run out of
-    /// sockets, processor time and changes while its peers have them to spare. Once these
-    /// hear from workers again, they are handed over a few at a time. `own`: workers that report here.
-    pub fn plan_handoff(&mut self, now: Millis, own: usize, recent: Millis) {
+    /// Plans how many workers to hand over, and to which peer, until the next heartbeat. `own_load` is the number of
+    /// workers that send their heartbeats here; a peer's load counts heartbeats of the last `recent_ms`.
+    ///
+    /// Workers that lost their controller all switch to the same next controller and stay there. That controller
+    /// would run out of sockets, processor time and write budget while its peers have spare capacity. A peer with
+    /// workers gets a few at a time; a peer without any gets a single one as a probe, since it may be cut off from
+    /// workers.
+    pub fn plan_handoff(&mut self, now: Millis, own_load: usize, recent_ms: Millis) {
         self.handoff.cancel();
         let targets: Vec<(usize, String)> = (self.fresh(now))
             .filter(|p| p.can_serve_workers() && !p.heartbeat.just_started)
             .filter(|p| p.status() != PeerStatus::Slow)
-            .map(|p| (p.load(recent), p.heartbeat.controller.clone()))
+            .map(|p| (p.load(recent_ms), p.heartbeat.controller.clone()))
             .collect();
-        // Were it by number alone, one that has too little processor time would keep its part.
-        let own = match self.tick_delay_ms > f64::from(TICK_DELAY_SLOW_MS) {
-            true => own + own / SLOW_PART,
-            false => own,
+        // A controller whose ticks are late has too little processor time for its share. It counts its load as
+        // higher than it is, so that it hands over workers.
+        let own_load = match self.tick_delay_ms > f64::from(TICK_DELAY_SLOW_MS) {
+            true => own_load + own_load / SLOW_PART,
+            false => own_load,
         };
-        let sum = own + targets.iter().map(|(load, _)| load).sum::<usize>();
-        let mean = sum / (targets.len() + 1);
+        let total_load = own_load + targets.iter().map(|(load, _)| load).sum::<usize>();
+        let mean_load = total_load / (targets.len() + 1);
         let Some((min_load, target)) = targets.into_iter().min() else {
             return;
         };
-        if own <= mean + LOAD_SPARE || own as f64 <= mean as f64 * LOAD_SHARE {
+        if own_load <= mean_load + LOAD_SPARE || own_load as f64 <= mean_load as f64 * LOAD_SHARE {
             return;
         }
-        let left = match min_load {
-            0 if now < self.handoff.probed_at + HANDOFF_PROBE_MS => return,
+        let workers = match min_load {
+            0 if now < self.handoff.last_probe_at + HANDOFF_PROBE_MS => return,
             0 => {
-                self.handoff.probed_at = now;
+                self.handoff.last_probe_at = now;
                 1
             }
             _ => min_load
                 .max(2)
-                .min((own - mean) / 2)
+                .min((own_load - mean_load) / 2)
                 .min(self.membership.tuning.handoff_max),
         };
-        tracing::debug!(own, mean, target, workers = left, "worker handoff planned");
-        self.handoff.planned = Some(PlannedHandoff { target, left });
+        tracing::debug!(
+            own_load,
+            mean_load,
+            target,
+            workers,
+            "worker handoff planned"
+        );
+        self.handoff.planned = Some(PlannedHandoff {
+            target,
+            remaining: workers,
+        });
     }
 
-    /// No worker is handed over.
+    /// Cancels the planned handoff.
     pub fn cancel_handoff(&mut self) {
         self.handoff.cancel();
     }
 
-    /// The peer that the next worker is handed over to, if any.
+    /// Returns the peer that the next worker is handed over to, if any, and counts the worker.
     pub fn next_handoff(&mut self) -> Option<String> {
         let planned = self.handoff.planned.as_mut()?;
-        planned.left = planned.left.checked_sub(1)?;
+        planned.remaining = planned.remaining.checked_sub(1)?;
         Some(planned.target.clone())
     }
 
-    /// Where workers are sent by a controller that is about to exit: to peers in turn.
+    /// Returns the peer that a controller redirects its next worker to while it shuts down: peers take turns.
     pub fn shutdown_target(&self, now: Millis, turn: u64) -> Option<String> {
         let targets: Vec<&Peer> = (self.fresh(now))
             .filter(|p| p.can_serve_workers())
--- a/crates/core/src/peers/heartbeat_intervals.rs
+++ b/crates/core/src/peers/heartbeat_intervals.rs
@@ -1,4 +1,4 @@
-//! How regularly a peer's heartbeats come, as an accrual failure detector keeps it.
+//! Statistics of a peer's heartbeat intervals, as in an accrual failure detector.
 
 use crate::constants::{
     HEARTBEAT_INTERVAL_DEVIATIONS, HEARTBEAT_INTERVAL_WEIGHT, HEARTBEAT_SLOW_FACTOR,
@@ -6,39 +6,41 @@
 };
 use crate::model::Millis;
 
-/// The mean interval of a peer's heartbeats and its mean deviation, in milliseconds, over the last dozen.
+/// Moving averages over about the last dozen heartbeats of a peer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeartbeatIntervals {
-    mean: f64,
-    deviation: f64,
+    /// Mean interval between heartbeats.
+    mean_ms: f64,
+    /// Mean deviation of the interval.
+    deviation_ms: f64,
 }
 
 impl HeartbeatIntervals {
-    /// Those of a peer that is not known yet.
+    /// Creates the statistics of a peer without any heartbeat yet.
     pub(super) fn new() -> HeartbeatIntervals {
         HeartbeatIntervals {
-            mean: PEER_HEARTBEAT_MS as f64,
-            deviation: PEER_HEARTBEAT_MS as f64 / 4.0,
+            mean_ms: PEER_HEARTBEAT_MS as f64,
+            deviation_ms: PEER_HEARTBEAT_MS as f64 / 4.0,
         }
     }
 
-    /// Takes the interval before the latest heartbeat into the means.
-    pub(super) fn observe(&mut self, interval: Millis) {
-        // One long silence says nothing of how regularly they come.
-        let interval = (interval as f64).min(PEER_LOST_MS as f64);
-        self.deviation +=
-            HEARTBEAT_INTERVAL_WEIGHT * ((interval - self.mean).abs() - self.deviation);
-        self.mean += HEARTBEAT_INTERVAL_WEIGHT * (interval - self.mean);
+    /// Adds the interval before the latest heartbeat to the averages.
+    pub(super) fn observe(&mut self, interval_ms: Millis) {
+        // Limits the effect of a single long silence.
+        let interval_ms = (interval_ms as f64).min(PEER_LOST_MS as f64);
+        self.deviation_ms +=
+            HEARTBEAT_INTERVAL_WEIGHT * ((interval_ms - self.mean_ms).abs() - self.deviation_ms);
+        self.mean_ms += HEARTBEAT_INTERVAL_WEIGHT * (interval_ms - self.mean_ms);
     }
 
-    /// Milliseconds of silence that chance does not explain, at least `min`.
-    pub(super) fn timeout_ms(&self, min: Millis) -> Millis {
-        let usual = self.mean + HEARTBEAT_INTERVAL_DEVIATIONS * self.deviation;
-        (usual as Millis).max(min).min(PEER_LOST_MS)
+    /// Returns the milliseconds of silence that the variation of the intervals does not explain, at least `min_ms`.
+    pub(super) fn timeout_ms(&self, min_ms: Millis) -> Millis {
+        let expected_max_ms = self.mean_ms + HEARTBEAT_INTERVAL_DEVIATIONS * self.deviation_ms;
+        (expected_max_ms as Millis).max(min_ms).min(PEER_LOST_MS)
     }
 
-    /// Whether heartbeats come much less often than they should.
+    /// Returns whether heartbeats arrive much less often than they are due.
     pub(super) fn is_slow(&self) -> bool {
-        self.mean > HEARTBEAT_SLOW_FACTOR * PEER_HEARTBEAT_MS as f64
+        self.mean_ms > HEARTBEAT_SLOW_FACTOR * PEER_HEARTBEAT_MS as f64
     }
 }
--- a/crates/core/src/peers/mod.rs
+++ b/crates/core/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The other controllers: what is known of them, and failover when one is lost.
+//! Peers, that is the other controllers: their status, and failover when a peer is lost.
 
 mod failover;
 mod failure_detector;
--- a/crates/core/src/peers/peer.rs
+++ b/crates/core/src/peers/peer.rs
@@ -1,4 +1,4 @@
-//! One peer and its workers, as far as they are known here.
+//! A peer and its workers, as observed by this controller.
 
 use super::heartbeat_intervals::HeartbeatIntervals;
 use super::status::PeerStatus;
@@ -8,71 +8,73 @@
 use crate::workers::registry::ReceivedHeartbeat;
 use std::collections::BTreeSet;
 
-/// One peer, as far as it is known here.
+/// A peer, as observed by this controller.
 #[derive(Debug)]
 pub(crate) struct Peer {
-    /// When its last heartbeat was accepted.
+    /// When this controller accepted the peer's last heartbeat.
     pub at: Millis,
-    /// That heartbeat.
+    /// The last accepted heartbeat.
     pub heartbeat: PeerHeartbeat,
     pub(super) intervals: HeartbeatIntervals,
-    /// Its link has ended, and no heartbeat has come since.
+    /// Whether the peer's link has ended without a heartbeat since.
     pub(super) link_ended: bool,
-    /// Workers whose latest heartbeat it got, as far as is known here.
+    /// Workers whose latest known heartbeat the peer received.
     pub(super) workers: BTreeSet<String>,
-    /// How many of its workers have come here since its last heartbeat.
+    /// Number of its workers that have switched to another controller since its last heartbeat.
     pub(super) failed_over: usize,
     pub(super) status: PeerStatus,
 }
 
 impl Peer {
-    /// What it is taken to be.
+    /// Returns the status at the last assessment.
     pub fn status(&self) -> PeerStatus {
         self.status
     }
 
-    /// How many workers' heartbeats it got within so many milliseconds before its last heartbeat.
+    /// Returns the number of workers from which the peer received a heartbeat within `within_ms` before its own
+    /// last heartbeat.
     pub fn load(&self, within_ms: Millis) -> usize {
         let heard = self.heartbeat.workers.iter();
         heard.filter(|worker| worker.age_ms < within_ms).count()
     }
 
-    /// Whether it was heard lately and is not known to have exited.
+    /// Returns whether the peer sent a heartbeat recently and has not exited, as far as is known.
     pub(super) fn is_fresh(&self, now: Millis) -> bool {
-        let lost = self.link_ended || self.status.is_away() || self.status == PeerStatus::LinkLost;
-        now.saturating_sub(self.at) <= PEER_LOST_MS && !lost
+        let is_lost =
+            self.link_ended || self.status.is_away() || self.status == PeerStatus::LinkLost;
+        now.saturating_sub(self.at) <= PEER_LOST_MS && !is_lost
     }
 
-    /// Whether none of its heartbeats is missing.
+    /// Returns whether no heartbeat of the peer is overdue.
     pub(super) fn is_in_time(&self, now: Millis) -> bool {
         now.saturating_sub(self.at) <= HEARTBEATS_MISSED_MS && !self.link_ended
     }
 
-    /// Whether it reaches the state service and workers, by its last heartbeat.
+    /// Returns whether the peer reaches the state store and workers, according to its last heartbeat.
     pub(super) fn can_serve_workers(&self) -> bool {
         self.heartbeat.has_current_state && self.heartbeat.workers_reachable
     }
 }
 
-/// The latest heartbeat of a worker that any peer is known to have got.
+/// The latest heartbeat of a worker that any peer received, as far as is known.
 #[derive(Debug)]
 pub(crate) struct PeerObservation {
-    /// When it came there, by this controller's clock.
+    /// When the peer received it, by this controller's clock.
     pub at: Millis,
-    /// Where it stands among its worker's heartbeats.
+    /// Its position in the sequence of the worker's heartbeats.
     pub position: HeartbeatPosition,
     pub(super) peer: String,
 }
 
 impl PeerObservation {
-    /// The peer that got it.
+    /// Returns the name of the peer that received it.
     pub fn peer(&self) -> &str {
         &self.peer
     }
 }
 
 impl ReceivedHeartbeat {
-    /// Whether a peer is known to have got a later heartbeat.
+    /// Returns whether a peer received a later heartbeat of the worker, as far as is known.
     pub fn older_than(&self, observation: Option<&PeerObservation>) -> bool {
         observation.is_some_and(|observed| observed.position > self.position)
     }
--- a/crates/core/src/peers/status.rs
+++ b/crates/core/src/peers/status.rs
@@ -1,33 +1,35 @@
-//! What a controller takes a peer to be, and why heartbeats of peers are rejected.
+//! The status of peers, and the reasons to reject their heartbeats.
 
 use crate::model::Millis;
 use std::fmt;
 
-/// What has most likely become of a peer. A guess: what rests on it may waste work, and nothing else.
+/// The most likely status of a peer. It may be wrong: decisions based on it may waste work, but violate no
+/// invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PeerStatus {
-    /// Its heartbeats come in time, and it reaches the state service and workers.
+    /// Its heartbeats arrive on time, and it reaches the state store and workers.
     Healthy,
-    /// Its heartbeats come late: it has more to do than it has processor time for.
+    /// Its heartbeats or its ticks are late: it has too little processor time for its load.
     Slow,
-    /// It says that it does not reach the state service.
+    /// It reports that it does not reach the state store.
     StateUnreachable,
-    /// It says that workers do not reach it.
+    /// It reports that workers do not reach it.
     WorkersUnreachable,
-    /// This controller gets no heartbeats of it, but another peer does.
+    /// Another peer receives its heartbeats, but this controller does not.
     LinkLost,
-    /// Silent for longer than the intervals of its heartbeats vary; not known why.
+    /// Its heartbeats are overdue by more than their usual variation, for an unknown reason.
     Silent,
-    /// Silent, and its workers turn to other controllers: it is paused or cut off.
+    /// Silent, and its workers switch to other controllers: it is paused or partitioned.
     WorkersFailingOver,
-    /// Silent, and its workers stay away as well: cut off together with them, or only its links are.
+    /// Silent, and its workers do not switch to other controllers: it is partitioned together with them, or only
+    /// its links to peers are lost.
     CutOffWithWorkers,
-    /// The link to it has ended, and no other peer gets its heartbeats.
+    /// Its link has ended, and no other peer receives its heartbeats.
     Exited,
 }
 
 impl PeerStatus {
-    /// Whether it is taken to do nothing now, so that others do what it did.
+    /// Returns whether the peer is assumed to be inactive, so that others fail over from it.
     pub fn is_away(self) -> bool {
         match self {
             PeerStatus::Silent
@@ -59,37 +61,37 @@
     }
 }
 
-/// A peer whose status has just changed.
+/// A change of a peer's status.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct PeerStatusChange {
     /// The peer's name.
     pub controller: String,
     pub previous: PeerStatus,
     pub status: PeerStatus,
-    /// How many workers report to it.
+    /// Number of workers that send their heartbeats to the peer.
     pub workers: usize,
-    /// Milliseconds since its last heartbeat.
+    /// Milliseconds since the peer's last heartbeat.
     pub silent_ms: Millis,
 }
 
-/// Why a heartbeat of a peer says nothing.
+/// The reason to reject a peer's heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectedHeartbeat {
-    /// Its sender is not among the controllers of the settings.
+    /// The sender is not among the controllers of the settings.
     UnknownController,
-    /// It was made too long ago, by the times of day.
+    /// It was sent too long ago, by wall-clock time.
     TooOld,
-    /// It was made later than now, by the times of day.
+    /// It was sent in the future, by wall-clock time.
     FromTheFuture,
-    /// It, or a later one, came before.
+    /// It, or a later one, was received before.
     Duplicate,
-    /// It is of an earlier process of that controller.
+    /// It was sent by an earlier process of the controller.
     EarlierProcess,
-    /// It names more workers or controllers than there can be.
+    /// It lists more workers or controllers than there can be.
     TooLarge,
 }
 
-/// What became of a heartbeat.
+/// The outcome of a peer's heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatOutcome {
     Rejected(RejectedHeartbeat),
--- a/crates/core/src/peers/tracker.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -1,10 +1,8 @@
-//! What a controller follows of its peers, so that whatever one of them did is carried on when it
-//! exits, is paused or is cut off.
+//! Tracking of peers by their heartbeats: their status, their workers and their regularity.
 //!
-//! There is no leader and nobody is asked to take over: every controller is the standby of each of its
-//! peers. While all is well the tracker keeps, with every heartbeat, which workers report to which
-//! peer, how regularly it is heard and what it says of itself. It judges by more than one sign
-//! what has become of one that falls silent (`failure_detector`); the controller acts on that (`failover`).
+//! There is no leader election: every controller is a standby for each of its peers and fails over by itself. The
+//! tracker assesses a silent peer by more than one sign (`failure_detector`); the controller acts on the result
+//! (`failover`).
 
 use super::failure_detector::Failover;
 use super::handoff::Handoff;
@@ -23,40 +21,41 @@
 use foldhash::{HashMap, HashMapExt};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a tracker needs to know of the deployment.
+/// The settings that the tracker uses.
 #[derive(Debug)]
 pub(super) struct Membership {
     /// The name of this controller.
     pub(super) own_name: String,
     /// The names of all controllers.
     pub(super) members: Vec<String>,
-    /// By how much times of day may differ between controllers.
+    /// Milliseconds by which the wall clocks of controllers may differ.
     pub(super) clock_off_ms: Millis,
-    /// Milliseconds within which all workers of a controller that has exited have turned elsewhere.
+    /// Milliseconds within which all workers of an exited controller have switched to another one.
     pub(super) worker_failover_ms: Millis,
     pub(super) tuning: Tuning,
 }
 
-/// What is known of all peers.
+/// Tracks all peers and the workers that send heartbeats to them.
 #[derive(Debug)]
 pub(crate) struct PeerTracker {
     pub(super) membership: Membership,
     pub(super) peers: BTreeMap<String, Peer>,
-    /// The latest heartbeats that peers got of workers, by machine.
+    /// The latest heartbeats of workers that peers received, by machine.
     observations: HashMap<String, PeerObservation>,
     /// Failovers in progress, by peer.
     pub(super) failovers: BTreeMap<String, Failover>,
     /// Heartbeats rejected since the last log line, by reason.
     rejected: BTreeMap<RejectedHeartbeat, u64>,
+    /// When rejected heartbeats were last logged.
     rejected_logged_at: Millis,
-    /// The time of day at which this process began.
+    /// Wall-clock time at which this process started.
     process_started_at: WallMs,
-    /// Heartbeats that this controller has sent.
-    sent: u64,
-    sent_at: Millis,
-    /// The next heartbeat says what is remembered of images.
+    /// Number of heartbeats that this controller has sent.
+    heartbeats_sent: u64,
+    last_heartbeat_at: Millis,
+    /// Whether the next heartbeat includes the images cached on machines.
     share_images: bool,
-    /// By how many milliseconds this controller's clock ticks late, on the whole.
+    /// Moving average of the delay of this controller's ticks, in milliseconds.
     pub(super) tick_delay_ms: f64,
     pub(super) handoff: Handoff,
 }
@@ -70,10 +69,10 @@
             worker_failover_ms: WORKER_FAILOVER_MS + settings.report_due_ms(),
             tuning: settings.tuning,
         };
-        PeerTracker::of(membership, wall)
+        PeerTracker::with_membership(membership, wall)
     }
 
-    pub(super) fn of(membership: Membership, wall: WallMs) -> PeerTracker {
+    pub(super) fn with_membership(membership: Membership, wall: WallMs) -> PeerTracker {
         PeerTracker {
             membership,
             peers: BTreeMap::new(),
@@ -82,8 +81,8 @@
             rejected: BTreeMap::new(),
             rejected_logged_at: 0,
             process_started_at: wall,
-            sent: 0,
-            sent_at: 0,
+            heartbeats_sent: 0,
+            last_heartbeat_at: 0,
             share_images: false,
             tick_delay_ms: 0.0,
             handoff: Handoff::default(),
@@ -92,7 +91,8 @@
 
     // ---- Events -------------------------------------------------------------------------
 
-    /// Accepts a heartbeat, or says why not. `own`: the heartbeats of workers that came here.
+    /// Accepts a peer's heartbeat, or returns the reason to reject it. `own` are the latest heartbeats of workers
+    /// that this controller received itself.
     pub fn receive_heartbeat(
         &mut self,
         now: Millis,
@@ -124,6 +124,7 @@
         HeartbeatOutcome::Accepted
     }
 
+    /// Adds a peer at its first heartbeat.
     fn add_peer(&mut self, now: Millis, heartbeat: PeerHeartbeat) {
         let controller = heartbeat.controller.clone();
         let peer = Peer {
@@ -138,7 +139,7 @@
         self.peers.insert(controller, peer);
     }
 
-    /// Whether its sender has just started, and has not said so before.
+    /// Returns whether a heartbeat is the first one by which its sender reports that it has just started.
     fn has_just_started(&self, heartbeat: &PeerHeartbeat) -> bool {
         let process = |h: &PeerHeartbeat| h.status.as_ref().map(|s| s.life);
         let known = self.peers.get(&heartbeat.controller).map(|p| &p.heartbeat);
@@ -146,30 +147,31 @@
         is_new && heartbeat.just_started
     }
 
-    /// The connection by which a peer sent its heartbeats has ended, and it has no other.
+    /// Handles the end of the last connection over which a peer sent heartbeats.
     pub fn link_ended(&mut self, controller: &str) {
         if let Some(peer) = self.peers.get_mut(controller) {
             peer.link_ended = self.membership.tuning.link_ends;
         }
     }
 
-    /// A worker's heartbeat has come here: it may have reported to a peer before.
+    /// Records that this controller received a worker's heartbeat. If the worker sent its last one to a peer, it
+    /// has switched controllers.
     pub fn note_failover_of(&mut self, machine: &str) {
         for failover in self.failovers.values_mut() {
-            failover.expected.remove(machine);
+            failover.missing.remove(machine);
         }
-        let Some(before) = self.observations.get(machine) else {
+        let Some(previous) = self.observations.get(machine) else {
             return;
         };
-        if let Some(peer) = self.peers.get_mut(before.peer()) {
+        if let Some(peer) = self.peers.get_mut(previous.peer()) {
             peer.failed_over += usize::from(peer.workers.remove(machine));
         }
     }
 
-    /// After a pause: the silence of peers was this controller's own.
+    /// Resets the status of all peers after a pause of this controller, which caused their silence.
     pub fn reset_after_pause(&mut self, now: Millis) {
         for peer in self.peers.values_mut() {
-            // Not known what has become of it, and no reason to take over from it.
+            // The status is unknown, which is no reason for a failover.
             peer.at = peer.at.min(now.saturating_sub(PEER_LOST_MS + 1));
             (peer.status, peer.failed_over) = (PeerStatus::Silent, 0);
         }
@@ -177,24 +179,24 @@
         self.handoff.cancel();
     }
 
-    /// The clock ticked, so many milliseconds after the last time.
-    pub fn ticked(&mut self, interval: Millis) {
-        let delay = interval.saturating_sub(CLOCK_MS).min(PAUSE_MS) as f64;
-        self.tick_delay_ms += HEARTBEAT_INTERVAL_WEIGHT * (delay - self.tick_delay_ms);
+    /// Records a tick, `interval_ms` after the previous one, in the average delay.
+    pub fn record_tick(&mut self, interval_ms: Millis) {
+        let delay_ms = interval_ms.saturating_sub(CLOCK_MS).min(PAUSE_MS) as f64;
+        self.tick_delay_ms += HEARTBEAT_INTERVAL_WEIGHT * (delay_ms - self.tick_delay_ms);
     }
 
-    /// What this controller adds to its next heartbeat, when one is due: whether it says what it
-    /// remembers of images, and what it says of itself.
+    /// Counts a heartbeat as sent when one is due. Returns whether it includes the images cached on machines, and
+    /// the tracker's part of the status.
     pub fn heartbeat_due(&mut self, now: Millis) -> Option<(bool, ControllerStatus)> {
-        if now < self.sent_at + PEER_HEARTBEAT_MS {
+        if now < self.last_heartbeat_at + PEER_HEARTBEAT_MS {
             return None;
         }
-        self.sent_at = now;
-        self.sent += 1;
+        self.last_heartbeat_at = now;
+        self.heartbeats_sent += 1;
         let in_time = self.peers.values().filter(|peer| peer.is_in_time(now));
         let status = ControllerStatus {
             life: self.process_started_at,
-            count: self.sent,
+            count: self.heartbeats_sent,
             tick_delay_ms: self.tick_delay_ms as u32,
             heard_peers: in_time.map(|p| p.heartbeat.controller.clone()).collect(),
             ..ControllerStatus::default()
@@ -202,12 +204,13 @@
         Some((std::mem::take(&mut self.share_images), status))
     }
 
-    /// The next heartbeat is due at once.
+    /// Makes the next heartbeat due at once.
     pub fn send_heartbeat_now(&mut self) {
-        self.sent_at = 0;
+        self.last_heartbeat_at = 0;
     }
 
-    /// Heartbeats rejected since the last time, by reason; none more often than every `STATS_MS`.
+    /// Takes the numbers of heartbeats rejected since the last call, by reason. Returns none if the last non-empty
+    /// result is less than `STATS_MS` old.
     pub fn take_rejected(&mut self, now: Millis) -> Vec<(RejectedHeartbeat, u64)> {
         if self.rejected.is_empty() || now < self.rejected_logged_at + STATS_MS {
             return Vec::new();
@@ -216,50 +219,50 @@
         std::mem::take(&mut self.rejected).into_iter().collect()
     }
 
-    /// Forgets machines that are gone.
+    /// Removes machines that are no longer on record.
     pub fn forget(&mut self, is_on_record: impl Fn(&str) -> bool) {
         self.observations.retain(|id, _| is_on_record(id));
         for peer in self.peers.values_mut() {
             peer.workers.retain(|id| is_on_record(id));
         }
         for failover in self.failovers.values_mut() {
-            failover.expected.retain(|id| is_on_record(id));
+            failover.missing.retain(|id| is_on_record(id));
         }
     }
 
-    // ---- What it knows ------------------------------------------------------------------
+    // ---- Queries ------------------------------------------------------------------------
 
-    /// Peers that were heard lately and are not known to have exited.
+    /// Returns the peers that sent a heartbeat recently and have not exited, as far as is known.
     pub fn fresh(&self, now: Millis) -> impl Iterator<Item = &Peer> {
         self.peers.values().filter(move |peer| peer.is_fresh(now))
     }
 
-    /// How many peers are taken to serve, heard here or by others.
-    pub fn serving(&self, now: Millis) -> usize {
-        let by_others = self.peers.values();
-        let by_others = by_others.filter(|p| p.status == PeerStatus::LinkLost);
-        self.fresh(now).count() + by_others.count()
+    /// Returns the number of peers whose heartbeats this controller or another peer receives.
+    pub fn heard_count(&self, now: Millis) -> usize {
+        let peers = self.peers.values();
+        let heard_by_others = peers.filter(|p| p.status == PeerStatus::LinkLost);
+        self.fresh(now).count() + heard_by_others.count()
     }
 
-    /// Whether a peer may do the duties that fall to the first controller that can: it is heard to reach
-    /// the state service, or was when only this controller lost it.
-    pub fn can_be_on_duty(&self, now: Millis, controller: &str) -> bool {
+    /// Returns whether a peer can be the coordinator: according to its last heartbeat it reaches the state store,
+    /// and this controller or another peer still receives its heartbeats.
+    pub fn can_coordinate(&self, now: Millis, controller: &str) -> bool {
         let peer = self.peers.get(controller);
-        peer.is_some_and(|p| p.heartbeat.has_current_state) && self.serves(now, controller)
+        peer.is_some_and(|p| p.heartbeat.has_current_state) && self.is_heard(now, controller)
     }
 
-    /// Whether some peer's work is being taken over.
+    /// Returns whether the failover of a peer's workers is in progress.
     pub fn has_failover_in_progress(&self) -> bool {
         !self.failovers.is_empty()
     }
 
-    /// Whether a peer is heard, here or by another.
-    pub fn serves(&self, now: Millis, controller: &str) -> bool {
+    /// Returns whether this controller or another peer receives a peer's heartbeats.
+    pub fn is_heard(&self, now: Millis, controller: &str) -> bool {
         let peer = self.peers.get(controller);
         peer.is_some_and(|p| p.status == PeerStatus::LinkLost || p.is_fresh(now))
     }
 
-    /// Whether a peer is heard in time and reaches state service and workers.
+    /// Returns whether a peer's heartbeats arrive on time and it reaches the state store and workers.
     pub fn is_healthy(&self, now: Millis, controller: &str) -> bool {
         let peer = self.peers.get(controller);
         peer.is_some_and(|p| {
@@ -267,24 +270,25 @@
         })
     }
 
-    /// A peer, if it was ever heard.
+    /// Returns a peer, if it has ever sent a heartbeat.
     pub fn peer(&self, controller: &str) -> Option<&Peer> {
         self.peers.get(controller)
     }
 
-    /// Whether a peer is taken to have exited or stopped, so that its work is carried on at once.
+    /// Returns whether a peer is assumed to be inactive, so that its work is continued at once.
     pub fn is_away(&self, controller: &str) -> bool {
         let peer = self.peers.get(controller);
         peer.is_some_and(|p| p.status.is_away())
     }
 
-    /// The latest heartbeat of a worker that any peer got, as far as is known here.
+    /// Returns the latest heartbeat of a worker that any peer received, as far as is known.
     pub fn observation(&self, machine: &str) -> Option<&PeerObservation> {
         self.observations.get(machine)
     }
 
     // ---- Heartbeats ---------------------------------------------------------------------
 
+    /// Returns the reason to reject a peer's heartbeat, if there is one.
     fn reason_to_reject(
         &self,
         now: Millis,
@@ -294,7 +298,7 @@
         let Membership {
             own_name, members, ..
         } = &self.membership;
-        let clocks_off_ms = 2 * self.membership.clock_off_ms;
+        let clock_tolerance_ms = 2 * self.membership.clock_off_ms;
         if heartbeat.controller == *own_name || !members.contains(&heartbeat.controller) {
             return Some(RejectedHeartbeat::UnknownController);
         }
@@ -305,22 +309,23 @@
         if wall
             > heartbeat
                 .at
-                .saturating_add(HEARTBEAT_MAX_AGE_MS + clocks_off_ms)
+                .saturating_add(HEARTBEAT_MAX_AGE_MS + clock_tolerance_ms)
         {
             return Some(RejectedHeartbeat::TooOld);
         }
-        if heartbeat.at > wall + clocks_off_ms + HEARTBEAT_MAX_AGE_MS {
+        if heartbeat.at > wall + clock_tolerance_ms + HEARTBEAT_MAX_AGE_MS {
             return Some(RejectedHeartbeat::FromTheFuture);
         }
         let peer = self.peers.get(&heartbeat.controller)?;
         let known = &peer.heartbeat;
         match (&known.status, &heartbeat.status) {
-            // A process that exits soon after its start, and whose time of day is set back meanwhile, is followed
-            // by one that seems to be earlier: that counts once the other is silent, or its link has ended.
+            // If a process exits soon after its start and the wall clock is set back meanwhile, its successor seems
+            // to be an earlier process. Its heartbeats are accepted once the known process is silent, or its link
+            // has ended.
             (Some(a), Some(b)) if b.life < a.life => peer
                 .is_in_time(now)
                 .then_some(RejectedHeartbeat::EarlierProcess),
-            // Within one process the time of day may be set back by as much as it may be off.
+            // Within one process the heartbeat count decides, as the wall clock may be set back within its tolerance.
             (Some(a), Some(b)) if b.life == a.life && b.count <= a.count => {
                 Some(RejectedHeartbeat::Duplicate)
             }
@@ -329,9 +334,9 @@
         }
     }
 
-    /// Keeps what a peer says it got of workers. That must outlive its next heartbeat: a controller that has
-    /// just restarted has heard of none, and workers that had reported to it would seem silent for as
-    /// long as this controller has not heard of them.
+    /// Records the workers' heartbeats that a peer received. They are kept beyond the peer's next heartbeat, since a
+    /// controller that has just restarted lists none: without the earlier ones its workers would appear silent
+    /// until the next list.
     fn observe_workers(
         &mut self,
         now: Millis,
@@ -343,6 +348,7 @@
         }
     }
 
+    /// Records a worker's heartbeat that a peer received.
     fn observe_worker(
         &mut self,
         now: Millis,
@@ -367,18 +373,19 @@
             return;
         }
         known.position = position;
-        let came_here = own.get(machine).is_some_and(|h| h.position >= position);
-        let moved = known.peer != controller;
-        let before = moved.then(|| std::mem::replace(&mut known.peer, controller.to_string()));
-        if let Some(peer) = before.and_then(|before| self.peers.get_mut(&before)) {
+        let received_here = own.get(machine).is_some_and(|h| h.position >= position);
+        let has_switched = known.peer != controller;
+        let previous =
+            has_switched.then(|| std::mem::replace(&mut known.peer, controller.to_string()));
+        if let Some(peer) = previous.and_then(|previous| self.peers.get_mut(&previous)) {
             peer.failed_over += usize::from(peer.workers.remove(machine));
         }
-        if !came_here {
+        if !received_here {
             self.assign_worker(controller, machine);
         }
     }
 
-    /// A worker reports to a peer now.
+    /// Records that a worker sends its heartbeats to a peer.
     fn assign_worker(&mut self, controller: &str, machine: &str) {
         if let Some(peer) = self.peers.get_mut(controller) {
             if !peer.workers.contains(machine) {
@@ -386,14 +393,15 @@
             }
         }
         for failover in self.failovers.values_mut() {
-            failover.expected.remove(machine);
+            failover.missing.remove(machine);
         }
     }
 
+    /// Returns the workers whose latest known heartbeat a peer received.
     fn workers_observed_by(&self, controller: &str) -> BTreeSet<String> {
-        let observed = self.observations.iter();
-        let observed = observed.filter(|(_, observation)| observation.peer == controller);
-        observed.map(|(machine, _)| machine.clone()).collect()
+        let observations = self.observations.iter();
+        let by_peer = observations.filter(|(_, observation)| observation.peer == controller);
+        by_peer.map(|(machine, _)| machine.clone()).collect()
     }
 }
 
--- a/crates/core/src/peers/tracker/tests.rs
+++ b/crates/core/src/peers/tracker/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn tracker() -> PeerTracker {
+fn new_tracker() -> PeerTracker {
     let members = ["a", "b", "c"].map(String::from).to_vec();
     let membership = Membership {
         own_name: "a".into(),
@@ -24,7 +24,7 @@
         worker_failover_ms: 11_250,
         tuning: Tuning::default(),
     };
-    PeerTracker::of(membership, WALL)
+    PeerTracker::with_membership(membership, WALL)
 }
 
 fn heartbeat(controller: &str, at: Millis, count: u64, heard_peers: &[&str]) -> PeerHeartbeat {
@@ -45,106 +45,118 @@
     }
 }
 
-/// Both peers heartbeat regularly for so long.
-fn followed(s: &mut PeerTracker, until: Millis) {
-    for i in 0..until / 500 {
-        let at = i * 500;
+/// Has both peers send regular heartbeats until a time.
+fn receive_regular_heartbeats(tracker: &mut PeerTracker, until_ms: Millis) {
+    for count in 0..until_ms / 500 {
+        let at = count * 500;
         for (controller, other) in [("b", "c"), ("c", "b")] {
-            let outcome = s.receive_heartbeat(
+            let outcome = tracker.receive_heartbeat(
                 at,
                 WALL + at,
-                heartbeat(controller, at, i, &[other, "a"]),
+                heartbeat(controller, at, count, &[other, "a"]),
                 &HashMap::new(),
             );
             assert!(outcome == HeartbeatOutcome::Accepted, "{outcome:?}");
         }
-        s.judge(at);
+        tracker.assess(at);
     }
 }
 
-fn status(s: &mut PeerTracker, now: Millis, controller: &str) -> PeerStatus {
-    s.judge(now);
-    s.peer(controller).unwrap().status()
+fn status(tracker: &mut PeerTracker, now: Millis, controller: &str) -> PeerStatus {
+    tracker.assess(now);
+    tracker.peer(controller).unwrap().status()
 }
 
 #[test]
-fn an_end_shows_at_once_and_silence_only_when_beats_are_missed() {
-    let mut s = tracker();
-    followed(&mut s, 10_000);
-    assert_eq!(status(&mut s, 10_300, "b"), PeerStatus::Healthy);
-    s.link_ended("b");
-    assert_eq!(status(&mut s, 10_301, "b"), PeerStatus::Exited);
-    assert!(!s.fresh(10_301).any(|x| x.heartbeat.controller == "b"));
-    // Its next life is heard: all is forgiven.
-    let mut again = heartbeat("b", 10_400, 0, &[]);
-    again.status.as_mut().unwrap().life += 10_400;
-    s.receive_heartbeat(10_400, WALL + 10_400, again, &HashMap::new());
-    assert_eq!(status(&mut s, 10_400, "b"), PeerStatus::Healthy);
-    // c has been silent since 9,500.
-    assert_eq!(status(&mut s, 10_500, "c"), PeerStatus::Healthy);
-    assert_eq!(status(&mut s, 10_900, "c"), PeerStatus::Silent);
+fn link_end_is_detected_at_once_and_silence_after_missed_heartbeats() {
+    let mut tracker = new_tracker();
+    receive_regular_heartbeats(&mut tracker, 10_000);
+    assert_eq!(status(&mut tracker, 10_300, "b"), PeerStatus::Healthy);
+    tracker.link_ended("b");
+    assert_eq!(status(&mut tracker, 10_301, "b"), PeerStatus::Exited);
+    assert!(!tracker
+        .fresh(10_301)
+        .any(|peer| peer.heartbeat.controller == "b"));
+    // A heartbeat of its next process makes it healthy again.
+    let mut after_restart = heartbeat("b", 10_400, 0, &[]);
+    after_restart.status.as_mut().unwrap().life += 10_400;
+    tracker.receive_heartbeat(10_400, WALL + 10_400, after_restart, &HashMap::new());
+    assert_eq!(status(&mut tracker, 10_400, "b"), PeerStatus::Healthy);
+    // The last heartbeat of c came at 9,500 ms.
+    assert_eq!(status(&mut tracker, 10_500, "c"), PeerStatus::Healthy);
+    assert_eq!(status(&mut tracker, 10_900, "c"), PeerStatus::Silent);
 }
 
 #[test]
-fn what_its_workers_do_tells_a_frozen_node_from_a_broken_link() {
-    let mut s = tracker();
-    followed(&mut s, 10_000);
-    let go_on = |s: &mut PeerTracker, at, heard_peers: &[&str]| {
-        s.receive_heartbeat(
+fn workers_and_other_peers_distinguish_paused_peer_from_lost_link() {
+    let mut tracker = new_tracker();
+    receive_regular_heartbeats(&mut tracker, 10_000);
+    let receive_from_c = |tracker: &mut PeerTracker, at, heard_peers: &[&str]| {
+        tracker.receive_heartbeat(
             at,
             WALL + at,
             heartbeat("c", at, at / 500, heard_peers),
             &HashMap::new(),
         );
     };
-    go_on(&mut s, 11_500, &["a"]);
-    assert_eq!(status(&mut s, 11_500, "b"), PeerStatus::Silent);
-    // Its workers turn up here.
+    receive_from_c(&mut tracker, 11_500, &["a"]);
+    assert_eq!(status(&mut tracker, 11_500, "b"), PeerStatus::Silent);
+    // Its workers switch to this controller.
     for i in 0..6 {
-        s.note_failover_of(&format!("b-{i}"));
+        tracker.note_failover_of(&format!("b-{i}"));
     }
-    assert_eq!(status(&mut s, 11_600, "b"), PeerStatus::WorkersFailingOver);
-    // The other way round: they stay away for longer than they would need.
-    let mut s = tracker();
-    followed(&mut s, 10_000);
-    go_on(&mut s, 21_000, &["a"]);
-    assert_eq!(status(&mut s, 21_000, "b"), PeerStatus::CutOffWithWorkers);
-    // Or a peer says that it hears it.
-    let mut s = tracker();
-    followed(&mut s, 10_000);
-    go_on(&mut s, 12_000, &["a", "b"]);
-    assert_eq!(status(&mut s, 12_000, "b"), PeerStatus::LinkLost);
-    assert_eq!(s.serving(12_000), 2);
+    assert_eq!(
+        status(&mut tracker, 11_600, "b"),
+        PeerStatus::WorkersFailingOver
+    );
+    // Its workers do not switch, although they have had the time to.
+    let mut tracker = new_tracker();
+    receive_regular_heartbeats(&mut tracker, 10_000);
+    receive_from_c(&mut tracker, 21_000, &["a"]);
+    assert_eq!(
+        status(&mut tracker, 21_000, "b"),
+        PeerStatus::CutOffWithWorkers
+    );
+    // Another peer reports that it receives its heartbeats.
+    let mut tracker = new_tracker();
+    receive_regular_heartbeats(&mut tracker, 10_000);
+    receive_from_c(&mut tracker, 12_000, &["a", "b"]);
+    assert_eq!(status(&mut tracker, 12_000, "b"), PeerStatus::LinkLost);
+    assert_eq!(tracker.heard_count(12_000), 2);
 }
 
 #[test]
-fn a_takeover_is_over_when_its_machines_are_heard() {
-    let mut s = tracker();
-    followed(&mut s, 10_000);
-    s.link_ended("b");
-    let (judged, over) = s.judge(10_100);
-    assert_eq!((judged.len(), judged[0].workers, over.len()), (1, 20, 0));
+fn failover_completes_when_its_workers_are_heard() {
+    let mut tracker = new_tracker();
+    receive_regular_heartbeats(&mut tracker, 10_000);
+    tracker.link_ended("b");
+    let (changes, completed) = tracker.assess(10_100);
+    assert_eq!(
+        (changes.len(), changes[0].workers, completed.len()),
+        (1, 20, 0)
+    );
     for i in 0..12 {
-        s.note_failover_of(&format!("b-{i}"));
+        tracker.note_failover_of(&format!("b-{i}"));
     }
-    // The others have turned to c.
-    let mut both = heartbeat("c", 13_000, 30, &["a"]);
-    both.workers
+    // The other workers have switched to c.
+    let mut from_c = heartbeat("c", 13_000, 30, &["a"]);
+    from_c
+        .workers
         .extend((12..20).map(|i| heard_worker(&format!("b-{i}"), 1, 9, 50)));
-    s.receive_heartbeat(13_000, WALL + 13_000, both, &HashMap::new());
-    let (_, over) = s.judge(13_000);
-    let over = &over[0];
+    tracker.receive_heartbeat(13_000, WALL + 13_000, from_c, &HashMap::new());
+    let (_, completed) = tracker.assess(13_000);
+    let failover = &completed[0];
     assert_eq!(
-        (over.workers, over.missing, over.duration_ms),
+        (failover.workers, failover.missing, failover.duration_ms),
         (20, 0, 3_500)
     );
-    assert_eq!(s.peer("c").unwrap().workers.len(), 28);
+    assert_eq!(tracker.peer("c").unwrap().workers.len(), 28);
 }
 
 #[test]
-fn bad_beats_teach_nothing() {
-    let mut s = tracker();
-    followed(&mut s, 10_000);
+fn invalid_heartbeats_are_rejected_and_change_no_observation() {
+    let mut tracker = new_tracker();
+    receive_regular_heartbeats(&mut tracker, 10_000);
     let now = 10_100;
     let mut cases = vec![
         (
@@ -172,62 +184,67 @@
     cases[7].0.workers = (0..=HEARTBEAT_MAX_MACHINES)
         .map(|i| heard_worker(&format!("z-{i}"), 1, 1, 1))
         .collect();
-    for (mut bad, why) in cases {
-        bad.workers.push(heard_worker("forged", 9, 9, 0));
-        let outcome = s.receive_heartbeat(now, WALL + now, bad, &HashMap::new());
-        assert_eq!(outcome, HeartbeatOutcome::Rejected(why));
-        assert!(s.observation("forged").is_none());
+    for (mut invalid, reason) in cases {
+        invalid.workers.push(heard_worker("forged", 9, 9, 0));
+        let outcome = tracker.receive_heartbeat(now, WALL + now, invalid, &HashMap::new());
+        assert_eq!(outcome, HeartbeatOutcome::Rejected(reason));
+        assert!(tracker.observation("forged").is_none());
     }
     assert_eq!(
-        s.take_rejected(STATS_MS)
+        tracker
+            .take_rejected(STATS_MS)
             .iter()
-            .map(|(_, n)| n)
+            .map(|(_, count)| count)
             .sum::<u64>(),
         8
     );
-    assert!(s.take_rejected(STATS_MS).is_empty());
+    assert!(tracker.take_rejected(STATS_MS).is_empty());
 }
 
-/// It would never have been heard again.
+/// A controller that restarts after its wall clock was set back seems to be an earlier process of itself. Without
+/// the rule its heartbeats would be rejected until its wall clock has caught up.
 #[test]
-fn a_life_that_seems_earlier_counts_once_the_other_has_ended() {
-    let mut s = tracker();
-    followed(&mut s, 10_000);
-    let mut next = heartbeat("b", 10_200, 0, &[]);
-    next.status.as_mut().unwrap().life -= 300;
-    let heed = |s: &mut PeerTracker, at, heartbeat: &PeerHeartbeat| {
-        s.receive_heartbeat(at, WALL + at, heartbeat.clone(), &HashMap::new())
+fn process_with_earlier_start_is_accepted_after_link_end() {
+    let mut tracker = new_tracker();
+    receive_regular_heartbeats(&mut tracker, 10_000);
+    let mut after_restart = heartbeat("b", 10_200, 0, &[]);
+    after_restart.status.as_mut().unwrap().life -= 300;
+    let receive = |tracker: &mut PeerTracker, at, heartbeat: &PeerHeartbeat| {
+        tracker.receive_heartbeat(at, WALL + at, heartbeat.clone(), &HashMap::new())
     };
-    let dropped = HeartbeatOutcome::Rejected(RejectedHeartbeat::EarlierProcess);
-    assert_eq!(heed(&mut s, 10_200, &next), dropped);
-    s.link_ended("b");
-    assert_eq!(heed(&mut s, 10_300, &next), HeartbeatOutcome::Accepted);
-    assert_eq!(status(&mut s, 10_300, "b"), PeerStatus::Healthy);
-    let late = heartbeat("b", 10_400, 90, &[]);
+    let rejected = HeartbeatOutcome::Rejected(RejectedHeartbeat::EarlierProcess);
+    assert_eq!(receive(&mut tracker, 10_200, &after_restart), rejected);
+    tracker.link_ended("b");
+    assert_eq!(
+        receive(&mut tracker, 10_300, &after_restart),
+        HeartbeatOutcome::Accepted
+    );
+    assert_eq!(status(&mut tracker, 10_300, "b"), PeerStatus::Healthy);
+    let later_process = heartbeat("b", 10_400, 90, &[]);
     assert_eq!(
-        heed(&mut s, 10_400, &late),
+        receive(&mut tracker, 10_400, &later_process),
         HeartbeatOutcome::Accepted,
-        "a later one is its next"
+        "a later process is accepted as its successor"
     );
 }
 
 #[test]
-fn irregular_beats_are_given_more_time() {
+fn irregular_heartbeats_get_longer_timeout() {
     let mut regular = HeartbeatIntervals::new();
-    let mut wild = HeartbeatIntervals::new();
+    let mut irregular = HeartbeatIntervals::new();
     for i in 0..40 {
         regular.observe(500 + i % 3 * 20);
-        wild.observe([300, 1_100][i as usize % 2]);
+        irregular.observe([300, 1_100][i as usize % 2]);
     }
     assert_eq!(
         regular.timeout_ms(HEARTBEATS_MISSED_MS),
         HEARTBEATS_MISSED_MS
     );
-    let patience = wild.timeout_ms(HEARTBEATS_MISSED_MS);
-    assert!(patience > 2_000 && patience <= PEER_LOST_MS);
+    let timeout_ms = irregular.timeout_ms(HEARTBEATS_MISSED_MS);
+    assert!(timeout_ms > 2_000 && timeout_ms <= PEER_LOST_MS);
     assert!(!regular.is_slow());
     for _ in 0..40 {
-        wild.observe(1_400);
+        irregular.observe(1_400);
     }
-    assert!(wild.is_slow());
+    assert!(irregular.is_slow());
 }
--- a/crates/core/src/zones/detector.rs
+++ b/crates/core/src/zones/detector.rs
@@ -1,6 +1,7 @@
-//! Detection of zones that fall silent as a whole. Machines fail one by one, or many at once, but not all of a
-//! zone between two of their heartbeats: then the zone is partitioned, its machines run on, and a controller
-//! inside goes on answering them. To delete them would end what the partition leaves alone.
+//! Detection of zones whose machines all fall silent. Machine failures, also correlated ones, do not silence all
+//! machines of a zone within one heartbeat interval, but a partition does: the machines continue to run, and a
+//! controller inside the zone answers their heartbeats. Deleting them would end tasks that the partition leaves
+//! running.
 
 use crate::constants::{
     PEER_HEARTBEAT_MS, PROBE_AFTER_MS, PROBE_FRESH_MS, ZONE_EVACUATION_MAX_WAIT_MS,
@@ -14,90 +15,92 @@
 use crate::zones::failures::{ZoneFailureKind, ZoneStatusChange};
 use std::collections::BTreeMap;
 
-/// Signs of life of a zone's machines.
+/// The last contact with the machines of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ZoneObservation {
-    /// Machines that are up, that have ever given a sign of life.
+    /// Number of machines that are up and with which there has been contact.
     pub machines: u64,
-    /// The latest sign of life of any of them.
-    pub latest: Millis,
-    /// Machines whose next heartbeat is overdue.
+    /// The latest contact with any of them.
+    pub last_contact_at: Millis,
+    /// Number of machines whose next heartbeat is overdue.
     pub overdue: u64,
 }
 
 impl ZoneObservation {
-    /// Whether it has so many machines that its silence says more than that of its machines one by one.
+    /// Returns whether the zone has enough machines to tell its silence from that of single machines.
     fn is_significant(&self) -> bool {
         self.machines >= ZONE_MIN_MACHINES
     }
 
-    /// Whether enough of its machines are overdue themselves. After a start or an outage they send their
-    /// heartbeats in step, and then none comes for most of the interval.
+    /// Returns whether enough machines are overdue. After a start or an outage the machines send their heartbeats
+    /// in step, so that none arrives for most of the interval although none is overdue.
     fn has_enough_overdue(&self) -> bool {
         self.overdue >= (self.machines / ZONE_LATE_PART).max(ZONE_LATE_LEAST)
     }
 
-    /// Milliseconds without a sign of life after which it counts as unreachable: so many heartbeats would
-    /// have come meanwhile that chance is no explanation.
+    /// Returns the milliseconds without contact after which the zone counts as unreachable. Within that time, each
+    /// machine is overdue or `ZONE_MISSED_HEARTBEATS` heartbeats are expected from the zone, so that their absence
+    /// is no chance.
     fn silence_limit_ms(&self, report_ms: Millis) -> Millis {
-        let overdue = report_ms * 5 / 4;
-        let many = report_ms * ZONE_MISSED_HEARTBEATS / self.machines.max(1);
-        2 * PEER_HEARTBEAT_MS + overdue.min(many)
+        let each_overdue_ms = report_ms * 5 / 4;
+        let enough_missed_ms = report_ms * ZONE_MISSED_HEARTBEATS / self.machines.max(1);
+        2 * PEER_HEARTBEAT_MS + each_overdue_ms.min(enough_missed_ms)
     }
 }
 
-/// A machine without a sign of life for long.
+/// A machine without contact for longer than a worker needs to switch to another controller.
 #[derive(Debug)]
 pub(crate) struct SilentMachine {
     pub machine: String,
-    /// Milliseconds since its last sign of life.
+    /// Milliseconds since the last contact with it.
     pub silence_ms: Millis,
 }
 
-/// What one pass over the machines that are up shows.
+/// The result of one pass over the machines that are up.
 #[derive(Debug, Default)]
 pub(crate) struct MachineSurvey {
-    /// Signs of life by zone.
+    /// Observations by zone.
     pub zones: BTreeMap<String, ZoneObservation>,
-    /// Machines that are up.
+    /// Number of machines that are up.
     pub up: usize,
-    /// Machines without a sign of life for longer than a worker needs to find another controller.
+    /// Machines without contact for longer than a worker needs to switch to another controller.
     pub silent: Vec<SilentMachine>,
-    /// Number of machines that report to this controller.
+    /// Number of machines that send their heartbeats to this controller.
     pub reporting_here: usize,
     /// Those of them whose heartbeat is overdue.
     pub overdue_here: Vec<String>,
 }
 
 impl Controller {
-    /// The latest sign of life of a machine that any controller is known to have had, if any: a heartbeat
-    /// or an answer to a direct command.
-    pub(crate) fn last_sign(&self, id: &str) -> Option<Millis> {
+    /// Returns the time of the last known contact of any controller with a machine: a heartbeat or an answer to a
+    /// direct command.
+    pub(crate) fn last_contact_at(&self, id: &str) -> Option<Millis> {
         self.liveness(id).latest()
     }
 
-    /// Looks once at all machines that are up.
+    /// Surveys all machines that are up in a single pass.
     pub(crate) fn survey_machines(&self) -> MachineSurvey {
-        let due = self.settings.report_due_ms();
-        let (limit, overdue_limit) = (self.unheard_limit_ms(), due + PROBE_AFTER_MS);
+        let due_ms = self.settings.report_due_ms();
+        let (silence_limit_ms, overdue_limit_ms) =
+            (self.unheard_limit_ms(), due_ms + PROBE_AFTER_MS);
         let mut survey = MachineSurvey::default();
         for (id, machine, _) in self.cache.machines().filter(|(_, m, _)| m.is_up()) {
             let liveness = self.liveness(id);
             if let Some(at) = liveness.latest() {
-                // Names are only copied for zones that are new.
+                // Copies the zone's name only for a new zone.
                 if !survey.zones.contains_key(&machine.zone) {
                     let zone = ZoneObservation::default();
                     survey.zones.insert(machine.zone.clone(), zone);
                 }
                 if let Some(zone) = survey.zones.get_mut(&machine.zone) {
                     zone.machines += 1;
-                    zone.latest = zone.latest.max(at);
-                    zone.overdue += u64::from(self.now > at + due);
+                    zone.last_contact_at = zone.last_contact_at.max(at);
+                    zone.overdue += u64::from(self.now > at + due_ms);
                 }
             }
             survey.up += 1;
             let silence_ms = self.silence_of(&liveness);
-            if silence_ms > limit {
+            if silence_ms > silence_limit_ms {
                 let machine = id.to_string();
                 survey.silent.push(SilentMachine {
                     machine,
@@ -108,7 +111,7 @@
             let received = received.filter(|heartbeat| heartbeat.at >= self.lifecycle.resumed_at);
             if let Some(heartbeat) = received.filter(|_| liveness.reports_here()) {
                 survey.reporting_here += 1;
-                if self.now - heartbeat.at > overdue_limit {
+                if self.now - heartbeat.at > overdue_limit_ms {
                     survey.overdue_here.push(id.to_string());
                 }
             }
@@ -116,19 +119,21 @@
         survey
     }
 
-    /// Notes which zones are unreachable as a whole.
+    /// Updates which zones are unreachable, from their observations.
     pub(crate) fn detect_zone_failures(&mut self, observations: BTreeMap<String, ZoneObservation>) {
         for (zone, observed) in &observations {
             let limit_ms = observed.silence_limit_ms(self.settings.report_ms);
             let begins = observed.is_significant()
                 && observed.has_enough_overdue()
-                && self.now > observed.latest + limit_ms;
-            // An unreachable zone stays so, however few of its machines are left, until one of them gives a
-            // sign of life.
+                && self.now > observed.last_contact_at + limit_ms;
+            // A zone remains unreachable until there is contact with one of its machines, even if only a few
+            // machines are left.
             let since = self.zones.unreachable_since(zone);
-            let lasts = since.is_some_and(|last_sign_at| observed.latest <= last_sign_at);
-            // After a pause, or a start, the silence may be this controller's own.
-            let is_unreachable = self.has_heard_full_round() && (begins || lasts);
+            let continues =
+                since.is_some_and(|last_contact_at| observed.last_contact_at <= last_contact_at);
+            // After a start or a pause, a round of heartbeats must pass first: the silence may be due to this
+            // controller.
+            let is_unreachable = self.has_heard_full_round() && (begins || continues);
             let change = (self.zones).update_status(self.now, zone, observed, is_unreachable);
             match change {
                 Some(ZoneStatusChange::Unreachable) => {
@@ -145,38 +150,38 @@
         self.zones.replace_observations(observations);
     }
 
-    /// What an outage of a zone most likely is, by whether the controllers in it are reachable.
+    /// Returns the most likely kind of a zone's outage, by whether peers in the zone are still heard.
     pub(crate) fn failure_kind(&self, zone: &str) -> ZoneFailureKind {
         let controllers = self.settings.controller_zones.iter();
-        let mut inside = controllers.filter(|(_, z)| *z == zone).peekable();
-        if inside.peek().is_none() {
+        let mut in_zone = controllers.filter(|(_, z)| *z == zone).peekable();
+        if in_zone.peek().is_none() {
             return ZoneFailureKind::WithoutControllers;
         }
         let own = &self.settings.controller;
         let reachable =
-            |controller: &String| controller == own || self.peers.serves(self.now, controller);
-        match inside.all(|(controller, _)| reachable(controller)) {
+            |controller: &String| controller == own || self.peers.is_heard(self.now, controller);
+        match in_zone.all(|(controller, _)| reachable(controller)) {
             true => ZoneFailureKind::MachinesOnly,
             false => ZoneFailureKind::WithControllers,
         }
     }
 
-    /// Keeps machines of a zone that has recovered, if they were to be deleted for its outage and that is
-    /// not recorded yet.
+    /// Unmarks machines of a recovered zone that were to be deleted because of its outage, unless the deletion is
+    /// already recorded.
     fn unmark_recovered(&mut self, zone: &str) {
         let cache = &self.cache;
         self.workers.marked_for_termination.retain(|id, reason| {
-            let inside = cache.machine(id).is_some_and(|m| m.zone == zone);
-            !(inside && matches!(reason, TerminationReason::ZoneEvacuation(_)))
+            let in_zone = cache.machine(id).is_some_and(|m| m.zone == zone);
+            !(in_zone && matches!(reason, TerminationReason::ZoneEvacuation(_)))
         });
     }
 
-    /// Whether a machine's silence is its own: others of its zone have given a sign of life since a command
-    /// to it failed. That says nothing in a zone with few machines; and after a partition a zone's machines
-    /// get time to find a controller.
+    /// Returns whether only the machine is silent, and not its zone: there was contact with others of the zone after
+    /// a command to the machine failed. In a zone with few machines the silence always counts as the machine's.
+    /// After a partition, the zone's machines get time to switch to a reachable controller.
     pub(crate) fn is_machine_silence(&self, zone: &str, failed_at: Millis) -> bool {
         if self.is_zone_unreachable(zone) {
-            // `evacuation` decides by what the machine holds.
+            // `evacuation` decides by the tasks of the machine.
             return false;
         }
         let observed = self.zones.observations.get(zone);
@@ -187,47 +192,49 @@
         if recovered_at.is_some_and(|at| self.now < at + self.worker_failover_ms()) {
             return false;
         }
-        observed.latest > failed_at || self.now > observed.latest + ZONE_EVACUATION_MAX_WAIT_MS
+        observed.last_contact_at > failed_at
+            || self.now > observed.last_contact_at + ZONE_EVACUATION_MAX_WAIT_MS
     }
 
-    /// Whether a zone counts as unreachable as a whole.
+    /// Returns whether a zone counts as unreachable.
     pub(crate) fn is_zone_unreachable(&self, zone: &str) -> bool {
         self.settings.checks.zones && self.zones.unreachable_since(zone).is_some()
     }
 
-    /// Whether a machine has answered a direct command after its heartbeat was overdue: its heartbeats reach
-    /// no controller, and its lease expires with all that it runs, unless it finds one in time. They may well
-    /// reach a peer that is unreachable from here.
+    /// Returns whether a machine answered a direct command after its heartbeat was overdue. Then its heartbeats reach
+    /// no controller, and its lease and its tasks end unless it reaches one in time. While a peer is unreachable
+    /// this is not known, as the heartbeats may reach that peer.
     pub(crate) fn is_outbound_lost(&self, liveness: &Liveness) -> bool {
-        let overdue = self.settings.report_due_ms() + PROBE_AFTER_MS;
-        let late = |at: Millis| {
-            liveness
-                .observation
-                .answered_at
-                .is_some_and(|a| a > at + overdue)
+        let overdue_ms = self.settings.report_due_ms() + PROBE_AFTER_MS;
+        let answered_when_overdue = |heartbeat_at: Millis| {
+            let answered_at = liveness.observation.answered_at;
+            answered_at.is_some_and(|at| at > heartbeat_at + overdue_ms)
         };
         self.settings.checks.mute
-            && liveness.last_heartbeat_at().is_some_and(late)
+            && liveness
+                .last_heartbeat_at()
+                .is_some_and(answered_when_overdue)
             && self.all_peers_reachable()
     }
 
-    /// Whether a machine has answered a direct command lately: a stop reaches it, and its answer shows what
-    /// has ended, also where its heartbeats reach no controller.
+    /// Returns whether a machine answered a direct command recently and none has gone unanswered since. Then a stop
+    /// reaches it, and its answer reports ended tasks even if its heartbeats reach no controller.
     pub(crate) fn answers(&self, id: &str) -> bool {
         let observation = self.workers.observations.of(id);
         let answered_at = observation.answered_at;
-        let lately = answered_at.is_some_and(|at| self.now < at + 2 * PROBE_FRESH_MS);
-        lately && observation.silent_since().is_none()
+        let answered_recently = answered_at.is_some_and(|at| self.now < at + 2 * PROBE_FRESH_MS);
+        answered_recently && observation.silent_since().is_none()
     }
 
-    /// Whether every peer is reachable, and with it what any controller knows of machines.
+    /// Returns whether every peer is reachable, so that this controller knows the heartbeats that any controller
+    /// received.
     fn all_peers_reachable(&self) -> bool {
         self.fresh_peers().count() + 1 == self.settings.controllers.len()
     }
 
-    /// Migrations of services' tasks away from machines whose outbound connection is lost, once half of their
-    /// lease is over: later they would end with it. None where that holds of so many machines that it is
-    /// rather the controllers that workers do not reach.
+    /// Returns migrations of service tasks off machines whose outbound connection is lost, once half of their lease
+    /// has passed. Without the migration the tasks end with the lease. Returns none if more than a third of all
+    /// machines are affected, since then the controllers are more likely at fault.
     pub(crate) fn services_on_mute_workers(&self) -> Vec<MigrationCandidate> {
         let half_lease_ms = self.settings.lease_ms / 2;
         let lease_at_risk = |liveness: &Liveness| {
@@ -247,18 +254,18 @@
         if outbound_lost.len() * 3 > up || !self.has_heard_full_round() {
             return Vec::new();
         }
-        let migrations = outbound_lost.into_iter();
-        migrations.flat_map(|id| self.moves_off(id)).collect()
+        let machines = outbound_lost.into_iter();
+        machines.flat_map(|id| self.moves_off(id)).collect()
     }
 
-    /// Whether tasks may be placed on a machine, or preempted on it: it sent a heartbeat lately, has answered
-    /// since it last failed to, and its zone is reachable. That its heartbeats arrive does not show that
-    /// commands reach it.
+    /// Returns whether tasks may be placed or preempted on a machine: it sent a heartbeat recently, answered a
+    /// direct command since one last went unanswered, and its zone is reachable. Heartbeats alone do not show
+    /// that commands reach the machine.
     pub(crate) fn reachable(&self, id: &str, zone: &str) -> bool {
         self.reachable_by(&self.liveness(id), zone)
     }
 
-    /// The same of a machine whose liveness was looked up already.
+    /// Returns the result of `reachable` for a machine whose liveness was already looked up.
     pub(crate) fn reachable_by(&self, liveness: &Liveness, zone: &str) -> bool {
         self.recently_heard_of(liveness)
             && !self.is_outbound_lost(liveness)
--- a/crates/core/src/zones/detector/tests.rs
+++ b/crates/core/src/zones/detector/tests.rs
@@ -3,35 +3,41 @@
 use super::*;
 
 #[test]
-fn the_more_machines_a_zone_has_the_sooner_its_silence_tells() {
-    let of = |machines| ZoneObservation {
+fn silence_limit_decreases_with_number_of_machines() {
+    let observation = |machines| ZoneObservation {
         machines,
         ..ZoneObservation::default()
     };
-    assert!(!of(ZONE_MIN_MACHINES - 1).is_significant() && of(ZONE_MIN_MACHINES).is_significant());
-    let waits = [ZONE_MIN_MACHINES, 60, 600].map(|n| of(n).silence_limit_ms(5_000));
+    assert!(
+        !observation(ZONE_MIN_MACHINES - 1).is_significant()
+            && observation(ZONE_MIN_MACHINES).is_significant()
+    );
+    let limits_ms = [ZONE_MIN_MACHINES, 60, 600].map(|n| observation(n).silence_limit_ms(5_000));
     assert_eq!(
-        waits[0],
+        limits_ms[0],
         2 * PEER_HEARTBEAT_MS + 6_250,
-        "each of them is overdue"
+        "each machine is overdue"
+    );
+    assert!(
+        limits_ms[0] > limits_ms[1] && limits_ms[1] > limits_ms[2],
+        "{limits_ms:?}"
     );
-    assert!(waits[0] > waits[1] && waits[1] > waits[2], "{waits:?}");
-    assert!(waits[2] < 1_200);
+    assert!(limits_ms[2] < 1_200);
 }
 
-/// At the start of a fleet of 1,322 machines all reported in step: 3.3 s without any report
-/// counted as a cut, and nothing was placed for a second.
+/// After a start 1,322 machines sent their heartbeats in step. The 3.3 s between two rounds of heartbeats counted as
+/// a partition of the zone, and no task was placed for a second.
 #[test]
-fn machines_that_report_in_step_are_not_cut_off_between_two_reports() {
-    let of = |machines, overdue| ZoneObservation {
+fn zone_with_heartbeats_in_step_stays_reachable_between_heartbeats() {
+    let observation = |machines, overdue| ZoneObservation {
         machines,
         overdue,
         ..ZoneObservation::default()
     };
     assert!(
-        !of(600, 0).has_enough_overdue()
-            && !of(600, 4).has_enough_overdue()
-            && of(600, 12).has_enough_overdue()
+        !observation(600, 0).has_enough_overdue()
+            && !observation(600, 4).has_enough_overdue()
+            && observation(600, 12).has_enough_overdue()
     );
-    assert!(!of(8, 2).has_enough_overdue() && of(8, 3).has_enough_overdue());
+    assert!(!observation(8, 2).has_enough_overdue() && observation(8, 3).has_enough_overdue());
 }
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -1,5 +1,5 @@
-//! Evacuation of unreachable zones: which of their machines are deleted so that their tasks are placed
-//! elsewhere, and in which order. The decision for each machine is `failures::evacuation_reason`.
+//! Evacuation of unreachable zones: selects the machines to delete, so that their tasks can be placed elsewhere,
+//! and their order. `failures::evacuation_reason` decides for each machine.
 
 use crate::constants::{
     ZONE_EVACUATION_INTERVAL_MS, ZONE_GIVE_UP_MS, ZONE_LATE_MS, ZONE_PROVISION_AHEAD_MS,
@@ -15,13 +15,13 @@
 };
 use crate::workers::termination::TerminationReason;
 use crate::zones::failures::{
-    evacuation_reason, AssignedWork, EvacuationReason, ZoneFailureKind, ZoneOutage,
+    evacuation_reason, AssignedTask, EvacuationReason, ZoneFailureKind, ZoneOutage,
 };
 use foldhash::{HashMap, HashMapExt};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is free on one reachable machine, and what jobs may ask of that machine.
+/// Free resources of a reachable machine, and the properties that jobs may require of it.
 struct FreeCapacity {
     machine_type: String,
     zone: String,
@@ -29,12 +29,12 @@
     resources: Resources,
 }
 
-/// Capacity on reachable machines that is not reserved for tasks of machines looked at before.
+/// Capacity on reachable machines that is not reserved for tasks of machines considered before.
 struct ReachableCapacity {
     free: Vec<FreeCapacity>,
-    /// Jobs whose tasks fit nowhere.
+    /// Jobs whose tasks do not fit on any reachable machine.
     jobs_without_capacity: BTreeSet<String>,
-    /// How many tasks of a job are in each zone, reserved capacity included.
+    /// Number of tasks of a job in each zone, including reserved capacity.
     zone_spread: HashMap<String, ZoneSpreadRecord>,
 }
 
@@ -47,8 +47,7 @@
 }
 
 impl ReachableCapacity {
-    /// Reserves capacity for a task of a job outside its present zone, if there is any that its job
-    /// allows.
+    /// Reserves capacity for a task outside its present zone, if there is any that its job allows.
     fn reserve(&mut self, job: &str, spec: &JobSpec, present_zone: &str) -> Option<Reservation> {
         if self.jobs_without_capacity.contains(&spec.id) {
             return None;
@@ -80,7 +79,7 @@
         })
     }
 
-    /// Gives reserved capacity back.
+    /// Releases reserved capacity.
     fn release(&mut self, reservation: &Reservation) {
         let Some(capacity) = self.free.get_mut(reservation.index) else {
             return;
@@ -93,7 +92,7 @@
     }
 }
 
-/// A machine that is to be deleted. Candidates are ordered by what decides which go first.
+/// A machine that is to be deleted. Candidates are ordered by urgency, then by name.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvacuationCandidate {
     urgency: Urgency,
@@ -101,25 +100,25 @@
     reason: EvacuationReason,
 }
 
-/// How urgent the most urgent task of a machine is; the most urgent is the least.
+/// Urgency of a machine's tasks: for each field that of the most urgent task. Lower values are more urgent.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Urgency {
     priority: Reverse<JobPriority>,
-    /// Whether all its tasks belong to teams that use more than their guaranteed share.
+    /// Whether all tasks belong to teams that use more than their quota.
     beyond_quota: bool,
-    /// The earliest time of day by which a task is to be done.
+    /// The earliest deadline of a task, in wall-clock time.
     deadline: WallMs,
 }
 
 impl Urgency {
-    /// Less urgent than any task.
+    /// Urgency of a machine without tasks.
     const NONE: Urgency = Urgency {
         priority: Reverse(JobPriority::Low),
         beyond_quota: true,
         deadline: WallMs::MAX,
     };
 
-    /// The more urgent in each respect.
+    /// Merges another task's urgency: each field takes the more urgent value.
     fn merge(&mut self, other: Urgency) {
         self.priority = self.priority.min(other.priority);
         self.beyond_quota &= other.beyond_quota;
@@ -127,27 +126,27 @@
     }
 }
 
-/// What a machine of an unreachable zone holds.
+/// The tasks of a machine in an unreachable zone, and the capacity reserved for them elsewhere.
 struct MachineWork {
-    tasks: Vec<AssignedWork>,
+    tasks: Vec<AssignedTask>,
     reservations: Vec<Reservation>,
     urgency: Urgency,
 }
 
-/// Which machines of unreachable zones are to be deleted.
+/// The machines of unreachable zones that are to be deleted.
 #[derive(Default)]
 struct EvacuationPlan {
-    /// The most urgent first.
+    /// Machines to delete, most urgent first.
     candidates: Vec<EvacuationCandidate>,
-    /// Machines that are to be deleted once there is capacity for what they hold.
+    /// Machines that are to be deleted once there is capacity for their tasks.
     provision_for: Vec<String>,
-    /// Number of machines that are marked for termination already.
+    /// Number of machines that are already marked for termination.
     already_marked: usize,
 }
 
 impl Controller {
-    /// Deletes machines of unreachable zones whose tasks are better off elsewhere, a limited number at a
-    /// time, and provisions for what lacks capacity elsewhere.
+    /// Marks machines of unreachable zones for termination if their tasks should run elsewhere, a limited number at
+    /// a time. Provisions machines for tasks that lack only capacity elsewhere.
     pub(crate) fn evacuate_failed_zones(&mut self) {
         if !self.settings.tuning.lost_zones
             || !self.zones.has_unreachable()
@@ -170,7 +169,7 @@
         self.scale_out(&work);
     }
 
-    /// Decides for each machine of an unreachable zone whether it is to be deleted.
+    /// Plans which machines of unreachable zones to delete.
     fn plan_evacuation(&self) -> EvacuationPlan {
         let tuning = &self.settings.tuning;
         let outages = self.confirmed_outages();
@@ -211,7 +210,7 @@
         plan
     }
 
-    /// Outages of zones that have been known for long enough to act on them.
+    /// Returns the confirmed outages by zone.
     fn confirmed_outages(&self) -> BTreeMap<String, ZoneOutage> {
         let zones = self.zones.observations.keys();
         zones
@@ -226,8 +225,8 @@
             .collect()
     }
 
-    /// Whether a machine is left alone for the service that it runs inside a partitioned zone: nothing
-    /// needs to be worked out for it then.
+    /// Returns whether a machine is left alone because it runs a service inside a partitioned zone. Then no
+    /// capacity needs to be reserved for its tasks.
     fn is_left_to_serve(&self, id: &str, outage: &ZoneOutage) -> bool {
         let serves = |(task, placed): (&TaskId, &Placed)| {
             let spec = self.cache.open_job(&task.job);
@@ -239,25 +238,25 @@
             && self.cache.assignments(id).any(serves)
     }
 
-    /// Whether a machine would be deleted if there were capacity for its tasks elsewhere, now or by the time
-    /// that newly provisioned capacity is up.
-    fn lacks_only_capacity(&self, outage: &ZoneOutage, tasks: &[AssignedWork]) -> bool {
+    /// Returns whether a machine would be deleted if there were capacity for its tasks elsewhere, by the time that
+    /// machines provisioned now are up.
+    fn lacks_only_capacity(&self, outage: &ZoneOutage, tasks: &[AssignedTask]) -> bool {
         let outage = ZoneOutage {
             duration_ms: outage.duration_ms + ZONE_PROVISION_AHEAD_MS,
             ..*outage
         };
-        let fitting = |task: &AssignedWork| AssignedWork {
+        let with_capacity = |task: &AssignedTask| AssignedTask {
             fits_elsewhere: true,
             ..task.clone()
         };
-        let tasks: Vec<AssignedWork> = tasks.iter().map(fitting).collect();
+        let tasks: Vec<AssignedTask> = tasks.iter().map(with_capacity).collect();
         let (lease_ms, tuning) = (self.settings.lease_ms, &self.settings.tuning);
         let wall = self.wall + ZONE_PROVISION_AHEAD_MS;
         evacuation_reason(&outage, &tasks, lease_ms, tuning, wall).is_some()
     }
 
-    /// The tasks of machines that are to be deleted once there is capacity for them, as if they were
-    /// pending: what is provisioned for them now is up by then.
+    /// Returns the tasks of machines as if they were pending, so that capacity is provisioned for them before the
+    /// machines are deleted.
     fn pending_work_of(&self, machines: &[String]) -> Vec<PendingWork> {
         let mut jobs: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
         for id in machines {
@@ -277,7 +276,7 @@
         work
     }
 
-    /// What a machine holds, with capacity reserved elsewhere for what fits.
+    /// Returns the tasks of a machine, and reserves capacity elsewhere for those that fit.
     fn work_on_machine(
         &self,
         id: &str,
@@ -306,7 +305,7 @@
                 beyond_quota: self.is_beyond_quota(&spec.team),
                 deadline: deadlines.first().copied().unwrap_or(WallMs::MAX),
             });
-            work.tasks.push(AssignedWork {
+            work.tasks.push(AssignedTask {
                 priority: spec.priority,
                 is_service: spec.kind == JobKind::Service,
                 start_in_flight: self.is_start_in_flight(id, task, &placed.assignment),
@@ -319,9 +318,9 @@
         work
     }
 
-    /// How a job's tasks are spread over zones, if that restricts where they may go.
+    /// Returns the spread of a job's tasks over zones, if it restricts their placement.
     fn zone_spread_of(&self, id: &str, job: &JobRecord, spec: &JobSpec) -> ZoneSpreadRecord {
-        // A job with zone affinity moves as a whole: its other tasks are unreachable as well.
+        // A job with zone affinity has all its tasks in the unreachable zone and moves as a whole.
         if !spec.topology_spread || job.tasks <= 1 {
             return ZoneSpreadRecord::default();
         }
@@ -329,8 +328,8 @@
         claims::zones_of(&draft, job, id, &self.settings.zones)
     }
 
-    /// Times of day by which a job is to be done, in ascending order: its class's service-level objectives
-    /// and its own deadline.
+    /// Returns the deadlines of a job in wall-clock time, in ascending order: those by the service-level objectives
+    /// of its class and its own.
     fn deadlines_of(&self, job: &JobRecord, spec: &JobSpec) -> Vec<WallMs> {
         let ready_at = self.cache.ready_at(job);
         let objectives_ms = self.settings.policy.goals.get(&spec.class);
@@ -342,27 +341,27 @@
         deadlines
     }
 
-    /// Whether a team uses more than its guaranteed share.
+    /// Returns whether a team uses more than its quota.
     fn is_beyond_quota(&self, team: &str) -> bool {
-        let used = self.cache.usage(team);
+        let usage = self.cache.usage(team);
         let quota = self.settings.policy.teams.get(team);
-        quota.is_none_or(|quota| used.cpus > quota.cpus)
+        quota.is_none_or(|quota| usage.cpus > quota.cpus)
     }
 
-    /// Whether a task's start was on its way when its machine last gave a sign of life.
+    /// Returns whether a task's start was in flight at the last contact with its machine.
     fn is_start_in_flight(&self, id: &str, task: &TaskId, assignment: &Assignment) -> bool {
-        let last_sign_at = self.last_sign(id).unwrap_or(0);
+        let last_contact_at = self.last_contact_at(id).unwrap_or(0);
         let attempt = (task.clone(), assignment.attempt);
-        self.workers.starts.unseen(&attempt, last_sign_at)
+        self.workers.starts.unseen(&attempt, last_contact_at)
     }
 
-    /// What is free on machines that can be reached.
+    /// Returns the free capacity of reachable machines.
     fn reachable_capacity(&self) -> ReachableCapacity {
         let mut free = Vec::new();
         for (id, machine, _) in self.cache.machines() {
-            let usable = machine.phase == MachinePhase::Up && self.reachable(id, &machine.zone);
+            let is_usable = machine.phase == MachinePhase::Up && self.reachable(id, &machine.zone);
             let machine_type = self.machine_types.get(&machine.type_name);
-            let Some(machine_type) = machine_type.filter(|_| usable) else {
+            let Some(machine_type) = machine_type.filter(|_| is_usable) else {
                 continue;
             };
             let resources = machine_type.room.less(&self.cache.used(id));
@@ -383,7 +382,7 @@
     }
 }
 
-/// Whether a task gets capacity elsewhere by preempting tasks of lower priority.
+/// Returns whether a task may get capacity elsewhere by preempting tasks of lower priority.
 fn may_preempt_elsewhere(spec: &JobSpec, outage: &ZoneOutage) -> bool {
     !spec.zone_affinity
         && !spec.topology_spread
--- a/crates/core/src/zones/failures.rs
+++ b/crates/core/src/zones/failures.rs
@@ -1,10 +1,8 @@
-//! Outages of whole zones, and the decision what becomes of the machines in them.
+//! Outages of zones, and the decision whether to delete a machine in an unreachable zone.
 //!
-//! A zone that falls silent as a whole (see `detector`) is partitioned, or its machines are down. For each of
-//! its machines the choice is to leave it, and have back what runs on it when the zone recovers, or to
-//! delete it: the cloud's confirmation of the deletion is the proof that lets its tasks be placed elsewhere.
-//! It depends on what the machine holds, on how long the outage has lasted and may last, and on the free
-//! capacity elsewhere. A wrong guess costs work, but breaks no rule: nothing is placed before the proof.
+//! An unreachable zone (see `detector`) is partitioned, or its machines are down. A machine that is kept may
+//! resume its tasks when the zone recovers. A machine that is deleted releases its tasks: they are placed elsewhere
+//! only after the cloud has confirmed the deletion, so a wrong decision wastes work but violates no invariant.
 
 use crate::constants::{
     START_TAKES_MS, ZONE_CONFIRM_MS, ZONE_DEAD_MS, ZONE_EVACUATION_MAX_WAIT_MS, ZONE_GIVE_UP_MS,
@@ -15,14 +13,14 @@
 use crate::zones::detector::ZoneObservation;
 use std::collections::BTreeMap;
 
-/// What an outage most likely is, as far as the zone's controllers tell.
+/// The most likely kind of a zone's outage, by the reachability of its controllers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneFailureKind {
-    /// A controller in the zone is unreachable as well: it may renew the leases of what runs inside.
+    /// A controller in the zone is unreachable as well. It may renew the leases of the zone's workers.
     WithControllers,
-    /// No controller is in the zone: what runs there ends when its leases expire.
+    /// No controller is in the zone. Its tasks end when the leases of their workers expire.
     WithoutControllers,
-    /// All controllers in the zone are reachable, but none of its machines: these are down.
+    /// All controllers in the zone are reachable, but none of its machines, so the machines are down.
     MachinesOnly,
 }
 
@@ -30,65 +28,66 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneOutage {
     pub kind: ZoneFailureKind,
-    /// Milliseconds since the last sign of life from the zone.
+    /// Milliseconds since the last contact with the zone.
     pub duration_ms: Millis,
 }
 
-/// What is assigned to a machine of an unreachable zone: one task.
+/// A task that is assigned to a machine in an unreachable zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AssignedWork {
+pub struct AssignedTask {
     /// Priority of its job.
     pub priority: JobPriority,
     /// Whether its job is a service.
     pub is_service: bool,
-    /// Its start was on its way when the zone became unreachable: most likely it runs nowhere.
+    /// Whether its start was in flight when the zone became unreachable, so that it most likely does not run.
     pub start_in_flight: bool,
-    /// Its job allows another zone, and there is free capacity, or soon will be.
+    /// Whether its job allows another zone and there is capacity, or soon will be.
     pub fits_elsewhere: bool,
-    /// Times of day by which its job is to be done, in ascending order.
+    /// Deadlines of its job in wall-clock time, in ascending order.
     pub deadlines: Vec<WallMs>,
-    /// Milliseconds that it is expected to run.
+    /// Expected run time in milliseconds.
     pub run_ms: Millis,
 }
 
-/// Why a machine of an unreachable zone is deleted. When several apply, the first counts.
+/// The reason to delete a machine in an unreachable zone. If several apply, the first one counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvacuationReason {
-    /// All its starts were on their way when the zone became unreachable.
+    /// The starts of all its tasks were in flight when the zone became unreachable.
     StartsInFlight,
-    /// What ran there has ended: its leases have expired, or the machines are down.
+    /// Its tasks have ended, because its lease has expired or the zone's machines are down.
     TasksEnded,
-    /// A deadline can still be met elsewhere, but not by waiting for the zone.
+    /// A deadline can be met elsewhere, but most likely not by waiting for the zone to recover.
     DeadlineAtRisk,
-    /// Its deadlines are missed in any case, and the outage has outlasted the wait.
+    /// The deadlines of a task are missed in any case, and the outage has exceeded the waiting time.
     WaitedLongEnough,
-    /// It holds nothing that would be lost, and the outage has lasted for minutes.
+    /// No task would be lost, and the outage has lasted for minutes.
     OutageForMinutes,
 }
 
 impl EvacuationReason {
-    /// The reason as it is logged.
+    /// Returns the reason as it is logged.
     pub fn as_str(self) -> &'static str {
         match self {
             EvacuationReason::StartsInFlight => {
-                "its zone is lost, and its starts most likely never arrived"
+                "zone unreachable, task starts most likely not received"
             }
-            EvacuationReason::TasksEnded => "its zone is lost, and what ran there has ended",
+            EvacuationReason::TasksEnded => "zone unreachable, tasks ended",
             EvacuationReason::DeadlineAtRisk => {
-                "its zone is lost, and what it holds can be in time elsewhere only"
+                "zone unreachable, deadline can be met only elsewhere"
             }
             EvacuationReason::WaitedLongEnough => {
-                "its zone is lost, and what it holds has waited long enough"
+                "zone unreachable, tasks late and waiting time exceeded"
             }
-            EvacuationReason::OutageForMinutes => "its zone has been lost for minutes",
+            EvacuationReason::OutageForMinutes => "zone unreachable for minutes",
         }
     }
 }
 
-/// Whether a machine of an unreachable zone is to be deleted, and why. `wall`: the time of day.
+/// Returns the reason to delete a machine in an unreachable zone, if there is one. It depends on the machine's
+/// tasks, the duration of the outage and the capacity elsewhere. `wall` is the wall-clock time.
 pub fn evacuation_reason(
     outage: &ZoneOutage,
-    work: &[AssignedWork],
+    work: &[AssignedTask],
     lease_ms: Millis,
     tuning: &Tuning,
     wall: WallMs,
@@ -110,9 +109,9 @@
     if duration_ms > tasks_ended_after_ms {
         return Some(EvacuationReason::TasksEnded);
     }
-    // Services inside go on serving users there: to delete them would be the loss that the outage is not.
-    let serves = |task: &AssignedWork| task.is_service && !task.start_in_flight;
-    if work.iter().any(serves) {
+    // Services in the zone may still serve users there, so deleting them would cause the outage.
+    let is_running_service = |task: &AssignedTask| task.is_service && !task.start_in_flight;
+    if work.iter().any(is_running_service) {
         return None;
     }
     work.iter()
@@ -121,22 +120,22 @@
         .min()
 }
 
-/// Whether waiting for the zone costs a task of a batch more than to start it anew elsewhere.
+/// Returns the reason to restart a batch task elsewhere rather than to wait for the zone to recover, if there is one.
 fn batch_evacuation_reason(
     duration_ms: Millis,
-    task: &AssignedWork,
+    task: &AssignedTask,
     tuning: &Tuning,
     wall: WallMs,
 ) -> Option<EvacuationReason> {
-    // An outage that has lasted so long lasts as long again, more likely than not: that holds of durations
-    // without a scale of their own, and nothing is known of this one's.
-    let expected_recovery = wall + duration_ms;
-    let done_elsewhere = wall + START_TAKES_MS + task.run_ms;
-    let next_deadline = task.deadlines.iter().find(|at| done_elsewhere <= **at);
+    // Estimates that the outage lasts as long again as it has lasted. Without prior knowledge of its duration this
+    // is the median estimate.
+    let expected_recovery_at = wall + duration_ms;
+    let done_elsewhere_at = wall + START_TAKES_MS + task.run_ms;
+    let next_deadline = task.deadlines.iter().find(|at| done_elsewhere_at <= **at);
     match next_deadline {
-        Some(deadline) => (expected_recovery + ZONE_RECOVERY_MARGIN_MS > *deadline)
+        Some(deadline) => (expected_recovery_at + ZONE_RECOVERY_MARGIN_MS > *deadline)
             .then_some(EvacuationReason::DeadlineAtRisk),
-        // It is late in any case: not for the sake of a moment.
+        // The task is late in any case, so it is restarted only after a longer outage.
         None => (duration_ms > tuning.zone_late_ms.max(2 * task.run_ms))
             .then_some(EvacuationReason::WaitedLongEnough),
     }
@@ -145,36 +144,36 @@
 /// An unreachable zone.
 #[derive(Clone, Copy, Debug)]
 struct UnreachableZone {
-    /// The last sign of life from it.
-    last_sign_at: Millis,
-    /// When it was found unreachable.
+    /// The last contact with the zone.
+    last_contact_at: Millis,
+    /// When the zone was detected as unreachable.
     detected_at: Millis,
 }
 
-/// What is known of the site's zones.
+/// Tracks observations and outages of the site's zones.
 #[derive(Debug, Default)]
-pub(crate) struct Zones {
-    /// What was last observed of each zone that has machines up.
+pub(crate) struct ZoneTracker {
+    /// The last observation of each zone with machines that are up.
     pub(super) observations: BTreeMap<String, ZoneObservation>,
     unreachable: BTreeMap<String, UnreachableZone>,
-    /// When zones last recovered.
+    /// The last recovery of each zone.
     recovered: BTreeMap<String, Millis>,
-    /// When evacuation was last considered.
+    /// When an evacuation was last planned.
     pub(super) evacuation_checked_at: Millis,
 }
 
-/// What has changed of a zone.
+/// A change of a zone's status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ZoneStatusChange {
     Unreachable,
     Recovered {
-        /// Milliseconds from the last sign of life before the outage until its end.
+        /// Milliseconds from the last contact before the outage until the recovery.
         after_ms: Millis,
     },
 }
 
-impl Zones {
-    /// Takes note of whether a zone is unreachable as a whole; returns the change, if it is one.
+impl ZoneTracker {
+    /// Records whether a zone is unreachable. Returns the change if the status has changed.
     pub fn update_status(
         &mut self,
         now: Millis,
@@ -185,7 +184,7 @@
         match (is_unreachable, self.unreachable.contains_key(zone)) {
             (true, false) => {
                 let outage = UnreachableZone {
-                    last_sign_at: observation.latest,
+                    last_contact_at: observation.last_contact_at,
                     detected_at: now,
                 };
                 self.unreachable.insert(zone.to_string(), outage);
@@ -193,46 +192,49 @@
             }
             (false, true) => {
                 let outage = self.unreachable.remove(zone);
-                let last_sign_at = outage.map_or(now, |outage| outage.last_sign_at);
+                let last_contact_at = outage.map_or(now, |outage| outage.last_contact_at);
                 self.recovered.insert(zone.to_string(), now);
                 Some(ZoneStatusChange::Recovered {
-                    after_ms: now - last_sign_at,
+                    after_ms: now - last_contact_at,
                 })
             }
             (true, true) | (false, false) => None,
         }
     }
 
-    /// Replaces the observations; zones without machines are no longer counted as unreachable.
+    /// Replaces the observations. Zones without machines no longer count as unreachable.
     pub fn replace_observations(&mut self, observations: BTreeMap<String, ZoneObservation>) {
         self.unreachable
             .retain(|zone, _| observations.contains_key(zone));
         self.observations = observations;
     }
 
-    /// The last sign of life of a zone that is unreachable.
+    /// Returns the last contact with a zone if the zone is unreachable.
     pub fn unreachable_since(&self, zone: &str) -> Option<Millis> {
-        self.unreachable.get(zone).map(|outage| outage.last_sign_at)
+        self.unreachable
+            .get(zone)
+            .map(|outage| outage.last_contact_at)
     }
 
-    /// The same, once the zone has been known as unreachable for so long that peers would have reported
-    /// otherwise: a controller that was itself partitioned takes what it reaches again for unreachable at first.
+    /// Returns the last contact with a zone once it has been unreachable for `ZONE_CONFIRM_MS`. Within that time
+    /// peers that reach the zone would have reported its machines: a controller that was itself partitioned first
+    /// takes zones for unreachable although it reaches them again.
     pub fn confirmed_unreachable_since(&self, now: Millis, zone: &str) -> Option<Millis> {
         let outage = self.unreachable.get(zone)?;
-        (now >= outage.detected_at + ZONE_CONFIRM_MS).then_some(outage.last_sign_at)
+        (now >= outage.detected_at + ZONE_CONFIRM_MS).then_some(outage.last_contact_at)
     }
 
-    /// Whether any zone is unreachable.
+    /// Returns whether any zone is unreachable.
     pub fn has_unreachable(&self) -> bool {
         !self.unreachable.is_empty()
     }
 
-    /// When a zone last recovered, if ever.
+    /// Returns when a zone last recovered, if it ever did.
     pub fn recovered_at(&self, zone: &str) -> Option<Millis> {
         self.recovered.get(zone).copied()
     }
 
-    /// Forgets outages: after a pause of this process the silence was its own.
+    /// Resets the outages after a pause of this process, which caused the silence.
     pub fn reset_after_pause(&mut self) {
         self.unreachable.clear();
         self.recovered.clear();
--- a/crates/core/src/zones/failures/tests.rs
+++ b/crates/core/src/zones/failures/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 const WALL: WallMs = 1_700_000_000_000;
-const LEASE: Millis = 26_500;
+const LEASE_MS: Millis = 26_500;
 
-fn batch(deadlines_s: &[u64]) -> AssignedWork {
-    AssignedWork {
+fn batch(deadlines_s: &[u64]) -> AssignedTask {
+    AssignedTask {
         priority: JobPriority::Normal,
         is_service: false,
         start_in_flight: false,
@@ -16,8 +16,8 @@
     }
 }
 
-fn service() -> AssignedWork {
-    AssignedWork {
+fn service() -> AssignedTask {
+    AssignedTask {
         is_service: true,
         deadlines: Vec::new(),
         priority: JobPriority::Production,
@@ -25,22 +25,22 @@
     }
 }
 
-fn outage(kind: ZoneFailureKind, s: u64) -> ZoneOutage {
+fn outage(kind: ZoneFailureKind, duration_s: u64) -> ZoneOutage {
     ZoneOutage {
         kind,
-        duration_ms: s * 1_000,
+        duration_ms: duration_s * 1_000,
     }
 }
 
-fn reason(outage: ZoneOutage, work: &[AssignedWork]) -> Option<EvacuationReason> {
-    evacuation_reason(&outage, work, LEASE, &Tuning::default(), WALL)
+fn reason(outage: ZoneOutage, work: &[AssignedTask]) -> Option<EvacuationReason> {
+    evacuation_reason(&outage, work, LEASE_MS, &Tuning::default(), WALL)
 }
 
 #[test]
-fn a_node_that_was_cut_off_itself_does_not_act_on_what_it_finds_silent() {
-    let mut zones = Zones::default();
+fn partitioned_controller_does_not_act_on_unconfirmed_outage() {
+    let mut zones = ZoneTracker::default();
     let observation = ZoneObservation {
-        latest: 1_000,
+        last_contact_at: 1_000,
         ..ZoneObservation::default()
     };
     assert_eq!(
@@ -53,14 +53,17 @@
         zones.confirmed_unreachable_since(20_000 + ZONE_CONFIRM_MS, "a"),
         Some(1_000)
     );
-    let back = Some(ZoneStatusChange::Recovered { after_ms: 29_000 });
-    assert_eq!(zones.update_status(30_000, "a", &observation, false), back);
+    let recovered = Some(ZoneStatusChange::Recovered { after_ms: 29_000 });
+    assert_eq!(
+        zones.update_status(30_000, "a", &observation, false),
+        recovered
+    );
     assert_eq!(zones.confirmed_unreachable_since(40_000, "a"), None);
 }
 
 #[test]
-fn starts_that_never_arrived_are_not_waited_for() {
-    let in_flight = AssignedWork {
+fn machine_with_only_starts_in_flight_is_deleted_early() {
+    let in_flight = AssignedTask {
         start_in_flight: true,
         ..service()
     };
@@ -88,39 +91,48 @@
 }
 
 #[test]
-fn what_serves_inside_is_left_for_as_long_as_it_may() {
-    let late = [batch(&[10]), service()];
+fn running_services_are_kept_until_their_leases_expire() {
+    let work = [batch(&[10]), service()];
     assert_eq!(
-        reason(outage(ZoneFailureKind::WithControllers, 300), &late),
+        reason(outage(ZoneFailureKind::WithControllers, 300), &work),
         None
     );
     assert_eq!(
-        reason(outage(ZoneFailureKind::WithoutControllers, 20), &late),
+        reason(outage(ZoneFailureKind::WithoutControllers, 20), &work),
         None
     );
     assert_eq!(
-        reason(outage(ZoneFailureKind::WithoutControllers, 40), &late),
+        reason(outage(ZoneFailureKind::WithoutControllers, 40), &work),
         Some(EvacuationReason::TasksEnded)
     );
     assert_eq!(
         reason(outage(ZoneFailureKind::MachinesOnly, 41), &[service()]),
         Some(EvacuationReason::TasksEnded)
     );
-    let nowhere = [AssignedWork {
+    let without_capacity = [AssignedTask {
         fits_elsewhere: false,
         ..service()
     }];
     assert_eq!(
-        reason(outage(ZoneFailureKind::WithoutControllers, 400), &nowhere),
+        reason(
+            outage(ZoneFailureKind::WithoutControllers, 400),
+            &without_capacity
+        ),
         None,
-        "as well there"
+        "no capacity elsewhere"
     );
     assert_eq!(
-        reason(outage(ZoneFailureKind::MachinesOnly, 200), &nowhere),
+        reason(
+            outage(ZoneFailureKind::MachinesOnly, 200),
+            &without_capacity
+        ),
         None
     );
     assert_eq!(
-        reason(outage(ZoneFailureKind::MachinesOnly, 300), &nowhere),
+        reason(
+            outage(ZoneFailureKind::MachinesOnly, 300),
+            &without_capacity
+        ),
         Some(EvacuationReason::OutageForMinutes)
     );
     assert_eq!(
@@ -130,8 +142,8 @@
 }
 
 #[test]
-fn a_batch_goes_elsewhere_when_waiting_would_miss_what_that_can_meet() {
-    // Done in 42.5 s elsewhere.
+fn batch_is_restarted_elsewhere_when_waiting_would_miss_a_deadline() {
+    // Elsewhere it would be done after 42.5 s.
     assert_eq!(
         reason(
             outage(ZoneFailureKind::WithControllers, 30),
@@ -146,7 +158,7 @@
         ),
         Some(EvacuationReason::DeadlineAtRisk)
     );
-    // The first deadline is out of reach either way: the next one counts.
+    // The first deadline is missed in any case, so the next one counts.
     assert_eq!(
         reason(
             outage(ZoneFailureKind::WithControllers, 90),
@@ -161,7 +173,7 @@
         ),
         Some(EvacuationReason::DeadlineAtRisk)
     );
-    // It can meet none.
+    // It has no deadline.
     assert_eq!(
         reason(outage(ZoneFailureKind::WithControllers, 40), &[batch(&[])]),
         None
--- a/crates/core/src/zones/mod.rs
+++ b/crates/core/src/zones/mod.rs
@@ -1,4 +1,4 @@
-//! Zones: detection of the loss of a whole zone, and the evacuation of what it holds.
+//! Zone failures: detection of unreachable zones, and evacuation of their tasks.
 
 pub(crate) mod detector;
 mod evacuation;
