--- a/crates/core/src/controller/housekeeping.rs
+++ b/crates/core/src/controller/housekeeping.rs
@@ -37,7 +37,7 @@
         self.record_run_times();
         self.retry_instance_requests();
         self.remove_completed_requests();
-        if self.on_duty() {
+        if self.is_coordinator() {
             self.run_coordinator_tasks();
         }
     }
@@ -114,7 +114,7 @@
         self.detect_machine_failures();
         self.finish_jobs();
         self.cancel_overdue_dependents();
-        if self.on_duty() {
+        if self.is_coordinator() {
             self.remove_obsolete_records();
         }
     }
--- a/crates/core/src/controller/lifecycle.rs
+++ b/crates/core/src/controller/lifecycle.rs
@@ -13,7 +13,7 @@
     pub(crate) resumed_at: Millis,
     /// Whether the cache may date from before the last pause: it has not yet reached the revision of a read
     /// issued since.
-    pub(crate) view_predates_resume: bool,
+    pub(crate) cache_predates_resume: bool,
     /// Operations with lower IDs were sent before the last pause. Their responses don't show the present state.
     pub(crate) first_operation_since_resume: OperationId,
     /// When the process was asked to shut down.
@@ -31,7 +31,7 @@
         Lifecycle {
             started_at: now,
             resumed_at: now,
-            view_predates_resume: false,
+            cache_predates_resume: false,
             first_operation_since_resume: 0,
             shutting_down_since: None,
             ongoing_problems: BTreeMap::new(),
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -49,7 +49,7 @@
     /// Wall-clock time of the current event.
     pub(crate) wall: WallMs,
     /// Whether the current event has changed the cache.
-    pub(crate) state_changed: bool,
+    pub(crate) cache_changed: bool,
     /// Effects of the current event.
     pub(crate) effects: Vec<Effect>,
     pub(crate) lifecycle: Lifecycle,
@@ -86,7 +86,7 @@
             rng: SmallRng::seed_from_u64(seed),
             now,
             wall,
-            state_changed: false,
+            cache_changed: false,
             effects: Vec::new(),
             lifecycle: Lifecycle::new(now),
             operations: OperationTracker::new(),
@@ -146,7 +146,7 @@
             Event::Shutdown => self.begin_shutdown(),
         }
         self.issue_read_index();
-        if std::mem::take(&mut self.state_changed) {
+        if std::mem::take(&mut self.cache_changed) {
             self.process_early_heartbeats();
             self.confirm_cancellations();
         }
--- a/crates/core/src/controller/operations.rs
+++ b/crates/core/src/controller/operations.rs
@@ -160,7 +160,7 @@
             _ => controllers - 1 - self.peers.heard_count(self.now).min(controllers - 1),
         };
         let without_state = self
-            .fresh_peers()
+            .live_peers()
             .filter(|peer| !peer.heartbeat.has_current_state)
             .count();
         let not_writing = without_state + silent;
--- a/crates/core/src/controller/pause.rs
+++ b/crates/core/src/controller/pause.rs
@@ -13,7 +13,7 @@
         tracing::info!(paused_ms, requests, "resumed after a pause");
         self.lifecycle.resumed_at = self.now;
         self.lifecycle.first_operation_since_resume = self.operations.next_id;
-        self.lifecycle.view_predates_resume = true;
+        self.lifecycle.cache_predates_resume = true;
         self.sync.last_response_at = None;
         self.reads.last_requested_at = 0;
         self.answer_all_after_pause();
--- a/crates/core/src/controller/readiness.rs
+++ b/crates/core/src/controller/readiness.rs
@@ -43,13 +43,13 @@
         let is_lost = |lagging_since| self.now >= lagging_since + WATCH_LOST_MS;
         let answered_lately = |at| self.now.saturating_sub(at) <= STATE_LOST_MS;
         self.sync.has_listed
-            && !self.lifecycle.view_predates_resume
+            && !self.lifecycle.cache_predates_resume
             && !self.sync.watch_lag_since.is_some_and(is_lost)
             && self.sync.last_response_at.is_some_and(answered_lately)
     }
 
     /// Returns the milliseconds since the state store last answered, or since the start.
-    pub(crate) fn state_age(&self) -> Millis {
+    pub(crate) fn state_age_ms(&self) -> Millis {
         let last = self.sync.last_response_at;
         self.now - last.unwrap_or(self.lifecycle.started_at)
     }
@@ -74,15 +74,15 @@
         } else if self.has_current_state() {
             let serves =
                 |peer: &Peer| peer.heartbeat.has_current_state && peer.heartbeat.workers_reachable;
-            let peer_serves = self.fresh_peers().any(serves);
+            let peer_serves = self.live_peers().any(serves);
             let peer_serves_better = !self.workers_reachable() && peer_serves;
             peer_serves_better.then_some(Problem::WorkersUnreachable)
-        } else if self.peer_with_state().is_some() {
+        } else if self.peer_with_current_state().is_some() {
             Some(Problem::StateUnreachable)
         } else if self.is_isolated() {
             Some(Problem::Isolated)
         } else {
-            let is_resuming = self.lifecycle.view_predates_resume
+            let is_resuming = self.lifecycle.cache_predates_resume
                 && self.now < self.lifecycle.resumed_at + PAUSE_READY_MS;
             is_resuming.then_some(Problem::Resuming)
         }
@@ -93,8 +93,8 @@
     fn is_isolated(&self) -> bool {
         self.settings.checks.alone
             && self.settings.controllers.len() > 1
-            && self.fresh_peers().next().is_none()
-            && self.state_age() >= ISOLATED_MS
+            && self.live_peers().next().is_none()
+            && self.state_age_ms() >= ISOLATED_MS
     }
 
     /// Logs the begin and the end of each problem.
@@ -126,7 +126,7 @@
 
     /// Returns whether every worker has had the time to send a heartbeat since the start, or since the last pause.
     /// From then on a worker without a heartbeat is silent, and a task that no heartbeat lists is missing.
-    pub(crate) fn has_heard_full_round(&self) -> bool {
+    pub(crate) fn has_completed_heartbeat_round(&self) -> bool {
         !self.settings.checks.round || self.is_heartbeat_round_over()
     }
 
@@ -150,13 +150,13 @@
     }
 
     /// Returns the peers that sent a heartbeat recently and have not exited, as far as is known.
-    pub(crate) fn fresh_peers(&self) -> impl Iterator<Item = &Peer> {
-        self.peers.fresh(self.now)
+    pub(crate) fn live_peers(&self) -> impl Iterator<Item = &Peer> {
+        self.peers.live(self.now)
     }
 
     /// Returns the name of a peer that reaches the state store.
-    pub(crate) fn peer_with_state(&self) -> Option<String> {
-        let mut peers = self.fresh_peers();
+    pub(crate) fn peer_with_current_state(&self) -> Option<String> {
+        let mut peers = self.live_peers();
         let peer = peers.find(|peer| peer.heartbeat.has_current_state)?;
         Some(peer.heartbeat.controller.clone())
     }
@@ -164,7 +164,7 @@
     /// Returns whether this controller is the coordinator: the first one by name that reaches the
     /// state store. The coordinator lists and deletes instances, removes obsolete records and migrates
     /// services. Two coordinators at the same time waste work, but do no harm.
-    pub(crate) fn on_duty(&self) -> bool {
+    pub(crate) fn is_coordinator(&self) -> bool {
         let own_name = &self.settings.controller;
         let controllers = self.settings.controllers.iter();
         let mut preceding = controllers.take_while(|name| *name != own_name);
@@ -172,7 +172,7 @@
     }
 
     /// Returns whether this controller is the coordinator, for callers outside of this crate.
-    pub fn is_on_duty(&self) -> bool {
-        self.on_duty()
+    pub fn acts_as_coordinator(&self) -> bool {
+        self.is_coordinator()
     }
 }
--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -157,7 +157,7 @@
     /// leases alive. Nothing is started; what was cancelled before the cut is stopped, since that
     /// never changes. A controller that has started inside the cut, and so knows nothing, does the same.
     pub(crate) fn reply_without_state(&mut self, heartbeat: &WorkerHeartbeat) -> WorkerReply {
-        if let Some(controller) = self.peer_with_state() {
+        if let Some(controller) = self.peer_with_current_state() {
             return WorkerReply::Redirect {
                 controller: Some(controller),
             };
@@ -203,7 +203,7 @@
             .settings
             .cancel_ms
             .saturating_sub(self.settings.lease_ms + CANCEL_MARGIN_MS);
-        self.sync.has_listed && self.state_age() < limit
+        self.sync.has_listed && self.state_age_ms() < limit
     }
 
     /// Whether a worker is kept, rather than sent to look for another controller. A controller that is cut off
@@ -212,7 +212,7 @@
     /// others as well. Else each worker is sent away once, if its lease allows for the way round: one
     /// that is back found no other.
     fn keeps_worker(&mut self, id: &str) -> bool {
-        let common = self.fresh_peers().count() + 1 == self.settings.controllers.len();
+        let common = self.live_peers().count() + 1 == self.settings.controllers.len();
         if self.sync.has_listed && common {
             return true;
         }
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -86,7 +86,7 @@
     /// Asks machines whether they received the starts of claims that a lost peer may have made without sending
     /// the starts. Only the coordinator asks.
     pub(crate) fn check_starts_of_lost_peers(&mut self) {
-        if !self.on_duty() {
+        if !self.is_coordinator() {
             return;
         }
         for id in self.workers.starts.due_to_ask(self.now) {
--- a/crates/core/src/peers/handoff.rs
+++ b/crates/core/src/peers/handoff.rs
@@ -38,7 +38,7 @@
     /// workers.
     pub fn plan_handoff(&mut self, now: Millis, own_load: usize, recent_ms: Millis) {
         self.handoff.cancel();
-        let targets: Vec<(usize, String)> = (self.fresh(now))
+        let targets: Vec<(usize, String)> = (self.live(now))
             .filter(|p| p.can_serve_workers() && !p.heartbeat.just_started)
             .filter(|p| p.status() != PeerStatus::Slow)
             .map(|p| (p.load(recent_ms), p.heartbeat.controller.clone()))
@@ -95,9 +95,7 @@
 
     /// Returns the peer that a controller redirects its next worker to while it shuts down: peers take turns.
     pub fn shutdown_target(&self, now: Millis, turn: u64) -> Option<String> {
-        let targets: Vec<&Peer> = (self.fresh(now))
-            .filter(|p| p.can_serve_workers())
-            .collect();
+        let targets: Vec<&Peer> = (self.live(now)).filter(|p| p.can_serve_workers()).collect();
         let turn = turn.checked_rem(targets.len() as u64)?;
         Some(targets[turn as usize].heartbeat.controller.clone())
     }
--- a/crates/core/src/peers/peer.rs
+++ b/crates/core/src/peers/peer.rs
@@ -39,7 +39,7 @@
     }
 
     /// Returns whether the peer sent a heartbeat recently and has not exited, as far as is known.
-    pub(super) fn is_fresh(&self, now: Millis) -> bool {
+    pub(super) fn is_live(&self, now: Millis) -> bool {
         let is_lost =
             self.link_ended || self.status.is_away() || self.status == PeerStatus::LinkLost;
         now.saturating_sub(self.at) <= PEER_LOST_MS && !is_lost
--- a/crates/core/src/peers/tracker.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -233,15 +233,15 @@
     // ---- Queries ------------------------------------------------------------------------
 
     /// Returns the peers that sent a heartbeat recently and have not exited, as far as is known.
-    pub fn fresh(&self, now: Millis) -> impl Iterator<Item = &Peer> {
-        self.peers.values().filter(move |peer| peer.is_fresh(now))
+    pub fn live(&self, now: Millis) -> impl Iterator<Item = &Peer> {
+        self.peers.values().filter(move |peer| peer.is_live(now))
     }
 
     /// Returns the number of peers whose heartbeats this controller or another peer receives.
     pub fn heard_count(&self, now: Millis) -> usize {
         let peers = self.peers.values();
         let heard_by_others = peers.filter(|p| p.status == PeerStatus::LinkLost);
-        self.fresh(now).count() + heard_by_others.count()
+        self.live(now).count() + heard_by_others.count()
     }
 
     /// Returns whether a peer can be the coordinator: according to its last heartbeat it reaches the state store,
@@ -259,14 +259,14 @@
     /// Returns whether this controller or another peer receives a peer's heartbeats.
     pub fn is_heard(&self, now: Millis, controller: &str) -> bool {
         let peer = self.peers.get(controller);
-        peer.is_some_and(|p| p.status == PeerStatus::LinkLost || p.is_fresh(now))
+        peer.is_some_and(|p| p.status == PeerStatus::LinkLost || p.is_live(now))
     }
 
     /// Returns whether a peer's heartbeats arrive on time and it reaches the state store and workers.
     pub fn is_healthy(&self, now: Millis, controller: &str) -> bool {
         let peer = self.peers.get(controller);
         peer.is_some_and(|p| {
-            p.is_fresh(now) && p.status == PeerStatus::Healthy && p.can_serve_workers()
+            p.is_live(now) && p.status == PeerStatus::Healthy && p.can_serve_workers()
         })
     }
 
--- a/crates/core/src/peers/tracker/tests.rs
+++ b/crates/core/src/peers/tracker/tests.rs
@@ -75,7 +75,7 @@
     tracker.link_ended("b");
     assert_eq!(status(&mut tracker, 10_301, "b"), PeerStatus::Exited);
     assert!(!tracker
-        .fresh(10_301)
+        .live(10_301)
         .any(|peer| peer.heartbeat.controller == "b"));
     // A heartbeat of its next process makes it healthy again.
     let mut after_restart = heartbeat("b", 10_400, 0, &[]);
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -172,7 +172,7 @@
             .filter(|(n, request, _)| {
                 is_complete(request)
                     && !self.provisioning.removing_requests.contains(n)
-                    && (request.controller == self.settings.controller || self.on_duty())
+                    && (request.controller == self.settings.controller || self.is_coordinator())
             })
             .map(|(n, _, _)| *n)
             .collect();
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -47,7 +47,7 @@
         if work.is_empty() {
             return;
         }
-        let has_heard_all = self.has_heard_full_round();
+        let has_heard_all = self.has_completed_heartbeat_round();
         if has_heard_all {
             self.hold_for_cached_images(&mut work, &inherited);
         } else {
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -140,7 +140,7 @@
         self.run_times_listed();
         self.sync.has_listed = true;
         self.apply_stored_configuration();
-        self.state_changed = true;
+        self.cache_changed = true;
         self.scheduling.pass_requested = true;
         tracing::info!(records = self.cache.len(), revision, "state list completed");
         self.emit(Effect::Watch { since: revision });
@@ -161,7 +161,7 @@
         }
         self.cache.revision = self.cache.revision.max(revision);
         self.sync.note_revision(self.cache.revision, self.now);
-        self.state_changed = true;
+        self.cache_changed = true;
         self.apply_stored_configuration();
         self.serve_caught_up_reads();
     }
@@ -179,7 +179,7 @@
             Some(record) => self.apply_put(key, mod_revision, record, origin),
             None => self.apply_removal(&key, mod_revision),
         }
-        self.state_changed = true;
+        self.cache_changed = true;
     }
 
     fn apply_put(&mut self, key: Key, mod_revision: u64, record: Record, origin: ChangeOrigin) {
--- a/crates/core/src/state/reads.rs
+++ b/crates/core/src/state/reads.rs
@@ -137,12 +137,12 @@
             self.sync.watch_lag_since = None;
         }
         for read in caught_up {
-            if self.lifecycle.view_predates_resume
+            if self.lifecycle.cache_predates_resume
                 && self.sync.has_listed
                 && read.operation >= self.lifecycle.first_operation_since_resume
             {
-                self.lifecycle.view_predates_resume = false;
-                self.state_changed = true;
+                self.lifecycle.cache_predates_resume = false;
+                self.cache_changed = true;
                 self.scheduling.pass_requested = true;
             }
             for request in read.requests {
--- a/crates/core/src/state/write_control.rs
+++ b/crates/core/src/state/write_control.rs
@@ -87,7 +87,7 @@
         operation: OperationId,
         response: &StateResponse,
     ) {
-        self.state_changed = true;
+        self.cache_changed = true;
         // One that had no response in time holds up nothing any more: others were sent since.
         if self.writes.assignment_write == Some(operation) {
             self.writes.assignment_write_finished(response, self.now);
--- a/crates/core/src/workers/handoff.rs
+++ b/crates/core/src/workers/handoff.rs
@@ -17,7 +17,7 @@
     pub(crate) fn plan_handoff(&mut self) {
         let recent = 2 * self.settings.report_ms;
         match self.has_current_state()
-            && self.has_heard_full_round()
+            && self.has_completed_heartbeat_round()
             && self.lifecycle.shutting_down_since.is_none()
         {
             true => self.peers.plan_handoff(self.now, self.load(), recent),
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -146,8 +146,8 @@
         if !self.settings.checks.view {
             return false;
         }
-        !self.sync.has_listed && self.state_age() < HEARTBEAT_HOLD_MS
-            || self.lifecycle.view_predates_resume
+        !self.sync.has_listed && self.state_age_ms() < HEARTBEAT_HOLD_MS
+            || self.lifecycle.cache_predates_resume
                 && self.now < self.lifecycle.resumed_at + HEARTBEAT_HOLD_MS
     }
 
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -85,13 +85,13 @@
             |s: &Peer| s.heartbeat.workers_reachable && !s.heartbeat.workers.is_empty();
         !self.workers.reachability.is_doubtful()
             || !self.settings.checks.workers
-            || !self.fresh_peers().any(heard_peers)
+            || !self.live_peers().any(heard_peers)
     }
 
     /// Whether it may be this controller that a question did not get out of: it has heard no worker since,
     /// while peers have. It took the first two or three machines that fell silent so for dead.
     pub(super) fn may_be_partitioned(&self, asked: Millis) -> bool {
-        let elsewhere = self.fresh_peers().any(|s| {
+        let elsewhere = self.live_peers().any(|s| {
             let since = self.now - s.at;
             let heard = s
                 .heartbeat
--- a/crates/core/src/zones/detector.rs
+++ b/crates/core/src/zones/detector.rs
@@ -133,7 +133,7 @@
                 since.is_some_and(|last_contact_at| observed.last_contact_at <= last_contact_at);
             // After a start or a pause, a round of heartbeats must pass first: the silence may be due to this
             // controller.
-            let is_unreachable = self.has_heard_full_round() && (begins || continues);
+            let is_unreachable = self.has_completed_heartbeat_round() && (begins || continues);
             let change = (self.zones).update_status(self.now, zone, observed, is_unreachable);
             match change {
                 Some(ZoneStatusChange::Unreachable) => {
@@ -229,7 +229,7 @@
     /// Returns whether every peer is reachable, so that this controller knows the heartbeats that any controller
     /// received.
     fn all_peers_reachable(&self) -> bool {
-        self.fresh_peers().count() + 1 == self.settings.controllers.len()
+        self.live_peers().count() + 1 == self.settings.controllers.len()
     }
 
     /// Returns migrations of service tasks off machines whose outbound connection is lost, once half of their lease
@@ -251,7 +251,7 @@
                 outbound_lost.push(id);
             }
         }
-        if outbound_lost.len() * 3 > up || !self.has_heard_full_round() {
+        if outbound_lost.len() * 3 > up || !self.has_completed_heartbeat_round() {
             return Vec::new();
         }
         let machines = outbound_lost.into_iter();
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -155,7 +155,7 @@
             return;
         }
         self.zones.evacuation_checked_at = self.now;
-        if !self.has_heard_full_round() || !self.workers_reachable() {
+        if !self.has_completed_heartbeat_round() || !self.workers_reachable() {
             return;
         }
         let plan = self.plan_evacuation();
--- a/crates/core/tests/scenarios/failover.rs
+++ b/crates/core/tests/scenarios/failover.rs
@@ -29,7 +29,7 @@
 
 fn duties(sim: &Simulation) -> usize {
     let controllers = sim.controllers.iter().filter_map(|s| s.controller.as_ref());
-    controllers.filter(|n| n.is_on_duty()).count()
+    controllers.filter(|n| n.acts_as_coordinator()).count()
 }
 
 /// Jobs that run all the time, so that every scenario has work to lose.
--- a/crates/simulation/src/day_runner/failovers.rs
+++ b/crates/simulation/src/day_runner/failovers.rs
@@ -67,7 +67,7 @@
             self.is_detected = true;
             out.failure_detection.record(took);
         }
-        if !self.has_duty && self.is_detected && others.iter().any(|o| o.is_on_duty()) {
+        if !self.has_duty && self.is_detected && others.iter().any(|o| o.acts_as_coordinator()) {
             self.has_duty = true;
             out.duty_takeover.record(took);
         }
