--- a/crates/core/src/configuration/rollout.rs
+++ b/crates/core/src/configuration/rollout.rs
@@ -13,7 +13,7 @@
     /// Applies the configuration in the cache, before anything is decided by a cache that changed.
     /// Not during a list: then the cache may hold a part of a configuration.
     pub(crate) fn apply_stored_configuration(&mut self) {
-        if !self.sync.has_listed || !self.settings.checks.configuration {
+        if !self.list_watch.has_listed || !self.settings.checks.configuration {
             return;
         }
         match self.configuration.refresh(&self.cache) {
--- a/crates/core/src/controller/housekeeping.rs
+++ b/crates/core/src/controller/housekeeping.rs
@@ -49,7 +49,7 @@
         self.assess_peers();
         self.send_heartbeat();
         self.exit_if_drained();
-        if !self.sync.has_listed && !self.sync.list.in_flight {
+        if !self.list_watch.has_listed && !self.list_watch.list.in_flight {
             self.start_list();
         }
         self.read_machine_types();
@@ -69,16 +69,16 @@
 
     /// Reopens a watch that has lagged behind a known revision for `WATCH_TRAIL_MS`.
     fn reopen_lagging_watch(&mut self) {
-        let Some(lagging_since) = self.sync.watch_lag_since else {
+        let Some(lagging_since) = self.list_watch.watch_lag_since else {
             return;
         };
-        let since = lagging_since.max(self.sync.watch_opened_at);
-        if !self.sync.has_listed || self.now < since + WATCH_TRAIL_MS {
+        let since = lagging_since.max(self.list_watch.watch_opened_at);
+        if !self.list_watch.has_listed || self.now < since + WATCH_TRAIL_MS {
             return;
         }
         let revision = self.cache.revision;
         tracing::info!(revision, "watch lagging, reopened");
-        self.sync.watch_opened_at = self.now;
+        self.list_watch.watch_opened_at = self.now;
         self.emit(Effect::Watch { since: revision });
     }
 
--- a/crates/core/src/controller/pause.rs
+++ b/crates/core/src/controller/pause.rs
@@ -14,7 +14,7 @@
         self.lifecycle.resumed_at = self.now;
         self.lifecycle.first_operation_since_resume = self.operations.next_id;
         self.lifecycle.cache_predates_resume = true;
-        self.sync.last_response_at = None;
+        self.list_watch.last_response_at = None;
         self.reads.last_requested_at = 0;
         self.answer_all_after_pause();
         // Evidence that attempts ended remains valid. Reasons to delete or update machines may not.
--- a/crates/core/src/controller/readiness.rs
+++ b/crates/core/src/controller/readiness.rs
@@ -42,15 +42,18 @@
     pub fn has_current_state(&self) -> bool {
         let is_lost = |lagging_since| self.now >= lagging_since + WATCH_LOST_MS;
         let answered_lately = |at| self.now.saturating_sub(at) <= STATE_LOST_MS;
-        self.sync.has_listed
+        self.list_watch.has_listed
             && !self.lifecycle.cache_predates_resume
-            && !self.sync.watch_lag_since.is_some_and(is_lost)
-            && self.sync.last_response_at.is_some_and(answered_lately)
+            && !self.list_watch.watch_lag_since.is_some_and(is_lost)
+            && self
+                .list_watch
+                .last_response_at
+                .is_some_and(answered_lately)
     }
 
     /// Returns the milliseconds since the state store last answered, or since the start.
     pub(crate) fn state_age_ms(&self) -> Millis {
-        let last = self.sync.last_response_at;
+        let last = self.list_watch.last_response_at;
         self.now - last.unwrap_or(self.lifecycle.started_at)
     }
 
@@ -65,7 +68,7 @@
     fn not_ready(&self) -> Option<Problem> {
         if self.lifecycle.shutting_down_since.is_some() {
             Some(Problem::ShuttingDown)
-        } else if !self.sync.has_listed {
+        } else if !self.list_watch.has_listed {
             Some(Problem::RecordsNotRead)
         } else if self.machine_types.is_empty() {
             Some(Problem::MachineTypesUnknown)
@@ -100,7 +103,7 @@
     /// Logs the begin and the end of each problem.
     pub(super) fn log_problems(&mut self) {
         let not_ready = self.not_ready();
-        let is_cut_off = self.sync.has_listed && !self.has_current_state();
+        let is_cut_off = self.list_watch.has_listed && !self.has_current_state();
         let problems = [
             Some(Problem::StateUnreachable).filter(|_| is_cut_off),
             Some(Problem::WorkersUnreachable).filter(|_| !self.workers_reachable()),
@@ -146,7 +149,8 @@
     /// Returns whether the cache has reached the highest revision among the records of the list. Its pages are
     /// read at different revisions.
     pub(crate) fn has_synced(&self) -> bool {
-        !self.settings.checks.caught_up || self.cache.revision >= self.sync.list.max_mod_revision
+        !self.settings.checks.caught_up
+            || self.cache.revision >= self.list_watch.list.max_mod_revision
     }
 
     /// Returns the peers that sent a heartbeat recently and have not exited, as far as is known.
--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -110,7 +110,7 @@
     /// Answers the requests that wait for it that their job is cancelled, where nothing of it is
     /// left now.
     pub(crate) fn confirm_cancellations(&mut self) {
-        if self.requests.awaiting_cancellation.is_empty() || !self.sync.has_listed {
+        if self.requests.awaiting_cancellation.is_empty() || !self.list_watch.has_listed {
             return;
         }
         let open = &self.requests.open;
@@ -150,7 +150,9 @@
     fn renewing_is_safe(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let confirmed_from = self.cache.mod_revision(&Key::CancellationConfirmation);
         heartbeat.token >= CONFIRMED_CANCELLATION_TERM
-            || self.sync.has_listed && confirmed_from > 0 && self.cache.revision >= confirmed_from
+            || self.list_watch.has_listed
+                && confirmed_from > 0
+                && self.cache.revision >= confirmed_from
     }
 
     /// Cut off from the state service: hand workers to a peer that reaches it, or keep their
@@ -203,7 +205,7 @@
             .settings
             .cancel_ms
             .saturating_sub(self.settings.lease_ms + CANCEL_MARGIN_MS);
-        self.sync.has_listed && self.state_age_ms() < limit
+        self.list_watch.has_listed && self.state_age_ms() < limit
     }
 
     /// Whether a worker is kept, rather than sent to look for another controller. A controller that is cut off
@@ -213,7 +215,7 @@
     /// that is back found no other.
     fn keeps_worker(&mut self, id: &str) -> bool {
         let common = self.live_peers().count() + 1 == self.settings.controllers.len();
-        if self.sync.has_listed && common {
+        if self.list_watch.has_listed && common {
             return true;
         }
         let several = self.settings.zones.len() > 1;
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -305,7 +305,7 @@
             JobPhase::Open => self.cache.doomed(id),
             JobPhase::Done => true,
             // While the records are read page by page the cache may lack what is assigned.
-            JobPhase::Cancelled => self.sync.has_listed && !self.cache.ending(id),
+            JobPhase::Cancelled => self.list_watch.has_listed && !self.cache.ending(id),
         }
     }
 
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -22,7 +22,7 @@
             return;
         }
         self.cache.take_hints(&images);
-        if is_behind && self.sync.has_listed {
+        if is_behind && self.list_watch.has_listed {
             // Makes the next linearizable read due, which shows whether the watch lags.
             let at = self.now.saturating_sub(STATE_PROBE_INTERVAL_MS);
             self.reads.last_requested_at = self.reads.last_requested_at.min(at);
@@ -144,7 +144,8 @@
             ..status
         };
         // Versions before format 2 reject a heartbeat with an additional element.
-        let includes_status = self.sync.has_listed && self.cache.format() >= formats::PIPELINES;
+        let includes_status =
+            self.list_watch.has_listed && self.cache.format() >= formats::PIPELINES;
         self.emit(Effect::PeerHeartbeat(PeerHeartbeat {
             controller: self.settings.controller.clone(),
             at: self.wall,
--- a/crates/core/src/scheduling/preemption_step.rs
+++ b/crates/core/src/scheduling/preemption_step.rs
@@ -102,7 +102,7 @@
 
     /// Milliseconds since an attempt was assigned, going by the revision that it is named after.
     fn assigned_for(&self, attempt: u64) -> Millis {
-        let times = &self.sync.revision_times;
+        let times = &self.list_watch.revision_times;
         let position = times.partition_point(|(revision, _)| *revision <= attempt);
         match times.get(position) {
             // Older than all that is remembered.
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -78,16 +78,16 @@
 impl Controller {
     /// Reads all records anew, from the first page on.
     pub(crate) fn start_list(&mut self) {
-        self.sync.has_listed = false;
-        self.sync.list.round += 1;
-        self.sync.list.listed.clear();
-        self.sync.list.revision = 0;
+        self.list_watch.has_listed = false;
+        self.list_watch.list.round += 1;
+        self.list_watch.list.listed.clear();
+        self.list_watch.list.revision = 0;
         self.request_list_page(None);
     }
 
     fn request_list_page(&mut self, after: Option<String>) {
-        self.sync.list.in_flight = true;
-        let round = self.sync.list.round;
+        self.list_watch.list.in_flight = true;
+        let round = self.list_watch.list.round;
         let token = self.track_operation(PendingOperation::List { round }, None);
         self.emit(Effect::State {
             token,
@@ -98,10 +98,10 @@
 
     /// Takes up a page of a list; the last one completes it.
     pub(super) fn list_page_received(&mut self, round: u64, response: StateResponse) {
-        if round != self.sync.list.round {
+        if round != self.list_watch.list.round {
             return;
         }
-        self.sync.list.in_flight = false;
+        self.list_watch.list.in_flight = false;
         let StateResponse::Listed {
             items,
             last,
@@ -111,11 +111,11 @@
         else {
             return; // the next tick starts the list anew
         };
-        if self.sync.list.revision == 0 {
-            self.sync.list.revision = revision;
+        if self.list_watch.list.revision == 0 {
+            self.list_watch.list.revision = revision;
         }
         for (key, mod_revision, record) in items {
-            let list = &mut self.sync.list;
+            let list = &mut self.list_watch.list;
             list.max_mod_revision = list.max_mod_revision.max(mod_revision);
             list.listed.insert(key.clone());
             self.cache.put(key, mod_revision, record);
@@ -133,12 +133,12 @@
                 self.use_machine_types(&record.machine_types);
             }
         }
-        let revision = self.sync.list.revision;
-        let listed = std::mem::take(&mut self.sync.list.listed);
+        let revision = self.list_watch.list.revision;
+        let listed = std::mem::take(&mut self.list_watch.list.listed);
         self.cache.retain_listed(&listed, revision);
         self.cache.revision = revision;
         self.run_times_listed();
-        self.sync.has_listed = true;
+        self.list_watch.has_listed = true;
         self.apply_stored_configuration();
         self.cache_changed = true;
         self.scheduling.pass_requested = true;
@@ -160,7 +160,7 @@
             self.apply(key, mod_revision, record, ChangeOrigin::Watch);
         }
         self.cache.revision = self.cache.revision.max(revision);
-        self.sync.note_revision(self.cache.revision, self.now);
+        self.list_watch.note_revision(self.cache.revision, self.now);
         self.cache_changed = true;
         self.apply_stored_configuration();
         self.serve_caught_up_reads();
--- a/crates/core/src/state/reads.rs
+++ b/crates/core/src/state/reads.rs
@@ -97,7 +97,7 @@
     /// Sends a read, if one is needed and may be sent.
     pub(crate) fn issue_read_index(&mut self) {
         let is_needed = !self.reads.unissued.is_empty() || self.reads.is_probe_due(self.now);
-        if !is_needed || !self.sync.has_listed || !self.reads.may_issue(self.now) {
+        if !is_needed || !self.list_watch.has_listed || !self.reads.may_issue(self.now) {
             return;
         }
         self.reads.mark_issued(self.now);
@@ -123,8 +123,8 @@
             }
             return;
         };
-        if revision > self.cache.revision && self.sync.watch_lag_since.is_none() {
-            self.sync.watch_lag_since = Some(self.now);
+        if revision > self.cache.revision && self.list_watch.watch_lag_since.is_none() {
+            self.list_watch.watch_lag_since = Some(self.now);
         }
         self.reads.await_watch(revision, operation, requests);
         self.serve_caught_up_reads();
@@ -134,11 +134,11 @@
     pub(super) fn serve_caught_up_reads(&mut self) {
         let caught_up = self.reads.take_caught_up(self.cache.revision);
         if self.reads.behind_watch.is_empty() {
-            self.sync.watch_lag_since = None;
+            self.list_watch.watch_lag_since = None;
         }
         for read in caught_up {
             if self.lifecycle.cache_predates_resume
-                && self.sync.has_listed
+                && self.list_watch.has_listed
                 && read.operation >= self.lifecycle.first_operation_since_resume
             {
                 self.lifecycle.cache_predates_resume = false;
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -35,7 +35,7 @@
         match response {
             StateResponse::Unavailable | StateResponse::NoAnswer => {}
             _ if operation < self.lifecycle.first_operation_since_resume => {}
-            _ => self.sync.last_response_at = Some(self.now),
+            _ => self.list_watch.last_response_at = Some(self.now),
         }
     }
 
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -146,7 +146,7 @@
         if !self.settings.checks.view {
             return false;
         }
-        !self.sync.has_listed && self.state_age_ms() < HEARTBEAT_HOLD_MS
+        !self.list_watch.has_listed && self.state_age_ms() < HEARTBEAT_HOLD_MS
             || self.lifecycle.cache_predates_resume
                 && self.now < self.lifecycle.resumed_at + HEARTBEAT_HOLD_MS
     }
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -147,7 +147,7 @@
                 continue;
             }
             if !has_current_state
-                && (self.sync.has_listed || self.now >= held.since + HEARTBEAT_HOLD_MS)
+                && (self.list_watch.has_listed || self.now >= held.since + HEARTBEAT_HOLD_MS)
             {
                 if let Some(held) = self.workers.held_heartbeats.remove(&id) {
                     let reply = self.reply_without_state(&held.heartbeat);
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -114,7 +114,7 @@
     /// Number of changes that may be made now, if there may be something to record and a transaction for it
     /// may be sent.
     fn changes_for_results(&mut self) -> Option<usize> {
-        if !self.sync.has_listed
+        if !self.list_watch.has_listed
             || !self.has_current_state()
             || self.cache.term().is_none()
             || !self.may_write()
