--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -140,7 +140,7 @@
         self.workers
             .last_heartbeats
             .retain(|id, h| cache.machine(id).is_some() || self.now.saturating_sub(h.at) < 60_000);
-        self.peers.forget(|id| cache.machine(id).is_some());
+        self.peers.retain_machines(|id| cache.machine(id).is_some());
         self.workers
             .fetching_until
             .retain(|_, until| *until > self.now);
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -56,7 +56,7 @@
                 silent_ms = change.silent_ms,
                 "peer status changed"
             );
-            if change.status.is_away() && !change.previous.is_away() {
+            if change.status.is_inactive() && !change.previous.is_inactive() {
                 self.fail_over_from(&change);
             }
         }
--- a/crates/core/src/peers/failure_detector.rs
+++ b/crates/core/src/peers/failure_detector.rs
@@ -49,7 +49,7 @@
                 continue;
             }
             let workers = peer.workers.len() + peer.failed_over;
-            if status.is_away() && !previous.is_away() {
+            if status.is_inactive() && !previous.is_inactive() {
                 let failover = Failover {
                     started_at: peer.at,
                     missing: peer.workers.clone(),
--- a/crates/core/src/peers/peer.rs
+++ b/crates/core/src/peers/peer.rs
@@ -41,7 +41,7 @@
     /// Returns whether the peer sent a heartbeat recently and has not exited, as far as is known.
     pub(super) fn is_live(&self, now: Millis) -> bool {
         let is_lost =
-            self.link_ended || self.status.is_away() || self.status == PeerStatus::LinkLost;
+            self.link_ended || self.status.is_inactive() || self.status == PeerStatus::LinkLost;
         now.saturating_sub(self.at) <= PEER_LOST_MS && !is_lost
     }
 
@@ -75,7 +75,7 @@
 
 impl ReceivedHeartbeat {
     /// Returns whether a peer received a later heartbeat of the worker, as far as is known.
-    pub fn older_than(&self, observation: Option<&PeerObservation>) -> bool {
+    pub fn is_older_than(&self, observation: Option<&PeerObservation>) -> bool {
         observation.is_some_and(|observed| observed.position > self.position)
     }
 }
--- a/crates/core/src/peers/status.rs
+++ b/crates/core/src/peers/status.rs
@@ -30,7 +30,7 @@
 
 impl PeerStatus {
     /// Returns whether the peer is assumed to be inactive, so that others fail over from it.
-    pub fn is_away(self) -> bool {
+    pub fn is_inactive(self) -> bool {
         match self {
             PeerStatus::Silent
             | PeerStatus::WorkersFailingOver
--- a/crates/core/src/peers/tracker.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -156,7 +156,7 @@
 
     /// Records that this controller received a worker's heartbeat. If the worker sent its last one to a peer, it
     /// has switched controllers.
-    pub fn note_failover_of(&mut self, machine: &str) {
+    pub fn record_worker_failover(&mut self, machine: &str) {
         for failover in self.failovers.values_mut() {
             failover.missing.remove(machine);
         }
@@ -220,7 +220,7 @@
     }
 
     /// Removes machines that are no longer on record.
-    pub fn forget(&mut self, is_on_record: impl Fn(&str) -> bool) {
+    pub fn retain_machines(&mut self, is_on_record: impl Fn(&str) -> bool) {
         self.observations.retain(|id, _| is_on_record(id));
         for peer in self.peers.values_mut() {
             peer.workers.retain(|id| is_on_record(id));
@@ -276,9 +276,9 @@
     }
 
     /// Returns whether a peer is assumed to be inactive, so that its work is continued at once.
-    pub fn is_away(&self, controller: &str) -> bool {
+    pub fn is_inactive(&self, controller: &str) -> bool {
         let peer = self.peers.get(controller);
-        peer.is_some_and(|p| p.status.is_away())
+        peer.is_some_and(|p| p.status.is_inactive())
     }
 
     /// Returns the latest heartbeat of a worker that any peer received, as far as is known.
--- a/crates/core/src/peers/tracker/tests.rs
+++ b/crates/core/src/peers/tracker/tests.rs
@@ -103,7 +103,7 @@
     assert_eq!(status(&mut tracker, 11_500, "b"), PeerStatus::Silent);
     // Its workers switch to this controller.
     for i in 0..6 {
-        tracker.note_failover_of(&format!("b-{i}"));
+        tracker.record_worker_failover(&format!("b-{i}"));
     }
     assert_eq!(
         status(&mut tracker, 11_600, "b"),
@@ -136,7 +136,7 @@
         (1, 20, 0)
     );
     for i in 0..12 {
-        tracker.note_failover_of(&format!("b-{i}"));
+        tracker.record_worker_failover(&format!("b-{i}"));
     }
     // The other workers have switched to c.
     let mut from_c = heartbeat("c", 13_000, 30, &["a"]);
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -322,7 +322,7 @@
     /// the cloud serves it once, whoever sends it.
     fn request_retry_ms(&self, n: u64, request: &InstanceRequestRecord) -> Millis {
         let stagger_ms = self.settings.controller_index() * CONTROLLER_STAGGER_MS;
-        if self.peers.is_away(&request.controller) {
+        if self.peers.is_inactive(&request.controller) {
             PROVISION_RETRY_SOON_MS + stagger_ms
         } else if request.controller != self.settings.controller {
             PROVISION_RETRY_MS * 2 + stagger_ms
--- a/crates/core/src/workers/handoff.rs
+++ b/crates/core/src/workers/handoff.rs
@@ -9,7 +9,7 @@
     pub(crate) fn load(&self) -> usize {
         let fresh = self.now.saturating_sub(2 * self.settings.report_ms).max(1);
         let here = |(id, h): &(&String, &ReceivedHeartbeat)| {
-            h.at >= fresh && !h.older_than(self.peers.observation(id))
+            h.at >= fresh && !h.is_older_than(self.peers.observation(id))
         };
         self.workers.last_heartbeats.iter().filter(here).count()
     }
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -50,7 +50,7 @@
                     .insert(heartbeat.machine.clone(), heard);
             }
         }
-        self.peers.note_failover_of(&heartbeat.machine);
+        self.peers.record_worker_failover(&heartbeat.machine);
         self.heard_worker();
         match self.workers.zones_heard_at.get_mut(&heartbeat.zone) {
             Some(at) => *at = self.now,
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -79,7 +79,7 @@
     /// Whether its latest heartbeat, as far as is known, came to this controller.
     pub fn reports_here(&self) -> bool {
         self.received
-            .is_some_and(|heartbeat| !heartbeat.older_than(self.from_peers))
+            .is_some_and(|heartbeat| !heartbeat.is_older_than(self.from_peers))
     }
 
     /// Position of its latest heartbeat; positions are ordered by incarnation first.
--- a/crates/core/tests/scenarios/failover.rs
+++ b/crates/core/tests/scenarios/failover.rs
@@ -240,7 +240,7 @@
     }
     assert_ne!(sign(&sim, 1, 0), Some(PeerStatus::Healthy));
     let away = sign(&sim, 1, 0).unwrap();
-    assert!(away.is_away(), "{away:?}");
+    assert!(away.is_inactive(), "{away:?}");
     sim.submit(0, job("j-30", 4));
     sim.submit(1, job("j-31", 4));
     sim.run(15_000);
--- a/crates/simulation/src/day_runner/failovers.rs
+++ b/crates/simulation/src/day_runner/failovers.rs
@@ -62,7 +62,7 @@
         };
         let others = (0..sim.controllers.len()).filter(|n| *n != self.controller);
         let others: Vec<&Controller> = others.filter_map(lives).collect();
-        let away = |o: &&Controller| o.status_of(name).is_some_and(PeerStatus::is_away);
+        let away = |o: &&Controller| o.status_of(name).is_some_and(PeerStatus::is_inactive);
         if !self.is_detected && others.iter().any(away) {
             self.is_detected = true;
             out.failure_detection.record(took);
