--- a/crates/core/src/controller/messages.rs
+++ b/crates/core/src/controller/messages.rs
@@ -93,7 +93,8 @@
     #[serde(rename = "node")]
     pub controller: String,
     /// Wall-clock time at which the sender created it.
-    pub at: WallMs,
+    #[serde(rename = "at")]
+    pub sent_at: WallMs,
     /// Whether the sender reaches the state store and its cache is current.
     #[serde(rename = "state_ok")]
     pub has_current_state: bool,
@@ -107,7 +108,8 @@
     #[serde(rename = "young")]
     pub just_started: bool,
     /// Images cached on machines, with their sizes in GB, by machine.
-    pub images: Vec<(String, Vec<(String, f64)>)>,
+    #[serde(rename = "images")]
+    pub cached_images: Vec<(String, Vec<(String, f64)>)>,
     /// Omitted until every controller reads frames longer than those of format 1.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<ControllerStatus>,
@@ -149,20 +151,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControllerStatus {
     /// Wall-clock time at which the process started. It identifies the process among those of the controller.
-    pub life: WallMs,
+    #[serde(rename = "life")]
+    pub process_started_at: WallMs,
     /// Sequence number of the heartbeat within the process.
-    pub count: u64,
+    #[serde(rename = "count")]
+    pub sequence: u64,
     /// The revision of its state cache.
     pub revision: u64,
     /// The term in its state cache.
     pub term: u64,
     /// Number of operations that await a response.
-    pub under_way: u32,
+    #[serde(rename = "under_way")]
+    pub outstanding_operations: u32,
     /// Moving average of the delay of its ticks, in milliseconds.
     #[serde(rename = "late_ms")]
     pub tick_delay_ms: u32,
     /// Number of workers that send their heartbeats to it.
-    pub reports: u32,
+    #[serde(rename = "reports")]
+    pub reporting_workers: u32,
     /// Peers whose heartbeats arrive on time.
     #[serde(rename = "hears")]
     pub heard_peers: Vec<String>,
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -13,7 +13,7 @@
 impl Controller {
     /// Handles a heartbeat of a peer.
     pub(crate) fn receive_peer_heartbeat(&mut self, heartbeat: PeerHeartbeat) {
-        let images = heartbeat.images.clone();
+        let images = heartbeat.cached_images.clone();
         let is_behind = self.is_behind(&heartbeat.controller);
         let (now, wall) = (self.now, self.wall);
         let own = &self.workers.last_heartbeats;
@@ -138,8 +138,8 @@
         let status = ControllerStatus {
             revision: self.cache.revision,
             term: self.cache.term().unwrap_or(0),
-            under_way: self.operations.outstanding.len() as u32,
-            reports: self.load() as u32,
+            outstanding_operations: self.operations.outstanding.len() as u32,
+            reporting_workers: self.load() as u32,
             configuration: self.settings.policy.version,
             ..status
         };
@@ -148,13 +148,13 @@
             self.list_watch.has_listed && self.cache.format() >= formats::PIPELINES;
         self.emit(Effect::PeerHeartbeat(PeerHeartbeat {
             controller: self.settings.controller.clone(),
-            at: self.wall,
+            sent_at: self.wall,
             has_current_state: self.has_current_state(),
             workers_reachable: self.workers_reachable()
                 && self.lifecycle.shutting_down_since.is_none(),
             workers,
             just_started: self.now - self.lifecycle.started_at < JUST_STARTED_MS,
-            images: match includes_images {
+            cached_images: match includes_images {
                 true => self.cache.image_hints(),
                 false => Vec::new(),
             },
--- a/crates/core/src/peers/tracker.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -141,7 +141,7 @@
 
     /// Returns whether a heartbeat is the first one by which its sender reports that it has just started.
     fn has_just_started(&self, heartbeat: &PeerHeartbeat) -> bool {
-        let process = |h: &PeerHeartbeat| h.status.as_ref().map(|s| s.life);
+        let process = |h: &PeerHeartbeat| h.status.as_ref().map(|s| s.process_started_at);
         let known = self.peers.get(&heartbeat.controller).map(|p| &p.heartbeat);
         let is_new = known.is_none_or(|k| !k.just_started || process(k) < process(heartbeat));
         is_new && heartbeat.just_started
@@ -195,8 +195,8 @@
         self.heartbeats_sent += 1;
         let in_time = self.peers.values().filter(|peer| peer.is_in_time(now));
         let status = ControllerStatus {
-            life: self.process_started_at,
-            count: self.heartbeats_sent,
+            process_started_at: self.process_started_at,
+            sequence: self.heartbeats_sent,
             tick_delay_ms: self.tick_delay_ms as u32,
             heard_peers: in_time.map(|p| p.heartbeat.controller.clone()).collect(),
             ..ControllerStatus::default()
@@ -308,12 +308,12 @@
         }
         if wall
             > heartbeat
-                .at
+                .sent_at
                 .saturating_add(HEARTBEAT_MAX_AGE_MS + clock_tolerance_ms)
         {
             return Some(RejectedHeartbeat::TooOld);
         }
-        if heartbeat.at > wall + clock_tolerance_ms + HEARTBEAT_MAX_AGE_MS {
+        if heartbeat.sent_at > wall + clock_tolerance_ms + HEARTBEAT_MAX_AGE_MS {
             return Some(RejectedHeartbeat::FromTheFuture);
         }
         let peer = self.peers.get(&heartbeat.controller)?;
@@ -322,11 +322,13 @@
             // If a process exits soon after its start and the wall clock is set back meanwhile, its successor seems
             // to be an earlier process. Its heartbeats are accepted once the known process is silent, or its link
             // has ended.
-            (Some(a), Some(b)) if b.life < a.life => peer
+            (Some(a), Some(b)) if b.process_started_at < a.process_started_at => peer
                 .is_in_time(now)
                 .then_some(RejectedHeartbeat::EarlierProcess),
             // Within one process the heartbeat count decides, as the wall clock may be set back within its tolerance.
-            (Some(a), Some(b)) if b.life == a.life && b.count <= a.count => {
+            (Some(a), Some(b))
+                if b.process_started_at == a.process_started_at && b.sequence <= a.sequence =>
+            {
                 Some(RejectedHeartbeat::Duplicate)
             }
             (None, None) if *known == *heartbeat => Some(RejectedHeartbeat::Duplicate),
--- a/crates/core/src/peers/tracker/tests.rs
+++ b/crates/core/src/peers/tracker/tests.rs
@@ -27,17 +27,17 @@
     PeerTracker::with_membership(membership, WALL)
 }
 
-fn heartbeat(controller: &str, at: Millis, count: u64, heard_peers: &[&str]) -> PeerHeartbeat {
+fn heartbeat(controller: &str, at: Millis, sequence: u64, heard_peers: &[&str]) -> PeerHeartbeat {
     let heard = (0..20).map(|i| heard_worker(&format!("{controller}-{i}"), 1, 1 + at / 5_000, 100));
     PeerHeartbeat {
         controller: controller.into(),
-        at: WALL + at,
+        sent_at: WALL + at,
         has_current_state: true,
         workers_reachable: true,
         workers: heard.collect(),
         status: Some(ControllerStatus {
-            life: WALL,
-            count,
+            process_started_at: WALL,
+            sequence,
             heard_peers: heard_peers.iter().map(|n| n.to_string()).collect(),
             ..ControllerStatus::default()
         }),
@@ -79,7 +79,7 @@
         .any(|peer| peer.heartbeat.controller == "b"));
     // A heartbeat of its next process makes it healthy again.
     let mut after_restart = heartbeat("b", 10_400, 0, &[]);
-    after_restart.status.as_mut().unwrap().life += 10_400;
+    after_restart.status.as_mut().unwrap().process_started_at += 10_400;
     tracker.receive_heartbeat(10_400, WALL + 10_400, after_restart, &HashMap::new());
     assert_eq!(status(&mut tracker, 10_400, "b"), PeerStatus::Healthy);
     // The last heartbeat of c came at 9,500 ms.
@@ -180,7 +180,7 @@
         ),
         (heartbeat("b", now, 99, &[]), RejectedHeartbeat::TooLarge),
     ];
-    cases[6].0.status.as_mut().unwrap().life -= 1;
+    cases[6].0.status.as_mut().unwrap().process_started_at -= 1;
     cases[7].0.workers = (0..=HEARTBEAT_MAX_MACHINES)
         .map(|i| heard_worker(&format!("z-{i}"), 1, 1, 1))
         .collect();
@@ -208,7 +208,7 @@
     let mut tracker = new_tracker();
     receive_regular_heartbeats(&mut tracker, 10_000);
     let mut after_restart = heartbeat("b", 10_200, 0, &[]);
-    after_restart.status.as_mut().unwrap().life -= 300;
+    after_restart.status.as_mut().unwrap().process_started_at -= 300;
     let receive = |tracker: &mut PeerTracker, at, heartbeat: &PeerHeartbeat| {
         tracker.receive_heartbeat(at, WALL + at, heartbeat.clone(), &HashMap::new())
     };
--- a/crates/core/tests/scenarios/failover.rs
+++ b/crates/core/tests/scenarios/failover.rs
@@ -297,7 +297,7 @@
     let now = START_TIME_MS + sim.now_ms;
     let forged = |controller: &str, at| PeerHeartbeat {
         controller: controller.into(),
-        at,
+        sent_at: at,
         has_current_state: false,
         workers_reachable: false,
         ..PeerHeartbeat::default()
--- a/crates/glenmount/src/peer_link/frames.rs
+++ b/crates/glenmount/src/peer_link/frames.rs
@@ -40,12 +40,12 @@
         }
         let heartbeat = PeerHeartbeat {
             controller: required!(0),
-            at: required!(1),
+            sent_at: required!(1),
             has_current_state: required!(2),
             workers_reachable: required!(3),
             workers: required!(4),
             just_started: required!(5),
-            images: required!(6),
+            cached_images: required!(6),
             status: elements
                 .next_element::<KnownStatus>()?
                 .and_then(|status| status.0),
@@ -88,13 +88,13 @@
             };
         }
         let status = ControllerStatus {
-            life: required!(),
-            count: required!(),
+            process_started_at: required!(),
+            sequence: required!(),
             revision: required!(),
             term: required!(),
-            under_way: required!(),
+            outstanding_operations: required!(),
             tick_delay_ms: required!(),
-            reports: required!(),
+            reporting_workers: required!(),
             heard_peers: required!(),
             // Versions before format 4 do not send it.
             configuration: elements.next_element()?.unwrap_or(0),
--- a/crates/glenmount/src/peer_link/tests.rs
+++ b/crates/glenmount/src/peer_link/tests.rs
@@ -26,7 +26,7 @@
     let frame: Vec<u8> = digits.map(byte).collect();
     let sample = read_heartbeat(&frame).unwrap();
     assert_eq!(
-        (sample.controller.as_str(), sample.at),
+        (sample.controller.as_str(), sample.sent_at),
         ("bothy-1", 1_700_000_000_000)
     );
     assert_eq!(
@@ -34,7 +34,7 @@
         [("n-000231".to_string(), 1, 88, 120).into()]
     );
     assert!(sample.has_current_state && sample.workers_reachable && sample.just_started);
-    assert_eq!(sample.images[0].1, [("img-07".to_string(), 1.5)]);
+    assert_eq!(sample.cached_images[0].1, [("img-07".to_string(), 1.5)]);
     assert_eq!(rmp_serde::to_vec(&sample).unwrap(), frame);
     // A later version's, with two elements more.
     let mut longer = frame.clone();
@@ -44,8 +44,8 @@
     assert!(rmp_serde::from_slice::<PeerHeartbeat>(&longer).is_err());
     // This version's, and one that says more of itself.
     let said = ControllerStatus {
-        life: 7,
-        count: 3,
+        process_started_at: 7,
+        sequence: 3,
         heard_peers: vec!["bothy-2".into()],
         ..ControllerStatus::default()
     };
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -243,7 +243,7 @@
 
     fn heartbeat(&mut self, heartbeat: &PeerHeartbeat) {
         self.text(&heartbeat.controller);
-        self.number(heartbeat.at);
+        self.number(heartbeat.sent_at);
         self.number(u64::from(heartbeat.has_current_state));
         self.number(u64::from(heartbeat.workers_reachable));
         self.number(u64::from(heartbeat.just_started));
@@ -255,7 +255,7 @@
             self.number(worker.sequence);
             self.number(worker.age_ms);
         }
-        let mut images = heartbeat.images.clone();
+        let mut images = heartbeat.cached_images.clone();
         images.sort_by(|a, b| a.0.cmp(&b.0));
         for (machine, images) in &images {
             self.text(machine);
@@ -266,13 +266,13 @@
         }
         self.number(u64::from(heartbeat.status.is_some()));
         if let Some(said) = &heartbeat.status {
-            self.number(said.life);
-            self.number(said.count);
+            self.number(said.process_started_at);
+            self.number(said.sequence);
             self.number(said.revision);
             self.number(said.term);
-            self.number(u64::from(said.under_way));
+            self.number(u64::from(said.outstanding_operations));
             self.number(u64::from(said.tick_delay_ms));
-            self.number(u64::from(said.reports));
+            self.number(u64::from(said.reporting_workers));
             self.number(said.configuration);
             for controller in &said.heard_peers {
                 self.text(controller);
