--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -103,7 +103,7 @@
         let Some(machine) = self.cache.machine(id) else {
             return false;
         };
-        let is_reached = self.reachable(id, &machine.zone) || self.answers(id);
+        let is_reached = self.is_reachable(id, &machine.zone) || self.answers_commands(id);
         machine.phase != MachinePhase::Deprovisioning && is_reached
     }
 
--- a/crates/core/src/scheduling/migration_step.rs
+++ b/crates/core/src/scheduling/migration_step.rs
@@ -45,7 +45,7 @@
         }
         // These can't wait until no other work is pending. As often as failures are detected, which finds them.
         let off_mute_workers = match self.workers.failures_detected_at == self.now {
-            true => self.services_on_mute_workers(),
+            true => self.service_migrations_off_outbound_lost(),
             false => Vec::new(),
         };
         if self.scheduling.has_pending_work && off_mute_workers.is_empty() {
@@ -158,7 +158,7 @@
     fn free_by_zone(&self) -> FreeByZone<'_> {
         let mut free = FreeByZone::new();
         for (id, record, _) in self.cache.machines() {
-            if record.phase != MachinePhase::Up || !self.reachable(id, &record.zone) {
+            if record.phase != MachinePhase::Up || !self.is_reachable(id, &record.zone) {
                 continue;
             }
             let Some(machine_type) = self.machine_types.get(&record.type_name) else {
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -121,7 +121,9 @@
                 continue;
             }
             let sight = self.liveness(id);
-            if !self.reachable_by(&sight, &record.zone) || !self.has_reported_since_resume(&sight) {
+            if !self.is_reachable_with(&sight, &record.zone)
+                || !self.has_reported_since_resume(&sight)
+            {
                 continue;
             }
             if !fits {
@@ -176,7 +178,7 @@
     /// Thousandths of processors of all machines that work can be placed on.
     fn usable_cpus(&self) -> u64 {
         let machines = self.cache.machines().filter(|(id, record, _)| {
-            record.phase == MachinePhase::Up && self.reachable(id, &record.zone)
+            record.phase == MachinePhase::Up && self.is_reachable(id, &record.zone)
         });
         machines
             .filter_map(|(_, record, _)| self.machine_types.get(&record.type_name))
@@ -242,7 +244,7 @@
     /// Whether a machine may be counted on for pending work.
     pub(super) fn is_usable(&self, id: &str) -> bool {
         let zone = self.cache.machine(id).map(|record| &record.zone);
-        zone.is_some_and(|zone| self.reachable(id, zone))
+        zone.is_some_and(|zone| self.is_reachable(id, zone))
             && !self.workers.marked_for_termination.contains_key(id)
     }
 }
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -143,7 +143,7 @@
                 unanswered_at.is_some_and(|at| at > overdue_at && self.now < at + PROBE_FRESH_MS);
             let failed_at = unanswered_at.unwrap_or(0);
             let is_unreachable = probe_failed && give_up && !self.may_be_partitioned(failed_at);
-            if is_unreachable && self.is_machine_silence(&zone, failed_at) {
+            if is_unreachable && self.is_single_machine_silence(&zone, failed_at) {
                 self.mark_for_termination(&machine, TerminationReason::Unreachable);
                 continue;
             }
--- a/crates/core/src/zones/detector.rs
+++ b/crates/core/src/zones/detector.rs
@@ -179,7 +179,7 @@
     /// Returns whether only the machine is silent, and not its zone: there was contact with others of the zone after
     /// a command to the machine failed. In a zone with few machines the silence always counts as the machine's.
     /// After a partition, the zone's machines get time to switch to a reachable controller.
-    pub(crate) fn is_machine_silence(&self, zone: &str, failed_at: Millis) -> bool {
+    pub(crate) fn is_single_machine_silence(&self, zone: &str, failed_at: Millis) -> bool {
         if self.is_zone_unreachable(zone) {
             // `evacuation` decides by the tasks of the machine.
             return false;
@@ -219,7 +219,7 @@
 
     /// Returns whether a machine answered a direct command recently and none has gone unanswered since. Then a stop
     /// reaches it, and its answer reports ended tasks even if its heartbeats reach no controller.
-    pub(crate) fn answers(&self, id: &str) -> bool {
+    pub(crate) fn answers_commands(&self, id: &str) -> bool {
         let observation = self.workers.observations.of(id);
         let answered_at = observation.answered_at;
         let answered_recently = answered_at.is_some_and(|at| self.now < at + 2 * PROBE_FRESH_MS);
@@ -235,7 +235,7 @@
     /// Returns migrations of service tasks off machines whose outbound connection is lost, once half of their lease
     /// has passed. Without the migration the tasks end with the lease. Returns none if more than a third of all
     /// machines are affected, since then the controllers are more likely at fault.
-    pub(crate) fn services_on_mute_workers(&self) -> Vec<MigrationCandidate> {
+    pub(crate) fn service_migrations_off_outbound_lost(&self) -> Vec<MigrationCandidate> {
         let half_lease_ms = self.settings.lease_ms / 2;
         let lease_at_risk = |liveness: &Liveness| {
             let last_heartbeat_at = liveness.last_heartbeat_at();
@@ -261,12 +261,12 @@
     /// Returns whether tasks may be placed or preempted on a machine: it sent a heartbeat recently, answered a
     /// direct command since one last went unanswered, and its zone is reachable. Heartbeats alone do not show
     /// that commands reach the machine.
-    pub(crate) fn reachable(&self, id: &str, zone: &str) -> bool {
-        self.reachable_by(&self.liveness(id), zone)
+    pub(crate) fn is_reachable(&self, id: &str, zone: &str) -> bool {
+        self.is_reachable_with(&self.liveness(id), zone)
     }
 
-    /// Returns the result of `reachable` for a machine whose liveness was already looked up.
-    pub(crate) fn reachable_by(&self, liveness: &Liveness, zone: &str) -> bool {
+    /// Returns the result of `is_reachable` for a machine whose liveness was already looked up.
+    pub(crate) fn is_reachable_with(&self, liveness: &Liveness, zone: &str) -> bool {
         self.recently_heard_of(liveness)
             && !self.is_outbound_lost(liveness)
             && !self.is_zone_unreachable(zone)
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -359,7 +359,8 @@
     fn reachable_capacity(&self) -> ReachableCapacity {
         let mut free = Vec::new();
         for (id, machine, _) in self.cache.machines() {
-            let is_usable = machine.phase == MachinePhase::Up && self.reachable(id, &machine.zone);
+            let is_usable =
+                machine.phase == MachinePhase::Up && self.is_reachable(id, &machine.zone);
             let machine_type = self.machine_types.get(&machine.type_name);
             let Some(machine_type) = machine_type.filter(|_| is_usable) else {
                 continue;
