--- a/crates/core/src/controller/operations.rs
+++ b/crates/core/src/controller/operations.rs
@@ -25,11 +25,11 @@
     /// Records observations from heartbeats: ends of attempts, starts to be sent in replies, machines.
     WriteResults {
         /// Machines whose held heartbeats are answered with a start once the transaction has committed.
-        reply_start: Vec<String>,
+        machines_to_start: Vec<String>,
         /// Whether the transaction marks machines for deprovisioning.
-        returning: bool,
+        deprovisions_machines: bool,
         /// Attempts whose end the transaction records.
-        released: Vec<(TaskId, u64)>,
+        ended_attempts: Vec<(TaskId, u64)>,
     },
     /// Records run times of a job class.
     RecordRunTimes(ClassId, Vec<Batch>),
--- a/crates/core/src/peers/failure_detector.rs
+++ b/crates/core/src/peers/failure_detector.rs
@@ -51,14 +51,14 @@
             let workers = peer.workers.len() + peer.failed_over;
             if status.is_inactive() && !previous.is_inactive() {
                 let failover = Failover {
-                    started_at: peer.at,
+                    started_at: peer.last_heartbeat_at,
                     missing: peer.workers.clone(),
                     workers,
                 };
                 self.failovers.insert(controller.clone(), failover);
             }
             changes.push(PeerStatusChange {
-                silent_ms: now - peer.at,
+                silent_ms: now - peer.last_heartbeat_at,
                 controller,
                 previous,
                 status,
@@ -95,7 +95,7 @@
         let Some(peer) = self.peers.get(controller) else {
             return PeerStatus::Silent;
         };
-        let silent_ms = now.saturating_sub(peer.at);
+        let silent_ms = now.saturating_sub(peer.last_heartbeat_at);
         let min_ms = self.membership.tuning.heartbeats_missed_ms;
         if peer.link_ended || silent_ms > peer.intervals.timeout_ms(min_ms) {
             self.status_of_silent_peer(now, peer)
@@ -108,7 +108,7 @@
     /// indicates an exit. The peer's workers, and the peers that still receive its heartbeats, distinguish a paused
     /// peer from a lost link.
     fn status_of_silent_peer(&self, now: Millis, peer: &Peer) -> PeerStatus {
-        let silent_ms = now.saturating_sub(peer.at);
+        let silent_ms = now.saturating_sub(peer.last_heartbeat_at);
         let workers = peer.workers.len();
         let failing_over = peer.failed_over > workers / FAILOVER_WORKERS_PART;
         let workers_silent = silent_ms > self.membership.worker_failover_ms
@@ -131,12 +131,12 @@
     /// silence began is no evidence.
     fn is_heard_by_another_peer(&self, now: Millis, silent: &Peer) -> bool {
         let name = &silent.heartbeat.controller;
-        let earliest = silent.at + HEARTBEATS_MISSED_MS + PEER_OPINION_MARGIN_MS;
+        let earliest = silent.last_heartbeat_at + HEARTBEATS_MISSED_MS + PEER_OPINION_MARGIN_MS;
         let hears = |status: &ControllerStatus| status.heard_peers.iter().any(|n| n == name);
         self.peers.values().any(|other| {
             other.heartbeat.controller != *name
                 && other.is_in_time(now)
-                && other.at > earliest
+                && other.last_heartbeat_at > earliest
                 && other.heartbeat.status.as_ref().is_some_and(hears)
         })
     }
--- a/crates/core/src/peers/peer.rs
+++ b/crates/core/src/peers/peer.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub(crate) struct Peer {
     /// When this controller accepted the peer's last heartbeat.
-    pub at: Millis,
+    pub last_heartbeat_at: Millis,
     /// The last accepted heartbeat.
     pub heartbeat: PeerHeartbeat,
     pub(super) intervals: HeartbeatIntervals,
@@ -42,12 +42,12 @@
     pub(super) fn is_live(&self, now: Millis) -> bool {
         let is_lost =
             self.link_ended || self.status.is_inactive() || self.status == PeerStatus::LinkLost;
-        now.saturating_sub(self.at) <= PEER_LOST_MS && !is_lost
+        now.saturating_sub(self.last_heartbeat_at) <= PEER_LOST_MS && !is_lost
     }
 
     /// Returns whether no heartbeat of the peer is overdue.
     pub(super) fn is_in_time(&self, now: Millis) -> bool {
-        now.saturating_sub(self.at) <= HEARTBEATS_MISSED_MS && !self.link_ended
+        now.saturating_sub(self.last_heartbeat_at) <= HEARTBEATS_MISSED_MS && !self.link_ended
     }
 
     /// Returns whether the peer reaches the state store and workers, according to its last heartbeat.
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub(crate) struct PeerObservation {
     /// When the peer received it, by this controller's clock.
-    pub at: Millis,
+    pub received_at: Millis,
     /// Its position in the sequence of the worker's heartbeats.
     pub position: HeartbeatPosition,
     pub(super) peer: String,
--- a/crates/core/src/peers/tracker.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -113,8 +113,8 @@
         self.share_images |= self.has_just_started(&heartbeat);
         match self.peers.get_mut(&heartbeat.controller) {
             Some(peer) => {
-                peer.intervals.observe(now - peer.at);
-                peer.at = now;
+                peer.intervals.observe(now - peer.last_heartbeat_at);
+                peer.last_heartbeat_at = now;
                 peer.link_ended = false;
                 peer.failed_over = 0;
                 peer.heartbeat = heartbeat;
@@ -128,7 +128,7 @@
     fn add_peer(&mut self, now: Millis, heartbeat: PeerHeartbeat) {
         let controller = heartbeat.controller.clone();
         let peer = Peer {
-            at: now,
+            last_heartbeat_at: now,
             heartbeat,
             intervals: HeartbeatIntervals::new(),
             link_ended: false,
@@ -172,7 +172,9 @@
     pub fn reset_after_pause(&mut self, now: Millis) {
         for peer in self.peers.values_mut() {
             // The status is unknown, which is no reason for a failover.
-            peer.at = peer.at.min(now.saturating_sub(PEER_LOST_MS + 1));
+            peer.last_heartbeat_at = peer
+                .last_heartbeat_at
+                .min(now.saturating_sub(PEER_LOST_MS + 1));
             (peer.status, peer.failed_over) = (PeerStatus::Silent, 0);
         }
         self.failovers.clear();
@@ -362,7 +364,7 @@
         let at = now.saturating_sub(worker.age_ms);
         let Some(known) = self.observations.get_mut(machine) else {
             let observation = PeerObservation {
-                at,
+                received_at: at,
                 position,
                 peer: controller.to_string(),
             };
@@ -370,7 +372,7 @@
             self.observations.insert(machine.clone(), observation);
             return;
         };
-        known.at = known.at.max(at);
+        known.received_at = known.received_at.max(at);
         if position <= known.position {
             return;
         }
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -97,9 +97,9 @@
                 self.user_request_written(request, &response);
             }
             PendingOperation::WriteResults {
-                reply_start,
-                returning,
-                released,
+                machines_to_start: reply_start,
+                deprovisions_machines: returning,
+                ended_attempts: released,
             } => {
                 self.assignment_write_finished(operation, &response);
                 if committed {
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -33,7 +33,11 @@
         let up_since = liveness.observation.up_since.unwrap_or(self.now);
         let received = liveness.received;
         let received_at = received.map_or(up_since, |heartbeat| heartbeat.at.max(up_since));
-        received_at.max(liveness.from_peers.map_or(0, |heartbeat| heartbeat.at))
+        received_at.max(
+            liveness
+                .from_peers
+                .map_or(0, |heartbeat| heartbeat.received_at),
+        )
     }
 
     /// When any controller last received a heartbeat of a machine, if ever.
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -133,7 +133,7 @@
         let waited = |at: Millis| self.now + WORKER_HANDOFF_MS >= at + WORKER_FAILOVER_MS;
         let by = liveness
             .from_peers
-            .filter(|t| !liveness.reports_here() && waited(t.at));
+            .filter(|t| !liveness.reports_here() && waited(t.received_at));
         let left = by.is_some_and(|t| self.peers.is_healthy(self.now, t.peer()));
         if left && liveness.observation.may_be_probed(self.now) {
             self.workers.observations.note(id).probed_at = Some(self.now);
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -56,7 +56,7 @@
     /// When any controller last received a heartbeat of it, if ever.
     pub fn last_heartbeat_at(&self) -> Option<Millis> {
         let received_at = self.received.map(|heartbeat| heartbeat.at);
-        received_at.max(self.from_peers.map(|heartbeat| heartbeat.at))
+        received_at.max(self.from_peers.map(|heartbeat| heartbeat.received_at))
     }
 
     /// The latest sign of life that any controller is known to have had, if any: a heartbeat or an
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -92,7 +92,7 @@
     /// while peers have. It took the first two or three machines that fell silent so for dead.
     pub(super) fn may_be_partitioned(&self, asked: Millis) -> bool {
         let elsewhere = self.live_peers().any(|s| {
-            let since = self.now - s.at;
+            let since = self.now - s.last_heartbeat_at;
             let heard = s
                 .heartbeat
                 .workers
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -103,9 +103,9 @@
         self.write_back.written_at = if is_full { 0 } else { self.now };
         let transaction = builder.finish();
         let purpose = PendingOperation::WriteResults {
-            reply_start,
-            returning,
-            released,
+            machines_to_start: reply_start,
+            deprovisions_machines: returning,
+            ended_attempts: released,
         };
         self.commit_assignments(transaction, purpose, RequestClass::Result);
         self.log_oversized(large);
