--- a/crates/core/src/controller/messages.rs
+++ b/crates/core/src/controller/messages.rs
@@ -205,15 +205,15 @@
     },
     WorkerHeartbeat {
         request: RequestId,
-        report: Box<WorkerHeartbeat>,
+        heartbeat: Box<WorkerHeartbeat>,
     },
     State {
-        token: OperationId,
-        answer: StateResponse,
+        operation_id: OperationId,
+        response: StateResponse,
     },
     /// A transaction has had no answer within the timeout. An answer may still arrive.
     StateTimeout {
-        token: OperationId,
+        operation_id: OperationId,
     },
     /// The watch delivered changes up to a revision, in order.
     WatchUpdate {
@@ -225,8 +225,8 @@
     /// The watch can't resume from its revision, so all records must be listed again.
     WatchGap,
     Cloud {
-        token: OperationId,
-        answer: CloudResponse,
+        operation_id: OperationId,
+        response: CloudResponse,
     },
     PeerHeartbeat(PeerHeartbeat),
     /// The last connection over which a peer sent heartbeats was closed.
@@ -238,9 +238,9 @@
     /// The outcome of a direct command.
     CommandResult {
         machine: String,
-        reach: CommandOutcome,
+        outcome: CommandOutcome,
         /// The worker's heartbeat in its answer, if it was readable.
-        report: Option<Box<WorkerHeartbeat>>,
+        heartbeat: Option<Box<WorkerHeartbeat>>,
     },
 }
 
@@ -289,13 +289,13 @@
         reply: WorkerReply,
     },
     State {
-        token: OperationId,
-        op: StateOperation,
+        operation_id: OperationId,
+        operation: StateOperation,
         request_class: RequestClass,
     },
     Cloud {
-        token: OperationId,
-        op: CloudOperation,
+        operation_id: OperationId,
+        operation: CloudOperation,
     },
     /// Opens a watch from this revision on and closes any watch that is open.
     Watch {
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -122,23 +122,29 @@
             Event::Submit { request, spec } => self.handle_submit(request, *spec),
             Event::Status { request, job } => self.handle_status(request, job),
             Event::Cancel { request, job } => self.handle_cancel(request, job),
-            Event::WorkerHeartbeat { request, report } => {
-                self.receive_worker_heartbeat(request, *report)
+            Event::WorkerHeartbeat { request, heartbeat } => {
+                self.receive_worker_heartbeat(request, *heartbeat)
             }
-            Event::State { token, answer } => self.handle_state_response(token, answer),
-            Event::StateTimeout { token } => self.handle_state_timeout(token),
+            Event::State {
+                operation_id,
+                response,
+            } => self.handle_state_response(operation_id, response),
+            Event::StateTimeout { operation_id } => self.handle_state_timeout(operation_id),
             Event::WatchUpdate { revision, changes } => self.watched(revision, changes),
             Event::WatchGap => self.start_list(),
             Event::Throttled => self.handle_throttling(),
-            Event::Cloud { token, answer } => self.handle_cloud_response(token, answer),
+            Event::Cloud {
+                operation_id,
+                response,
+            } => self.handle_cloud_response(operation_id, response),
             Event::CommandResult {
                 machine,
-                reach,
-                report,
+                outcome,
+                heartbeat,
             } => {
-                self.handle_command_result(machine, reach);
-                if let Some(report) = report {
-                    self.process_command_response(&report);
+                self.handle_command_result(machine, outcome);
+                if let Some(heartbeat) = heartbeat {
+                    self.process_command_response(&heartbeat);
                 }
             }
             Event::PeerHeartbeat(heartbeat) => self.receive_peer_heartbeat(heartbeat),
--- a/crates/core/src/controller/operations.rs
+++ b/crates/core/src/controller/operations.rs
@@ -135,18 +135,21 @@
         self.metrics.sent(&pending, &transaction);
         let id = self.track_operation(pending, Some(transaction.clone()));
         self.emit(Effect::State {
-            token: id,
-            op: StateOperation::Transaction(transaction),
+            operation_id: id,
+            operation: StateOperation::Transaction(transaction),
             request_class,
         });
         id
     }
 
     /// Sends a request to the cloud.
-    pub(crate) fn send_to_cloud(&mut self, op: CloudOperation, pending: PendingOperation) {
+    pub(crate) fn send_to_cloud(&mut self, operation: CloudOperation, pending: PendingOperation) {
         self.metrics.cloud += 1;
         let id = self.track_operation(pending, None);
-        self.emit(Effect::Cloud { token: id, op });
+        self.emit(Effect::Cloud {
+            operation_id: id,
+            operation,
+        });
     }
 
     /// Returns the number of changes that the write budget allows now. Peers that do not reach the state
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -90,8 +90,8 @@
         let round = self.list_watch.list.round;
         let token = self.track_operation(PendingOperation::List { round }, None);
         self.emit(Effect::State {
-            token,
-            op: StateOperation::List { after },
+            operation_id: token,
+            operation: StateOperation::List { after },
             request_class: RequestClass::User,
         });
     }
--- a/crates/core/src/state/reads.rs
+++ b/crates/core/src/state/reads.rs
@@ -103,8 +103,8 @@
         self.reads.mark_issued(self.now);
         let token = self.track_operation(PendingOperation::ReadIndex, None);
         self.emit(Effect::State {
-            token,
-            op: StateOperation::ReadIndex,
+            operation_id: token,
+            operation: StateOperation::ReadIndex,
             request_class: RequestClass::User,
         });
     }
--- a/crates/core/tests/allocations.rs
+++ b/crates/core/tests/allocations.rs
@@ -58,7 +58,10 @@
                 report.sequence += sequence;
                 let report = Box::new(report.clone());
                 let request = 1_000_000 + i as u64;
-                Event::WorkerHeartbeat { request, report }
+                Event::WorkerHeartbeat {
+                    request,
+                    heartbeat: report,
+                }
             })
             .collect()
     };
--- a/crates/glenmount/src/cloud_client.rs
+++ b/crates/glenmount/src/cloud_client.rs
@@ -63,7 +63,12 @@
         tracing::debug!(op = ?operation, "the cloud did not do it");
         sleep(RETRY_PAUSE).await;
     }
-    let _ = core.send(Event::Cloud { token, answer }).await;
+    let _ = core
+        .send(Event::Cloud {
+            operation_id: token,
+            response: answer,
+        })
+        .await;
 }
 
 /// Nothing when there was no answer, or not one as published.
--- a/crates/glenmount/src/event_loop.rs
+++ b/crates/glenmount/src/event_loop.rs
@@ -127,8 +127,8 @@
             Effect::User { request, reply } => self.answer(request, CoreReply::User(reply)),
             Effect::Worker { request, reply } => self.answer(request, CoreReply::Worker(reply)),
             Effect::State {
-                token,
-                op,
+                operation_id: token,
+                operation: op,
                 request_class,
             } => self.send_to_state_store(StateRequest {
                 token,
@@ -136,7 +136,10 @@
                 request_class,
                 queued_at: Instant::now(),
             }),
-            Effect::Cloud { token, op } => self.send_to_cloud(CloudRequest {
+            Effect::Cloud {
+                operation_id: token,
+                operation: op,
+            } => self.send_to_cloud(CloudRequest {
                 token,
                 operation: op,
             }),
@@ -174,7 +177,10 @@
         let token = request.token;
         if self.outputs.state.try_send(request).is_err() {
             let answer = StateResponse::Unavailable;
-            self.note(Event::State { token, answer });
+            self.note(Event::State {
+                operation_id: token,
+                response: answer,
+            });
         }
     }
 
@@ -182,7 +188,10 @@
         let token = request.token;
         if self.outputs.cloud.try_send(request).is_err() {
             let answer = CloudResponse::Failed;
-            self.note(Event::Cloud { token, answer });
+            self.note(Event::Cloud {
+                operation_id: token,
+                response: answer,
+            });
         }
     }
 
--- a/crates/glenmount/src/http_server.rs
+++ b/crates/glenmount/src/http_server.rs
@@ -129,8 +129,11 @@
                 return error(400, &reason);
             }
         };
-        self.ask(|request| Event::WorkerHeartbeat { request, report })
-            .await
+        self.ask(|request| Event::WorkerHeartbeat {
+            request,
+            heartbeat: report,
+        })
+        .await
     }
 
     /// Asks the core, and waits for its answer.
--- a/crates/glenmount/src/state_client/exchange.rs
+++ b/crates/glenmount/src/state_client/exchange.rs
@@ -79,7 +79,11 @@
             Ok(answer) => answer,
             Err(_) => {
                 if matches!(request.operation, StateOperation::Transaction(_)) {
-                    let _ = core.send(Event::StateTimeout { token }).await;
+                    let _ = core
+                        .send(Event::StateTimeout {
+                            operation_id: token,
+                        })
+                        .await;
                 }
                 answer.await
             }
@@ -95,7 +99,12 @@
             took_ms: sent_at.elapsed().as_secs_f64() * 1e3,
         },
     };
-    let _ = core.send(Event::State { token, answer }).await;
+    let _ = core
+        .send(Event::State {
+            operation_id: token,
+            response: answer,
+        })
+        .await;
     outcome
 }
 
--- a/crates/glenmount/src/state_client/mod.rs
+++ b/crates/glenmount/src/state_client/mod.rs
@@ -52,8 +52,8 @@
     /// It was never sent, so it certainly had no effect.
     fn unavailable(&self) -> Event {
         Event::State {
-            token: self.token,
-            answer: StateResponse::Unavailable,
+            operation_id: self.token,
+            response: StateResponse::Unavailable,
         }
     }
 }
--- a/crates/glenmount/src/tests/cloud_forms.rs
+++ b/crates/glenmount/src/tests/cloud_forms.rs
@@ -77,7 +77,10 @@
     assert!(request_sender.send(request).await.is_ok());
     let request = in_time(answer_once(&listener, status, body)).await;
     match in_time(events.recv()).await {
-        Some(Event::Cloud { token: 17, answer }) => (request, show(answer)),
+        Some(Event::Cloud {
+            operation_id: 17,
+            response: answer,
+        }) => (request, show(answer)),
         other => panic!("not the cloud's answer: {other:?}"),
     }
 }
--- a/crates/glenmount/src/tests/public_protocol.rs
+++ b/crates/glenmount/src/tests/public_protocol.rs
@@ -104,7 +104,12 @@
     check_lines("check_ins.tsv", sample, |columns| async move {
         let request = ("POST", "/checkin", columns[0]);
         match exchange(request, Answer::None, true).await {
-            (Some(Event::WorkerHeartbeat { report, .. }), _) => show_report(&report),
+            (
+                Some(Event::WorkerHeartbeat {
+                    heartbeat: report, ..
+                }),
+                _,
+            ) => show_report(&report),
             (_, response) => response,
         }
     })
@@ -135,7 +140,12 @@
             (Some(Event::Submit { spec, .. }), _) => format!("submission of {}", spec.id),
             (Some(Event::Status { job, .. }), _) => format!("status of {job}"),
             (Some(Event::Cancel { job, .. }), _) => format!("cancellation of {job}"),
-            (Some(Event::WorkerHeartbeat { report, .. }), _) => {
+            (
+                Some(Event::WorkerHeartbeat {
+                    heartbeat: report, ..
+                }),
+                _,
+            ) => {
                 format!("check-in of {}", report.machine)
             }
             (Some(other), _) => format!("{other:?}"),
--- a/crates/glenmount/src/tests/state_forms.rs
+++ b/crates/glenmount/src/tests/state_forms.rs
@@ -83,8 +83,11 @@
     let outcome = loop {
         match in_time(events.recv()).await {
             // As may come on a busy machine: the answer follows.
-            Some(Event::StateTimeout { token: 17 }) => {}
-            Some(Event::State { token: 17, answer }) => break show(&answer),
+            Some(Event::StateTimeout { operation_id: 17 }) => {}
+            Some(Event::State {
+                operation_id: 17,
+                response: answer,
+            }) => break show(&answer),
             Some(Event::Throttled) => break "throttled, to be sent again".to_string(),
             other => panic!("not an answer: {other:?}"),
         }
--- a/crates/glenmount/src/tests/worker_commands.rs
+++ b/crates/glenmount/src/tests/worker_commands.rs
@@ -46,8 +46,8 @@
     let asked = in_time(answer_once(&listener, status, body)).await;
     let Some(Event::CommandResult {
         machine,
-        reach,
-        report,
+        outcome: reach,
+        heartbeat: report,
     }) = in_time(events.recv()).await
     else {
         panic!("not what becomes of a command")
--- a/crates/glenmount/src/worker_client.rs
+++ b/crates/glenmount/src/worker_client.rs
@@ -91,8 +91,8 @@
             let outcome = deliver(&http, &command, slots, queued_at).await;
             let event = Event::CommandResult {
                 machine: command.machine,
-                reach: outcome.reach,
-                report: outcome.report,
+                outcome: outcome.reach,
+                heartbeat: outcome.report,
             };
             let _ = core.send(event).await;
         });
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -66,8 +66,8 @@
             false => CloudResponse::Failed,
         };
         let event = Event::Cloud {
-            token: request.token,
-            answer: match request.answer_lost {
+            operation_id: request.token,
+            response: match request.answer_lost {
                 true => CloudResponse::Failed,
                 false => answer,
             },
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -78,8 +78,8 @@
                 self.worker_reply(reply);
             }
             Effect::State {
-                token,
-                op,
+                operation_id: token,
+                operation: op,
                 request_class,
             } => {
                 self.number(3);
@@ -87,7 +87,10 @@
                 self.number(*request_class as u64);
                 self.state_operation(op);
             }
-            Effect::Cloud { token, op } => {
+            Effect::Cloud {
+                operation_id: token,
+                operation: op,
+            } => {
                 self.number(4);
                 self.number(*token);
                 self.cloud_operation(op);
--- a/crates/simulation/src/effects.rs
+++ b/crates/simulation/src/effects.rs
@@ -41,8 +41,15 @@
                 self.record_answer(request, reply);
             }
             Effect::Worker { request, reply } => self.send_heartbeat_reply(process, request, reply),
-            Effect::State { token, op, .. } => self.send_state_operation(process, token, op),
-            Effect::Cloud { token, op } => self.send_cloud_operation(process, token, op),
+            Effect::State {
+                operation_id: token,
+                operation: op,
+                ..
+            } => self.send_state_operation(process, token, op),
+            Effect::Cloud {
+                operation_id: token,
+                operation: op,
+            } => self.send_cloud_operation(process, token, op),
             Effect::Watch { since } => {
                 self.controllers[controller].watched_revision = Some(since);
                 self.schedule(3, Action::NotifyWatch(process));
@@ -114,7 +121,14 @@
         };
         let Some(op) = op.filter(|_| !self.controllers[controller].refused_by_state) else {
             let answer = StateResponse::Unavailable;
-            self.deliver(5, process, Event::State { token, answer });
+            self.deliver(
+                5,
+                process,
+                Event::State {
+                    operation_id: token,
+                    response: answer,
+                },
+            );
             return;
         };
         let transaction = matches!(op, StateOperation::Transaction(_));
@@ -166,10 +180,19 @@
         transaction: bool,
     ) {
         if transaction {
-            self.deliver(STATE_TIMEOUT_MS, process, Event::StateTimeout { token });
+            self.deliver(
+                STATE_TIMEOUT_MS,
+                process,
+                Event::StateTimeout {
+                    operation_id: token,
+                },
+            );
         }
         let answer = StateResponse::NoAnswer;
-        let event = Event::State { token, answer };
+        let event = Event::State {
+            operation_id: token,
+            response: answer,
+        };
         self.deliver(STATE_REQUEST_GIVE_UP_MS, process, event);
     }
 
@@ -189,7 +212,10 @@
         let answer_lost = self.chance(self.network.faults.cloud_answer_lost);
         if self.is_partitioned(process.controller) {
             let answer = CloudResponse::Failed;
-            let event = Event::Cloud { token, answer };
+            let event = Event::Cloud {
+                operation_id: token,
+                response: answer,
+            };
             self.deliver(CLOUD_TIMEOUT_MS, process, event);
             return;
         }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -57,8 +57,8 @@
 pub(crate) fn command_unanswered(machine: String, reach: CommandOutcome) -> Event {
     Event::CommandResult {
         machine,
-        reach,
-        report: None,
+        outcome: reach,
+        heartbeat: None,
     }
 }
 
--- a/crates/simulation/src/previous_version.rs
+++ b/crates/simulation/src/previous_version.rs
@@ -246,8 +246,8 @@
             Event::WatchUpdate { revision, changes }
         }
         Event::State {
-            token,
-            answer:
+            operation_id: token,
+            response:
                 StateResponse::Listed {
                     items,
                     last,
@@ -265,7 +265,10 @@
                 more,
                 revision,
             };
-            Event::State { token, answer }
+            Event::State {
+                operation_id: token,
+                response: answer,
+            }
         }
         event => event,
     }
--- a/crates/simulation/src/state_store.rs
+++ b/crates/simulation/src/state_store.rs
@@ -170,9 +170,22 @@
             false => ANSWER_MS,
         };
         if delay > STATE_TIMEOUT_MS && changes > 0 {
-            self.deliver(STATE_TIMEOUT_MS, process, Event::StateTimeout { token });
+            self.deliver(
+                STATE_TIMEOUT_MS,
+                process,
+                Event::StateTimeout {
+                    operation_id: token,
+                },
+            );
         }
-        self.deliver(delay, process, Event::State { token, answer });
+        self.deliver(
+            delay,
+            process,
+            Event::State {
+                operation_id: token,
+                response: answer,
+            },
+        );
     }
 
     pub(crate) fn execute_state_operation(
--- a/crates/simulation/src/workers/commands.rs
+++ b/crates/simulation/src/workers/commands.rs
@@ -85,8 +85,8 @@
         let report = reports.then(|| Box::new(self.heartbeat_of(&machine)));
         let event = Event::CommandResult {
             machine,
-            reach,
-            report,
+            outcome: reach,
+            heartbeat: report,
         };
         self.deliver(ANSWER_MS, to, event);
     }
--- a/crates/simulation/src/workers/heartbeats.rs
+++ b/crates/simulation/src/workers/heartbeats.rs
@@ -195,7 +195,13 @@
         self.pending_heartbeats
             .insert((self.process(controller), request), checkin);
         let report = Box::new(report);
-        self.handle(controller, Event::WorkerHeartbeat { request, report });
+        self.handle(
+            controller,
+            Event::WorkerHeartbeat {
+                request,
+                heartbeat: report,
+            },
+        );
     }
 
     /// The answer to a report arrives at its worker.
