--- a/crates/core/src/controller/readiness.rs
+++ b/crates/core/src/controller/readiness.rs
@@ -41,14 +41,14 @@
     /// Returns whether the state cache is complete and current and the state store answered recently.
     pub fn has_current_state(&self) -> bool {
         let is_lost = |lagging_since| self.now >= lagging_since + WATCH_LOST_MS;
-        let answered_lately = |at| self.now.saturating_sub(at) <= STATE_LOST_MS;
+        let answered_recently = |at| self.now.saturating_sub(at) <= STATE_LOST_MS;
         self.list_watch.has_listed
             && !self.lifecycle.cache_predates_resume
             && !self.list_watch.watch_lag_since.is_some_and(is_lost)
             && self
                 .list_watch
                 .last_response_at
-                .is_some_and(answered_lately)
+                .is_some_and(answered_recently)
     }
 
     /// Returns the milliseconds since the state store last answered, or since the start.
