--- a/crates/core/src/configuration/rollout.rs
+++ b/crates/core/src/configuration/rollout.rs
@@ -13,7 +13,7 @@
     /// Applies the configuration in the cache, before any decision that depends on a changed cache. Does nothing
     /// before the list is complete, since the cache may hold only a part of a configuration.
     pub(crate) fn apply_stored_configuration(&mut self) {
-        if !self.sync.has_listed || !self.settings.checks.stored_configuration {
+        if !self.list_watch.has_listed || !self.settings.checks.stored_configuration {
             return;
         }
         match self.configuration.refresh(&self.cache) {
--- a/crates/core/src/controller/housekeeping.rs
+++ b/crates/core/src/controller/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What a controller does as time passes, in this order, several times a second.
+//! Periodic work of a controller, several times a second and in a fixed order.
 
 use crate::constants::{
     CLEANUP_INTERVAL_MS, FAILURE_DETECTION_INTERVAL_MS, HOUSEKEEPING_INTERVAL_MS,
@@ -8,19 +8,21 @@
 use crate::controller::{CloudOperation, Controller, Effect, PendingOperation};
 
 impl Controller {
-    /// The clock ticked. Waiting users and workers are looked after with every tick, all else every `HOUSEKEEPING_INTERVAL_MS`.
+    /// Handles a tick of the clock. Every tick answers waiting users and workers; the remaining work is done
+    /// every `HOUSEKEEPING_INTERVAL_MS`.
     pub(super) fn tick(&mut self) {
-        self.peers.ticked(self.now - self.lifecycle.last_tick_at);
+        self.peers
+            .record_tick(self.now - self.lifecycle.last_tick_at);
         self.lifecycle.last_tick_at = self.now;
         self.expire_user_requests();
         self.reply_to_held_heartbeats();
-        // The first tick does all: users wait for the records to be read.
+        // The first tick does all work: users wait until the records have been listed.
         let last = self.lifecycle.last_housekeeping_at;
         if last.is_some_and(|at| self.now < at + HOUSEKEEPING_INTERVAL_MS) {
             return;
         }
         self.lifecycle.last_housekeeping_at = Some(self.now);
-        self.keep_in_touch();
+        self.maintain_connections();
         if !self.has_current_state() {
             return;
         }
@@ -36,26 +38,27 @@
         self.record_run_times();
         self.retry_instance_requests();
         self.remove_completed_requests();
-        if self.on_duty() {
-            self.do_duties();
+        if self.is_coordinator() {
+            self.run_coordinator_tasks();
         }
     }
 
-    /// What is done without current state as well.
-    fn keep_in_touch(&mut self) {
+    /// Does the periodic work that needs no current state cache.
+    fn maintain_connections(&mut self) {
         self.log_problems();
         self.probe_during_partition();
-        self.judge_peers();
+        self.assess_peers();
         self.send_heartbeat();
         self.exit_if_drained();
-        if !self.sync.has_listed && !self.sync.list.in_flight {
+        if !self.list_watch.has_listed && !self.list_watch.list.in_flight {
             self.start_list();
         }
         self.read_machine_types();
         self.reopen_lagging_watch();
     }
 
-    /// The client answers a failed request after a pause of its own, so tries are spaced there.
+    /// Reads the cloud's machine types when they are due. The cloud client delays its answer to a failed request,
+    /// so retries need no backoff here.
     fn read_machine_types(&mut self) {
         let last = self.provisioning.machine_types_read_at;
         let is_due = last.is_none_or(|at| self.now >= at + MACHINE_TYPES_INTERVAL_MS);
@@ -65,17 +68,18 @@
         }
     }
 
+    /// Reopens a watch that has lagged behind a known revision for `WATCH_LAG_REOPEN_MS`.
     fn reopen_lagging_watch(&mut self) {
-        let Some(lagging_since) = self.sync.watch_lag_since else {
+        let Some(lagging_since) = self.list_watch.watch_lag_since else {
             return;
         };
-        let since = lagging_since.max(self.sync.watch_opened_at);
-        if !self.sync.has_listed || self.now < since + WATCH_LAG_REOPEN_MS {
+        let since = lagging_since.max(self.list_watch.watch_opened_at);
+        if !self.list_watch.has_listed || self.now < since + WATCH_LAG_REOPEN_MS {
             return;
         }
         let revision = self.cache.revision;
         tracing::info!(revision, "watch lagging, reopened");
-        self.sync.watch_opened_at = self.now;
+        self.list_watch.watch_opened_at = self.now;
         self.emit(Effect::Watch { since: revision });
     }
 
@@ -86,15 +90,15 @@
         }
     }
 
-    /// Forgets what belongs to machines that are gone, and logs what was counted.
+    /// Removes the data of deleted machines and old run times, and logs the counters.
     fn clean_up(&mut self) {
         if self.now < self.cleanup.last_cleanup_at + CLEANUP_INTERVAL_MS {
             return;
         }
         self.cleanup.last_cleanup_at = self.now;
         if self.now >= self.lifecycle.started_at + METRICS_INTERVAL_MS {
-            let (records, held) = (self.cache.len(), self.workers.held_heartbeats.len());
-            self.metrics.log_if_due(self.now, records, held);
+            let (records, held_heartbeats) = (self.cache.len(), self.workers.held_heartbeats.len());
+            self.metrics.log_if_due(self.now, records, held_heartbeats);
         }
         self.forget_deleted_machines();
         self.clean_up_run_times();
@@ -111,13 +115,13 @@
         self.detect_machine_failures();
         self.finish_jobs();
         self.cancel_overdue_dependents();
-        if self.on_duty() {
+        if self.is_coordinator() {
             self.remove_obsolete_records();
         }
     }
 
-    /// What one controller does for all.
-    fn do_duties(&mut self) {
+    /// Does the work that only the coordinator does.
+    fn run_coordinator_tasks(&mut self) {
         self.evict_over_limits();
         self.send_deletions();
         self.list_instances();
--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -110,14 +110,14 @@
         let Some(machine) = self.cache.machine(id) else {
             return false;
         };
-        let is_reached = self.reachable(id, &machine.zone) || self.answers(id);
+        let is_reached = self.is_reachable(id, &machine.zone) || self.answers_commands(id);
         machine.phase != MachinePhase::Deprovisioning && is_reached
     }
 
     /// Answers the requests that wait for a confirmed cancellation, for each job of which nothing
     /// is left.
     pub(crate) fn confirm_cancellations(&mut self) {
-        if self.requests.awaiting_cancellation.is_empty() || !self.sync.has_listed {
+        if self.requests.awaiting_cancellation.is_empty() || !self.list_watch.has_listed {
             return;
         }
         let open = &self.requests.open;
@@ -159,7 +159,9 @@
     fn is_lease_renewal_safe(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let confirmed_from = self.cache.mod_revision(&Key::CancellationConfirmation);
         heartbeat.token >= CONFIRMED_CANCELLATION_TERM
-            || self.sync.has_listed && confirmed_from > 0 && self.cache.revision >= confirmed_from
+            || self.list_watch.has_listed
+                && confirmed_from > 0
+                && self.cache.revision >= confirmed_from
     }
 
     /// Returns the reply to a heartbeat while the controller is cut off from the state store: it
@@ -167,7 +169,7 @@
     /// nothing, and stops tasks of jobs cancelled before the cut, since a cancellation is final. A
     /// controller that has started during the cut and so has no records does the same.
     pub(crate) fn reply_without_state(&mut self, heartbeat: &WorkerHeartbeat) -> WorkerReply {
-        if let Some(controller) = self.peer_with_state() {
+        if let Some(controller) = self.peer_with_current_state() {
             return WorkerReply::Redirect {
                 controller: Some(controller),
             };
@@ -215,7 +217,7 @@
             .settings
             .cancellation_timeout_ms
             .saturating_sub(self.settings.lease_ms + CANCEL_MARGIN_MS);
-        self.sync.has_listed && self.state_age() < limit_ms
+        self.list_watch.has_listed && self.state_age_ms() < limit_ms
     }
 
     /// Returns whether a worker is kept rather than sent to look for another controller. A
@@ -225,8 +227,8 @@
     /// each worker is redirected once, if its lease lasts for a search of all controllers: a worker
     /// that comes back found no other.
     fn should_keep_worker(&mut self, id: &str) -> bool {
-        let reaches_all_peers = self.fresh_peers().count() + 1 == self.settings.controllers.len();
-        if self.sync.has_listed && reaches_all_peers {
+        let reaches_all_peers = self.live_peers().count() + 1 == self.settings.controllers.len();
+        if self.list_watch.has_listed && reaches_all_peers {
             return true;
         }
         let has_several_zones = self.settings.zones.len() > 1;
--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -159,7 +159,7 @@
         self.workers.last_heartbeats.retain(|id, heartbeat| {
             cache.machine(id).is_some() || self.now.saturating_sub(heartbeat.at) < 60_000
         });
-        self.peers.forget(|id| cache.machine(id).is_some());
+        self.peers.retain_machines(|id| cache.machine(id).is_some());
         self.workers
             .fetching_until
             .retain(|_, until| *until > self.now);
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -326,7 +326,9 @@
             JobPhase::Open => self.cache.depends_on_cancelled(id),
             JobPhase::Done => true,
             // While the records are listed page by page, the cache may lack assignments.
-            JobPhase::Cancelled => self.sync.has_listed && !self.cache.is_cancellation_pending(id),
+            JobPhase::Cancelled => {
+                self.list_watch.has_listed && !self.cache.is_cancellation_pending(id)
+            }
         }
     }
 
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -175,7 +175,7 @@
             .filter(|(number, request, _)| {
                 is_complete(request)
                     && !self.provisioning.removing_requests.contains(number)
-                    && (request.controller == self.settings.controller || self.on_duty())
+                    && (request.controller == self.settings.controller || self.is_coordinator())
             })
             .map(|(number, _, _)| *number)
             .collect();
@@ -325,7 +325,7 @@
     /// name, so that the cloud serves it only once.
     fn request_retry_ms(&self, number: u64, request: &InstanceRequestRecord) -> Millis {
         let stagger_ms = self.settings.controller_index() * CONTROLLER_STAGGER_MS;
-        if self.peers.is_away(&request.controller) {
+        if self.peers.is_inactive(&request.controller) {
             PROVISION_FAST_RETRY_MS + stagger_ms
         } else if request.controller != self.settings.controller {
             PROVISION_RETRY_MS * 2 + stagger_ms
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -50,7 +50,7 @@
         if work.is_empty() {
             return;
         }
-        let has_heard_all = self.has_heard_full_round();
+        let has_heard_all = self.has_completed_heartbeat_round();
         if has_heard_all {
             self.hold_for_cached_images(&mut work, &inherited);
         } else {
@@ -126,7 +126,7 @@
                 continue;
             }
             let liveness = self.liveness(id);
-            if !self.reachable_by(&liveness, &record.zone)
+            if !self.is_reachable_with(&liveness, &record.zone)
                 || !self.has_reported_since_resume(&liveness)
             {
                 continue;
@@ -185,7 +185,7 @@
     /// Returns the processors, in thousandths, of all machines that work can be placed on.
     fn usable_cpus(&self) -> u64 {
         let machines = self.cache.machines().filter(|(id, record, _)| {
-            record.phase == MachinePhase::Up && self.reachable(id, &record.zone)
+            record.phase == MachinePhase::Up && self.is_reachable(id, &record.zone)
         });
         machines
             .filter_map(|(_, record, _)| self.machine_types.get(&record.type_name))
@@ -252,7 +252,7 @@
     /// Returns whether a machine is reachable and not marked for termination, so that pending work may use it.
     pub(super) fn is_usable(&self, id: &str) -> bool {
         let zone = self.cache.machine(id).map(|record| &record.zone);
-        zone.is_some_and(|zone| self.reachable(id, zone))
+        zone.is_some_and(|zone| self.is_reachable(id, zone))
             && !self.workers.marked_for_termination.contains_key(id)
     }
 }
--- a/crates/core/src/scheduling/preemption_step.rs
+++ b/crates/core/src/scheduling/preemption_step.rs
@@ -112,7 +112,7 @@
     /// Returns the milliseconds since an attempt was assigned, derived from the time of the revision that
     /// identifies the attempt.
     fn assigned_for_ms(&self, attempt: u64) -> Millis {
-        let times = &self.sync.revision_times;
+        let times = &self.list_watch.revision_times;
         let position = times.partition_point(|(revision, _)| *revision <= attempt);
         match times.get(position) {
             // The attempt is older than all remembered revisions.
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -78,30 +78,30 @@
 impl Controller {
     /// Starts a new list of all records, from the first page on.
     pub(crate) fn start_list(&mut self) {
-        self.sync.has_listed = false;
-        self.sync.list.round += 1;
-        self.sync.list.listed.clear();
-        self.sync.list.revision = 0;
+        self.list_watch.has_listed = false;
+        self.list_watch.list.round += 1;
+        self.list_watch.list.listed.clear();
+        self.list_watch.list.revision = 0;
         self.request_list_page(None);
     }
 
     fn request_list_page(&mut self, after: Option<String>) {
-        self.sync.list.in_flight = true;
-        let round = self.sync.list.round;
+        self.list_watch.list.in_flight = true;
+        let round = self.list_watch.list.round;
         let token = self.track_operation(PendingOperation::List { round }, None);
         self.emit(Effect::State {
-            token,
-            op: StateOperation::List { after },
+            operation_id: token,
+            operation: StateOperation::List { after },
             request_class: RequestClass::User,
         });
     }
 
     /// Applies a page of a list, and requests the next page or completes the list.
     pub(super) fn list_page_received(&mut self, round: u64, response: StateResponse) {
-        if round != self.sync.list.round {
+        if round != self.list_watch.list.round {
             return;
         }
-        self.sync.list.in_flight = false;
+        self.list_watch.list.in_flight = false;
         let StateResponse::Listed {
             items,
             last,
@@ -111,11 +111,11 @@
         else {
             return; // the next tick restarts the list
         };
-        if self.sync.list.revision == 0 {
-            self.sync.list.revision = revision;
+        if self.list_watch.list.revision == 0 {
+            self.list_watch.list.revision = revision;
         }
         for (key, mod_revision, record) in items {
-            let list = &mut self.sync.list;
+            let list = &mut self.list_watch.list;
             list.max_mod_revision = list.max_mod_revision.max(mod_revision);
             list.listed.insert(key.clone());
             self.cache.put(key, mod_revision, record);
@@ -133,14 +133,14 @@
                 self.set_machine_types(&record.machine_types);
             }
         }
-        let revision = self.sync.list.revision;
-        let listed = std::mem::take(&mut self.sync.list.listed);
+        let revision = self.list_watch.list.revision;
+        let listed = std::mem::take(&mut self.list_watch.list.listed);
         self.cache.retain_listed(&listed, revision);
         self.cache.revision = revision;
         self.apply_all_run_times_records();
-        self.sync.has_listed = true;
+        self.list_watch.has_listed = true;
         self.apply_stored_configuration();
-        self.state_changed = true;
+        self.cache_changed = true;
         self.scheduling.pass_requested = true;
         tracing::info!(records = self.cache.len(), revision, "state list completed");
         self.emit(Effect::Watch { since: revision });
@@ -164,8 +164,9 @@
             self.apply(key, mod_revision, record, ChangeOrigin::Watch);
         }
         self.cache.revision = self.cache.revision.max(revision);
-        self.sync.record_revision(self.cache.revision, self.now);
-        self.state_changed = true;
+        self.list_watch
+            .record_revision(self.cache.revision, self.now);
+        self.cache_changed = true;
         self.apply_stored_configuration();
         self.serve_caught_up_reads();
     }
@@ -183,7 +184,7 @@
             Some(record) => self.apply_put(key, mod_revision, record, origin),
             None => self.apply_removal(&key, mod_revision),
         }
-        self.state_changed = true;
+        self.cache_changed = true;
     }
 
     fn apply_put(&mut self, key: Key, mod_revision: u64, record: Record, origin: ChangeOrigin) {
--- a/crates/core/src/state/reads.rs
+++ b/crates/core/src/state/reads.rs
@@ -99,14 +99,14 @@
     /// Sends a linearizable read if a request or a due probe needs one, and one may be sent.
     pub(crate) fn issue_read_index(&mut self) {
         let is_needed = !self.reads.unissued.is_empty() || self.reads.is_probe_due(self.now);
-        if !is_needed || !self.sync.has_listed || !self.reads.may_issue(self.now) {
+        if !is_needed || !self.list_watch.has_listed || !self.reads.may_issue(self.now) {
             return;
         }
         self.reads.mark_issued(self.now);
         let token = self.track_operation(PendingOperation::ReadIndex, None);
         self.emit(Effect::State {
-            token,
-            op: StateOperation::ReadIndex,
+            operation_id: token,
+            operation: StateOperation::ReadIndex,
             request_class: RequestClass::User,
         });
     }
@@ -127,8 +127,8 @@
             }
             return;
         };
-        if revision > self.cache.revision && self.sync.watch_lag_since.is_none() {
-            self.sync.watch_lag_since = Some(self.now);
+        if revision > self.cache.revision && self.list_watch.watch_lag_since.is_none() {
+            self.list_watch.watch_lag_since = Some(self.now);
         }
         self.reads.await_watch(revision, operation, requests);
         self.serve_caught_up_reads();
@@ -138,15 +138,15 @@
     pub(super) fn serve_caught_up_reads(&mut self) {
         let caught_up = self.reads.take_caught_up(self.cache.revision);
         if self.reads.behind_watch.is_empty() {
-            self.sync.watch_lag_since = None;
+            self.list_watch.watch_lag_since = None;
         }
         for read in caught_up {
-            if self.lifecycle.view_predates_resume
-                && self.sync.has_listed
+            if self.lifecycle.cache_predates_resume
+                && self.list_watch.has_listed
                 && read.operation >= self.lifecycle.first_operation_since_resume
             {
-                self.lifecycle.view_predates_resume = false;
-                self.state_changed = true;
+                self.lifecycle.cache_predates_resume = false;
+                self.cache_changed = true;
                 self.scheduling.pass_requested = true;
             }
             for request in read.requests {
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -37,7 +37,7 @@
         match response {
             StateResponse::Unavailable | StateResponse::NoAnswer => {}
             _ if operation < self.lifecycle.first_operation_since_resume => {}
-            _ => self.sync.last_response_at = Some(self.now),
+            _ => self.list_watch.last_response_at = Some(self.now),
         }
     }
 
@@ -101,9 +101,9 @@
                 self.user_request_written(request, &response);
             }
             PendingOperation::WriteResults {
-                reply_start,
-                returning,
-                released,
+                machines_to_start: reply_start,
+                deprovisions_machines: returning,
+                ended_attempts: released,
             } => {
                 self.assignment_write_finished(operation, &response);
                 if committed {
--- a/crates/core/src/state/write_control.rs
+++ b/crates/core/src/state/write_control.rs
@@ -90,7 +90,7 @@
         operation: OperationId,
         response: &StateResponse,
     ) {
-        self.state_changed = true;
+        self.cache_changed = true;
         // A transaction that timed out no longer blocks others, so its late response changes
         // nothing here.
         if self.writes.assignment_write == Some(operation) {
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -35,7 +35,11 @@
         let up_since = liveness.observation.up_since.unwrap_or(self.now);
         let received = liveness.received;
         let received_at = received.map_or(up_since, |heartbeat| heartbeat.at.max(up_since));
-        received_at.max(liveness.from_peers.map_or(0, |heartbeat| heartbeat.at))
+        received_at.max(
+            liveness
+                .from_peers
+                .map_or(0, |heartbeat| heartbeat.received_at),
+        )
     }
 
     /// Returns when any controller last received a heartbeat of a machine, if ever.
@@ -83,7 +87,7 @@
         let mut survey = self.survey_machines();
         self.detect_zone_failures(std::mem::take(&mut survey.zones));
         self.probe_overdue_machines(survey);
-        self.evacuate_zones();
+        self.evacuate_failed_zones();
         self.probe_unreachable_machines();
         let mut terminations = Terminations::new();
         self.find_machines_with_cancelled_tasks(&mut terminations);
@@ -147,7 +151,7 @@
                 .is_some_and(|at| at > overdue_at && self.now < at + PROBE_VALIDITY_MS);
             let failed_at = unanswered_at.unwrap_or(0);
             let is_unreachable = probe_failed && give_up && !self.may_be_partitioned(failed_at);
-            if is_unreachable && self.is_machine_silence(&zone, failed_at) {
+            if is_unreachable && self.is_single_machine_silence(&zone, failed_at) {
                 self.mark_for_termination(&machine, TerminationReason::Unreachable);
                 continue;
             }
--- a/crates/core/src/workers/handoff.rs
+++ b/crates/core/src/workers/handoff.rs
@@ -12,7 +12,7 @@
             .saturating_sub(2 * self.settings.heartbeat_interval_ms)
             .max(1);
         let reports_here = |(id, heartbeat): &(&String, &ReceivedHeartbeat)| {
-            heartbeat.at >= since && !heartbeat.older_than(self.peers.observation(id))
+            heartbeat.at >= since && !heartbeat.is_older_than(self.peers.observation(id))
         };
         self.workers
             .last_heartbeats
@@ -26,7 +26,7 @@
     pub(crate) fn plan_handoff(&mut self) {
         let recent_ms = 2 * self.settings.heartbeat_interval_ms;
         match self.has_current_state()
-            && self.has_heard_full_round()
+            && self.has_completed_heartbeat_round()
             && self.lifecycle.shutting_down_since.is_none()
         {
             true => self.peers.plan_handoff(self.now, self.load(), recent_ms),
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -57,7 +57,7 @@
                     .insert(heartbeat.machine.clone(), received);
             }
         }
-        self.peers.note_failover_of(&heartbeat.machine);
+        self.peers.record_worker_failover(&heartbeat.machine);
         self.record_worker_contact();
         match self.workers.zone_heartbeat_at.get_mut(&heartbeat.zone) {
             Some(heard_at) => *heard_at = self.now,
@@ -143,7 +143,7 @@
         let timed_out = |at: Millis| self.now + WORKER_HANDOFF_MS >= at + WORKER_FAILOVER_MS;
         let previous_peer = liveness
             .from_peers
-            .filter(|peer| !liveness.reports_here() && timed_out(peer.at));
+            .filter(|peer| !liveness.reports_here() && timed_out(peer.received_at));
         let left_healthy_peer =
             previous_peer.is_some_and(|peer| self.peers.is_healthy(self.now, peer.peer()));
         if left_healthy_peer && liveness.observation.may_be_probed(self.now) {
@@ -157,8 +157,8 @@
         if !self.settings.checks.current_cache {
             return false;
         }
-        !self.sync.has_listed && self.state_age() < HEARTBEAT_REPLY_MAX_DELAY_MS
-            || self.lifecycle.view_predates_resume
+        !self.list_watch.has_listed && self.state_age_ms() < HEARTBEAT_REPLY_MAX_DELAY_MS
+            || self.lifecycle.cache_predates_resume
                 && self.now < self.lifecycle.resumed_at + HEARTBEAT_REPLY_MAX_DELAY_MS
     }
 
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -57,7 +57,7 @@
     /// Returns when any controller last received a heartbeat of it, if ever.
     pub fn last_heartbeat_at(&self) -> Option<Millis> {
         let received_at = self.received.map(|heartbeat| heartbeat.at);
-        received_at.max(self.from_peers.map(|heartbeat| heartbeat.at))
+        received_at.max(self.from_peers.map(|heartbeat| heartbeat.received_at))
     }
 
     /// Returns the time of the latest sign of life that any controller is known to have had, if
@@ -80,7 +80,7 @@
     /// Returns whether its latest heartbeat, as far as is known, came to this controller.
     pub fn reports_here(&self) -> bool {
         self.received
-            .is_some_and(|heartbeat| !heartbeat.older_than(self.from_peers))
+            .is_some_and(|heartbeat| !heartbeat.is_older_than(self.from_peers))
     }
 
     /// Returns the position of its latest heartbeat; positions are ordered by incarnation first.
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -90,15 +90,15 @@
             |peer: &Peer| peer.heartbeat.workers_reachable && !peer.heartbeat.workers.is_empty();
         !self.workers.reachability.suspects_partition()
             || !self.settings.checks.worker_reachability
-            || !self.fresh_peers().any(is_heard_peer)
+            || !self.live_peers().any(is_heard_peer)
     }
 
     /// Returns whether an unanswered probe may be due to a partition of this controller: it has
     /// heard no worker since the probe, while peers have. Without this check a partitioned
     /// controller terminated the first two or three machines that fell silent.
     pub(super) fn may_be_partitioned(&self, probed_at: Millis) -> bool {
-        let heard_elsewhere = self.fresh_peers().any(|peer| {
-            let peer_age_ms = self.now - peer.at;
+        let heard_elsewhere = self.live_peers().any(|peer| {
+            let peer_age_ms = self.now - peer.last_heartbeat_at;
             let heard_at = peer
                 .heartbeat
                 .workers
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -159,7 +159,7 @@
                 continue;
             }
             if !has_current_state
-                && (self.sync.has_listed
+                && (self.list_watch.has_listed
                     || self.now >= held.held_since + HEARTBEAT_REPLY_MAX_DELAY_MS)
             {
                 if let Some(held) = self.workers.held_heartbeats.remove(&id) {
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -106,9 +106,9 @@
         self.write_back.written_at = if is_full { 0 } else { self.now };
         let transaction = builder.finish();
         let purpose = PendingOperation::WriteResults {
-            reply_start,
-            returning,
-            released,
+            machines_to_start: reply_start,
+            deprovisions_machines: returning,
+            ended_attempts: released,
         };
         self.commit_assignments(transaction, purpose, RequestClass::Result);
         self.log_oversized(oversized);
@@ -117,7 +117,7 @@
     /// Returns the number of changes that may be made now, or `None` if there is nothing to record
     /// or no transaction may be sent.
     fn changes_for_results(&mut self) -> Option<usize> {
-        if !self.sync.has_listed
+        if !self.list_watch.has_listed
             || !self.has_current_state()
             || self.cache.term().is_none()
             || !self.may_write()
--- a/crates/core/tests/scenarios/failover.rs
+++ b/crates/core/tests/scenarios/failover.rs
@@ -29,7 +29,7 @@
 
 fn duties(sim: &Simulation) -> usize {
     let controllers = sim.controllers.iter().filter_map(|s| s.controller.as_ref());
-    controllers.filter(|n| n.is_on_duty()).count()
+    controllers.filter(|n| n.acts_as_coordinator()).count()
 }
 
 /// Jobs that run all the time, so that every scenario has work to lose.
@@ -240,7 +240,7 @@
     }
     assert_ne!(sign(&sim, 1, 0), Some(PeerStatus::Healthy));
     let away = sign(&sim, 1, 0).unwrap();
-    assert!(away.is_away(), "{away:?}");
+    assert!(away.is_inactive(), "{away:?}");
     sim.submit(0, job("j-30", 4));
     sim.submit(1, job("j-31", 4));
     sim.run(15_000);
@@ -297,7 +297,7 @@
     let now = START_TIME_MS + sim.now_ms;
     let forged = |controller: &str, at| PeerHeartbeat {
         controller: controller.into(),
-        at,
+        sent_at: at,
         has_current_state: false,
         workers_reachable: false,
         ..PeerHeartbeat::default()
--- a/crates/simulation/src/day_runner/failovers.rs
+++ b/crates/simulation/src/day_runner/failovers.rs
@@ -62,12 +62,12 @@
         };
         let others = (0..sim.controllers.len()).filter(|n| *n != self.controller);
         let others: Vec<&Controller> = others.filter_map(lives).collect();
-        let away = |o: &&Controller| o.status_of(name).is_some_and(PeerStatus::is_away);
+        let away = |o: &&Controller| o.status_of(name).is_some_and(PeerStatus::is_inactive);
         if !self.is_detected && others.iter().any(away) {
             self.is_detected = true;
             out.failure_detection.record(took);
         }
-        if !self.has_duty && self.is_detected && others.iter().any(|o| o.is_on_duty()) {
+        if !self.has_duty && self.is_detected && others.iter().any(|o| o.acts_as_coordinator()) {
             self.has_duty = true;
             out.duty_takeover.record(took);
         }
