--- a/crates/glenmount/src/arguments.rs
+++ b/crates/glenmount/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Command-line arguments, and the settings files that they name.
+//! Command-line arguments and the settings files that they name.
 
 use crate::logging::LevelError;
 use crate::settings::{self, Config, OperatorSettings, SettingsError};
@@ -8,19 +8,19 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A cluster scheduler without disks: every controller places work from shared records.
+/// A cluster scheduler whose controllers keep no local state: each places tasks from shared records
 #[derive(Parser)]
 #[command(version, about)]
 pub struct Arguments {
     /// The platform's settings file (TOML)
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// The operators' own settings (XML); every one of them has a default
+    /// The operators' settings file (XML); every setting has a default
     #[arg(long, value_name = "FILE")]
     operator_settings: Option<PathBuf>,
 }
 
-/// Why the process can't be started as it was asked to.
+/// The reason why the arguments or settings are unusable.
 #[derive(Debug, Error)]
 pub enum UsageError {
     #[error(transparent)]
@@ -34,7 +34,7 @@
 }
 
 impl Arguments {
-    /// Reads and checks both settings files.
+    /// Reads and validates both settings files.
     ///
     /// # Errors
     /// A file can't be read, or a setting is missing or out of range.
--- a/crates/glenmount/src/client_connections/mod.rs
+++ b/crates/glenmount/src/client_connections/mod.rs
@@ -1,34 +1,33 @@
-//! Connections from users, workers and health checks: how many of each are held, and which are
-//! closed when there are too many.
+//! Accepts connections from users, workers and health checks, and limits how many are open.
 //!
-//! A controller has so many sockets (`settings.quota.sockets`), and one that finds none free refuses
-//! everybody alike. So users and workers have bounds of their own, and what has been idle longest
-//! is closed before anything is refused: whoever it was connects again with the next request.
+//! The quota limits the sockets of a controller (`settings.quota.sockets`). A controller without a free
+//! socket would refuse users and workers alike, so each of the two has a limit of its own. The connection
+//! that has been idle longest is closed before one is refused; its client reconnects with its next request.
 
 mod table;
 
-pub use table::Limits;
+pub use table::ConnectionLimits;
 
 use hyper::server::conn::Http;
 use hyper::service::{service_fn, Service};
 use std::convert::Infallible;
 use std::pin::pin;
 use std::sync::Arc;
-use table::{Counts, Entry, Kind, Table};
+use table::{ClientKind, ConnectionCounts, ConnectionEntry, ConnectionTable};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::time::{interval, sleep, Duration, Instant, Interval, MissedTickBehavior};
 use warp::http::{Request, Response};
 use warp::hyper::Body;
 
-/// Period at which connections that have been idle for too long are looked for.
+/// Interval between searches for connections that have been idle for too long.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
-/// Period at which the numbers are logged.
+/// Interval at which the numbers of connections are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(30);
-/// Time to wait for a connection to end when all are held and none is idle.
-const FULL_PAUSE: Duration = Duration::from_millis(20);
+/// Pause before the next search for an idle connection while no more connections can be accepted.
+const AT_LIMIT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What answers requests; each connection has a clone of its own.
+/// A service that responds to requests. Each connection has its own clone.
 pub trait HttpService:
     Service<Request<Body>, Response = Response<Body>, Error = Infallible, Future: Send + 'static>
     + Clone
@@ -49,50 +48,52 @@
 {
 }
 
-/// What a connection's task tells the one that accepts connections.
+/// A message from a connection's task to the task that accepts connections.
 enum ConnectionEvent {
-    /// The first request told who is at the other end.
-    Identified(Kind),
+    /// The first request showed the kind of client.
+    Identified(ClientKind),
+    /// The connection with this identifier ended.
     Ended(u64),
 }
 
-/// Accepts connections and serves them, until it is dropped.
-pub async fn accept<S: HttpService>(listener: TcpListener, limits: Limits, service: S) {
-    // A connection is identified once and ends once, and is held until its end was read: so many
-    // messages never fill the channel, and none is lost.
+/// Accepts connections and serves them until the future is dropped.
+pub async fn accept<S: HttpService>(listener: TcpListener, limits: ConnectionLimits, service: S) {
+    // Each connection is identified once and ends once, and counts as open until its end is received.
+    // Hence two messages per open connection are the most that can wait, and none is lost.
     let (event_sender, mut events) = mpsc::channel(2 * limits.all);
     let mut acceptor = Acceptor {
         limits,
         service,
-        table: Table::default(),
-        began: Instant::now(),
+        table: ConnectionTable::default(),
+        started_at: Instant::now(),
         events: event_sender,
     };
-    let mut idle_check = every(IDLE_CHECK_INTERVAL);
-    let mut log = every(LOG_INTERVAL);
+    let mut idle_check = ticker(IDLE_CHECK_INTERVAL);
+    let mut log = ticker(LOG_INTERVAL);
     loop {
-        let is_full = acceptor.table.len() >= limits.all;
-        if is_full {
-            acceptor.table.close_idlest(None);
+        let is_at_limit = acceptor.table.len() >= limits.all;
+        if is_at_limit {
+            acceptor.table.close_longest_idle(None);
         }
         tokio::select! {
-            Some(event) = events.recv() => acceptor.note(event),
-            _ = idle_check.tick() => acceptor.table.close_idle(elapsed_ms(acceptor.began)),
+            Some(event) = events.recv() => acceptor.handle(event),
+            _ = idle_check.tick() => acceptor.table.close_expired(elapsed_ms(acceptor.started_at)),
             _ = log.tick() => acceptor.log(),
-            () = sleep(FULL_PAUSE), if is_full => {}
-            accepted = listener.accept(), if !is_full => match accepted {
+            () = sleep(AT_LIMIT_PAUSE), if is_at_limit => {}
+            accepted = listener.accept(), if !is_at_limit => match accepted {
                 Ok((stream, _)) => acceptor.admit(stream),
                 Err(_) => {
-                    // No socket is free, most likely: what is idle makes room.
-                    acceptor.table.close_idlest(None);
-                    sleep(FULL_PAUSE).await;
+                    // Most likely no socket is free: closing an idle connection frees one.
+                    acceptor.table.close_longest_idle(None);
+                    sleep(AT_LIMIT_PAUSE).await;
                 }
             },
         }
     }
 }
 
-fn every(period: Duration) -> Interval {
+/// Returns a timer that delays its ticks when the task is late.
+fn ticker(period: Duration) -> Interval {
     let mut ticks = interval(period);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     ticks
@@ -102,22 +103,23 @@
     since.elapsed().as_millis() as u64
 }
 
-/// Owns the table of connections.
+/// The owner of the connection table.
 struct Acceptor<S> {
-    limits: Limits,
+    limits: ConnectionLimits,
     service: S,
-    table: Table,
-    began: Instant,
-    /// Given to each connection's task.
+    table: ConnectionTable,
+    /// Time at which listening started, the origin of the times in entries.
+    started_at: Instant,
+    /// Cloned for each connection's task.
     events: mpsc::Sender<ConnectionEvent>,
 }
 
 impl<S: HttpService> Acceptor<S> {
-    fn note(&mut self, event: ConnectionEvent) {
+    fn handle(&mut self, event: ConnectionEvent) {
         match event {
             ConnectionEvent::Identified(kind) => {
                 if self.table.count(kind) > self.limits.of_kind(kind) {
-                    self.table.close_idlest(Some(kind));
+                    self.table.close_longest_idle(Some(kind));
                 }
             }
             ConnectionEvent::Ended(id) => self.table.remove(id),
@@ -129,7 +131,7 @@
         tracing::info!(
             users = summary.users,
             workers = summary.workers,
-            held = summary.held,
+            held = summary.open,
             peak = summary.peak,
             closed = summary.closed,
             most = self.limits.all,
@@ -137,13 +139,13 @@
         );
     }
 
-    /// Serves a connection in a task of its own, which ends with the connection.
+    /// Serves a connection in its own task, which ends with the connection.
     fn admit(&mut self, stream: TcpStream) {
-        let (id, entry) = self.table.add(elapsed_ms(self.began));
+        let (id, entry) = self.table.add(elapsed_ms(self.started_at));
         let connection = Connection {
             id,
             entry,
-            began: self.began,
+            started_at: self.started_at,
             counts: self.table.counts(),
             events: self.events.clone(),
         };
@@ -155,10 +157,10 @@
 #[derive(Clone)]
 struct Connection {
     id: u64,
-    entry: Arc<Entry>,
-    /// When listening began: the entry counts from there.
-    began: Instant,
-    counts: Arc<Counts>,
+    entry: Arc<ConnectionEntry>,
+    /// Time at which listening started, the origin of the entry's times.
+    started_at: Instant,
+    counts: Arc<ConnectionCounts>,
     events: mpsc::Sender<ConnectionEvent>,
 }
 
@@ -166,27 +168,27 @@
     async fn serve<S: HttpService>(self, stream: TcpStream, service: S) {
         let _ = stream.set_nodelay(true);
         let connection = self.clone();
-        let each = service_fn(move |request: Request<Body>| {
+        let tracked_service = service_fn(move |request: Request<Body>| {
             connection.begin_request(&request);
-            let answer = service.clone().call(request);
-            let (entry, began) = (connection.entry.clone(), connection.began);
+            let response = service.clone().call(request);
+            let (entry, started_at) = (connection.entry.clone(), connection.started_at);
             async move {
-                let answer = answer.await;
-                entry.end_request(elapsed_ms(began));
-                answer
+                let response = response.await;
+                entry.end_request(elapsed_ms(started_at));
+                response
             }
         });
         let mut http = Http::new();
         http.http1_only(true).http1_keep_alive(true);
-        let mut served = pin!(http.serve_connection(stream, each));
+        let mut serving = pin!(http.serve_connection(stream, tracked_service));
         tokio::select! {
-            _ = served.as_mut() => {}
-            () = self.entry.closing() => {
-                // What is under way is answered first, with `Connection: close`. One that never
-                // asked anything has nothing to wait for.
-                if self.entry.kind() != Kind::New {
-                    served.as_mut().graceful_shutdown();
-                    let _ = served.await;
+            _ = serving.as_mut() => {}
+            () = self.entry.close_requested() => {
+                // A request in progress is answered first, with `Connection: close`. A connection
+                // without any request is closed at once.
+                if self.entry.kind() != ClientKind::Unidentified {
+                    serving.as_mut().graceful_shutdown();
+                    let _ = serving.await;
                 }
             }
         }
@@ -194,8 +196,8 @@
     }
 
     fn begin_request(&self, request: &Request<Body>) {
-        if self.entry.kind() == Kind::New {
-            let kind = Kind::of(request.uri().path());
+        if self.entry.kind() == ClientKind::Unidentified {
+            let kind = ClientKind::of_path(request.uri().path());
             self.entry.set_kind(kind, &self.counts);
             let _ = self.events.try_send(ConnectionEvent::Identified(kind));
         }
--- a/crates/glenmount/src/client_connections/table.rs
+++ b/crates/glenmount/src/client_connections/table.rs
@@ -1,188 +1,193 @@
-//! Which connections are held, how many of each kind may be, and which are closed first.
+//! The table of open connections, their limits by kind of client, and the choice of those to close.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicU8, AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// Sockets left to what this controller opens itself: commands, the state store, the cloud, peers.
-const OUTGOING: usize = 128;
-/// Sockets left free beside these, one in so many: closing takes a moment.
-const SPARE_PART: usize = 20;
-/// Shares that users and workers may have of the rest, in tenths: neither can take all of it.
-const USERS_TENTHS: usize = 6;
-/// The same for workers. When peers are away all workers turn to this controller.
-const WORKERS_TENTHS: usize = 8;
-/// Milliseconds after which a connection is closed on which nothing was ever asked.
-const UNUSED_MS: u64 = 10_000;
-/// The same for one that has been used: users poll every 5 s, workers report as often, and those
-/// that went elsewhere, or are dead, leave theirs open.
-const IDLE_MS: u64 = 90_000;
-
-/// Who is at the other end of a connection.
+/// Sockets reserved for outgoing connections: to workers, the state store, the cloud and peers.
+const OUTGOING_SOCKETS: usize = 128;
+/// One in this many sockets is kept free in addition, because closing a connection takes a moment.
+const SPARE_SOCKETS_DIVISOR: usize = 20;
+/// Largest share of the other sockets that users may hold, in tenths: neither users nor workers can take all.
+const USER_SHARE_TENTHS: usize = 6;
+/// The same for workers. When its peers are unavailable, all workers connect to this controller.
+const WORKER_SHARE_TENTHS: usize = 8;
+/// Time after which a connection without any request is closed.
+const UNUSED_TIMEOUT_MS: u64 = 10_000;
+/// Idle time after which a used connection is closed. Users poll every 5 s and workers send heartbeats as
+/// often; clients that changed to another controller or died leave their connections open.
+const IDLE_TIMEOUT_MS: u64 = 90_000;
+
+/// The kind of client at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Nothing was asked yet.
-    New = 0,
-    /// Health checks.
-    Probe = 1,
+pub enum ClientKind {
+    /// A client that has sent no request yet.
+    Unidentified = 0,
+    HealthCheck = 1,
     User = 2,
     Worker = 3,
 }
 
-impl Kind {
-    const ALL: [Kind; 4] = [Kind::New, Kind::Probe, Kind::User, Kind::Worker];
+impl ClientKind {
+    const ALL: [ClientKind; 4] = [
+        ClientKind::Unidentified,
+        ClientKind::HealthCheck,
+        ClientKind::User,
+        ClientKind::Worker,
+    ];
 
-    /// Who asks for this path.
-    pub fn of(path: &str) -> Kind {
+    /// Returns the kind of client that requests this path.
+    pub fn of_path(path: &str) -> ClientKind {
         match path {
-            "/ready" => Kind::Probe,
-            "/checkin" => Kind::Worker,
-            _ => Kind::User,
+            "/ready" => ClientKind::HealthCheck,
+            "/checkin" => ClientKind::Worker,
+            _ => ClientKind::User,
         }
     }
 }
 
-/// Connections held at most.
+/// The limits of open connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct ConnectionLimits {
     pub all: usize,
     pub users: usize,
     pub workers: usize,
 }
 
-impl Limits {
-    /// What may be held of so many sockets.
-    pub fn of(sockets: usize) -> Limits {
-        let reserved = OUTGOING.min(sockets / 4) + sockets / SPARE_PART;
+impl ConnectionLimits {
+    /// Returns the limits for a quota of sockets.
+    pub fn for_sockets(sockets: usize) -> ConnectionLimits {
+        let reserved = OUTGOING_SOCKETS.min(sockets / 4) + sockets / SPARE_SOCKETS_DIVISOR;
         let all = sockets.saturating_sub(reserved).max(4);
-        Limits {
+        ConnectionLimits {
             all,
-            users: (all * USERS_TENTHS / 10).max(1),
-            workers: (all * WORKERS_TENTHS / 10).max(1),
+            users: (all * USER_SHARE_TENTHS / 10).max(1),
+            workers: (all * WORKER_SHARE_TENTHS / 10).max(1),
         }
     }
 
-    /// What may be held of one kind.
-    pub fn of_kind(&self, kind: Kind) -> usize {
+    /// Returns the limit for one kind of client.
+    pub fn of_kind(&self, kind: ClientKind) -> usize {
         match kind {
-            Kind::User => self.users,
-            Kind::Worker => self.workers,
-            Kind::New | Kind::Probe => self.all,
+            ClientKind::User => self.users,
+            ClientKind::Worker => self.workers,
+            ClientKind::Unidentified | ClientKind::HealthCheck => self.all,
         }
     }
 }
 
-/// Connections of each kind.
+/// The number of open connections by kind of client.
 #[derive(Debug, Default)]
-pub struct Counts([AtomicUsize; Kind::ALL.len()]);
+pub struct ConnectionCounts([AtomicUsize; ClientKind::ALL.len()]);
 
-impl Counts {
-    fn get(&self, kind: Kind) -> usize {
+impl ConnectionCounts {
+    fn get(&self, kind: ClientKind) -> usize {
         self.0[kind as usize].load(Relaxed)
     }
 
-    fn add(&self, kind: Kind) {
+    fn add(&self, kind: ClientKind) {
         self.0[kind as usize].fetch_add(1, Relaxed);
     }
 
-    fn remove(&self, kind: Kind) {
+    fn remove(&self, kind: ClientKind) {
         self.0[kind as usize].fetch_sub(1, Relaxed);
     }
 }
 
-/// One connection, as its own task and the table see it.
+/// The state of a connection, shared by its task and the table.
 #[derive(Debug, Default)]
-pub struct Entry {
+pub struct ConnectionEntry {
     kind: AtomicU8,
-    is_busy: AtomicBool,
-    /// Milliseconds, since listening began, at which it was last used.
-    used_at_ms: AtomicU64,
+    /// Whether a request is in progress.
+    has_request: AtomicBool,
+    /// Time of the last use in milliseconds since listening started.
+    last_used_ms: AtomicU64,
     is_closing: AtomicBool,
-    close: Notify,
+    close_request: Notify,
 }
 
-impl Entry {
-    /// Who is at the other end.
-    pub fn kind(&self) -> Kind {
-        Kind::ALL[usize::from(self.kind.load(Relaxed)).min(Kind::ALL.len() - 1)]
+impl ConnectionEntry {
+    /// Returns the kind of client.
+    pub fn kind(&self) -> ClientKind {
+        ClientKind::ALL[usize::from(self.kind.load(Relaxed)).min(ClientKind::ALL.len() - 1)]
     }
 
-    /// The first request told who is at the other end.
-    pub fn set_kind(&self, kind: Kind, counts: &Counts) {
+    /// Records the kind of client, which the first request shows.
+    pub fn set_kind(&self, kind: ClientKind, counts: &ConnectionCounts) {
         counts.remove(self.kind());
         counts.add(kind);
         self.kind.store(kind as u8, Relaxed);
     }
 
-    /// A request is being answered: the connection is not closed meanwhile.
+    /// Marks a request as in progress, which keeps the connection from being closed.
     pub fn begin_request(&self) {
-        self.is_busy.store(true, Relaxed);
+        self.has_request.store(true, Relaxed);
     }
 
-    /// The request was answered.
+    /// Marks the request as answered.
     pub fn end_request(&self, now_ms: u64) {
-        self.used_at_ms.store(now_ms, Relaxed);
-        self.is_busy.store(false, Relaxed);
+        self.last_used_ms.store(now_ms, Relaxed);
+        self.has_request.store(false, Relaxed);
     }
 
-    /// Waits until the connection is to be closed.
-    pub async fn closing(&self) {
-        self.close.notified().await;
+    /// Waits until the table requests that the connection be closed.
+    pub async fn close_requested(&self) {
+        self.close_request.notified().await;
     }
 
     fn is_idle(&self) -> bool {
-        !self.is_busy.load(Relaxed) && !self.is_closing.load(Relaxed)
+        !self.has_request.load(Relaxed) && !self.is_closing.load(Relaxed)
     }
 
-    fn shut(&self) {
+    fn request_close(&self) {
         self.is_closing.store(true, Relaxed);
-        self.close.notify_one();
+        self.close_request.notify_one();
     }
 }
 
-/// What is held now. Owned by the task that accepts connections.
+/// The open connections. The task that accepts connections owns the table.
 #[derive(Default)]
-pub struct Table {
-    entries: HashMap<u64, Arc<Entry>>,
-    counts: Arc<Counts>,
+pub struct ConnectionTable {
+    entries: HashMap<u64, Arc<ConnectionEntry>>,
+    counts: Arc<ConnectionCounts>,
     next_id: u64,
-    /// Connections held at most since the last look.
+    /// Most connections open at once since the last summary.
     peak: usize,
-    /// Connections closed since the last look.
+    /// Connections closed by the table since the last summary.
     closed: u64,
 }
 
-/// What is logged of a table.
-pub struct Summary {
+/// The figures of a table that are logged.
+pub struct ConnectionSummary {
     pub users: usize,
     pub workers: usize,
-    pub held: usize,
+    pub open: usize,
     pub peak: usize,
     pub closed: u64,
 }
 
-impl Table {
-    /// Connections of all kinds.
+impl ConnectionTable {
+    /// Returns the number of all connections.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Connections of one kind.
-    pub fn count(&self, kind: Kind) -> usize {
+    /// Returns the number of connections of one kind of client.
+    pub fn count(&self, kind: ClientKind) -> usize {
         self.counts.get(kind)
     }
 
-    /// The counts, for the connections' own tasks.
-    pub fn counts(&self) -> Arc<Counts> {
+    /// Returns the counts, which the connections' tasks share.
+    pub fn counts(&self) -> Arc<ConnectionCounts> {
         self.counts.clone()
     }
 
-    /// Adds a connection, under a number of its own.
-    pub fn add(&mut self, now_ms: u64) -> (u64, Arc<Entry>) {
-        let entry = Arc::new(Entry::default());
-        entry.used_at_ms.store(now_ms, Relaxed);
-        self.counts.add(Kind::New);
+    /// Adds a connection and returns its identifier and entry.
+    pub fn add(&mut self, now_ms: u64) -> (u64, Arc<ConnectionEntry>) {
+        let entry = Arc::new(ConnectionEntry::default());
+        entry.last_used_ms.store(now_ms, Relaxed);
+        self.counts.add(ClientKind::Unidentified);
         let id = self.next_id;
         self.next_id += 1;
         self.entries.insert(id, entry.clone());
@@ -197,42 +202,42 @@
         }
     }
 
-    /// Closes the connection that has been idle longest, of one kind or of any. Health checks are
-    /// left alone: a controller that they can't reach gets no users at all.
-    pub fn close_idlest(&mut self, kind: Option<Kind>) {
-        let fits = |entry: &Entry| match kind {
+    /// Closes the connection that has been idle longest, of one kind of client or of any kind except health
+    /// checks: a controller that health checks can't reach gets no users.
+    pub fn close_longest_idle(&mut self, kind: Option<ClientKind>) {
+        let matches = |entry: &ConnectionEntry| match kind {
             Some(kind) => entry.kind() == kind,
-            None => entry.kind() != Kind::Probe,
+            None => entry.kind() != ClientKind::HealthCheck,
         };
-        let idle = self.entries.values().filter(|e| e.is_idle() && fits(e));
-        if let Some(entry) = idle.min_by_key(|entry| entry.used_at_ms.load(Relaxed)) {
-            entry.shut();
+        let idle = self.entries.values().filter(|e| e.is_idle() && matches(e));
+        if let Some(entry) = idle.min_by_key(|entry| entry.last_used_ms.load(Relaxed)) {
+            entry.request_close();
             self.closed += 1;
         }
     }
 
     /// Closes all connections that have been idle for too long.
-    pub fn close_idle(&mut self, now_ms: u64) {
+    pub fn close_expired(&mut self, now_ms: u64) {
         for entry in self.entries.values().filter(|entry| entry.is_idle()) {
-            let idle_most_ms = match entry.kind() {
-                Kind::New => UNUSED_MS,
-                Kind::Probe | Kind::User | Kind::Worker => IDLE_MS,
+            let timeout_ms = match entry.kind() {
+                ClientKind::Unidentified => UNUSED_TIMEOUT_MS,
+                ClientKind::HealthCheck | ClientKind::User | ClientKind::Worker => IDLE_TIMEOUT_MS,
             };
-            if now_ms > entry.used_at_ms.load(Relaxed) + idle_most_ms {
-                entry.shut();
+            if now_ms > entry.last_used_ms.load(Relaxed) + timeout_ms {
+                entry.request_close();
                 self.closed += 1;
             }
         }
     }
 
-    /// Sums up what happened since the last call.
-    pub fn summarize(&mut self) -> Summary {
-        let held = self.entries.len();
-        Summary {
-            users: self.count(Kind::User),
-            workers: self.count(Kind::Worker),
-            held,
-            peak: std::mem::replace(&mut self.peak, held),
+    /// Returns the figures since the last call and resets them.
+    pub fn summarize(&mut self) -> ConnectionSummary {
+        let open = self.entries.len();
+        ConnectionSummary {
+            users: self.count(ClientKind::User),
+            workers: self.count(ClientKind::Worker),
+            open,
+            peak: std::mem::replace(&mut self.peak, open),
             closed: std::mem::take(&mut self.closed),
         }
     }
--- a/crates/glenmount/src/cloud_client.rs
+++ b/crates/glenmount/src/cloud_client.rs
@@ -1,6 +1,6 @@
-//! The client of the cloud: one task that owns this controller's share of the cloud's rate.
+//! The client of the cloud. One task sends requests within this controller's share of the cloud's rate limit.
 
-use crate::http_client::{Answer, AnswerLimits, HttpClient, Resend};
+use crate::http_client::{HttpClient, HttpResponse, Resend, ResponseLimits};
 use crate::token_bucket::TokenBucket;
 use crate::wire::cloud as wire;
 use glenmount_core::constants::MACHINE_TYPES_RETRY_MS;
@@ -9,33 +9,33 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Duration};
 
-/// What an answer may take; the cloud usually needs a few hundred milliseconds.
-const LIMITS: AnswerLimits = AnswerLimits {
+/// Limits of a response, which usually takes a few hundred milliseconds.
+const LIMITS: ResponseLimits = ResponseLimits {
     timeout: Duration::from_millis(4_000),
-    body_bytes: 1 << 20,
+    max_body_bytes: 1 << 20,
 };
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Requests that may wait in line.
-pub const QUEUE: usize = 200;
-/// Seconds' worth of requests that may go at once.
+/// Number of requests that may wait.
+pub const QUEUE_CAPACITY: usize = 200;
+/// Size of a burst of requests, in seconds at the rate limit.
 const BURST_S: f64 = 2.0;
-/// Time after a failed request until the core is told so. It asks again when it still wants this:
-/// this spaces the tries.
-const RETRY_PAUSE: Duration = Duration::from_millis(MACHINE_TYPES_RETRY_MS);
+/// Delay before a failed request is reported to the core, which may then retry: this spaces the retries.
+const RETRY_DELAY: Duration = Duration::from_millis(MACHINE_TYPES_RETRY_MS);
 
-/// An operation of the core, and by which token its outcome is known.
+/// An operation that the core asked for.
 pub struct CloudRequest {
-    pub token: OperationId,
+    /// Identifies the operation in the event that reports its outcome.
+    pub operation_id: OperationId,
     pub operation: CloudOperation,
 }
 
-/// A client for the cloud at this address.
+/// Creates a client for the cloud at this address.
 pub fn connection(address: SocketAddr) -> HttpClient {
     HttpClient::new(address, CONNECT_TIMEOUT, Resend::OnClosedConnection)
 }
 
-/// Sends requests in order as the rate allows, and the outcomes to the core, until nobody holds the
-/// other end of `requests`.
+/// Sends requests in order as the rate limit allows, and the outcomes to the core, until the sender of
+/// `requests` is dropped.
 pub async fn run(
     http: HttpClient,
     requests_per_s: f64,
@@ -49,34 +49,37 @@
             sleep(pause).await;
         }
         rate.take(1.0);
-        // Ends by itself: each answer has a time limit.
+        // The response timeout bounds the life of the task.
         tokio::spawn(perform(http.clone(), request, core.clone()));
     }
 }
 
 async fn perform(http: HttpClient, request: CloudRequest, core: mpsc::Sender<Event>) {
-    let CloudRequest { token, operation } = request;
-    let answer = execute(&http, &operation)
+    let CloudRequest {
+        operation_id,
+        operation,
+    } = request;
+    let response = execute(&http, &operation)
         .await
         .unwrap_or(CloudResponse::Failed);
-    if answer == CloudResponse::Failed {
-        tracing::debug!(op = ?operation, "the cloud did not do it");
-        sleep(RETRY_PAUSE).await;
+    if response == CloudResponse::Failed {
+        tracing::debug!(?operation, "cloud request failed");
+        sleep(RETRY_DELAY).await;
     }
     let _ = core
         .send(Event::Cloud {
-            operation_id: token,
-            response: answer,
+            operation_id,
+            response,
         })
         .await;
 }
 
-/// Nothing when there was no answer, or not one as published.
+/// Executes an operation. Returns `None` if there was no response or an unexpected one.
 async fn execute(http: &HttpClient, operation: &CloudOperation) -> Option<CloudResponse> {
     match operation {
         CloudOperation::Types => {
-            let answer = http.get(wire::CATALOG_PATH, LIMITS).await?;
-            wire::read_catalog(&ok_body(answer)?).map(CloudResponse::Types)
+            let response = http.get(wire::CATALOG_PATH, LIMITS).await?;
+            wire::read_catalog(&ok_body(response)?).map(CloudResponse::Types)
         }
         CloudOperation::Provision {
             name,
@@ -95,14 +98,14 @@
             provision(http, &request).await
         }
         CloudOperation::Delete { machines } => {
-            let body = wire::deprovisioning_request(machines);
-            let answer = http.post(wire::DELETE_PATH, body, LIMITS).await?;
-            ok_body(answer).map(|_| CloudResponse::Deleted)
+            let body = wire::deletion_request(machines);
+            let response = http.post(wire::DELETE_PATH, body, LIMITS).await?;
+            ok_body(response).map(|_| CloudResponse::Deleted)
         }
         CloudOperation::List { after } => {
             let path = wire::instances_page_path(after.as_deref());
-            let answer = http.get(&path, LIMITS).await?;
-            wire::read_instances(&ok_body(answer)?)
+            let response = http.get(&path, LIMITS).await?;
+            wire::read_instances(&ok_body(response)?)
         }
     }
 }
@@ -112,19 +115,20 @@
     request: &wire::ProvisioningRequest<'_>,
 ) -> Option<CloudResponse> {
     let body = request.to_json();
-    let Answer { status, body } = http.post(wire::INSTANCES_PATH, body, LIMITS).await?;
+    let HttpResponse { status, body } = http.post(wire::INSTANCES_PATH, body, LIMITS).await?;
     let text = String::from_utf8_lossy(&body);
     match status {
         200 => wire::read_provisioned(&body).map(CloudResponse::Provisioned),
         503 if text.contains(wire::NO_CAPACITY) => Some(CloudResponse::NoCapacity),
         400 => {
-            tracing::error!(body = %text, "rental malformed");
+            tracing::error!(body = %text, "provisioning request rejected as malformed");
             Some(CloudResponse::NoCapacity)
         }
         _ => None,
     }
 }
 
-fn ok_body(answer: Answer) -> Option<Vec<u8>> {
-    (answer.status == 200).then_some(answer.body)
+/// Returns the body of a response with status 200.
+fn ok_body(response: HttpResponse) -> Option<Vec<u8>> {
+    (response.status == 200).then_some(response.body)
 }
--- a/crates/glenmount/src/http_client.rs
+++ b/crates/glenmount/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for the cloud, the state store and workers.
+//! The HTTP client for the cloud, the state store and workers.
 
 use hyper::body::HttpBody;
 use hyper::client::HttpConnector;
@@ -8,28 +8,29 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Connections to one address that are kept open without use, and for how long.
-const IDLE_CONNECTIONS: usize = 8;
-const IDLE: Duration = Duration::from_secs(30);
-/// Bytes that are read ahead on a connection at most.
-const BUFFER_BYTES: usize = 1 << 20;
+/// Most idle connections that are kept open per address.
+const MAX_IDLE_CONNECTIONS: usize = 8;
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Size limit of the read buffer of a connection.
+const MAX_BUFFER_BYTES: usize = 1 << 20;
 
-/// Whether a request may be sent a second time by the client itself.
+/// Whether the client itself may resend a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resend {
-    /// When the connection that was to carry it turns out to be closed.
+    /// The client resends a request if its pooled connection turns out to be closed.
     OnClosedConnection,
-    /// Never, not even what a closed connection may have swallowed.
+    /// The client never resends a request, not even one lost on a closed connection.
     Never,
 }
 
-/// An answer: its status and its whole body.
-pub struct Answer {
+/// A response with its whole body.
+pub struct HttpResponse {
     pub status: u16,
     pub body: Vec<u8>,
 }
 
-/// A pool of connections, and the address that requests go to. Clones share the pool.
+/// A connection pool and the address of the server. Clones share the pool.
 #[derive(Clone)]
 pub struct HttpClient {
     pool: Client<HttpConnector>,
@@ -37,13 +38,13 @@
 }
 
 impl HttpClient {
-    /// A client without connections yet.
+    /// Creates a client without open connections.
     pub fn new(address: SocketAddr, connect_timeout: Duration, resend: Resend) -> HttpClient {
-        // Commands go to hundreds of workers a second after a start or an outage, to each now and
-        // then: kept open for 2 s, the connections to them took 1,200 of 1,989 sockets.
-        let (idle_connections, idle) = match resend {
+        // After a start or an outage, the controller sends commands to hundreds of workers per second,
+        // but rarely to the same one. Keeping these connections open for 2 s took 1,200 of 1,989 sockets.
+        let (max_idle_connections, idle_timeout) = match resend {
             Resend::Never => (0, Duration::from_secs(1)),
-            Resend::OnClosedConnection => (IDLE_CONNECTIONS, IDLE),
+            Resend::OnClosedConnection => (MAX_IDLE_CONNECTIONS, IDLE_TIMEOUT),
         };
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -51,15 +52,15 @@
         HttpClient {
             pool: Client::builder()
                 .retry_canceled_requests(resend == Resend::OnClosedConnection)
-                .pool_max_idle_per_host(idle_connections)
-                .pool_idle_timeout(idle)
-                .http1_max_buf_size(BUFFER_BYTES)
+                .pool_max_idle_per_host(max_idle_connections)
+                .pool_idle_timeout(idle_timeout)
+                .http1_max_buf_size(MAX_BUFFER_BYTES)
                 .build(connector),
             base_url: base_url(address),
         }
     }
 
-    /// The same pool, for another address.
+    /// Returns a client for another address that shares the pool.
     pub fn for_address(&self, address: SocketAddr) -> HttpClient {
         HttpClient {
             pool: self.pool.clone(),
@@ -67,25 +68,30 @@
         }
     }
 
-    /// Reads from a path; see [`HttpClient::call`].
-    pub async fn get(&self, path: &str, limits: AnswerLimits) -> Option<Answer> {
+    /// Sends a GET request; see [`HttpClient::call`].
+    pub async fn get(&self, path: &str, limits: ResponseLimits) -> Option<HttpResponse> {
         self.call(Method::GET, path, None, limits).await
     }
 
-    /// Sends JSON to a path; see [`HttpClient::call`].
-    pub async fn post(&self, path: &str, json: String, limits: AnswerLimits) -> Option<Answer> {
+    /// Sends a POST request with a JSON body; see [`HttpClient::call`].
+    pub async fn post(
+        &self,
+        path: &str,
+        json: String,
+        limits: ResponseLimits,
+    ) -> Option<HttpResponse> {
         self.call(Method::POST, path, Some(json), limits).await
     }
 
-    /// The answer, or nothing when none came in time or it was too long. No answer means that the
-    /// request may have been executed, or may yet be.
+    /// Sends a request and returns the response, or `None` if none came in time or its body was too long.
+    /// Without a response, the server may have executed the request or may still do so.
     async fn call(
         &self,
         method: Method,
         path: &str,
         json: Option<String>,
-        limits: AnswerLimits,
-    ) -> Option<Answer> {
+        limits: ResponseLimits,
+    ) -> Option<HttpResponse> {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("{}{}", self.base_url, path));
@@ -93,33 +99,37 @@
             request = request.header(CONTENT_TYPE, "application/json");
         }
         let body = json.map_or_else(Body::empty, Body::from);
-        let exchange = self.exchange(request.body(body).ok()?, limits.body_bytes);
+        let exchange = self.exchange(request.body(body).ok()?, limits.max_body_bytes);
         timeout(limits.timeout, exchange).await.ok().flatten()
     }
 
-    async fn exchange(&self, request: Request<Body>, body_bytes: usize) -> Option<Answer> {
+    async fn exchange(
+        &self,
+        request: Request<Body>,
+        max_body_bytes: usize,
+    ) -> Option<HttpResponse> {
         let response = self.pool.request(request).await.ok()?;
         let status = response.status().as_u16();
-        let mut incoming = response.into_body();
+        let mut body_stream = response.into_body();
         let mut body = Vec::new();
-        while let Some(part) = incoming.data().await {
+        while let Some(part) = body_stream.data().await {
             let part = part.ok()?;
-            if body.len() + part.len() > body_bytes {
+            if body.len() + part.len() > max_body_bytes {
                 return None;
             }
             body.extend_from_slice(&part);
         }
-        Some(Answer { status, body })
+        Some(HttpResponse { status, body })
     }
 }
 
-/// What an answer may take.
+/// The limits of a response.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerLimits {
-    /// Time until the whole answer is there.
+pub struct ResponseLimits {
+    /// Time until the whole response has arrived.
     pub timeout: Duration,
-    /// Bytes of its body.
-    pub body_bytes: usize,
+    /// Size of the body.
+    pub max_body_bytes: usize,
 }
 
 fn base_url(address: SocketAddr) -> String {
--- a/crates/glenmount/src/http_server.rs
+++ b/crates/glenmount/src/http_server.rs
@@ -16,33 +16,34 @@
 use warp::path::FullPath;
 use warp::{Buf, Filter, Reply};
 
-/// Seconds after which a request is worth another try that found this controller too busy.
+/// Value of `Retry-After` in responses that refuse a request because the controller is overloaded.
 const BUSY_RETRY_AFTER_S: u32 = 1;
 
-/// The core's answer to a request.
+/// The core's reply to a request.
 pub enum CoreReply {
     User(UserReply),
     Worker(WorkerReply),
 }
 
-/// A request that the server hands to the core: an event, and where its answer goes.
+/// A request for the core.
 pub struct PendingRequest {
     pub id: RequestId,
     pub event: Event,
+    /// Receives the core's reply.
     pub reply: oneshot::Sender<CoreReply>,
 }
 
-/// What the server needs of the rest. Clones serve the same core.
+/// The HTTP interface of the core. Clones serve the same core.
 #[derive(Clone)]
 pub struct Api {
     requests: mpsc::Sender<PendingRequest>,
-    /// Whether health checks are told to send users here.
+    /// Whether health checks report the controller as ready for users.
     is_ready: Arc<AtomicBool>,
     next_id: Arc<AtomicU64>,
 }
 
-/// One route that takes everything: paths and methods are told apart by `Api::route`, so
-/// that each kind of wrong request gets its own status.
+/// Returns a single route that accepts every request. `Api::route` dispatches on path and method so that
+/// each kind of invalid request gets its own status.
 pub fn routes(api: Api) -> impl Filter<Extract = (impl Reply,), Error = Infallible> + Clone {
     warp::method()
         .and(warp::path::full())
@@ -53,12 +54,12 @@
                 api.route(method, path.as_str(), body).await
             },
         )
-        .recover(|_| async { Ok::<_, Infallible>(error(404, "no such path")) })
+        .recover(|_| async { Ok::<_, Infallible>(error_response(404, "no such path")) })
         .unify()
 }
 
 impl Api {
-    /// Hands requests to the core by this channel.
+    /// Creates the interface, which passes requests to the core through the channel.
     pub fn new(requests: mpsc::Sender<PendingRequest>, is_ready: Arc<AtomicBool>) -> Api {
         Api {
             requests,
@@ -76,15 +77,15 @@
             ("POST", ["v2", "runs", id, "withdraw"]) => self.cancel(id).await,
             ("POST", ["checkin"]) => self.heartbeat(body).await,
             (_, ["ready"] | ["v2", "runs"] | ["v2", "runs", _] | ["checkin"])
-            | (_, ["v2", "runs", _, "withdraw"]) => error(405, "method not allowed"),
-            _ => error(404, "no such path"),
+            | (_, ["v2", "runs", _, "withdraw"]) => error_response(405, "method not allowed"),
+            _ => error_response(404, "no such path"),
         }
     }
 
     fn readiness(&self) -> Response<Body> {
         match self.is_ready.load(Ordering::Relaxed) {
-            true => json(200, "{\"ready\":true}".into(), None),
-            false => json(503, "{\"ready\":false}".into(), None),
+            true => json_response(200, "{\"ready\":true}".into(), None),
+            false => json_response(503, "{\"ready\":false}".into(), None),
         }
     }
 
@@ -95,25 +96,28 @@
         };
         let spec = match MESSAGES_READ.time(|| wire::read_submission(&body)) {
             Ok(spec) => Box::new(spec),
-            Err(reason) => return error(400, &reason.to_string()),
+            Err(error) => return error_response(400, &error.to_string()),
         };
-        self.ask(|request| Event::Submit { request, spec }).await
+        self.ask_core(|request| Event::Submit { request, spec })
+            .await
     }
 
     async fn status(&self, id: &str) -> Response<Body> {
         if !wire::is_job_id(id) {
-            return error(404, "no such job");
+            return error_response(404, "no such job");
         }
         let job = id.to_string();
-        self.ask(|request| Event::Status { request, job }).await
+        self.ask_core(|request| Event::Status { request, job })
+            .await
     }
 
     async fn cancel(&self, id: &str) -> Response<Body> {
         if !wire::is_job_id(id) {
-            return error(404, "no such job");
+            return error_response(404, "no such job");
         }
         let job = id.to_string();
-        self.ask(|request| Event::Cancel { request, job }).await
+        self.ask_core(|request| Event::Cancel { request, job })
+            .await
     }
 
     async fn heartbeat(&self, body: impl RequestBody) -> Response<Body> {
@@ -121,23 +125,20 @@
             Ok(body) => body,
             Err(response) => return response,
         };
-        let report = match MESSAGES_READ.time(|| wire::read_heartbeat(&body)) {
-            Ok(report) => Box::new(report),
-            Err(reason) => {
-                let reason = reason.to_string();
+        let heartbeat = match MESSAGES_READ.time(|| wire::read_heartbeat(&body)) {
+            Ok(heartbeat) => Box::new(heartbeat),
+            Err(error) => {
+                let reason = error.to_string();
                 tracing::error!(why = reason, "unreadable check-in");
-                return error(400, &reason);
+                return error_response(400, &reason);
             }
         };
-        self.ask(|request| Event::WorkerHeartbeat {
-            request,
-            heartbeat: report,
-        })
-        .await
+        self.ask_core(|request| Event::WorkerHeartbeat { request, heartbeat })
+            .await
     }
 
-    /// Asks the core, and waits for its answer.
-    async fn ask(&self, event: impl FnOnce(RequestId) -> Event) -> Response<Body> {
+    /// Passes a request to the core and waits for its reply.
+    async fn ask_core(&self, event: impl FnOnce(RequestId) -> Event) -> Response<Body> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (reply_sender, reply) = oneshot::channel();
         let request = PendingRequest {
@@ -146,25 +147,25 @@
             reply: reply_sender,
         };
         if self.requests.try_send(request).is_err() {
-            return busy("{\"error\":\"too busy\"}");
+            return busy_response("{\"error\":\"too busy\"}");
         }
         match reply.await {
             Ok(CoreReply::User(reply)) => {
-                respond(REPLIES_WRITTEN.time(|| wire::write_user_reply(&reply)))
+                reply_response(REPLIES_WRITTEN.time(|| wire::write_user_reply(&reply)))
             }
             Ok(CoreReply::Worker(reply)) => {
-                respond(REPLIES_WRITTEN.time(|| wire::write_worker_reply(&reply)))
+                reply_response(REPLIES_WRITTEN.time(|| wire::write_worker_reply(&reply)))
             }
-            Err(_) => busy("{\"error\":\"no answer\"}"),
+            Err(_) => busy_response("{\"error\":\"no answer\"}"),
         }
     }
 }
 
-fn respond(reply: wire::Reply) -> Response<Body> {
-    json(reply.status, reply.body, reply.retry_after_s)
+fn reply_response(reply: wire::Reply) -> Response<Body> {
+    json_response(reply.status, reply.body, reply.retry_after_s)
 }
 
-fn json(status: u16, body: String, retry_after_s: Option<u32>) -> Response<Body> {
+fn json_response(status: u16, body: String, retry_after_s: Option<u32>) -> Response<Body> {
     let mut response = Response::builder()
         .status(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR))
         .header(header::CONTENT_TYPE, "application/json");
@@ -174,15 +175,19 @@
     response.body(Body::from(body)).unwrap_or_default()
 }
 
-fn busy(body: &str) -> Response<Body> {
-    json(503, body.into(), Some(BUSY_RETRY_AFTER_S))
+fn busy_response(body: &str) -> Response<Body> {
+    json_response(503, body.into(), Some(BUSY_RETRY_AFTER_S))
 }
 
-fn error(status: u16, what: &str) -> Response<Body> {
-    json(status, serde_json::json!({"error": what}).to_string(), None)
+fn error_response(status: u16, message: &str) -> Response<Body> {
+    json_response(
+        status,
+        serde_json::json!({"error": message}).to_string(),
+        None,
+    )
 }
 
-/// A request's body as it arrives; read only where one is expected.
+/// The stream of a request's body, read only for requests that have one.
 trait RequestBody: Stream<Item = Result<Self::Part, warp::Error>> + Send {
     type Part: Buf;
 }
@@ -195,20 +200,20 @@
     type Part = B;
 }
 
-/// The whole body, or the answer that refuses it.
+/// Reads the whole body. Fails with the response that refuses the request.
 async fn read_body(body: impl RequestBody) -> Result<Vec<u8>, Response<Body>> {
     let mut body = pin!(body);
     let mut bytes = Vec::new();
     while let Some(part) = body.next().await {
-        let mut part = part.map_err(|_| error(400, "the body broke off"))?;
+        let mut part = part.map_err(|_| error_response(400, "the body broke off"))?;
         if bytes.len() + part.remaining() > REQUEST_BODY_MAX_BYTES as usize {
-            return Err(error(400, "the body is longer than 64 KiB"));
+            return Err(error_response(400, "the body is longer than 64 KiB"));
         }
         while part.has_remaining() {
-            let piece = part.chunk();
-            bytes.extend_from_slice(piece);
-            let length = piece.len();
-            part.advance(length);
+            let chunk = part.chunk();
+            bytes.extend_from_slice(chunk);
+            let chunk_bytes = chunk.len();
+            part.advance(chunk_bytes);
         }
     }
     Ok(bytes)
--- a/crates/glenmount/src/logging.rs
+++ b/crates/glenmount/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log: lines on standard error.
+//! Sets up logging, which writes lines to standard error.
 
 use std::env;
 use thiserror::Error;
@@ -8,15 +8,15 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// The environment does not name a level that there is.
+/// The error of a `LOG_LEVEL` that names no known level.
 #[derive(Debug, Error)]
 #[error("LOG_LEVEL: must be error, info or debug, not {0:?}")]
 pub struct LevelError(String);
 
-/// The level that `LOG_LEVEL` names; `info` where it is not set.
+/// Returns the level that `LOG_LEVEL` names, or `info` if it is not set.
 ///
 /// # Errors
-/// It names another one than `error`, `info` and `debug`.
+/// `LOG_LEVEL` is not `error`, `info` or `debug`.
 pub fn level() -> Result<LevelFilter, LevelError> {
     match env::var("LOG_LEVEL").as_deref() {
         Ok("error") => Ok(LevelFilter::ERROR),
@@ -26,9 +26,9 @@
     }
 }
 
-/// Starts logging. To be called once.
+/// Starts logging. Must be called only once.
 pub fn start(level: LevelFilter) {
-    // What libraries log is not for operators; their warnings are.
+    // Of the libraries' messages only warnings and errors concern operators.
     let targets = Targets::new()
         .with_default(level.min(LevelFilter::WARN))
         .with_target("glenmount", level)
--- a/crates/glenmount/src/main.rs
+++ b/crates/glenmount/src/main.rs
@@ -1,4 +1,4 @@
-//! glenmount: a cluster scheduler. One process per controller; see README.md.
+//! The glenmount cluster scheduler. Each controller is one process; see README.md.
 
 mod arguments;
 mod client_connections;
@@ -29,10 +29,10 @@
 use tokio::task::JoinError;
 use tracing::level_filters::LevelFilter;
 
-/// Exit status of a process that was started with wrong arguments or settings.
+/// Exit status for invalid arguments or settings.
 const USAGE_STATUS: u8 = 2;
 
-/// Why a process that had begun ended by itself.
+/// The reason why a running controller stopped with an error.
 #[derive(Debug, Error)]
 enum RunError {
     #[error(transparent)]
@@ -53,7 +53,7 @@
     let runtime = match Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("glenmount: can't start: {error}");
+            eprintln!("glenmount: can't create the async runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -61,7 +61,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             let error = error.to_string();
-            tracing::error!(error, "ended");
+            tracing::error!(error, "controller stopped with an error");
             ExitCode::FAILURE
         }
     }
@@ -72,10 +72,10 @@
     Ok((level, arguments.load()?))
 }
 
-/// Starts the controller and runs it until the process is ended.
+/// Starts the controller and runs it until its shutdown is complete.
 async fn run(config: Config) -> Result<(), RunError> {
-    // As a task, and not as what the runtime blocks on: that one is woken from outside the run, which
-    // cost a look at the sockets more for every event.
+    // Spawned as a task instead of being the future that the runtime blocks on: each wake-up of that
+    // future makes the runtime poll the sockets once more, which cost one more poll for every event.
     let controller = tokio::spawn(async {
         let event_loop = startup::start(config).await?;
         event_loop.run().await;
--- a/crates/glenmount/src/peer_link/connections.rs
+++ b/crates/glenmount/src/peer_link/connections.rs
@@ -1,26 +1,26 @@
-//! Which peers are connected to this controller.
+//! Tracks the connections of peers to this controller.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Counts the connections by which each peer sends its heartbeats. Clones share the counts.
+/// The number of open connections per peer. Clones share the counts.
 #[derive(Clone, Default)]
 pub struct PeerConnections(Arc<Mutex<HashMap<String, usize>>>);
 
-/// One connection, from the first heartbeat on that named its peer.
+/// A connection whose peer is known from its first heartbeat.
 pub struct PeerConnection {
     connections: PeerConnections,
     peer: String,
 }
 
 impl PeerConnections {
-    /// The counts are whole after each change, so a panic elsewhere leaves nothing half done.
+    /// Locks the counts. Ignores poisoning because each change leaves the counts consistent.
     fn lock(&self) -> MutexGuard<'_, HashMap<String, usize>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a connection of a peer.
-    pub fn begin(&self, peer: &str) -> PeerConnection {
+    /// Counts a new connection of a peer.
+    pub fn register(&self, peer: &str) -> PeerConnection {
         *self.lock().entry(peer.to_string()).or_default() += 1;
         PeerConnection {
             connections: self.clone(),
@@ -30,8 +30,8 @@
 }
 
 impl PeerConnection {
-    /// Counts the connection as ended. The peer, if this was its last one.
-    pub fn end(self) -> Option<String> {
+    /// Counts the connection as ended. Returns the peer if this was its last connection.
+    pub fn unregister(self) -> Option<String> {
         let mut counts = self.connections.lock();
         let count = counts.get_mut(&self.peer)?;
         *count -= 1;
--- a/crates/glenmount/src/peer_link/frames.rs
+++ b/crates/glenmount/src/peer_link/frames.rs
@@ -1,24 +1,24 @@
-//! The form of heartbeats between controllers: MessagePack arrays.
+//! Reads heartbeats of peers, which are MessagePack arrays.
 //!
-//! Versions before format 2 refuse a frame with an element more, so a heartbeat gets new ones only
-//! once every controller has that format; whatever follows those that are known here is passed over.
+//! Versions before format 2 reject a frame with additional elements, so a heartbeat gets new elements only
+//! once every controller has that format. This version skips elements that it doesn't know.
 
 use glenmount_core::controller::{ControllerStatus, PeerHeartbeat};
 use serde::de::{Deserialize, Deserializer, Error, IgnoredAny, SeqAccess, Visitor};
 use std::fmt;
 
-/// Nesting of a frame at most: a heartbeat has four levels.
-const FRAME_DEPTH: usize = 16;
+/// Limit of the nesting depth of a frame; a heartbeat has four levels.
+const MAX_FRAME_DEPTH: usize = 16;
 
-/// Reads a frame's heartbeat; nothing where it is malformed.
+/// Reads the heartbeat in a frame. Returns `None` if the frame is malformed.
 pub fn read_heartbeat(frame: &[u8]) -> Option<PeerHeartbeat> {
     let mut deserializer = rmp_serde::Deserializer::from_read_ref(frame);
-    deserializer.set_max_depth(FRAME_DEPTH);
+    deserializer.set_max_depth(MAX_FRAME_DEPTH);
     deserializer.deserialize_seq(HeartbeatVisitor).ok()
 }
 
-/// Passes over what a later version appended.
-fn skip_rest<'de, A: SeqAccess<'de>>(mut elements: A) -> Result<(), A::Error> {
+/// Skips the elements that a later version appended.
+fn skip_unknown_elements<'de, A: SeqAccess<'de>>(mut elements: A) -> Result<(), A::Error> {
     while elements.next_element::<IgnoredAny>()?.is_some() {}
     Ok(())
 }
@@ -50,13 +50,12 @@
                 .next_element::<KnownStatus>()?
                 .and_then(|status| status.0),
         };
-        skip_rest(elements)?;
+        skip_unknown_elements(elements)?;
         Ok(heartbeat)
     }
 }
 
-/// A controller's status, as far as this version knows it; what a later one sends in its place is
-/// passed over.
+/// The status of a controller, absent if a later version sent another type or fewer elements in its place.
 struct KnownStatus(Option<ControllerStatus>);
 
 impl<'de> Deserialize<'de> for KnownStatus {
@@ -96,10 +95,10 @@
             tick_delay_ms: required!(),
             reporting_workers: required!(),
             heard_peers: required!(),
-            // Versions before format 4 do not send it.
+            // Versions before format 4 don't send this element.
             configuration: elements.next_element()?.unwrap_or(0),
         };
-        skip_rest(elements)?;
+        skip_unknown_elements(elements)?;
         Ok(KnownStatus(Some(status)))
     }
 }
--- a/crates/glenmount/src/peer_link/mod.rs
+++ b/crates/glenmount/src/peer_link/mod.rs
@@ -1,6 +1,5 @@
-//! The link between controllers: length-prefixed MessagePack frames, one way per connection.
-//!
-//! Each controller sends its heartbeats to all its peers; nothing is answered.
+//! The links between controllers. Each controller sends its heartbeats to each peer over a one-way
+//! connection, as length-prefixed MessagePack frames without responses.
 
 mod connections;
 mod frames;
@@ -19,23 +18,23 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, Duration};
 
-/// Bytes of a frame at most: about 1,000 machines with 64 images each.
-const FRAME_BYTES: u32 = 2 * 1024 * 1024;
-/// A peer that sends nothing for so long has to connect again.
+/// Size limit of a frame: about 1,000 machines with 64 images each.
+const MAX_FRAME_BYTES: u32 = 2 * 1024 * 1024;
+/// Time without a frame after which the connection of a peer is closed.
 const READ_TIMEOUT: Duration = Duration::from_millis(PEER_HEARTBEAT_INTERVAL_MS * 20);
-/// Time to connect or to send before the connection is given up.
+/// Timeout of connecting to a peer and of sending a frame.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(PEER_HEARTBEAT_INTERVAL_MS * 4);
-/// Pause after a connection was lost or refused.
+/// Pause before reconnecting after a connection was lost or refused.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(PEER_HEARTBEAT_INTERVAL_MS);
-/// Pause after a connection could not be accepted.
+/// Pause after accepting a connection failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Connections from peers held at once.
-const CONNECTIONS: usize = 64;
+/// Most connections from peers that are open at once.
+const MAX_CONNECTIONS: usize = 64;
 
-/// Receives the heartbeats of all peers and passes them to the core. The connections end with it.
+/// Receives the heartbeats of all peers and passes them to the core. Dropping the future closes the connections.
 pub async fn receive_heartbeats(listener: TcpListener, core: mpsc::Sender<Event>) {
     let connections = PeerConnections::default();
-    let slots = Arc::new(Semaphore::new(CONNECTIONS));
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut tasks = JoinSet::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -54,18 +53,18 @@
     }
 }
 
-/// Serves one connection until it ends. The core is told when that was the peer's last one.
+/// Serves one connection until it ends, and notifies the core if it was the peer's last connection.
 async fn serve(stream: TcpStream, core: mpsc::Sender<Event>, connections: &PeerConnections) {
     let mut connection = None;
     if let Err(error) = receive(stream, &core, connections, &mut connection).await {
-        tracing::debug!(%error, "a sibling's connection ended");
+        tracing::debug!(%error, "peer connection ended");
     }
-    if let Some(controller) = connection.and_then(PeerConnection::end) {
+    if let Some(controller) = connection.and_then(PeerConnection::unregister) {
         let _ = core.send(Event::LinkEnded { controller }).await;
     }
 }
 
-/// Passes heartbeats to the core. `connection` is set once the first one has named the peer.
+/// Passes heartbeats to the core. Sets `connection` once the first heartbeat has named the peer.
 async fn receive(
     mut stream: TcpStream,
     core: &mpsc::Sender<Event>,
@@ -78,7 +77,7 @@
             .time(|| read_heartbeat(&frame))
             .ok_or(io::ErrorKind::InvalidData)?;
         if connection.is_none() {
-            *connection = Some(connections.begin(&heartbeat.controller));
+            *connection = Some(connections.register(&heartbeat.controller));
         }
         if core.send(Event::PeerHeartbeat(heartbeat)).await.is_err() {
             return Ok(());
@@ -87,16 +86,16 @@
 }
 
 async fn read_frame(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
-    let bytes = timeout(READ_TIMEOUT, stream.read_u32()).await??;
-    if bytes > FRAME_BYTES {
+    let length_bytes = timeout(READ_TIMEOUT, stream.read_u32()).await??;
+    if length_bytes > MAX_FRAME_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
-    let mut frame = vec![0; bytes as usize];
+    let mut frame = vec![0; length_bytes as usize];
     timeout(READ_TIMEOUT, stream.read_exact(&mut frame)).await??;
     Ok(frame)
 }
 
-/// Keeps sending the latest heartbeat to a peer. Heartbeats that could not be sent are skipped.
+/// Sends each new heartbeat to a peer and reconnects when needed. Skips heartbeats that could not be sent.
 pub async fn send_heartbeats(address: SocketAddr, mut heartbeats: watch::Receiver<PeerHeartbeat>) {
     loop {
         let connected = timeout(WRITE_TIMEOUT, TcpStream::connect(address)).await;
@@ -107,16 +106,16 @@
     }
 }
 
-/// Sends heartbeats until the connection can't be used any more.
+/// Sends heartbeats until the connection fails or the peer closes it.
 async fn send_until_closed(mut stream: TcpStream, heartbeats: &mut watch::Receiver<PeerHeartbeat>) {
     let _ = stream.set_nodelay(true);
     while heartbeats.changed().await.is_ok() {
-        let written = PEER_FRAMES.time(|| rmp_serde::to_vec(&*heartbeats.borrow_and_update()));
-        let Ok(frame) = written else {
+        let serialized = PEER_FRAMES.time(|| rmp_serde::to_vec(&*heartbeats.borrow_and_update()));
+        let Ok(frame) = serialized else {
             continue;
         };
-        // A peer that received nothing for long, as after this process was paused, has closed the
-        // connection: what is written to it may vanish unnoticed.
+        // A peer closes a connection on which it received nothing for `READ_TIMEOUT`, for example while
+        // this process was paused. A write to a closed connection may succeed and the frame be lost.
         if stream.try_read(&mut [0]).is_ok() {
             heartbeats.mark_changed();
             return;
--- a/crates/glenmount/src/peer_link/tests.rs
+++ b/crates/glenmount/src/peer_link/tests.rs
@@ -1,4 +1,4 @@
-//! Frames between controllers, and the connections that carry them.
+//! Tests of the frames between controllers and of the connections that carry them.
 
 use super::frames::read_heartbeat;
 use super::{receive_heartbeats, send_heartbeats};
@@ -15,13 +15,14 @@
     }
 }
 
-/// As the version before format 2 sends it.
-const SAMPLE: &str = "97a7626f7468792d31cf0000018bcfe56800c3c39194a86e2d303030323331015878c391\
+/// A frame of the version before format 2.
+const FORMAT_1_FRAME: &str =
+    "97a7626f7468792d31cf0000018bcfe56800c3c39194a86e2d303030323331015878c391\
     92a86e2d3030303233319192a6696d672d3037cb3ff8000000000000";
 
 #[test]
-fn heartbeats_stay_as_old_versions_send_and_read_them_and_may_grow_later() {
-    let digits = SAMPLE.as_bytes().chunks(2);
+fn heartbeat_frames_are_compatible_with_earlier_and_later_versions() {
+    let digits = FORMAT_1_FRAME.as_bytes().chunks(2);
     let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
     let frame: Vec<u8> = digits.map(byte).collect();
     let sample = read_heartbeat(&frame).unwrap();
@@ -36,41 +37,42 @@
     assert!(sample.has_current_state && sample.workers_reachable && sample.just_started);
     assert_eq!(sample.cached_images[0].1, [("img-07".to_string(), 1.5)]);
     assert_eq!(rmp_serde::to_vec(&sample).unwrap(), frame);
-    // A later version's, with two elements more.
+    // The frame of a later version, with two additional elements.
     let mut longer = frame.clone();
     longer[0] += 2;
     longer.extend([0xc3, 0x92, 0x01, 0xc0]);
     assert_eq!(read_heartbeat(&longer), Some(sample.clone()));
     assert!(rmp_serde::from_slice::<PeerHeartbeat>(&longer).is_err());
-    // This version's, and one that says more of itself.
-    let said = ControllerStatus {
+    // A frame of this version with a status, and one of a later version with an additional element in it.
+    let status = ControllerStatus {
         process_started_at: 7,
         sequence: 3,
         heard_peers: vec!["bothy-2".into()],
         ..ControllerStatus::default()
     };
-    let said = PeerHeartbeat {
-        status: Some(said),
+    let heartbeat = PeerHeartbeat {
+        status: Some(status),
         ..sample
     };
-    let frame = rmp_serde::to_vec(&said).unwrap();
+    let frame = rmp_serde::to_vec(&heartbeat).unwrap();
     assert_eq!(
         (frame[0], read_heartbeat(&frame)),
-        (0x98, Some(said.clone()))
+        (0x98, Some(heartbeat.clone()))
     );
-    let at = frame.iter().rposition(|b| *b == 0x99).unwrap();
+    let status_at = frame.iter().rposition(|b| *b == 0x99).unwrap();
     let mut longer = frame.clone();
-    longer[at] += 1;
+    longer[status_at] += 1;
     longer.push(0xc0);
-    assert_eq!(read_heartbeat(&longer), Some(said));
-    for broken in [&frame[..9], &[], &[0x91, 0xc3], b"{}"] {
-        assert_eq!(read_heartbeat(broken), None);
+    assert_eq!(read_heartbeat(&longer), Some(heartbeat));
+    for malformed in [&frame[..9], &[], &[0x91, 0xc3], b"{}"] {
+        assert_eq!(read_heartbeat(malformed), None);
     }
 }
 
-/// A peer that was paused was not heard again by those that had closed its connections.
+/// Guards against lost heartbeats after a pause: the peers had closed the connections of the paused controller, and
+/// its first heartbeats went to the closed connections.
 #[tokio::test(flavor = "current_thread")]
-async fn a_heartbeat_follows_the_peer_to_a_new_connection() {
+async fn heartbeat_is_sent_again_after_the_peer_closed_the_connection() {
     let scenario = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (sender, heartbeats) = watch::channel(PeerHeartbeat::default());
@@ -80,40 +82,43 @@
         sender.send(heartbeat("a")).unwrap();
         tokio::spawn(async move {
             let mut first = first;
-            let len = first.read_u32().await.unwrap();
-            first.read_exact(&mut vec![0; len as usize]).await.unwrap();
+            let length = first.read_u32().await.unwrap();
+            first
+                .read_exact(&mut vec![0; length as usize])
+                .await
+                .unwrap();
         });
         sleep(Duration::from_millis(50)).await;
         tokio::spawn(receive_heartbeats(listener, core));
         sender.send(heartbeat("b")).unwrap();
-        let heard = events.recv().await;
-        assert!(matches!(heard, Some(Event::PeerHeartbeat(b)) if b.controller == "b"));
+        let received = events.recv().await;
+        assert!(matches!(received, Some(Event::PeerHeartbeat(b)) if b.controller == "b"));
     };
     timeout(Duration::from_secs(5), scenario)
         .await
         .expect("the heartbeat arrives");
 }
 
-/// A peer that ends is known to have ended at once, not when its heartbeats are missed; one that
-/// only connects anew is not.
+/// The controller learns at once that a peer has ended, without waiting for missed heartbeats. A peer that only
+/// reconnects doesn't count as ended.
 #[tokio::test(flavor = "current_thread")]
-async fn the_end_of_a_peers_last_connection_is_told() {
+async fn end_of_the_last_connection_of_a_peer_is_reported() {
     let scenario = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let addr = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         let (core, mut events) = mpsc::channel(8);
         tokio::spawn(receive_heartbeats(listener, core));
         let mut links = Vec::new();
         let frame = rmp_serde::to_vec(&heartbeat("a")).unwrap();
         for _ in 0..2 {
-            let mut link = TcpStream::connect(addr).await.unwrap();
+            let mut link = TcpStream::connect(address).await.unwrap();
             link.write_u32(frame.len() as u32).await.unwrap();
             link.write_all(&frame).await.unwrap();
             assert!(matches!(events.recv().await, Some(Event::PeerHeartbeat(_))));
             links.push(link);
         }
-        // A stranger's link names nobody.
-        drop(TcpStream::connect(addr).await.unwrap());
+        // A connection without heartbeats names no peer.
+        drop(TcpStream::connect(address).await.unwrap());
         drop(links.pop());
         assert!(timeout(Duration::from_millis(50), events.recv())
             .await
@@ -124,5 +129,5 @@
     };
     timeout(Duration::from_secs(5), scenario)
         .await
-        .expect("the end is told");
+        .expect("the end is reported");
 }
--- a/crates/glenmount/src/settings/checks.rs
+++ b/crates/glenmount/src/settings/checks.rs
@@ -1,25 +1,25 @@
-//! Rules that single settings are checked by.
+//! Validation rules for single settings.
 
 use thiserror::Error;
 
-/// Seconds that a setting may be at most: a day.
-const SECONDS_MOST: f64 = 86_400.0;
+/// Largest value of a setting in seconds: a day.
+const MAX_SECONDS: f64 = 86_400.0;
 
-/// Why settings are refused. Operators see the text.
+/// The reason why settings are rejected. Operators see the text.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// A setting that is out of range, by its path in the file.
+    /// A setting is out of range. `field` is its path in the file.
     #[error("{field}: {rule}")]
     Field { field: String, rule: String },
-    /// The platform's file is not TOML or lacks a setting; in one line.
+    /// The platform's file is not TOML or lacks a setting. The text is a single line.
     #[error("{0}")]
     Toml(String),
-    /// The operators' file is not XML, or not of the known form.
+    /// The operators' file is not XML or doesn't have the known form.
     #[error("operator settings: {0}")]
     Xml(#[from] quick_xml::DeError),
 }
 
-/// Refuses a setting unless it `is_valid`.
+/// Rejects a setting unless it `is_valid`.
 pub fn check(is_valid: bool, field: &str, rule: &str) -> Result<(), SettingsError> {
     if is_valid {
         return Ok(());
@@ -30,18 +30,18 @@
     })
 }
 
-/// Milliseconds of a setting in seconds, which must be at least so many.
-pub fn seconds_as_ms(field: &str, seconds: f64, least: f64) -> Result<u64, SettingsError> {
+/// Converts a setting from seconds to milliseconds. Rejects values below `min_seconds` or above a day.
+pub fn seconds_as_ms(field: &str, seconds: f64, min_seconds: f64) -> Result<u64, SettingsError> {
     check(
-        (least..=SECONDS_MOST).contains(&seconds),
+        (min_seconds..=MAX_SECONDS).contains(&seconds),
         field,
-        &format!("must be between {least} and 86400 seconds, not {seconds}"),
+        &format!("must be between {min_seconds} and 86400 seconds, not {seconds}"),
     )?;
     Ok((seconds * 1000.0).round() as u64)
 }
 
-/// A rate a second.
-pub fn rate(field: &str, per_s: f64) -> Result<f64, SettingsError> {
+/// Returns a rate per second if it is in range.
+pub fn check_rate(field: &str, per_s: f64) -> Result<f64, SettingsError> {
     check(
         (0.1..=1e6).contains(&per_s),
         field,
--- a/crates/glenmount/src/settings/file.rs
+++ b/crates/glenmount/src/settings/file.rs
@@ -1,8 +1,8 @@
-//! The platform's settings file as it is written.
+//! The form of the platform's settings file.
 //!
-//! The names of the sections' structs stand in the texts of errors that operators see.
+//! The structs of sections keep their names because error texts that operators see contain them.
 
-use super::checks::{check, rate, seconds_as_ms, SettingsError};
+use super::checks::{check, check_rate, seconds_as_ms, SettingsError};
 use super::quota::Quota;
 use glenmount_core::configuration::{ObjectiveSettings, TeamSettings};
 use glenmount_core::constants::{REQUIRED_TRANSACTION_CHANGES, REQUIRED_VALUE_KIB};
@@ -11,50 +11,58 @@
 use std::iter::once;
 use std::net::SocketAddr;
 
-/// Controllers of a cluster at most.
-const CONTROLLERS_MOST: u32 = 64;
-/// Limit of a value in the state store beyond which it is a mistake, in KiB.
-const VALUE_KB_MOST: f64 = 1024.0;
+/// Most controllers of a cluster.
+const MAX_CONTROLLERS: u32 = 64;
+/// Largest size limit of a value in the state store that may be set; a larger one is a mistake.
+const MAX_VALUE_LIMIT_KIB: f64 = 1024.0;
 
-/// The whole file. Settings that are not known here are passed over.
+/// The whole file. Unknown settings are ignored.
 #[derive(Debug, Deserialize)]
 pub struct SettingsFile {
-    /// The name of this controller.
-    pub member: String,
-    /// The zone that it runs in.
-    pub location: Option<String>,
+    /// Name of this controller.
+    #[serde(rename = "member")]
+    pub controller: String,
+    /// Zone of this controller.
+    #[serde(rename = "location")]
+    pub zone: Option<String>,
     pub client_listen: SocketAddr,
     pub cluster_listen: SocketAddr,
-    #[serde(default)]
-    #[serde(rename = "siblings")]
+    #[serde(default, rename = "siblings")]
     peers: Vec<SiblingFile>,
-    pub outside: Outside,
+    #[serde(rename = "outside")]
+    pub external_services: Outside,
     pub settings: Params,
 }
 
 /// A peer.
 #[derive(Debug, Deserialize)]
 struct SiblingFile {
-    member: String,
-    location: Option<String>,
-    peer_addr: SocketAddr,
+    #[serde(rename = "member")]
+    controller: String,
+    #[serde(rename = "location")]
+    zone: Option<String>,
+    #[serde(rename = "peer_addr")]
+    address: SocketAddr,
 }
 
-/// Services outside the cluster.
+/// The addresses of services outside the cluster.
 #[derive(Debug, Deserialize)]
 pub struct Outside {
     pub cloud: SocketAddr,
-    pub state: SocketAddr,
+    #[serde(rename = "state")]
+    pub state_store: SocketAddr,
 }
 
-/// What holds for all controllers alike, except for the quota.
+/// The settings that are the same for all controllers, except for the quota.
 #[derive(Debug, Deserialize)]
 pub struct Params {
-    /// Controllers in all.
-    pub count: u32,
+    /// Number of all controllers.
+    #[serde(rename = "count")]
+    pub controller_count: u32,
     pub zones: Vec<String>,
-    /// Milliseconds by which the clocks of controllers may differ.
-    pub clock_off_ms: f64,
+    /// Largest difference between the clocks of two controllers.
+    #[serde(rename = "clock_off_ms")]
+    pub clock_skew_ms: f64,
     pub teams: Vec<TeamSettings>,
     #[serde(default)]
     pub objectives: Vec<ObjectiveSettings>,
@@ -64,78 +72,88 @@
     pub quota: Quota,
 }
 
-/// Intervals of workers, in seconds.
+/// The intervals of workers as set in the file.
 #[derive(Debug, Deserialize)]
 pub struct Workers {
-    report_s: f64,
+    #[serde(rename = "report_s")]
+    heartbeat_interval_s: f64,
     lease_s: f64,
-    cancel_s: f64,
+    #[serde(rename = "cancel_s")]
+    cancellation_timeout_s: f64,
 }
 
-/// Intervals of workers, in milliseconds.
+/// The validated intervals of workers.
 pub struct WorkerIntervals {
-    pub report_ms: u64,
+    pub heartbeat_interval_ms: u64,
     pub lease_ms: u64,
-    pub cancel_ms: u64,
+    pub cancellation_timeout_ms: u64,
 }
 
-/// Limits of the state store.
+/// The limits of the state store as set in the file.
 #[derive(Debug, Deserialize)]
 pub struct StateLimits {
-    pub rps: f64,
-    write_rps: f64,
-    value_kb: f64,
+    #[serde(rename = "rps")]
+    pub requests_per_s: f64,
+    #[serde(rename = "write_rps")]
+    changes_per_s: f64,
+    #[serde(rename = "value_kb")]
+    max_value_kib: f64,
     #[serde(rename = "txn_ops")]
     max_transaction_changes: u32,
-    /// Limits announced for some moment after an upgrade.
-    next: Option<NextLimits>,
+    /// Limits that the store announced for an unspecified time after an upgrade.
+    #[serde(rename = "next")]
+    announced: Option<NextLimits>,
 }
 
-/// Announced limits; those left out stay as they are.
+/// The announced limits. An absent limit doesn't change.
 #[derive(Debug, Deserialize)]
 struct NextLimits {
-    write_rps: Option<f64>,
-    value_kb: Option<f64>,
+    #[serde(rename = "write_rps")]
+    changes_per_s: Option<f64>,
+    #[serde(rename = "value_kb")]
+    max_value_kib: Option<f64>,
     #[serde(rename = "txn_ops")]
     max_transaction_changes: Option<u32>,
 }
 
-/// The limits of the state store to keep within: the smaller of the present ones and those announced,
-/// except for the rate, which is followed when it comes into force.
+/// The validated limits of the state store. Each is the smaller of the current and the announced one, except for
+/// the current rate of changes: the announced rate applies only once it is in force.
 pub struct CheckedStateLimits {
-    pub transaction_ops: usize,
+    pub max_transaction_changes: usize,
     pub max_value_bytes: u64,
     pub changes_per_s: f64,
-    pub next_changes_per_s: f64,
+    pub announced_changes_per_s: f64,
 }
 
-/// Limits of the cloud.
+/// The limits of the cloud.
 #[derive(Debug, Deserialize)]
 pub struct CloudLimits {
-    pub rps: f64,
-    /// Seconds that its list of instances may lag.
-    pub list_lag_s: f64,
+    #[serde(rename = "rps")]
+    pub requests_per_s: f64,
+    /// Usual lag of the cloud's instance list.
+    #[serde(rename = "list_lag_s")]
+    pub instance_list_lag_s: f64,
 }
 
 impl SettingsFile {
-    /// Reads the file, without checking the values.
+    /// Parses the file without validating the values.
     pub fn parse(text: &str) -> Result<SettingsFile, SettingsError> {
         toml::from_str(text).map_err(|error| {
-            let lines = error.to_string();
-            SettingsError::Toml(lines.replace('\n', " "))
+            let text = error.to_string();
+            SettingsError::Toml(text.replace('\n', " "))
         })
     }
 
-    /// The names of all controllers, this one included, in order.
+    /// Returns the names of all controllers including this one, in order.
     ///
     /// # Errors
-    /// A name is empty or stands among the peers' too, they are not `settings.count` different ones, or
-    /// no zone is named.
+    /// This controller's name is empty or also names a peer, the number of different controllers is not
+    /// `settings.count`, or no zone is named.
     pub fn controllers(&self) -> Result<Vec<String>, SettingsError> {
         let params = &self.settings;
-        check(!self.member.is_empty(), "member", "must not be empty")?;
+        check(!self.controller.is_empty(), "member", "must not be empty")?;
         check(
-            (1..=CONTROLLERS_MOST).contains(&params.count),
+            (1..=MAX_CONTROLLERS).contains(&params.controller_count),
             "settings.count",
             "must be between 1 and 64",
         )?;
@@ -144,36 +162,36 @@
             "settings.zones",
             "must name a zone",
         )?;
-        let peers = self.peers.iter().map(|peer| peer.member.clone());
+        let peers = self.peers.iter().map(|peer| peer.controller.clone());
         let mut controllers: Vec<String> = peers.collect();
         check(
-            !controllers.contains(&self.member),
+            !controllers.contains(&self.controller),
             "siblings.member",
             "must not name this node itself",
         )?;
-        controllers.push(self.member.clone());
+        controllers.push(self.controller.clone());
         controllers.sort();
         controllers.dedup();
         check(
-            controllers.len() == params.count as usize,
+            controllers.len() == params.controller_count as usize,
             "siblings",
             "must name settings.count - 1 different nodes",
         )?;
         Ok(controllers)
     }
 
-    /// The peers' names, and where they listen.
+    /// Returns the names and addresses of the peers.
     pub fn peers(&self) -> Vec<(String, SocketAddr)> {
         let peers = self.peers.iter();
         peers
-            .map(|peer| (peer.member.clone(), peer.peer_addr))
+            .map(|peer| (peer.controller.clone(), peer.address))
             .collect()
     }
 
-    /// The zones of all controllers, as far as they are known.
+    /// Returns the zones of all controllers whose zone is known.
     pub fn zones_by_controller(&self) -> BTreeMap<String, String> {
-        let own = (&self.member, &self.location);
-        let peers = self.peers.iter().map(|peer| (&peer.member, &peer.location));
+        let own = (&self.controller, &self.zone);
+        let peers = self.peers.iter().map(|peer| (&peer.controller, &peer.zone));
         let all = once(own).chain(peers);
         all.filter_map(|(controller, zone)| Some((controller.clone(), zone.clone()?)))
             .collect()
@@ -181,66 +199,71 @@
 }
 
 impl Workers {
-    /// The intervals, if each is in range and a lease outlives a missed report.
+    /// Returns the intervals if each of them is in range and the lease is longer than the heartbeat interval.
     pub fn check(&self) -> Result<WorkerIntervals, SettingsError> {
-        let report_ms = seconds_as_ms("settings.workers.report_s", self.report_s, 0.1)?;
+        let heartbeat_interval_ms =
+            seconds_as_ms("settings.workers.report_s", self.heartbeat_interval_s, 0.1)?;
         let lease_ms = seconds_as_ms("settings.workers.lease_s", self.lease_s, 1.0)?;
-        let cancel_ms = seconds_as_ms("settings.workers.cancel_s", self.cancel_s, 1.0)?;
+        let cancellation_timeout_ms = seconds_as_ms(
+            "settings.workers.cancel_s",
+            self.cancellation_timeout_s,
+            1.0,
+        )?;
         check(
-            lease_ms > report_ms,
+            lease_ms > heartbeat_interval_ms,
             "settings.workers.lease_s",
             "must be longer than report_s",
         )?;
         Ok(WorkerIntervals {
-            report_ms,
+            heartbeat_interval_ms,
             lease_ms,
-            cancel_ms,
+            cancellation_timeout_ms,
         })
     }
 }
 
 impl StateLimits {
-    /// The limits to keep within.
+    /// Validates the limits and combines them with the announced ones.
     pub fn check(&self) -> Result<CheckedStateLimits, SettingsError> {
-        check_transaction_ops("settings.state.txn_ops", self.max_transaction_changes)?;
-        check_value_kb("settings.state.value_kb", self.value_kb)?;
-        let changes_per_s = rate("settings.state.write_rps", self.write_rps)?;
-        let mut transaction_ops = self.max_transaction_changes;
-        let mut value_kb = self.value_kb;
-        let mut next_changes_per_s = changes_per_s;
-        if let Some(next) = &self.next {
-            if let Some(ops) = next.max_transaction_changes {
-                check_transaction_ops("settings.state.next.txn_ops", ops)?;
-                transaction_ops = transaction_ops.min(ops);
+        check_transaction_changes("settings.state.txn_ops", self.max_transaction_changes)?;
+        check_value_limit("settings.state.value_kb", self.max_value_kib)?;
+        let changes_per_s = check_rate("settings.state.write_rps", self.changes_per_s)?;
+        let mut max_transaction_changes = self.max_transaction_changes;
+        let mut max_value_kib = self.max_value_kib;
+        let mut announced_changes_per_s = changes_per_s;
+        if let Some(announced) = &self.announced {
+            if let Some(changes) = announced.max_transaction_changes {
+                check_transaction_changes("settings.state.next.txn_ops", changes)?;
+                max_transaction_changes = max_transaction_changes.min(changes);
             }
-            if let Some(kb) = next.value_kb {
-                check_value_kb("settings.state.next.value_kb", kb)?;
-                value_kb = value_kb.min(kb);
+            if let Some(kib) = announced.max_value_kib {
+                check_value_limit("settings.state.next.value_kb", kib)?;
+                max_value_kib = max_value_kib.min(kib);
             }
-            if let Some(per_s) = next.write_rps {
-                let per_s = rate("settings.state.next.write_rps", per_s)?;
-                next_changes_per_s = next_changes_per_s.min(per_s);
+            if let Some(per_s) = announced.changes_per_s {
+                let per_s = check_rate("settings.state.next.write_rps", per_s)?;
+                announced_changes_per_s = announced_changes_per_s.min(per_s);
             }
         }
         Ok(CheckedStateLimits {
-            transaction_ops: transaction_ops as usize,
-            max_value_bytes: (value_kb * 1024.0) as u64,
+            max_transaction_changes: max_transaction_changes as usize,
+            max_value_bytes: (max_value_kib * 1024.0) as u64,
             changes_per_s,
-            next_changes_per_s,
+            announced_changes_per_s,
         })
     }
 }
 
-fn check_transaction_ops(field: &str, ops: u32) -> Result<(), SettingsError> {
+fn check_transaction_changes(field: &str, changes: u32) -> Result<(), SettingsError> {
     let rule =
         format!("must be at least {REQUIRED_TRANSACTION_CHANGES}: a claim writes three records");
-    check(ops >= REQUIRED_TRANSACTION_CHANGES, field, &rule)
+    check(changes >= REQUIRED_TRANSACTION_CHANGES, field, &rule)
 }
 
-fn check_value_kb(field: &str, kb: f64) -> Result<(), SettingsError> {
+fn check_value_limit(field: &str, limit_kib: f64) -> Result<(), SettingsError> {
     let rule = format!("must be between {REQUIRED_VALUE_KIB} and 1024");
     check(
-        (REQUIRED_VALUE_KIB..=VALUE_KB_MOST).contains(&kb),
+        (REQUIRED_VALUE_KIB..=MAX_VALUE_LIMIT_KIB).contains(&limit_kib),
         field,
         &rule,
     )
--- a/crates/glenmount/src/settings/operator.rs
+++ b/crates/glenmount/src/settings/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' own settings.
+//! The operators' settings file.
 
 use super::checks::{check, seconds_as_ms, SettingsError};
 use glenmount_core::constants::IDLE_TIMEOUT_MS;
@@ -6,41 +6,41 @@
 use glenmount_core::tuning::Tuning;
 use serde::Deserialize;
 
-/// Operators' own settings. Every one has a default; see `deploy/operator-settings.xml`.
+/// The operators' settings. Each has a default; see `deploy/operator-settings.xml`.
 ///
-/// What is expected stands in texts of errors that operators see, as below.
+/// Error texts that operators see contain the value of `expecting`, here and in the other structs.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, rename = "operator-settings", expecting = "struct Operator")]
 pub struct OperatorSettings {
-    /// Seconds after which a machine with nothing to do is returned.
+    /// Time after which an idle machine is deleted.
     #[serde(rename = "idle-return-s")]
-    idle_return_s: Option<f64>,
-    /// Run times are learned where this stands.
+    idle_timeout_s: Option<f64>,
+    /// Uses of runtime estimates. Run times are estimated if the element is present.
     #[serde(rename = "learned-run-times")]
-    learned_run_times: Option<LearnedRunTimes>,
-    /// Whether machines of lost zones are terminated for what they hold.
+    runtime_estimates: Option<RuntimeEstimateSettings>,
+    /// Whether machines of failed zones are deleted depending on their tasks.
     #[serde(rename = "end-machines-of-lost-zones")]
     evacuates_lost_zones: Option<bool>,
-    /// Whether services are spread evenly over zones, and moved back to that after one was lost.
+    /// Whether services are spread evenly over zones, and migrate back after a zone failure.
     #[serde(rename = "even-spread-over-zones")]
     spreads_evenly: Option<bool>,
-    /// Whether the largest jobs are deferred when not all can be in time.
+    /// Whether the largest jobs are deferred when not all jobs can meet their goals.
     #[serde(rename = "put-off-jobs")]
     defers_jobs: Option<bool>,
-    /// The share of a service's tasks that one machine gets while others serve it as well.
+    /// Largest share of a service's tasks that one machine gets while others can run them.
     #[serde(rename = "service-share-per-machine")]
     service_share_per_machine: Option<f64>,
 }
 
-/// What learned run times are used for, by name.
+/// The uses of runtime estimates by name.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, expecting = "struct LearnedXml")]
-struct LearnedRunTimes {
+struct RuntimeEstimateSettings {
     #[serde(rename = "for")]
     uses: Vec<String>,
 }
 
-/// Reads the operators' settings file.
+/// Parses the operators' settings file.
 ///
 /// # Errors
 /// The text is not XML, or a value is of the wrong type.
@@ -49,27 +49,27 @@
 }
 
 impl OperatorSettings {
-    /// Milliseconds after which a machine with nothing to do is returned.
-    pub fn idle_return_ms(&self) -> Result<u64, SettingsError> {
-        match self.idle_return_s {
+    /// Returns the time after which an idle machine is deleted.
+    pub fn idle_timeout_ms(&self) -> Result<u64, SettingsError> {
+        match self.idle_timeout_s {
             Some(seconds) => seconds_as_ms("operator-settings.idle-return-s", seconds, 1.0),
             None => Ok(IDLE_TIMEOUT_MS),
         }
     }
 
-    /// Whether run times are learned, and what for.
-    pub fn learned_use(&self) -> Result<RuntimeEstimateUse, SettingsError> {
-        let mut learned = RuntimeEstimateUse::default();
-        let Some(run_times) = &self.learned_run_times else {
-            return Ok(learned);
+    /// Returns whether run times are estimated, and the uses of the estimates.
+    pub fn runtime_estimate_use(&self) -> Result<RuntimeEstimateUse, SettingsError> {
+        let mut estimate_use = RuntimeEstimateUse::default();
+        let Some(estimates) = &self.runtime_estimates else {
+            return Ok(estimate_use);
         };
-        learned.enabled = true;
-        for name in &run_times.uses {
+        estimate_use.enabled = true;
+        for name in &estimates.uses {
             match name.as_str() {
-                "order" => learned.queue_order = true,
-                "due" => learned.due_times = true,
-                "stops" => learned.preemption = true,
-                "notice" => learned.termination_notice = true,
+                "order" => estimate_use.queue_order = true,
+                "due" => estimate_use.due_times = true,
+                "stops" => estimate_use.preemption = true,
+                "notice" => estimate_use.termination_notice = true,
                 _ => {
                     return Err(SettingsError::Field {
                         field: "operator-settings.learned-run-times.for".into(),
@@ -78,10 +78,10 @@
                 }
             }
         }
-        Ok(learned)
+        Ok(estimate_use)
     }
 
-    /// The newer parts' switches; the rest of what experiments vary stays as it is.
+    /// Returns the tuning with the operators' values; all other constants keep their defaults.
     pub fn tuning(&self) -> Result<Tuning, SettingsError> {
         let default = Tuning::default();
         let machine_share_of_service = self
--- a/crates/glenmount/src/settings/quota.rs
+++ b/crates/glenmount/src/settings/quota.rs
@@ -1,68 +1,74 @@
-//! What the platform grants this process.
+//! The quota that the platform grants to this process.
 
 use super::checks::{check, SettingsError};
 use serde::Deserialize;
 
-/// Cores and MB beyond which a quota is a mistake.
-const QUOTA_MOST: f64 = 1e6;
-/// Sockets with which a controller can do anything at all.
-const SOCKETS_LEAST: u32 = 32;
-/// MB that a controller takes with its records and some hundred machines, and share of a core that so
-/// few take: with less it serves what it can, and says so.
-const RAM_NEEDED_MB: f64 = 16.0;
-const CPU_SHARE_NEEDED: f64 = 0.01;
+/// Limit of cores and MB in a quota; a larger value is a mistake.
+const MAX_QUOTA: f64 = 1e6;
+/// Fewest sockets with which a controller can work.
+const MIN_SOCKETS: u32 = 32;
+/// Memory that a controller needs for its records with some hundred machines. With less, it works as far as
+/// it can and logs the shortage.
+const REQUIRED_RAM_MB: f64 = 16.0;
+/// Share of a core that a controller needs for some hundred machines. With less, the same applies.
+const REQUIRED_CPU_SHARE: f64 = 0.01;
 
-/// Names of the settings.
-const CPU_SHARE: &str = "settings.quota.cpu_share";
-const RAM_MB: &str = "settings.quota.ram_mb";
+/// Paths of the settings.
+const CPU_SHARE_SETTING: &str = "settings.quota.cpu_share";
+const RAM_MB_SETTING: &str = "settings.quota.ram_mb";
 
-/// The section of the settings file. What is not set is not limited.
+/// The quota section of the settings file. An absent resource is not limited.
 #[derive(Debug, Deserialize)]
 pub struct Quota {
     pub sockets: u32,
-    /// Cores.
+    /// Share of a core, or number of cores.
     pub cpu_share: Option<f64>,
     pub ram_mb: Option<f64>,
 }
 
-/// A resource of which there is less than a controller needs.
+/// A resource of which the quota grants less than a controller needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScarceResource {
-    /// The setting.
+    /// Path of the setting.
     pub field: &'static str,
     pub value: f64,
-    pub needs: f64,
+    pub required: f64,
 }
 
 impl Quota {
-    /// Refuses absurd values.
+    /// Rejects values that can only be mistakes.
     pub fn check(&self) -> Result<(), SettingsError> {
         check(
-            self.sockets >= SOCKETS_LEAST,
+            self.sockets >= MIN_SOCKETS,
             "settings.quota.sockets",
             "must be at least 32",
         )?;
-        for (field, value) in [(CPU_SHARE, self.cpu_share), (RAM_MB, self.ram_mb)] {
-            let is_sane = value.is_none_or(|value| value > 0.0 && value <= QUOTA_MOST);
-            check(is_sane, field, "must be above 0 and at most a million")?;
+        for (field, value) in [
+            (CPU_SHARE_SETTING, self.cpu_share),
+            (RAM_MB_SETTING, self.ram_mb),
+        ] {
+            let is_in_range = value.is_none_or(|value| value > 0.0 && value <= MAX_QUOTA);
+            check(is_in_range, field, "must be above 0 and at most a million")?;
         }
         Ok(())
     }
 
-    /// What there is less of than needed.
-    pub fn scarce(&self) -> Vec<ScarceResource> {
+    /// Returns the resources of which the quota grants less than a controller needs.
+    pub fn scarce_resources(&self) -> Vec<ScarceResource> {
         let resources = [
-            (CPU_SHARE, self.cpu_share, CPU_SHARE_NEEDED),
-            (RAM_MB, self.ram_mb, RAM_NEEDED_MB),
+            (CPU_SHARE_SETTING, self.cpu_share, REQUIRED_CPU_SHARE),
+            (RAM_MB_SETTING, self.ram_mb, REQUIRED_RAM_MB),
         ];
-        let scarce = resources.into_iter().filter_map(|(field, value, needs)| {
-            let value = value.filter(|value| *value < needs)?;
-            Some(ScarceResource {
-                field,
-                value,
-                needs,
-            })
-        });
+        let scarce = resources
+            .into_iter()
+            .filter_map(|(field, value, required)| {
+                let value = value.filter(|value| *value < required)?;
+                Some(ScarceResource {
+                    field,
+                    value,
+                    required,
+                })
+            });
         scarce.collect()
     }
 }
--- a/crates/glenmount/src/settings/tests.rs
+++ b/crates/glenmount/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Both settings files: what is read, and what is refused.
+//! Tests of reading and validating both settings files.
 
 use super::quota::Quota;
 use super::{read_config, read_operator_settings, OperatorSettings};
@@ -44,14 +44,14 @@
 
 #[test]
 fn reads_settings_and_ignores_unknown_fields() {
-    let c = read_config(SAMPLE, &OperatorSettings::default()).unwrap();
-    assert_eq!(c.core.controllers, ["a-0", "a-1"]);
-    assert_eq!(c.core.policy.teams["t"].cpus_max, 4000);
-    assert_eq!(c.state_rates.requests_per_s, 50.0);
+    let config = read_config(SAMPLE, &OperatorSettings::default()).unwrap();
+    assert_eq!(config.core.controllers, ["a-0", "a-1"]);
+    assert_eq!(config.core.policy.teams["t"].cpus_max, 4000);
+    assert_eq!(config.state_rates.requests_per_s, 50.0);
 }
 
 #[test]
-fn a_quota_is_named_where_it_is_absurd_and_served_where_it_is_scarce() {
+fn out_of_range_quota_is_rejected_by_name_and_scarce_quota_is_reported() {
     let quota = |field: &str, value: f64| {
         let mut quota = Quota {
             sockets: 100,
@@ -65,31 +65,35 @@
         quota
     };
     for field in ["cpu_share", "ram_mb"] {
-        for absurd in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e9] {
-            let error = quota(field, absurd).check().unwrap_err().to_string();
-            assert!(error.contains(field), "{absurd}: {error}");
+        for value in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e9] {
+            let error = quota(field, value).check().unwrap_err().to_string();
+            assert!(error.contains(field), "{value}: {error}");
         }
         let scarce = quota(field, 0.005);
         assert!(scarce.check().is_ok());
-        assert!(scarce.scarce()[0].field.ends_with(field));
-        let missing = Quota {
+        assert!(scarce.scarce_resources()[0].field.ends_with(field));
+        let unlimited = Quota {
             sockets: 100,
             cpu_share: None,
             ram_mb: None,
         };
-        assert!(missing.check().is_ok() && missing.scarce().is_empty());
-        assert!(quota(field, 42.0).scarce().is_empty());
+        assert!(unlimited.check().is_ok() && unlimited.scarce_resources().is_empty());
+        assert!(quota(field, 42.0).scarce_resources().is_empty());
     }
-    let none = Quota {
+    let no_sockets = Quota {
         sockets: 0,
         cpu_share: None,
         ram_mb: None,
     };
-    assert!(none.check().unwrap_err().to_string().contains("sockets"));
+    assert!(no_sockets
+        .check()
+        .unwrap_err()
+        .to_string()
+        .contains("sockets"));
 }
 
 #[test]
-fn names_the_field_that_is_missing_or_absurd() {
+fn errors_name_the_field_that_is_missing_or_out_of_range() {
     let cases = [
         ("rps = 100.0", "", "rps"),
         ("lease_s = 12.0", "lease_s = -1.0", "lease_s"),
@@ -111,53 +115,60 @@
             "settings.teams.t.cpus_max",
         ),
     ];
-    for (from, to, field) in cases {
-        let error = read_config(&SAMPLE.replace(from, to), &OperatorSettings::default())
-            .unwrap_err()
-            .to_string();
+    for (setting, replacement, field) in cases {
+        let error = read_config(
+            &SAMPLE.replace(setting, replacement),
+            &OperatorSettings::default(),
+        )
+        .unwrap_err()
+        .to_string();
         assert!(error.contains(field), "{error}");
         assert!(!error.contains('\n'));
     }
 }
 
 #[test]
-fn announced_limits_count_from_the_start_where_they_are_smaller() {
-    let next = "value_kb = 8.0\n next = { value_kb = 2.0, txn_ops = 40, write_rps = 30.0 }";
-    let c = read_config(
-        &SAMPLE.replace("value_kb = 8.0", next),
+fn smaller_announced_limits_apply_from_the_start() {
+    let announced = "value_kb = 8.0\n next = { value_kb = 2.0, txn_ops = 40, write_rps = 30.0 }";
+    let config = read_config(
+        &SAMPLE.replace("value_kb = 8.0", announced),
         &OperatorSettings::default(),
     )
     .unwrap();
     assert_eq!(
-        (c.core.max_value_bytes, c.core.max_transaction_changes),
+        (
+            config.core.max_value_bytes,
+            config.core.max_transaction_changes
+        ),
         (2_048, 16)
     );
-    assert_eq!((c.core.write_rps, c.core.announced_write_rps), (20.0, 15.0));
+    assert_eq!(
+        (config.core.write_rps, config.core.announced_write_rps),
+        (20.0, 15.0)
+    );
 }
 
 #[test]
-fn operators_settings_are_xml_and_checked() {
+fn operator_settings_are_read_from_xml_and_validated() {
     let xml = "<operator-settings><idle-return-s>90</idle-return-s></operator-settings>";
-    let c = read_config(SAMPLE, &read_operator_settings(xml).unwrap()).unwrap();
-    assert_eq!(c.core.idle_timeout_ms, 90_000);
-    assert!(!c.core.runtime_estimates.enabled);
+    let config = read_config(SAMPLE, &read_operator_settings(xml).unwrap()).unwrap();
+    assert_eq!(config.core.idle_timeout_ms, 90_000);
+    assert!(!config.core.runtime_estimates.enabled);
     let xml = "<operator-settings><learned-run-times><for>due</for><for>notice</for>\
                </learned-run-times></operator-settings>";
-    let c = read_config(SAMPLE, &read_operator_settings(xml).unwrap()).unwrap();
-    let learned = c.core.runtime_estimates;
-    assert!(
-        learned.enabled && learned.due_times && learned.termination_notice && !learned.preemption
-    );
+    let config = read_config(SAMPLE, &read_operator_settings(xml).unwrap()).unwrap();
+    let uses = config.core.runtime_estimates;
+    assert!(uses.enabled && uses.due_times && uses.termination_notice && !uses.preemption);
     let file = include_str!("../../../../deploy/learned-run-times.xml");
-    let c = read_config(SAMPLE, &read_operator_settings(file).unwrap()).unwrap();
+    let config = read_config(SAMPLE, &read_operator_settings(file).unwrap()).unwrap();
     assert!(
-        c.core.runtime_estimates.enabled
-            && c.core.runtime_estimates.queue_order
-            && c.core.runtime_estimates.due_times
+        config.core.runtime_estimates.enabled
+            && config.core.runtime_estimates.queue_order
+            && config.core.runtime_estimates.due_times
     );
-    let none = "<operator-settings><learned-run-times/></operator-settings>";
-    let c = read_config(SAMPLE, &read_operator_settings(none).unwrap()).unwrap();
-    assert!(c.core.runtime_estimates.enabled && !c.core.runtime_estimates.due_times);
+    let no_uses = "<operator-settings><learned-run-times/></operator-settings>";
+    let config = read_config(SAMPLE, &read_operator_settings(no_uses).unwrap()).unwrap();
+    assert!(config.core.runtime_estimates.enabled && !config.core.runtime_estimates.due_times);
     let error = read_config(
         SAMPLE,
         &read_operator_settings(&xml.replace("due", "everything")).unwrap(),
@@ -166,20 +177,20 @@
         .unwrap_err()
         .to_string()
         .contains("learned-run-times.for"));
-    // The shown file has the defaults.
-    let shown = include_str!("../../../../deploy/operator-settings.xml");
-    let c = read_config(SAMPLE, &read_operator_settings(shown).unwrap()).unwrap();
-    assert_eq!(c.core.tuning, Tuning::default());
-    let off = shown.replace(">true<", ">false<").replace(">0.5<", ">1<");
-    let c = read_config(SAMPLE, &read_operator_settings(&off).unwrap()).unwrap();
-    let t = c.core.tuning;
+    // The example file contains the defaults.
+    let example = include_str!("../../../../deploy/operator-settings.xml");
+    let config = read_config(SAMPLE, &read_operator_settings(example).unwrap()).unwrap();
+    assert_eq!(config.core.tuning, Tuning::default());
+    let changed = example.replace(">true<", ">false<").replace(">0.5<", ">1<");
+    let config = read_config(SAMPLE, &read_operator_settings(&changed).unwrap()).unwrap();
+    let tuning = config.core.tuning;
     let file = include_str!("../../../../deploy/even-spread.xml");
-    let c = read_config(SAMPLE, &read_operator_settings(file).unwrap()).unwrap();
-    assert!(c.core.tuning.even_zone_spread && c.core.tuning.defer_jobs);
-    assert!(!t.evacuate_zones && !t.defer_jobs && t.machine_share_of_service == 1.0);
+    let config = read_config(SAMPLE, &read_operator_settings(file).unwrap()).unwrap();
+    assert!(config.core.tuning.even_zone_spread && config.core.tuning.defer_jobs);
+    assert!(!tuning.evacuate_zones && !tuning.defer_jobs && tuning.machine_share_of_service == 1.0);
     let error = read_config(
         SAMPLE,
-        &read_operator_settings(&shown.replace(">0.5<", ">0<")).unwrap(),
+        &read_operator_settings(&example.replace(">0.5<", ">0<")).unwrap(),
     );
     assert!(error
         .unwrap_err()
--- a/crates/glenmount/src/shutdown.rs
+++ b/crates/glenmount/src/shutdown.rs
@@ -1,14 +1,14 @@
-//! The request to end the process.
+//! Passes the platform's termination signal to the core.
 
 use glenmount_core::controller::Event;
 use std::future::pending;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
 
-/// Tells the core of each request to end, until the core is gone. Where the platform has no signals
-/// there are no requests.
+/// Sends the core an `Event::Shutdown` for each SIGTERM until the core is gone. Sends nothing when the
+/// signal handler can't be installed.
 ///
-/// A task of its own: in the event loop the signal would be looked for with every event.
+/// Runs as a task of its own: the event loop would poll the signal with every event.
 pub async fn watch_for_termination(core: mpsc::Sender<Event>) {
     let mut requests = TerminationRequests::new();
     loop {
@@ -19,13 +19,14 @@
     }
 }
 
+/// The stream of SIGTERM signals, absent when the handler can't be installed.
 struct TerminationRequests(Option<Signal>);
 
 impl TerminationRequests {
     fn new() -> TerminationRequests {
         let signal = signal(SignalKind::terminate());
         if let Err(error) = &signal {
-            tracing::info!(%error, "signals are not heard: this process ends when it is killed");
+            tracing::info!(%error, "SIGTERM handler not installed: no graceful shutdown");
         }
         TerminationRequests(signal.ok())
     }
--- a/crates/glenmount/src/startup.rs
+++ b/crates/glenmount/src/startup.rs
@@ -1,6 +1,6 @@
-//! Starting a controller: its listeners, its clients of other services, and the event loop.
+//! Starts a controller: its listeners, its clients of other services and the event loop.
 
-use crate::client_connections::{accept, Limits};
+use crate::client_connections::{accept, ConnectionLimits};
 use crate::cloud_client::{self, CloudRequest};
 use crate::event_loop::{Channels, EventLoop, Outputs};
 use crate::http_server::{routes, Api, PendingRequest};
@@ -20,27 +20,27 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// Events that may wait for the core.
-const EVENT_QUEUE: usize = 4_096;
+/// Number of events that may wait for the core.
+const EVENT_QUEUE_CAPACITY: usize = 4_096;
 
-/// Why a controller can't start.
+/// The reason why a controller can't start.
 #[derive(Debug, Error)]
 pub enum StartError {
     #[error("{field}: can't listen on {address}: {error}")]
     Listen {
-        /// The setting that holds the address.
+        /// Name of the setting that holds the address.
         field: &'static str,
         address: SocketAddr,
         error: io::Error,
     },
 }
 
-/// Starts all tasks of a controller. They belong to the event loop and end with it.
+/// Starts all tasks of a controller. The event loop owns them; they end with it.
 ///
 /// # Errors
-/// An address can't be listened on.
+/// A listener can't be bound to its address.
 pub async fn start(config: Config) -> Result<EventLoop, StartError> {
-    let (event_sender, events) = mpsc::channel(EVENT_QUEUE);
+    let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let mut startup = Startup {
         tasks: JoinSet::new(),
         event_sender,
@@ -56,7 +56,7 @@
         heartbeats,
         is_ready,
     };
-    log_scarce(&config.scarce);
+    log_scarce_resources(&config.scarce_resources);
     startup.spawn(watch_for_termination(startup.event_sender.clone()));
     let channels = Channels {
         events,
@@ -71,7 +71,7 @@
     ))
 }
 
-/// A controller that is being started.
+/// The tasks started so far, and the channel to the core.
 struct Startup {
     tasks: JoinSet<()>,
     event_sender: mpsc::Sender<Event>,
@@ -82,7 +82,7 @@
         self.tasks.spawn(task);
     }
 
-    /// Receives the heartbeats of peers, and sends them those that go into the returned channel.
+    /// Receives the heartbeats of peers and sends them the heartbeats put into the returned channel.
     async fn link_peers(
         &mut self,
         config: &Config,
@@ -99,24 +99,25 @@
         Ok(sender)
     }
 
-    /// Serves users, workers and health checks. Requests for the core come out of the returned channel.
+    /// Serves users, workers and health checks. The returned channel delivers their requests to the core.
     async fn serve_clients(
         &mut self,
         config: &Config,
         is_ready: Arc<AtomicBool>,
     ) -> Result<mpsc::Receiver<PendingRequest>, StartError> {
         let listener = listen("client_listen", config.client_listen).await?;
-        let sockets = config.sockets as usize;
-        let (sender, requests) = mpsc::channel(sockets);
+        let max_sockets = config.max_sockets as usize;
+        let (sender, requests) = mpsc::channel(max_sockets);
         let service = warp::service(routes(Api::new(sender, is_ready)));
-        self.spawn(accept(listener, Limits::of(sockets), service));
+        let limits = ConnectionLimits::for_sockets(max_sockets);
+        self.spawn(accept(listener, limits, service));
         Ok(requests)
     }
 
     fn connect_state_store(&mut self, config: &Config) -> mpsc::Sender<StateRequest> {
-        let (sender, requests) = mpsc::channel(state_client::QUEUE);
+        let (sender, requests) = mpsc::channel(state_client::QUEUE_CAPACITY);
         self.spawn(state_client::run(
-            state_client::connection(config.state),
+            state_client::connection(config.state_store_address),
             config.state_rates,
             requests,
             self.event_sender.clone(),
@@ -125,9 +126,9 @@
     }
 
     fn watch_state_store(&mut self, config: &Config) -> mpsc::Sender<u64> {
-        let (sender, restarts) = mpsc::channel(state_client::watch::RESTARTS);
+        let (sender, restarts) = mpsc::channel(state_client::watch::RESTART_QUEUE_CAPACITY);
         self.spawn(state_client::watch::run(
-            state_client::connection(config.state),
+            state_client::connection(config.state_store_address),
             restarts,
             self.event_sender.clone(),
         ));
@@ -135,9 +136,9 @@
     }
 
     fn connect_cloud(&mut self, config: &Config) -> mpsc::Sender<CloudRequest> {
-        let (sender, requests) = mpsc::channel(cloud_client::QUEUE);
+        let (sender, requests) = mpsc::channel(cloud_client::QUEUE_CAPACITY);
         self.spawn(cloud_client::run(
-            cloud_client::connection(config.cloud),
+            cloud_client::connection(config.cloud_address),
             config.cloud_requests_per_s,
             requests,
             self.event_sender.clone(),
@@ -155,13 +156,13 @@
     })
 }
 
-fn log_scarce(resources: &[ScarceResource]) {
+fn log_scarce_resources(resources: &[ScarceResource]) {
     for resource in resources {
         tracing::info!(
             field = resource.field,
             value = resource.value,
-            needs = resource.needs,
-            "scarce: what there is is served"
+            needs = resource.required,
+            "quota below controller requirements"
         );
     }
 }
--- a/crates/glenmount/src/state_client/exchange.rs
+++ b/crates/glenmount/src/state_client/exchange.rs
@@ -1,7 +1,7 @@
-//! One request to the state store and its answer.
+//! Sends one request to the state store and interprets its response.
 
 use super::StateRequest;
-use crate::http_client::{Answer, AnswerLimits, HttpClient};
+use crate::http_client::{HttpClient, HttpResponse, ResponseLimits};
 use crate::timings::RECORDS_READ;
 use crate::wire::state_store as wire;
 use glenmount_core::constants::STATE_TIMEOUT_MS;
@@ -10,36 +10,38 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, Duration, Instant};
 
-/// What an answer may take: usually 10 ms, now and then a few hundred.
-const LIMITS: AnswerLimits = AnswerLimits {
+/// Limits of a response, which usually takes 10 ms and occasionally a few hundred.
+const LIMITS: ResponseLimits = ResponseLimits {
     timeout: Duration::from_millis(1_200),
-    body_bytes: 8 << 20,
+    max_body_bytes: 8 << 20,
 };
-/// The same for a page of a list.
-const LIST_LIMITS: AnswerLimits = AnswerLimits {
+/// Limits of the response with a page of a list.
+const LIST_LIMITS: ResponseLimits = ResponseLimits {
     timeout: Duration::from_millis(3 * 1_200),
-    body_bytes: 8 << 20,
+    max_body_bytes: 8 << 20,
 };
-/// A transaction counts as unanswered after so many times what answers take on the whole.
-const UNANSWERED_TIMES: f64 = 6.0;
-/// Pause after an answer that the store was asked too much.
-const THROTTLED_PAUSE: Duration = Duration::from_millis(150);
-/// Bytes of an answer that are logged.
-const CONFLICT_LOGGED_BYTES: usize = 300;
-const UNEXPECTED_LOGGED_BYTES: usize = 200;
+/// Multiple of the mean latency after which a transaction is overdue.
+const OVERDUE_LATENCY_FACTOR: f64 = 6.0;
+/// Backoff after the store rejected a request because of its rate limit.
+const THROTTLING_BACKOFF: Duration = Duration::from_millis(150);
+/// Bytes of a conflict's response body that are logged.
+const LOGGED_CONFLICT_BYTES: usize = 300;
+/// Bytes of an unexpected response's body that are logged.
+const LOGGED_UNEXPECTED_BYTES: usize = 200;
 
-/// How a request ended, for the one that sends the next.
+/// The outcome of a request, as reported to the dispatcher.
 pub enum Outcome {
-    /// With an answer after so many milliseconds.
-    Answered {
-        took_ms: f64,
+    /// The store responded.
+    Responded {
+        /// Time from sending the request until the response.
+        latency_ms: f64,
     },
-    NoAnswer,
-    /// Not executed: it is to be sent again.
+    NoResponse,
+    /// The store did not execute the request because of its rate limit; it is to be retried.
     Throttled(StateRequest),
 }
 
-/// Performs requests.
+/// Sends requests and reports their outcomes to the core and the dispatcher.
 pub struct Exchange {
     pub http: HttpClient,
     pub core: mpsc::Sender<Event>,
@@ -47,99 +49,95 @@
 }
 
 impl Exchange {
-    /// Starts a request. Its task ends by itself: the answer has a time limit.
-    pub fn spawn(&self, request: StateRequest, answer_ms: f64) {
+    /// Spawns the task of a request. The response timeout bounds the life of the task.
+    pub fn spawn(&self, request: StateRequest, mean_latency_ms: f64) {
         let (http, core) = (self.http.clone(), self.core.clone());
         let outcomes = self.outcomes.clone();
-        let overdue = unanswered_after(answer_ms);
+        let overdue_after = overdue_timeout(mean_latency_ms);
         tokio::spawn(async move {
-            let outcome = perform(&http, &core, request, overdue).await;
+            let outcome = perform(&http, &core, request, overdue_after).await;
             let _ = outcomes.send(outcome).await;
         });
     }
 }
 
-/// Time after which a transaction counts as unanswered, though an answer may yet come.
-fn unanswered_after(answer_ms: f64) -> Duration {
-    let overdue_ms = (answer_ms * UNANSWERED_TIMES).max(STATE_TIMEOUT_MS as f64);
-    Duration::from_secs_f64(overdue_ms / 1e3).min(LIMITS.timeout)
+/// Returns the time after which the core is told that a transaction is overdue. Its response may still come.
+fn overdue_timeout(mean_latency_ms: f64) -> Duration {
+    let overdue_after_ms = (mean_latency_ms * OVERDUE_LATENCY_FACTOR).max(STATE_TIMEOUT_MS as f64);
+    Duration::from_secs_f64(overdue_after_ms / 1e3).min(LIMITS.timeout)
 }
 
 async fn perform(
     http: &HttpClient,
     core: &mpsc::Sender<Event>,
     request: StateRequest,
-    overdue: Duration,
+    overdue_after: Duration,
 ) -> Outcome {
-    let token = request.token;
+    let operation_id = request.operation_id;
     let sent_at = Instant::now();
-    let answer = {
-        let mut answer = pin!(execute(http, &request.operation));
-        match timeout(overdue, &mut answer).await {
-            Ok(answer) => answer,
+    let response = {
+        let mut response = pin!(execute(http, &request.operation));
+        match timeout(overdue_after, &mut response).await {
+            Ok(response) => response,
             Err(_) => {
                 if matches!(request.operation, StateOperation::Transaction(_)) {
-                    let _ = core
-                        .send(Event::StateTimeout {
-                            operation_id: token,
-                        })
-                        .await;
+                    let _ = core.send(Event::StateTimeout { operation_id }).await;
                 }
-                answer.await
+                response.await
             }
         }
     };
-    let Some(answer) = answer else {
-        sleep(THROTTLED_PAUSE).await;
+    let Some(response) = response else {
+        sleep(THROTTLING_BACKOFF).await;
         return Outcome::Throttled(request);
     };
-    let outcome = match answer {
-        StateResponse::NoAnswer => Outcome::NoAnswer,
-        _ => Outcome::Answered {
-            took_ms: sent_at.elapsed().as_secs_f64() * 1e3,
+    let outcome = match response {
+        StateResponse::NoAnswer => Outcome::NoResponse,
+        _ => Outcome::Responded {
+            latency_ms: sent_at.elapsed().as_secs_f64() * 1e3,
         },
     };
     let _ = core
         .send(Event::State {
-            operation_id: token,
-            response: answer,
+            operation_id,
+            response,
         })
         .await;
     outcome
 }
 
-/// `None` stands for 429: not executed, to be sent again.
+/// Executes an operation. Returns `None` for status 429: the store did not execute it and it is to be retried.
 async fn execute(http: &HttpClient, operation: &StateOperation) -> Option<StateResponse> {
-    let answer = match operation {
+    let response = match operation {
         StateOperation::Transaction(transaction) => {
             let body = transaction.request_body();
             http.post(wire::TRANSACTION_PATH, body, LIMITS).await
         }
-        StateOperation::ReadIndex => http.get(wire::BARRIER_PATH, LIMITS).await,
+        StateOperation::ReadIndex => http.get(wire::READ_INDEX_PATH, LIMITS).await,
         StateOperation::List { after } => {
             let path = wire::list_path(after.as_deref());
             http.get(&path, LIST_LIMITS).await
         }
     };
-    let Some(answer) = answer else {
+    let Some(response) = response else {
         return Some(StateResponse::NoAnswer);
     };
-    match answer.status {
+    match response.status {
         429 => None,
         503 => Some(StateResponse::Unavailable),
-        _ => Some(read(operation, &answer)),
+        _ => Some(read_response(operation, &response)),
     }
 }
 
-/// What an answer says. Unexpected ones are logged.
-fn read(operation: &StateOperation, answer: &Answer) -> StateResponse {
-    let Answer { status, body } = answer;
-    let known = match (operation, status) {
+/// Interprets a response and logs it if it is unexpected.
+fn read_response(operation: &StateOperation, response: &HttpResponse) -> StateResponse {
+    let HttpResponse { status, body } = response;
+    let response = match (operation, status) {
         (StateOperation::Transaction(_), 200) => {
             wire::read_revision(body).map(|revision| StateResponse::Committed { revision })
         }
         (StateOperation::Transaction(_), 409) => {
-            tracing::debug!(answer = %start_of(body, CONFLICT_LOGGED_BYTES), "conflict");
+            tracing::debug!(response = %prefix_text(body, LOGGED_CONFLICT_BYTES), "transaction conflict");
             wire::read_revision(body).map(|revision| StateResponse::Conflict { revision })
         }
         (StateOperation::ReadIndex, 404) => {
@@ -149,13 +147,14 @@
         (_, 400) => Some(StateResponse::Refused),
         _ => None,
     };
-    if known.is_none() || known == Some(StateResponse::Refused) {
-        let body = start_of(body, UNEXPECTED_LOGGED_BYTES);
-        tracing::error!(status, %body, "unexpected answer of the state service");
+    if response.is_none() || response == Some(StateResponse::Refused) {
+        let body = prefix_text(body, LOGGED_UNEXPECTED_BYTES);
+        tracing::error!(status, %body, "unexpected response from the state service");
     }
-    known.unwrap_or(StateResponse::NoAnswer)
+    response.unwrap_or(StateResponse::NoAnswer)
 }
 
-fn start_of(body: &[u8], bytes: usize) -> String {
-    String::from_utf8_lossy(&body[..body.len().min(bytes)]).into_owned()
+/// Returns at most the given number of leading bytes as text.
+fn prefix_text(body: &[u8], max_bytes: usize) -> String {
+    String::from_utf8_lossy(&body[..body.len().min(max_bytes)]).into_owned()
 }
--- a/crates/glenmount/src/state_client/mod.rs
+++ b/crates/glenmount/src/state_client/mod.rs
@@ -1,5 +1,5 @@
-//! The client of the state store: one task that owns this controller's share of the store's rates and
-//! ranks its requests, and one that follows the watch.
+//! The client of the state store. One task sends requests by priority within this controller's share of
+//! the store's rate limits; another follows the watch.
 
 mod exchange;
 pub mod watch;
@@ -13,35 +13,36 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Duration, Instant};
 
-/// Time to set up a connection on a network of a few milliseconds.
+/// Timeout of connecting, for a network with a latency of a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Requests on their way at once: keeps connections few.
-const IN_FLIGHT: usize = 12;
-/// What has waited in line for longer is not sent: after this process was paused, or a long
-/// time at the limit of the rate, it rests on what has changed since.
-const QUEUED_MOST: Duration = Duration::from_millis(1_500);
-/// Requests that may wait in line, of each priority; more get `Unavailable` at once.
-pub const QUEUE: usize = 4_000;
-/// Priorities of requests, each with a line of its own.
-const PRIORITIES: usize = 4;
-/// Seconds' worth of requests, and of changes, that may go at once.
+/// Most requests in flight at once, which bounds the number of connections.
+const MAX_IN_FLIGHT: usize = 12;
+/// Longest time that a request may wait in a queue. A request that waited longer, because the process was
+/// paused or at its rate limit for long, is not sent: it was decided on outdated records.
+const MAX_QUEUE_TIME: Duration = Duration::from_millis(1_500);
+/// Number of requests that may wait per request class. Further requests fail as `Unavailable` at once.
+pub const QUEUE_CAPACITY: usize = 4_000;
+/// Number of request classes, each of which has its own queue.
+const REQUEST_CLASSES: usize = 4;
+/// Size of a burst of requests or changes, in seconds at the rate limit.
 const BURST_S: f64 = 0.9;
-/// Part of the usual time of answers that a new one replaces.
-const ANSWER_TIME_WEIGHT: f64 = 0.05;
-/// Time at least until the rates are looked at again.
-const PAUSE_LEAST: Duration = Duration::from_millis(1);
+/// Weight of a new latency in the moving average of latencies.
+const LATENCY_SMOOTHING_WEIGHT: f64 = 0.05;
+/// Shortest wait for the rate limits to allow the next request.
+const MIN_RATE_LIMIT_PAUSE: Duration = Duration::from_millis(1);
 
-/// An operation of the core, and by which token its outcome is known.
+/// An operation that the core asked for.
 pub struct StateRequest {
-    pub token: OperationId,
+    /// Identifies the operation in the event that reports its outcome.
+    pub operation_id: OperationId,
     pub operation: StateOperation,
     pub request_class: RequestClass,
-    /// When the core asked for it.
+    /// Time at which the core asked for the operation.
     pub queued_at: Instant,
 }
 
 impl StateRequest {
-    /// Changes that it makes, which the store counts against the rate of writes.
+    /// Returns the number of changes, which the store counts against its write rate limit.
     fn changes(&self) -> f64 {
         match &self.operation {
             StateOperation::Transaction(transaction) => transaction.changes.len() as f64,
@@ -49,39 +50,39 @@
         }
     }
 
-    /// It was never sent, so it certainly had no effect.
+    /// Returns the event for a request that was never sent and hence had no effect.
     fn unavailable(&self) -> Event {
         Event::State {
-            operation_id: self.token,
+            operation_id: self.operation_id,
             response: StateResponse::Unavailable,
         }
     }
 }
 
-/// This controller's share of the store's rates.
+/// The rate limits of the state store that this client keeps.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Changes a second.
+    /// Changes per second.
     pub changes_per_s: f64,
 }
 
-/// A client for the state store at this address.
+/// Creates a client for the state store at this address.
 pub fn connection(address: SocketAddr) -> HttpClient {
     HttpClient::new(address, CONNECT_TIMEOUT, Resend::OnClosedConnection)
 }
 
-/// Sends requests by priority as the rates allow, and the outcomes to the core, until nobody holds
-/// the other end of `requests`.
+/// Sends requests by priority as the rate limits allow, and the outcomes to the core, until the sender of
+/// `requests` is dropped.
 pub async fn run(
     http: HttpClient,
     rates: Rates,
     requests: mpsc::Receiver<StateRequest>,
     core: mpsc::Sender<Event>,
 ) {
-    // Each request in flight tells its outcome once, so none ever waits to do so.
-    let (outcome_sender, outcomes) = mpsc::channel(IN_FLIGHT);
+    // Each request in flight reports one outcome, so the channel is never full.
+    let (outcome_sender, outcomes) = mpsc::channel(MAX_IN_FLIGHT);
     let dispatcher = Dispatcher {
         exchange: Exchange {
             http,
@@ -93,33 +94,33 @@
         change_rate: TokenBucket::new(rates.changes_per_s, BURST_S),
         queues: Default::default(),
         in_flight: 0,
-        answer_ms: 0.0,
+        mean_latency_ms: 0.0,
     };
     dispatcher.run(requests, outcomes).await;
 }
 
-/// Decides which request goes next, and when.
+/// Decides which request is sent next, and when.
 struct Dispatcher {
     exchange: Exchange,
     core: mpsc::Sender<Event>,
     request_rate: TokenBucket,
     change_rate: TokenBucket,
-    /// Waiting requests by priority, the most urgent first.
-    queues: [VecDeque<StateRequest>; PRIORITIES],
+    /// Waiting requests by request class, in descending order of priority.
+    queues: [VecDeque<StateRequest>; REQUEST_CLASSES],
     in_flight: usize,
-    /// Milliseconds that answers take on the whole.
-    answer_ms: f64,
+    /// Moving average of the time until the store responds.
+    mean_latency_ms: f64,
 }
 
-/// What follows from a look at the queues.
-enum Next {
-    /// The request at the head of this queue may go.
+/// The dispatcher's next step.
+enum NextStep {
+    /// Sends the request at the head of this queue.
     Send(usize),
-    /// The request at the head of this queue has waited too long.
+    /// Drops the request at the head of this queue, which has waited too long.
     Expire(usize),
-    /// The rates allow nothing for so long.
+    /// Waits for this time until the rate limits allow the next request.
     Wait(Duration),
-    /// Nothing waits, or as much is in flight as may be.
+    /// Waits for a request or an outcome: the queues are empty, or `MAX_IN_FLIGHT` requests are in flight.
     Idle,
 }
 
@@ -132,7 +133,7 @@
         loop {
             let pause = self.send_waiting().await;
             tokio::select! {
-                // Outcomes first: each frees a place for a request.
+                // Outcomes come first because each of them allows another request in flight.
                 biased;
                 Some(outcome) = outcomes.recv() => self.finish(outcome).await,
                 request = requests.recv() => match request {
@@ -146,7 +147,7 @@
 
     async fn enqueue(&mut self, request: StateRequest) {
         let queue = &mut self.queues[request.request_class as usize];
-        if queue.len() >= QUEUE {
+        if queue.len() >= QUEUE_CAPACITY {
             let _ = self.core.send(request.unavailable()).await;
         } else {
             queue.push_back(request);
@@ -156,10 +157,11 @@
     async fn finish(&mut self, outcome: Outcome) {
         self.in_flight -= 1;
         match outcome {
-            Outcome::Answered { took_ms } => {
-                self.answer_ms += ANSWER_TIME_WEIGHT * (took_ms - self.answer_ms);
+            Outcome::Responded { latency_ms } => {
+                self.mean_latency_ms +=
+                    LATENCY_SMOOTHING_WEIGHT * (latency_ms - self.mean_latency_ms);
             }
-            Outcome::NoAnswer => {}
+            Outcome::NoResponse => {}
             Outcome::Throttled(request) => {
                 self.request_rate.drain();
                 self.change_rate.drain();
@@ -169,37 +171,38 @@
         }
     }
 
-    /// Sends what may go now. The time until more may, where that is what hinders.
+    /// Sends all requests that may be sent now. Returns the time until the rate limits allow the next one,
+    /// if they are what holds it back.
     async fn send_waiting(&mut self) -> Option<Duration> {
         loop {
-            match self.next() {
-                Next::Send(queue) => self.send_head(queue),
-                Next::Expire(queue) => self.expire_head(queue).await,
-                Next::Wait(pause) => return Some(pause),
-                Next::Idle => return None,
+            match self.next_step() {
+                NextStep::Send(queue) => self.send_head(queue),
+                NextStep::Expire(queue) => self.expire_head(queue).await,
+                NextStep::Wait(pause) => return Some(pause),
+                NextStep::Idle => return None,
             }
         }
     }
 
-    fn next(&mut self) -> Next {
-        if self.in_flight >= IN_FLIGHT {
-            return Next::Idle;
+    fn next_step(&mut self) -> NextStep {
+        if self.in_flight >= MAX_IN_FLIGHT {
+            return NextStep::Idle;
         }
         let heads = self.queues.iter().map(VecDeque::front).enumerate();
         let mut heads = heads.filter_map(|(queue, head)| Some((queue, head?)));
         let Some((queue, request)) = heads.next() else {
-            return Next::Idle;
+            return NextStep::Idle;
         };
-        if request.queued_at.elapsed() > QUEUED_MOST {
-            return Next::Expire(queue);
+        if request.queued_at.elapsed() > MAX_QUEUE_TIME {
+            return NextStep::Expire(queue);
         }
         let request_pause = self.request_rate.time_until(1.0);
         let change_pause = self.change_rate.time_until(request.changes());
         let pause = request_pause.max(change_pause);
         if pause.is_zero() {
-            Next::Send(queue)
+            NextStep::Send(queue)
         } else {
-            Next::Wait(pause.max(PAUSE_LEAST))
+            NextStep::Wait(pause.max(MIN_RATE_LIMIT_PAUSE))
         }
     }
 
@@ -210,7 +213,7 @@
         self.request_rate.take(1.0);
         self.change_rate.take(request.changes());
         self.in_flight += 1;
-        self.exchange.spawn(request, self.answer_ms);
+        self.exchange.spawn(request, self.mean_latency_ms);
     }
 
     async fn expire_head(&mut self, queue: usize) {
--- a/crates/glenmount/src/state_client/watch.rs
+++ b/crates/glenmount/src/state_client/watch.rs
@@ -1,6 +1,6 @@
-//! Follows all changes in the state store.
+//! Follows the watch on all records in the state store.
 
-use crate::http_client::{Answer, AnswerLimits, HttpClient};
+use crate::http_client::{HttpClient, HttpResponse, ResponseLimits};
 use crate::timings::RECORDS_READ;
 use crate::wire::state_store as wire;
 use glenmount_core::constants::WATCH_POLL_TIMEOUT_MS;
@@ -8,21 +8,21 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Duration};
 
-/// What an answer may take: the store holds it until there are changes, or for `WATCH_POLL_TIMEOUT_MS`.
-const LIMITS: AnswerLimits = AnswerLimits {
+/// Limits of a response, which the store holds back until there are changes or for `WATCH_POLL_TIMEOUT_MS`.
+const LIMITS: ResponseLimits = ResponseLimits {
     timeout: Duration::from_millis(WATCH_POLL_TIMEOUT_MS + 60_000),
-    body_bytes: 8 << 20,
+    max_body_bytes: 8 << 20,
 };
-/// Pause between two tries to open the watch.
+/// Pause before a failed request for changes is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Requests to open the watch anew that may wait.
-pub const RESTARTS: usize = 16;
+/// Number of watch restarts that may wait.
+pub const RESTART_QUEUE_CAPACITY: usize = 16;
 
-/// Nobody is left who wants to know of changes.
+/// The error of a watch whose core is gone.
 struct Closed;
 
-/// Tells the core of all changes. A revision sent to `restarts` opens the watch anew from there; the
-/// first one opens it at all. Ends when nobody holds the other end of either channel.
+/// Sends all changes to the core. The first revision received from `restarts` opens the watch, each later one
+/// reopens it after that revision. Returns when the other end of either channel is dropped.
 pub async fn run(http: HttpClient, restarts: mpsc::Receiver<u64>, core: mpsc::Sender<Event>) {
     let mut watch = Watch {
         http,
@@ -40,7 +40,7 @@
     http: HttpClient,
     core: mpsc::Sender<Event>,
     restarts: mpsc::Receiver<u64>,
-    /// All changes up to this one have been told.
+    /// Revision up to which all changes have been sent to the core.
     revision: u64,
 }
 
@@ -50,20 +50,20 @@
         Ok(())
     }
 
-    /// Waits for the next changes and tells them.
+    /// Waits for the next changes and sends them to the core.
     async fn advance(&mut self) -> Result<(), Closed> {
         let path = wire::watch_path(self.revision);
-        let answer = tokio::select! {
-            answer = self.http.get(&path, LIMITS) => answer,
+        let response = tokio::select! {
+            response = self.http.get(&path, LIMITS) => response,
             restart = self.restarts.recv() => {
                 self.revision = restart.ok_or(Closed)?;
                 return Ok(());
             }
         };
-        match answer {
-            Some(Answer { status: 200, body }) => self.tell_changes(&body).await,
-            // The store has forgotten the changes after this revision.
-            Some(Answer { status: 410, .. }) => {
+        match response {
+            Some(HttpResponse { status: 200, body }) => self.send_changes(&body).await,
+            // The store has compacted away changes after this revision.
+            Some(HttpResponse { status: 410, .. }) => {
                 let _ = self.core.send(Event::WatchGap).await;
                 self.await_restart().await
             }
@@ -74,7 +74,7 @@
         }
     }
 
-    async fn tell_changes(&mut self, body: &[u8]) -> Result<(), Closed> {
+    async fn send_changes(&mut self, body: &[u8]) -> Result<(), Closed> {
         match RECORDS_READ.time(|| wire::read_changes(body)) {
             Ok((revision, changes)) => {
                 self.revision = self.revision.max(revision);
@@ -82,7 +82,7 @@
                 self.core.send(event).await.map_err(|_| Closed)
             }
             Err(error) => {
-                tracing::error!(%error, "unreadable changes");
+                tracing::error!(%error, "malformed watch response");
                 sleep(RETRY_PAUSE).await;
                 Ok(())
             }
--- a/crates/glenmount/src/tests.rs
+++ b/crates/glenmount/src/tests.rs
@@ -1,8 +1,8 @@
-//! The forms in which this program speaks with users, workers, the cloud, the state service, peers
-//! and operators, byte for byte.
+//! Compares the interfaces to users, workers, the cloud, the state store, peers and operators with samples,
+//! byte for byte.
 //!
-//! The samples under `tests/samples/` are lines of columns parted by tabs: what is read, and last what
-//! comes of it. Other programs rely on these forms, so the samples are never made anew.
+//! The samples under `tests/samples/` are lines of tab-separated columns: the inputs and, in the last column, the
+//! expected outcome. Other programs rely on these interfaces, so the samples are never regenerated.
 
 mod cloud_forms;
 mod command_line;
@@ -19,30 +19,30 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpListener;
 
-/// Time after which a test has failed.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time after which a test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 async fn in_time<T>(outcome: impl Future<Output = T>) -> T {
-    let outcome = tokio::time::timeout(PATIENCE, outcome).await;
+    let outcome = tokio::time::timeout(TEST_TIMEOUT, outcome).await;
     outcome.expect("an outcome in time")
 }
 
-/// Compares what comes of each line's first columns with its last one.
+/// Compares the outcome for each line's first columns with its last column.
 async fn check_lines<F, O>(file: &str, sample: &'static str, outcome: F)
 where
     F: Fn(Vec<&'static str>) -> O,
     O: Future<Output = String> + Send + 'static,
 {
-    let lines = sample.lines().map(|line| {
+    let outcomes = sample.lines().map(|line| {
         let mut columns: Vec<&str> = line.split('\t').collect();
         let expected = columns.pop().expect("columns");
         (line, expected, tokio::spawn(outcome(columns)))
     });
     let mut differences = Vec::new();
-    for (line, expected, outcome) in lines.collect::<Vec<_>>() {
+    for (line, expected, outcome) in outcomes.collect::<Vec<_>>() {
         let outcome = in_time(outcome).await.expect("an outcome");
         if outcome != expected {
-            differences.push(format!("{line}\nbecame\n{outcome}\n"));
+            differences.push(format!("{line}\nresulted in\n{outcome}\n"));
         }
     }
     assert!(
@@ -52,11 +52,11 @@
     );
 }
 
-/// Answers one request; what was asked, without the address and with `|` between its lines.
-async fn answer_once(listener: &TcpListener, status: &str, body: &str) -> String {
+/// Responds to one request. Returns the request without the `host` header and with `|` between its lines.
+async fn respond_once(listener: &TcpListener, status: &str, body: &str) -> String {
     let (stream, _) = listener.accept().await.expect("a connection");
     let mut stream = BufReader::new(stream);
-    let mut asked = Vec::new();
+    let mut request_lines = Vec::new();
     let mut length = 0;
     loop {
         let mut line = String::new();
@@ -69,19 +69,19 @@
             length = bytes.parse().expect("a length");
         }
         if !line.starts_with("host: ") {
-            asked.push(line.to_string());
+            request_lines.push(line.to_string());
         }
     }
     let mut request_body = vec![0; length];
     stream.read_exact(&mut request_body).await.expect("a body");
-    asked.push(String::from_utf8(request_body).expect("text"));
+    request_lines.push(String::from_utf8(request_body).expect("text"));
     let head = format!(
         "HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
-    let answer = head + body;
-    stream.write_all(answer.as_bytes()).await.expect("sent");
-    asked.join("|")
+    let response = head + body;
+    stream.write_all(response.as_bytes()).await.expect("sent");
+    request_lines.join("|")
 }
 
 async fn listener() -> TcpListener {
@@ -100,29 +100,32 @@
     }
 }
 
-/// What was read of a worker's heartbeat.
-fn show_report(report: &WorkerHeartbeat) -> String {
-    let tasks = report.tasks.iter().map(|t| {
-        let phase = match t.phase {
+/// Formats a worker's heartbeat as in the samples.
+fn format_heartbeat(heartbeat: &WorkerHeartbeat) -> String {
+    let tasks = heartbeat.tasks.iter().map(|status| {
+        let phase = match status.phase {
             TaskPhase::Fetching => "fetching".to_string(),
             TaskPhase::Running => "running".to_string(),
             TaskPhase::Checkpointing => "saving".to_string(),
             TaskPhase::Exited(cause) => format!("exited: {}", cause_name(cause)),
         };
-        format!("[task {}, attempt {}, {phase}]", t.task, t.attempt)
+        format!(
+            "[task {}, attempt {}, {phase}]",
+            status.task, status.attempt
+        )
     });
     format!(
         "machine {:?} at {:?}, type {:?}, zone {:?}, spot {}, incarnation {}, sequence {}, fencing token {}, \
          notice {:?}, tasks {}",
-        report.machine,
-        report.address,
-        report.type_name,
-        report.zone,
-        report.spot,
-        report.incarnation,
-        report.sequence,
-        report.token,
-        report.notice_s,
+        heartbeat.machine,
+        heartbeat.address,
+        heartbeat.type_name,
+        heartbeat.zone,
+        heartbeat.spot,
+        heartbeat.incarnation,
+        heartbeat.sequence,
+        heartbeat.token,
+        heartbeat.notice_s,
         tasks.collect::<String>(),
     )
 }
--- a/crates/glenmount/src/tests/cloud_forms.rs
+++ b/crates/glenmount/src/tests/cloud_forms.rs
@@ -1,13 +1,13 @@
-//! Requests to the cloud and its answers.
+//! Compares requests to the cloud and the interpretation of its responses with samples.
 
-use super::{answer_once, check_lines, in_time, listener};
+use super::{check_lines, in_time, listener, respond_once};
 use crate::cloud_client::{self, CloudRequest};
 use glenmount_core::controller::{CloudOperation, CloudResponse, Event};
 use glenmount_core::model::CloudInstanceState;
 use tokio::sync::mpsc;
 
 fn operation(name: &str) -> CloudOperation {
-    let rental = |spot, count| CloudOperation::Provision {
+    let provision = |spot, count| CloudOperation::Provision {
         name: "h-00000007-\"é\"".into(),
         type_name: "g8".into(),
         zone: "a".into(),
@@ -16,8 +16,8 @@
     };
     match name {
         "types" => CloudOperation::Types,
-        "rental" => rental(false, 1),
-        "rental of spot machines" => rental(true, u32::MAX),
+        "rental" => provision(false, 1),
+        "rental of spot machines" => provision(true, u32::MAX),
         "deletion" => CloudOperation::Delete {
             machines: vec!["n-1".into(), "n-\"2\"".into()],
         },
@@ -32,11 +32,12 @@
     }
 }
 
-fn show(answer: CloudResponse) -> String {
-    match answer {
+/// Formats a response as in the samples.
+fn format_response(response: CloudResponse) -> String {
+    match response {
         CloudResponse::Types(machine_types) => {
-            let stored = serde_json::to_value(&machine_types).expect("JSON");
-            format!("types {stored}")
+            let json = serde_json::to_value(&machine_types).expect("JSON");
+            format!("types {json}")
         }
         CloudResponse::Provisioned(names) => format!("rented {names:?}"),
         CloudResponse::NoCapacity => "no capacity".to_string(),
@@ -64,41 +65,42 @@
     }
 }
 
-async fn asked(name: &str, status: &str, body: &str) -> (String, String) {
+/// Executes an operation against a server with this response. Returns the request and the outcome.
+async fn execute(name: &str, status: &str, body: &str) -> (String, String) {
     let listener = listener().await;
     let connection = cloud_client::connection(listener.local_addr().expect("an address"));
     let (core, mut events) = mpsc::channel(1);
     let (request_sender, requests) = mpsc::channel(1);
     tokio::spawn(cloud_client::run(connection, 1_000.0, requests, core));
     let request = CloudRequest {
-        token: 17,
+        operation_id: 17,
         operation: operation(name),
     };
     assert!(request_sender.send(request).await.is_ok());
-    let request = in_time(answer_once(&listener, status, body)).await;
+    let request = in_time(respond_once(&listener, status, body)).await;
     match in_time(events.recv()).await {
         Some(Event::Cloud {
             operation_id: 17,
-            response: answer,
-        }) => (request, show(answer)),
-        other => panic!("not the cloud's answer: {other:?}"),
+            response,
+        }) => (request, format_response(response)),
+        other => panic!("not the cloud's response: {other:?}"),
     }
 }
 
 #[tokio::test]
-async fn the_cloud_is_asked_as_published() {
+async fn cloud_requests_have_the_published_form() {
     let sample = include_str!("../../tests/samples/cloud_requests.tsv");
     check_lines("cloud_requests.tsv", sample, |columns| async move {
-        asked(columns[0], "500", "").await.0
+        execute(columns[0], "500", "").await.0
     })
     .await;
 }
 
 #[tokio::test]
-async fn answers_of_the_cloud_are_read_by_status_and_request() {
+async fn cloud_responses_are_interpreted_by_status_and_request() {
     let sample = include_str!("../../tests/samples/cloud_answers.tsv");
     check_lines("cloud_answers.tsv", sample, |columns| async move {
-        asked(columns[0], columns[1], columns[2]).await.1
+        execute(columns[0], columns[1], columns[2]).await.1
     })
     .await;
 }
--- a/crates/glenmount/src/tests/command_line.rs
+++ b/crates/glenmount/src/tests/command_line.rs
@@ -1,11 +1,11 @@
-//! The flags of the program itself.
+//! Compares the command line of the controller with a sample.
 
 use super::command_line_surface::command_line_surface;
 use crate::arguments::Arguments;
 use clap::CommandFactory;
 
 #[test]
-fn flags_are_as_published() {
+fn command_line_matches_the_sample() {
     let surface = command_line_surface(Arguments::command());
     assert_eq!(
         surface,
--- a/crates/glenmount/src/tests/command_line_surface.rs
+++ b/crates/glenmount/src/tests/command_line_surface.rs
@@ -1,5 +1,5 @@
-//! Lists what a program's command line accepts, so that a test can compare it with a sample. Scripts and
-//! deployment files rely on these names. The tests of the other programs include this file.
+//! Describes the command line of a program as text for comparison with a sample. Scripts and deployment files rely
+//! on these names. The tests of the other programs include this file.
 
 use clap::{Arg, Command};
 
@@ -28,7 +28,8 @@
     }
 }
 
-/// Flag or position, aliases, environment variable, whether it is required, defaults and accepted values.
+/// Describes an argument: its flag or position, aliases, whether it is required, whether it takes a value,
+/// defaults and accepted values.
 fn argument_line(argument: &Arg) -> String {
     let mut line = match (argument.get_long(), argument.get_short()) {
         (Some(long), Some(short)) => format!("--{long} -{short}"),
--- a/crates/glenmount/src/tests/public_protocol.rs
+++ b/crates/glenmount/src/tests/public_protocol.rs
@@ -1,6 +1,6 @@
-//! Requests of users and workers, and the answers to them.
+//! Compares requests of users and workers and the responses to them with samples.
 
-use super::{check_lines, in_time, show_report};
+use super::{check_lines, format_heartbeat, in_time};
 use crate::http_server::{routes, Api, CoreReply, PendingRequest};
 use glenmount_core::controller::{Event, UserReply, WorkerReply};
 use glenmount_core::model::{JobState, TaskId, WorkerCommand};
@@ -8,37 +8,37 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// What becomes of a request that reaches the scheduler.
-enum Answer {
-    Of(CoreReply),
-    /// The scheduler drops it.
-    None,
-    /// Too many requests wait for the scheduler.
-    Busy,
+/// The simulated behavior of the core for a request.
+enum CoreBehavior {
+    Reply(CoreReply),
+    /// The core drops the request without a reply.
+    Drop,
+    /// Too many requests wait for the core.
+    Overloaded,
 }
 
-fn user(reply: UserReply) -> Answer {
-    Answer::Of(CoreReply::User(reply))
+fn user_reply(reply: UserReply) -> CoreBehavior {
+    CoreBehavior::Reply(CoreReply::User(reply))
 }
 
-fn worker(reply: WorkerReply) -> Answer {
-    Answer::Of(CoreReply::Worker(reply))
+fn worker_reply(reply: WorkerReply) -> CoreBehavior {
+    CoreBehavior::Reply(CoreReply::Worker(reply))
 }
 
-/// The event that a request becomes, if it is not refused before, and the response to it.
+/// Sends a request. Returns its event, if the server passed one to the core, and the response.
 async fn exchange(
     (method, path, body): (&str, &str, &str),
-    answer: Answer,
+    behavior: CoreBehavior,
     is_ready: bool,
 ) -> (Option<Event>, String) {
     let (request_sender, mut requests) = mpsc::channel::<PendingRequest>(1);
-    if matches!(answer, Answer::Busy) {
+    if matches!(behavior, CoreBehavior::Overloaded) {
         requests.close();
     }
     let api = Api::new(request_sender, Arc::new(AtomicBool::new(is_ready)));
-    let scheduler = tokio::spawn(async move {
+    let core = tokio::spawn(async move {
         let request = requests.recv().await?;
-        if let Answer::Of(reply) = answer {
+        if let CoreBehavior::Reply(reply) = behavior {
             let _ = request.reply.send(reply);
         }
         Some(request.event)
@@ -49,18 +49,18 @@
         Some(value) => value.to_str().expect("text").to_string(),
         None => "-".to_string(),
     };
-    let shown = format!(
+    let response_text = format!(
         "{} {} {} {}",
         response.status().as_u16(),
         header("content-type"),
         header("retry-after"),
         String::from_utf8_lossy(response.body()),
     );
-    let event = in_time(scheduler).await.expect("the scheduler ends");
-    (event, shown)
+    let event = in_time(core).await.expect("the core's task ends");
+    (event, response_text)
 }
 
-/// `@N` at the end of a body's line in a sample stands for so many bytes of spaces before it.
+/// Replaces `@N` at the end of a body in a sample by N leading spaces.
 fn padded(body: &str) -> String {
     match body.rsplit_once('@') {
         Some((body, bytes)) => " ".repeat(bytes.parse().expect("bytes")) + body,
@@ -69,14 +69,14 @@
 }
 
 #[tokio::test]
-async fn submissions_are_read_with_all_their_fields() {
+async fn submissions_are_read_with_all_fields() {
     let sample = include_str!("../../tests/samples/submissions.tsv");
     check_lines("submissions.tsv", sample, |columns| async move {
         let request = ("POST", "/v2/runs", columns[0]);
-        match exchange(request, Answer::None, true).await {
+        match exchange(request, CoreBehavior::Drop, true).await {
             (Some(Event::Submit { spec, .. }), _) => {
-                let stored = serde_json::to_value(&spec).expect("JSON");
-                stored.to_string()
+                let json = serde_json::to_value(&spec).expect("JSON");
+                json.to_string()
             }
             (_, response) => response,
         }
@@ -85,12 +85,12 @@
 }
 
 #[tokio::test]
-async fn faulty_submissions_are_refused_with_their_fault() {
+async fn faulty_submissions_are_rejected_with_the_reason() {
     let sample = include_str!("../../tests/samples/refused_submissions.tsv");
     check_lines("refused_submissions.tsv", sample, |columns| async move {
         let body = padded(columns[0]);
         let request = ("POST", "/v2/runs", body.as_str());
-        match exchange(request, Answer::None, true).await {
+        match exchange(request, CoreBehavior::Drop, true).await {
             (None, response) => response,
             (Some(_), _) => "read".to_string(),
         }
@@ -99,17 +99,12 @@
 }
 
 #[tokio::test]
-async fn check_ins_are_read_with_all_their_fields() {
+async fn heartbeats_are_read_with_all_fields() {
     let sample = include_str!("../../tests/samples/check_ins.tsv");
     check_lines("check_ins.tsv", sample, |columns| async move {
         let request = ("POST", "/checkin", columns[0]);
-        match exchange(request, Answer::None, true).await {
-            (
-                Some(Event::WorkerHeartbeat {
-                    heartbeat: report, ..
-                }),
-                _,
-            ) => show_report(&report),
+        match exchange(request, CoreBehavior::Drop, true).await {
+            (Some(Event::WorkerHeartbeat { heartbeat, .. }), _) => format_heartbeat(&heartbeat),
             (_, response) => response,
         }
     })
@@ -117,12 +112,12 @@
 }
 
 #[tokio::test]
-async fn faulty_check_ins_are_refused_with_their_fault() {
+async fn faulty_heartbeats_are_rejected_with_the_reason() {
     let sample = include_str!("../../tests/samples/refused_check_ins.tsv");
     check_lines("refused_check_ins.tsv", sample, |columns| async move {
         let body = padded(columns[0]);
         let request = ("POST", "/checkin", body.as_str());
-        match exchange(request, Answer::None, true).await {
+        match exchange(request, CoreBehavior::Drop, true).await {
             (None, response) => response,
             (Some(_), _) => "read".to_string(),
         }
@@ -131,22 +126,17 @@
 }
 
 #[tokio::test]
-async fn requests_are_told_apart_by_method_and_path() {
+async fn requests_are_dispatched_by_method_and_path() {
     let sample = include_str!("../../tests/samples/requests.tsv");
     check_lines("requests.tsv", sample, |columns| async move {
         let request = (columns[0], columns[1], columns[3]);
         let is_ready = columns[2] == "ready";
-        match exchange(request, Answer::None, is_ready).await {
+        match exchange(request, CoreBehavior::Drop, is_ready).await {
             (Some(Event::Submit { spec, .. }), _) => format!("submission of {}", spec.id),
             (Some(Event::Status { job, .. }), _) => format!("status of {job}"),
             (Some(Event::Cancel { job, .. }), _) => format!("cancellation of {job}"),
-            (
-                Some(Event::WorkerHeartbeat {
-                    heartbeat: report, ..
-                }),
-                _,
-            ) => {
-                format!("check-in of {}", report.machine)
+            (Some(Event::WorkerHeartbeat { heartbeat, .. }), _) => {
+                format!("check-in of {}", heartbeat.machine)
             }
             (Some(other), _) => format!("{other:?}"),
             (None, response) => response,
@@ -155,44 +145,44 @@
     .await;
 }
 
-fn answer(name: &str) -> Answer {
+fn core_behavior(name: &str) -> CoreBehavior {
     let job = || "j-000412".to_string();
-    let state = |state, done, running| {
-        user(UserReply::Status {
+    let status = |state, done, running| {
+        user_reply(UserReply::Status {
             job: job(),
             state,
             done,
             running,
         })
     };
-    let cancelled = |state| user(UserReply::Cancelled { job: job(), state });
+    let cancelled = |state| user_reply(UserReply::Cancelled { job: job(), state });
     let task = || TaskId {
         job: job(),
         index: 4,
     };
-    let away = |controller: Option<&str>| {
-        worker(WorkerReply::Redirect {
+    let redirect = |controller: Option<&str>| {
+        worker_reply(WorkerReply::Redirect {
             controller: controller.map(str::to_string),
         })
     };
     match name {
-        "accepted" => user(UserReply::Accepted { job: job() }),
-        "queued" => state(JobState::Pending, 0, 0),
-        "running" => state(JobState::Running, 3, 13),
-        "done" => state(JobState::Done, u32::MAX, 0),
-        "cancelled" => state(JobState::Cancelled, 3, 2),
+        "accepted" => user_reply(UserReply::Accepted { job: job() }),
+        "queued" => status(JobState::Pending, 0, 0),
+        "running" => status(JobState::Running, 3, 13),
+        "done" => status(JobState::Done, u32::MAX, 0),
+        "cancelled" => status(JobState::Cancelled, 3, 2),
         "cancellation of a queued job" => cancelled(JobState::Pending),
         "cancellation of a running job" => cancelled(JobState::Running),
         "cancellation of a job that is done" => cancelled(JobState::Done),
         "cancellation" => cancelled(JobState::Cancelled),
-        "no such job" => user(UserReply::NotFound),
-        "never" => user(UserReply::Rejected("no \"team\" é\n".into())),
-        "later" => user(UserReply::RetryAfter { after_s: 5 }),
-        "no orders" => worker(WorkerReply::Commands {
+        "no such job" => user_reply(UserReply::NotFound),
+        "never" => user_reply(UserReply::Rejected("no \"team\" é\n".into())),
+        "later" => user_reply(UserReply::RetryAfter { after_s: 5 }),
+        "no orders" => worker_reply(WorkerReply::Commands {
             token: 0,
             commands: Vec::new(),
         }),
-        "orders" => worker(WorkerReply::Commands {
+        "orders" => worker_reply(WorkerReply::Commands {
             token: u64::MAX,
             commands: vec![
                 WorkerCommand::Start {
@@ -215,21 +205,21 @@
                 },
             ],
         }),
-        "another controller" => away(Some("b-\"2\"")),
-        "any other controller" => away(None),
-        "not now" => worker(WorkerReply::Unavailable),
-        "dropped" => Answer::None,
-        "too busy" => Answer::Busy,
-        other => panic!("no such answer: {other}"),
+        "another controller" => redirect(Some("b-\"2\"")),
+        "any other controller" => redirect(None),
+        "not now" => worker_reply(WorkerReply::Unavailable),
+        "dropped" => CoreBehavior::Drop,
+        "too busy" => CoreBehavior::Overloaded,
+        other => panic!("no such behavior of the core: {other}"),
     }
 }
 
 #[tokio::test]
-async fn users_and_workers_get_status_body_and_time_to_retry() {
+async fn responses_have_the_published_status_headers_and_body() {
     let sample = include_str!("../../tests/samples/answers.tsv");
     check_lines("answers.tsv", sample, |columns| async move {
         let request = ("GET", "/v2/runs/j-000412", "");
-        exchange(request, answer(columns[0]), true).await.1
+        exchange(request, core_behavior(columns[0]), true).await.1
     })
     .await;
 }
--- a/crates/glenmount/src/tests/settings_forms.rs
+++ b/crates/glenmount/src/tests/settings_forms.rs
@@ -1,17 +1,17 @@
-//! The platform's settings file and the operators' own.
+//! Compares the reading of both settings files with samples.
 
 use super::check_lines;
 use crate::settings::{self, Config, OperatorSettings};
 
-const ALL: &str = include_str!("../../tests/samples/settings_all.toml");
-const LEAST: &str = include_str!("../../tests/samples/settings_least.toml");
+const ALL_SETTINGS: &str = include_str!("../../tests/samples/settings_all.toml");
+const REQUIRED_SETTINGS: &str = include_str!("../../tests/samples/settings_least.toml");
 
-/// All that is read of the settings, a line each.
-fn show(config: &Config) -> String {
+/// Formats all values read from the settings, one per line.
+fn format_config(config: &Config) -> String {
     let core = &config.core;
     let (uses, tuning, policy) = (&core.runtime_estimates, &core.tuning, &core.policy);
-    let scarce = config.scarce.iter();
-    let scarce: Vec<_> = scarce.map(|s| (s.field, s.value, s.needs)).collect();
+    let scarce = config.scarce_resources.iter();
+    let scarce: Vec<_> = scarce.map(|s| (s.field, s.value, s.required)).collect();
     let mut lines = vec![
         format!("member: {:?}", core.controller),
         format!("members: {:?}", core.controllers),
@@ -21,8 +21,8 @@
         format!("listens to clients at: {}", config.client_listen),
         format!("listens to siblings at: {}", config.cluster_listen),
         format!("siblings: {:?}", config.peers),
-        format!("cloud: {}", config.cloud),
-        format!("state service: {}", config.state),
+        format!("cloud: {}", config.cloud_address),
+        format!("state service: {}", config.state_store_address),
         format!(
             "requests to the state service: {:?}/s",
             config.state_rates.requests_per_s
@@ -32,7 +32,7 @@
             config.state_rates.changes_per_s
         ),
         format!("requests to the cloud: {:?}/s", config.cloud_requests_per_s),
-        format!("sockets: {}", config.sockets),
+        format!("sockets: {}", config.max_sockets),
         format!("scarce: {scarce:?}"),
         format!("report: {} ms", core.heartbeat_interval_ms),
         format!("lease: {} ms", core.lease_ms),
@@ -70,25 +70,28 @@
 }
 
 #[test]
-fn settings_files_are_read_with_all_their_fields() {
+fn settings_files_are_read_with_all_fields() {
     for (text, expected) in [
-        (ALL, include_str!("../../tests/samples/settings_all.txt")),
         (
-            LEAST,
+            ALL_SETTINGS,
+            include_str!("../../tests/samples/settings_all.txt"),
+        ),
+        (
+            REQUIRED_SETTINGS,
             include_str!("../../tests/samples/settings_least.txt"),
         ),
     ] {
         let config = settings::read_config(text, &OperatorSettings::default()).expect("settings");
-        assert_eq!(show(&config), expected);
+        assert_eq!(format_config(&config), expected);
     }
 }
 
 #[tokio::test]
-async fn faulty_settings_files_are_refused_with_their_fault() {
+async fn faulty_settings_files_are_rejected_with_the_reason() {
     let sample = include_str!("../../tests/samples/refused_settings.tsv");
     check_lines("refused_settings.tsv", sample, |columns| async move {
-        assert!(ALL.contains(columns[0]), "{}", columns[0]);
-        let text = ALL.replacen(columns[0], &columns[1].replace("\\n", "\n"), 1);
+        assert!(ALL_SETTINGS.contains(columns[0]), "{}", columns[0]);
+        let text = ALL_SETTINGS.replacen(columns[0], &columns[1].replace("\\n", "\n"), 1);
         match settings::read_config(&text, &OperatorSettings::default()) {
             Ok(_) => "read".to_string(),
             Err(error) => error.to_string(),
@@ -97,7 +100,8 @@
     .await;
 }
 
-fn deployed(file: &'static str) -> &'static str {
+/// Returns the text of a deployment file, or the argument itself if it is the text.
+fn operator_xml(file: &'static str) -> &'static str {
     match file {
         "deploy/even-spread.xml" => include_str!("../../../../deploy/even-spread.xml"),
         "deploy/learned-run-times.xml" => include_str!("../../../../deploy/learned-run-times.xml"),
@@ -106,17 +110,18 @@
     }
 }
 
-/// What operators' settings change, or why they are refused.
+/// Compares the values that operators' settings change, or the reason for rejecting them.
 #[tokio::test]
-async fn operators_settings_are_read_or_refused_with_their_fault() {
+async fn operator_settings_are_applied_or_rejected_with_the_reason() {
     let sample = include_str!("../../tests/samples/operator_settings.tsv");
     check_lines("operator_settings.tsv", sample, |columns| async move {
-        let usual = settings::read_config(LEAST, &OperatorSettings::default()).expect("settings");
-        let read = settings::read_operator_settings(deployed(columns[0]));
-        match read.and_then(|operator| settings::read_config(LEAST, &operator)) {
+        let default = settings::read_config(REQUIRED_SETTINGS, &OperatorSettings::default())
+            .expect("settings");
+        let read = settings::read_operator_settings(operator_xml(columns[0]));
+        match read.and_then(|operator| settings::read_config(REQUIRED_SETTINGS, &operator)) {
             Ok(config) => {
-                let (usual, shown) = (show(&usual), show(&config));
-                let pairs = usual.lines().zip(shown.lines());
+                let (default, changed) = (format_config(&default), format_config(&config));
+                let pairs = default.lines().zip(changed.lines());
                 let changes = pairs.filter(|(before, after)| before != after);
                 let changes: Vec<&str> = changes.map(|(_, after)| after).collect();
                 format!("read; {}", changes.join("; "))
--- a/crates/glenmount/src/tests/state_forms.rs
+++ b/crates/glenmount/src/tests/state_forms.rs
@@ -1,6 +1,7 @@
-//! Requests to the state service and its answers; the text of transactions is pinned with the core.
+//! Compares requests to the state store and the interpretation of its responses with samples. Tests of the core
+//! cover the text of transactions.
 
-use super::{answer_once, check_lines, in_time, listener};
+use super::{check_lines, in_time, listener, respond_once};
 use crate::state_client::{self, watch, Rates, StateRequest};
 use glenmount_core::controller::{Event, RequestClass, StateOperation, StateResponse};
 use glenmount_core::state::formats::LATEST;
@@ -34,13 +35,15 @@
     }
 }
 
-fn show_item(key: &Key, mod_revision: u64, record: Option<&Record>) -> String {
+/// Formats a record as in the samples.
+fn format_record(key: &Key, mod_revision: u64, record: Option<&Record>) -> String {
     let value = record.map_or("removed".to_string(), |r| r.value(LATEST).to_string());
     format!("[{} {mod_revision} {value}]", key.path())
 }
 
-fn show(answer: &StateResponse) -> String {
-    match answer {
+/// Formats a response as in the samples.
+fn format_response(response: &StateResponse) -> String {
+    match response {
         StateResponse::Committed { revision } => format!("committed at {revision}"),
         StateResponse::Conflict { revision } => format!("conflict at {revision}"),
         StateResponse::ReadIndex { revision } => format!("revision {revision}"),
@@ -55,14 +58,15 @@
         } => {
             let items = items
                 .iter()
-                .map(|(k, mod_revision, r)| show_item(k, *mod_revision, Some(r)));
+                .map(|(key, mod_revision, record)| format_record(key, *mod_revision, Some(record)));
             let items: String = items.collect();
             format!("listed {items}, last {last:?}, more {more}, revision {revision}")
         }
     }
 }
 
-async fn asked(name: &str, status: &str, body: &str) -> (String, String) {
+/// Executes an operation against a server with this response. Returns the request and the outcome.
+async fn execute(name: &str, status: &str, body: &str) -> (String, String) {
     let listener = listener().await;
     let connection = state_client::connection(listener.local_addr().expect("an address"));
     let (core, mut events) = mpsc::channel(1);
@@ -73,56 +77,57 @@
     let (request_sender, requests) = mpsc::channel(1);
     tokio::spawn(state_client::run(connection, rates, requests, core));
     let request = StateRequest {
-        token: 17,
+        operation_id: 17,
         operation: operation(name),
         request_class: RequestClass::User,
         queued_at: Instant::now(),
     };
     assert!(request_sender.send(request).await.is_ok());
-    let request = in_time(answer_once(&listener, status, body)).await;
+    let request = in_time(respond_once(&listener, status, body)).await;
     let outcome = loop {
         match in_time(events.recv()).await {
-            // As may come on a busy machine: the answer follows.
+            // May occur on a busy machine; the response follows.
             Some(Event::StateTimeout { operation_id: 17 }) => {}
             Some(Event::State {
                 operation_id: 17,
-                response: answer,
-            }) => break show(&answer),
+                response,
+            }) => break format_response(&response),
             Some(Event::Throttled) => break "throttled, to be sent again".to_string(),
-            other => panic!("not an answer: {other:?}"),
+            other => panic!("not a response: {other:?}"),
         }
     };
     (request, outcome)
 }
 
 #[tokio::test]
-async fn the_state_service_is_asked_as_published() {
+async fn state_store_requests_have_the_published_form() {
     let sample = include_str!("../../tests/samples/state_requests.tsv");
     check_lines("state_requests.tsv", sample, |columns| async move {
-        asked(columns[0], "503", "").await.0
+        execute(columns[0], "503", "").await.0
     })
     .await;
 }
 
 #[tokio::test]
-async fn answers_of_the_state_service_are_read_by_status_and_request() {
+async fn state_store_responses_are_interpreted_by_status_and_request() {
     let sample = include_str!("../../tests/samples/state_answers.tsv");
     check_lines("state_answers.tsv", sample, |columns| async move {
-        asked(columns[0], columns[1], columns[2]).await.1
+        execute(columns[0], columns[1], columns[2]).await.1
     })
     .await;
 }
 
-/// The request for changes, and what comes of its answer; of one that is unreadable nothing.
-async fn watched(status: &str, body: &str) -> (String, String) {
+/// Opens a watch against a server with this response. Returns the request and the outcome; malformed and failed
+/// responses are ignored.
+async fn watch_once(status: &str, body: &str) -> (String, String) {
     let listener = listener().await;
     let connection = state_client::connection(listener.local_addr().expect("an address"));
     let (core, mut events) = mpsc::channel(1);
     let (restart_sender, restarts) = mpsc::channel(1);
     tokio::spawn(watch::run(connection, restarts, core));
     restart_sender.send(41).await.expect("a watch");
-    let request = in_time(answer_once(&listener, status, body)).await;
-    // What is of use is told before the next request, and of nothing else anything is told.
+    let request = in_time(respond_once(&listener, status, body)).await;
+    // The watch sends an event before its next request if and only if the response is usable.
     let event = tokio::select! {
         biased;
         event = in_time(events.recv()) => event,
@@ -131,19 +136,19 @@
     let outcome = match event {
         Some(Event::WatchGap) => "records to be listed anew".to_string(),
         Some(Event::WatchUpdate { revision, changes }) => {
-            let changes = changes
-                .iter()
-                .map(|(k, mod_revision, r)| show_item(k, *mod_revision, r.as_ref()));
+            let changes = changes.iter().map(|(key, mod_revision, record)| {
+                format_record(key, *mod_revision, record.as_ref())
+            });
             format!("up to {revision} {}", changes.collect::<String>())
         }
-        other => panic!("not of the watch: {other:?}"),
+        other => panic!("not an event of the watch: {other:?}"),
     };
     (request, outcome)
 }
 
 #[tokio::test]
-async fn changes_are_watched_as_published() {
-    let request = watched("410", "").await.0;
+async fn watch_requests_have_the_published_form() {
+    let request = watch_once("410", "").await.0;
     assert_eq!(
         request,
         "GET /watch?under=g/&since=41&holdMs=10000 HTTP/1.1|"
@@ -151,10 +156,10 @@
 }
 
 #[tokio::test]
-async fn answers_to_watches_are_read_or_passed_over() {
+async fn watch_responses_are_read_or_ignored() {
     let sample = include_str!("../../tests/samples/watch_answers.tsv");
     check_lines("watch_answers.tsv", sample, |columns| async move {
-        watched(columns[0], columns[1]).await.1
+        watch_once(columns[0], columns[1]).await.1
     })
     .await;
 }
--- a/crates/glenmount/src/tests/worker_commands.rs
+++ b/crates/glenmount/src/tests/worker_commands.rs
@@ -1,18 +1,18 @@
-//! Direct commands to workers and their answers.
+//! Compares direct commands to workers and the interpretation of their responses with samples.
 
-use super::{answer_once, check_lines, in_time, listener, show_report};
+use super::{check_lines, format_heartbeat, in_time, listener, respond_once};
 use crate::wire;
 use crate::worker_client::{Command, CommandKind, WorkerClient};
 use glenmount_core::controller::{CommandOutcome, Event};
 use glenmount_core::model::{TaskId, WorkerCommand};
 use tokio::sync::mpsc;
 
-fn command_body(names: &str) -> Vec<WorkerCommand> {
+fn worker_commands(names: &str) -> Vec<WorkerCommand> {
     let task = TaskId {
         job: "j-000412".into(),
         index: 99_999,
     };
-    let order = |name: &str| match name {
+    let command = |name: &str| match name {
         "start" => WorkerCommand::Start {
             task: task.clone(),
             attempt: 2,
@@ -26,56 +26,56 @@
             task: task.clone(),
             attempt: 4,
         },
-        other => panic!("no such order: {other}"),
+        other => panic!("no such command: {other}"),
     };
-    names.split_whitespace().map(order).collect()
+    names.split_whitespace().map(command).collect()
 }
 
-/// Sends orders to a worker that answers so: its request, and what comes of the command.
-async fn commanded(names: &str, status: &str, body: &str) -> (String, String) {
+/// Sends commands to a worker with this response. Returns the request and the outcome.
+async fn send_commands(names: &str, status: &str, body: &str) -> (String, String) {
     let listener = listener().await;
     let address = listener.local_addr().expect("an address").to_string();
     let (core, mut events) = mpsc::channel(1);
-    let commands = command_body(names);
+    let commands = worker_commands(names);
     WorkerClient::new(core).send(Command {
         machine: "n-1".into(),
         address,
         body: wire::write_command(7, 41, &commands),
         kind: CommandKind::of(&commands),
     });
-    let asked = in_time(answer_once(&listener, status, body)).await;
+    let request = in_time(respond_once(&listener, status, body)).await;
     let Some(Event::CommandResult {
         machine,
-        outcome: reach,
-        heartbeat: report,
+        outcome,
+        heartbeat,
     }) = in_time(events.recv()).await
     else {
-        panic!("not what becomes of a command")
+        panic!("not the outcome of a command")
     };
-    let reach = match reach {
+    let outcome = match outcome {
         CommandOutcome::Accepted => "taken",
         CommandOutcome::Refused => "refused",
         CommandOutcome::NoAnswer => "silent",
         CommandOutcome::NotSent => "not sent",
     };
-    let report = report.map_or("no report".to_string(), |report| show_report(&report));
-    (asked, format!("{machine}: {reach}, {report}"))
+    let heartbeat = heartbeat.map_or("no report".to_string(), |h| format_heartbeat(&h));
+    (request, format!("{machine}: {outcome}, {heartbeat}"))
 }
 
 #[tokio::test]
-async fn commands_are_sent_to_workers_as_published() {
+async fn commands_to_workers_have_the_published_form() {
     let sample = include_str!("../../tests/samples/commands.tsv");
     check_lines("commands.tsv", sample, |columns| async move {
-        commanded(columns[0], "200", "{}").await.0
+        send_commands(columns[0], "200", "{}").await.0
     })
     .await;
 }
 
 #[tokio::test]
-async fn answers_to_commands_are_read_by_status_and_kind_of_command() {
+async fn responses_to_commands_are_interpreted_by_status_and_kind() {
     let sample = include_str!("../../tests/samples/answers_to_commands.tsv");
     check_lines("answers_to_commands.tsv", sample, |columns| async move {
-        commanded(columns[0], columns[1], columns[2]).await.1
+        send_commands(columns[0], columns[1], columns[2]).await.1
     })
     .await;
 }
--- a/crates/glenmount/src/timings.rs
+++ b/crates/glenmount/src/timings.rs
@@ -1,16 +1,16 @@
-//! What this process's time goes into: counted by kind of event, logged every so often.
+//! Measures the time that this process spends per kind of event, and logs it at an interval.
 //!
-//! Three looks at the clock an event. What runs between two events - HTTP, the runtime, the kernel -
-//! is not in here: it is the difference to what the platform counts.
+//! Each event costs three clock reads. The work between two events (HTTP, the runtime, the kernel) is not
+//! measured: it is the difference to the CPU time that the platform measures.
 
 use glenmount_core::controller::Event;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// Period at which it is logged.
+/// Interval at which the timings are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(30);
 
-/// What the core is told, as far as it is counted apart.
+/// The kinds of events that are counted separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EventKind {
     Tick,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// As it is logged.
+    /// Returns the label in the log.
     fn label(self) -> &'static str {
         match self {
             EventKind::Tick => "tick",
@@ -76,7 +76,7 @@
     }
 }
 
-/// Counts work that is done in other tasks than the core's.
+/// A timer of work outside of the core.
 pub struct WorkTimer {
     count: AtomicU64,
     ns: AtomicU64,
@@ -90,16 +90,17 @@
         }
     }
 
-    /// Does the work, and counts the time.
+    /// Runs the work and counts it with its duration.
     pub fn time<T>(&self, work: impl FnOnce() -> T) -> T {
-        let began = Instant::now();
-        let done = work();
+        let started_at = Instant::now();
+        let result = work();
         self.count.fetch_add(1, Relaxed);
         self.ns
-            .fetch_add(began.elapsed().as_nanos() as u64, Relaxed);
-        done
+            .fetch_add(started_at.elapsed().as_nanos() as u64, Relaxed);
+        result
     }
 
+    /// Returns the counts and resets them.
     fn take(&self) -> Timing {
         Timing {
             count: self.count.swap(0, Relaxed),
@@ -108,16 +109,16 @@
     }
 }
 
-/// Heartbeats of workers and submissions read from JSON.
+/// Parsing of worker heartbeats and submissions from JSON.
 pub static MESSAGES_READ: WorkTimer = WorkTimer::new();
-/// Answers to users and workers written as JSON.
+/// Serialization of replies to users and workers as JSON.
 pub static REPLIES_WRITTEN: WorkTimer = WorkTimer::new();
-/// Answers of the state store read into records, and the watch's changes.
+/// Parsing of lists and watch responses of the state store into records.
 pub static RECORDS_READ: WorkTimer = WorkTimer::new();
-/// Heartbeats between controllers read and written.
+/// Parsing and serialization of heartbeats between controllers.
 pub static PEER_FRAMES: WorkTimer = WorkTimer::new();
 
-/// How often something was done, and how long it took in all.
+/// The count and the total duration of a kind of work.
 #[derive(Clone, Copy, Default)]
 struct Timing {
     count: u64,
@@ -125,12 +126,12 @@
 }
 
 impl Timing {
-    fn add(&mut self, count: usize, time: Duration) {
+    fn add(&mut self, count: usize, duration: Duration) {
         self.count += count as u64;
-        self.ns += time.as_nanos() as u64;
+        self.ns += duration.as_nanos() as u64;
     }
 
-    /// How many, microseconds of each in the mean, and thousandths of a core.
+    /// Returns the count, the mean duration in microseconds and the load in thousandths of a core.
     fn summary(self, period: Duration) -> String {
         let mean_us = self.ns as f64 / 1e3 / self.count.max(1) as f64;
         let core_thousandths = self.ns as f64 / 1e6 / period.as_secs_f64().max(0.001);
@@ -138,56 +139,60 @@
     }
 }
 
-/// An event that the core is handling.
+/// The timer of an event that the core is handling.
 #[derive(Clone, Copy)]
 pub struct EventTimer {
     kind: EventKind,
-    began: Instant,
+    started_at: Instant,
 }
 
-/// What the core's events take. Owned by the event loop.
+/// The timings of the core's events. The event loop owns them.
 pub struct EventTimings {
-    since: Instant,
+    period_start: Instant,
     by_kind: [Timing; EventKind::ALL.len()],
-    /// What was told to be done, handed to the tasks that do it.
+    /// Handing effects to the tasks that perform them.
     effects: Timing,
 }
 
 impl EventTimings {
-    /// Nothing is counted yet.
+    /// Creates timings without any count.
     pub fn new() -> EventTimings {
         EventTimings {
-            since: Instant::now(),
+            period_start: Instant::now(),
             by_kind: Default::default(),
             effects: Timing::default(),
         }
     }
 
-    /// Starts counting an event.
+    /// Starts the timer of an event.
     pub fn begin(&self, event: &Event) -> EventTimer {
         EventTimer {
             kind: EventKind::of(event),
-            began: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
-    /// The core has handled an event at `handled`, and by now its effects were handed on.
-    pub fn end(&mut self, event: EventTimer, handled: Instant, effects: usize) {
+    /// Counts an event that the core had handled at `handled_at` and whose effects have now been handed to their
+    /// tasks. Logs and resets all timings once per interval.
+    pub fn end(&mut self, timer: EventTimer, handled_at: Instant, effect_count: usize) {
         let now = Instant::now();
-        self.by_kind[event.kind as usize].add(1, handled.duration_since(event.began));
-        self.effects.add(effects, now.duration_since(handled));
-        let period = now.duration_since(self.since);
+        let handling_time = handled_at.duration_since(timer.started_at);
+        self.by_kind[timer.kind as usize].add(1, handling_time);
+        self.effects
+            .add(effect_count, now.duration_since(handled_at));
+        let period = now.duration_since(self.period_start);
         if period >= LOG_INTERVAL {
             self.log(period);
             *self = EventTimings::new();
         }
     }
 
-    /// Each part is how many, microseconds of each, and thousandths of a core.
+    /// Logs each part as its count, mean duration in microseconds and load in thousandths of a core.
     fn log(&self, period: Duration) {
         let summaries = |timings: &[(&str, Timing)]| {
             let counted = timings.iter().filter(|(_, timing)| timing.count > 0);
-            let parts = counted.map(|(name, timing)| format!("{name}:{}", timing.summary(period)));
+            let parts =
+                counted.map(|(label, timing)| format!("{label}:{}", timing.summary(period)));
             parts.collect::<Vec<String>>().join(" ")
         };
         let events = EventKind::ALL.map(|kind| (kind.label(), self.by_kind[kind as usize]));
--- a/crates/glenmount/src/timings/tests.rs
+++ b/crates/glenmount/src/timings/tests.rs
@@ -1,11 +1,11 @@
-//! How timings are counted.
+//! Tests of counting timings.
 
 use super::{EventKind, EventTimings, Timing, WorkTimer};
 use glenmount_core::controller::Event;
 use std::time::{Duration, Instant};
 
 #[test]
-fn each_event_is_counted_under_its_kind() {
+fn each_event_is_counted_by_its_kind() {
     let mut timings = EventTimings::new();
     for event in [Event::Tick, Event::Tick, Event::Throttled] {
         let timer = timings.begin(&event);
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn kinds_stand_in_the_order_of_their_numbers() {
-    for (number, kind) in EventKind::ALL.into_iter().enumerate() {
-        assert_eq!(kind as usize, number, "{}", kind.label());
+fn event_kinds_are_listed_in_order_of_their_discriminants() {
+    for (index, kind) in EventKind::ALL.into_iter().enumerate() {
+        assert_eq!(kind as usize, index, "{}", kind.label());
     }
 }
 
 #[test]
-fn work_outside_is_taken_once() {
+fn taking_a_work_timer_resets_it() {
     let timer = WorkTimer::new();
     assert_eq!(timer.time(|| 7), 7);
     assert_eq!(timer.take().count, 1);
--- a/crates/glenmount/src/token_bucket/tests.rs
+++ b/crates/glenmount/src/token_bucket/tests.rs
@@ -1,13 +1,13 @@
-//! When a bucket lets requests go.
+//! Tests of when a token bucket allows requests.
 
 use super::TokenBucket;
 use tokio::time::Duration;
 
-/// So slow that nothing to speak of is gained within a test.
+/// A rate so low that the tokens gained within a test are negligible.
 const RATE_PER_S: f64 = 0.001;
 
 #[test]
-fn a_full_bucket_lets_its_burst_go_at_once_and_no_more() {
+fn full_bucket_allows_one_burst_and_no_more() {
     let mut bucket = TokenBucket::new(RATE_PER_S, 3.0 / RATE_PER_S);
     for _ in 0..3 {
         assert_eq!(bucket.time_until(1.0), Duration::ZERO);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn more_than_a_bucket_holds_may_go_when_it_is_full_and_is_paid_later() {
+fn full_bucket_allows_more_than_its_capacity_and_goes_into_debt() {
     let mut bucket = TokenBucket::new(RATE_PER_S, 2.0 / RATE_PER_S);
     assert_eq!(bucket.time_until(10.0), Duration::ZERO);
     bucket.take(10.0);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_drained_bucket_starts_empty_and_keeps_its_debt() {
+fn drained_bucket_is_empty_and_keeps_its_debt() {
     let mut bucket = TokenBucket::new(RATE_PER_S, 5.0 / RATE_PER_S);
     bucket.drain();
     assert!(bucket.time_until(1.0) > Duration::from_secs(900));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn one_request_may_always_go_however_small_the_rate() {
+fn full_bucket_allows_one_request_at_any_rate() {
     let mut bucket = TokenBucket::new(RATE_PER_S, 1.0);
     assert_eq!(bucket.time_until(1.0), Duration::ZERO);
 }
--- a/crates/glenmount/src/wire/cloud.rs
+++ b/crates/glenmount/src/wire/cloud.rs
@@ -1,4 +1,5 @@
-//! Messages between the controller and the cloud: its catalog, provisioning and lists of instances.
+//! Messages between the controller and the cloud: the catalog of machine types, provisioning, deletion and
+//! lists of instances.
 
 use super::to_json;
 use glenmount_core::constants::INSTANCE_LIST_PAGE;
@@ -8,13 +9,13 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Path of the list of machine types.
+/// Path of the catalog of machine types.
 pub const CATALOG_PATH: &str = "/catalog";
-/// Path at which instances are asked for.
+/// Path of provisioning requests and of the list of instances.
 pub const INSTANCES_PATH: &str = "/hosts";
-/// Path at which instances are given back.
+/// Path of requests to delete instances.
 pub const DELETE_PATH: &str = "/hosts/delete";
-/// What a refused request for instances says when the cloud has none of these now.
+/// Text in a refused provisioning request when the cloud currently has no capacity for it.
 pub const NO_CAPACITY: &str = "no capacity";
 
 #[derive(Deserialize)]
@@ -65,14 +66,14 @@
     }
 }
 
-/// Reads the list of machine types; nothing where it is malformed.
+/// Parses the catalog of machine types. Returns `None` if it is malformed.
 pub fn read_catalog(body: &[u8]) -> Option<Vec<MachineType>> {
     let catalog: Catalog = serde_json::from_slice(body).ok()?;
     let entries = catalog.machine_types.into_iter();
     Some(entries.map(CatalogEntry::into_machine_type).collect())
 }
 
-/// A request for instances. One with the name of an earlier one is the same request.
+/// A request to provision instances. The cloud executes requests with the same idempotency key only once.
 #[derive(Serialize)]
 pub struct ProvisioningRequest<'a> {
     #[serde(rename = "hire")]
@@ -88,7 +89,7 @@
 }
 
 impl ProvisioningRequest<'_> {
-    /// The body of the request.
+    /// Serializes the request.
     pub fn to_json(&self) -> String {
         to_json(self)
     }
@@ -100,27 +101,27 @@
     names: Vec<String>,
 }
 
-/// Reads the names of the instances that were provisioned; nothing where the answer is malformed.
+/// Parses the names of the provisioned instances. Returns `None` if the response is malformed.
 pub fn read_provisioned(body: &[u8]) -> Option<Vec<String>> {
     let instances: ProvisionedInstances = serde_json::from_slice(body).ok()?;
     Some(instances.names)
 }
 
 #[derive(Serialize)]
-struct DeprovisioningRequest<'a> {
+struct DeletionRequest<'a> {
     #[serde(rename = "hosts")]
     names: &'a [String],
 }
 
-/// The body of a request to give instances back.
-pub fn deprovisioning_request(names: &[String]) -> String {
-    to_json(&DeprovisioningRequest { names })
+/// Serializes a request to delete instances.
+pub fn deletion_request(names: &[String]) -> String {
+    to_json(&DeletionRequest { names })
 }
 
-/// The path of a page of the list of instances: the first, or that after the named instance.
+/// Returns the path of a page of the list of instances: the first page, or the page after an instance.
 pub fn instances_page_path(after: Option<&str>) -> String {
-    let since = after.map_or(String::new(), |name| format!("since={name}&"));
-    format!("{INSTANCES_PATH}?{since}most={INSTANCE_LIST_PAGE}")
+    let cursor = after.map_or(String::new(), |name| format!("since={name}&"));
+    format!("{INSTANCES_PATH}?{cursor}most={INSTANCE_LIST_PAGE}")
 }
 
 #[derive(Deserialize)]
@@ -150,7 +151,7 @@
 }
 
 impl Instance {
-    fn into_host(self) -> CloudInstance {
+    fn into_cloud_instance(self) -> CloudInstance {
         CloudInstance {
             name: self.name,
             address: self.address.unwrap_or_default(),
@@ -167,10 +168,13 @@
     }
 }
 
-/// Reads a page of the list of instances; nothing where it is malformed.
+/// Parses a page of the list of instances. Returns `None` if it is malformed.
 pub fn read_instances(body: &[u8]) -> Option<CloudResponse> {
     let page: InstancePage = serde_json::from_slice(body).ok()?;
-    let instances = page.instances.into_iter().map(Instance::into_host);
+    let instances = page
+        .instances
+        .into_iter()
+        .map(Instance::into_cloud_instance);
     Some(CloudResponse::Instances {
         instances: instances.collect(),
         more: page.has_more,
--- a/crates/glenmount/src/wire/mod.rs
+++ b/crates/glenmount/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! The published messages: JSON between the controller and users, workers, the cloud and the state store.
+//! The published JSON messages between the controller and users, workers, the cloud and the state store.
 //!
-//! Each submodule holds one side. The protocol's own field names are met only here and mapped by
-//! `serde(rename)` to the names that the rest of the program uses.
+//! Each submodule covers one of these protocols. Only these modules use the protocols' field names; `serde(rename)`
+//! maps them to the names that the rest of the program uses.
 
 pub mod cloud;
 pub mod state_store;
@@ -13,17 +13,17 @@
 
 use serde::Serialize;
 
-/// Bytes of a name or other text in a message at most: these stand in stored records.
-const TEXT_BYTES: usize = 200;
+/// Size limit of a name or other text in a message. Stored records contain these texts.
+const MAX_TEXT_BYTES: usize = 200;
 
-/// An answer to a request, as it goes out.
+/// The serialized reply to a request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// JSON.
+    /// JSON body.
     pub body: String,
-    /// Seconds after which the request is worth another try.
+    /// Value of `Retry-After`.
     pub retry_after_s: Option<u32>,
 }
 
@@ -37,20 +37,20 @@
     }
 }
 
-/// The body of an answer that refuses a request.
+/// The body of a reply that refuses a request.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
     error: &'a str,
 }
 
-/// Writes a message. Structs of strings and numbers, as all messages are, can't fail to be written.
+/// Serializes a message. This can't fail because all messages are structs of strings and numbers.
 fn to_json(message: &impl Serialize) -> String {
     serde_json::to_string(message).unwrap_or_else(|_| "{}".into())
 }
 
-/// Whether a text is neither empty nor too long to be stored.
-fn has_text_length(text: &str) -> bool {
-    !text.is_empty() && text.len() <= TEXT_BYTES
+/// Returns whether a text is neither empty nor too long to be stored.
+fn has_valid_length(text: &str) -> bool {
+    !text.is_empty() && text.len() <= MAX_TEXT_BYTES
 }
 
 #[cfg(test)]
--- a/crates/glenmount/src/wire/state_store.rs
+++ b/crates/glenmount/src/wire/state_store.rs
@@ -1,6 +1,6 @@
-//! Messages between the controller and the state store: lists of records, and the watch.
+//! Messages between the controller and the state store: lists of records and the watch.
 //!
-//! Transactions are written by the core, which keeps them within the store's limits.
+//! The core serializes transactions because it keeps them within the store's size limits.
 
 use glenmount_core::constants::WATCH_POLL_TIMEOUT_MS;
 use glenmount_core::controller::StateResponse;
@@ -8,24 +8,24 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// Path at which transactions are sent.
+/// Path of transactions.
 pub const TRANSACTION_PATH: &str = "/txn";
-/// Path of a key that never exists: reading it is the cheapest linearizable read.
-pub const BARRIER_PATH: &str = "/keys/g/none";
-/// Items per page of a list at most, by protocol. Each page is a turn of the service; one that would
-/// be larger than 512 KiB comes shorter.
-const PAGE_ITEMS: u32 = 1_000;
+/// Path of a key that never exists. Reading it is the cheapest linearizable read of the current revision.
+pub const READ_INDEX_PATH: &str = "/keys/g/none";
+/// Most items per page of a list that the protocol allows. Each page counts as one request to the store, which
+/// returns fewer items if the page would exceed 512 KiB.
+const MAX_PAGE_ITEMS: u32 = 1_000;
 
-/// One changed record: its key, the revision that changed it, and what it is now unless it was removed.
+/// A changed record: its key, the revision of the change, and the new record unless it was deleted.
 pub type Change = (Key, u64, Option<Record>);
 
-/// The path of a page of all records: the first, or that after a key.
+/// Returns the path of a page of the list of all records: the first page, or the page after a key.
 pub fn list_path(after: Option<&str>) -> String {
-    let since = after.map_or(String::new(), |key| format!("&since={key}"));
-    format!("/keys?under={PREFIX}{since}&most={PAGE_ITEMS}")
+    let cursor = after.map_or(String::new(), |key| format!("&since={key}"));
+    format!("/keys?under={PREFIX}{cursor}&most={MAX_PAGE_ITEMS}")
 }
 
-/// The path at which changes after a revision are waited for.
+/// Returns the path of the long poll for changes after a revision.
 pub fn watch_path(revision: u64) -> String {
     format!("/watch?under={PREFIX}&since={revision}&holdMs={WATCH_POLL_TIMEOUT_MS}")
 }
@@ -36,7 +36,7 @@
     revision: u64,
 }
 
-/// Reads the revision that an answer tells; nothing where it is malformed.
+/// Parses the revision in a response. Returns `None` if the response is malformed.
 pub fn read_revision(body: &[u8]) -> Option<u64> {
     let body: RevisionBody = serde_json::from_slice(body).ok()?;
     Some(body.revision)
@@ -63,7 +63,7 @@
 }
 
 impl Item<'_> {
-    /// Nothing for a key or a record of a later version of this program.
+    /// Returns `None` for a key or a record of a later version of this program.
     fn record(&self) -> Option<(Key, u64, Record)> {
         let key = Key::parse(&self.key)?;
         let record = Record::parse(&key, self.value.get())?;
@@ -71,7 +71,7 @@
     }
 }
 
-/// Reads a page of records; nothing where it is malformed.
+/// Parses a page of records. Returns `None` if the response is malformed.
 pub fn read_list_page(body: &[u8]) -> Option<StateResponse> {
     let page: ListBody = serde_json::from_slice(body).ok()?;
     Some(StateResponse::Listed {
@@ -87,25 +87,27 @@
     #[serde(rename = "epoch")]
     revision: u64,
     #[serde(rename = "news", default, borrow)]
-    changes: Vec<News<'a>>,
+    changes: Vec<WatchedChange<'a>>,
 }
 
-/// A change as the protocol tells it: the path of the record that was put, or of one removed.
+/// A change in a watch response: either the key of a written record or that of a deleted one.
 #[derive(Deserialize)]
-struct News<'a> {
-    put: Option<String>,
-    remove: Option<String>,
+struct WatchedChange<'a> {
+    #[serde(rename = "put")]
+    written_key: Option<String>,
+    #[serde(rename = "remove")]
+    deleted_key: Option<String>,
     #[serde(rename = "v", borrow)]
     value: Option<&'a RawValue>,
     #[serde(rename = "stamp")]
     mod_revision: u64,
 }
 
-impl News<'_> {
-    /// Nothing for a key or a record of a later version of this program.
+impl WatchedChange<'_> {
+    /// Returns `None` for a key or a record of a later version of this program.
     fn change(&self) -> Option<Change> {
-        let Some(path) = &self.put else {
-            let key = Key::parse(self.remove.as_ref()?)?;
+        let Some(path) = &self.written_key else {
+            let key = Key::parse(self.deleted_key.as_ref()?)?;
             return Some((key, self.mod_revision, None));
         };
         let key = Key::parse(path)?;
@@ -114,12 +116,12 @@
     }
 }
 
-/// Reads the changes that the watch tells, in order, and the revision up to which these are all.
+/// Parses a watch response. Returns the changes in order and the revision up to which they are complete.
 ///
 /// # Errors
-/// The body is not of the published form.
+/// The response doesn't have the published form.
 pub fn read_changes(body: &[u8]) -> serde_json::Result<(u64, Vec<Change>)> {
     let body: WatchBody = serde_json::from_slice(body)?;
-    let changes = body.changes.iter().filter_map(News::change);
+    let changes = body.changes.iter().filter_map(WatchedChange::change);
     Ok((body.revision, changes.collect()))
 }
