--- a/crates/glenmount/src/wire/tests.rs
+++ b/crates/glenmount/src/wire/tests.rs
@@ -1,11 +1,11 @@
-//! The published messages, read and written.
+//! Tests of reading and writing the published messages.
 
 use super::{read_heartbeat, read_submission, write_command, write_user_reply, write_worker_reply};
 use glenmount_core::controller::{UserReply, WorkerReply};
 use glenmount_core::model::{ExitCause, JobPriority, JobState, TaskId, TaskPhase, WorkerCommand};
 use serde_json::{json, Value};
 
-fn good() -> Value {
+fn valid_submission() -> Value {
     json!({"nameId":"j-000412","jobclass":"train","owner":"vision","shape":"array",
         "rank":"high","drops":16,"vcpus":8.0,"accelerators":1.0,"ramGb":64.0,
         "bundle":"img-07","pullGb":6.2,"flavours":["g8"],"yard":null,"together":true,
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn a_submission_is_read_and_each_fault_is_found() {
-    let spec = read_submission(good().to_string().as_bytes()).unwrap();
+fn valid_submission_is_read_and_faulty_ones_are_rejected() {
+    let spec = read_submission(valid_submission().to_string().as_bytes()).unwrap();
     assert_eq!(
         (spec.tasks, spec.resources.cpus, spec.priority),
         (16, 8000, JobPriority::High)
@@ -41,7 +41,7 @@
         ("awaits", json!(["j-1", "x-2"])),
     ];
     for (field, value) in faults {
-        let mut body = good();
+        let mut body = valid_submission();
         body[field] = value.clone();
         assert!(
             read_submission(body.to_string().as_bytes()).is_err(),
@@ -52,7 +52,7 @@
         assert!(read_submission(body.as_bytes()).is_err(), "{body}");
     }
     for field in ["pullGb", "accelerators", "expectS", "snapshotS", "flushS"] {
-        let mut body = good();
+        let mut body = valid_submission();
         body[field] = json!(0);
         assert!(
             read_submission(body.to_string().as_bytes()).is_ok(),
@@ -60,7 +60,7 @@
         );
     }
     let dependencies = |value: Value| {
-        let mut body = good();
+        let mut body = valid_submission();
         body["awaits"] = value;
         read_submission(body.to_string().as_bytes())
             .unwrap()
@@ -70,7 +70,7 @@
     assert!(dependencies(json!([])).is_empty());
     assert_eq!(dependencies(json!(["j-2", "j-1", "j-2"])), ["j-1", "j-2"]);
     for field in ["nameId", "drops", "scatter", "flushS"] {
-        let mut body = good();
+        let mut body = valid_submission();
         body.as_object_mut().unwrap().remove(field);
         assert!(
             read_submission(body.to_string().as_bytes()).is_err(),
@@ -80,11 +80,11 @@
 }
 
 #[test]
-fn what_is_said_is_as_published() {
+fn replies_and_commands_have_the_published_form() {
     let read = |text: &str| serde_json::from_str::<Value>(text).unwrap();
     let task = TaskId::parse("j-000412/4").unwrap();
     let attempt = 2;
-    let told = [
+    let commands = [
         WorkerCommand::Start {
             task: task.clone(),
             attempt,
@@ -100,38 +100,44 @@
         {"verb":"halt","drop":"j-000412/4","try":2,"leewayS":10.0},
         {"verb":"forget","drop":"j-000412/4","try":2}]);
     assert_eq!(
-        read(&write_command(1, 41, &told)),
+        read(&write_command(1, 41, &commands)),
         json!({"fence":41,"tenure":1,"orders":verbs})
     );
-    let reply = |r| {
-        let reply = write_worker_reply(&r);
+    let worker_reply = |reply| {
+        let reply = write_worker_reply(&reply);
         assert_eq!(reply.retry_after_s, None);
         (reply.status, read(&reply.body))
     };
-    let commands = WorkerReply::Commands {
+    let with_commands = WorkerReply::Commands {
         token: 41,
-        commands: told.to_vec(),
+        commands: commands.to_vec(),
     };
-    assert_eq!(reply(commands), (200, json!({"fence":41,"orders":verbs})));
-    let away = |controller: Option<&str>| WorkerReply::Redirect {
+    assert_eq!(
+        worker_reply(with_commands),
+        (200, json!({"fence":41,"orders":verbs}))
+    );
+    let redirect = |controller: Option<&str>| WorkerReply::Redirect {
         controller: controller.map(Into::into),
     };
-    assert_eq!(reply(away(Some("b-2"))), (421, json!({"steward":"b-2"})));
-    assert_eq!(reply(away(None)), (421, json!({})));
-    assert_eq!(reply(WorkerReply::Unavailable).0, 503);
-    let user = |r| {
-        let reply = write_user_reply(&r);
+    assert_eq!(
+        worker_reply(redirect(Some("b-2"))),
+        (421, json!({"steward":"b-2"}))
+    );
+    assert_eq!(worker_reply(redirect(None)), (421, json!({})));
+    assert_eq!(worker_reply(WorkerReply::Unavailable).0, 503);
+    let user_reply = |reply| {
+        let reply = write_user_reply(&reply);
         (reply.status, read(&reply.body), reply.retry_after_s)
     };
     let job = || "j-000412".to_string();
-    let state = UserReply::Status {
+    let status = UserReply::Status {
         job: job(),
         state: JobState::Running,
         done: 3,
         running: 13,
     };
     assert_eq!(
-        user(state),
+        user_reply(status),
         (
             200,
             json!({"nameId":"j-000412","standing":"running","done":3,"running":13}),
@@ -140,7 +146,7 @@
     );
     let accepted = UserReply::Accepted { job: job() };
     assert_eq!(
-        user(accepted),
+        user_reply(accepted),
         (201, json!({"nameId":"j-000412","standing":"pending"}), None)
     );
     let cancelled = UserReply::Cancelled {
@@ -148,31 +154,37 @@
         state: JobState::Cancelled,
     };
     assert_eq!(
-        user(cancelled),
+        user_reply(cancelled),
         (200, json!({"nameId":"j-000412","standing":"aborted"}), None)
     );
-    let never = UserReply::Rejected("no \"team\"".into());
-    assert_eq!(user(never), (422, json!({"error":"no \"team\""}), None));
-    assert_eq!(user(UserReply::RetryAfter { after_s: 5 }).2, Some(5));
+    let rejected = UserReply::Rejected("no \"team\"".into());
+    assert_eq!(
+        user_reply(rejected),
+        (422, json!({"error":"no \"team\""}), None)
+    );
+    assert_eq!(user_reply(UserReply::RetryAfter { after_s: 5 }).2, Some(5));
 }
 
 #[test]
-fn a_check_in_is_read_with_causes() {
+fn heartbeat_is_read_with_exit_causes_and_out_of_range_counts_are_rejected() {
     let body = json!({"host":"n-1","address":"10.1.0.2:9000","flavour":"g8","yard":"a",
         "reclaimable":true,"tenure":1,"tally":88,"fence":41,
         "drops":[{"drop":"j-000412/3","try":2,"standing":"running"},
                  {"drop":"j-000398/0","try":1,"standing":"exited","cause":"no_room"}]});
-    let r = read_heartbeat(body.to_string().as_bytes()).unwrap();
-    assert_eq!(r.tasks[0].task.index, 3);
-    assert_eq!(r.tasks[1].phase, TaskPhase::Exited(ExitCause::NoResources));
+    let heartbeat = read_heartbeat(body.to_string().as_bytes()).unwrap();
+    assert_eq!(heartbeat.tasks[0].task.index, 3);
+    assert_eq!(
+        heartbeat.tasks[1].phase,
+        TaskPhase::Exited(ExitCause::NoResources)
+    );
     assert!(read_heartbeat(b"{}").is_err());
-    // Nothing is learned from a machine that counts wrongly: what comes after would look old.
+    // After one excessive value, all later heartbeats of the machine would look outdated.
     for (field, value) in [("tenure", 0), ("tenure", u64::MAX), ("tally", u64::MAX)] {
         let mut body = body.clone();
         body[field] = value.into();
-        let why = read_heartbeat(body.to_string().as_bytes())
+        let error = read_heartbeat(body.to_string().as_bytes())
             .unwrap_err()
             .to_string();
-        assert!(why.starts_with(field), "{why}");
+        assert!(error.starts_with(field), "{error}");
     }
 }
--- a/crates/glenmount/src/wire/users.rs
+++ b/crates/glenmount/src/wire/users.rs
@@ -1,6 +1,6 @@
-//! Messages between users and the controller: submissions, and the answers to all requests.
+//! Messages between users and the controller: submissions and the replies to all requests.
 
-use super::{has_text_length, ErrorBody, Reply};
+use super::{has_valid_length, ErrorBody, Reply};
 use glenmount_core::constants::JOB_MAX_TASKS;
 use glenmount_core::controller::UserReply;
 use glenmount_core::model::{ceil_milli, JobKind, JobPriority, JobSpec, JobState, Resources};
@@ -9,12 +9,12 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Cores, GB and seconds beyond which a figure of a submission is a mistake.
-const AMOUNT_MOST: f64 = 1e9;
-/// Machine types that a job may name.
-const MACHINE_TYPES_MOST: usize = 100;
+/// Limit of cores, GB and seconds in a submission; a larger value is a mistake.
+const MAX_AMOUNT: f64 = 1e9;
+/// Most machine types that a job may name.
+const MAX_MACHINE_TYPES: usize = 100;
 
-/// Why a submission is refused. Users see the text.
+/// The reason why a submission is rejected. Users see the text.
 #[derive(Debug, Error)]
 pub enum SubmissionError {
     #[error(transparent)]
@@ -35,7 +35,7 @@
     Unknown(&'static str),
 }
 
-/// A submission as it arrives. Of several missing fields the first in this order is reported.
+/// The body of a submission. Of several missing fields, the first in this order is reported.
 #[derive(Deserialize)]
 struct Submission {
     #[serde(rename = "nameId")]
@@ -47,8 +47,9 @@
     #[serde(rename = "shape")]
     kind: String,
     #[serde(rename = "rank")]
-    request_class: String,
-    /// Any JSON, so that a fraction or a negative number is out of range and not of the wrong type.
+    priority: String,
+    /// Any JSON value, so that a fraction or a negative number is reported as out of range and not as a type
+    /// error.
     #[serde(rename = "drops")]
     tasks: Value,
     #[serde(rename = "vcpus")]
@@ -76,14 +77,14 @@
     #[serde(rename = "snapshotS")]
     checkpoint_interval_s: f64,
     #[serde(rename = "flushS")]
-    checkpoint_write_s: f64,
+    checkpoint_duration_s: f64,
     #[serde(rename = "dueS", default)]
     deadline_s: Option<f64>,
     #[serde(rename = "awaits", default)]
     dependencies: Option<Vec<String>>,
 }
 
-/// Whether this is the form of a job's id: `j-` and up to 18 digits.
+/// Returns whether a text has the form of a job's identifier: `j-` and 1 to 18 digits.
 pub fn is_job_id(text: &str) -> bool {
     let Some(digits) = text.strip_prefix("j-") else {
         return false;
@@ -91,29 +92,29 @@
     (1..=18).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-/// Reads and checks a submission.
+/// Parses and validates a submission.
 ///
 /// # Errors
-/// The first field, in a fixed order, that is missing, malformed or out of range.
+/// Names the first field, in a fixed order, that is missing, malformed or out of range.
 pub fn read_submission(body: &[u8]) -> Result<JobSpec, SubmissionError> {
     let value: Value = serde_json::from_slice(body)?;
     if !value.is_object() {
         return Err(SubmissionError::NotAnObject);
     }
     let submission: Submission = serde_json::from_value(value)?;
-    submission.check_identity()?;
+    submission.validate_identity()?;
     submission.into_job()
 }
 
 impl Submission {
-    /// What is checked before any other field: the id, and the lengths of what the job consists of.
-    fn check_identity(&self) -> Result<(), SubmissionError> {
+    /// Validates the identifiers and the lengths of lists, before any other field.
+    fn validate_identity(&self) -> Result<(), SubmissionError> {
         if !is_job_id(&self.id) {
             return Err(SubmissionError::MalformedId);
         }
         self.task_count()?;
         let machine_types = self.machine_types.as_deref().unwrap_or_default();
-        if machine_types.len() > MACHINE_TYPES_MOST {
+        if machine_types.len() > MAX_MACHINE_TYPES {
             return Err(SubmissionError::ListLength("flavours"));
         }
         if !self.dependencies.iter().flatten().all(|id| is_job_id(id)) {
@@ -138,14 +139,14 @@
 
     fn into_job(self) -> Result<JobSpec, SubmissionError> {
         let tasks = self.task_count()?;
-        // Sorted and without repeats.
+        // Sorts the dependencies and removes duplicates.
         let dependencies: BTreeSet<&String> = self.dependencies.iter().flatten().collect();
         Ok(JobSpec {
             dependencies: dependencies.into_iter().cloned().collect(),
             class: text("jobclass", &self.class)?,
             team: text("owner", &self.team)?,
             kind: kind(&self.kind)?,
-            priority: request_class(&self.request_class)?,
+            priority: priority(&self.priority)?,
             tasks,
             resources: self.resources()?,
             image: text("bundle", &self.image)?,
@@ -157,7 +158,7 @@
             spot: self.allows_spot,
             estimate_s: not_negative("expectS", self.estimate_s)?,
             checkpoint_interval_s: not_negative("snapshotS", self.checkpoint_interval_s)?,
-            checkpoint_duration_s: not_negative("flushS", self.checkpoint_write_s)?,
+            checkpoint_duration_s: not_negative("flushS", self.checkpoint_duration_s)?,
             deadline_s: match self.deadline_s {
                 Some(seconds) => Some(not_negative("dueS", seconds)?),
                 None => None,
@@ -168,7 +169,7 @@
 }
 
 fn not_negative(field: &'static str, amount: f64) -> Result<f64, SubmissionError> {
-    if (0.0..=AMOUNT_MOST).contains(&amount) {
+    if (0.0..=MAX_AMOUNT).contains(&amount) {
         Ok(amount)
     } else {
         Err(SubmissionError::OutOfRange(field))
@@ -184,7 +185,7 @@
 }
 
 fn text(field: &'static str, text: &str) -> Result<String, SubmissionError> {
-    if has_text_length(text) {
+    if has_valid_length(text) {
         Ok(text.to_string())
     } else {
         Err(SubmissionError::TextLength(field))
@@ -199,7 +200,7 @@
     }
 }
 
-fn request_class(name: &str) -> Result<JobPriority, SubmissionError> {
+fn priority(name: &str) -> Result<JobPriority, SubmissionError> {
     match name {
         "critical" => Ok(JobPriority::Production),
         "high" => Ok(JobPriority::High),
@@ -218,7 +219,7 @@
     }
 }
 
-/// A job's state as users are told it.
+/// The state of a job as reported to users.
 #[derive(Serialize)]
 struct JobBody<'a> {
     #[serde(rename = "nameId")]
@@ -232,7 +233,7 @@
 }
 
 impl JobBody<'_> {
-    /// A job's state without the counts of its tasks.
+    /// Creates a body without the counts of tasks.
     fn state_only(id: &str, state: JobState) -> JobBody<'_> {
         JobBody {
             id,
@@ -243,9 +244,9 @@
     }
 }
 
-/// Writes the answer to a user.
+/// Serializes the reply to a user.
 ///
-/// Bodies are written from structs, without a tree of JSON values between: polls are many.
+/// Serializes structs directly instead of building JSON values first, because users poll often.
 pub fn write_user_reply(reply: &UserReply) -> Reply {
     let refusal = |status, error| Reply::new(status, &ErrorBody { error });
     match reply {
--- a/crates/glenmount/src/wire/workers.rs
+++ b/crates/glenmount/src/wire/workers.rs
@@ -1,6 +1,6 @@
-//! Messages between workers and the controller: heartbeats, their answers, and direct commands.
+//! Messages between workers and the controller: heartbeats, replies to them and direct commands.
 
-use super::{to_json, ErrorBody, Reply, TEXT_BYTES};
+use super::{to_json, ErrorBody, Reply, MAX_TEXT_BYTES};
 use glenmount_core::constants::{HEARTBEAT_MAX_TASKS, MAX_INCARNATION, MAX_SEQUENCE};
 use glenmount_core::controller::WorkerReply;
 use glenmount_core::model::{
@@ -10,10 +10,10 @@
 use std::borrow::Cow;
 use thiserror::Error;
 
-/// Bytes of a machine's name or address at most.
-const MACHINE_TEXT_BYTES: usize = 100;
+/// Size limit of a machine's name and of its address.
+const MAX_MACHINE_TEXT_BYTES: usize = 100;
 
-/// Why a heartbeat is refused. Workers and the log see the text.
+/// The reason why a heartbeat is rejected. The text goes to the worker and to the log.
 #[derive(Debug, Error)]
 pub enum HeartbeatError {
     #[error(transparent)]
@@ -32,7 +32,7 @@
     MalformedTask,
 }
 
-/// A worker's heartbeat. The struct's name is the protocol's: it stands in the texts of errors.
+/// A worker's heartbeat. The struct has the protocol's name because error texts contain it.
 #[derive(Deserialize)]
 struct CheckIn<'a> {
     #[serde(rename = "host")]
@@ -50,14 +50,14 @@
     sequence: u64,
     #[serde(rename = "fence", default)]
     fencing_token: u64,
-    /// Seconds until the spot machine is taken, once that is announced.
+    /// Time until the cloud preempts the spot machine, once the cloud has announced it.
     #[serde(rename = "warningS", default)]
     termination_notice_s: Option<f64>,
     #[serde(rename = "drops", default, borrow)]
     tasks: Vec<Drop<'a>>,
 }
 
-/// One task of a heartbeat. The struct's name is the protocol's, as above.
+/// A task in a heartbeat. The struct has the protocol's name because error texts contain it.
 #[derive(Deserialize)]
 struct Drop<'a> {
     #[serde(rename = "drop", borrow)]
@@ -70,14 +70,14 @@
     exit_cause: Option<String>,
 }
 
-/// Reads and checks a worker's heartbeat, or its answer to a command, which has the same form.
+/// Parses and validates a worker's heartbeat or its response to a command, which has the same form.
 ///
 /// # Errors
-/// The first field that is missing, malformed or out of range.
+/// Names the first field that is missing, malformed or out of range.
 pub fn read_heartbeat(body: &[u8]) -> Result<WorkerHeartbeat, HeartbeatError> {
     let heartbeat: CheckIn = serde_json::from_slice(body)?;
-    heartbeat.check()?;
-    let tasks = heartbeat.tasks.into_iter().map(Drop::into_report);
+    heartbeat.validate()?;
+    let tasks = heartbeat.tasks.into_iter().map(Drop::into_status);
     Ok(WorkerHeartbeat {
         tasks: tasks.collect::<Result<_, _>>()?,
         machine: heartbeat.machine,
@@ -93,22 +93,22 @@
 }
 
 impl CheckIn<'_> {
-    fn check(&self) -> Result<(), HeartbeatError> {
+    fn validate(&self) -> Result<(), HeartbeatError> {
         if self.machine.is_empty()
-            || self.machine.len() > MACHINE_TEXT_BYTES
-            || self.address.len() > MACHINE_TEXT_BYTES
+            || self.machine.len() > MAX_MACHINE_TEXT_BYTES
+            || self.address.len() > MAX_MACHINE_TEXT_BYTES
         {
             return Err(HeartbeatError::Address);
         }
-        // A machine that counted wrongly once would make all its later heartbeats look old.
+        // After one excessive value, all later heartbeats of the machine would look outdated.
         if self.incarnation == 0 || self.incarnation > MAX_INCARNATION {
             return Err(HeartbeatError::Incarnation(self.incarnation));
         }
         if self.sequence > MAX_SEQUENCE {
             return Err(HeartbeatError::Sequence(self.sequence));
         }
-        // Both are stored in the machine's record.
-        if self.machine_type.len() > TEXT_BYTES || self.zone.len() > TEXT_BYTES {
+        // The machine's record contains both texts.
+        if self.machine_type.len() > MAX_TEXT_BYTES || self.zone.len() > MAX_TEXT_BYTES {
             return Err(HeartbeatError::Placement);
         }
         if self.tasks.len() > HEARTBEAT_MAX_TASKS {
@@ -119,7 +119,7 @@
 }
 
 impl Drop<'_> {
-    fn into_report(self) -> Result<TaskStatus, HeartbeatError> {
+    fn into_status(self) -> Result<TaskStatus, HeartbeatError> {
         Ok(TaskStatus {
             task: TaskId::parse(&self.task).ok_or(HeartbeatError::MalformedTask)?,
             attempt: self.attempt,
@@ -127,7 +127,7 @@
         })
     }
 
-    /// A phase that is not known counts as running: the task certainly has not ended.
+    /// Returns the task's phase. An unknown phase counts as running because the task has certainly not ended.
     fn phase(&self) -> TaskPhase {
         match self.phase.as_ref() {
             "fetching" => TaskPhase::Fetching,
@@ -150,15 +150,16 @@
     }
 }
 
-fn as_text<S: Serializer>(task: &TaskId, serializer: S) -> Result<S::Ok, S::Error> {
+/// Serializes the identifier of a task as text.
+fn serialize_as_text<S: Serializer>(task: &TaskId, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.collect_str(task)
 }
 
-/// One thing that a worker is told to do.
+/// A command to a worker.
 #[derive(Serialize)]
 struct Command<'a> {
     verb: &'static str,
-    #[serde(rename = "drop", serialize_with = "as_text")]
+    #[serde(rename = "drop", serialize_with = "serialize_as_text")]
     task: &'a TaskId,
     #[serde(rename = "try")]
     attempt: u64,
@@ -167,8 +168,8 @@
 }
 
 impl Command<'_> {
-    fn of(order: &WorkerCommand) -> Command<'_> {
-        let (verb, task, attempt, grace_period_s) = match order {
+    fn from_worker_command(command: &WorkerCommand) -> Command<'_> {
+        let (verb, task, attempt, grace_period_s) = match command {
             WorkerCommand::Start { task, attempt } => ("start", task, *attempt, None),
             WorkerCommand::Stop {
                 task,
@@ -186,8 +187,7 @@
     }
 }
 
-/// What a worker is told to do: in a direct command with its incarnation, in the answer to a
-/// heartbeat without.
+/// The commands to a worker. A direct command states the worker's incarnation, a reply to a heartbeat doesn't.
 #[derive(Serialize)]
 struct Commands<'a> {
     #[serde(rename = "fence")]
@@ -206,24 +206,24 @@
     Commands {
         fencing_token,
         incarnation,
-        commands: commands.iter().map(Command::of).collect(),
+        commands: commands.iter().map(Command::from_worker_command).collect(),
     }
 }
 
-/// The body of a direct command: the incarnation of the worker that it is for, the controller's
-/// fencing token and what is to be done.
+/// Serializes the body of a direct command: the incarnation of the addressed worker, the controller's fencing
+/// token and the commands.
 pub fn write_command(incarnation: u64, fencing_token: u64, commands: &[WorkerCommand]) -> String {
     to_json(&command_message(fencing_token, Some(incarnation), commands))
 }
 
-/// Sends a worker to the controller that is in charge of it, where that one is known.
+/// The body that redirects a worker to the controller that owns it, if that one is known.
 #[derive(Serialize)]
 struct Redirect<'a> {
     #[serde(rename = "steward", skip_serializing_if = "Option::is_none")]
     controller: Option<&'a str>,
 }
 
-/// Writes the answer to a heartbeat.
+/// Serializes the reply to a heartbeat.
 pub fn write_worker_reply(reply: &WorkerReply) -> Reply {
     match reply {
         WorkerReply::Commands { token, commands } => {
--- a/crates/glenmount/src/worker_client.rs
+++ b/crates/glenmount/src/worker_client.rs
@@ -1,6 +1,6 @@
-//! Direct commands to workers. Each is sent once; what becomes of it shows in heartbeats.
+//! Sends direct commands to workers, each of them once. Heartbeats show their effect.
 
-use crate::http_client::{AnswerLimits, HttpClient, Resend};
+use crate::http_client::{HttpClient, Resend, ResponseLimits};
 use crate::wire;
 use glenmount_core::constants::COMMAND_TIMEOUT_MS;
 use glenmount_core::controller::{CommandOutcome, Event};
@@ -10,36 +10,36 @@
 use tokio::sync::{mpsc, Semaphore};
 use tokio::time::{timeout, Duration, Instant};
 
-/// Time that a command may wait for a free slot, and then for its answer.
+/// Timeout of waiting for a free slot, and of the response after that.
 const TIMEOUT: Duration = Duration::from_millis(COMMAND_TIMEOUT_MS);
-/// An answer is a heartbeat, perhaps of many tasks.
-const LIMITS: AnswerLimits = AnswerLimits {
+/// Limits of a response, which is a heartbeat and may have many tasks.
+const LIMITS: ResponseLimits = ResponseLimits {
     timeout: TIMEOUT,
-    body_bytes: 1 << 20,
+    max_body_bytes: 1 << 20,
 };
-/// Path at which workers take commands.
+/// Path of commands on the HTTP server of a worker.
 const COMMAND_PATH: &str = "/do";
-/// Commands on their way at once, so that unreachable workers do not use up the sockets.
-const COMMANDS_IN_FLIGHT: usize = 64;
-/// The same for commands without orders, which only ask whether a machine answers: mostly silent
-/// ones, and starts must not wait behind them.
-const PROBES_IN_FLIGHT: usize = 24;
+/// Most commands in flight at once, so that unreachable workers don't use up the sockets.
+const MAX_COMMANDS_IN_FLIGHT: usize = 64;
+/// Most probes in flight at once. Probes go mostly to machines that don't respond, so they have slots of their
+/// own and starts don't wait behind them.
+const MAX_PROBES_IN_FLIGHT: usize = 24;
 
-/// What a command is for.
+/// The purpose of a command request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandKind {
-    /// It has no orders: its answer shows what is there.
+    /// Has no commands and only asks the worker for a heartbeat.
     Probe,
-    /// It has no orders to stop anything.
+    /// Stops no task.
     Starts,
-    /// Its answer shows at once what has ended.
+    /// Stops a task; the heartbeat in the response shows at once which tasks have ended.
     Stops,
 }
 
 impl CommandKind {
-    /// The kind of a command with these orders.
+    /// Returns the kind of a request with these commands.
     pub fn of(commands: &[WorkerCommand]) -> CommandKind {
-        let is_stop = |order: &WorkerCommand| matches!(order, WorkerCommand::Stop { .. });
+        let is_stop = |command: &WorkerCommand| matches!(command, WorkerCommand::Stop { .. });
         if commands.is_empty() {
             CommandKind::Probe
         } else if commands.iter().any(is_stop) {
@@ -50,16 +50,16 @@
     }
 }
 
-/// A command, written, and the worker that it is for.
+/// A request with commands for a worker.
 pub struct Command {
     pub machine: String,
-    /// Where the worker listens, as it said itself.
+    /// Address of the worker as stated in its heartbeats.
     pub address: String,
     pub body: String,
     pub kind: CommandKind,
 }
 
-/// Sends commands; the outcome of each goes to the core.
+/// The client of all workers. It reports the outcome of each command to the core.
 pub struct WorkerClient {
     http: HttpClient,
     core: mpsc::Sender<Event>,
@@ -68,18 +68,18 @@
 }
 
 impl WorkerClient {
-    /// A client without connections; it never keeps any open.
+    /// Creates a client, which doesn't keep idle connections open.
     pub fn new(core: mpsc::Sender<Event>) -> WorkerClient {
         let no_address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         WorkerClient {
             http: HttpClient::new(no_address, TIMEOUT, Resend::Never),
             core,
-            command_slots: Arc::new(Semaphore::new(COMMANDS_IN_FLIGHT)),
-            probe_slots: Arc::new(Semaphore::new(PROBES_IN_FLIGHT)),
+            command_slots: Arc::new(Semaphore::new(MAX_COMMANDS_IN_FLIGHT)),
+            probe_slots: Arc::new(Semaphore::new(MAX_PROBES_IN_FLIGHT)),
         }
     }
 
-    /// Starts to send a command. Its task ends by itself: waiting and answer have time limits.
+    /// Spawns a task that sends a command. Timeouts of waiting and of the response bound the life of the task.
     pub fn send(&self, command: Command) {
         let slots = match command.kind {
             CommandKind::Probe => self.probe_slots.clone(),
@@ -88,28 +88,28 @@
         let (http, core) = (self.http.clone(), self.core.clone());
         let queued_at = Instant::now();
         tokio::spawn(async move {
-            let outcome = deliver(&http, &command, slots, queued_at).await;
+            let delivery = deliver(&http, &command, slots, queued_at).await;
             let event = Event::CommandResult {
                 machine: command.machine,
-                outcome: outcome.reach,
-                heartbeat: outcome.report,
+                outcome: delivery.outcome,
+                heartbeat: delivery.heartbeat,
             };
             let _ = core.send(event).await;
         });
     }
 }
 
-/// What became of a command, and the heartbeat in its answer where one was read.
-struct Outcome {
-    reach: CommandOutcome,
-    report: Option<Box<WorkerHeartbeat>>,
+/// The outcome of a command, and the heartbeat in the response if one was read.
+struct Delivery {
+    outcome: CommandOutcome,
+    heartbeat: Option<Box<WorkerHeartbeat>>,
 }
 
-impl Outcome {
-    fn without_report(reach: CommandOutcome) -> Outcome {
-        Outcome {
-            reach,
-            report: None,
+impl Delivery {
+    fn without_heartbeat(outcome: CommandOutcome) -> Delivery {
+        Delivery {
+            outcome,
+            heartbeat: None,
         }
     }
 }
@@ -119,36 +119,36 @@
     command: &Command,
     slots: Arc<Semaphore>,
     queued_at: Instant,
-) -> Outcome {
-    // Machines that don't answer hold their slots for a while; a command that finds none free says
-    // nothing of its own machine.
+) -> Delivery {
+    // Commands to unresponsive machines hold their slots until the timeout. A command without a free slot
+    // tells nothing about its own machine.
     let slot = timeout(TIMEOUT, slots.acquire_owned()).await;
     let (Ok(address), Ok(Ok(_slot))) = (command.address.parse(), slot) else {
-        return Outcome::without_report(CommandOutcome::NotSent);
+        return Delivery::without_heartbeat(CommandOutcome::NotSent);
     };
-    // Nor is one sent that this process was paused over: it would arrive late.
+    // A command is not sent late, for example after this process was paused.
     if queued_at.elapsed() > TIMEOUT {
-        return Outcome::without_report(CommandOutcome::NotSent);
+        return Delivery::without_heartbeat(CommandOutcome::NotSent);
     }
     let http = http.for_address(address);
-    let answer = http.post(COMMAND_PATH, command.body.clone(), LIMITS).await;
-    let Some(answer) = answer else {
-        return Outcome::without_report(CommandOutcome::NoAnswer);
+    let response = http.post(COMMAND_PATH, command.body.clone(), LIMITS).await;
+    let Some(response) = response else {
+        return Delivery::without_heartbeat(CommandOutcome::NoAnswer);
     };
-    let report = || wire::read_heartbeat(&answer.body).ok().map(Box::new);
-    match answer.status {
+    let heartbeat = || wire::read_heartbeat(&response.body).ok().map(Box::new);
+    match response.status {
         200 if command.kind == CommandKind::Starts => {
-            Outcome::without_report(CommandOutcome::Accepted)
+            Delivery::without_heartbeat(CommandOutcome::Accepted)
         }
-        200 => Outcome {
-            reach: CommandOutcome::Accepted,
-            report: report(),
+        200 => Delivery {
+            outcome: CommandOutcome::Accepted,
+            heartbeat: heartbeat(),
         },
-        // The worker's incarnation may be a newer one, which ends all that was before.
-        409 => Outcome {
-            reach: CommandOutcome::Refused,
-            report: report(),
+        // The worker may have a newer incarnation, which has ended all tasks of earlier ones.
+        409 => Delivery {
+            outcome: CommandOutcome::Refused,
+            heartbeat: heartbeat(),
         },
-        _ => Outcome::without_report(CommandOutcome::Refused),
+        _ => Delivery::without_heartbeat(CommandOutcome::Refused),
     }
 }
--- a/crates/glenmount/tests/ending.rs
+++ b/crates/glenmount/tests/ending.rs
@@ -1,4 +1,4 @@
-//! The process itself: asked to end, it does, in good order and soon.
+//! Tests that the process shuts down gracefully and promptly on SIGTERM.
 
 use std::io::{BufRead, BufReader};
 use std::net::TcpListener;
@@ -10,9 +10,9 @@
     listener.local_addr().unwrap().port()
 }
 
-/// A controller that reaches nobody, so that nothing holds it up.
+/// Returns settings of a controller that reaches no other service, so that nothing delays its shutdown.
 fn settings() -> String {
-    let (client, cluster, nobody) = (free_port(), free_port(), free_port());
+    let (client, cluster, unused) = (free_port(), free_port(), free_port());
     format!(
         r#"
         member = "a-0"
@@ -20,8 +20,8 @@
         client_listen = "127.0.0.1:{client}"
         cluster_listen = "127.0.0.1:{cluster}"
         [outside]
-        cloud = "127.0.0.1:{nobody}"
-        state = "127.0.0.1:{nobody}"
+        cloud = "127.0.0.1:{unused}"
+        state = "127.0.0.1:{unused}"
         [settings]
         count = 1
         zones = ["z1"]
@@ -55,10 +55,10 @@
 }
 
 #[test]
-fn a_process_that_is_asked_to_end_does() {
-    let dir = std::env::temp_dir().join(format!("glenmount-ending-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).unwrap();
-    let file = dir.join("settings.toml");
+fn process_shuts_down_on_sigterm() {
+    let folder = std::env::temp_dir().join(format!("glenmount-ending-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    let file = folder.join("settings.toml");
     std::fs::write(&file, settings()).unwrap();
     let mut controller = Command::new(env!("CARGO_BIN_EXE_glenmount"))
         .arg("--config")
@@ -69,24 +69,24 @@
         .unwrap();
     let log = BufReader::new(controller.stderr.take().unwrap());
     let mut lines = log.lines().map_while(Result::ok);
-    assert!(lines.any(|l| l.contains("started")), "it starts");
+    assert!(lines.any(|line| line.contains("started")), "it starts");
     let signal = Command::new("kill")
         .args(["-TERM", &controller.id().to_string()])
         .status();
     assert!(signal.unwrap().success());
-    let asked = Instant::now();
-    assert!(lines.any(|l| l.contains("shutdown requested")));
-    assert!(lines.any(|l| l.contains("exiting ")));
+    let signaled_at = Instant::now();
+    assert!(lines.any(|line| line.contains("shutdown requested")));
+    assert!(lines.any(|line| line.contains("exiting ")));
     let status = loop {
         if let Some(status) = controller.try_wait().unwrap() {
             break status;
         }
-        if asked.elapsed() > Duration::from_secs(20) {
+        if signaled_at.elapsed() > Duration::from_secs(20) {
             controller.kill().unwrap();
-            panic!("it does not end");
+            panic!("the process does not end");
         }
         std::thread::sleep(Duration::from_millis(20));
     };
     assert!(status.success(), "{status}");
-    std::fs::remove_dir_all(&dir).unwrap();
+    std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/crates/glenmount/tests/environment.rs
+++ b/crates/glenmount/tests/environment.rs
@@ -1,9 +1,9 @@
-//! The environment variable that sets the log level, and what a value that is none leads to.
+//! Tests that an invalid value of the environment variable for the log level is rejected.
 
 use std::process::Command;
 
 #[test]
-fn an_unknown_log_level_is_refused_by_the_variable_s_name() {
+fn unknown_log_level_is_rejected_with_the_name_of_the_variable() {
     let output = Command::new(env!("CARGO_BIN_EXE_glenmount"))
         .args(["--config", "missing.toml"])
         .env("LOG_LEVEL", "loud")
--- a/crates/glenmount/tests/small_plan.rs
+++ b/crates/glenmount/tests/small_plan.rs
@@ -1,5 +1,5 @@
-//! The scale run's small plan: all troubles within some twenty seconds, real processes on loopback. No
-//! timings: only that no rule is broken, nobody ends by itself, and work is done.
+//! Runs the small plan of the load test: all faults within some twenty seconds, with real processes on loopback.
+//! Checks no timings, only that no rule is violated, no controller exits by itself and jobs complete.
 
 use glenmount_loadtest::measurement::latencies::LatencyKind;
 use glenmount_loadtest::plan::Plan;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_small_plan_breaks_no_rule_and_comes_to_its_end() {
+fn small_plan_violates_no_rule_and_completes() {
     let plan = Plan::parse(PLAN, &[]).unwrap();
     let options = options("small");
     let result = run_alone(plan, &options).unwrap();
@@ -30,17 +30,17 @@
         result.exited_controllers
     );
     assert!(result.is_good());
-    let done = result.figures.latencies[&LatencyKind::CompletionReported].count;
-    assert!(done > 0, "{}", result.figures);
-    let in_force = result.figures.latencies[&LatencyKind::ConfigurationInForce].count;
-    assert!(in_force > 0, "{}", result.figures);
+    let completed_jobs = result.figures.latencies[&LatencyKind::CompletionReported].count;
+    assert!(completed_jobs > 0, "{}", result.figures);
+    let applied_configurations = result.figures.latencies[&LatencyKind::ConfigurationInForce].count;
+    assert!(applied_configurations > 0, "{}", result.figures);
     std::fs::remove_dir_all(&options.folder).unwrap();
 }
 
-/// Workers and users of a run that was over went on and reported to the next one's controllers, at the same
-/// addresses and under the same names: tasks "ran twice", jobs were "done" before they were.
+/// Guards against simulated workers and users that outlive their run. They reported to the controllers of the next
+/// run, which has the same addresses and names, so that tasks seemed to run twice and jobs to complete early.
 #[test]
-fn nothing_of_a_run_is_left_for_the_next_one() {
+fn consecutive_runs_do_not_interfere() {
     let options = options("twice");
     let changes = [
         "troubles=[]",
