--- a/crates/loadtest/src/environment.rs
+++ b/crates/loadtest/src/environment.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins of a run share: clock, random numbers, network, jobs, invariants and counters.
+//! State that all stand-ins of a run share: clock, random numbers, network, jobs, invariants and counters.
 
 use crate::invariants::{InvariantChecker, Placement};
 use crate::job_registry::{JobRegistry, TaskStart};
@@ -17,42 +17,42 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Seconds that are counted beyond the planned end of a run.
-const SPARE_SECONDS: usize = 60;
+/// Seconds after the planned end of a run that the counters per second still cover.
+const EXTRA_COUNTED_S: usize = 60;
 
-/// Shared by everything that one run plays.
+/// The state that all parts of one run share.
 pub struct Environment {
-    /// What is played.
+    /// Plan of the run.
     pub plan: Plan,
     started: Instant,
     random: Mutex<SmallRng>,
-    /// Partitions between zones.
+    /// Network with its partitions.
     pub network: Network,
-    /// All jobs that users have submitted.
+    /// Jobs that users have submitted.
     pub jobs: JobRegistry,
-    /// Checks what workers do and what users are answered.
+    /// Checker of the events of workers and the answers to users.
     pub invariants: Mutex<InvariantChecker>,
-    /// Exchanges by kind.
+    /// Counters of exchanges by kind.
     pub traffic: TrafficCounters,
-    /// How long things take.
+    /// Latencies by kind.
     pub latencies: Latencies,
-    /// Transactions by the kinds of records that they change, and how they ended.
+    /// Counters of transactions by the kinds of records that they change and their outcome.
     pub transactions: NamedCounters,
-    /// Puts and removals by kind of record.
+    /// Counters of puts and removals by kind of record and the transaction's outcome.
     pub record_changes: NamedCounters,
-    /// Answers to users that were neither of the expected ones.
+    /// Counters of answers to users other than 200 and 201, and of missing answers.
     pub unexpected_answers: NamedCounters,
-    /// Tasks that started, by second of the run.
+    /// Number of task starts by second of the run.
     pub tasks_started: PerSecondCounter,
-    /// Tasks of submitted jobs, by second of the run.
+    /// Number of submitted tasks by second of the run.
     pub tasks_submitted: PerSecondCounter,
 }
 
 impl Environment {
-    /// The environment of a run that begins now.
+    /// Creates the environment of a run that begins now.
     pub fn new(plan: Plan) -> Environment {
         let seconds = (plan.warm_up_s + plan.seconds + plan.settle_s).ceil() as usize;
-        let seconds = seconds + SPARE_SECONDS;
+        let seconds = seconds + EXTRA_COUNTED_S;
         let cancel_within_s = plan.workers.cancel_within_s;
         let checker = InvariantChecker::new(cancel_within_s, plan.teams.cpu_limit);
         Environment {
@@ -72,28 +72,28 @@
         }
     }
 
-    /// Milliseconds since the run began.
+    /// Returns the milliseconds since the begin of the run.
     pub fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// The moment so many milliseconds after the run began.
+    /// Returns the instant `at_ms` milliseconds after the begin of the run.
     pub fn instant_at(&self, at_ms: u64) -> Instant {
         self.started + Duration::from_millis(at_ms)
     }
 
-    /// A number drawn from a range.
+    /// Draws a random number from a range.
     pub fn draw<T: SampleUniform>(&self, range: impl SampleRange<T>) -> T {
         lock(&self.random).gen_range(range)
     }
 
-    /// Something that needs the source of random numbers itself.
+    /// Calls a function with the random number generator and returns its result.
     pub fn with_random<T>(&self, draw: impl FnOnce(&mut SmallRng) -> T) -> T {
         draw(&mut lock(&self.random))
     }
 
-    /// Takes note of what happened on a worker; the caller holds the worker's lock, so that events of one
-    /// worker come in order.
+    /// Records the events of a worker. The caller holds the worker's lock, so that the events of one worker
+    /// are recorded in order.
     pub fn record_worker_events(&self, placement: &Placement, events: Vec<WorkerEvent>) {
         if events.is_empty() {
             return;
@@ -115,8 +115,9 @@
                     self.jobs.task_ended(&task, completed, at_ms);
                 }
                 WorkerEvent::ResultRecorded { ended_ms, .. } => {
-                    let took_ms = now_ms.saturating_sub(ended_ms);
-                    self.latencies.record(LatencyKind::ResultRecorded, took_ms);
+                    let latency_ms = now_ms.saturating_sub(ended_ms);
+                    self.latencies
+                        .record(LatencyKind::ResultRecorded, latency_ms);
                 }
             }
         }
--- a/crates/loadtest/src/faults.rs
+++ b/crates/loadtest/src/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection: each of a plan's faults at its time.
+//! Injection of a plan's faults at their times.
 
 use crate::environment::Environment;
 use crate::network::partitions::Partition;
@@ -11,23 +11,23 @@
 use std::sync::Arc;
 use tokio::time::{sleep, sleep_until, Duration};
 
-/// Everything that faults strike.
+/// Injects faults into the parts of a run.
 #[derive(Clone)]
 pub struct FaultInjector {
-    /// Shared by all of a run.
+    /// Environment of the run.
     pub environment: Arc<Environment>,
-    /// The workers.
+    /// Workers of the run.
     pub fleet: Arc<WorkerFleet>,
-    /// The cloud.
+    /// Stand-in of the cloud.
     pub cloud: Arc<Cloud>,
-    /// The state store.
+    /// Stand-in of the state store.
     pub state_store: Arc<StateStoreServer>,
-    /// The controllers.
+    /// Controller processes.
     pub controllers: Arc<Controllers>,
 }
 
 impl FaultInjector {
-    /// Injects all faults of the plan at their times, until the run's runtime is shut down.
+    /// Starts the injection of all faults of the plan, until the run's runtime is shut down.
     pub fn start(&self) {
         let plan = &self.environment.plan;
         for fault in plan.faults.clone() {
@@ -45,7 +45,7 @@
         match fault.kind {
             FaultKind::WorkerFailures
             | FaultKind::WorkerRestarts
-            | FaultKind::WorkerReplacements => self.strike_one_after_another(&fault).await,
+            | FaultKind::WorkerReplacements => self.inject_sequentially(&fault).await,
             FaultKind::RackFailure => self.fail_rack(&fault),
             FaultKind::RackPartition => self.isolate_rack(&fault, duration).await,
             FaultKind::ZonePartition | FaultKind::RegionPartition => {
@@ -59,10 +59,10 @@
                 self.restart_controller(controller);
             }
             FaultKind::StateStoreLatency => {
-                let usual_ms = self.environment.plan.state.latency_ms;
+                let planned_latency_ms = self.environment.plan.state.latency_ms;
                 self.state_store.set_latency(fault.latency_ms);
                 sleep(duration).await;
-                self.state_store.set_latency(usual_ms);
+                self.state_store.set_latency(planned_latency_ms);
             }
             FaultKind::StateStoreOutage => {
                 self.state_store.set_down(true);
@@ -88,7 +88,7 @@
         self.environment.plan.zone(location)
     }
 
-    /// The sites that a fault cuts off from all others.
+    /// Returns the sites that a fault separates from all others.
     fn partition_of(&self, fault: &Fault) -> Partition {
         let plan = &self.environment.plan;
         let location = fault.location.as_deref().unwrap_or("");
@@ -105,8 +105,9 @@
         }
     }
 
-    async fn strike_one_after_another(&self, fault: &Fault) {
-        let gap = Duration::from_secs_f64(fault.duration_s / f64::from(fault.count));
+    /// Injects a fault into `count` random workers one after another, evenly over its duration.
+    async fn inject_sequentially(&self, fault: &Fault) {
+        let interval = Duration::from_secs_f64(fault.duration_s / f64::from(fault.count));
         for _ in 0..fault.count {
             let Some(worker) = self.random_workers(None, 1).pop() else {
                 return;
@@ -116,7 +117,7 @@
                 FaultKind::WorkerReplacements => self.cloud.delete(&worker.name),
                 _ => self.fail_worker(&worker),
             }
-            sleep(gap).await;
+            sleep(interval).await;
         }
     }
 
@@ -142,7 +143,7 @@
         self.cloud.mark_failed(&worker.name);
     }
 
-    /// Workers that are up, drawn at random, of one zone or of all.
+    /// Returns up to `count` random workers with power, of one zone or of all zones.
     fn random_workers(&self, zone: Option<ZoneIndex>, count: u32) -> Vec<Arc<Worker>> {
         let mut workers = self.fleet.workers();
         workers.retain(|worker| worker.is_powered() && zone.is_none_or(|zone| worker.zone == zone));
@@ -156,13 +157,13 @@
         let network = &self.environment.network;
         let id = network.begin(partition);
         sleep(duration).await;
-        network.heal(id);
+        network.end(id);
     }
 
     async fn fail_zone(&self, zone: Option<ZoneIndex>, duration: Duration) {
         let zones = self.controllers.zones.iter().enumerate();
         let controllers: Vec<usize> = zones
-            .filter(|(_, of)| Some(**of) == zone)
+            .filter(|(_, controller_zone)| Some(**controller_zone) == zone)
             .map(|(controller, _)| controller)
             .collect();
         for controller in &controllers {
@@ -179,7 +180,7 @@
 
     fn restart_controller(&self, controller: usize) {
         if let Err(error) = self.controllers.restart(controller) {
-            eprintln!("controller {controller} did not start again: {error}");
+            eprintln!("controller {controller} failed to restart: {error}");
         }
     }
 }
--- a/crates/loadtest/src/invariants/mod.rs
+++ b/crates/loadtest/src/invariants/mod.rs
@@ -1,4 +1,4 @@
-//! The protocol's invariants, checked from the outside by what workers do and what users are answered.
+//! Checker of the protocol's invariants, based only on the events of workers and the answers to users.
 
 mod job;
 mod quota;
@@ -12,11 +12,11 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// A job whose polls all fail for so long, while others get answers, counts as lost.
-const SILENT_MS: u64 = 90_000;
-/// Share of all polls that must have got answers meanwhile.
-const LEAST_ANSWERED_SHARE: f64 = 0.5;
-/// Violations kept; one is enough to fail a run.
+/// Time after which a job whose polls all fail counts as lost, if other jobs' polls are answered.
+const SILENCE_TIMEOUT_MS: u64 = 90_000;
+/// Share of all polls that must have been answered before an unanswered job counts as lost.
+const MIN_ANSWERED_SHARE: f64 = 0.5;
+/// Number of violations kept; one is enough to fail a run.
 const MAX_VIOLATIONS: usize = 1_000;
 
 /// The worker that a task starts on.
@@ -24,21 +24,21 @@
 pub struct Placement {
     /// Name of the worker.
     pub worker: String,
-    /// Its machine type.
+    /// Machine type of the worker.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the worker is a spot instance.
     pub spot: bool,
 }
 
-/// What is known of all jobs and tasks, and the violations seen so far. All moments are milliseconds of
-/// the run.
+/// The observed state of all jobs and tasks, and the violations found so far. All times are milliseconds
+/// since the begin of the run.
 pub struct InvariantChecker {
     cancel_within_ms: u64,
     quotas: TeamQuotas,
     jobs: HashMap<Arc<str>, TrackedJob>,
-    /// Cancelled jobs that had tasks left when last looked at.
+    /// Cancelled jobs that had running tasks at the latest check.
     cancelled: BTreeSet<Arc<str>>,
     polls: u64,
     polls_answered: u64,
@@ -46,8 +46,8 @@
 }
 
 impl InvariantChecker {
-    /// A checker that knows no job yet. `cancel_within_s` is the time in which tasks of a cancelled job must
-    /// be gone, `cpu_limit` that of each team, 0 for none.
+    /// Creates a checker without jobs. The tasks of a cancelled job must end within `cancel_within_s`;
+    /// `cpu_limit` is the limit of each team, 0 for none.
     pub fn new(cancel_within_s: f64, cpu_limit: f64) -> InvariantChecker {
         InvariantChecker {
             cancel_within_ms: (cancel_within_s * 1_000.0) as u64,
@@ -60,23 +60,23 @@
         }
     }
 
-    /// The violations seen so far.
+    /// Returns the violations found so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// Tasks that are on workers now.
+    /// Returns the number of running tasks.
     pub fn running_tasks(&self) -> usize {
         self.jobs.values().map(|job| job.running.len()).sum()
     }
 
-    /// A user is about to submit a job.
+    /// Records that a user is about to submit a job.
     pub fn job_submitted(&mut self, submission: Arc<Submission>, now_ms: u64) {
         let job = TrackedJob::new(submission.clone(), now_ms);
         self.jobs.entry(submission.id.clone()).or_insert(job);
     }
 
-    /// A submission was answered 200 or 201.
+    /// Records that a controller answered 200 or 201 to a submission.
     pub fn job_accepted(&mut self, id: &str, now_ms: u64) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.accepted_ms.get_or_insert(now_ms);
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A submission was answered 400 or 422.
+    /// Records that a controller answered 400 or 422 to a submission.
     pub fn job_rejected(&mut self, id: &str, now_ms: u64) {
         let job = self.jobs.get(id);
         if job.is_some_and(|job| job.accepted_ms.is_some()) {
@@ -93,21 +93,21 @@
         }
     }
 
-    /// A task has its image and runs on a worker.
+    /// Records that a worker has pulled a task's image and runs the task.
     pub fn task_started(&mut self, task: &TaskId, placement: &Placement, now_ms: u64) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return self.report(Invariant::UnknownJob, format!("{task} runs"), now_ms);
         };
         let is_misplaced = job.is_misplaced(task.index, placement);
-        let is_late = job.had_to_end_before(now_ms, self.cancel_within_ms);
+        let is_late = job.is_cancellation_overdue(now_ms, self.cancel_within_ms);
         let location = TaskLocation {
             worker: placement.worker.clone(),
             zone: placement.zone.clone(),
         };
-        let elsewhere = job.running.insert(task.index, location);
+        let previous_location = job.running.insert(task.index, location);
         let submission = job.submission.clone();
-        if let Some(other) = elsewhere {
-            let detail = format!("{task} on {} and {}", placement.worker, other.worker);
+        if let Some(previous) = previous_location {
+            let detail = format!("{task} on {} and {}", placement.worker, previous.worker);
             return self.report(Invariant::DuplicateExecution, detail, now_ms);
         }
         if is_misplaced {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A task is no longer on a worker.
+    /// Records that a worker no longer runs a task.
     pub fn task_ended(&mut self, task: &TaskId, worker: &str, completed: bool) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -144,19 +144,19 @@
         self.quotas.release(&submission.team, cpus);
     }
 
-    /// Another limit of a team has come into force.
+    /// Records that a changed limit of a team is in force.
     pub fn quota_limit_changed(&mut self, team: &str, cpu_limit: f64, now_ms: u64) {
         self.quotas.change_limit(team, cpu_limit, now_ms);
     }
 
-    /// A user is about to cancel a job.
+    /// Records that a user is about to cancel a job.
     pub fn cancellation_requested(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.is_cancellation_requested = true;
         }
     }
 
-    /// A user was answered a job's status, to a request sent at `sent_ms`.
+    /// Records the status of a job that a controller answered to a request sent at `sent_ms`.
     pub fn job_status_answered(&mut self, id: &str, status: JobStatus, sent_ms: u64, now_ms: u64) {
         self.polls += 1;
         self.polls_answered += 1;
@@ -165,10 +165,10 @@
             return self.report(Invariant::UnknownJob, detail, now_ms);
         };
         job.last_answer_ms = now_ms;
-        let earlier = job.final_answer.filter(|answer| answer.at_ms <= sent_ms);
-        let has_changed = earlier.is_some_and(|answer| answer.status != status);
-        let is_uncalled = status == JobStatus::Aborted && !job.is_cancellation_requested;
-        let is_early = status == JobStatus::Done && !job.is_complete();
+        let earlier_answer = job.final_answer.filter(|answer| answer.at_ms <= sent_ms);
+        let has_changed = earlier_answer.is_some_and(|answer| answer.status != status);
+        let is_unrequested_abort = status == JobStatus::Aborted && !job.is_cancellation_requested;
+        let is_incomplete = status == JobStatus::Done && !job.is_complete();
         if status.is_final() && job.final_answer.is_none() {
             let at_ms = now_ms;
             job.final_answer = Some(FinalAnswer { status, at_ms });
@@ -176,17 +176,17 @@
         if status == JobStatus::Aborted && !job.running.is_empty() {
             self.cancelled.insert(job.submission.id.clone());
         }
-        if has_changed || is_uncalled {
-            let earlier = earlier.map(|answer| (answer.status, answer.at_ms));
+        if has_changed || is_unrequested_abort {
+            let earlier = earlier_answer.map(|answer| (answer.status, answer.at_ms));
             let detail = format!("{id}: {status:?} after {earlier:?}");
             self.report(Invariant::FinalStatusChanged, detail, now_ms);
         }
-        if is_early {
+        if is_incomplete {
             self.report(Invariant::IncompleteJobDone, id.to_string(), now_ms);
         }
     }
 
-    /// A poll sent at `sent_ms` was answered 404.
+    /// Records that a controller answered 404 to a poll sent at `sent_ms`.
     pub fn job_not_found(&mut self, id: &str, sent_ms: u64, now_ms: u64) {
         self.polls += 1;
         self.polls_answered += 1;
@@ -196,39 +196,40 @@
         }
     }
 
-    /// A poll got no answer, or one that says nothing.
+    /// Records that a poll got no answer, or one without a status.
     pub fn poll_unanswered(&mut self, id: &str, now_ms: u64) {
         self.polls += 1;
-        let least_answered = LEAST_ANSWERED_SHARE * self.polls as f64;
-        let are_others_answered = self.polls_answered as f64 > least_answered;
+        let min_answered = MIN_ANSWERED_SHARE * self.polls as f64;
+        let are_other_polls_answered = self.polls_answered as f64 > min_answered;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let is_silent = job.accepted_ms.is_some() && job.last_answer_ms + SILENT_MS < now_ms;
-        if is_silent && are_others_answered {
+        let is_unanswered =
+            job.accepted_ms.is_some() && job.last_answer_ms + SILENCE_TIMEOUT_MS < now_ms;
+        if is_unanswered && are_other_polls_answered {
             job.last_answer_ms = now_ms;
             self.report(Invariant::JobLost, format!("{id}: no answer"), now_ms);
         }
     }
 
-    /// Looks for tasks that are left of cancelled jobs after their time.
+    /// Reports the tasks of cancelled jobs that still run after the time limit.
     pub fn check_cancelled_jobs(&mut self, now_ms: u64) {
-        let mut late = Vec::new();
+        let mut overdue_tasks = Vec::new();
         let (jobs, cancel_within_ms) = (&self.jobs, self.cancel_within_ms);
         self.cancelled.retain(|id| {
             let Some(job) = jobs.get(id) else {
                 return false;
             };
-            if !job.had_to_end_before(now_ms, cancel_within_ms) {
+            if !job.is_cancellation_overdue(now_ms, cancel_within_ms) {
                 return !job.running.is_empty();
             }
-            let left = job.running.iter();
-            late.extend(
-                left.map(|(index, location)| format!("{id}/{index} on {}", location.worker)),
+            let running = job.running.iter();
+            overdue_tasks.extend(
+                running.map(|(index, location)| format!("{id}/{index} on {}", location.worker)),
             );
             false
         });
-        for detail in late {
+        for detail in overdue_tasks {
             self.report(Invariant::RunAfterCancellation, detail, now_ms);
         }
     }
--- a/crates/loadtest/src/invariants/quota.rs
+++ b/crates/loadtest/src/invariants/quota.rs
@@ -1,42 +1,42 @@
-//! Processors that teams use, and their limits.
+//! Processors in use by each team, and the teams' limits.
 
 use std::collections::HashMap;
 
-/// What was claimed before a limit was lowered may still start for so long; by then its start has arrived or
-/// never will.
+/// Time after the lowering of a limit in which the previous limit still holds: a task that was claimed before
+/// either starts within this time or never.
 const LOWERED_LIMIT_GRACE_MS: u64 = 10_000;
 
-/// Thousandths of a processor, so that sums are exact.
+/// Converts processors to thousandths of a processor, whose sums are exact.
 pub fn millicpus(cpus: f64) -> u64 {
     (cpus * 1_000.0).round() as u64
 }
 
-/// A limit that was changed, and the one before it.
+/// A changed limit and the limit before it.
 struct ChangedLimit {
     millicpus: u64,
     previous_millicpus: u64,
     changed_ms: u64,
 }
 
-/// What each team uses of its limit.
+/// The processors in use by each team, and its limit.
 pub struct TeamQuotas {
-    /// Limit of teams whose limit was not changed; 0 for none.
+    /// Limit of teams whose limit was never changed; 0 for none.
     default_limit_millicpus: u64,
     changed_limits: HashMap<String, ChangedLimit>,
     used_millicpus: HashMap<String, u64>,
 }
 
-/// A team that uses more than its limit.
+/// The usage of a team that exceeds its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaExcess {
-    /// What the team uses.
+    /// Processors that the team uses.
     pub used_millicpus: u64,
-    /// What it may use.
+    /// Processors that the team may use.
     pub limit_millicpus: u64,
 }
 
 impl TeamQuotas {
-    /// Quotas of teams that use nothing yet.
+    /// Creates the quotas of teams that use nothing yet.
     pub fn new(default_limit_cpus: f64) -> TeamQuotas {
         TeamQuotas {
             default_limit_millicpus: millicpus(default_limit_cpus),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes note of another limit that has come into force.
+    /// Records that a changed limit is in force.
     pub fn change_limit(&mut self, team: &str, limit_cpus: f64, now_ms: u64) {
         let current = self.changed_limits.get(team);
         let previous = current.map_or(self.default_limit_millicpus, |limit| limit.millicpus);
@@ -57,7 +57,7 @@
         self.changed_limits.insert(team.to_string(), changed);
     }
 
-    /// Takes note of a task's start; tells if its team is above its limit then.
+    /// Records the start of a task; returns the excess if its team now exceeds its limit.
     pub fn acquire(&mut self, team: &str, millicpus: u64, now_ms: u64) -> Option<QuotaExcess> {
         let used = self.used_millicpus.entry(team.to_string()).or_default();
         *used += millicpus;
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Takes note of a task's end.
+    /// Records the end of a task.
     pub fn release(&mut self, team: &str, millicpus: u64) {
         if let Some(used) = self.used_millicpus.get_mut(team) {
             *used = used.saturating_sub(millicpus);
--- a/crates/loadtest/src/invariants/violation.rs
+++ b/crates/loadtest/src/invariants/violation.rs
@@ -1,38 +1,38 @@
-//! The invariants of the protocol, and their violations.
+//! Invariants of the protocol and their violations.
 
 use serde::Serialize;
 use std::fmt;
 
-/// What must hold at all times, as workers and users see it.
+/// An invariant of the protocol that workers and users can observe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Invariant {
     /// No task runs on two workers at once.
     #[serde(rename = "ran_twice")]
     DuplicateExecution,
-    /// No team uses more than its limit.
+    /// No team uses more processors than its limit.
     #[serde(rename = "quota")]
     QuotaExceeded,
-    /// Tasks run only where their job allows it.
+    /// Tasks run only at placements that their job allows.
     #[serde(rename = "wrong_place")]
     PlacementConstraint,
-    /// No task of a cancelled job runs after the time for its end.
+    /// No task of a cancelled job runs after the time limit for cancellations.
     #[serde(rename = "ran_cancelled")]
     RunAfterCancellation,
-    /// An accepted job stays known.
+    /// Controllers never lose an accepted job.
     #[serde(rename = "forgotten")]
     JobLost,
-    /// Nothing runs or has a status that nobody submitted.
+    /// Only submitted jobs have running tasks or a status.
     #[serde(rename = "invented")]
     UnknownJob,
     /// A job is done only when all its tasks have completed.
     #[serde(rename = "not_done")]
     IncompleteJobDone,
-    /// A final status stays, and jobs are aborted only when their user asked for it.
+    /// A final status doesn't change, and only jobs that their user has cancelled are aborted.
     #[serde(rename = "went_back")]
     FinalStatusChanged,
 }
 
-/// The name that runs print.
+/// Prints the name that the output of a run uses.
 impl fmt::Display for Invariant {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
@@ -51,12 +51,12 @@
 /// A violation of an invariant.
 #[derive(Debug, Clone, Serialize)]
 pub struct Violation {
-    /// The invariant.
+    /// Violated invariant.
     #[serde(rename = "rule")]
     pub invariant: Invariant,
-    /// The job, task or team, and what was seen of it.
+    /// Affected job, task or team, and the observation.
     #[serde(rename = "what")]
     pub detail: String,
-    /// When it was seen, in milliseconds of the run.
+    /// Time of the observation, in milliseconds of the run.
     pub at_ms: u64,
 }
--- a/crates/loadtest/src/job_registry.rs
+++ b/crates/loadtest/src/job_registry.rs
@@ -1,4 +1,4 @@
-//! All jobs that users have submitted: what workers and measurements look up by a job's id.
+//! Registry of all submitted jobs, for lookups by workers and measurements.
 
 use crate::protocol::jobs::{Submission, TaskId};
 use crate::stand_ins::hollow_worker::{JobDescription, JobLookup};
@@ -7,46 +7,46 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
-/// A job and the times that are needed to measure it.
+/// A job and the times from which its latencies are computed.
 pub struct Job {
-    /// As its user submits it.
+    /// Submission as its user sends it.
     pub submission: Arc<Submission>,
-    /// How long each of its tasks runs.
+    /// Run time of each task.
     pub run_ms: u64,
-    /// When its user tried to submit it for the first time.
+    /// Time of its user's first attempt to submit it.
     pub submitted_ms: u64,
-    /// When the last of its tasks so far has completed.
+    /// Latest completion time of a task; 0 before the first.
     pub last_completion_ms: AtomicU64,
-    /// Tasks that have started once.
+    /// Tasks that have started at least once, by index.
     tasks: Mutex<BTreeMap<u32, StartedTask>>,
 }
 
-/// A task that has started once.
+/// A task that has started at least once.
 struct StartedTask {
-    /// When it was last stopped or lost, if it waits for its next start since.
+    /// Time at which the task was stopped or lost; `None` after the next start.
     lost_ms: Option<u64>,
 }
 
-/// What a start of a task is, and since when it was waited for.
+/// The kind of a task's start, with the time from which its latency counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskStart {
-    /// Its first start.
+    /// First start of the task.
     First {
-        /// When the job was submitted.
+        /// Submission time of the job.
         since_ms: u64,
     },
-    /// Its start after it was stopped, or lost with its worker.
+    /// Start after the task was stopped, or lost with its worker.
     Restart {
-        /// When it was stopped or lost.
+        /// Time of the stop or loss.
         since_ms: u64,
     },
 }
 
 impl Job {
-    /// Takes note of a task's start.
+    /// Records the start of a task and returns its kind.
     pub fn task_started(&self, index: u32) -> TaskStart {
-        let before = lock(&self.tasks).insert(index, StartedTask { lost_ms: None });
-        match before {
+        let previous = lock(&self.tasks).insert(index, StartedTask { lost_ms: None });
+        match previous {
             None => TaskStart::First {
                 since_ms: self.submitted_ms,
             },
@@ -62,7 +62,7 @@
     }
 }
 
-/// Jobs by id.
+/// The submitted jobs by id.
 #[derive(Default)]
 pub struct JobRegistry {
     jobs: RwLock<HashMap<Arc<str>, Arc<Job>>>,
@@ -83,13 +83,13 @@
         job
     }
 
-    /// The job with an id.
+    /// Returns the job with an id.
     pub fn get(&self, id: &str) -> Option<Arc<Job>> {
         let jobs = self.jobs.read().unwrap_or_else(PoisonError::into_inner);
         jobs.get(id).cloned()
     }
 
-    /// Takes note that a task no longer runs.
+    /// Records that a task no longer runs.
     pub fn task_ended(&self, task: &TaskId, completed: bool, at_ms: u64) {
         let Some(job) = self.get(&task.job) else {
             return;
--- a/crates/loadtest/src/lib.rs
+++ b/crates/loadtest/src/lib.rs
@@ -1,8 +1,8 @@
-//! A load test of the scheduler: real controller processes on loopback, against stand-ins of the state
-//! store, the cloud, the workers and the users. Invariants are checked from the outside, and what each
-//! controller spends and sends is measured.
+//! Load test of the scheduler: runs real controller processes on loopback against stand-ins of the state
+//! store, the cloud, the workers and the users, checks invariants from the outside, and measures the
+//! resources and the traffic of each controller.
 //!
-//! [`run::run_alone`] plays a [`plan::Plan`] and returns a [`measurement::result::RunResult`].
+//! [`run::run_alone`] executes a [`plan::Plan`] and returns a [`measurement::result::RunResult`].
 
 #![warn(missing_docs)]
 
--- a/crates/loadtest/src/network/http.rs
+++ b/crates/loadtest/src/network/http.rs
@@ -1,4 +1,4 @@
-//! HTTP for the stand-ins: a server, and a client's connection. Both tell the bytes of what passed.
+//! HTTP server and client of the stand-ins, which report the bytes of each request and answer.
 
 use crate::protocol::ErrorAnswer;
 use hyper::body::Bytes;
@@ -15,92 +15,92 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Duration};
 
-/// Bytes of a status line, and of a date header, which the server adds by itself.
+/// Bytes of a status line, and of the date header that the server adds.
 const STATUS_LINE_BYTES: u64 = 17;
 const DATE_BYTES: u64 = 37;
-/// Bytes of a request line beyond method and path: two spaces, the version, the line's end.
+/// Bytes of a request line in addition to method and path: two spaces, the version and the line end.
 const REQUEST_LINE_EXTRA_BYTES: usize = 12;
-/// Bytes of a header beyond name and value: a colon, a space, the line's end.
+/// Bytes of a header in addition to name and value: a colon, a space and the line end.
 const HEADER_EXTRA_BYTES: usize = 4;
 const LINE_END_BYTES: usize = 2;
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A connection to a stand-in.
 pub struct Connection {
     /// Address of the client.
     pub peer: SocketAddr,
-    /// Address that the client connected to.
+    /// Address to which the client connected.
     pub local: SocketAddr,
-    /// Index of the controller at its other end, once somebody looked it up.
+    /// Index of the controller that opened the connection, once it has been looked up.
     pub controller: OnceLock<Option<usize>>,
 }
 
-/// A request that came.
+/// A received request.
 pub struct IncomingRequest {
-    /// The connection by which it came.
+    /// Connection on which the request arrived.
     pub connection: Arc<Connection>,
-    /// Its method.
+    /// Method of the request.
     pub method: Method,
-    /// Path of its target.
+    /// Path of the request target.
     pub path: String,
-    /// Query of its target; empty without one.
+    /// Query of the request target; empty if there is none.
     pub query: String,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
-    /// Bytes of its head and body.
+    /// Bytes of head and body.
     pub bytes: u64,
 }
 
 impl IncomingRequest {
-    /// The value of a field of the query; empty if it is not there.
+    /// Returns the value of a query parameter; empty if the query doesn't contain it.
     pub fn query_value(&self, name: &str) -> &str {
         let mut pairs = self
             .query
             .split('&')
             .filter_map(|pair| pair.split_once('='));
         pairs
-            .find(|(field, _)| *field == name)
+            .find(|(parameter, _)| *parameter == name)
             .map_or("", |(_, value)| value)
     }
 
-    /// The value of a field of the query as a number.
+    /// Returns the value of a query parameter as a number.
     pub fn query_number(&self, name: &str) -> Option<u64> {
         self.query_value(name).parse().ok()
     }
 }
 
-/// What a stand-in answers.
+/// The answer of a stand-in.
 pub struct Answer {
     /// Status code.
     pub status: u16,
-    /// Body.
+    /// Body of the answer.
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// An answer with a JSON body.
+    /// Creates an answer with a JSON body.
     pub fn json(status: u16, body: &impl Serialize) -> Answer {
         let body = serde_json::to_vec(body).unwrap_or_default();
         Answer { status, body }
     }
 
-    /// An answer that refuses a request.
+    /// Creates an error answer.
     pub fn error(status: u16, error: &str) -> Answer {
         Answer::json(status, &ErrorAnswer { error })
     }
 
-    /// An answer without a body.
+    /// Creates an answer without a body.
     pub fn empty(status: u16) -> Answer {
         let body = Vec::new();
         Answer { status, body }
     }
 
-    /// Bytes of its head and body as they are sent.
+    /// Returns the bytes of head and body as the server sends them.
     pub fn bytes(&self) -> u64 {
-        let body = self.body.len() as u64;
-        let head = length_header_bytes(self.body.len()) + LINE_END_BYTES;
-        STATUS_LINE_BYTES + DATE_BYTES + head as u64 + body
+        let body_bytes = self.body.len() as u64;
+        let head_bytes = length_header_bytes(self.body.len()) + LINE_END_BYTES;
+        STATUS_LINE_BYTES + DATE_BYTES + head_bytes as u64 + body_bytes
     }
 }
 
@@ -108,7 +108,7 @@
     CONTENT_LENGTH.as_str().len() + HEADER_EXTRA_BYTES + length.to_string().len()
 }
 
-/// Bytes of headers but for the date, which is counted by itself.
+/// Returns the bytes of all headers except the date, which [`DATE_BYTES`] accounts for.
 fn header_bytes(headers: &HeaderMap) -> u64 {
     let counted = headers.iter().filter(|(name, _)| **name != DATE);
     counted
@@ -116,14 +116,14 @@
         .sum::<usize>() as u64
 }
 
-/// Binds a free port of the loopback address.
+/// Binds a free port of the loopback address and returns the listener and its address.
 pub async fn bind_loopback() -> io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
-/// Serves what comes from this machine until the run's runtime is shut down.
+/// Serves connections from loopback addresses until the run's runtime is shut down.
 pub fn serve<F, H>(listener: TcpListener, handle: H)
 where
     F: Future<Output = Answer> + Send + 'static,
@@ -136,7 +136,7 @@
                     tokio::spawn(serve_connection(stream, peer, handle.clone()));
                 }
                 Ok(_) => {}
-                Err(_) => sleep(ACCEPT_PAUSE).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     });
@@ -167,7 +167,7 @@
             Ok::<_, hyper::Error>(response)
         }
     });
-    // A connection that breaks is the client's to open again.
+    // The client reopens a broken connection.
     let _ = Http::new()
         .http1_only(true)
         .serve_connection(stream, service)
@@ -193,25 +193,25 @@
     })
 }
 
-/// A request that a client sends.
+/// A request to be sent.
 pub struct OutgoingRequest<'a> {
-    /// Its method.
+    /// Method of the request.
     pub method: Method,
-    /// Path of its target.
+    /// Path of the request target.
     pub path: &'a str,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// How long the client waits for the answer.
+    /// Time that the client waits for the answer.
     pub timeout: Duration,
 }
 
-/// An answer that came to a client.
+/// A received answer.
 pub struct Reply {
     /// Status code.
     pub status: u16,
-    /// Seconds after which the server wants the request again, if it said so.
+    /// Seconds after which the client may retry, if the server set a `Retry-After` header.
     pub retry_after_s: Option<u64>,
-    /// Body.
+    /// Body of the answer.
     pub body: Bytes,
     /// Bytes of the request's head and body.
     pub request_bytes: u64,
@@ -219,14 +219,14 @@
     pub answer_bytes: u64,
 }
 
-/// A client's connection to one address, opened when it is needed and kept.
+/// A client with a persistent connection to one address, opened on demand.
 pub struct Client {
     address: SocketAddr,
     sender: Option<SendRequest<Body>>,
 }
 
 impl Client {
-    /// A client that is not connected yet.
+    /// Creates a client that isn't connected yet.
     pub fn new(address: SocketAddr) -> Client {
         Client {
             address,
@@ -234,12 +234,12 @@
         }
     }
 
-    /// Opens the connection; false if that takes longer or is refused.
-    pub async fn connect(&mut self, within: Duration) -> bool {
-        matches!(timeout(within, self.sender()).await, Ok(Some(_)))
+    /// Opens the connection; returns false if the server refuses it or the time limit passes.
+    pub async fn connect(&mut self, time_limit: Duration) -> bool {
+        matches!(timeout(time_limit, self.sender()).await, Ok(Some(_)))
     }
 
-    /// Sends a request; `None` if no answer came in time, and the connection is then given up.
+    /// Sends a request; returns `None` and drops the connection if no answer arrives in time.
     pub async fn call(&mut self, request: OutgoingRequest<'_>) -> Option<Reply> {
         let time_limit = request.timeout;
         let exchange = self.exchange(request);
@@ -264,13 +264,13 @@
         let retry_after_s = headers
             .get(RETRY_AFTER)
             .and_then(|value| value.to_str().ok()?.parse().ok());
-        let closes = headers
+        let is_closed_by_server = headers
             .get(CONNECTION)
             .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
         let head_bytes =
             STATUS_LINE_BYTES + header_bytes(headers) + DATE_BYTES + LINE_END_BYTES as u64;
         let body = hyper::body::to_bytes(response.into_body()).await.ok()?;
-        if closes {
+        if is_closed_by_server {
             self.sender = None;
         }
         Some(Reply {
@@ -284,11 +284,12 @@
 
     fn request_bytes(&self, request: &OutgoingRequest) -> u64 {
         let method_bytes = request.method.as_str().len();
-        let line = method_bytes + request.path.len() + REQUEST_LINE_EXTRA_BYTES;
+        let line_bytes = method_bytes + request.path.len() + REQUEST_LINE_EXTRA_BYTES;
         let address_bytes = self.address.to_string().len();
-        let host_header = HOST.as_str().len() + HEADER_EXTRA_BYTES + address_bytes;
-        let length_header = length_header_bytes(request.body.len());
-        (line + host_header + length_header + LINE_END_BYTES + request.body.len()) as u64
+        let host_header_bytes = HOST.as_str().len() + HEADER_EXTRA_BYTES + address_bytes;
+        let content_length_bytes = length_header_bytes(request.body.len());
+        let head_bytes = line_bytes + host_header_bytes + content_length_bytes + LINE_END_BYTES;
+        (head_bytes + request.body.len()) as u64
     }
 
     async fn sender(&mut self) -> Option<&mut SendRequest<Body>> {
@@ -300,7 +301,7 @@
             let stream = TcpStream::connect(self.address).await.ok()?;
             let _ = stream.set_nodelay(true);
             let (sender, connection) = hyper::client::conn::handshake(stream).await.ok()?;
-            // Ends with the sender, or when the server closes.
+            // The task ends when the sender is dropped or the server closes the connection.
             tokio::spawn(connection);
             self.sender = Some(sender);
         }
--- a/crates/loadtest/src/network/mod.rs
+++ b/crates/loadtest/src/network/mod.rs
@@ -1,4 +1,4 @@
-//! The loopback network between all parts of a run: HTTP, links between controllers, and partitions.
+//! Loopback network of a run: HTTP, links between controllers, and partitions.
 
 pub mod http;
 pub mod partitions;
--- a/crates/loadtest/src/network/partitions.rs
+++ b/crates/loadtest/src/network/partitions.rs
@@ -1,4 +1,4 @@
-//! Network partitions between zones: which parts of a run reach which.
+//! Network partitions between the sites of a run.
 
 use crate::plan::ZoneIndex;
 use crate::sync::lock;
@@ -6,21 +6,21 @@
 use std::sync::Mutex;
 use tokio::sync::watch;
 
-/// Where something stands: in a zone, or with the state store, the cloud and the users.
+/// The network location of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Site {
-    /// With the state store, the cloud and the users.
+    /// Location of the state store, the cloud and the users.
     Outside,
-    /// In a zone, as controllers and workers are.
+    /// Zone of a controller or a worker.
     Zone(ZoneIndex),
 }
 
-/// Sites that reach only one another.
+/// A set of sites that a partition separates from all other sites.
 #[derive(Debug, Clone)]
 pub struct Partition {
-    /// The zones among them.
+    /// Zones in the set.
     pub zones: BTreeSet<ZoneIndex>,
-    /// Whether state store, cloud and users are among them.
+    /// Whether the set includes [`Site::Outside`].
     pub includes_outside: bool,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Identifies an active partition.
+/// The identifier of an active partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartitionId(u64);
 
@@ -48,10 +48,10 @@
     active: Vec<ActivePartition>,
 }
 
-/// The network of a run with all active partitions.
+/// The network of a run with its active partitions.
 pub struct Network {
     partitions: Mutex<Partitions>,
-    /// Counts changes, to wake messages that are held up.
+    /// Counts changes of the partitions, to wake delayed messages.
     changes: watch::Sender<u64>,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl Network {
-    /// Begins a partition.
+    /// Begins a partition and returns its identifier.
     pub fn begin(&self, partition: Partition) -> PartitionId {
         let mut partitions = lock(&self.partitions);
         partitions.last_id += 1;
@@ -75,19 +75,19 @@
         id
     }
 
-    /// Heals a partition.
-    pub fn heal(&self, id: PartitionId) {
+    /// Ends a partition.
+    pub fn end(&self, id: PartitionId) {
         let mut partitions = lock(&self.partitions);
         partitions.active.retain(|active| active.id != id);
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Whether no partition is active.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether no partition is active.
+    pub fn is_fully_connected(&self) -> bool {
         lock(&self.partitions).active.is_empty()
     }
 
-    /// Whether messages pass between two sites.
+    /// Returns whether no active partition separates two sites.
     pub fn is_reachable(&self, from: Site, to: Site) -> bool {
         let partitions = lock(&self.partitions);
         partitions.active.iter().all(|active| {
@@ -96,8 +96,8 @@
         })
     }
 
-    /// Holds a message up until it can pass.
-    pub async fn until_reachable(&self, from: Site, to: Site) {
+    /// Waits until no active partition separates two sites.
+    pub async fn wait_until_reachable(&self, from: Site, to: Site) {
         let mut changes = self.changes.subscribe();
         while !self.is_reachable(from, to) {
             if changes.changed().await.is_err() {
--- a/crates/loadtest/src/network/peer_links.rs
+++ b/crates/loadtest/src/network/peer_links.rs
@@ -1,5 +1,4 @@
-//! The links between controllers: each pair's connections pass through here, where they are counted and
-//! where a partition holds them up.
+//! Proxied links between controllers, which count the traffic of each pair and delay it during a partition.
 
 use super::http::bind_loopback;
 use super::partitions::Site;
@@ -15,14 +14,14 @@
 
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// Addresses by which each controller reaches each other.
+/// The addresses at which each controller reaches its peers.
 pub struct PeerLinks {
-    /// By the controller that connects, then by the one that it connects to.
+    /// Addresses by the index of the connecting controller, then by that of its peer.
     addresses: Vec<Vec<SocketAddr>>,
 }
 
 impl PeerLinks {
-    /// Opens a link for each ordered pair of controllers, to the addresses at which these listen.
+    /// Opens a link for each ordered pair of controllers; `targets` are the addresses at which they listen.
     pub async fn open(
         environment: &Arc<Environment>,
         targets: &[SocketAddr],
@@ -49,7 +48,7 @@
         Ok(PeerLinks { addresses })
     }
 
-    /// The address at which a controller reaches another; both by index.
+    /// Returns the address at which controller `from` reaches controller `to`.
     pub fn address(&self, from: usize, to: usize) -> SocketAddr {
         self.addresses[from][to]
     }
@@ -63,7 +62,7 @@
     to: Site,
 }
 
-/// Whether bytes go with the direction in which the connection was opened.
+/// The direction of bytes, relative to the direction in which the connection was opened.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
     Forward,
@@ -79,37 +78,37 @@
 
     async fn connect(self, stream: TcpStream) {
         let network = &self.environment.network;
-        network.until_reachable(self.from, self.to).await;
-        // A refused connection ends the caller's as well.
+        network.wait_until_reachable(self.from, self.to).await;
+        // Dropping `stream` closes the caller's connection when the target refuses.
         let Ok(target) = TcpStream::connect(self.target).await else {
             return;
         };
         let _ = stream.set_nodelay(true);
         let _ = target.set_nodelay(true);
-        let (from_read, from_write) = stream.into_split();
-        let (to_read, to_write) = target.into_split();
-        let forward = self.copy(from_read, to_write, Direction::Forward);
-        let backward = self.copy(to_read, from_write, Direction::Backward);
+        let (source_read, source_write) = stream.into_split();
+        let (target_read, target_write) = target.into_split();
+        let forward = self.copy(source_read, target_write, Direction::Forward);
+        let backward = self.copy(target_read, source_write, Direction::Backward);
         tokio::join!(forward, backward);
     }
 
     async fn copy(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, direction: Direction) {
         let mut buffer = vec![0; BUFFER_BYTES];
         loop {
-            let read = from.read(&mut buffer).await.unwrap_or(0);
+            let read_bytes = from.read(&mut buffer).await.unwrap_or(0);
             let network = &self.environment.network;
-            network.until_reachable(self.from, self.to).await;
-            if read == 0 {
+            network.wait_until_reachable(self.from, self.to).await;
+            if read_bytes == 0 {
                 let _ = to.shutdown().await;
                 return;
             }
-            let bytes = read as u64;
+            let bytes = read_bytes as u64;
             let traffic = &self.environment.traffic;
             match direction {
                 Direction::Forward => traffic.count(ExchangeKind::Peer, bytes, 0),
                 Direction::Backward => traffic.count(ExchangeKind::Peer, 0, bytes),
             }
-            if to.write_all(&buffer[..read]).await.is_err() {
+            if to.write_all(&buffer[..read_bytes]).await.is_err() {
                 return;
             }
         }
--- a/crates/loadtest/src/processes/controllers.rs
+++ b/crates/loadtest/src/processes/controllers.rs
@@ -1,4 +1,4 @@
-//! The real controller processes: their starts and ends.
+//! Start, restart and end of the controller processes.
 
 use super::settings::{controller_name, ControllerAddresses, ControllerSettings};
 use super::usage::socket_owner;
@@ -13,36 +13,36 @@
 use std::sync::{Arc, Mutex};
 use tokio::process::{Child, Command};
 
-/// How controllers are started.
+/// The options for starting controllers.
 #[derive(Debug, Clone)]
 pub struct LaunchOptions {
-    /// The controller's program.
+    /// Path of the controller's executable.
     pub binary: PathBuf,
-    /// Where settings and logs go.
+    /// Folder for settings and logs.
     pub folder: PathBuf,
-    /// `LOG_LEVEL` of the controllers.
+    /// Value of `LOG_LEVEL` for the controllers.
     pub log_level: String,
 }
 
 enum Process {
     Running(Child),
-    /// Ended by a fault, or with the run.
+    /// The process was killed by a fault or at the end of the run.
     Killed,
 }
 
-/// All controllers of a run.
+/// The controllers of a run.
 pub struct Controllers {
     launch: LaunchOptions,
     settings: Vec<PathBuf>,
-    /// The zone of each controller.
+    /// Zone of each controller.
     pub zones: Vec<ZoneIndex>,
-    /// The address of each controller for users and workers.
+    /// Address of each controller for users and workers.
     pub client_addresses: Vec<SocketAddr>,
     processes: Mutex<Vec<Process>>,
 }
 
 impl Controllers {
-    /// Writes the settings of all controllers and starts these.
+    /// Writes the settings files of all controllers and starts the processes.
     pub fn start(
         plan: &Plan,
         launch: LaunchOptions,
@@ -94,12 +94,12 @@
             .spawn()
     }
 
-    /// Number of controllers, also of those that are away.
+    /// Returns the number of controllers, including killed ones.
     pub fn count(&self) -> usize {
         self.settings.len()
     }
 
-    /// Process ids of those that run, by controller.
+    /// Returns the process id of each running controller, by index; `None` for a killed one.
     pub fn process_ids(&self) -> Vec<Option<u32>> {
         let processes = lock(&self.processes);
         let ids = processes.iter().map(|process| match process {
@@ -109,7 +109,7 @@
         ids.collect()
     }
 
-    /// Which controller is at the other end of a connection from this address.
+    /// Returns the index of the controller that holds the socket with this peer address.
     pub fn owner_of(&self, peer: SocketAddr) -> Option<usize> {
         let process_ids = self.process_ids();
         let running: Vec<u32> = process_ids.iter().flatten().copied().collect();
@@ -117,19 +117,19 @@
         process_ids.iter().position(|id| *id == Some(owner))
     }
 
-    /// Kills a controller without notice.
+    /// Kills a controller with SIGKILL.
     pub fn kill(&self, controller: usize) {
         let mut processes = lock(&self.processes);
         if let Some(process) = processes.get_mut(controller) {
             if let Process::Running(child) = process {
-                // It fails only for a process that has exited.
+                // Killing fails only for a process that has already exited.
                 let _ = child.start_kill();
             }
             *process = Process::Killed;
         }
     }
 
-    /// Starts a controller that was killed.
+    /// Starts a killed controller again.
     pub fn restart(&self, controller: usize) -> io::Result<()> {
         let child = self.spawn(controller)?;
         if let Some(process) = lock(&self.processes).get_mut(controller) {
@@ -138,7 +138,7 @@
         Ok(())
     }
 
-    /// Controllers that exited although nothing ended them.
+    /// Returns the controllers that exited although the run did not kill them.
     pub fn unexpected_exits(&self) -> Vec<usize> {
         let mut processes = lock(&self.processes);
         let mut exited = Vec::new();
@@ -152,7 +152,7 @@
         exited
     }
 
-    /// Kills all of them.
+    /// Kills all controllers.
     pub fn kill_all(&self) {
         for controller in 0..self.count() {
             self.kill(controller);
--- a/crates/loadtest/src/processes/mod.rs
+++ b/crates/loadtest/src/processes/mod.rs
@@ -1,4 +1,4 @@
-//! The real controller processes, and what the kernel tells about processes.
+//! Controller processes: ports, settings, start, end, and resource usage from the kernel.
 
 pub mod controllers;
 pub mod ports;
--- a/crates/loadtest/src/processes/ports.rs
+++ b/crates/loadtest/src/processes/ports.rs
@@ -1,4 +1,4 @@
-//! Free ports for controllers, which must be known before these start.
+//! Choice of free ports for controllers, whose settings name the ports before the processes start.
 
 use std::fs;
 use std::io;
@@ -7,23 +7,24 @@
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 use tokio::net::TcpListener;
 
-/// Ports that are tried lie between this one and those that the kernel gives to outgoing connections: one of
-/// these might be taken while a controller is away.
+/// Begin of the range of candidate ports. It ends before the kernel's range for outgoing connections, since an
+/// outgoing connection could occupy a controller's port while the controller is down.
 const FIRST_PORT: u16 = 12_000;
 const OUTGOING_PORTS_FILE: &str = "/proc/sys/net/ipv4/ip_local_port_range";
-/// Begin of the kernel's range where it does not tell.
+/// Begin of the kernel's range for outgoing connections if the file can't be read.
 const DEFAULT_FIRST_OUTGOING_PORT: u16 = 32_768;
-/// Processes side by side begin their search this far apart, by their ids.
-const PORTS_APART: u32 = 1_009;
-/// Ports looked at so far: runs of one process never take the same, also when they are played side by side.
-static PORTS_SEEN: AtomicU32 = AtomicU32::new(0);
+/// Distance between the first candidate ports of processes with consecutive ids, for concurrent processes.
+const PORT_STRIDE: u32 = 1_009;
+/// Number of candidate ports checked so far, so that runs of one process never choose the same port, also when
+/// they run concurrently.
+static CHECKED_PORTS: AtomicU32 = AtomicU32::new(0);
 
-/// Addresses at which one controller listens.
+/// The addresses at which one controller listens.
 #[derive(Debug, Clone, Copy)]
 pub struct ListenAddresses {
-    /// For users and workers.
+    /// Address for users and workers.
     pub clients: SocketAddr,
-    /// For its peers.
+    /// Address for peers.
     pub peers: SocketAddr,
 }
 
@@ -38,26 +39,26 @@
         .unwrap_or(DEFAULT_FIRST_OUTGOING_PORT)
 }
 
-/// Free addresses for so many controllers.
+/// Returns free addresses for a number of controllers.
 pub async fn free_addresses(controllers: u32) -> io::Result<Vec<ListenAddresses>> {
-    let span = u32::from(first_outgoing_port() - FIRST_PORT);
-    let offset = process::id().wrapping_mul(PORTS_APART);
+    let candidate_count = u32::from(first_outgoing_port() - FIRST_PORT);
+    let offset = process::id().wrapping_mul(PORT_STRIDE);
     let mut free = Vec::new();
-    for _ in 0..span {
-        let seen = PORTS_SEEN.fetch_add(1, Relaxed);
-        let port = FIRST_PORT + (offset.wrapping_add(seen) % span) as u16;
+    for _ in 0..candidate_count {
+        let checked = CHECKED_PORTS.fetch_add(1, Relaxed);
+        let port = FIRST_PORT + (offset.wrapping_add(checked) % candidate_count) as u16;
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
         if TcpListener::bind(address).await.is_ok() {
             free.push(address);
         }
         if free.len() == 2 * controllers as usize {
-            return Ok(in_pairs(&free));
+            return Ok(pair_addresses(&free));
         }
     }
-    Err(io::Error::other("there are not enough free ports"))
+    Err(io::Error::other("not enough free ports"))
 }
 
-fn in_pairs(addresses: &[SocketAddr]) -> Vec<ListenAddresses> {
+fn pair_addresses(addresses: &[SocketAddr]) -> Vec<ListenAddresses> {
     let pairs = addresses.chunks_exact(2);
     pairs
         .map(|pair| ListenAddresses {
--- a/crates/loadtest/src/processes/settings.rs
+++ b/crates/loadtest/src/processes/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a controller, written as an operator would.
+//! Settings file of a controller, in the form that an operator writes.
 
 use super::ports::ListenAddresses;
 use crate::network::peer_links::PeerLinks;
@@ -6,46 +6,46 @@
 use std::fmt::{self, Write};
 use std::net::SocketAddr;
 
-/// All addresses that a controller's settings name, but for those of its peers.
+/// The addresses in a controller's settings, except those of its peers.
 #[derive(Debug, Clone, Copy)]
 pub struct ControllerAddresses {
-    /// Where it listens.
+    /// Addresses at which the controller listens.
     pub listen: ListenAddresses,
-    /// Its own address of the state store.
+    /// Address of the state store for this controller.
     pub state_store: SocketAddr,
-    /// Its own address of the cloud.
+    /// Address of the cloud for this controller.
     pub cloud: SocketAddr,
 }
 
-/// The name that a controller has in the settings.
+/// Returns the name of a controller in the settings.
 pub fn controller_name(index: usize) -> String {
     format!("controller-{index}")
 }
 
-/// Index of the controller with a name.
+/// Returns the index of the controller with a name.
 pub fn controller_index(name: &str) -> Option<usize> {
     name.strip_prefix("controller-")?.parse().ok()
 }
 
-/// The name of a team.
+/// Returns the name of a team.
 pub fn team_name(index: u32) -> String {
     format!("team-{index:04}")
 }
 
-/// What the settings of one controller are written from.
+/// The inputs of one controller's settings file.
 pub struct ControllerSettings<'a> {
-    /// The plan of the run.
+    /// Plan of the run.
     pub plan: &'a Plan,
     /// Index of the controller.
     pub controller: usize,
-    /// Its addresses.
+    /// Addresses of the controller.
     pub addresses: ControllerAddresses,
-    /// The links to its peers.
+    /// Links to its peers.
     pub links: &'a PeerLinks,
 }
 
 impl ControllerSettings<'_> {
-    /// The text of the settings file.
+    /// Returns the text of the settings file.
     pub fn to_toml(&self) -> String {
         let mut text = String::new();
         let written = self
--- a/crates/loadtest/src/processes/usage.rs
+++ b/crates/loadtest/src/processes/usage.rs
@@ -1,22 +1,21 @@
-//! What the kernel counts of a process, and which process is at the other end of a connection.
+//! Resource usage of processes and owners of sockets, read from `/proc`.
 
 use std::fs;
 use std::net::SocketAddr;
 
 const KB_PER_MB: f64 = 1_024.0;
-
 const NANOSECONDS_PER_S: f64 = 1e9;
 
-/// Processor time, memory and sockets of a process at one moment.
+/// The processor time, memory and sockets of a process at one moment.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct UsageSample {
     /// Processor time of all threads since the process started.
     pub cpu_s: f64,
-    /// Resident memory.
+    /// Resident memory at the time of the sample.
     pub resident_mb: f64,
     /// Highest resident memory since the process started.
     pub peak_mb: f64,
-    /// Open sockets.
+    /// Number of open sockets.
     pub sockets: usize,
 }
 
@@ -26,10 +25,10 @@
     kb.unwrap_or(0.0) / KB_PER_MB
 }
 
-/// Processor time of all threads, from the kernel scheduler's own accounts.
+/// Returns the processor time of all threads, from the statistics of the kernel's scheduler.
 fn cpu_s(pid: u32) -> f64 {
     let threads = fs::read_dir(format!("/proc/{pid}/task"));
-    let each = threads
+    let thread_ns = threads
         .into_iter()
         .flatten()
         .flatten()
@@ -37,10 +36,10 @@
             let text = fs::read_to_string(thread.path().join("schedstat")).ok()?;
             text.split(' ').next()?.parse::<f64>().ok()
         });
-    each.sum::<f64>() / NANOSECONDS_PER_S
+    thread_ns.sum::<f64>() / NANOSECONDS_PER_S
 }
 
-/// Reads what a process uses; zeros if there is no such process.
+/// Samples the usage of a process; all values are 0 if there is no such process.
 pub fn sample_usage(pid: u32) -> UsageSample {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     UsageSample {
@@ -51,7 +50,7 @@
     }
 }
 
-/// Inodes of the sockets that a process holds.
+/// Returns the inodes of the sockets that a process holds.
 fn sockets(pid: u32) -> impl Iterator<Item = u64> {
     let files = fs::read_dir(format!("/proc/{pid}/fd"));
     files.into_iter().flatten().flatten().filter_map(|file| {
@@ -61,13 +60,13 @@
     })
 }
 
-/// MB of memory that the machine has.
+/// Returns the machine's memory in MB.
 pub fn machine_memory_mb() -> f64 {
     let text = fs::read_to_string("/proc/meminfo").unwrap_or_default();
     status_mb(&text, "MemTotal:")
 }
 
-/// Which of some processes holds the socket that is bound to a loopback address.
+/// Returns which of the given processes holds the socket bound to a loopback address.
 pub fn socket_owner(address: SocketAddr, pids: &[u32]) -> Option<u32> {
     let SocketAddr::V4(address) = address else {
         return None;
@@ -76,13 +75,13 @@
     let wanted = format!("{ip:08X}:{:04X}", address.port());
     let table = fs::read_to_string("/proc/net/tcp").ok()?;
     let inode = table.lines().find_map(|line| {
-        let mut words = line.split_whitespace();
-        let local = words.nth(1)?;
-        let inode = words.nth(7)?;
-        (local == wanted)
+        let mut columns = line.split_whitespace();
+        let local_address = columns.nth(1)?;
+        let inode = columns.nth(7)?;
+        (local_address == wanted)
             .then(|| inode.parse::<u64>().ok())
             .flatten()
     })?;
-    let holds = |pid: &&u32| sockets(**pid).any(|socket| socket == inode);
-    pids.iter().find(holds).copied()
+    let holds_socket = |pid: &&u32| sockets(**pid).any(|socket| socket == inode);
+    pids.iter().find(holds_socket).copied()
 }
--- a/crates/loadtest/src/run/interrupt.rs
+++ b/crates/loadtest/src/run/interrupt.rs
@@ -1,4 +1,4 @@
-//! Ends of a run before its time: signals and panics.
+//! Early termination of a run: signals and panics.
 
 use crate::processes::controllers::Controllers;
 use rustix::process::{kill_process, Pid, Signal};
@@ -7,7 +7,7 @@
 use tokio::signal::ctrl_c;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Waits until the process is asked to end.
+/// Waits for SIGINT or SIGTERM.
 pub async fn interrupted() {
     match signal(SignalKind::terminate()) {
         Ok(mut terminate) => {
@@ -22,7 +22,8 @@
     }
 }
 
-/// Lets a panic anywhere end the controllers as well, since the process then aborts.
+/// Installs a panic hook that kills the controllers: a panic aborts the process, and nothing else would then
+/// end them.
 pub fn kill_on_panic(controllers: &Arc<Controllers>) {
     let previous_hook = panic::take_hook();
     let controllers = Arc::downgrade(controllers);
@@ -39,7 +40,7 @@
 fn kill(process_id: u32) {
     let pid = i32::try_from(process_id).ok().and_then(Pid::from_raw);
     if let Some(pid) = pid {
-        // It fails only for a process that has exited.
+        // Killing fails only for a process that has already exited.
         let _ = kill_process(pid, Signal::KILL);
     }
 }
--- a/crates/loadtest/src/run/measuring.rs
+++ b/crates/loadtest/src/run/measuring.rs
@@ -1,7 +1,8 @@
-//! The run's clock: samples all processes once a second, and takes the figures of the measured time.
+//! The main loop of a run: samples all processes once a second and computes the figures of the measured
+//! phase.
 
 use super::setup::LoadTest;
-use super::snapshot::{best, mean, Snapshot};
+use super::snapshot::{max_window_mean, mean, Snapshot};
 use super::usage_recorder::UsageRecorder;
 use super::RunError;
 use crate::measurement::figures::{Figures, StartRates};
@@ -13,10 +14,10 @@
 use std::process;
 use tokio::time::sleep_until;
 
-/// Part of the machine's memory that a run may take.
-const MEMORY_PART: f64 = 0.5;
+/// Share of the machine's memory that a run may use.
+const MAX_MEMORY_SHARE: f64 = 0.5;
 
-/// Seconds of the run at which its phases begin and end.
+/// The seconds of a run at which its phases begin and end.
 #[derive(Clone, Copy)]
 struct Phases {
     measured_from_s: u64,
@@ -40,13 +41,13 @@
     }
 }
 
-/// What is recorded from second to second.
+/// The samples taken once a second.
 struct Recording {
     controllers: Vec<UsageRecorder>,
     stand_ins: UsageRecorder,
-    /// Counters when the measured time began.
+    /// The counters at the begin of the measured phase.
     begin: Option<Snapshot>,
-    /// Tasks on workers, by second of the measured time.
+    /// Number of running tasks in each second of the measured phase.
     running_tasks: Vec<usize>,
 }
 
@@ -73,11 +74,11 @@
     }
 
     fn max_controller_mb(&self) -> f64 {
-        let each = self.controllers.iter().map(UsageRecorder::resident_mb);
-        each.fold(0.0, f64::max)
+        let resident_mb = self.controllers.iter().map(UsageRecorder::resident_mb);
+        resident_mb.fold(0.0, f64::max)
     }
 
-    /// The measured time begins.
+    /// Resets latencies and processor times and takes the first snapshot of the measured phase.
     fn begin(&mut self, load_test: &LoadTest) {
         load_test.environment.latencies.clear();
         let recorders = self.controllers.iter_mut();
@@ -89,11 +90,11 @@
 }
 
 impl LoadTest {
-    /// Plays the run to its end and tells what was found.
+    /// Executes the run to its end and returns its result.
     pub async fn measure(&self, progress: bool) -> Result<RunResult, RunError> {
         let environment = &self.environment;
         let phases = Phases::of(&environment.plan);
-        let allowed_mb = machine_memory_mb() * MEMORY_PART;
+        let allowed_mb = machine_memory_mb() * MAX_MEMORY_SHARE;
         let mut recording = Recording::new(self.controllers.count());
         let mut figures = Figures::default();
         for second in 0..=phases.ends_s {
@@ -101,10 +102,10 @@
             let now_ms = environment.now_ms();
             lock(&environment.invariants).check_cancelled_jobs(now_ms);
             recording.sample(self.controllers.process_ids());
-            let taken_mb = recording.resident_mb();
-            if taken_mb > allowed_mb {
+            let used_mb = recording.resident_mb();
+            if used_mb > allowed_mb {
                 return Err(RunError::Memory {
-                    taken_mb,
+                    used_mb,
                     allowed_mb,
                 });
             }
@@ -140,23 +141,26 @@
         running_tasks: usize,
         recording: &Recording,
     ) {
-        let in_last_second = |counts: Vec<u64>| {
-            let last = (second as usize).checked_sub(1);
-            last.and_then(|last| counts.get(last).copied()).unwrap_or(0)
+        let count_in_last_second = |counts: Vec<u64>| {
+            let last_second = (second as usize).checked_sub(1);
+            last_second
+                .and_then(|last_second| counts.get(last_second).copied())
+                .unwrap_or(0)
         };
         let environment = &self.environment;
         eprintln!(
             "{measured_s:>4} s  workers {:5}  running {running_tasks:6}  asked {:5}/s  \
              started {:5}/s  controller memory {:.0} MB  breaches {}",
             self.fleet.powered_count(),
-            in_last_second(environment.tasks_submitted.totals()),
-            in_last_second(environment.tasks_started.totals()),
+            count_in_last_second(environment.tasks_submitted.totals()),
+            count_in_last_second(environment.tasks_started.totals()),
             recording.max_controller_mb(),
             lock(&environment.invariants).violations().len(),
         );
     }
 
-    /// The figures of the measured time, which ends now; latencies are added when the run is over.
+    /// Computes the figures of the measured phase at its end, except for the latencies, which
+    /// [`LoadTest::measure`] adds after the run.
     fn figures(&self, recording: &Recording, phases: Phases) -> Figures {
         let Some(begin) = &recording.begin else {
             return Figures::default();
@@ -164,9 +168,9 @@
         let environment = &self.environment;
         let rates = Snapshot::take(self).rates_since(begin);
         let seconds = rates.seconds;
-        let span = phases.measured_from_s as usize..phases.measured_until_s as usize;
-        let submitted = &environment.tasks_submitted.totals()[span.clone()];
-        let started = &environment.tasks_started.totals()[span];
+        let measured_span = phases.measured_from_s as usize..phases.measured_until_s as usize;
+        let submitted = &environment.tasks_submitted.totals()[measured_span.clone()];
+        let started = &environment.tasks_started.totals()[measured_span];
         let running = &recording.running_tasks;
         let controllers = recording.controllers.iter();
         Figures {
@@ -182,9 +186,9 @@
             records: self.state_store.read(|store| store.usage_by_kind()),
             starts: StartRates {
                 requested: mean(submitted),
-                requested_best_10s: best(submitted),
+                requested_best_10s: max_window_mean(submitted),
                 started: mean(started),
-                started_best_10s: best(started),
+                started_best_10s: max_window_mean(started),
             },
             latencies: BTreeMap::new(),
             worker_bandwidth: rates.worker_bandwidth,
--- a/crates/loadtest/src/run/mod.rs
+++ b/crates/loadtest/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! One run: everything is started, faults are injected, figures are taken, and all of it is ended.
+//! Execution of one run: starts all parts, injects faults, measures, and ends everything that it started.
 
 mod interrupt;
 mod measuring;
@@ -15,43 +15,43 @@
 use std::time::Duration;
 use tokio::runtime::Runtime;
 
-/// Time that tasks of a run get to end when it is over.
+/// Time that the tasks of the run's runtime have to end after the run.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a run ended before its time.
+/// The reason why a run ended early.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// A part of the run could not be started.
+    /// A part of the run failed to start.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The run takes more memory than it may.
-    #[error("memory: {taken_mb:.0} MB taken, {allowed_mb:.0} MB allowed")]
+    /// The run exceeds its memory limit.
+    #[error("memory: {used_mb:.0} MB taken, {allowed_mb:.0} MB allowed")]
     Memory {
-        /// What its processes take.
-        taken_mb: f64,
-        /// What they may take.
+        /// Resident memory of all processes of the run.
+        used_mb: f64,
+        /// Memory that they may use in total.
         allowed_mb: f64,
     },
-    /// Asked to end by a signal.
+    /// A signal interrupted the run.
     #[error("interrupted")]
     Interrupted,
 }
 
-/// What a run is asked to do besides its plan.
+/// Options of a run that are not part of its plan.
 pub struct Options {
-    /// The controller's program.
+    /// Path of the controller's executable.
     pub binary: PathBuf,
-    /// Where settings and logs of the controllers go.
+    /// Folder for the settings and logs of the controllers.
     pub folder: PathBuf,
-    /// `LOG_LEVEL` of the controllers.
+    /// Value of `LOG_LEVEL` for the controllers.
     pub log_level: String,
-    /// Whether a line a second is printed.
+    /// Whether a progress line is printed each second.
     pub progress: bool,
 }
 
-/// Plays a plan in a runtime of its own, which owns all tasks of the run and ends them. Nothing of a run is
-/// left for the next one: workers and users that went on would send heartbeats to the next run's
-/// controllers, under the same names.
+/// Executes a plan in a runtime of its own, which owns all tasks of the run and ends them. No task survives
+/// into the next run: remaining workers and users would send heartbeats and requests to the next run's
+/// controllers under the same names.
 pub fn run_alone(plan: Plan, options: &Options) -> Result<RunResult, RunError> {
     let runtime = Runtime::new()?;
     let outcome = runtime.block_on(run(plan, options));
@@ -59,7 +59,7 @@
     outcome
 }
 
-/// Plays a plan to its end; all processes that it started have ended when it returns.
+/// Executes a plan; all processes that it started have ended when it returns.
 async fn run(plan: Plan, options: &Options) -> Result<RunResult, RunError> {
     let launch = LaunchOptions {
         binary: options.binary.clone(),
--- a/crates/loadtest/src/run/setup.rs
+++ b/crates/loadtest/src/run/setup.rs
@@ -1,4 +1,4 @@
-//! Starts all parts of a run.
+//! Startup of all parts of a run.
 
 use crate::environment::Environment;
 use crate::faults::FaultInjector;
@@ -18,15 +18,15 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The parts of a run that are measured.
+/// The started parts of a run that the measurement reads.
 pub struct LoadTest {
-    /// Shared by all parts.
+    /// Environment that all parts share.
     pub environment: Arc<Environment>,
-    /// The state store.
+    /// Stand-in of the state store.
     pub state_store: Arc<StateStoreServer>,
-    /// The workers.
+    /// Stand-ins of the workers.
     pub fleet: Arc<WorkerFleet>,
-    /// The controllers.
+    /// Controller processes.
     pub controllers: Arc<Controllers>,
 }
 
@@ -40,7 +40,7 @@
         let cloud = Cloud::new(environment.clone(), fleet.clone());
         let zones = plan.controller_zones();
         let listen = free_addresses(plan.controllers.count).await?;
-        let peers: Vec<SocketAddr> = listen.iter().map(|own| own.peers).collect();
+        let peers: Vec<SocketAddr> = listen.iter().map(|addresses| addresses.peers).collect();
         let links = PeerLinks::open(&environment, &peers, &zones).await?;
         let addresses = service_addresses(&state_store, &cloud, listen, &zones).await?;
         let controllers = Controllers::start(plan, launch, &addresses, &links)?;
@@ -51,7 +51,7 @@
         if plan.configuration_changes_per_minute > 0.0 {
             let client = StoreClient::Operator;
             let address = state_store.listen(client, Site::Outside).await?;
-            tokio::spawn(Operator::new(environment.clone(), address).play());
+            tokio::spawn(Operator::new(environment.clone(), address).run());
         }
         let injector = FaultInjector {
             environment: environment.clone(),
@@ -70,7 +70,7 @@
     }
 }
 
-/// Opens addresses of the state store and the cloud for each controller.
+/// Opens an address of the state store and one of the cloud for each controller.
 async fn service_addresses(
     state_store: &Arc<StateStoreServer>,
     cloud: &Arc<Cloud>,
--- a/crates/loadtest/src/run/snapshot.rs
+++ b/crates/loadtest/src/run/snapshot.rs
@@ -1,4 +1,4 @@
-//! All counters at one moment, and the rates between two moments.
+//! Snapshots of all counters, and the rates between two snapshots.
 
 use super::setup::LoadTest;
 use crate::measurement::figures::WorkerBandwidth;
@@ -6,37 +6,37 @@
 use std::collections::{BTreeMap, HashMap};
 use tokio::time::{Duration, Instant};
 
-/// Seconds that are looked at together for the best rate.
-const BEST_OF_S: usize = 10;
-/// Least time between two snapshots that rates are divided by.
-const MIN_SPAN: Duration = Duration::from_millis(1);
+/// Length of the window over which the best rate is averaged.
+const BEST_RATE_WINDOW_S: usize = 10;
+/// Lower bound of the time that rates are divided by, so that the divisor is never 0.
+const MIN_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Totals of all that is counted, at one moment.
+/// The totals of all counters at one moment.
 pub struct Snapshot {
     at: Instant,
     traffic: BTreeMap<ExchangeKind, Traffic>,
     record_changes: BTreeMap<String, u64>,
     transactions: BTreeMap<String, u64>,
-    /// By worker.
+    /// Bytes of control traffic by worker.
     control_bytes: HashMap<String, u64>,
 }
 
-/// Rates per second between two snapshots.
+/// The rates per second between two snapshots.
 pub struct Rates {
-    /// Seconds between them.
+    /// Seconds between the snapshots.
     pub seconds: f64,
     /// Exchanges by kind.
     pub traffic: BTreeMap<ExchangeKind, Traffic>,
-    /// Changes of the state store by kind of record; those that did not happen are left out.
+    /// Changes of the state store by kind of record, without kinds whose rate is 0.
     pub record_changes: BTreeMap<String, f64>,
-    /// Transactions by the kinds of records that they change, likewise.
+    /// Transactions by the kinds of records that they change, without those whose rate is 0.
     pub transactions: BTreeMap<String, f64>,
-    /// Bytes for control of the workers that were there at both moments.
+    /// Control traffic of the workers that are in both snapshots.
     pub worker_bandwidth: WorkerBandwidth,
 }
 
 impl Snapshot {
-    /// What is counted now.
+    /// Takes a snapshot of all counters.
     pub fn take(load_test: &LoadTest) -> Snapshot {
         let environment = &load_test.environment;
         Snapshot {
@@ -48,9 +48,9 @@
         }
     }
 
-    /// Rates since an earlier snapshot.
+    /// Returns the rates since an earlier snapshot.
     pub fn rates_since(&self, earlier: &Snapshot) -> Rates {
-        let seconds = (self.at - earlier.at).max(MIN_SPAN).as_secs_f64();
+        let seconds = (self.at - earlier.at).max(MIN_INTERVAL).as_secs_f64();
         let traffic = self.traffic.iter().map(|(kind, traffic)| {
             let before = earlier.traffic.get(kind).copied().unwrap_or_default();
             (*kind, traffic.since(before).per_second(seconds))
@@ -77,7 +77,7 @@
     rates.filter(|(_, rate)| *rate > 0.0).collect()
 }
 
-/// The bandwidth of the workers that were there all the time.
+/// Returns the bandwidth of the workers that are in both snapshots.
 fn bandwidth(
     earlier: &HashMap<String, u64>,
     now: &HashMap<String, u64>,
@@ -87,9 +87,9 @@
         .filter_map(|(name, bytes)| Some((bytes - earlier.get(name)?) as f64 / seconds))
         .collect();
     rates.sort_by(f64::total_cmp);
-    let last = rates.len().saturating_sub(1);
-    let quantile = |part: f64| {
-        let rate = rates.get((last as f64 * part) as usize);
+    let last_index = rates.len().saturating_sub(1);
+    let quantile = |share: f64| {
+        let rate = rates.get((last_index as f64 * share) as usize);
         rate.copied().unwrap_or(0.0)
     };
     WorkerBandwidth {
@@ -99,13 +99,13 @@
     }
 }
 
-/// Mean of counts per second.
+/// Returns the mean of counts per second.
 pub fn mean(counts: &[u64]) -> f64 {
     counts.iter().sum::<u64>() as f64 / counts.len().max(1) as f64
 }
 
-/// Highest mean over ten seconds in a row.
-pub fn best(counts: &[u64]) -> f64 {
-    let spans = counts.windows(BEST_OF_S.min(counts.len()).max(1));
-    spans.map(mean).fold(0.0, f64::max)
+/// Returns the highest mean over ten consecutive seconds.
+pub fn max_window_mean(counts: &[u64]) -> f64 {
+    let windows = counts.windows(BEST_RATE_WINDOW_S.min(counts.len()).max(1));
+    windows.map(mean).fold(0.0, f64::max)
 }
--- a/crates/loadtest/src/run/usage_recorder.rs
+++ b/crates/loadtest/src/run/usage_recorder.rs
@@ -1,54 +1,54 @@
-//! What a process uses from second to second, across its restarts.
+//! Resource usage of a process over time, across its restarts.
 
 use crate::measurement::figures::ProcessUsage;
 use crate::processes::usage::{sample_usage, UsageSample};
 
-/// Sampled once a second.
+/// Records the resource usage of a process, which is sampled once a second.
 #[derive(Default)]
 pub struct UsageRecorder {
     latest: UsageSample,
     process_id: Option<u32>,
     /// Processor time since the last reset.
     cpu_s: f64,
-    /// Highest processor time of a second since the last reset.
+    /// Highest processor time within one second since the last reset.
     peak_cpu_s: f64,
     peak_mb: f64,
     max_sockets: usize,
 }
 
 impl UsageRecorder {
-    /// Takes a sample of the process, if it runs.
+    /// Samples the process if it runs.
     pub fn sample(&mut self, process_id: Option<u32>) {
         let Some(id) = process_id else {
             self.process_id = None;
             return;
         };
         let sample = sample_usage(id);
-        let earlier_cpu_s = match self.process_id == process_id {
+        let previous_cpu_s = match self.process_id == process_id {
             true => self.latest.cpu_s,
             false => 0.0,
         };
-        let spent_s = (sample.cpu_s - earlier_cpu_s).max(0.0);
-        self.cpu_s += spent_s;
-        self.peak_cpu_s = self.peak_cpu_s.max(spent_s);
+        let used_cpu_s = (sample.cpu_s - previous_cpu_s).max(0.0);
+        self.cpu_s += used_cpu_s;
+        self.peak_cpu_s = self.peak_cpu_s.max(used_cpu_s);
         self.peak_mb = self.peak_mb.max(sample.peak_mb);
         self.max_sockets = self.max_sockets.max(sample.sockets);
         self.latest = sample;
         self.process_id = process_id;
     }
 
-    /// Forgets the processor time so far.
+    /// Resets the recorded processor times.
     pub fn reset_cpu(&mut self) {
         self.cpu_s = 0.0;
         self.peak_cpu_s = 0.0;
     }
 
-    /// Resident memory at the latest sample.
+    /// Returns the resident memory at the latest sample.
     pub fn resident_mb(&self) -> f64 {
         self.latest.resident_mb
     }
 
-    /// What was used in the seconds since the last reset.
+    /// Returns the usage over the `seconds` since the last reset.
     pub fn usage(&self, seconds: f64) -> ProcessUsage {
         ProcessUsage {
             mean_cpu: self.cpu_s / seconds,
--- a/crates/loadtest/src/stand_ins/cloud.rs
+++ b/crates/loadtest/src/stand_ins/cloud.rs
@@ -1,5 +1,5 @@
-//! A stand-in of the cloud: one machine type, idempotent requests for instances, lists that lag, a rate
-//! limit.
+//! Stand-in of the cloud with one machine type, idempotent provisioning requests, stale instance lists and
+//! a rate limit.
 
 use super::token_bucket::TokenBucket;
 use super::worker_fleet::{Reservation, WorkerFleet, MACHINE_TYPE};
@@ -22,24 +22,25 @@
 use std::sync::{Arc, Mutex};
 use tokio::time::{sleep, Duration};
 
-/// Seconds' worth of requests that may come at once, by protocol.
+/// Burst of the rate limit, in seconds' worth of requests, by protocol.
 const BURST_S: f64 = 2.0;
-/// Instances of one request, names of one deletion and entries of one page at most, by protocol.
-const MAX_PROVISIONED: u32 = 50;
-const MAX_DELETED: usize = 100;
-const MAX_LISTED: usize = 500;
-/// An instance that lost power is listed as running for so long.
+/// Upper bounds by protocol: instances of one provisioning request, names of one deletion, entries of one
+/// page.
+const MAX_PROVISIONED_INSTANCES: u32 = 50;
+const MAX_DELETED_NAMES: usize = 100;
+const MAX_PAGE_INSTANCES: usize = 500;
+/// Time for which an instance without power is still listed as running.
 const FAILURE_LAG_MS: i64 = 30_000;
-/// Boot times, as parts of the usual one.
-const BOOT_SPREAD: Range<f64> = 0.6..1.5;
-/// Age of the instances that are up at the start.
+/// Range of boot times, relative to the plan's boot time.
+const BOOT_TIME_FACTORS: Range<f64> = 0.6..1.5;
+/// Age of the instances that are up when the run begins.
 const INITIAL_AGE_MS: i64 = 600_000;
 const HOURLY_PRICE: f64 = 0.8;
 const SPOT_HOURLY_PRICE: f64 = 0.3;
 const LOCAL_DISK_GB: f64 = 60.0;
 
-/// An instance and the times at which it changed, since lists describe the past. Times are milliseconds of
-/// the run, negative before it.
+/// An instance with the times of its state changes, since lists show an earlier state. Times are milliseconds
+/// since the begin of the run, negative before it.
 struct Instance {
     reservation: Reservation,
     zone: ZoneIndex,
@@ -63,12 +64,12 @@
         }
     }
 
-    /// Whether it takes up a place in its zone.
+    /// Returns whether the instance counts against the capacity of a zone.
     fn uses_capacity_of(&self, zone: ZoneIndex) -> bool {
         self.zone == zone && self.deleted_ms.is_none() && self.failed_ms.is_none()
     }
 
-    /// Its state at an earlier time; `None` if it was not there.
+    /// Returns the state at an earlier time; `None` if the instance did not exist then.
     fn state_at(&self, at_ms: i64) -> Option<InstanceState> {
         let had_happened = |event_ms: Option<i64>| event_ms.is_some_and(|ms| ms <= at_ms);
         if self.requested_ms > at_ms || had_happened(self.deleted_ms) {
@@ -87,11 +88,11 @@
 #[derive(Default)]
 struct Instances {
     by_name: BTreeMap<String, Instance>,
-    /// Names of the instances that each request got.
+    /// Names of the instances provisioned for each request, by idempotency key.
     by_request: HashMap<String, Vec<String>>,
 }
 
-/// The cloud and the faults that it has.
+/// The cloud with its injected faults.
 pub struct Cloud {
     environment: Arc<Environment>,
     fleet: Arc<WorkerFleet>,
@@ -101,7 +102,7 @@
 }
 
 impl Cloud {
-    /// A cloud without instances.
+    /// Creates a cloud without instances.
     pub fn new(environment: Arc<Environment>, fleet: Arc<WorkerFleet>) -> Arc<Cloud> {
         let rate_limit = TokenBucket::new(environment.plan.cloud.requests_per_s, BURST_S);
         Arc::new(Cloud {
@@ -113,7 +114,7 @@
         })
     }
 
-    /// Opens an address of its own for the controller in a zone.
+    /// Opens an address for the controller in a zone.
     pub async fn listen(self: &Arc<Self>, zone: ZoneIndex) -> io::Result<SocketAddr> {
         let (listener, address) = bind_loopback().await?;
         let cloud = self.clone();
@@ -129,7 +130,7 @@
         self.is_down.store(is_down, Relaxed);
     }
 
-    /// Boots instances that are up before the run begins, evenly over the zones.
+    /// Boots the instances that are up when the run begins, evenly over the zones.
     pub fn boot_initial(&self, count: u32) {
         let zones = self.environment.plan.zones().len();
         for index in 0..count as usize {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// An instance lost power by itself: some time later it is listed as failed.
+    /// Records that an instance lost power; it is listed as failed after [`FAILURE_LAG_MS`].
     pub fn mark_failed(&self, name: &str) {
         let listed_ms = self.now_ms() + FAILURE_LAG_MS;
         if let Some(instance) = lock(&self.instances).by_name.get_mut(name) {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Takes an instance away.
+    /// Deletes an instance and powers its worker off.
     pub fn delete(&self, name: &str) {
         self.fleet.remove(name);
         let now_ms = self.now_ms();
@@ -167,12 +168,12 @@
     async fn serve(self: Arc<Self>, request: IncomingRequest, zone: ZoneIndex) -> Answer {
         let site = Site::Zone(zone);
         let network = &self.environment.network;
-        network.until_reachable(site, Site::Outside).await;
+        network.wait_until_reachable(site, Site::Outside).await;
         let latency_ms = self.environment.plan.cloud.latency_ms;
         sleep(Duration::from_secs_f64(latency_ms / 1_000.0)).await;
         let kind = exchange_kind(&request);
         let answer = self.answer(kind, &request);
-        network.until_reachable(Site::Outside, site).await;
+        network.wait_until_reachable(Site::Outside, site).await;
         let traffic = &self.environment.traffic;
         traffic.count(kind, request.bytes, answer.bytes());
         answer
@@ -215,23 +216,28 @@
     fn answer_list(&self, request: &IncomingRequest) -> Answer {
         let max_lag_ms = self.environment.plan.cloud.list_lag_s * 1_000.0;
         let lag_ms = self.environment.draw(0.0..=max_lag_ms.max(1.0)) as i64;
-        let seen_ms = self.now_ms() - lag_ms;
-        let after = request.query_value("since").to_string();
-        let wanted = request.query_number("most").map(|most| most as usize);
-        let page_size = wanted.unwrap_or(MAX_LISTED).min(MAX_LISTED);
-        let state = lock(&self.instances);
-        let following = state
+        let observed_ms = self.now_ms() - lag_ms;
+        let after_name = request.query_value("since").to_string();
+        let requested = request.query_number("most").map(|most| most as usize);
+        let page_size = requested
+            .unwrap_or(MAX_PAGE_INSTANCES)
+            .min(MAX_PAGE_INSTANCES);
+        let instances = lock(&self.instances);
+        let following = instances
             .by_name
-            .range((Bound::Excluded(after), Bound::Unbounded));
+            .range((Bound::Excluded(after_name), Bound::Unbounded));
         let mut listed =
-            following.filter_map(|(name, instance)| self.listed(name, instance, seen_ms));
-        let instances: Vec<ListedInstance> = listed.by_ref().take(page_size).collect();
-        let more = listed.next().is_some();
-        Answer::json(200, &InstancePage { instances, more })
+            following.filter_map(|(name, instance)| self.listed(name, instance, observed_ms));
+        let page: Vec<ListedInstance> = listed.by_ref().take(page_size).collect();
+        let page = InstancePage {
+            instances: page,
+            more: listed.next().is_some(),
+        };
+        Answer::json(200, &page)
     }
 
-    fn listed(&self, name: &str, instance: &Instance, seen_ms: i64) -> Option<ListedInstance> {
-        let state = instance.state_at(seen_ms)?;
+    fn listed(&self, name: &str, instance: &Instance, observed_ms: i64) -> Option<ListedInstance> {
+        let state = instance.state_at(observed_ms)?;
         let zone = self.environment.plan.zone_name(instance.zone);
         Some(ListedInstance {
             name: name.to_string(),
@@ -240,50 +246,51 @@
             zone: zone.to_string(),
             spot: instance.spot,
             state,
-            age_s: (seen_ms - instance.requested_ms) as f64 / 1_000.0,
+            age_s: (observed_ms - instance.requested_ms) as f64 / 1_000.0,
         })
     }
 
     fn answer_provision(self: &Arc<Self>, request: &IncomingRequest) -> Answer {
-        let wanted = serde_json::from_slice::<ProvisionRequest>(&request.body).ok();
-        let wanted = wanted.filter(|wanted| (1..=MAX_PROVISIONED).contains(&wanted.count));
-        let Some(wanted) = wanted else {
+        let provision = serde_json::from_slice::<ProvisionRequest>(&request.body).ok();
+        let provision =
+            provision.filter(|wanted| (1..=MAX_PROVISIONED_INSTANCES).contains(&wanted.count));
+        let Some(provision) = provision else {
             return Answer::error(400, "malformed");
         };
-        let Some(zone) = self.environment.plan.zone(&wanted.zone) else {
+        let Some(zone) = self.environment.plan.zone(&provision.zone) else {
             return Answer::error(400, "malformed");
         };
-        if wanted.machine_type != MACHINE_TYPE {
+        if provision.machine_type != MACHINE_TYPE {
             return Answer::error(400, UNKNOWN_MACHINE_TYPE);
         }
         let mut instances = lock(&self.instances);
-        if let Some(names) = instances.by_request.get(&wanted.name).cloned() {
+        if let Some(names) = instances.by_request.get(&provision.name).cloned() {
             return Answer::json(200, &ProvisionAnswer { names });
         }
         let count = self
             .free_capacity(&instances, zone)
-            .min(wanted.count as usize);
+            .min(provision.count as usize);
         if count == 0 {
             return Answer::error(503, "no capacity");
         }
         let names: Vec<String> = (0..count)
-            .map(|_| self.provision(&mut instances, zone, wanted.spot))
+            .map(|_| self.provision(&mut instances, zone, provision.spot))
             .collect();
-        instances.by_request.insert(wanted.name, names.clone());
+        instances.by_request.insert(provision.name, names.clone());
         Answer::json(200, &ProvisionAnswer { names })
     }
 
-    /// How many more instances a zone has room for.
+    /// Returns the number of instances that a zone can still provision.
     fn free_capacity(&self, instances: &Instances, zone: ZoneIndex) -> usize {
         let plan = &self.environment.plan;
         let total = (plan.workers.count + plan.cloud.spare_instances) as usize;
         let capacity = total.div_ceil(plan.zones().len());
-        let present = instances.by_name.values();
-        let used = present.filter(|instance| instance.uses_capacity_of(zone));
+        let existing = instances.by_name.values();
+        let used = existing.filter(|instance| instance.uses_capacity_of(zone));
         capacity.saturating_sub(used.count())
     }
 
-    /// Adds an instance that boots after a while, and returns its name.
+    /// Adds an instance that boots after a random delay, and returns its name.
     fn provision(
         self: &Arc<Self>,
         instances: &mut Instances,
@@ -294,11 +301,11 @@
         let name = reservation.name.clone();
         let instance = Instance::new(reservation, zone, spot, self.now_ms());
         instances.by_name.insert(name.clone(), instance);
-        let boot_s = self.environment.plan.cloud.boot_s * self.environment.draw(BOOT_SPREAD);
-        let (cloud, booting) = (self.clone(), name.clone());
+        let boot_s = self.environment.plan.cloud.boot_s * self.environment.draw(BOOT_TIME_FACTORS);
+        let (cloud, booting_name) = (self.clone(), name.clone());
         tokio::spawn(async move {
             sleep(Duration::from_secs_f64(boot_s)).await;
-            cloud.finish_boot(&booting);
+            cloud.finish_boot(&booting_name);
         });
         name
     }
@@ -316,11 +323,12 @@
     }
 
     fn answer_delete(&self, request: &IncomingRequest) -> Answer {
-        let wanted = serde_json::from_slice::<DeleteRequest>(&request.body).ok();
-        let Some(wanted) = wanted.filter(|wanted| wanted.names.len() <= MAX_DELETED) else {
+        let deletion = serde_json::from_slice::<DeleteRequest>(&request.body).ok();
+        let Some(deletion) = deletion.filter(|wanted| wanted.names.len() <= MAX_DELETED_NAMES)
+        else {
             return Answer::error(400, "malformed");
         };
-        for name in &wanted.names {
+        for name in &deletion.names {
             self.delete(name);
         }
         Answer::json(200, &DeleteAnswer {})
--- a/crates/loadtest/src/stand_ins/hollow_worker/attempts.rs
+++ b/crates/loadtest/src/stand_ins/hollow_worker/attempts.rs
@@ -1,26 +1,26 @@
-//! Attempts to run tasks, as a worker holds them.
+//! Attempts to run tasks on a worker.
 
 use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::{ExitCause, TaskCommand};
 
-/// Where an attempt stands.
+/// The phase of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Its image is being pulled.
+    /// The worker pulls the image.
     Fetching {
-        /// When the image is there.
+        /// End of the pull, in milliseconds of the run.
         until_ms: u64,
     },
-    /// It runs.
+    /// The task runs.
     Running {
-        /// When it completes; `None` for services.
+        /// Completion time, in milliseconds of the run; `None` for services.
         until_ms: Option<u64>,
     },
-    /// It has exited, or could not be started.
+    /// The task has exited, or could not be started.
     Exited {
-        /// Why.
+        /// Cause of the exit.
         cause: ExitCause,
-        /// When.
+        /// Time of the exit, in milliseconds of the run.
         at_ms: u64,
     },
 }
@@ -28,14 +28,14 @@
 /// An attempt to run a task.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The task.
+    /// Attempted task.
     pub task: TaskId,
     /// Number of the attempt.
     pub attempt: u64,
 }
 
 impl AttemptId {
-    /// The attempt that a command is for.
+    /// Returns the attempt that a command refers to.
     pub fn of(command: &TaskCommand) -> AttemptId {
         AttemptId {
             task: command.task.clone(),
@@ -44,31 +44,31 @@
     }
 }
 
-/// What a worker holds of an attempt.
+/// The state of an attempt on a worker.
 pub struct Attempt {
-    /// Where it stands.
+    /// Current phase.
     pub phase: Phase,
-    /// Processors that it uses while it is live.
+    /// Processors in use while the attempt is live.
     pub cpus: f64,
-    /// Memory that it uses while it is live.
+    /// Memory in use while the attempt is live.
     pub ram_gb: f64,
-    /// How long it runs; `None` for services.
+    /// Run time of the task; `None` for services.
     pub run_ms: Option<u64>,
 }
 
 impl Attempt {
-    /// Whether it has not exited.
+    /// Returns whether the attempt has not exited.
     pub fn is_live(&self) -> bool {
         !matches!(self.phase, Phase::Exited { .. })
     }
 
-    /// Whether it runs.
+    /// Returns whether the task runs.
     pub fn is_running(&self) -> bool {
         matches!(self.phase, Phase::Running { .. })
     }
 }
 
-/// The phase of an attempt that has exited.
+/// Returns the phase of an attempt that has exited.
 pub fn exited(cause: ExitCause, at_ms: u64) -> Phase {
     Phase::Exited { cause, at_ms }
 }
--- a/crates/loadtest/src/stand_ins/hollow_worker/job_lookup.rs
+++ b/crates/loadtest/src/stand_ins/hollow_worker/job_lookup.rs
@@ -1,19 +1,19 @@
-//! Descriptions of jobs, as workers fetch them.
+//! Lookup of job descriptions by workers.
 
 use crate::protocol::jobs::Submission;
 use std::sync::Arc;
 
-/// A job's description, which workers fetch by themselves, and how long its tasks run.
+/// A job's description, which workers look up without a controller, and the run time of its tasks.
 #[derive(Debug, Clone)]
 pub struct JobDescription {
-    /// As its user submits it.
+    /// Submission as its user sends it.
     pub submission: Arc<Submission>,
-    /// How long each task runs.
+    /// Run time of each task.
     pub run_ms: u64,
 }
 
-/// Finds a job's description.
+/// A source of job descriptions.
 pub trait JobLookup {
-    /// The description of the job with an id.
+    /// Returns the description of the job with an id.
     fn find(&self, job: &str) -> Option<JobDescription>;
 }
--- a/crates/loadtest/src/stand_ins/hollow_worker/mod.rs
+++ b/crates/loadtest/src/stand_ins/hollow_worker/mod.rs
@@ -1,5 +1,5 @@
-//! One hollow worker: incarnation, lease, fencing token, images and tasks by the protocol, without sockets
-//! or clock.
+//! State machine of one hollow worker, without sockets or clock: handles incarnation, lease, fencing token,
+//! images and tasks by the protocol.
 
 mod attempts;
 mod job_lookup;
@@ -15,93 +15,93 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::mem;
 
-/// Images that a worker keeps.
-const IMAGES_KEPT: usize = 12;
-/// What resources may exceed a worker's by, since sums of fractions are not exact.
+/// Number of images that a worker caches.
+const MAX_CACHED_IMAGES: usize = 12;
+/// Tolerance when resources are compared with a worker's capacity, since sums of fractions are inexact.
 const ROUNDING_MARGIN: f64 = 1e-6;
 
-/// What a worker is, as its heartbeats and the cloud's list say.
+/// The identity of a worker, as its heartbeats and the cloud's list state it.
 #[derive(Debug, Clone)]
 pub struct WorkerIdentity {
-    /// Its name.
+    /// Name of the worker.
     pub name: String,
-    /// Address at which it takes direct commands.
+    /// Address at which the worker accepts direct commands.
     pub address: String,
-    /// Its machine type.
+    /// Machine type of the worker.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the worker is a spot instance.
     pub spot: bool,
 }
 
-/// What a worker has.
+/// The resources of a worker.
 #[derive(Debug, Clone, Copy)]
 pub struct Capacity {
-    /// Processors.
+    /// Number of processors.
     pub cpus: f64,
-    /// Memory.
+    /// Amount of memory.
     pub ram_gb: f64,
-    /// Rate at which it pulls images.
+    /// Rate at which the worker pulls images.
     pub image_gb_per_s: f64,
 }
 
-/// What happened on a worker.
+/// An event on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkerEvent {
-    /// A task has its image and runs.
+    /// The image of a task is pulled and the task runs.
     TaskStarted(TaskId),
     /// A task no longer runs.
     TaskEnded {
         /// The task.
         task: TaskId,
-        /// Whether it ended by itself.
+        /// Whether the task completed by itself.
         completed: bool,
-        /// When it ended.
+        /// End of the task, in milliseconds of the run.
         at_ms: u64,
     },
-    /// The worker may forget a completed task: its result is on record.
+    /// A controller allows the worker to forget a completed task, since its result is recorded.
     ResultRecorded {
         /// The task.
         task: TaskId,
-        /// When it completed.
+        /// Completion time, in milliseconds of the run.
         ended_ms: u64,
     },
 }
 
-/// A heartbeat that was answered: the incarnation that sent it, and when.
+/// The sender and the send time of an answered heartbeat.
 #[derive(Debug, Clone, Copy)]
 pub struct SentHeartbeat {
-    /// The incarnation.
+    /// Incarnation that sent the heartbeat.
     pub incarnation: u64,
-    /// When it was sent.
+    /// Send time, in milliseconds of the run.
     pub sent_ms: u64,
 }
 
-/// A direct command was refused: its fencing token is too old, or it is meant for another incarnation.
+/// The rejection of a direct command with an outdated fencing token or another incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the command is fenced off")]
 pub struct CommandFenced;
 
 /// The state of a hollow worker.
 pub struct HollowWorker {
-    /// What it is.
+    /// Identity of the worker.
     pub identity: WorkerIdentity,
     capacity: Capacity,
     incarnation: u64,
     sequence: u64,
     fencing_token: u64,
-    /// When the last answered heartbeat was sent, or the incarnation began.
-    lease_from_ms: u64,
+    /// Begin of the lease: the send time of the latest answered heartbeat, or the begin of the incarnation.
+    lease_begin_ms: u64,
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// Most recently used last.
+    /// Cached images, most recently used last.
     images: VecDeque<String>,
-    /// Images that are being pulled, and when they are there.
+    /// End of each running image pull, by image.
     pulls: HashMap<String, u64>,
 }
 
 impl HollowWorker {
-    /// A worker that has just come up.
+    /// Creates a worker that has just booted.
     pub fn new(identity: WorkerIdentity, capacity: Capacity, now_ms: u64) -> HollowWorker {
         HollowWorker {
             identity,
@@ -109,19 +109,19 @@
             incarnation: 1,
             sequence: 0,
             fencing_token: 0,
-            lease_from_ms: now_ms,
+            lease_begin_ms: now_ms,
             attempts: BTreeMap::new(),
             images: VecDeque::new(),
             pulls: HashMap::new(),
         }
     }
 
-    /// The current incarnation.
+    /// Returns the current incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The next heartbeat.
+    /// Returns the next heartbeat and increments its sequence number.
     pub fn heartbeat(&mut self) -> WorkerHeartbeat {
         self.sequence += 1;
         let tasks = self.attempts.iter().map(|(id, attempt)| {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Brings pulls and tasks to where they are now.
+    /// Advances image pulls and tasks to the current time and returns the resulting events.
     pub fn advance(&mut self, now_ms: u64) -> Vec<WorkerEvent> {
         self.finish_pulls(now_ms);
         let mut events = Vec::new();
@@ -181,17 +181,17 @@
     }
 
     fn finish_pulls(&mut self, now_ms: u64) {
-        let pulled: Vec<String> = (self.pulls.iter())
+        let pulled_images: Vec<String> = (self.pulls.iter())
             .filter(|(_, until_ms)| **until_ms <= now_ms)
             .map(|(image, _)| image.clone())
             .collect();
-        for image in pulled {
+        for image in pulled_images {
             self.pulls.remove(&image);
-            self.keep_image(&image);
+            self.cache_image(&image);
         }
     }
 
-    /// When `advance` has something to do next.
+    /// Returns the time of the next change of a task, at which [`HollowWorker::advance`] is due.
     pub fn next_change_ms(&self) -> Option<u64> {
         let attempts = self.attempts.values();
         let changes = attempts.filter_map(|attempt| match attempt.phase {
@@ -202,21 +202,21 @@
         changes.min()
     }
 
-    /// Whether the lease that the last answered heartbeat gave has expired.
+    /// Returns whether the lease that the latest answered heartbeat granted has expired.
     pub fn is_lease_expired(&self, lease_ms: u64, now_ms: u64) -> bool {
-        now_ms > self.lease_from_ms + lease_ms
+        now_ms > self.lease_begin_ms + lease_ms
     }
 
-    /// Kills and forgets all tasks and begins the next incarnation: the lease has expired, or the worker
-    /// starts anew. Images stay.
+    /// Kills and forgets all tasks and begins the next incarnation, after the lease has expired or the worker
+    /// has restarted. Cached images stay.
     pub fn begin_incarnation(&mut self, now_ms: u64) -> Vec<WorkerEvent> {
         let events = self.stop_all(now_ms);
         self.incarnation += 1;
-        self.lease_from_ms = now_ms;
+        self.lease_begin_ms = now_ms;
         events
     }
 
-    /// All that ran is gone.
+    /// Stops and forgets all tasks and cancels all image pulls.
     pub fn stop_all(&mut self, now_ms: u64) -> Vec<WorkerEvent> {
         self.pulls.clear();
         let attempts = mem::take(&mut self.attempts).into_iter();
@@ -230,7 +230,7 @@
             .collect()
     }
 
-    /// Takes the answer to a heartbeat. An answer with an older fencing token, or to a heartbeat of an
+    /// Applies the answer to a heartbeat. An answer with an older fencing token, or to a heartbeat of an
     /// earlier incarnation, has no effect.
     pub fn apply_heartbeat_answer(
         &mut self,
@@ -239,19 +239,21 @@
         jobs: &dyn JobLookup,
         now_ms: u64,
     ) -> Vec<WorkerEvent> {
-        let current = answer.fencing_token.filter(|t| *t >= self.fencing_token);
-        let Some(fencing_token) = current else {
+        let valid_token = answer
+            .fencing_token
+            .filter(|token| *token >= self.fencing_token);
+        let Some(fencing_token) = valid_token else {
             return Vec::new();
         };
         if sent.incarnation != self.incarnation {
             return Vec::new();
         }
         self.fencing_token = fencing_token;
-        self.lease_from_ms = self.lease_from_ms.max(sent.sent_ms);
+        self.lease_begin_ms = self.lease_begin_ms.max(sent.sent_ms);
         self.execute(&answer.commands, jobs, now_ms)
     }
 
-    /// Takes commands sent to the worker's address.
+    /// Applies commands that a controller sent to the worker's address.
     pub fn apply_direct_command(
         &mut self,
         fencing_token: u64,
@@ -302,7 +304,7 @@
                 run_ms: None,
             },
             Some(job) => Attempt {
-                phase: self.first_phase(task, &job.submission, now_ms),
+                phase: self.initial_phase(task, &job.submission, now_ms),
                 cpus: job.submission.vcpus,
                 ram_gb: job.submission.ram_gb,
                 run_ms: (job.submission.shape != JobShape::Daemon).then_some(job.run_ms),
@@ -311,14 +313,14 @@
         self.attempts.insert(id, attempt);
     }
 
-    fn first_phase(&mut self, task: &TaskId, submission: &Submission, now_ms: u64) -> Phase {
+    fn initial_phase(&mut self, task: &TaskId, submission: &Submission, now_ms: u64) -> Phase {
         if self.holds_live_attempt(task) {
             return exited(ExitCause::OtherAttemptRuns, now_ms);
         }
         if !self.has_resources_for(submission) {
             return exited(ExitCause::InsufficientResources, now_ms);
         }
-        let until_ms = self.image_ready_ms(submission, now_ms);
+        let until_ms = self.image_available_ms(submission, now_ms);
         Phase::Fetching { until_ms }
     }
 
@@ -335,11 +337,12 @@
             && ram_gb + submission.ram_gb <= self.capacity.ram_gb + ROUNDING_MARGIN
     }
 
-    /// When a job's image is there; begins to pull it if need be.
-    fn image_ready_ms(&mut self, submission: &Submission, now_ms: u64) -> u64 {
+    /// Returns the time at which a job's image is available, and begins to pull it unless the worker has it or
+    /// pulls it already.
+    fn image_available_ms(&mut self, submission: &Submission, now_ms: u64) -> u64 {
         let image = &submission.image;
         if self.images.contains(image) {
-            self.keep_image(image);
+            self.cache_image(image);
             return now_ms;
         }
         let pull_ms = submission.image_gb / self.capacity.image_gb_per_s * 1_000.0;
@@ -347,10 +350,10 @@
         *pull.or_insert(now_ms + pull_ms as u64)
     }
 
-    fn keep_image(&mut self, image: &str) {
-        self.images.retain(|kept| kept != image);
+    fn cache_image(&mut self, image: &str) {
+        self.images.retain(|cached| cached != image);
         self.images.push_back(image.to_string());
-        if self.images.len() > IMAGES_KEPT {
+        if self.images.len() > MAX_CACHED_IMAGES {
             self.images.pop_front();
         }
     }
--- a/crates/loadtest/src/stand_ins/mod.rs
+++ b/crates/loadtest/src/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of what controllers talk to: the state store, the cloud and the workers.
+//! Stand-ins of the services that controllers use: the state store, the cloud and the workers.
 
 pub(crate) mod cloud;
 pub mod hollow_worker;
--- a/crates/loadtest/src/stand_ins/state_store/configuration_versions.rs
+++ b/crates/loadtest/src/stand_ins/state_store/configuration_versions.rs
@@ -1,4 +1,5 @@
-//! How long it takes until controllers follow a version of the configuration, read from transactions.
+//! Measures how long controllers take to follow a configuration version, from the transactions that pass
+//! through the state store.
 
 use crate::measurement::latencies::{Latencies, LatencyKind};
 use crate::protocol::state_store::Transaction;
@@ -8,25 +9,25 @@
 use std::sync::Mutex;
 
 const CONFIGURATION_KEY: &str = "g/configuration";
-/// Under it each controller writes the version that it follows.
+/// Prefix of the keys at which each controller writes the version that it follows.
 const FOLLOWED_PREFIX: &str = "g/following/";
 
-/// The part of a configuration's records that is looked at here.
+/// The version field of a configuration record.
 #[derive(Deserialize)]
 struct VersionedRecord {
     #[serde(rename = "v")]
     version: u64,
 }
 
-/// What a transaction says of a version of the configuration.
+/// A change of a transaction that concerns a configuration version.
 pub enum VersionChange {
-    /// The version was committed.
+    /// An operator committed the version.
     Committed(u64),
-    /// A controller follows the version.
+    /// A controller recorded that it follows the version.
     Followed(u64),
 }
 
-/// All that a transaction says of versions of the configuration.
+/// Returns the changes of a transaction that concern configuration versions.
 pub fn version_changes(transaction: &Transaction) -> Vec<VersionChange> {
     let changes = transaction.changes.iter().filter_map(|change| {
         let key = change.put.as_deref()?;
@@ -41,14 +42,15 @@
     changes.collect()
 }
 
-/// When versions of the configuration were committed.
+/// The commit times of configuration versions.
 #[derive(Default)]
 pub struct ConfigurationVersions {
+    /// Commit time by version.
     committed_ms: Mutex<BTreeMap<u64, u64>>,
 }
 
 impl ConfigurationVersions {
-    /// Takes note of a committed transaction's changes, and records how long a version took until a
+    /// Records the commit times in a committed transaction, and the latency from a version's commit until a
     /// controller follows it.
     pub fn record(&self, changes: Vec<VersionChange>, now_ms: u64, latencies: &Latencies) {
         let mut committed_ms = lock(&self.committed_ms);
--- a/crates/loadtest/src/stand_ins/state_store/key_value_store.rs
+++ b/crates/loadtest/src/stand_ins/state_store/key_value_store.rs
@@ -1,4 +1,5 @@
-//! The state store in memory: keys, compare-and-swap transactions, lists, leases and recent changes.
+//! In-memory key-value store with compare-and-swap transactions, lists, leases and recent changes for
+//! watches.
 
 use crate::measurement::figures::RecordUsage;
 use crate::protocol::state_store::{
@@ -8,41 +9,42 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Changes that a watch can go back to, by protocol.
-const CHANGES_KEPT: usize = 10_000;
-/// Items and bytes of one page at most, by protocol.
+/// Number of recent changes that a watch can replay, by protocol.
+const MAX_RECENT_CHANGES: usize = 10_000;
+/// Upper bounds of the items and bytes of one page, by protocol.
 const MAX_PAGE_ITEMS: usize = 1_000;
 const MAX_PAGE_BYTES: usize = 512 * 1024;
-/// Bytes of an item on a page beyond its key and value.
+/// Bytes of an item on a page in addition to its key and value.
 const ITEM_OVERHEAD_BYTES: usize = 40;
-/// Bytes of a transaction at most, by protocol.
+/// Upper bound of the bytes of a transaction, by protocol.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
-/// Conditions of a transaction for each change that it may have.
-const CONDITIONS_PER_CHANGE: usize = 4;
+/// Upper bound of the conditions of a transaction, per change that a transaction may have.
+const MAX_CONDITIONS_PER_CHANGE: usize = 4;
 const MAX_KEY_BYTES: usize = 200;
 
-/// How a transaction ended.
+/// The outcome of a transaction.
 #[derive(Debug, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// It took effect at this revision.
+    /// The transaction took effect at this revision.
     Committed(u64),
-    /// Some conditions don't hold; nothing was changed.
+    /// Some conditions don't hold; the transaction had no effect.
     Conflict {
         /// Keys of the conditions that don't hold.
         failed_keys: Vec<String>,
         /// The store's revision.
         revision: u64,
     },
-    /// It exceeds a limit or names what is not there, as the text says.
+    /// The transaction exceeds a limit, or names an invalid key or an unknown lease; the text is the error
+    /// answer.
     Malformed(&'static str),
 }
 
-/// Sizes that the store accepts.
+/// The size limits of the store.
 #[derive(Debug, Clone, Copy)]
 pub struct SizeLimits {
-    /// Bytes of one value.
+    /// Upper bound of the bytes of one value.
     pub value_bytes: usize,
-    /// Changes of one transaction.
+    /// Upper bound of the changes of one transaction.
     pub changes: usize,
 }
 
@@ -58,41 +60,41 @@
     keys: BTreeSet<String>,
 }
 
-/// All keys, leases and recent changes.
+/// The keys, leases and recent changes.
 #[derive(Default)]
 pub struct KeyValueStore {
     revision: u64,
     items: BTreeMap<String, StoredValue>,
     /// Bytes of all keys and values.
     bytes: usize,
-    /// Oldest first.
+    /// The latest changes, oldest first.
     recent_changes: VecDeque<ChangeEvent>,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
 }
 
 impl KeyValueStore {
-    /// Revision of the latest change.
+    /// Returns the revision of the latest change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Number of keys.
+    /// Returns the number of keys.
     pub fn key_count(&self) -> usize {
         self.items.len()
     }
 
-    /// Bytes of all keys and values.
+    /// Returns the bytes of all keys and values.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Reads one key.
+    /// Returns the item of a key.
     pub fn get(&self, key: &str) -> Option<Item> {
         self.items.get(key).map(|stored| stored.item(key))
     }
 
-    /// Keys and bytes by kind of record.
+    /// Returns the number of keys and their bytes by kind of record.
     pub fn usage_by_kind(&self) -> BTreeMap<String, RecordUsage> {
         let mut kinds: BTreeMap<String, RecordUsage> = BTreeMap::new();
         for (key, stored) in &self.items {
@@ -103,7 +105,7 @@
         kinds
     }
 
-    /// Stores a value as if a transaction had, long before anybody watches.
+    /// Stores a value that was committed before any watch began, so the change isn't published.
     pub fn preload(&mut self, key: String, value: Value) {
         self.revision += 1;
         let stored = StoredValue {
@@ -115,7 +117,7 @@
         self.items.insert(key, stored);
     }
 
-    /// Executes a transaction that came as so many bytes.
+    /// Executes a transaction whose request body has `bytes` bytes.
     pub fn transact(
         &mut self,
         transaction: Transaction,
@@ -125,7 +127,11 @@
         if let Some(problem) = limits.problem_of(&transaction, bytes) {
             return TransactionOutcome::Malformed(problem);
         }
-        if transaction.changes.iter().any(|c| !self.has_lease_of(c)) {
+        if transaction
+            .changes
+            .iter()
+            .any(|change| !self.has_valid_lease(change))
+        {
             return TransactionOutcome::Malformed("no such lease");
         }
         let failed_keys: Vec<String> = (transaction.conditions.iter())
@@ -147,7 +153,7 @@
         TransactionOutcome::Committed(self.revision)
     }
 
-    fn has_lease_of(&self, change: &RecordChange) -> bool {
+    fn has_valid_lease(&self, change: &RecordChange) -> bool {
         change.lease.is_none_or(|id| self.leases.contains_key(&id))
     }
 
@@ -160,14 +166,14 @@
         match change.put {
             Some(key) => {
                 let value = change.value.map(Arc::from);
-                self.put(key, value.unwrap_or_else(null), change.lease);
+                self.put(key, value.unwrap_or_else(null_value), change.lease);
             }
             None => self.remove(&change.remove.unwrap_or_default()),
         }
     }
 
     fn put(&mut self, key: String, value: Value, lease: Option<u64>) {
-        self.drop_item(&key);
+        self.drop_stored(&key);
         if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
             lease.keys.insert(key.clone());
         }
@@ -187,7 +193,7 @@
     }
 
     fn remove(&mut self, key: &str) {
-        self.drop_item(key);
+        self.drop_stored(key);
         self.publish(ChangeEvent {
             put: None,
             value: None,
@@ -196,27 +202,27 @@
         });
     }
 
-    fn drop_item(&mut self, key: &str) {
-        let Some(old) = self.items.remove(key) else {
+    fn drop_stored(&mut self, key: &str) {
+        let Some(removed) = self.items.remove(key) else {
             return;
         };
-        self.bytes -= old.bytes(key);
-        if let Some(lease) = old.lease.and_then(|id| self.leases.get_mut(&id)) {
+        self.bytes -= removed.bytes(key);
+        if let Some(lease) = removed.lease.and_then(|id| self.leases.get_mut(&id)) {
             lease.keys.remove(key);
         }
     }
 
     fn publish(&mut self, event: ChangeEvent) {
         self.recent_changes.push_back(event);
-        if self.recent_changes.len() > CHANGES_KEPT {
+        if self.recent_changes.len() > MAX_RECENT_CHANGES {
             self.recent_changes.pop_front();
         }
     }
 
-    /// One page of the keys with a prefix after `after`, of `max_items` items at most.
+    /// Returns one page of the keys with a prefix that follow `after`, with at most `max_items` items.
     pub fn list(&self, prefix: &str, after: &str, max_items: usize) -> Page {
-        let from = after.max(prefix);
-        let mut remaining = (self.items.range(from.to_string()..))
+        let first_key = after.max(prefix);
+        let mut remaining = (self.items.range(first_key.to_string()..))
             .skip_while(|(key, _)| key.as_str() == after)
             .take_while(|(key, _)| key.starts_with(prefix))
             .peekable();
@@ -238,16 +244,17 @@
         }
     }
 
-    /// Changes of keys with a prefix after a revision; `None` if these are no longer kept.
+    /// Returns the changes of keys with a prefix after a revision; `None` if the store no longer holds all of
+    /// them.
     pub fn changes_since(&self, prefix: &str, since: u64) -> Option<Vec<ChangeEvent>> {
         let changes = &self.recent_changes;
-        let oldest = changes.front().map_or(0, |event| event.mod_revision);
-        let is_complete = changes.len() < CHANGES_KEPT || oldest <= since + 1;
+        let oldest_revision = changes.front().map_or(0, |event| event.mod_revision);
+        let is_complete = changes.len() < MAX_RECENT_CHANGES || oldest_revision <= since + 1;
         if !is_complete {
             return None;
         }
-        let from = changes.partition_point(|event| event.mod_revision <= since);
-        let events = changes.range(from..).filter(|event| {
+        let first_index = changes.partition_point(|event| event.mod_revision <= since);
+        let events = changes.range(first_index..).filter(|event| {
             let key = event.put.as_ref().or(event.remove.as_ref());
             key.is_some_and(|key| key.starts_with(prefix))
         });
@@ -266,7 +273,7 @@
         self.last_lease
     }
 
-    /// Gives a lease its full time back; false if there is no such lease.
+    /// Renews a lease for its full time to live; returns false if there is no such lease.
     pub fn renew_lease(&mut self, id: u64, now_ms: u64) -> bool {
         let Some(lease) = self.leases.get_mut(&id) else {
             return false;
@@ -275,14 +282,14 @@
         true
     }
 
-    /// Gives all leases their full time back.
+    /// Renews all leases for their full time to live.
     pub fn renew_all_leases(&mut self, now_ms: u64) {
         for lease in self.leases.values_mut() {
             lease.renew(now_ms);
         }
     }
 
-    /// Ends a lease and removes its keys; false if there is no such lease.
+    /// Ends a lease and removes its keys; returns false if there is no such lease.
     pub fn end_lease(&mut self, id: u64) -> bool {
         let Some(lease) = self.leases.remove(&id) else {
             return false;
@@ -296,7 +303,7 @@
         true
     }
 
-    /// Ends leases whose time is over; true if any did.
+    /// Ends the leases whose time to live has passed; returns whether there was any.
     pub fn expire_leases(&mut self, now_ms: u64) -> bool {
         let expired: Vec<u64> = (self.leases.iter())
             .filter(|(_, lease)| lease.expires_ms < now_ms)
@@ -330,7 +337,7 @@
 }
 
 impl SizeLimits {
-    /// What is wrong with a transaction by its sizes and keys.
+    /// Returns the error text for a transaction that exceeds a limit or has an invalid key.
     fn problem_of(self, transaction: &Transaction, bytes: usize) -> Option<&'static str> {
         let changes = &transaction.changes;
         let is_large = |change: &RecordChange| {
@@ -343,7 +350,7 @@
         if changes.len() > self.changes {
             return Some("too many changes");
         }
-        if transaction.conditions.len() > self.changes * CONDITIONS_PER_CHANGE {
+        if transaction.conditions.len() > self.changes * MAX_CONDITIONS_PER_CHANGE {
             return Some("too many conditions");
         }
         if changes.iter().any(|change| !is_valid_key(change.key())) {
@@ -357,11 +364,11 @@
     !key.is_empty() && key.len() <= MAX_KEY_BYTES && !key.contains(' ')
 }
 
-fn null() -> Value {
+fn null_value() -> Value {
     Arc::from(RawValue::NULL.to_owned())
 }
 
-/// The kind of record that a key holds: `chunk` for `g/chunk/j-000412/0`.
+/// Returns the kind of record that a key holds: `chunk` for `g/chunk/j-000412/0`.
 pub fn record_kind(key: &str) -> String {
     key.split('/').nth(1).unwrap_or(key).to_string()
 }
--- a/crates/loadtest/src/stand_ins/state_store/mod.rs
+++ b/crates/loadtest/src/stand_ins/state_store/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the state store: an in-memory key-value store, and the HTTP server in front of it.
+//! Stand-in of the state store: an in-memory key-value store and an HTTP server in front of it.
 
 mod configuration_versions;
 pub mod key_value_store;
--- a/crates/loadtest/src/stand_ins/state_store/preload.rs
+++ b/crates/loadtest/src/stand_ins/state_store/preload.rs
@@ -1,4 +1,4 @@
-//! Records that are in the store before a run begins.
+//! Records that the store holds before a run begins.
 
 use crate::protocol::state_store::Value;
 use glenmount_core::state::formats::LATEST;
@@ -6,23 +6,23 @@
 use serde_json::value::RawValue;
 use std::sync::Arc;
 
-/// Time of day at which preloaded jobs were accepted, and how long they ran.
-const ACCEPTED_AT_MS: u64 = 1_700_000_000_000;
-const RAN_FOR_MS: u64 = 60_000;
-/// Preloaded jobs have up to this many tasks, in chunks of this many.
+/// Acceptance time (Unix time) and run time of preloaded jobs.
+const ACCEPTED_AT_UNIX_MS: u64 = 1_700_000_000_000;
+const RUN_TIME_MS: u64 = 60_000;
+/// Upper bound of the tasks of a preloaded job, and the tasks per chunk record.
 const MAX_TASKS: u32 = 700;
 const CHUNK_TASKS: u32 = 100;
 
-/// Key and value of the record of a job that ended long ago, as controllers write it.
+/// Returns key and value of the record of an ended job in the format that controllers write.
 pub fn ended_job(index: u32) -> (String, Value) {
     let id = format!("j-8{index:07}");
-    let accepted_ms = ACCEPTED_AT_MS + u64::from(index);
+    let accepted_ms = ACCEPTED_AT_UNIX_MS + u64::from(index);
     let record = Record::Job(JobRecord {
         phase: JobPhase::Done,
         tasks: 1 + index % MAX_TASKS,
         tasks_per_chunk: CHUNK_TASKS,
         accepted_at: accepted_ms,
-        ended_at: accepted_ms + RAN_FOR_MS,
+        ended_at: accepted_ms + RUN_TIME_MS,
         spec: None,
     });
     let text = record.value(LATEST).to_string();
--- a/crates/loadtest/src/stand_ins/state_store/server.rs
+++ b/crates/loadtest/src/stand_ins/state_store/server.rs
@@ -1,4 +1,4 @@
-//! The state store behind HTTP, with rate limits, latency, outages and rejections.
+//! HTTP server of the state store with rate limits, latency, outages and rejections.
 
 use super::configuration_versions::{version_changes, ConfigurationVersions};
 use super::key_value_store::{record_kind, KeyValueStore, SizeLimits, TransactionOutcome};
@@ -23,27 +23,29 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Duration};
 
-/// Both rate limits allow one second's worth at once.
+/// Burst of both rate limits, in seconds' worth of tokens.
 const BURST_S: f64 = 1.0;
-/// Longest hold of a watch.
-const MAX_HOLD_MS: u64 = 60_000;
-/// How long an open watch sleeps at least and at most before it looks again: it waits through an outage.
-const WATCH_WAIT_MS: (u64, u64) = (20, 250);
-/// One answer in so many takes some hundred milliseconds.
-const SLOW_ONE_IN: u32 = 500;
-const SLOW_MS: Range<u64> = 150..400;
-/// Items of a page unless a request says otherwise.
+/// Longest time for which the server holds a watch without changes.
+const MAX_WATCH_HOLD_MS: u64 = 60_000;
+/// Shortest and longest wait of an open watch before it checks again without a change: a watch stays open
+/// during an outage, whose end isn't signalled as a change.
+const MIN_WATCH_WAIT_MS: u64 = 20;
+const MAX_WATCH_WAIT_MS: u64 = 250;
+/// One of this many answers is slow, and the range of its latency.
+const ANSWERS_PER_SLOW_ANSWER: u32 = 500;
+const SLOW_LATENCY_MS: Range<u64> = 150..400;
+/// Upper bound of the items of a page if the request sets none.
 const DEFAULT_PAGE_ITEMS: u64 = 1_000;
-/// How often leases are looked at.
+/// Interval between two checks for expired leases.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 const LEASE_TIME_TO_LIVE_MS: RangeInclusive<u64> = 100..=600_000;
 
-/// Who has an address of its own at the state store, by which it is known.
+/// A client of the state store, identified by the address at which it connects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreClient {
-    /// A controller by its index.
+    /// The controller with this index.
     Controller(u32),
-    /// Operators; their traffic is not counted with the controllers'.
+    /// An operator; its traffic isn't counted as the controllers' traffic.
     Operator,
 }
 
@@ -52,22 +54,22 @@
     changes: TokenBucket,
 }
 
-/// The server and the faults that it has.
+/// The server with its injected faults.
 pub struct StateStoreServer {
     environment: Arc<Environment>,
     store: Mutex<KeyValueStore>,
-    /// The store's revision, for open watches.
+    /// Revision of the store; each change wakes open watches.
     revision: watch::Sender<u64>,
     rate_limits: Mutex<RateLimits>,
     latency_ms: AtomicU64,
     is_down: AtomicBool,
-    /// Controllers that get 503.
-    rejected: Mutex<BTreeSet<u32>>,
+    /// Controllers whose requests the server answers with 503.
+    rejected_controllers: Mutex<BTreeSet<u32>>,
     versions: ConfigurationVersions,
 }
 
 impl StateStoreServer {
-    /// A server with the plan's limits and preloaded records.
+    /// Creates a server with the plan's limits and preloaded records.
     pub fn new(environment: Arc<Environment>) -> Arc<StateStoreServer> {
         let limits = &environment.plan.state;
         let mut store = KeyValueStore::default();
@@ -84,7 +86,7 @@
             }),
             latency_ms: AtomicU64::new(limits.latency_ms.round() as u64),
             is_down: AtomicBool::new(false),
-            rejected: Mutex::default(),
+            rejected_controllers: Mutex::default(),
             versions: ConfigurationVersions::default(),
             environment,
         });
@@ -92,7 +94,7 @@
         server
     }
 
-    /// Opens an address of its own for a client at a site.
+    /// Opens an address for a client at a site.
     pub async fn listen(
         self: &Arc<Self>,
         client: StoreClient,
@@ -112,7 +114,7 @@
         self.latency_ms.store(latency_ms.round() as u64, Relaxed);
     }
 
-    /// Begins or ends an outage; leases have their full time when it ends.
+    /// Begins or ends an outage; at its end the server renews all leases for their full time to live.
     pub fn set_down(&self, is_down: bool) {
         self.is_down.store(is_down, Relaxed);
         if !is_down {
@@ -120,27 +122,27 @@
         }
     }
 
-    /// Begins or ends to answer 503 to a controller.
+    /// Begins or ends the rejection of a controller's requests with 503.
     pub fn set_rejected(&self, controller: u32, is_rejected: bool) {
-        let mut rejected = lock(&self.rejected);
+        let mut rejected = lock(&self.rejected_controllers);
         match is_rejected {
             true => rejected.insert(controller),
             false => rejected.remove(&controller),
         };
     }
 
-    /// Reads the store, for what is printed at the end.
-    pub fn read<T>(&self, look: impl FnOnce(&KeyValueStore) -> T) -> T {
-        look(&lock(&self.store))
+    /// Reads the store, for the figures of the run.
+    pub fn read<T>(&self, read: impl FnOnce(&KeyValueStore) -> T) -> T {
+        read(&lock(&self.store))
     }
 
     async fn serve(&self, request: IncomingRequest, client: StoreClient, site: Site) -> Answer {
         let network = &self.environment.network;
-        network.until_reachable(site, Site::Outside).await;
+        network.wait_until_reachable(site, Site::Outside).await;
         let kind = exchange_kind(&request);
         let request_bytes = request.bytes;
         let answer = self.answer(request, client).await;
-        network.until_reachable(Site::Outside, site).await;
+        network.wait_until_reachable(Site::Outside, site).await;
         if client != StoreClient::Operator {
             let traffic = &self.environment.traffic;
             traffic.count(kind, request_bytes, answer.bytes());
@@ -150,14 +152,14 @@
 
     fn is_serving(&self, client: StoreClient) -> bool {
         let is_rejected = match client {
-            StoreClient::Controller(index) => lock(&self.rejected).contains(&index),
+            StoreClient::Controller(index) => lock(&self.rejected_controllers).contains(&index),
             StoreClient::Operator => false,
         };
         !self.is_down.load(Relaxed) && !is_rejected
     }
 
     async fn answer(&self, request: IncomingRequest, client: StoreClient) -> Answer {
-        self.take_latency().await;
+        self.sleep_for_latency().await;
         if !self.is_serving(client) {
             return Answer::error(503, "unavailable");
         }
@@ -169,21 +171,21 @@
             (&Method::POST, TRANSACTION_PATH) => self.transact(&request),
             (&Method::GET, WATCH_PATH) => self.watch(&request, client).await,
             (&Method::GET, KEYS_PATH) => self.list(&request),
-            (&Method::GET, path) => match key_in(path) {
+            (&Method::GET, path) => match key_of_path(path) {
                 Some(key) => self.get(key),
                 None => Answer::error(400, "malformed"),
             },
             (_, path) => match path.strip_prefix(LEASES_PATH) {
-                Some(rest) => self.lease(&request, rest),
+                Some(lease_path) => self.lease(&request, lease_path),
                 None => Answer::error(400, "malformed"),
             },
         }
     }
 
-    async fn take_latency(&self) {
+    async fn sleep_for_latency(&self) {
         let mean_ms = self.latency_ms.load(Relaxed);
-        let latency_ms = match self.environment.draw(0..SLOW_ONE_IN) {
-            0 => self.environment.draw(SLOW_MS),
+        let latency_ms = match self.environment.draw(0..ANSWERS_PER_SLOW_ANSWER) {
+            0 => self.environment.draw(SLOW_LATENCY_MS),
             _ => self.environment.draw(mean_ms / 2..=mean_ms * 3 / 2),
         };
         if latency_ms > 0 {
@@ -236,8 +238,8 @@
         transaction_answer(&outcome)
     }
 
-    /// Counts a transaction by the kinds of records that it changes, each once (`chunk+team` for a claim),
-    /// and its changes by kind.
+    /// Counts a transaction by the distinct kinds of records that it changes (`chunk+team` for a claim), and
+    /// its changes by kind.
     fn count_transaction(&self, outcome: &TransactionOutcome, kinds: Vec<String>) {
         let suffix = match outcome {
             TransactionOutcome::Committed(_) => "",
@@ -257,7 +259,10 @@
     async fn watch(&self, request: &IncomingRequest, client: StoreClient) -> Answer {
         let prefix = request.query_value("under");
         let since = request.query_number("since").unwrap_or(0);
-        let hold_ms = request.query_number("holdMs").unwrap_or(0).min(MAX_HOLD_MS);
+        let hold_ms = request
+            .query_number("holdMs")
+            .unwrap_or(0)
+            .min(MAX_WATCH_HOLD_MS);
         let ends_ms = self.environment.now_ms() + hold_ms;
         let mut revisions = self.revision.subscribe();
         loop {
@@ -275,18 +280,21 @@
                 }
                 _ => {}
             }
-            let (least_ms, most_ms) = WATCH_WAIT_MS;
-            let wait_ms = ends_ms.saturating_sub(now_ms).clamp(least_ms, most_ms);
+            let remaining_ms = ends_ms.saturating_sub(now_ms);
+            let wait_ms = remaining_ms.clamp(MIN_WATCH_WAIT_MS, MAX_WATCH_WAIT_MS);
             let _ = timeout(Duration::from_millis(wait_ms), revisions.changed()).await;
         }
     }
 
-    fn lease(&self, request: &IncomingRequest, path: &str) -> Answer {
-        let parts: Vec<&str> = path.split('/').filter(|part| !part.is_empty()).collect();
-        let id = parts.first().and_then(|id| id.parse::<u64>().ok());
+    fn lease(&self, request: &IncomingRequest, lease_path: &str) -> Answer {
+        let segments: Vec<&str> = lease_path
+            .split('/')
+            .filter(|segment| !segment.is_empty())
+            .collect();
+        let id = segments.first().and_then(|id| id.parse::<u64>().ok());
         let now_ms = self.environment.now_ms();
         let mut store = lock(&self.store);
-        let (lease, is_held) = match (&request.method, id, parts.get(1)) {
+        let (lease, is_held) = match (&request.method, id, segments.get(1)) {
             (&Method::POST, None, None) => return grant_lease(&mut store, request, now_ms),
             (&Method::POST, Some(id), Some(&RENEW_SEGMENT)) => (id, store.renew_lease(id, now_ms)),
             (&Method::DELETE, Some(id), None) => (id, store.end_lease(id)),
@@ -314,8 +322,8 @@
 }
 
 fn grant_lease(store: &mut KeyValueStore, request: &IncomingRequest, now_ms: u64) -> Answer {
-    let requested = serde_json::from_slice::<LeaseRequest>(&request.body).ok();
-    let time_to_live_ms = requested.map(|request| request.time_to_live_ms);
+    let lease_request = serde_json::from_slice::<LeaseRequest>(&request.body).ok();
+    let time_to_live_ms = lease_request.map(|request| request.time_to_live_ms);
     match time_to_live_ms.filter(|ms| LEASE_TIME_TO_LIVE_MS.contains(ms)) {
         Some(time_to_live_ms) => {
             let lease = store.grant_lease(time_to_live_ms, now_ms);
@@ -346,8 +354,8 @@
     Answer::json(status, &RevisionAnswer { revision })
 }
 
-/// The key whose own path this is.
-fn key_in(path: &str) -> Option<&str> {
+/// Returns the key that a path names.
+fn key_of_path(path: &str) -> Option<&str> {
     path.strip_prefix(KEYS_PATH)?.strip_prefix('/')
 }
 
--- a/crates/loadtest/src/stand_ins/token_bucket.rs
+++ b/crates/loadtest/src/stand_ins/token_bucket.rs
@@ -1,6 +1,6 @@
-//! A token bucket: the rate limit that the services outside of the controllers enforce.
+//! Token bucket, the rate limit of the state store and the cloud.
 
-/// Tokens that come at a steady rate and are kept up to a bound.
+/// A bucket that is refilled at a constant rate up to its capacity.
 pub struct TokenBucket {
     tokens_per_ms: f64,
     capacity: f64,
@@ -9,7 +9,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket that holds `burst_s` seconds' worth of tokens.
+    /// Creates a full bucket whose capacity is `burst_s` seconds' worth of tokens.
     pub fn new(tokens_per_s: f64, burst_s: f64) -> TokenBucket {
         let capacity = tokens_per_s * burst_s;
         TokenBucket {
@@ -20,10 +20,10 @@
         }
     }
 
-    /// Takes so many tokens if there are that many; false, and none taken, if not.
+    /// Takes `count` tokens and returns true, or takes none and returns false if there are fewer.
     pub fn take(&mut self, count: f64, now_ms: u64) -> bool {
-        let passed_ms = now_ms.saturating_sub(self.updated_ms) as f64;
-        self.tokens = (self.tokens + passed_ms * self.tokens_per_ms).min(self.capacity);
+        let elapsed_ms = now_ms.saturating_sub(self.updated_ms) as f64;
+        self.tokens = (self.tokens + elapsed_ms * self.tokens_per_ms).min(self.capacity);
         self.updated_ms = self.updated_ms.max(now_ms);
         let is_enough = self.tokens >= count;
         if is_enough {
--- a/crates/loadtest/src/stand_ins/worker_fleet/commands.rs
+++ b/crates/loadtest/src/stand_ins/worker_fleet/commands.rs
@@ -1,4 +1,4 @@
-//! Requests that controllers send to workers' addresses.
+//! Handling of requests that controllers send to workers' addresses.
 
 use super::{Worker, WorkerFleet};
 use crate::measurement::traffic::ExchangeKind;
@@ -10,18 +10,18 @@
 use std::sync::Arc;
 use tokio::time::{sleep, Duration};
 
-/// A request to a worker without power gets no answer for so long, and then a failure.
+/// Time after which a request to an unreachable worker fails.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl WorkerFleet {
     pub(super) async fn serve_command(&self, request: IncomingRequest) -> Answer {
         let worker = self.worker_at(request.connection.local.ip());
-        let Some(worker) = worker.filter(|worker| !worker.is_silent()) else {
+        let Some(worker) = worker.filter(|worker| !worker.is_unreachable()) else {
             sleep(UNREACHABLE_TIMEOUT).await;
             return Answer::empty(503);
         };
-        if !self.environment.network.is_whole() {
-            self.until_reachable(&request, &worker).await;
+        if !self.environment.network.is_fully_connected() {
+            self.wait_until_reachable(&request, &worker).await;
         }
         let kind = match request.path.as_str() {
             COMMAND_PATH => ExchangeKind::WorkerCommand,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Holds a command up until the network between its sender and the worker is whole.
-    async fn until_reachable(&self, request: &IncomingRequest, worker: &Worker) {
+    /// Delays a command until no partition separates its sender from the worker.
+    async fn wait_until_reachable(&self, request: &IncomingRequest, worker: &Worker) {
         let connection = &request.connection;
         let Some(controllers) = self.controllers.get() else {
             return;
@@ -51,7 +51,10 @@
         let zone = sender.and_then(|index| controllers.zones.get(index));
         if let Some(zone) = zone {
             let (from, to) = (Site::Zone(*zone), Site::Zone(worker.zone));
-            self.environment.network.until_reachable(from, to).await;
+            self.environment
+                .network
+                .wait_until_reachable(from, to)
+                .await;
         }
     }
 
--- a/crates/loadtest/src/stand_ins/worker_fleet/heartbeats.rs
+++ b/crates/loadtest/src/stand_ins/worker_fleet/heartbeats.rs
@@ -1,4 +1,4 @@
-//! The heartbeats of workers, and which controllers these go to.
+//! Heartbeats of workers and the choice of the controller that receives them.
 
 use super::{Worker, WorkerFleet};
 use crate::measurement::traffic::ExchangeKind;
@@ -13,26 +13,26 @@
 use std::sync::Arc;
 use tokio::time::{sleep, sleep_until, timeout_at, Duration};
 
-/// How long a worker waits for an answer, by protocol.
+/// Time that a worker waits for the answer to a heartbeat, by protocol.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pause before the next controller is tried, by protocol.
-const NEXT_CONTROLLER_PAUSE: Duration = Duration::from_secs(1);
-/// Least time between two heartbeats, by protocol.
+/// Delay before a worker tries the next controller, by protocol.
+const NEXT_CONTROLLER_DELAY: Duration = Duration::from_secs(1);
+/// Shortest interval between two heartbeats, by protocol.
 const MIN_INTERVAL_MS: u64 = 500;
-/// How far a heartbeat's time is off, as a part of the interval, by protocol.
-const JITTER: f64 = 0.25;
+/// Random deviation of the heartbeat interval in both directions, relative to the interval, by protocol.
+const INTERVAL_JITTER: f64 = 0.25;
 
-/// Where a worker's next heartbeat goes.
+/// The controller that receives a worker's next heartbeat.
 enum NextController {
-    /// To the same controller.
+    /// The same controller.
     Same,
-    /// To the one with this index, which the last one named.
+    /// The controller with this index, to which the current one redirected the worker.
     Redirected(usize),
-    /// To the following one, since the last one gave no usable answer.
+    /// The next controller by index, since the current one gave no usable answer.
     Following,
 }
 
-/// The controller that a worker talks to, and the connection to it.
+/// The controller that receives a worker's heartbeats, and the connection to it.
 struct HeartbeatTarget {
     controllers: Arc<Controllers>,
     controller: usize,
@@ -53,7 +53,7 @@
         self.client = Client::new(self.controllers.client_addresses[controller]);
     }
 
-    fn following(&self) -> usize {
+    fn following_controller(&self) -> usize {
         (self.controller + 1) % self.controllers.count()
     }
 
@@ -61,10 +61,10 @@
         Site::Zone(self.controllers.zones[self.controller])
     }
 
-    /// Where an answer sends the worker that doesn't come from its controller.
-    fn redirection(&self, answer: &HeartbeatAnswer) -> NextController {
-        let named = answer.redirect_to.as_deref().and_then(controller_index);
-        match named {
+    /// Returns the next controller after an answer from a controller that doesn't own the worker.
+    fn redirected(&self, answer: &HeartbeatAnswer) -> NextController {
+        let redirect_index = answer.redirect_to.as_deref().and_then(controller_index);
+        match redirect_index {
             Some(index) if index != self.controller && index < self.controllers.count() => {
                 NextController::Redirected(index)
             }
@@ -74,7 +74,7 @@
 }
 
 impl WorkerFleet {
-    /// Sends heartbeats as long as the worker has power.
+    /// Sends heartbeats while the worker has power.
     pub(super) async fn send_heartbeats(self: Arc<Self>, worker: Arc<Worker>) {
         let environment = &self.environment;
         let interval_ms = environment.plan.workers.heartbeat_interval_s * 1_000.0;
@@ -89,19 +89,19 @@
             let sent_ms = environment.now_ms();
             match self.send_heartbeat(&worker, &mut target).await {
                 NextController::Same => {
-                    let jitter = environment.draw(1.0 - JITTER..1.0 + JITTER);
+                    let jitter = environment.draw(1.0 - INTERVAL_JITTER..1.0 + INTERVAL_JITTER);
                     let due = environment.instant_at(sent_ms + (interval_ms * jitter) as u64);
                     let _ = timeout_at(due, worker.heartbeat_requested.notified()).await;
                     sleep_until(environment.instant_at(sent_ms + MIN_INTERVAL_MS)).await;
                 }
                 NextController::Redirected(controller) => {
                     target.switch_to(controller);
-                    let pause_ms = environment.draw(0..MIN_INTERVAL_MS);
-                    sleep(Duration::from_millis(pause_ms)).await;
+                    let delay_ms = environment.draw(0..MIN_INTERVAL_MS);
+                    sleep(Duration::from_millis(delay_ms)).await;
                 }
                 NextController::Following => {
-                    target.switch_to(target.following());
-                    sleep(NEXT_CONTROLLER_PAUSE).await;
+                    target.switch_to(target.following_controller());
+                    sleep(NEXT_CONTROLLER_DELAY).await;
                 }
             }
         }
@@ -112,9 +112,9 @@
         worker: &Worker,
         target: &mut HeartbeatTarget,
     ) -> NextController {
-        let (own, other) = (Site::Zone(worker.zone), target.site());
+        let (worker_site, controller_site) = (Site::Zone(worker.zone), target.site());
         let network = &self.environment.network;
-        if worker.is_silent() || !network.is_reachable(own, other) {
+        if worker.is_unreachable() || !network.is_reachable(worker_site, controller_site) {
             sleep(ANSWER_TIMEOUT).await;
             return NextController::Following;
         }
@@ -138,13 +138,13 @@
         let (request_bytes, answer_bytes) = (reply.request_bytes, reply.answer_bytes);
         let kind = ExchangeKind::WorkerHeartbeat;
         self.count(worker, kind, request_bytes, answer_bytes);
-        if worker.is_silent() || !network.is_reachable(other, own) {
+        if worker.is_unreachable() || !network.is_reachable(controller_site, worker_site) {
             return NextController::Following;
         }
-        self.take_reply(worker, target, &reply, sent)
+        self.handle_reply(worker, target, &reply, sent)
     }
 
-    fn take_reply(
+    fn handle_reply(
         &self,
         worker: &Worker,
         target: &HeartbeatTarget,
@@ -154,15 +154,15 @@
         let answer = serde_json::from_slice::<HeartbeatAnswer>(&reply.body).ok();
         match (reply.status, answer) {
             (200, Some(answer)) => {
-                self.take_answer(worker, &answer, sent);
+                self.apply_answer(worker, &answer, sent);
                 NextController::Same
             }
-            (421, Some(answer)) => target.redirection(&answer),
+            (421, Some(answer)) => target.redirected(&answer),
             _ => NextController::Following,
         }
     }
 
-    fn take_answer(&self, worker: &Worker, answer: &HeartbeatAnswer, sent: SentHeartbeat) {
+    fn apply_answer(&self, worker: &Worker, answer: &HeartbeatAnswer, sent: SentHeartbeat) {
         let mut state = lock(&worker.state);
         if !worker.is_powered() {
             return;
--- a/crates/loadtest/src/stand_ins/worker_fleet/mod.rs
+++ b/crates/loadtest/src/stand_ins/worker_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! All hollow workers: each sends heartbeats to a controller, takes commands at an address of its own, and
-//! keeps its lease, as the protocol asks.
+//! The hollow workers of a run. Each sends heartbeats to a controller, accepts commands at an address of its
+//! own, and begins a new incarnation when its lease expires.
 
 mod addresses;
 mod commands;
@@ -24,32 +24,32 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout_at;
 
-/// The one type of machine.
+/// The only machine type.
 pub const MACHINE_TYPE: &str = "standard-16";
-/// A worker looks at its lease this many times while it lasts.
-const LEASE_CHECKS: u64 = 4;
+/// Number of checks for expiry during one lease.
+const CHECKS_PER_LEASE: u64 = 4;
 
-/// A name and an address for a worker to come.
+/// The name and the address of a worker that isn't booted yet.
 #[derive(Debug, Clone)]
 pub struct Reservation {
-    /// Its name.
+    /// Name of the worker.
     pub name: String,
-    /// Its address.
+    /// Address of the worker.
     pub address: SocketAddr,
 }
 
-/// The workers that are up, by their addresses.
+/// The workers that aren't deleted, by address.
 pub struct WorkerFleet {
     environment: Arc<Environment>,
     workers: Mutex<HashMap<Ipv4Addr, Arc<Worker>>>,
-    /// Set once these have started; workers have nobody to talk to before.
+    /// Set once the controllers have started; workers send no heartbeats before.
     controllers: OnceLock<Arc<Controllers>>,
     next_index: AtomicU64,
     port: u16,
 }
 
 impl WorkerFleet {
-    /// Listens for commands on all addresses of the loopback range.
+    /// Creates a fleet without workers, and listens for commands on all loopback addresses.
     pub async fn new(environment: Arc<Environment>) -> io::Result<Arc<WorkerFleet>> {
         let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0)).await?;
         let fleet = Arc::new(WorkerFleet {
@@ -59,34 +59,37 @@
             next_index: AtomicU64::new(1),
             port: listener.local_addr()?.port(),
         });
-        let serving = fleet.clone();
+        let serving_fleet = fleet.clone();
         serve(listener, move |request| {
-            let fleet = serving.clone();
+            let fleet = serving_fleet.clone();
             async move { fleet.serve_command(request).await }
         });
         Ok(fleet)
     }
 
-    /// Workers may send heartbeats to these controllers from now on.
+    /// Sets the controllers to which workers send heartbeats.
     pub fn set_controllers(&self, controllers: Arc<Controllers>) {
-        // A run sets them once.
+        // A run sets the controllers only once, so this never fails.
         let _ = self.controllers.set(controllers);
     }
 
-    /// All workers, by name.
+    /// Returns all workers in the order of their names.
     pub fn workers(&self) -> Vec<Arc<Worker>> {
         let mut workers: Vec<Arc<Worker>> = lock(&self.workers).values().cloned().collect();
         workers.sort_by(|a, b| a.name.cmp(&b.name));
         workers
     }
 
-    /// Number of workers that are powered.
+    /// Returns the number of workers with power.
     pub fn powered_count(&self) -> usize {
         let workers = lock(&self.workers);
-        workers.values().filter(|w| w.is_powered()).count()
+        workers
+            .values()
+            .filter(|worker| worker.is_powered())
+            .count()
     }
 
-    /// Bytes for control of each worker so far, by name.
+    /// Returns the bytes of control traffic of each worker, by name.
     pub fn control_bytes(&self) -> HashMap<String, u64> {
         let workers = lock(&self.workers);
         let bytes = workers.values().map(|worker| {
@@ -96,7 +99,7 @@
         bytes.collect()
     }
 
-    /// A name and an address for a worker to come; names follow the order of creation.
+    /// Reserves a name and an address for a new worker; names follow the order of reservation.
     pub fn reserve(&self) -> Reservation {
         let index = self.next_index.fetch_add(1, Relaxed);
         Reservation {
@@ -105,7 +108,7 @@
         }
     }
 
-    /// A worker comes up.
+    /// Boots a worker and starts its tasks.
     pub fn boot(self: &Arc<Self>, reservation: &Reservation, zone: ZoneIndex, spot: bool) {
         let IpAddr::V4(ip) = reservation.address.ip() else {
             return;
@@ -126,22 +129,22 @@
         let state = HollowWorker::new(identity, capacity, self.environment.now_ms());
         let worker = Arc::new(Worker::new(state, zone));
         lock(&self.workers).insert(ip, worker.clone());
-        // Both end once the worker has no power.
+        // Both tasks end once the worker has no power.
         tokio::spawn(self.clone().advance(worker.clone()));
         tokio::spawn(self.clone().send_heartbeats(worker));
     }
 
-    /// A worker loses power; nothing answers at its address any more.
+    /// Powers a worker off; it ends all tasks and no longer answers at its address.
     pub fn power_off(&self, worker: &Worker) {
         let mut state = lock(&worker.state);
-        worker.set_unpowered();
+        worker.mark_powered_off();
         let events = state.stop_all(self.environment.now_ms());
         self.environment
             .record_worker_events(&worker.placement, events);
         worker.wake();
     }
 
-    /// A worker starts anew at once, with its next incarnation.
+    /// Restarts a worker at once, with its next incarnation.
     pub fn restart(&self, worker: &Worker) {
         let mut state = lock(&worker.state);
         let events = state.begin_incarnation(self.environment.now_ms());
@@ -150,7 +153,7 @@
         worker.wake();
     }
 
-    /// A worker is gone: power off, and its address is nobody's.
+    /// Powers a worker off and releases its address.
     pub fn remove(&self, name: &str) {
         let found = {
             let workers = lock(&self.workers);
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Lets time pass on a worker: images arrive, tasks end, the lease expires.
+    /// Advances a worker's image pulls, tasks and lease until the worker has no power.
     async fn advance(self: Arc<Self>, worker: Arc<Worker>) {
         let lease_ms = (self.environment.plan.workers.lease_s * 1_000.0) as u64;
         while worker.is_powered() {
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Advances a worker to now, and tells when to look again.
+    /// Advances a worker to the current time and returns the time of its next check.
     fn advance_once(&self, worker: &Worker, lease_ms: u64) -> u64 {
         let mut state = lock(&worker.state);
         let now_ms = self.environment.now_ms();
@@ -191,12 +194,12 @@
             self.environment
                 .record_worker_events(&worker.placement, events);
         }
-        let lease_check_ms = now_ms + lease_ms / LEASE_CHECKS;
+        let lease_check_ms = now_ms + lease_ms / CHECKS_PER_LEASE;
         let next_ms = state.next_change_ms();
         next_ms.map_or(lease_check_ms, |at_ms| at_ms.min(lease_check_ms))
     }
 
-    /// Counts an exchange for control of a worker.
+    /// Counts a control exchange of a worker.
     fn count(&self, worker: &Worker, kind: ExchangeKind, request_bytes: u64, answer_bytes: u64) {
         let traffic = &self.environment.traffic;
         traffic.count(kind, request_bytes, answer_bytes);
--- a/crates/loadtest/src/stand_ins/worker_fleet/worker.rs
+++ b/crates/loadtest/src/stand_ins/worker_fleet/worker.rs
@@ -1,4 +1,4 @@
-//! A worker with its power and its network.
+//! A worker with its power state and its network isolation.
 
 use crate::invariants::Placement;
 use crate::plan::ZoneIndex;
@@ -7,23 +7,23 @@
 use std::sync::Mutex;
 use tokio::sync::Notify;
 
-/// One worker.
+/// A worker of the fleet.
 pub struct Worker {
-    /// Its name.
+    /// Name of the worker.
     pub name: String,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: ZoneIndex,
-    /// Where its tasks run, for the invariants.
+    /// Placement of its tasks, for the invariants.
     pub(super) placement: Placement,
     pub(super) state: Mutex<HollowWorker>,
     is_powered: AtomicBool,
-    /// Reaches nobody, by itself.
+    /// Whether a fault cuts off this worker from every other process.
     is_isolated: AtomicBool,
-    /// Something changed that the next heartbeat tells.
+    /// Requests a heartbeat before its interval has passed.
     pub(super) heartbeat_requested: Notify,
-    /// The time of the next change may be another one.
+    /// Requests a new computation of the time of the next change.
     pub(super) advance_requested: Notify,
-    /// Bytes that it has sent and received for control.
+    /// Bytes of control traffic that the worker has sent and received.
     pub(super) control_bytes: AtomicU64,
 }
 
@@ -48,26 +48,26 @@
         }
     }
 
-    /// Whether it is up.
+    /// Returns whether the worker has power.
     pub fn is_powered(&self) -> bool {
         self.is_powered.load(Relaxed)
     }
 
-    pub(super) fn set_unpowered(&self) {
+    pub(super) fn mark_powered_off(&self) {
         self.is_powered.store(false, Relaxed);
     }
 
-    /// Cuts it off from everybody, or ends that.
+    /// Begins or ends the worker's isolation from the network.
     pub fn set_isolated(&self, is_isolated: bool) {
         self.is_isolated.store(is_isolated, Relaxed);
     }
 
-    /// Whether nobody hears of it.
-    pub(super) fn is_silent(&self) -> bool {
+    /// Returns whether the worker has no power or is isolated.
+    pub(super) fn is_unreachable(&self) -> bool {
         !self.is_powered() || self.is_isolated.load(Relaxed)
     }
 
-    /// Lets both of its loops look at its state at once.
+    /// Wakes the worker's heartbeat task and its advance task.
     pub(super) fn wake(&self) {
         self.heartbeat_requested.notify_one();
         self.advance_requested.notify_one();
--- a/crates/loadtest/src/sync.rs
+++ b/crates/loadtest/src/sync.rs
@@ -1,9 +1,9 @@
-//! Locks of state that the tasks of a run share.
+//! Locking of state that the tasks of a run share.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also one whose holder panicked: a panic ends the run, and no reader of a result relies
-/// on what a panicked holder left half done.
+/// Locks a mutex and ignores poisoning: a panic ends the run, so no result depends on data that a panicked
+/// holder left inconsistent.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/loadtest/src/users/arrivals.rs
+++ b/crates/loadtest/src/users/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals of jobs: makes jobs of a plan's classes when they are due, and a user for each.
+//! Job arrivals: generates the jobs of a plan's classes at their times, and a user for each job.
 
 use super::connections::Connector;
 use super::load_balancer::LoadBalancer;
@@ -18,19 +18,22 @@
 use std::sync::Arc;
 use tokio::time::{sleep, sleep_until, Duration};
 
-/// When jobs are cancelled, after their acceptance.
-const CANCELLED_AFTER_MS: Range<u64> = 500..15_000;
-/// Between two polls of jobs that nobody has submitted.
+/// Range of the delay between the acceptance of a job and its cancellation.
+const CANCELLATION_DELAY_MS: Range<u64> = 500..15_000;
+/// Interval between two polls of jobs that no user has submitted.
 const UNKNOWN_JOB_POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// The first jobs are submitted within this part of the warm-up.
-const INITIAL_JOBS_PART: f64 = 0.4;
-/// Run times of a class's jobs, as parts of the usual one.
-const RUN_TIME_SPREAD: Range<f64> = 0.7..1.3;
-/// Drawn for the logarithm of a gap between two arrivals, so it is never 0.
-const GAP_DRAW: Range<f64> = 1e-9..1.0;
-/// Distance of the seeds of two plans, so that classes of one don't share another's.
+/// Share of the warm-up, from its begin, in which the initial jobs are submitted.
+const INITIAL_JOBS_WARM_UP_SHARE: f64 = 0.4;
+/// Range of the run times of a class's jobs, relative to the class's run time.
+const RUN_TIME_FACTORS: Range<f64> = 0.7..1.3;
+/// Range of the random number whose logarithm gives the time between two arrivals; it excludes 0, which has
+/// no logarithm.
+const INTERARRIVAL_RANDOM: Range<f64> = 1e-9..1.0;
+/// Distance between the seed ranges of plans with consecutive seeds, so that no class of one plan has the
+/// seed of a class of another.
 const SEEDS_PER_PLAN: u64 = 1_000;
-/// Makes jobs and plays their users.
+
+/// Generates jobs and starts their users.
 pub struct JobArrivals {
     environment: Arc<Environment>,
     connector: Arc<Connector>,
@@ -38,7 +41,7 @@
 }
 
 impl JobArrivals {
-    /// Starts the arrivals of all classes. They end with the run's runtime.
+    /// Starts the arrivals of all classes, which end when the run's runtime is shut down.
     pub fn start(
         environment: Arc<Environment>,
         balancer: Arc<LoadBalancer>,
@@ -54,18 +57,18 @@
         for (index, class) in plan.jobs.iter().enumerate() {
             let plan_seed = plan.seed.wrapping_mul(SEEDS_PER_PLAN);
             let random = SmallRng::seed_from_u64(plan_seed.wrapping_add(index as u64));
-            tokio::spawn(arrivals.clone().play_class(class.clone(), random));
+            tokio::spawn(arrivals.clone().submit_class(class.clone(), random));
         }
         tokio::spawn(arrivals.clone().poll_unknown_jobs());
     }
 
-    /// Submits the jobs of one class when they are due.
-    async fn play_class(self: Arc<Self>, class: JobClass, mut random: SmallRng) {
+    /// Submits the jobs of one class at their times.
+    async fn submit_class(self: Arc<Self>, class: JobClass, mut random: SmallRng) {
         let plan = &self.environment.plan;
-        let initial_s = plan.warm_up_s * INITIAL_JOBS_PART;
+        let initial_s = plan.warm_up_s * INITIAL_JOBS_WARM_UP_SHARE;
         for index in 0..class.initial {
             let at_s = initial_s * f64::from(index) / f64::from(class.initial);
-            self.until(at_s).await;
+            self.sleep_until(at_s).await;
             self.submit(&class, &mut random);
         }
         if class.jobs_per_s == 0.0 {
@@ -74,17 +77,17 @@
         let until_s = plan.warm_up_s + class.until_s.unwrap_or(plan.seconds);
         let mut at_s = plan.warm_up_s + class.from_s;
         loop {
-            // Gaps of a Poisson process.
-            at_s += -random.gen_range(GAP_DRAW).ln() / class.jobs_per_s;
+            // Times between the arrivals of a Poisson process are exponentially distributed.
+            at_s += -random.gen_range(INTERARRIVAL_RANDOM).ln() / class.jobs_per_s;
             if at_s > until_s {
                 return;
             }
-            self.until(at_s).await;
+            self.sleep_until(at_s).await;
             self.submit(&class, &mut random);
         }
     }
 
-    async fn until(&self, at_s: f64) {
+    async fn sleep_until(&self, at_s: f64) {
         sleep_until(self.environment.instant_at((at_s * 1_000.0) as u64)).await;
     }
 
@@ -93,7 +96,7 @@
         let submission = Arc::new(self.submission(id.into(), class, random));
         let environment = &self.environment;
         let now_ms = environment.now_ms();
-        let run_ms = class.run_s * random.gen_range(RUN_TIME_SPREAD) * 1_000.0;
+        let run_ms = class.run_s * random.gen_range(RUN_TIME_FACTORS) * 1_000.0;
         let job = environment
             .jobs
             .add(submission.clone(), run_ms as u64, now_ms);
@@ -101,17 +104,17 @@
         let tasks = u64::from(submission.task_count);
         environment.tasks_submitted.add(now_ms, tasks);
         let is_cancelled = random.gen_bool(class.cancelled_share);
-        let cancel_after_ms = is_cancelled.then(|| random.gen_range(CANCELLED_AFTER_MS));
+        let cancel_after_ms = is_cancelled.then(|| random.gen_range(CANCELLATION_DELAY_MS));
         let user = User::new(environment.clone(), self.connector.clone(), job);
-        // Ends when its user knows the job's end, at the latest with the run.
-        tokio::spawn(user.play(cancel_after_ms));
+        // The task ends when the user has learned the job's final status, at the latest with the run.
+        tokio::spawn(user.run(cancel_after_ms));
     }
 
     fn submission(&self, id: Arc<str>, class: &JobClass, random: &mut SmallRng) -> Submission {
         let plan = &self.environment.plan;
-        let [least, most] = class.task_range;
-        let span = f64::from(most) / f64::from(least);
-        let task_count = f64::from(least) * span.powf(random.gen_range(0.0..=1.0));
+        let [min_tasks, max_tasks] = class.task_range;
+        let size_ratio = f64::from(max_tasks) / f64::from(min_tasks);
+        let task_count = f64::from(min_tasks) * size_ratio.powf(random.gen_range(0.0..=1.0));
         let zones = plan.zones();
         let is_zone_bound = random.gen_bool(class.zone_bound_share);
         let zone = zones[random.gen_range(0..zones.len())].name.to_string();
@@ -121,7 +124,7 @@
             team: team_name(random.gen_range(0..plan.teams.count)),
             shape: class.shape,
             priority: class.priority,
-            task_count: (task_count.round() as u32).clamp(least, most),
+            task_count: (task_count.round() as u32).clamp(min_tasks, max_tasks),
             vcpus: class.cpus,
             accelerators: 0.0,
             ram_gb: class.ram_gb,
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Asks for jobs that nobody has submitted; an answer other than 404 violates an invariant.
+    /// Polls jobs that no user has submitted; an answer of 200 violates an invariant.
     async fn poll_unknown_jobs(self: Arc<Self>) {
         for index in 1_u64.. {
             sleep(UNKNOWN_JOB_POLL_INTERVAL).await;
--- a/crates/loadtest/src/users/connections.rs
+++ b/crates/loadtest/src/users/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of users to controllers, by way of the load balancer.
+//! Connections of users to the controllers that the load balancer picks.
 
 use super::load_balancer::{ConnectionSlot, LoadBalancer};
 use crate::environment::Environment;
@@ -8,15 +8,15 @@
 use std::sync::Arc;
 use tokio::time::{sleep, Duration};
 
-/// A connection that is not taken up in this time is tried at another controller, by protocol.
+/// Time after which a user tries another controller if the connection isn't established, by protocol.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_CONTROLLERS_TRIED: usize = 3;
 
-/// A user's connection, and its slot at the load balancer.
+/// A user's connection and its slot at the load balancer.
 pub struct UserConnection {
-    /// The connection.
+    /// Client of the connection.
     pub client: Client,
-    /// The controller at its other end.
+    /// Slot of the connection at its controller.
     pub slot: ConnectionSlot,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Connector {
-    /// A connector to controllers as a load balancer picks them.
+    /// Creates a connector to the controllers that a load balancer picks.
     pub fn new(
         environment: Arc<Environment>,
         balancer: Arc<LoadBalancer>,
@@ -41,12 +41,12 @@
         }
     }
 
-    /// A connection that a controller has taken up; another is tried when one refuses.
+    /// Connects to a controller; tries another one when a connection fails, and returns `None` when all fail.
     pub async fn connect(&self) -> Option<UserConnection> {
-        let mut tried = Vec::new();
+        let mut tried_controllers = Vec::new();
         for _ in 0..MAX_CONTROLLERS_TRIED {
-            let slot = self.balancer.pick(&tried)?;
-            tried.push(slot.controller);
+            let slot = self.balancer.pick(&tried_controllers)?;
+            tried_controllers.push(slot.controller);
             let mut client = Client::new(slot.address());
             let is_connected = match self.is_reachable(slot.controller) {
                 true => client.connect(CONNECT_TIMEOUT).await,
@@ -62,7 +62,7 @@
         None
     }
 
-    /// Whether users reach a controller.
+    /// Returns whether no partition separates users from a controller.
     pub fn is_reachable(&self, controller: usize) -> bool {
         let site = Site::Zone(self.controllers.zones[controller]);
         let network = &self.environment.network;
--- a/crates/loadtest/src/users/load_balancer.rs
+++ b/crates/loadtest/src/users/load_balancer.rs
@@ -1,4 +1,4 @@
-//! The users' load balancer: probes controllers and picks one for each new connection.
+//! Load balancer of the users: probes controllers and picks one for each new connection.
 
 use crate::environment::Environment;
 use crate::measurement::latencies::LatencyKind;
@@ -15,57 +15,58 @@
 use std::sync::{Arc, Mutex};
 use tokio::time::{sleep, Duration};
 
-/// Between two probes, and the time that an answer may take, by protocol.
+/// Interval between two probes and timeout of each probe, by protocol.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Between two probes of a controller that has not been ready yet.
+/// Interval between two probes of a controller that has never been ready.
 const FIRST_PROBE_INTERVAL: Duration = Duration::from_millis(100);
-/// Failures in a row, or among the last probes, that make a controller unhealthy, by protocol; as many
-/// successes in a row make it healthy again.
-const PROBES_IN_A_ROW: usize = 2;
+/// Consecutive failures that make a controller unhealthy, and consecutive successes that make it healthy
+/// again, by protocol.
+const CONSECUTIVE_PROBES: usize = 2;
+/// Failures among the latest [`PROBE_HISTORY`] probes that make a controller unhealthy, by protocol.
 const MAX_FAILED_PROBES: usize = 3;
-const PROBES_KEPT: usize = 6;
-/// Least time out, doubled by each removal up to the most, by protocol.
+const PROBE_HISTORY: usize = 6;
+/// Shortest and longest removal of a controller; each recent removal doubles the time, by protocol.
 const MIN_REMOVAL_MS: u64 = 3_000;
 const MAX_REMOVAL_MS: u64 = 60_000;
-/// Doublings that are counted; more would exceed the most anyway.
+/// Upper bound of the doublings, which already exceeds [`MAX_REMOVAL_MS`] and keeps the shift in range.
 const MAX_DOUBLINGS: usize = 8;
-/// Removals within this time count together, by protocol.
-const REMOVALS_WINDOW_MS: u64 = 120_000;
+/// Time for which a removal counts for the doubling, by protocol.
+const RECENT_REMOVALS_WINDOW_MS: u64 = 120_000;
 
 #[derive(Default)]
 struct Health {
     is_healthy: bool,
     was_ever_healthy: bool,
-    /// Whether probes succeeded, latest first.
+    /// Outcomes of the latest probes, true for success, latest first.
     probes: VecDeque<bool>,
-    /// When the controller was removed.
+    /// Times of the controller's removals, oldest first.
     removals_ms: Vec<u64>,
 }
 
 impl Health {
     fn record_probe(&mut self, succeeded: bool, now_ms: u64) {
         self.probes.push_front(succeeded);
-        self.probes.truncate(PROBES_KEPT);
+        self.probes.truncate(PROBE_HISTORY);
         if self.is_healthy {
             let failed = self.probes.iter().filter(|succeeded| !**succeeded).count();
-            if self.in_a_row(false) >= PROBES_IN_A_ROW || failed >= MAX_FAILED_PROBES {
+            if self.consecutive_probes(false) >= CONSECUTIVE_PROBES || failed >= MAX_FAILED_PROBES {
                 self.is_healthy = false;
                 self.removals_ms.push(now_ms);
             }
             return;
         }
-        let is_first = !self.was_ever_healthy && succeeded;
-        let is_back =
-            self.in_a_row(true) >= PROBES_IN_A_ROW && now_ms >= self.removed_until_ms(now_ms);
-        if is_first || is_back {
+        let is_first_success = !self.was_ever_healthy && succeeded;
+        let is_recovered = self.consecutive_probes(true) >= CONSECUTIVE_PROBES
+            && now_ms >= self.removed_until_ms(now_ms);
+        if is_first_success || is_recovered {
             self.is_healthy = true;
             self.was_ever_healthy = true;
             self.probes.clear();
         }
     }
 
-    /// How many of the latest probes had the same outcome.
-    fn in_a_row(&self, outcome: bool) -> usize {
+    /// Returns how many consecutive probes up to the latest had an outcome.
+    fn consecutive_probes(&self, outcome: bool) -> usize {
         let probes = self.probes.iter();
         probes
             .take_while(|succeeded| **succeeded == outcome)
@@ -74,7 +75,7 @@
 
     fn removed_until_ms(&self, now_ms: u64) -> u64 {
         let removals = self.removals_ms.iter();
-        let recent = removals.filter(|at_ms| **at_ms + REMOVALS_WINDOW_MS > now_ms);
+        let recent = removals.filter(|at_ms| **at_ms + RECENT_REMOVALS_WINDOW_MS > now_ms);
         let doublings = recent.count().saturating_sub(1).min(MAX_DOUBLINGS);
         let removal_ms = (MIN_REMOVAL_MS << doublings).min(MAX_REMOVAL_MS);
         self.removals_ms.last().copied().unwrap_or(0) + removal_ms
@@ -87,7 +88,7 @@
     open_connections: AtomicUsize,
 }
 
-/// A connection's slot at a controller; given back when dropped.
+/// The slot of a connection at a controller, which is released on drop.
 pub struct ConnectionSlot {
     target: Arc<Target>,
     /// Index of the controller.
@@ -95,7 +96,7 @@
 }
 
 impl ConnectionSlot {
-    /// Address of the controller.
+    /// Returns the address of the controller.
     pub fn address(&self) -> SocketAddr {
         self.target.address
     }
@@ -107,15 +108,15 @@
     }
 }
 
-/// All controllers as the load balancer sees them.
+/// The load balancer with the health of all controllers.
 pub struct LoadBalancer {
     targets: Vec<Arc<Target>>,
-    /// Takes turns among controllers with as many connections.
-    next: AtomicUsize,
+    /// Number of picks, which rotates among controllers with equally many connections.
+    picks: AtomicUsize,
 }
 
 impl LoadBalancer {
-    /// Starts to probe all controllers, until the run's runtime is shut down.
+    /// Creates a load balancer and probes all controllers until the run's runtime is shut down.
     pub fn start(
         environment: &Arc<Environment>,
         controllers: &Arc<Controllers>,
@@ -129,7 +130,7 @@
         });
         let balancer = Arc::new(LoadBalancer {
             targets: targets.collect(),
-            next: AtomicUsize::new(0),
+            picks: AtomicUsize::new(0),
         });
         for (target, zone) in balancer.targets.iter().zip(&controllers.zones) {
             let site = Site::Zone(*zone);
@@ -138,18 +139,18 @@
         balancer
     }
 
-    /// A slot at the healthy controller with the fewest connections of users; `None` if none is healthy but
-    /// for the excluded ones.
+    /// Returns a slot at the healthy controller with the fewest connections of users, without the excluded
+    /// ones; `None` if there is no such controller.
     pub fn pick(&self, excluded: &[usize]) -> Option<ConnectionSlot> {
-        let turn = self.next.fetch_add(1, Relaxed);
+        let rotation = self.picks.fetch_add(1, Relaxed);
         let count = self.targets.len();
-        let usable =
+        let candidates =
             self.targets.iter().enumerate().filter(|(index, target)| {
                 !excluded.contains(index) && lock(&target.health).is_healthy
             });
-        let (controller, target) = usable.min_by_key(|(index, target)| {
+        let (controller, target) = candidates.min_by_key(|(index, target)| {
             let open_connections = target.open_connections.load(Relaxed);
-            (open_connections, (index + turn) % count)
+            (open_connections, (index + rotation) % count)
         })?;
         target.open_connections.fetch_add(1, Relaxed);
         Some(ConnectionSlot {
@@ -161,25 +162,25 @@
 
 async fn probe(environment: Arc<Environment>, target: Arc<Target>, site: Site) {
     let mut client = Client::new(target.address);
-    let begun_ms = environment.now_ms();
+    let started_ms = environment.now_ms();
     loop {
         let is_ready = probe_once(&environment, &mut client, site).await;
         let now_ms = environment.now_ms();
         let was_ever_healthy = {
             let mut health = lock(&target.health);
             if is_ready && !health.was_ever_healthy {
-                let took_ms = now_ms - begun_ms;
+                let latency_ms = now_ms - started_ms;
                 let latencies = &environment.latencies;
-                latencies.record(LatencyKind::ControllerReady, took_ms);
+                latencies.record(LatencyKind::ControllerReady, latency_ms);
             }
             health.record_probe(is_ready, now_ms);
             health.was_ever_healthy
         };
-        let pause = match was_ever_healthy {
+        let interval = match was_ever_healthy {
             true => PROBE_INTERVAL,
             false => FIRST_PROBE_INTERVAL,
         };
-        sleep(pause).await;
+        sleep(interval).await;
     }
 }
 
--- a/crates/loadtest/src/users/mod.rs
+++ b/crates/loadtest/src/users/mod.rs
@@ -1,4 +1,5 @@
-//! Users and their surroundings: they submit jobs, poll them, cancel some, and check what they are answered.
+//! Simulated users, who submit, poll and cancel jobs and check the answers, with their load balancer and an
+//! operator.
 
 pub mod arrivals;
 mod connections;
--- a/crates/loadtest/src/users/operator.rs
+++ b/crates/loadtest/src/users/operator.rs
@@ -1,4 +1,4 @@
-//! An operator who changes the configuration on record while the run goes on, as `glenmountctl config` does.
+//! Operator who changes the recorded configuration during the run, as `glenmountctl config` does.
 
 use crate::environment::Environment;
 use crate::measurement::latencies::LatencyKind;
@@ -11,23 +11,24 @@
 use std::sync::Arc;
 use tokio::time::{sleep, sleep_until, Duration};
 
-/// Part of its limit that a team has while that is lowered.
-const LOWERED_PART: f64 = 0.9;
-/// Pause before the first change is tried again: controllers may not accept configurations on record yet.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Share of a team's limit that remains while the limit is lowered.
+const LOWERED_LIMIT_SHARE: f64 = 0.9;
+/// Delay before a retry of the first change, which fails until the controllers accept recorded
+/// configurations.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 const SECONDS_PER_MINUTE: f64 = 60.0;
-/// The note that each change carries.
+/// Note of each configuration change.
 const CHANGE_NOTE: &str = "scale run";
 
-/// Changes the configuration in the state store at an address.
+/// An operator who changes the configuration in the state store.
 pub struct Operator {
     environment: Arc<Environment>,
     state_store: SocketAddr,
     limits: FileLimits,
 }
 
-/// The plan's teams, as the settings files have them.
-fn plan_settings(plan: &Plan) -> PolicySettings {
+/// Returns the policy settings with the plan's teams, as in the settings files.
+fn planned_settings(plan: &Plan) -> PolicySettings {
     let teams = (0..plan.teams.count).map(|index| TeamSettings {
         name: team_name(index),
         cpus: plan.teams.guaranteed_cpus,
@@ -42,7 +43,7 @@
 }
 
 impl Operator {
-    /// An operator of a run.
+    /// Creates an operator for the state store at an address.
     pub fn new(environment: Arc<Environment>, state_store: SocketAddr) -> Operator {
         let limits = FileLimits {
             value_kb: environment.plan.state.max_value_kb,
@@ -55,54 +56,56 @@
         }
     }
 
-    /// Puts the plan's teams on record, then lowers and restores the limit of one team after another, until
-    /// the run's runtime is shut down.
-    pub async fn play(self) {
+    /// Records the plan's teams, then lowers and restores the limit of one team after another, until the
+    /// run's runtime is shut down.
+    pub async fn run(self) {
         let plan = &self.environment.plan;
         let interval_s = SECONDS_PER_MINUTE / plan.configuration_changes_per_minute;
         let interval_ms = (interval_s * 1_000.0) as u64;
-        let usual = plan_settings(plan);
-        while !self.apply(usual.clone()).await {
-            sleep(RETRY_PAUSE).await;
+        let planned = planned_settings(plan);
+        while !self.apply(planned.clone()).await {
+            sleep(RETRY_DELAY).await;
         }
         let mut next_ms = self.environment.now_ms();
-        let team_count = usual.teams.len();
+        let team_count = planned.teams.len();
         for team in (0..team_count).cycle() {
             next_ms += interval_ms;
             sleep_until(self.environment.instant_at(next_ms)).await;
-            self.lower_limit(&usual, team).await;
+            self.lower_limit(&planned, team).await;
             next_ms += interval_ms;
             sleep_until(self.environment.instant_at(next_ms)).await;
-            self.restore_limit(&usual, team).await;
+            self.restore_limit(&planned, team).await;
         }
     }
 
-    /// A lowered limit holds from its commit on.
-    async fn lower_limit(&self, usual: &PolicySettings, team: usize) {
-        let mut settings = usual.clone();
+    /// Lowers the limit of a team. The lowered limit holds from its commit, so the invariants learn of it after
+    /// the commit.
+    async fn lower_limit(&self, planned: &PolicySettings, team: usize) {
+        let mut settings = planned.clone();
         let lowered = &mut settings.teams[team];
-        lowered.cpus_max *= LOWERED_PART;
+        lowered.cpus_max *= LOWERED_LIMIT_SHARE;
         let lowered = lowered.clone();
         if self.apply(settings).await {
-            self.note_limit(&lowered);
+            self.report_limit(&lowered);
         }
     }
 
-    /// Whoever sees a raised limit may use it at once.
-    async fn restore_limit(&self, usual: &PolicySettings, team: usize) {
-        self.note_limit(&usual.teams[team]);
-        self.apply(usual.clone()).await;
+    /// Restores the limit of a team. A controller may use the raised limit as soon as it is visible, so the
+    /// invariants learn of it before the commit.
+    async fn restore_limit(&self, planned: &PolicySettings, team: usize) {
+        self.report_limit(&planned.teams[team]);
+        self.apply(planned.clone()).await;
     }
 
-    fn note_limit(&self, team: &TeamSettings) {
+    fn report_limit(&self, team: &TeamSettings) {
         let now_ms = self.environment.now_ms();
         let mut invariants = lock(&self.environment.invariants);
         invariants.quota_limit_changed(&team.name, team.cpus_max, now_ms);
     }
 
-    /// Carries one change out; true if it is on record.
+    /// Applies one configuration change; returns whether it is recorded.
     async fn apply(&self, settings: PolicySettings) -> bool {
-        let begun_ms = self.environment.now_ms();
+        let started_ms = self.environment.now_ms();
         let (address, limits) = (self.state_store.to_string(), self.limits);
         let outcome = tokio::task::spawn_blocking(move || {
             let change = Change {
@@ -115,9 +118,9 @@
         });
         let failure = match outcome.await {
             Ok(Ok(_)) => {
-                let took_ms = self.environment.now_ms() - begun_ms;
+                let latency_ms = self.environment.now_ms() - started_ms;
                 let latencies = &self.environment.latencies;
-                latencies.record(LatencyKind::ConfigurationChange, took_ms);
+                latencies.record(LatencyKind::ConfigurationChange, latency_ms);
                 return true;
             }
             Ok(Err(failure)) => failure,
--- a/crates/loadtest/src/users/user.rs
+++ b/crates/loadtest/src/users/user.rs
@@ -1,4 +1,4 @@
-//! One job's user: submits it, polls it, may cancel it, and checks what it is answered.
+//! The user of one job, who submits, polls and optionally cancels it and checks the answers.
 
 use super::connections::{Connector, UserConnection};
 use crate::environment::Environment;
@@ -13,19 +13,19 @@
 use std::sync::Arc;
 use tokio::time::{sleep, sleep_until, Duration};
 
-/// How long users wait for an answer to a submission or a cancellation, and to a poll, by protocol.
+/// Timeouts of submissions and cancellations, and of polls, by protocol.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
 pub(super) const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Least and most wait before a retry, and the time after which a user gives up, by protocol.
+/// Shortest and longest delay before a retry, and the time after which a user stops retrying, by protocol.
 const MIN_RETRY_S: u64 = 1;
 const MAX_RETRY_S: u64 = 30;
-const GIVE_UP_MS: u64 = 60_000;
-/// Between two polls, by protocol.
+const RETRY_TIME_LIMIT_MS: u64 = 60_000;
+/// Interval between two polls, by protocol.
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
-/// A user polls once more this long after the final answer.
-const RECHECK_PAUSE: Duration = Duration::from_secs(7);
+/// Delay between the final answer and the user's repeated poll and submission.
+const RECHECK_DELAY: Duration = Duration::from_secs(7);
 
-/// One job's user.
+/// The user of one job.
 pub struct User {
     environment: Arc<Environment>,
     connector: Arc<Connector>,
@@ -33,14 +33,14 @@
     connection: Option<UserConnection>,
 }
 
-/// A request of a user, and how it is counted.
+/// A request of a user and the kind under which it is counted.
 struct UserRequest<'a> {
     kind: ExchangeKind,
     http: OutgoingRequest<'a>,
 }
 
 impl User {
-    /// A user who has not submitted the job yet.
+    /// Creates a user who has not submitted the job yet.
     pub fn new(environment: Arc<Environment>, connector: Arc<Connector>, job: Arc<Job>) -> User {
         User {
             environment,
@@ -50,23 +50,25 @@
         }
     }
 
-    /// Plays the user to the job's end; cancels it this long after its acceptance, if at all.
-    pub async fn play(mut self, cancel_after_ms: Option<u64>) {
+    /// Acts as the user until the job has a final status. The user cancels the job `cancel_after_ms` after its
+    /// acceptance, if set.
+    pub async fn run(mut self, cancel_after_ms: Option<u64>) {
         if !self.submit().await {
             return;
         }
         let accepted_ms = self.environment.now_ms();
-        self.until_final(cancel_after_ms.map(|after_ms| accepted_ms + after_ms))
+        self.poll_until_final(cancel_after_ms.map(|after_ms| accepted_ms + after_ms))
             .await;
-        // What was answered must still hold at another controller, also for a repeated submission.
-        sleep(RECHECK_PAUSE).await;
+        // A new connection may lead to another controller, which must give the same final status, also to a
+        // repeated submission.
+        sleep(RECHECK_DELAY).await;
         self.connection = None;
         self.poll().await;
         self.submit_once().await;
     }
 
-    /// Polls until the job's status is final, or until it was time to cancel it.
-    async fn until_final(&mut self, cancel_ms: Option<u64>) {
+    /// Polls until the job's status is final, or cancels the job at `cancel_ms`.
+    async fn poll_until_final(&mut self, cancel_ms: Option<u64>) {
         loop {
             let environment = &self.environment;
             let next_poll = environment.instant_at(environment.now_ms()) + POLL_INTERVAL;
@@ -84,20 +86,20 @@
         }
     }
 
-    /// Submits the job until it is answered; true if it was accepted.
+    /// Submits the job with retries until a controller accepts or rejects it; returns whether one accepted it.
     async fn submit(&mut self) -> bool {
-        let begun_ms = self.job.submitted_ms;
+        let started_ms = self.job.submitted_ms;
         loop {
             let reply = self.submit_once().await;
             match reply.as_ref().map(|reply| reply.status) {
                 Some(200 | 201) => {
-                    self.record_latency(LatencyKind::Acceptance, begun_ms);
+                    self.record_latency(LatencyKind::Acceptance, started_ms);
                     return true;
                 }
                 Some(400 | 422) => return false,
                 _ => {}
             }
-            if !self.wait_for_retry(reply.as_ref(), begun_ms).await {
+            if !self.wait_for_retry(reply.as_ref(), started_ms).await {
                 self.count_unexpected("submission given up");
                 return false;
             }
@@ -155,18 +157,18 @@
         drop(invariants);
         if status == Some(JobStatus::Done) {
             let ended_ms = self.job.last_completion_ms.load(Relaxed);
-            let took_ms = now_ms.saturating_sub(ended_ms);
+            let latency_ms = now_ms.saturating_sub(ended_ms);
             let latencies = &self.environment.latencies;
-            latencies.record(LatencyKind::CompletionReported, took_ms);
+            latencies.record(LatencyKind::CompletionReported, latency_ms);
         }
         status
     }
 
-    /// Cancels the job until it is answered.
+    /// Cancels the job with retries and returns the answered status.
     async fn cancel(&mut self) -> Option<JobStatus> {
         let id = self.job.submission.id.clone();
         let path = cancel_path(&id);
-        let begun_ms = self.environment.now_ms();
+        let started_ms = self.environment.now_ms();
         lock(&self.environment.invariants).cancellation_requested(&id);
         loop {
             let sent_ms = self.environment.now_ms();
@@ -184,22 +186,22 @@
                 let now_ms = self.environment.now_ms();
                 lock(&self.environment.invariants)
                     .job_status_answered(&id, status, sent_ms, now_ms);
-                self.record_latency(LatencyKind::CancellationReported, begun_ms);
+                self.record_latency(LatencyKind::CancellationReported, started_ms);
                 return Some(status);
             }
-            if !self.wait_for_retry(reply.as_ref(), begun_ms).await {
+            if !self.wait_for_retry(reply.as_ref(), started_ms).await {
                 self.count_unexpected("cancellation given up");
                 return None;
             }
         }
     }
 
-    /// Waits before a retry; false if it is too late for one.
-    async fn wait_for_retry(&self, reply: Option<&Reply>, begun_ms: u64) -> bool {
-        let wanted_s = reply.and_then(|reply| reply.retry_after_s).unwrap_or(0);
-        let wait_s = wanted_s.clamp(MIN_RETRY_S, MAX_RETRY_S);
+    /// Waits before a retry; returns false without a wait if the time limit for retries would pass.
+    async fn wait_for_retry(&self, reply: Option<&Reply>, started_ms: u64) -> bool {
+        let requested_s = reply.and_then(|reply| reply.retry_after_s).unwrap_or(0);
+        let wait_s = requested_s.clamp(MIN_RETRY_S, MAX_RETRY_S);
         let retry_ms = self.environment.now_ms() + wait_s * 1_000;
-        if retry_ms > begun_ms + GIVE_UP_MS {
+        if retry_ms > started_ms + RETRY_TIME_LIMIT_MS {
             return false;
         }
         sleep(Duration::from_secs(wait_s)).await;
@@ -232,17 +234,17 @@
         Some(reply)
     }
 
-    fn record_latency(&self, kind: LatencyKind, begun_ms: u64) {
-        let took_ms = self.environment.now_ms().saturating_sub(begun_ms);
-        self.environment.latencies.record(kind, took_ms);
+    fn record_latency(&self, kind: LatencyKind, started_ms: u64) {
+        let latency_ms = self.environment.now_ms().saturating_sub(started_ms);
+        self.environment.latencies.record(kind, latency_ms);
     }
 
-    fn count_unexpected(&self, what: &str) {
-        self.environment.unexpected_answers.add(what, 1);
+    fn count_unexpected(&self, name: &str) {
+        self.environment.unexpected_answers.add(name, 1);
     }
 }
 
-/// The job's status that a reply tells, if it is a success.
+/// Returns the job's status in a successful reply.
 fn job_status(reply: &Reply) -> Option<JobStatus> {
     if !matches!(reply.status, 200 | 201) {
         return None;
