--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,4 +1,5 @@
-//! Plays a plan against real controller processes on loopback, and measures what these spend.
+//! Command line of the load test: runs a plan against real controller processes on loopback and measures their
+//! resource usage.
 
 use clap::{Args, Parser, Subcommand};
 use glenmount_loadtest::measurement::comparison;
@@ -15,15 +16,15 @@
 #[cfg(test)]
 mod tests;
 
-/// An invariant was violated, a controller ended by itself, or the run did not come to its end.
-const FAILED: u8 = 1;
-/// The plan, a file or an argument makes no sense.
-const UNUSABLE: u8 = 2;
+/// Exit code after a violation of an invariant, an unexpected exit of a controller, or an incomplete run.
+const EXIT_FAILED: u8 = 1;
+/// Exit code for an invalid plan, file or argument.
+const EXIT_INVALID: u8 = 2;
 
 #[derive(Parser)]
 #[command(
     version,
-    about = "Plays everything outside of the controllers, on loopback"
+    about = "Runs load tests of controllers on loopback against stand-ins of all other services"
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -31,26 +32,26 @@
 }
 
 #[derive(Args)]
-struct Common {
+struct CommonArguments {
     /// The plan file
     plan: PathBuf,
-    /// Another value for a field of the plan, as `workers.count=4000`
+    /// Override of a field of the plan, such as `workers.count=4000`
     #[arg(long = "set")]
-    changes: Vec<String>,
-    /// Where settings and logs of the controllers go
+    overrides: Vec<String>,
+    /// Folder for settings and logs of the controllers
     #[arg(long, default_value = "target/scale")]
     folder: PathBuf,
-    /// `LOG_LEVEL` of the controllers
+    /// Value of `LOG_LEVEL` for the controllers
     #[arg(long, default_value = "error")]
     log: String,
-    /// No progress line a second
+    /// Omits the progress line of each second
     #[arg(long)]
     quiet: bool,
 }
 
-impl Common {
+impl CommonArguments {
     fn plan(&self) -> Result<Plan, PlanError> {
-        Plan::read(&self.plan, &self.changes)
+        Plan::read(&self.plan, &self.overrides)
     }
 
     fn options(&self, binary: &Path, folder: PathBuf) -> Options {
@@ -65,48 +66,48 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a plan once and prints what it found
+    /// Runs a plan once and prints its figures and violations
     Scale {
         #[command(flatten)]
-        common: Common,
+        common: CommonArguments,
         #[arg(long, default_value = "target/release/glenmount")]
         binary: PathBuf,
-        /// Writes the result as JSON
+        /// Writes the result to a file as JSON
         #[arg(long)]
         out: Option<PathBuf>,
-        /// Prints ratios to an earlier result
+        /// Compares with an earlier result and prints the ratios
         #[arg(long)]
         compare: Option<PathBuf>,
     },
-    /// Plays a plan at several sizes of one field and fits a line to each figure
+    /// Runs a plan at several sizes of one field and fits a line to each figure
     Slopes {
         #[command(flatten)]
-        common: Common,
+        common: CommonArguments,
         #[arg(long, default_value = "target/release/glenmount")]
         binary: PathBuf,
-        /// The field and its sizes, as `workers.count=250,500,1000,2000`; `+` joins fields that change together
+        /// The field and its sizes, such as `workers.count=250,500,1000,2000`; `+` joins fields that vary together
         #[arg(long)]
         vary: String,
-        /// Writes the table
+        /// Writes the table to a file
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Plays a plan with two builds in turn and prints the ratios
+    /// Runs a plan alternately with two builds and prints the ratios
     Builds {
         #[command(flatten)]
-        common: Common,
+        common: CommonArguments,
         #[arg(long, default_value = "target/release/glenmount")]
         binary: PathBuf,
         /// The build to compare with
         #[arg(long)]
         against: PathBuf,
-        /// Pairs of runs
+        /// Number of pairs of runs
         #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u32).range(1..=50))]
         pairs: u32,
     },
 }
 
-/// Why nothing, or not all, was played.
+/// An error that ends a command.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(transparent)]
@@ -126,8 +127,8 @@
 impl CommandError {
     fn exit_code(&self) -> ExitCode {
         match self {
-            CommandError::Run(_) => ExitCode::from(FAILED),
-            _ => ExitCode::from(UNUSABLE),
+            CommandError::Run(_) => ExitCode::from(EXIT_FAILED),
+            _ => ExitCode::from(EXIT_INVALID),
         }
     }
 }
@@ -136,7 +137,7 @@
     let arguments = Arguments::parse();
     match execute(&arguments.command) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(FAILED),
+        Ok(false) => ExitCode::from(EXIT_FAILED),
         Err(error) => {
             eprintln!("{error}");
             error.exit_code()
@@ -144,7 +145,7 @@
     }
 }
 
-/// Executes a command; true if all runs were good.
+/// Executes a command; returns whether all runs were good.
 fn execute(command: &Command) -> Result<bool, CommandError> {
     match command {
         Command::Scale {
@@ -152,13 +153,13 @@
             binary,
             out,
             compare,
-        } => play_once(common, binary, out.as_deref(), compare.as_deref()),
+        } => run_once(common, binary, out.as_deref(), compare.as_deref()),
         Command::Slopes {
             common,
             binary,
             vary,
             out,
-        } => vary_size(common, binary, vary, out.as_deref()),
+        } => run_sizes(common, binary, vary, out.as_deref()),
         Command::Builds {
             common,
             binary,
@@ -180,8 +181,8 @@
     }
 }
 
-fn play_once(
-    common: &Common,
+fn run_once(
+    common: &CommonArguments,
     binary: &Path,
     out: Option<&Path>,
     earlier: Option<&Path>,
@@ -207,14 +208,14 @@
     Ok(result.is_good())
 }
 
-/// One size of a plan that is played at several.
+/// One of the sizes at which a plan is run.
 struct SizeStep {
     size: f64,
-    /// Overrides of the plan that give it this size.
+    /// Overrides that set this size in the plan.
     overrides: Vec<String>,
 }
 
-/// The sizes that `--vary` names.
+/// Parses the sizes in the argument of `--vary`.
 fn size_steps(vary: &str) -> Result<Vec<SizeStep>, CommandError> {
     let (fields, sizes) = vary.split_once('=').ok_or(CommandError::VaryForm)?;
     let steps = sizes.split(',').map(|text| {
@@ -236,8 +237,8 @@
     figures: Figures,
 }
 
-fn vary_size(
-    common: &Common,
+fn run_sizes(
+    common: &CommonArguments,
     binary: &Path,
     vary: &str,
     out: Option<&Path>,
@@ -245,7 +246,7 @@
     let mut runs = Vec::new();
     let mut all_good = true;
     for step in size_steps(vary)? {
-        let overrides = [common.changes.as_slice(), &step.overrides].concat();
+        let overrides = [common.overrides.as_slice(), &step.overrides].concat();
         let plan = Plan::read(&common.plan, &overrides)?;
         let folder = common.folder.join(step.size.to_string());
         let result = run_alone(plan, &common.options(binary, folder))?;
@@ -267,7 +268,7 @@
     Ok(all_good)
 }
 
-/// A row for each main figure: its values by size, and the line through them.
+/// Returns a table with a row for each main figure: its value at each size, and the fitted line.
 fn scaling_table(vary: &str, runs: &[SizedRun]) -> String {
     let sizes: Vec<String> = runs.iter().map(|run| run.size.to_string()).collect();
     let mut table = format!(
@@ -292,13 +293,13 @@
 }
 
 fn compare_builds(
-    common: &Common,
+    common: &CommonArguments,
     binary: &Path,
     against: &Path,
     pairs: u32,
 ) -> Result<bool, CommandError> {
     let mut all_good = true;
-    let mut play = |name: &str, build: &Path| -> Result<Figures, CommandError> {
+    let mut run = |name: &str, build: &Path| -> Result<Figures, CommandError> {
         let options = common.options(build, common.folder.join(name));
         let result = run_alone(common.plan()?, &options)?;
         print_failures(&result);
@@ -306,10 +307,10 @@
         Ok(result.figures)
     };
     for pair in 1..=pairs {
-        let before = play("against", against)?;
-        let now = play("binary", binary)?;
+        let baseline = run("against", against)?;
+        let current = run("binary", binary)?;
         println!("pair {pair}");
-        print!("{}", comparison::table(&before, &now));
+        print!("{}", comparison::table(&baseline, &current));
     }
     Ok(all_good)
 }
--- a/crates/loadtest/src/measurement/figures.rs
+++ b/crates/loadtest/src/measurement/figures.rs
@@ -1,29 +1,29 @@
-//! The figures of a run, and those that follow from them.
+//! Figures of a run and the main figures that are derived from them.
 
 use super::latencies::{LatencyKind, Quantiles};
 use super::traffic::{ExchangeKind, Traffic};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What one process used while it was measured.
+/// The resource usage of one process during the measured phase.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct ProcessUsage {
-    /// Mean share of a core.
+    /// Mean processor usage, in cores.
     #[serde(rename = "cpu")]
     pub mean_cpu: f64,
-    /// Highest share of a core in a second.
+    /// Highest processor usage within one second, in cores.
     #[serde(rename = "cpu_peak")]
     pub peak_cpu: f64,
-    /// Resident memory at the end.
+    /// Resident memory at the end of the measured phase.
     pub resident_mb: f64,
     /// Highest resident memory since the process started.
     pub peak_mb: f64,
-    /// Most sockets seen.
+    /// Highest number of open sockets.
     #[serde(rename = "sockets")]
     pub max_sockets: usize,
 }
 
-/// Tasks of submitted jobs, and tasks started, per second.
+/// The rates of submitted and of started tasks, per second.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct StartRates {
     /// Mean rate of submitted tasks.
@@ -40,18 +40,18 @@
     pub started_best_10s: f64,
 }
 
-/// Bytes a second that workers send and receive for control.
+/// The control traffic of workers, in bytes per second of one worker.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct WorkerBandwidth {
     /// Mean over all workers.
     pub mean: f64,
-    /// 99th percentile of the workers.
+    /// 99th percentile over all workers.
     pub p99: f64,
-    /// The busiest worker.
+    /// Value of the busiest worker.
     pub max: f64,
 }
 
-/// Keys of one kind of record, and their bytes.
+/// The number of keys of one kind of record, and their bytes.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct RecordUsage {
     /// Number of keys.
@@ -60,51 +60,51 @@
     pub bytes: usize,
 }
 
-/// The figures of a run; rates are per second of the measured time.
+/// The figures of a run; rates are per second of the measured phase.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Figures {
-    /// Seconds that were measured.
+    /// Length of the measured phase.
     pub seconds: f64,
-    /// Workers that were up at the end.
+    /// Workers with power at the end.
     pub workers: usize,
-    /// Tasks that ran, in the mean.
+    /// Mean number of running tasks.
     #[serde(rename = "running")]
     pub mean_running_tasks: f64,
-    /// Tasks that ran, at most.
+    /// Highest number of running tasks.
     #[serde(rename = "running_most")]
     pub max_running_tasks: usize,
-    /// By controller.
+    /// Usage of each controller, by index.
     pub controllers: Vec<ProcessUsage>,
-    /// Of the process that plays all the rest.
+    /// Usage of the load test's own process, which runs all stand-ins.
     pub stand_ins: ProcessUsage,
-    /// Exchanges by kind.
+    /// Rates of exchanges by kind.
     pub traffic: BTreeMap<ExchangeKind, Traffic>,
-    /// Changes of the state store by kind of record.
+    /// Rates of changes of the state store by kind of record.
     #[serde(rename = "changes")]
     pub record_changes: BTreeMap<String, f64>,
-    /// Transactions by the kinds of records that they change.
+    /// Rates of transactions by the kinds of records that they change.
     pub transactions: BTreeMap<String, f64>,
-    /// What the state store holds at the end, by kind of record.
+    /// Contents of the state store at the end, by kind of record.
     pub records: BTreeMap<String, RecordUsage>,
-    /// Starts of tasks.
+    /// Rates of submitted and started tasks.
     pub starts: StartRates,
-    /// How long things took.
+    /// Latencies by kind.
     #[serde(rename = "times")]
     pub latencies: BTreeMap<LatencyKind, Quantiles>,
-    /// What workers send and receive.
+    /// Control traffic of workers.
     #[serde(rename = "worker_bytes")]
     pub worker_bandwidth: WorkerBandwidth,
-    /// Answers to users other than 200 and 201.
+    /// Number of answers to users other than 200 and 201, and of missing answers, by name.
     #[serde(rename = "user_answers")]
     pub unexpected_answers: BTreeMap<String, u64>,
 }
 
-/// A figure that is compared between runs, and fitted to their sizes.
+/// A figure that is compared between runs and fitted to the sizes of runs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MainFigure {
-    /// Its name with its unit.
+    /// Name with unit.
     pub name: &'static str,
-    /// Its value.
+    /// Value of the figure.
     pub value: f64,
 }
 
@@ -212,35 +212,35 @@
     ),
 ];
 
-/// Starts per second below this count as this many, where a figure is divided by them.
-const LEAST_START_RATE: f64 = 1e-9;
+/// Lower bound of the start rate as a divisor, so that a run without starts doesn't divide by 0.
+const MIN_STARTS_PER_S: f64 = 1e-9;
 
 impl Figures {
-    /// Processor time of the controllers in the mean, as a share of a core.
+    /// Returns the mean processor usage of the controllers, in cores.
     pub fn mean_controller_cpu(&self) -> f64 {
         let total: f64 = self.controllers.iter().map(|usage| usage.mean_cpu).sum();
         total / self.controllers.len().max(1) as f64
     }
 
-    /// Processor time of the busiest controller, as a share of a core.
+    /// Returns the processor usage of the busiest controller, in cores.
     pub fn max_controller_cpu(&self) -> f64 {
-        let each = self.controllers.iter().map(|usage| usage.mean_cpu);
-        each.fold(0.0, f64::max)
+        let cpus = self.controllers.iter().map(|usage| usage.mean_cpu);
+        cpus.fold(0.0, f64::max)
     }
 
-    /// Highest memory of a controller, in MB.
+    /// Returns the highest memory usage of a controller, in MB.
     pub fn max_controller_memory_mb(&self) -> f64 {
-        let each = self.controllers.iter().map(|usage| usage.peak_mb);
-        each.fold(0.0, f64::max)
+        let peaks_mb = self.controllers.iter().map(|usage| usage.peak_mb);
+        peaks_mb.fold(0.0, f64::max)
     }
 
-    /// Most sockets of a controller.
+    /// Returns the highest number of open sockets of a controller.
     pub fn max_controller_sockets(&self) -> usize {
-        let each = self.controllers.iter().map(|usage| usage.max_sockets);
-        each.max().unwrap_or(0)
+        let sockets = self.controllers.iter().map(|usage| usage.max_sockets);
+        sockets.max().unwrap_or(0)
     }
 
-    /// Requests of the controllers to the state store, per second.
+    /// Returns the requests of the controllers to the state store per second.
     pub fn state_requests(&self) -> f64 {
         let kinds = [
             ExchangeKind::StateTransaction,
@@ -252,29 +252,29 @@
         kinds.into_iter().map(|kind| self.exchanges(kind)).sum()
     }
 
-    /// Changes of the state store, per second.
+    /// Returns the changes of the state store per second.
     pub fn state_changes(&self) -> f64 {
         self.record_changes.values().sum()
     }
 
-    /// Changes of the state store for each start of a task.
+    /// Returns the changes of the state store per start of a task.
     pub fn changes_per_start(&self) -> f64 {
-        self.state_changes() / self.starts.started.max(LEAST_START_RATE)
+        self.state_changes() / self.starts.started.max(MIN_STARTS_PER_S)
     }
 
-    /// Bytes a second of one kind of exchange.
+    /// Returns the bytes per second of one kind of exchange.
     pub fn bytes(&self, kind: ExchangeKind) -> f64 {
         let traffic = self.traffic.get(&kind);
         traffic.map_or(0.0, |traffic| traffic.bytes())
     }
 
-    /// Exchanges a second of one kind.
+    /// Returns the exchanges per second of one kind.
     pub fn exchanges(&self, kind: ExchangeKind) -> f64 {
         let traffic = self.traffic.get(&kind);
         traffic.map_or(0.0, |traffic| traffic.exchanges)
     }
 
-    /// The figures that are compared and fitted, in the order in which they are printed.
+    /// Returns the main figures in the order in which they are printed.
     pub fn main_figures(&self) -> Vec<MainFigure> {
         let latencies = LATENCY_FIGURES.iter().map(|figure| {
             let quantiles = self.latencies.get(&figure.kind).copied();
@@ -284,7 +284,7 @@
         self.rate_figures().into_iter().chain(latencies).collect()
     }
 
-    /// The main figures that are not latencies.
+    /// Returns the main figures that are not latencies.
     fn rate_figures(&self) -> [MainFigure; 21] {
         use ExchangeKind::{
             Peer, StateRead, StateTransaction, StateWatch, WorkerCommand, WorkerHeartbeat,
--- a/crates/loadtest/src/measurement/latencies.rs
+++ b/crates/loadtest/src/measurement/latencies.rs
@@ -1,4 +1,4 @@
-//! How long things take, as distributions.
+//! Latencies by kind, as distributions.
 
 use crate::sync::lock;
 use hdrhistogram::Histogram;
@@ -8,38 +8,38 @@
 use std::fmt;
 use std::sync::Mutex;
 
-/// Longest time that is told apart, in milliseconds.
-const LONGEST_MS: u64 = 3_600_000;
+/// Upper bound of the histograms; longer latencies count as this one.
+const MAX_LATENCY_MS: u64 = 3_600_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What is timed.
+/// The kind of a latency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LatencyKind {
-    /// From a user's first try to the acceptance.
+    /// From a user's first submission to the acceptance.
     Acceptance,
-    /// From a job's submission to a task of it on a worker, critical and high priorities.
+    /// From a job's submission to the first start of a task, for critical and high priority.
     UrgentStart,
-    /// The same for the other priorities.
+    /// From a job's submission to the first start of a task, for standard and low priority.
     StandardStart,
-    /// From a task's stop, or the loss of its worker, to its next start, critical and high priorities.
+    /// From a task's stop or the loss of its worker to its next start, for critical and high priority.
     UrgentRestart,
-    /// The same for the other priorities.
+    /// From a task's stop or the loss of its worker to its next start, for standard and low priority.
     StandardRestart,
-    /// From a task's end to the command that its worker may forget it.
+    /// From a task's completion to the controller's command to forget it.
     ResultRecorded,
-    /// From a job's last end to the answer that it is done.
+    /// From the completion of a job's last task to the answer that the job is done.
     #[serde(rename = "done_told")]
     CompletionReported,
-    /// From a user's first cancellation to the answer.
+    /// From a user's first cancellation request to its answer.
     #[serde(rename = "cancellation_told")]
     CancellationReported,
-    /// From a configuration's commit to a controller's word, on record, that it follows that version.
+    /// From a configuration's commit to a controller's record that it follows that version.
     #[serde(rename = "in_force")]
     ConfigurationInForce,
-    /// From an operator's command to its end.
+    /// From the begin to the end of an operator's command.
     ConfigurationChange,
-    /// From the start of a controller's process to its readiness; also before the measured time.
+    /// From the start of a controller's process to its readiness, also before the measured phase.
     ControllerReady,
 }
 
@@ -60,7 +60,7 @@
     ];
 }
 
-/// The name that tables print.
+/// Prints the name that tables use.
 impl fmt::Display for LatencyKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -72,29 +72,29 @@
     }
 }
 
-/// A distribution in short.
+/// The summary of a distribution.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// Number of times.
+    /// Number of latencies.
     pub count: u64,
-    /// Median.
+    /// Median latency.
     pub p50_ms: u64,
-    /// 99th percentile.
+    /// 99th percentile of the latencies.
     pub p99_ms: u64,
-    /// Longest.
+    /// Longest latency.
     pub max_ms: u64,
 }
 
-/// Distributions of the times of each kind.
+/// The distributions of the latencies of each kind.
 pub struct Latencies {
-    /// Milliseconds, in the order of `LatencyKind::ALL`.
+    /// Histograms in milliseconds, in the order of [`LatencyKind::ALL`].
     histograms: [Mutex<Histogram<u32>>; LatencyKind::ALL.len()],
 }
 
 impl Default for Latencies {
     fn default() -> Latencies {
         let histogram = || {
-            Histogram::new_with_bounds(1, LONGEST_MS, SIGNIFICANT_DIGITS)
+            Histogram::new_with_bounds(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
                 .expect("the bounds are constants that a histogram accepts")
         };
         Latencies {
@@ -104,12 +104,12 @@
 }
 
 impl Latencies {
-    /// Records one time.
-    pub fn record(&self, kind: LatencyKind, took_ms: u64) {
-        lock(&self.histograms[kind as usize]).saturating_record(took_ms.max(1));
+    /// Records one latency.
+    pub fn record(&self, kind: LatencyKind, latency_ms: u64) {
+        lock(&self.histograms[kind as usize]).saturating_record(latency_ms.max(1));
     }
 
-    /// Forgets all times but those of the start of processes.
+    /// Clears all latencies except [`LatencyKind::ControllerReady`].
     pub fn clear(&self) {
         for (kind, histogram) in LatencyKind::ALL.into_iter().zip(&self.histograms) {
             if kind != LatencyKind::ControllerReady {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The distributions so far, by kind.
+    /// Returns the summaries of all distributions by kind.
     pub fn quantiles(&self) -> BTreeMap<LatencyKind, Quantiles> {
         let kinds = LatencyKind::ALL.into_iter().zip(&self.histograms);
         kinds
--- a/crates/loadtest/src/measurement/mod.rs
+++ b/crates/loadtest/src/measurement/mod.rs
@@ -1,4 +1,4 @@
-//! What a run measures, and how results are printed and compared.
+//! Measurements of a run, and the output and comparison of results.
 
 pub mod comparison;
 pub mod counters;
--- a/crates/loadtest/src/measurement/result.rs
+++ b/crates/loadtest/src/measurement/result.rs
@@ -1,4 +1,4 @@
-//! What a run found, written as JSON and read again for comparisons.
+//! Result of a run, written as JSON and read for comparisons.
 
 use super::figures::Figures;
 use crate::invariants::Violation;
@@ -8,33 +8,33 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Bytes of a result file at most.
+/// Upper bound of the size of a result file.
 const MAX_RESULT_BYTES: u64 = 4 * 1024 * 1024;
 
-/// A run: what was played, what was found, which invariants were violated.
+/// The plan, the figures and the violated invariants of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct RunResult {
-    /// What was played.
+    /// Plan of the run.
     pub plan: Plan,
-    /// What was measured.
+    /// Measured figures.
     pub figures: Figures,
-    /// Invariants that were violated.
+    /// Violations of invariants.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
-    /// Controllers, by index, that exited although nothing ended them.
+    /// Indices of controllers that exited although the run did not kill them.
     #[serde(rename = "ended")]
     pub exited_controllers: Vec<usize>,
-    /// Whether the run came to its end.
+    /// Whether the run reached its planned end.
     pub finished: bool,
 }
 
 impl RunResult {
-    /// Whether the run came to its end without a violation or an unexpected exit.
+    /// Returns whether the run reached its planned end without a violation or an unexpected exit.
     pub fn is_good(&self) -> bool {
         self.finished && self.violations.is_empty() && self.exited_controllers.is_empty()
     }
 
-    /// Writes the result as JSON, in a folder that is created if it is not there.
+    /// Writes the result as JSON; creates the folder if it doesn't exist.
     pub fn write(&self, path: &Path) -> io::Result<()> {
         if let Some(folder) = path.parent() {
             fs::create_dir_all(folder)?;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Why a result file can't be read: the file, and what is wrong with it, in one line.
+/// An error of one line that names an unreadable result file and the problem.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {problem}", .path.display())]
 pub struct ResultFileError {
@@ -63,10 +63,10 @@
     Json(#[from] serde_json::Error),
 }
 
-/// The part of a result file that a comparison reads.
+/// The part of a result file that comparisons use.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EarlierResult {
-    /// What was measured.
+    /// Measured figures.
     pub figures: Figures,
 }
 
--- a/crates/loadtest/src/measurement/scaling.rs
+++ b/crates/loadtest/src/measurement/scaling.rs
@@ -1,15 +1,15 @@
-//! How figures grow with one size of the plan: a line through several runs, its residual, and the power if
-//! no line fits.
+//! Growth of figures with one size of the plan: a line fitted through several runs, its residual, and the
+//! exponent of a power law.
 
-/// A line fails to fit when its residual is larger than this part of the mean.
+/// Largest residual of a line that fits, relative to the mean of the figure.
 const MAX_RESIDUAL: f64 = 0.1;
 
-/// A figure's value in a run of one size.
+/// The value of a figure in a run of one size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Point {
-    /// The size that is varied.
+    /// Value of the varied size.
     pub size: f64,
-    /// The figure's value.
+    /// Value of the figure.
     pub value: f64,
 }
 
@@ -18,21 +18,21 @@
 pub struct LinearFit {
     /// Value at size 0.
     pub intercept: f64,
-    /// Growth for each unit of size.
+    /// Growth per unit of size.
     pub slope: f64,
-    /// Root of the mean squared distance from the line, as a part of the figure's mean.
+    /// Root of the mean squared distance from the line, relative to the figure's mean absolute value.
     pub residual: f64,
-    /// The power of the size with which the figure grows, from logarithms; none if a size or value is 0.
+    /// Exponent of a power law, fitted to the logarithms; `None` unless all sizes and values are positive.
     pub power: Option<f64>,
 }
 
 impl LinearFit {
-    /// Whether the points lie close to the line.
+    /// Returns whether the line fits the points.
     pub fn is_line(&self) -> bool {
         self.residual <= MAX_RESIDUAL
     }
 
-    /// The line's value at a size.
+    /// Returns the line's value at a size.
     pub fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
@@ -69,7 +69,7 @@
     values.sum::<f64>() / count
 }
 
-/// Fits a line to a figure's values by size; `None` with fewer than two points.
+/// Fits a line to a figure's values by size; returns `None` for fewer than two points.
 pub fn fit(points: &[Point]) -> Option<LinearFit> {
     if points.len() < 2 {
         return None;
@@ -78,10 +78,10 @@
     let squares = points
         .iter()
         .map(|point| (point.value - intercept - slope * point.size).powi(2));
-    let distance = mean(squares).sqrt();
+    let distance_rms = mean(squares).sqrt();
     let magnitude = mean(points.iter().map(|point| point.value.abs()));
     let residual = match magnitude > 0.0 {
-        true => distance / magnitude,
+        true => distance_rms / magnitude,
         false => 0.0,
     };
     Some(LinearFit {
@@ -107,25 +107,25 @@
     Some(least_squares(&logarithms).slope)
 }
 
-/// One row of a table: the figure at each size, and the line through them.
+/// Returns one row of a table with the figure at each size and the fitted line.
 pub fn row(name: &str, points: &[Point]) -> String {
     let values: Vec<String> = points
         .iter()
         .map(|point| format!("{:.4}", point.value))
         .collect();
     let values = values.join(" | ");
-    let Some(line) = fit(points) else {
+    let Some(fitted) = fit(points) else {
         return format!("{name} | {values}");
     };
-    let power = line
+    let power = fitted
         .power
         .map_or("-".to_string(), |power| format!("{power:.2}"));
-    let shape = match line.is_line() {
+    let shape = match fitted.is_line() {
         true => "line",
         false => "no line",
     };
     format!(
         "{name} | {values} | {:.5} + {:.8} x | {:.3} | {power} | {shape}",
-        line.intercept, line.slope, line.residual
+        fitted.intercept, fitted.slope, fitted.residual
     )
 }
--- a/crates/loadtest/src/measurement/table.rs
+++ b/crates/loadtest/src/measurement/table.rs
@@ -1,4 +1,4 @@
-//! The table of a run's figures that is printed.
+//! Printed table of a run's figures.
 
 use super::figures::Figures;
 use std::fmt;
--- a/crates/loadtest/src/measurement/traffic.rs
+++ b/crates/loadtest/src/measurement/traffic.rs
@@ -1,11 +1,11 @@
-//! What passes between the controllers and everybody else, counted by kind of exchange.
+//! Traffic of the controllers, counted by kind of exchange.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Kinds of exchanges; all but the last five are begun by controllers.
+/// The kind of an exchange. Controllers begin all exchanges except the last five kinds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExchangeKind {
@@ -17,9 +17,9 @@
     StateList,
     /// A watch.
     StateWatch,
-    /// A lease that is granted, renewed or ended.
+    /// A grant, renewal or end of a lease.
     StateLease,
-    /// The cloud's machine types.
+    /// A request for the cloud's machine types.
     CloudCatalog,
     /// A page of the cloud's list of instances.
     CloudList,
@@ -30,9 +30,9 @@
     CloudDelete,
     /// Commands sent to a worker's address.
     WorkerCommand,
-    /// A question for a worker's status, at its address.
+    /// A request for a worker's status, sent to its address.
     WorkerStatus,
-    /// Bytes between two controllers, counted each time that some arrive.
+    /// Bytes between two controllers, counted at each read from the connection.
     #[serde(rename = "sibling")]
     Peer,
     /// A worker's heartbeat and its answer.
@@ -71,7 +71,7 @@
     ];
 }
 
-/// The name that tables print.
+/// Prints the name that tables use.
 impl fmt::Display for ExchangeKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -83,8 +83,8 @@
     }
 }
 
-/// Exchanges of one kind, as totals or per second. Bytes are those of HTTP heads and bodies, or of the
-/// frames between controllers, without the network's own.
+/// Exchanges of one kind, as totals or per second. Bytes are those of HTTP heads and bodies, or of the frames
+/// between controllers, without the headers of the network layers below.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
     /// Number of exchanges.
@@ -96,7 +96,7 @@
 }
 
 impl Traffic {
-    /// What was added since an earlier total.
+    /// Returns the difference to an earlier total.
     pub fn since(self, earlier: Traffic) -> Traffic {
         Traffic {
             exchanges: self.exchanges - earlier.exchanges,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The rate of a total over so many seconds.
+    /// Returns the rate of a total over a number of seconds.
     pub fn per_second(self, seconds: f64) -> Traffic {
         Traffic {
             exchanges: self.exchanges / seconds,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Bytes of requests and answers.
+    /// Returns the bytes of requests and answers.
     pub fn bytes(self) -> f64 {
         self.request_bytes + self.answer_bytes
     }
@@ -127,10 +127,10 @@
     answer_bytes: AtomicU64,
 }
 
-/// Exchanges of each kind since the start.
+/// The counters of exchanges of each kind since the begin of the run.
 #[derive(Default)]
 pub struct TrafficCounters {
-    /// In the order of `ExchangeKind::ALL`.
+    /// Counters in the order of [`ExchangeKind::ALL`].
     counters: [TrafficCounter; ExchangeKind::ALL.len()],
 }
 
@@ -143,7 +143,7 @@
         counter.answer_bytes.fetch_add(answer_bytes, Relaxed);
     }
 
-    /// Totals by kind.
+    /// Returns the totals by kind.
     pub fn totals(&self) -> BTreeMap<ExchangeKind, Traffic> {
         let kinds = ExchangeKind::ALL.into_iter().zip(&self.counters);
         kinds
--- a/crates/loadtest/src/plan/faults.rs
+++ b/crates/loadtest/src/plan/faults.rs
@@ -1,78 +1,79 @@
-//! Faults that a plan injects.
+//! Faults of a plan.
 
 use serde::{Deserialize, Serialize};
 
-/// Something that goes wrong `at_s` seconds into what is measured.
+/// A fault that is injected `at_s` seconds after the begin of the measured phase.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Trouble")]
 pub struct Fault {
-    /// When it happens.
+    /// Time of the injection.
     pub at_s: f64,
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Workers, for those kinds that strike some.
+    /// Number of affected workers, for the kinds that affect a number of workers.
     #[serde(default)]
     pub count: u32,
-    /// How long it lasts, or the time over which `count` workers are struck one after another.
+    /// Duration, or the time over which `count` workers are affected one after another.
     #[serde(default, rename = "for_s")]
     pub duration_s: f64,
-    /// Zone or region by name.
+    /// Name of the affected zone or region.
     #[serde(default, rename = "place")]
     pub location: Option<String>,
-    /// Controller by index.
+    /// Index of the affected controller.
     #[serde(default)]
     pub controller: Option<u32>,
-    /// How slow the state store gets.
+    /// Mean latency of the state store during the fault.
     #[serde(default)]
     pub latency_ms: f64,
 }
 
-/// What goes wrong.
+/// The kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FaultKind {
-    /// Workers lose power for good, one after another.
+    /// Workers lose power permanently, one after another.
     #[serde(rename = "machines_fail")]
     WorkerFailures,
-    /// Workers start again at once with a new incarnation, one after another.
+    /// Workers restart at once with a new incarnation, one after another.
     #[serde(rename = "machines_restart")]
     WorkerRestarts,
-    /// Workers are taken by the cloud, one after another.
+    /// The cloud deletes workers, one after another.
     #[serde(rename = "machines_replaced")]
     WorkerReplacements,
-    /// Workers of one zone lose power at once.
+    /// Workers of one zone lose power at the same time.
     #[serde(rename = "rack_fail")]
     RackFailure,
-    /// Workers of one zone reach nobody for a time.
+    /// Workers of one zone are isolated from the network for the duration.
     #[serde(rename = "rack_cut")]
     RackPartition,
-    /// A zone with its controllers reaches only itself.
+    /// A zone, including its controllers, is separated from all other sites for the duration.
     #[serde(rename = "zone_cut")]
     ZonePartition,
-    /// All workers of a zone lose power, and its controllers are killed; these are back after the duration.
+    /// All workers of a zone lose power and its controllers are killed; the controllers restart after the
+    /// duration.
     #[serde(rename = "zone_fail")]
     ZoneFailure,
-    /// A region reaches only itself.
+    /// A region is separated from all other sites for the duration.
     #[serde(rename = "region_cut")]
     RegionPartition,
-    /// A controller is killed and back after the duration.
+    /// A controller is killed and restarts after the duration.
     #[serde(rename = "controller_end")]
     ControllerCrash,
-    /// The state store answers slowly.
+    /// The state store answers with a higher latency for the duration.
     #[serde(rename = "state_slow")]
     StateStoreLatency,
-    /// The state store answers 503 to everybody.
+    /// The state store answers 503 to all clients for the duration.
     #[serde(rename = "state_down")]
     StateStoreOutage,
-    /// The state store answers 503 to one controller.
+    /// The state store answers 503 to one controller for the duration.
     #[serde(rename = "state_refuses")]
     StateStoreRejection,
-    /// The cloud answers 503 to everybody.
+    /// The cloud answers 503 to all controllers for the duration.
     #[serde(rename = "cloud_down")]
     CloudOutage,
 }
 
 impl FaultKind {
-    /// Whether it strikes a number of workers.
+    /// Returns whether the fault affects a number of workers.
     pub fn needs_count(self) -> bool {
         matches!(
             self,
@@ -84,7 +85,7 @@
         )
     }
 
-    /// Whether it strikes a zone.
+    /// Returns whether the fault affects one zone.
     pub fn needs_zone(self) -> bool {
         matches!(
             self,
@@ -95,7 +96,7 @@
         )
     }
 
-    /// Whether it strikes one controller.
+    /// Returns whether the fault affects one controller.
     pub fn needs_controller(self) -> bool {
         matches!(
             self,
--- a/crates/loadtest/src/plan/mod.rs
+++ b/crates/loadtest/src/plan/mod.rs
@@ -1,7 +1,5 @@
-//! The plan file of a run: sizes, limits, arrivals of jobs and faults, checked when it is read.
-//!
-//! Fields keep the names of the file for those who write plans; serde maps them where the code's names
-//! differ.
+//! Plan of a run with sizes, limits, job arrivals and faults, validated when the file is read. Serde attributes
+//! map the names of the plan file where the names in the code differ.
 
 mod faults;
 mod jobs;
@@ -17,16 +15,16 @@
 use std::fs;
 use std::path::Path;
 
-/// Bytes of a plan file at most.
+/// Upper bound of the size of a plan file.
 const MAX_PLAN_BYTES: u64 = 256 * 1024;
 
-/// Why a plan can't be played: the field, and what is wrong with it, in one line.
+/// An error of one line that names an invalid field of a plan and the problem.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {problem}")]
 pub struct PlanError {
-    /// The field of the plan, or the file.
+    /// Field of the plan, or the path of the file.
     pub field: String,
-    /// What is wrong with it.
+    /// Problem with the field or the file.
     pub problem: String,
 }
 
@@ -38,13 +36,13 @@
         }
     }
 
-    /// An error of the whole text, on one line.
+    /// Creates an error of the whole text, as one line.
     fn in_text(error: &impl Display) -> PlanError {
         PlanError::new("plan", error.to_string().trim().replace('\n', " "))
     }
 }
 
-/// What is played, by size.
+/// The plan of a run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
@@ -52,82 +50,83 @@
     pub name: String,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// Seconds before anything is measured: records are read, workers taken up, services started.
+    /// Length of the warm-up before the measured phase, in which controllers read records, register workers and
+    /// start services.
     pub warm_up_s: f64,
-    /// Seconds that are measured; times of arrivals and faults count from their begin.
+    /// Length of the measured phase; the times of arrivals and faults are relative to its begin.
     pub seconds: f64,
-    /// Seconds of operation whose faults are played in `seconds`.
+    /// Length of real operation whose faults are injected within `seconds`.
     #[serde(rename = "stands_for_s")]
     pub represents_s: f64,
-    /// Seconds after the end in which tasks that are still under way may end.
+    /// Time after the measured phase in which running tasks may end.
     #[serde(default)]
     pub settle_s: f64,
     /// Regions with their zones.
     pub regions: Vec<Region>,
-    /// The controllers.
+    /// Number and resources of the controllers.
     pub controllers: ControllerSizes,
-    /// The workers.
+    /// Number, resources and intervals of the workers.
     pub workers: WorkerSizes,
-    /// The state store.
+    /// Limits and latency of the state store.
     pub state: StateStoreLimits,
-    /// The cloud.
+    /// Limits and latencies of the cloud.
     pub cloud: CloudLimits,
-    /// The teams.
+    /// Number and quotas of the teams.
     pub teams: TeamSizes,
-    /// Changes of the configuration on record, evenly over the run; the first one adopts the settings.
+    /// Rate of changes of the recorded configuration, evenly over the run; the first change records the
+    /// settings.
     #[serde(default)]
     pub configuration_changes_per_minute: f64,
-    /// Only so many of the zones, the first ones, are there.
+    /// Number of zones in use; later zones of the plan are ignored.
     #[serde(default = "all_zones", rename = "most_zones")]
     pub max_zones: usize,
-    /// Jobs that ended before the run and are on record.
+    /// Number of recorded jobs that ended before the run.
     #[serde(default)]
     pub ended_jobs: u32,
-    /// Jobs that users submit.
+    /// Classes of the jobs that users submit.
     #[serde(default)]
     pub jobs: Vec<JobClass>,
-    /// Faults that are injected.
+    /// Faults to inject.
     #[serde(default, rename = "troubles")]
     pub faults: Vec<Fault>,
 }
 
-/// Zones that share a network; the first region holds the state store, the cloud and the users.
+/// A group of zones; the first region also contains the state store, the cloud and the users.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Region {
-    /// Its name.
+    /// Name of the region.
     pub name: String,
     /// Names of its zones.
     pub zones: Vec<String>,
 }
 
-/// How many controllers there are, and the resources that their settings say they have. Nothing here
-/// enforces these.
+/// The number of controllers and the resources in their settings, which the load test doesn't enforce.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Controllers")]
 pub struct ControllerSizes {
     /// Number of controllers.
     pub count: u32,
-    /// Share of a core.
+    /// Processor share, in cores.
     pub cpu_share: f64,
-    /// Memory.
+    /// Amount of memory.
     pub ram_mb: f64,
-    /// Open sockets.
+    /// Number of open sockets.
     pub sockets: u32,
 }
 
-/// How many workers are up at the start, their resources and their intervals.
+/// The number of workers at the begin of the run, their resources and their intervals.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Workers")]
 pub struct WorkerSizes {
     /// Number of workers.
     pub count: u32,
-    /// Seconds between two heartbeats.
+    /// Interval between two heartbeats.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// Seconds that a worker's lease lasts.
+    /// Duration of a worker's lease.
     pub lease_s: f64,
-    /// Seconds within which the tasks of a cancelled job must be gone.
+    /// Time within which the tasks of a cancelled job must end.
     #[serde(rename = "cancel_s")]
     pub cancel_within_s: f64,
     /// Processors of each worker.
@@ -138,45 +137,46 @@
     pub image_gb_per_s: f64,
 }
 
-/// Limits and latency of the state store.
+/// The limits and the latency of the state store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct StateLimits")]
 pub struct StateStoreLimits {
-    /// Requests a second.
+    /// Rate limit of requests.
     #[serde(rename = "rps")]
     pub requests_per_s: f64,
-    /// Changes of keys a second.
+    /// Rate limit of changes of keys.
     #[serde(rename = "write_rps")]
     pub changes_per_s: f64,
-    /// KiB of a value at most.
+    /// Upper bound of the size of a value, in KiB.
     #[serde(rename = "value_kb")]
     pub max_value_kb: f64,
-    /// Changes of one transaction at most.
+    /// Upper bound of the changes of one transaction.
     #[serde(rename = "txn_ops")]
     pub max_changes: u32,
     /// Mean latency of an answer.
     pub latency_ms: f64,
 }
 
-/// Limits and latencies of the cloud.
+/// The limits and the latencies of the cloud.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Rate limit of requests.
     #[serde(rename = "rps")]
     pub requests_per_s: f64,
     /// Latency of an answer.
     pub latency_ms: f64,
-    /// How old a list may be.
+    /// Largest age of the state in an instance list.
     pub list_lag_s: f64,
-    /// Seconds from a request for an instance to its worker's first heartbeat, in the mean.
+    /// Typical time from a request for an instance to the boot of its worker, which then sends its first
+    /// heartbeat.
     pub boot_s: f64,
-    /// Instances that can be provisioned beyond those that are up at the start.
+    /// Number of instances that can be provisioned in addition to those at the begin of the run.
     #[serde(rename = "spare")]
     pub spare_instances: u32,
 }
 
-/// How many teams there are, and the quota of each.
+/// The number of teams and the quota of each.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Teams")]
 pub struct TeamSizes {
@@ -194,21 +194,21 @@
     usize::MAX
 }
 
-/// A zone by its place in the plan.
+/// The index of a zone in the plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ZoneIndex(pub usize);
 
 /// A zone and its region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Zone<'a> {
-    /// Its name.
+    /// Name of the zone.
     pub name: &'a str,
-    /// Index of its region.
+    /// Index of the region.
     pub region: usize,
 }
 
 impl Plan {
-    /// Reads a plan file and checks it; `overrides` are as for [`Plan::parse`].
+    /// Reads and validates a plan file; `overrides` are as for [`Plan::parse`].
     pub fn read(path: &Path, overrides: &[String]) -> Result<Plan, PlanError> {
         let file = path.display().to_string();
         let unreadable = |error: std::io::Error| PlanError::new(&file, error.to_string());
@@ -220,33 +220,33 @@
         Plan::parse(&text, overrides)
     }
 
-    /// Parses and checks a plan; overrides of the form `workers.count=4000` take the place of its own values.
+    /// Parses and validates a plan; overrides of the form `workers.count=4000` replace values of the plan.
     pub fn parse(text: &str, overrides: &[String]) -> Result<Plan, PlanError> {
         let mut table: toml::Table = text
             .parse()
             .map_err(|error: toml::de::Error| PlanError::in_text(&error))?;
-        for change in overrides {
-            apply_override(&mut table, change)?;
+        for text in overrides {
+            apply_override(&mut table, text)?;
         }
         let mut plan: Plan = toml::Value::Table(table)
             .try_into()
             .map_err(|error: toml::de::Error| PlanError::in_text(&error))?;
-        plan.check_regions()?;
-        plan.leave_zones_out();
-        plan.check()?;
+        plan.validate_regions()?;
+        plan.truncate_zones();
+        plan.validate()?;
         Ok(plan)
     }
 
-    fn leave_zones_out(&mut self) {
-        let mut left = self.max_zones;
+    fn truncate_zones(&mut self) {
+        let mut remaining = self.max_zones;
         for region in &mut self.regions {
-            region.zones.truncate(left);
-            left -= region.zones.len();
+            region.zones.truncate(remaining);
+            remaining -= region.zones.len();
         }
         self.regions.retain(|region| !region.zones.is_empty());
     }
 
-    /// All zones, by index.
+    /// Returns all zones in the order of their indices.
     pub fn zones(&self) -> Vec<Zone<'_>> {
         let regions = self.regions.iter().enumerate();
         regions
@@ -260,29 +260,33 @@
             .collect()
     }
 
-    /// Name of a zone.
+    /// Returns the name of a zone.
     pub fn zone_name(&self, zone: ZoneIndex) -> &str {
         self.zones()[zone.0].name
     }
 
-    /// The zone with a name.
+    /// Returns the index of the zone with a name.
     pub fn zone(&self, name: &str) -> Option<ZoneIndex> {
         let zones = self.zones();
         let position = zones.iter().position(|zone| zone.name == name);
         position.map(ZoneIndex)
     }
 
-    /// Zones of a region by its name.
+    /// Returns the zones of the region with a name.
     pub fn zones_of(&self, region: &str) -> Vec<ZoneIndex> {
-        let wanted = self.regions.iter().position(|r| r.name == region);
+        let region_index = self
+            .regions
+            .iter()
+            .position(|candidate| candidate.name == region);
         let zones = self.zones().into_iter().enumerate();
         zones
-            .filter(|(_, zone)| Some(zone.region) == wanted)
+            .filter(|(_, zone)| Some(zone.region) == region_index)
             .map(|(index, _)| ZoneIndex(index))
             .collect()
     }
 
-    /// The zone that a controller stands in: regions in turn, and their zones in turn.
+    /// Returns the zone of a controller; controllers rotate through the regions, and through the zones of each
+    /// region.
     pub fn controller_zone(&self, controller: u32) -> ZoneIndex {
         let regions = self.regions.len();
         let region = &self.regions[controller as usize % regions];
@@ -290,7 +294,7 @@
         self.zone(zone).unwrap_or(ZoneIndex(0))
     }
 
-    /// The zones of all controllers, by controller.
+    /// Returns the zones of all controllers, by index.
     pub fn controller_zones(&self) -> Vec<ZoneIndex> {
         let controllers = 0..self.controllers.count;
         controllers
--- a/crates/loadtest/src/plan/overrides.rs
+++ b/crates/loadtest/src/plan/overrides.rs
@@ -1,16 +1,16 @@
-//! Overrides of single fields of a plan, as `--set` takes them.
+//! Overrides of single plan fields, as given by `--set`.
 
 use super::PlanError;
 use toml::{Table, Value};
 
-/// Puts the value of an override like `workers.count=4000` or `jobs.0.rate=3.5` into the table.
+/// Applies an override such as `workers.count=4000` or `jobs.0.rate=3.5` to the table of a plan.
 pub fn apply_override(table: &mut Table, text: &str) -> Result<(), PlanError> {
     let (path, value) = text
         .split_once('=')
         .ok_or_else(|| PlanError::new(text, "not of the form field=value"))?;
     let value = parse_value(path, value)?;
     let field = find_field(table, path).ok_or_else(|| PlanError::new(path, "no such field"))?;
-    // A whole number may stand for a fraction.
+    // An integer is valid for a field of type float.
     *field = match (&*field, value) {
         (Value::Float(_), Value::Integer(number)) => Value::Float(number as f64),
         (_, value) => value,
@@ -26,7 +26,7 @@
     value.ok_or_else(|| PlanError::new(path, "no such field"))
 }
 
-/// The field at a path of names and indices.
+/// Returns the field at a path of names and indices.
 fn find_field<'a>(table: &'a mut Table, path: &str) -> Option<&'a mut Value> {
     let mut names = path.split('.');
     let mut field = table.get_mut(names.next()?)?;
--- a/crates/loadtest/src/plan/validation.rs
+++ b/crates/loadtest/src/plan/validation.rs
@@ -1,56 +1,56 @@
-//! Checks of a plan's values: sizes that this machine can play, and fields that fit one another.
+//! Validation of a plan: sizes within the capacity of one machine, and consistent fields.
 
 use super::{Fault, FaultKind, JobClass, JobShape, Plan, PlanError};
 use std::collections::BTreeSet;
 
-/// Workers that one process of stand-ins has sockets for.
+/// Largest number of workers for which one process of stand-ins has enough sockets.
 const MAX_WORKERS: u32 = 5_000;
 const MAX_TEAMS: u32 = 10_000;
-/// Each controller is a process; fewer than twenty processes run.
+/// Each controller is a process, and a run must stay below twenty processes.
 const MAX_CONTROLLERS: u32 = 8;
 const MAX_SECONDS: f64 = 1_200.0;
-/// Classes of jobs, or faults, at most.
-const MAX_ENTRIES: usize = 200;
-/// Jobs that a plan may bring, so that a run stays within its memory.
+/// Upper bound of the number of job classes, and of faults.
+const MAX_LIST_ENTRIES: usize = 200;
+/// Upper bound of the expected number of jobs, which bounds the memory of a run.
 const MAX_JOBS: f64 = 50_000.0;
-/// Ended jobs on record at the start: some 300 bytes each in the stand-in's memory.
+/// Upper bound of recorded ended jobs, each of which uses about 300 bytes in the stand-in's memory.
 const MAX_ENDED_JOBS: u32 = 4_000_000;
-/// Tasks of a job at most, by protocol.
+/// Upper bound of the tasks of a job, by protocol.
 const MAX_TASKS: u32 = 100_000;
 const MAX_REGIONS: usize = 16;
-/// Regions and zones together at most.
+/// Upper bound of the number of regions and zones together.
 const MAX_LOCATIONS: usize = 80;
 const MAX_IMAGES: u32 = 10_000;
 
 impl Plan {
-    pub(super) fn check(&self) -> Result<(), PlanError> {
-        self.check_regions()?;
-        self.check_counts()?;
-        self.check_amounts()?;
-        self.check_jobs()?;
-        self.check_faults()
+    pub(super) fn validate(&self) -> Result<(), PlanError> {
+        self.validate_regions()?;
+        self.validate_counts()?;
+        self.validate_amounts()?;
+        self.validate_jobs()?;
+        self.validate_faults()
     }
 
-    pub(super) fn check_regions(&self) -> Result<(), PlanError> {
+    pub(super) fn validate_regions(&self) -> Result<(), PlanError> {
         require(self.max_zones > 0, "most_zones", "from 1")?;
-        let is_sane = (1..=MAX_REGIONS).contains(&self.regions.len());
-        require(is_sane, "regions", "from 1 to 16")?;
+        let is_in_range = (1..=MAX_REGIONS).contains(&self.regions.len());
+        require(is_in_range, "regions", "from 1 to 16")?;
         let mut names = BTreeSet::new();
         for region in &self.regions {
             let has_zones = !region.zones.is_empty();
             require(has_zones, "regions.zones", "must not be empty")?;
-            let is_new = names.insert(region.name.as_str());
-            require(is_new, "regions.name", "stands twice")?;
+            let is_unique = names.insert(region.name.as_str());
+            require(is_unique, "regions.name", "stands twice")?;
             for zone in &region.zones {
-                let is_new = names.insert(zone.as_str());
-                require(is_new, "regions.zones", "a zone stands twice")?;
+                let is_unique = names.insert(zone.as_str());
+                require(is_unique, "regions.zones", "a zone stands twice")?;
             }
         }
-        let are_few = names.len() <= MAX_LOCATIONS;
-        require(are_few, "regions.zones", "too many zones")
+        let is_within_limit = names.len() <= MAX_LOCATIONS;
+        require(is_within_limit, "regions.zones", "too many zones")
     }
 
-    fn check_counts(&self) -> Result<(), PlanError> {
+    fn validate_counts(&self) -> Result<(), PlanError> {
         let (controllers, workers, teams) = (&self.controllers, &self.workers, &self.teams);
         let (state, cloud) = (&self.state, &self.cloud);
         require_count("controllers.count", controllers.count, 1, MAX_CONTROLLERS)?;
@@ -62,7 +62,7 @@
         require_count("teams.count", teams.count, 1, MAX_TEAMS)
     }
 
-    fn check_amounts(&self) -> Result<(), PlanError> {
+    fn validate_amounts(&self) -> Result<(), PlanError> {
         let (controllers, workers, teams) = (&self.controllers, &self.workers, &self.teams);
         let (state, cloud) = (&self.state, &self.cloud);
         let changes_per_minute = self.configuration_changes_per_minute;
@@ -96,32 +96,32 @@
             ("teams.cpus", teams.guaranteed_cpus, 0.0, 1e7),
             ("teams.cpus_max", teams.cpu_limit, 0.0, 1e7),
         ];
-        for (field, value, least, most) in amounts {
-            require_amount(field, value, least, most)?;
+        for (field, value, min, max) in amounts {
+            require_amount(field, value, min, max)?;
         }
         let is_within = teams.guaranteed_cpus <= teams.cpu_limit || teams.cpu_limit == 0.0;
         require(is_within, "teams.cpus", "a guarantee above its limit")
     }
 
-    fn check_jobs(&self) -> Result<(), PlanError> {
-        let are_few = self.jobs.len() <= MAX_ENTRIES;
-        require(are_few, "jobs", "too many classes")?;
+    fn validate_jobs(&self) -> Result<(), PlanError> {
+        let is_within_limit = self.jobs.len() <= MAX_LIST_ENTRIES;
+        require(is_within_limit, "jobs", "too many classes")?;
         let mut names = BTreeSet::new();
-        let mut total = 0.0;
+        let mut expected_jobs = 0.0;
         for class in &self.jobs {
-            let is_new = names.insert(class.name.as_str());
-            require(is_new, "jobs.class", "stands twice")?;
-            self.check_job_class(class)?;
+            let is_unique = names.insert(class.name.as_str());
+            require(is_unique, "jobs.class", "stands twice")?;
+            self.validate_job_class(class)?;
             let until_s = class.until_s.unwrap_or(self.seconds);
-            total += f64::from(class.initial) + class.jobs_per_s * (until_s - class.from_s);
+            expected_jobs += f64::from(class.initial) + class.jobs_per_s * (until_s - class.from_s);
         }
-        let are_few = total <= MAX_JOBS;
-        require(are_few, "jobs.rate", "brings more than 50,000 jobs")
+        let is_within_limit = expected_jobs <= MAX_JOBS;
+        require(is_within_limit, "jobs.rate", "brings more than 50,000 jobs")
     }
 
-    fn check_job_class(&self, class: &JobClass) -> Result<(), PlanError> {
-        let [least, most] = class.task_range;
-        let is_range = least >= 1 && least <= most && most <= MAX_TASKS;
+    fn validate_job_class(&self, class: &JobClass) -> Result<(), PlanError> {
+        let [min, max] = class.task_range;
+        let is_range = min >= 1 && min <= max && max <= MAX_TASKS;
         require(is_range, "jobs.tasks", "least and most, from 1 to 100,000")?;
         let has_images = (1..=MAX_IMAGES).contains(&class.image_count);
         require(has_images, "jobs.images", "from 1 to 10,000")?;
@@ -137,8 +137,8 @@
             ("jobs.from_s", class.from_s, -self.warm_up_s, self.seconds),
             ("jobs.until_s", until_s, class.from_s, self.seconds),
         ];
-        for (field, value, least, most) in amounts {
-            require_amount(field, value, least, most)?;
+        for (field, value, min, max) in amounts {
+            require_amount(field, value, min, max)?;
         }
         let is_service = class.shape == JobShape::Daemon;
         let is_endless = class.run_s == 0.0;
@@ -149,15 +149,15 @@
         )
     }
 
-    fn check_faults(&self) -> Result<(), PlanError> {
-        let are_few = self.faults.len() <= MAX_ENTRIES;
-        require(are_few, "troubles", "too many")?;
+    fn validate_faults(&self) -> Result<(), PlanError> {
+        let is_within_limit = self.faults.len() <= MAX_LIST_ENTRIES;
+        require(is_within_limit, "troubles", "too many")?;
         self.faults
             .iter()
-            .try_for_each(|fault| self.check_fault(fault))
+            .try_for_each(|fault| self.validate_fault(fault))
     }
 
-    fn check_fault(&self, fault: &Fault) -> Result<(), PlanError> {
+    fn validate_fault(&self, fault: &Fault) -> Result<(), PlanError> {
         require_amount("troubles.at_s", fault.at_s, 0.0, self.seconds)?;
         require_amount("troubles.for_s", fault.duration_s, 0.0, MAX_SECONDS)?;
         require_amount("troubles.latency_ms", fault.latency_ms, 0.0, 1e4)?;
@@ -188,13 +188,13 @@
     }
 }
 
-fn require_count(field: &str, value: u32, least: u32, most: u32) -> Result<(), PlanError> {
-    let is_sane = (least..=most).contains(&value);
-    require(is_sane, field, &format!("from {least} to {most}"))
+fn require_count(field: &str, value: u32, min: u32, max: u32) -> Result<(), PlanError> {
+    let is_in_range = (min..=max).contains(&value);
+    require(is_in_range, field, &format!("from {min} to {max}"))
 }
 
-fn require_amount(field: &str, value: f64, least: f64, most: f64) -> Result<(), PlanError> {
-    let is_sane = value.is_finite() && value >= least && value <= most;
-    let problem = format!("{value} is not from {least} to {most}");
-    require(is_sane, field, &problem)
+fn require_amount(field: &str, value: f64, min: f64, max: f64) -> Result<(), PlanError> {
+    let is_in_range = value.is_finite() && value >= min && value <= max;
+    let problem = format!("{value} is not from {min} to {max}");
+    require(is_in_range, field, &problem)
 }
--- a/crates/loadtest/src/protocol/cloud.rs
+++ b/crates/loadtest/src/protocol/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's interface: catalog, list of instances, provisioning and deletion.
+//! Interface of the cloud: catalog, list of instances, provisioning and deletion.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,79 +6,79 @@
 pub const CATALOG_PATH: &str = "/catalog";
 /// Path to which deletions are posted.
 pub const DELETE_PATH: &str = "/hosts/delete";
-/// The error of a request for a machine type that the catalog has not.
+/// Error text for a request with a machine type that isn't in the catalog.
 pub const UNKNOWN_MACHINE_TYPE: &str = "flavour";
 
-/// A type of machine that can be provisioned.
+/// A machine type of the catalog.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MachineType<'a> {
-    /// Its name.
+    /// Name of the machine type.
     pub name: &'a str,
-    /// Processors.
+    /// Number of processors.
     pub vcpus: f64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: f64,
-    /// Memory.
+    /// Amount of memory.
     pub ram_gb: f64,
-    /// Local disk.
+    /// Size of the local disk.
     pub local_gb: f64,
-    /// Rate at which it pulls images.
+    /// Rate at which its workers pull images.
     pub pull_gb_per_s: f64,
-    /// Price of an hour on demand.
+    /// Price per hour on demand.
     #[serde(rename = "hourly")]
     pub hourly_price: f64,
-    /// Price of an hour as a spot instance.
+    /// Price per hour as a spot instance.
     #[serde(rename = "marketPrice")]
     pub spot_hourly_price: f64,
-    /// Seconds from a request to a worker that is ready.
+    /// Time from a request to a ready worker.
     pub ready_s: f64,
-    /// Zones that have it.
+    /// Zones that offer the machine type.
     #[serde(rename = "yards")]
     pub zones: Vec<&'a str>,
 }
 
-/// All machine types.
+/// The catalog of all machine types.
 #[derive(Debug, Serialize)]
 pub struct Catalog<'a> {
-    /// The types.
+    /// Machine types of the cloud.
     #[serde(rename = "flavours")]
     pub machine_types: Vec<MachineType<'a>>,
 }
 
-/// Where an instance stands.
+/// The state of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceState {
-    /// Requested, not up yet.
+    /// The instance is requested and not up yet.
     Starting,
-    /// Up.
+    /// The instance is up.
     Running,
-    /// It has lost its power.
+    /// The instance has lost power.
     Failed,
 }
 
 /// An instance in the cloud's list.
 #[derive(Debug, Clone, Serialize)]
 pub struct ListedInstance {
-    /// Its name.
+    /// Name of the instance.
     #[serde(rename = "nameId")]
     pub name: String,
-    /// Its worker's address.
+    /// Address of its worker.
     pub address: String,
-    /// Its machine type.
+    /// Machine type of the instance.
     #[serde(rename = "flavour")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the instance.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the instance is a spot instance.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    /// Where it stands.
+    /// State of the instance.
     #[serde(rename = "standing")]
     pub state: InstanceState,
-    /// Seconds since it was requested.
+    /// Time since the request for the instance.
     #[serde(rename = "ageS")]
     pub age_s: f64,
 }
@@ -96,27 +96,27 @@
 /// A request for new instances.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProvisionRequest {
-    /// Idempotency key: a repeated request gets the first one's answer.
+    /// Idempotency key; the cloud answers a repeated request with the instances of the first one.
     #[serde(rename = "hire")]
     pub name: String,
-    /// The machine type that is wanted.
+    /// Requested machine type.
     #[serde(rename = "flavour")]
     pub machine_type: String,
-    /// The zone.
+    /// Requested zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot instances are wanted.
+    /// Whether spot instances are requested.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    /// How many are wanted.
+    /// Number of requested instances.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// The instances that a request got, which may be fewer than it wanted.
+/// The instances provisioned for a request, which may be fewer than requested.
 #[derive(Debug, Serialize)]
 pub struct ProvisionAnswer {
-    /// Their names.
+    /// Names of the instances.
     #[serde(rename = "hosts")]
     pub names: Vec<String>,
 }
@@ -124,7 +124,7 @@
 /// A request to delete instances.
 #[derive(Debug, Clone, Deserialize)]
 pub struct DeleteRequest {
-    /// Their names.
+    /// Names of the instances.
     #[serde(rename = "hosts")]
     pub names: Vec<String>,
 }
--- a/crates/loadtest/src/protocol/jobs.rs
+++ b/crates/loadtest/src/protocol/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as users submit and poll them.
+//! Interface for users: submission, poll and cancellation of jobs.
 
 use crate::plan::{JobPriority, JobShape};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -8,20 +8,20 @@
 
 /// Path to which jobs are submitted.
 pub const SUBMIT_PATH: &str = "/v2/runs";
-/// Path at which a controller tells whether it is ready.
+/// Path at which a controller reports its readiness.
 pub const READY_PATH: &str = "/ready";
 
-/// Path at which a job is polled.
+/// Returns the path at which a job is polled.
 pub fn poll_path(id: &str) -> String {
     format!("{SUBMIT_PATH}/{id}")
 }
 
-/// Path at which a job is cancelled.
+/// Returns the path at which a job is cancelled.
 pub fn cancel_path(id: &str) -> String {
     format!("{SUBMIT_PATH}/{id}/withdraw")
 }
 
-/// A task: its job and its index in that job, written as in `j-000412/3`.
+/// The id of a task: its job and its index in the job, as in `j-000412/3`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
     /// Id of the job.
@@ -30,7 +30,7 @@
     pub index: u32,
 }
 
-/// A text that is not of the form `job/index`.
+/// An error for a text that isn't of the form `job/index`.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{text} is no task")]
 pub struct InvalidTaskId {
@@ -71,22 +71,22 @@
     }
 }
 
-/// A job as a user submits it.
+/// The submission of a job by a user.
 #[derive(Debug, Clone, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Submission {
-    /// Idempotency key and name of the job.
+    /// Id of the job, which is also the idempotency key of the submission.
     #[serde(rename = "nameId")]
     pub id: Arc<str>,
-    /// Kind of work, by which run times are learned.
+    /// Class of the job, by which controllers learn run times.
     #[serde(rename = "jobclass")]
     pub class: String,
-    /// The team whose quota the job uses.
+    /// Team whose quota the job uses.
     #[serde(rename = "owner")]
     pub team: String,
-    /// Whether its tasks end by themselves.
+    /// Whether the tasks end by themselves.
     pub shape: JobShape,
-    /// Urgency against other jobs.
+    /// Priority relative to other jobs.
     #[serde(rename = "rank")]
     pub priority: JobPriority,
     /// Number of tasks.
@@ -104,51 +104,51 @@
     /// Size of the image.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
-    /// Machine types that tasks may run on; any if there are none.
+    /// Machine types on which tasks may run; `None` for any.
     #[serde(rename = "flavours")]
     pub machine_types: Option<Vec<String>>,
-    /// The only zone that tasks may run in, if there is one.
+    /// Only zone in which tasks may run; `None` for any.
     #[serde(rename = "yard")]
     pub zone: Option<String>,
-    /// Whether all tasks run in one zone, as a gang.
+    /// Whether all tasks must run in one zone, as a gang.
     #[serde(rename = "together")]
     pub zone_affinity: bool,
-    /// Whether no zone may hold more than half of the tasks.
+    /// Whether no zone may run more than half of the tasks.
     #[serde(rename = "scatter")]
     pub topology_spread: bool,
     /// Whether tasks may run on spot instances.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    /// The run time of a task that the user expects.
+    /// Run time of a task as expected by the user.
     #[serde(rename = "expectS")]
     pub expected_run_s: f64,
-    /// Seconds between two checkpoints of a task.
+    /// Interval between two checkpoints of a task.
     #[serde(rename = "snapshotS")]
     pub checkpoint_interval_s: f64,
-    /// Seconds that a task takes to write a checkpoint.
+    /// Time that a task takes to write a checkpoint.
     #[serde(rename = "flushS")]
     pub checkpoint_write_s: f64,
-    /// Seconds after the submission by which the job should be done.
+    /// Seconds between the submission and the deadline of the job.
     #[serde(rename = "dueS")]
     pub deadline_s: Option<f64>,
 }
 
-/// The status of a job that a user is answered.
+/// The status of a job in answers to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStatus {
-    /// Accepted; no task runs.
+    /// The job is accepted and no task runs.
     Pending,
-    /// Some task runs.
+    /// At least one task runs.
     Running,
     /// All tasks have completed.
     Done,
-    /// Cancelled.
+    /// The job is cancelled.
     Aborted,
 }
 
 impl JobStatus {
-    /// Whether the job's status can't change any more.
+    /// Returns whether the status can no longer change.
     pub fn is_final(self) -> bool {
         matches!(self, JobStatus::Done | JobStatus::Aborted)
     }
@@ -157,7 +157,7 @@
 /// The answer to a submission, a poll or a cancellation.
 #[derive(Debug, Clone, Deserialize)]
 pub struct JobStatusAnswer {
-    /// The job's status.
+    /// Status of the job.
     #[serde(rename = "standing")]
     pub status: JobStatus,
 }
--- a/crates/loadtest/src/protocol/mod.rs
+++ b/crates/loadtest/src/protocol/mod.rs
@@ -1,7 +1,5 @@
-//! The published protocol as the stand-ins speak it.
-//!
-//! Fields have the names of the field here; the names on the wire are mapped by serde in these modules
-//! and nowhere else.
+//! Messages of the published protocol between controllers and the stand-ins. Only the serde attributes in these
+//! modules map the names in the code to the names on the wire.
 
 pub mod cloud;
 pub mod jobs;
@@ -10,9 +8,9 @@
 
 use serde::Serialize;
 
-/// The body of an answer that refuses a request.
+/// The body of an error answer.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct ErrorAnswer<'a> {
-    /// What is wrong with the request.
+    /// Problem with the request, or the state of the service.
     pub error: &'a str,
 }
--- a/crates/loadtest/src/protocol/state_store.rs
+++ b/crates/loadtest/src/protocol/state_store.rs
@@ -1,4 +1,4 @@
-//! The state store's interface: compare-and-swap transactions, reads, lists, watches and leases.
+//! Interface of the state store: compare-and-swap transactions, reads, lists, watches and leases.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -8,57 +8,58 @@
 pub const TRANSACTION_PATH: &str = "/txn";
 /// Path of watches.
 pub const WATCH_PATH: &str = "/watch";
-/// Path of lists; a key's own path is under it.
+/// Path of lists, and prefix of the path of each key.
 pub const KEYS_PATH: &str = "/keys";
-/// Path to which requests for leases are posted; a lease's own path is under it.
+/// Path to which requests for leases are posted, and prefix of the path of each lease.
 pub const LEASES_PATH: &str = "/leases";
-/// Last part of the path at which a lease is renewed.
+/// Last segment of the path at which a lease is renewed.
 pub const RENEW_SEGMENT: &str = "touch";
 
-/// A stored value: its JSON text, shared by all that read it.
+/// The JSON text of a stored value, shared among readers.
 pub type Value = Arc<RawValue>;
 
-/// A condition of a transaction: the key was last changed at this revision, or is absent for 0.
+/// A condition of a transaction: the latest change of the key has this revision, or the key is absent if it is
+/// 0.
 #[derive(Debug, Deserialize)]
 pub struct Condition {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Revision of its last change.
+    /// Revision of the latest change of the key.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
 }
 
-/// A put if it names `put`, else a removal.
+/// A change of one key: a put if `put` is set, otherwise a removal.
 #[derive(Debug, Deserialize)]
 pub struct RecordChange {
-    /// The key to put.
+    /// Key to put.
     pub put: Option<String>,
-    /// The value to put.
+    /// Value to put.
     #[serde(rename = "v")]
     pub value: Option<Box<RawValue>>,
-    /// The lease that the key goes with.
+    /// Lease whose end removes the key.
     #[serde(rename = "tenancy")]
     pub lease: Option<u64>,
-    /// The key to remove.
+    /// Key to remove.
     pub remove: Option<String>,
 }
 
 impl RecordChange {
-    /// The key that is put or removed; empty if the change names none.
+    /// Returns the key that is put or removed; empty if the change names none.
     pub fn key(&self) -> &str {
         let key = self.put.as_ref().or(self.remove.as_ref());
         key.map_or("", String::as_str)
     }
 }
 
-/// Changes that take effect together if all conditions hold.
+/// A transaction, whose changes take effect atomically if all conditions hold.
 #[derive(Debug, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// Conditions of the transaction.
     #[serde(default, rename = "if")]
     pub conditions: Vec<Condition>,
-    /// What is changed then.
+    /// Changes of the transaction.
     #[serde(default, rename = "apply")]
     pub changes: Vec<RecordChange>,
 }
@@ -69,10 +70,10 @@
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Its value.
+    /// Value of the key.
     #[serde(rename = "v")]
     pub value: Value,
-    /// Revision of its last change.
+    /// Revision of the latest change of the key.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
 }
@@ -84,21 +85,21 @@
     pub items: Vec<Item>,
     /// Whether another page follows.
     pub more: bool,
-    /// The store's revision when it was read.
+    /// Revision of the store at the time of the read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// One change as a watch delivers it.
+/// A change as reported by a watch.
 #[derive(Debug, Clone, Serialize)]
 pub struct ChangeEvent {
-    /// The key that was put.
+    /// Key that was put.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
-    /// The value that was put.
+    /// Value that was put.
     #[serde(rename = "v", skip_serializing_if = "Option::is_none")]
     pub value: Option<Value>,
-    /// The key that was removed.
+    /// Key that was removed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub remove: Option<String>,
     /// Revision of the change.
@@ -106,21 +107,21 @@
     pub mod_revision: u64,
 }
 
-/// What a watch found.
+/// The answer to a watch.
 #[derive(Debug, Serialize)]
 pub struct WatchAnswer {
-    /// The store's revision.
+    /// Revision of the store.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// Changes after the revision that was asked for.
+    /// Changes after the requested revision.
     #[serde(rename = "news")]
     pub events: Vec<ChangeEvent>,
 }
 
-/// An answer that only tells the store's revision.
+/// An answer that contains only the store's revision.
 #[derive(Debug, Serialize)]
 pub struct RevisionAnswer {
-    /// The store's revision.
+    /// Revision of the store.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
@@ -131,7 +132,7 @@
     /// Keys whose conditions failed.
     #[serde(rename = "failed")]
     pub failed_keys: &'a [String],
-    /// The store's revision.
+    /// Revision of the store.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
@@ -139,15 +140,15 @@
 /// A request for a lease.
 #[derive(Debug, Deserialize)]
 pub struct LeaseRequest {
-    /// Time to live after each renewal.
+    /// Time to live after the grant and after each renewal.
     #[serde(rename = "lifeMs")]
     pub time_to_live_ms: u64,
 }
 
-/// A lease that was granted, renewed or ended.
+/// The answer to the grant, renewal or end of a lease.
 #[derive(Debug, Serialize)]
 pub struct LeaseAnswer {
-    /// Its id.
+    /// Id of the lease.
     #[serde(rename = "tenancy")]
     pub lease: u64,
 }
--- a/crates/loadtest/src/protocol/workers.rs
+++ b/crates/loadtest/src/protocol/workers.rs
@@ -1,14 +1,14 @@
-//! Heartbeats of workers, and the commands that controllers answer or send.
+//! Interface for workers: heartbeats, and the commands of controllers.
 
 use super::jobs::TaskId;
 use serde::{Deserialize, Serialize};
 
-/// Path at which controllers take heartbeats.
+/// Path at which controllers accept heartbeats.
 pub const HEARTBEAT_PATH: &str = "/checkin";
-/// Path at which workers take commands; at all others they tell their status.
+/// Path at which workers accept commands; at all other paths they answer with their status.
 pub const COMMAND_PATH: &str = "/do";
 
-/// What a controller asks a worker to do with a task.
+/// The action of a command for a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandAction {
@@ -17,23 +17,23 @@
     /// Stop the task.
     #[serde(rename = "halt")]
     Stop,
-    /// Drop the exited task: its result is on record.
+    /// Forget the exited task, whose result is recorded.
     Forget,
-    /// An action that this worker doesn't know; it is skipped.
+    /// An unknown action, which the worker ignores.
     #[serde(other)]
     Unknown,
 }
 
-/// One command for one attempt of a task.
+/// A command for one attempt of a task.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TaskCommand {
-    /// What to do.
+    /// Action to execute.
     #[serde(rename = "verb")]
     pub action: CommandAction,
     /// The task.
     #[serde(rename = "drop")]
     pub task: TaskId,
-    /// The attempt of the task that is meant.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
 }
@@ -41,13 +41,13 @@
 /// The answer to a heartbeat.
 #[derive(Debug, Clone, Deserialize)]
 pub struct HeartbeatAnswer {
-    /// The controller's fencing token.
+    /// Fencing token of the controller.
     #[serde(rename = "fence")]
     pub fencing_token: Option<u64>,
     /// Commands to execute, in order.
     #[serde(default, rename = "orders")]
     pub commands: Vec<TaskCommand>,
-    /// Name of the controller to send heartbeats to instead.
+    /// Name of the controller that should receive the worker's heartbeats.
     #[serde(rename = "steward")]
     pub redirect_to: Option<String>,
 }
@@ -55,10 +55,10 @@
 /// Commands that a controller sends to a worker's address.
 #[derive(Debug, Clone, Deserialize)]
 pub struct DirectCommand {
-    /// The controller's fencing token.
+    /// Fencing token of the controller.
     #[serde(rename = "fence")]
     pub fencing_token: Option<u64>,
-    /// The incarnation of the worker that is meant.
+    /// Incarnation of the worker to which the commands apply.
     #[serde(rename = "tenure")]
     pub incarnation: Option<u64>,
     /// Commands to execute, in order.
@@ -66,31 +66,31 @@
     pub commands: Vec<TaskCommand>,
 }
 
-/// Where a task stands on its worker.
+/// The state of a task on its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Its image is being pulled.
+    /// The worker pulls the image.
     Fetching,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It has exited, or could not be started.
+    /// The task has exited, or could not be started.
     Exited,
 }
 
-/// Why a task has exited.
+/// The cause of a task's exit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum ExitCause {
-    /// It completed.
+    /// The task completed.
     #[serde(rename = "done")]
     Completed,
-    /// A command stopped it.
+    /// A command stopped the task.
     #[serde(rename = "stopped")]
     Stopped,
-    /// The worker had not the resources that it requests.
+    /// The worker lacks the resources that the task requests.
     #[serde(rename = "no_room")]
     InsufficientResources,
-    /// Another attempt of the task is on the worker.
+    /// Another attempt of the task is live on the worker.
     #[serde(rename = "in_use")]
     OtherAttemptRuns,
     /// The job has no such task.
@@ -98,19 +98,19 @@
     UnknownTask,
 }
 
-/// One attempt of a task, as a heartbeat lists it.
+/// The status of one attempt in a heartbeat.
 #[derive(Debug, Clone, Serialize)]
 pub struct TaskStatus {
     /// The task.
     #[serde(rename = "drop")]
     pub task: TaskId,
-    /// The attempt.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Where it stands.
+    /// State of the attempt.
     #[serde(rename = "standing")]
     pub state: TaskState,
-    /// Why it has exited, once it has.
+    /// Cause of the exit; `None` before the exit.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitCause>,
 }
@@ -121,30 +121,30 @@
     /// Name of the worker.
     #[serde(rename = "host")]
     pub worker: String,
-    /// Address at which it takes direct commands.
+    /// Address at which the worker accepts direct commands.
     pub address: String,
-    /// Its machine type.
+    /// Machine type of the worker.
     #[serde(rename = "flavour")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the worker.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the worker is a spot instance.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    /// Incarnation of the agent; grows when it starts anew.
+    /// Incarnation of the agent, which increases with each restart.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Number of this heartbeat; grows with each.
+    /// Sequence number, which increases with each heartbeat.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// Highest fencing token that the worker has taken.
+    /// Highest fencing token that the worker has accepted.
     #[serde(rename = "fence")]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes the machine, once it has said so.
+    /// Seconds until the cloud evicts the machine, once it has announced the eviction.
     #[serde(rename = "warningS")]
     pub eviction_warning_s: Option<f64>,
-    /// All tasks that the worker holds.
+    /// Status of all attempts that the worker has not forgotten.
     #[serde(rename = "drops")]
     pub tasks: Vec<TaskStatus>,
 }
--- a/crates/loadtest/src/tests.rs
+++ b/crates/loadtest/src/tests.rs
@@ -1,4 +1,4 @@
-//! Subcommands and flags that scripts use.
+//! Test of the subcommands and flags that scripts use.
 
 #[path = "../../glenmount/src/tests/command_line_surface.rs"]
 mod command_line_surface;
--- a/crates/loadtest/tests/common/mod.rs
+++ b/crates/loadtest/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A submission that several tests change a little.
+//! Default submission that several tests modify.
 
 use glenmount_loadtest::plan::{JobPriority, JobShape};
 use glenmount_loadtest::protocol::jobs::Submission;
--- a/crates/loadtest/tests/forms.rs
+++ b/crates/loadtest/tests/forms.rs
@@ -1,4 +1,4 @@
-//! The forms that others read stay: JSON results, printed tables, texts of errors, names on the wire.
+//! Published formats don't change: JSON results, printed tables, error texts, names on the wire.
 
 mod common;
 
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn tables_keep_their_form() {
+fn tables_keep_their_format() {
     let figures = figures();
     let table = figures.to_string();
     assert_eq!(table, include_str!("forms/table.txt"));
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn what_is_sent_keeps_its_wire_names() {
+fn outgoing_messages_keep_their_wire_names() {
     let value: Arc<RawValue> = Arc::from(RawValue::from_string("7".into()).unwrap());
     let item = Item {
         key: "c/a".into(),
@@ -286,7 +286,7 @@
         revision: 9,
     };
     let names = vec!["n-1".to_string()];
-    let sent = [
+    let messages = [
         json(&submission()),
         json(&heartbeat()),
         json(&instances()),
@@ -297,11 +297,11 @@
         json(&conflict),
         json(&LeaseAnswer { lease: 5 }),
     ];
-    assert_eq!(sent.concat(), include_str!("forms/sent.json"));
+    assert_eq!(messages.concat(), include_str!("forms/sent.json"));
 }
 
 #[test]
-fn what_comes_keeps_its_wire_names() {
+fn incoming_messages_keep_their_wire_names() {
     let command = r#"{"verb":"halt","drop":"j-000001/1","try":2}"#;
     let answer = format!(r#"{{"fence":3,"orders":[{command}],"steward":"controller-1"}}"#);
     let answer: HeartbeatAnswer = serde_json::from_str(&answer).unwrap();
--- a/crates/loadtest/tests/hollow_worker.rs
+++ b/crates/loadtest/tests/hollow_worker.rs
@@ -1,4 +1,4 @@
-//! A hollow worker keeps to the protocol.
+//! Conformance of hollow workers to the protocol.
 
 mod common;
 
@@ -10,9 +10,9 @@
 };
 use std::sync::Arc;
 
-struct OneJob;
+struct SingleJobLookup;
 
-impl JobLookup for OneJob {
+impl JobLookup for SingleJobLookup {
     fn find(&self, id: &str) -> Option<JobDescription> {
         let submission = common::submission(id, 4, 2.0);
         (id == "j-000001").then(|| JobDescription {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The answer to a heartbeat with a fencing token and commands.
+/// Returns an answer to a heartbeat with a fencing token and commands.
 fn answer(fencing_token: u64, commands: &[TaskCommand]) -> HeartbeatAnswer {
     HeartbeatAnswer {
         fencing_token: Some(fencing_token),
@@ -57,7 +57,7 @@
     }
 }
 
-/// A heartbeat of the first incarnation.
+/// Returns a heartbeat of the first incarnation that was sent at `sent_ms`.
 fn sent(sent_ms: u64) -> SentHeartbeat {
     SentHeartbeat {
         incarnation: 1,
@@ -66,10 +66,10 @@
 }
 
 #[test]
-fn a_worker_pulls_runs_reports_and_forgets_a_task() {
+fn a_worker_pulls_an_image_runs_the_task_and_forgets_it_on_command() {
     let mut worker = worker();
     let start = [command(CommandAction::Start, 0, 5)];
-    let events = worker.apply_heartbeat_answer(&answer(3, &start), sent(0), &OneJob, 100);
+    let events = worker.apply_heartbeat_answer(&answer(3, &start), sent(0), &SingleJobLookup, 100);
     assert_eq!((events, worker.next_change_ms()), (vec![], Some(1_100)));
     let task = start[0].task.clone();
     assert_eq!(
@@ -83,7 +83,7 @@
     };
     assert_eq!(worker.advance(2_100), [ended]);
     let forget = [command(CommandAction::Forget, 0, 5)];
-    let outcome = worker.apply_direct_command(3, 1, &forget, &OneJob, 2_500);
+    let outcome = worker.apply_direct_command(3, 1, &forget, &SingleJobLookup, 2_500);
     assert!(outcome.is_ok(), "{outcome:?}");
     let ended_ms = 2_100;
     assert_eq!(
@@ -94,28 +94,28 @@
 }
 
 #[test]
-fn a_worker_rejects_older_tokens_and_incarnations_and_what_exceeds_its_resources() {
+fn a_worker_rejects_outdated_tokens_other_incarnations_and_tasks_above_its_resources() {
     let mut worker = worker();
-    let both = [
+    let first_starts = [
         command(CommandAction::Start, 0, 5),
         command(CommandAction::Start, 1, 5),
     ];
-    worker.apply_heartbeat_answer(&answer(3, &both), sent(0), &OneJob, 0);
-    let third = [
+    worker.apply_heartbeat_answer(&answer(3, &first_starts), sent(0), &SingleJobLookup, 0);
+    let further_starts = [
         command(CommandAction::Start, 2, 5),
         command(CommandAction::Start, 0, 6),
     ];
     assert_eq!(
-        worker.apply_direct_command(2, 1, &third, &OneJob, 0),
+        worker.apply_direct_command(2, 1, &further_starts, &SingleJobLookup, 0),
         Err(CommandFenced)
     );
     assert_eq!(
-        worker.apply_direct_command(3, 2, &third, &OneJob, 0),
+        worker.apply_direct_command(3, 2, &further_starts, &SingleJobLookup, 0),
         Err(CommandFenced)
     );
     assert_eq!(worker.heartbeat().tasks.len(), 2);
     worker
-        .apply_direct_command(3, 1, &third, &OneJob, 0)
+        .apply_direct_command(3, 1, &further_starts, &SingleJobLookup, 0)
         .unwrap();
     let heartbeat = serde_json::to_string(&worker.heartbeat()).unwrap();
     assert!(
@@ -128,13 +128,18 @@
 fn a_worker_whose_lease_expires_begins_an_incarnation_without_tasks() {
     let mut worker = worker();
     let start = [command(CommandAction::Start, 0, 5)];
-    worker.apply_heartbeat_answer(&answer(3, &start), sent(500), &OneJob, 500);
+    worker.apply_heartbeat_answer(&answer(3, &start), sent(500), &SingleJobLookup, 500);
     worker.advance(1_500);
     assert!(!worker.is_lease_expired(2_000, 2_500) && worker.is_lease_expired(2_000, 2_501));
     assert_eq!(worker.begin_incarnation(2_501).len(), 1);
-    // An answer to a heartbeat of the incarnation before has no effect.
-    let late = [command(CommandAction::Start, 1, 5)];
-    worker.apply_heartbeat_answer(&answer(4, &late), sent(2_400), &OneJob, 2_600);
+    // An answer to a heartbeat of the previous incarnation has no effect.
+    let late_start = [command(CommandAction::Start, 1, 5)];
+    worker.apply_heartbeat_answer(
+        &answer(4, &late_start),
+        sent(2_400),
+        &SingleJobLookup,
+        2_600,
+    );
     let heartbeat = worker.heartbeat();
     assert_eq!(
         (
--- a/crates/loadtest/tests/invariants.rs
+++ b/crates/loadtest/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Each violation of an invariant is found, and nothing else is reported.
+//! The checker reports each violation of an invariant and nothing else.
 
 mod common;
 
@@ -93,13 +93,13 @@
 }
 
 #[test]
-fn a_start_where_its_job_does_not_allow_it_violates_placement() {
-    let wrong = |change: fn(&mut Submission), on: &[Placement]| {
+fn a_start_at_a_disallowed_placement_is_a_violation() {
+    let violations_of = |change: fn(&mut Submission), placements: &[Placement]| {
         let mut job = submission(4);
         change(&mut job);
         let mut checker = checker(job);
-        for (n, placement) in on.iter().enumerate() {
-            checker.task_started(&task(n as u32), placement, 10);
+        for (index, placement) in placements.iter().enumerate() {
+            checker.task_started(&task(index as u32), placement, 10);
         }
         violated(&checker)
     };
@@ -107,41 +107,53 @@
         spot: true,
         ..placement("n-1", "a")
     };
-    let found = [Invariant::PlacementConstraint];
-    assert_eq!(wrong(|_| {}, &[spot]), found);
+    let expected = [Invariant::PlacementConstraint];
+    assert_eq!(violations_of(|_| {}, &[spot]), expected);
     assert_eq!(
-        wrong(|j| j.zone = Some("b".into()), &[placement("n-1", "a")]),
-        found
+        violations_of(|job| job.zone = Some("b".into()), &[placement("n-1", "a")]),
+        expected
     );
-    let types = |j: &mut Submission| j.machine_types = Some(vec!["other".into()]);
-    assert_eq!(wrong(types, &[placement("n-1", "a")]), found);
-    let apart = [placement("n-1", "a"), placement("n-2", "b")];
-    assert_eq!(wrong(|j| j.zone_affinity = true, &apart), found);
-    let near = [
+    let other_type = |job: &mut Submission| job.machine_types = Some(vec!["other".into()]);
+    assert_eq!(
+        violations_of(other_type, &[placement("n-1", "a")]),
+        expected
+    );
+    let different_zones = [placement("n-1", "a"), placement("n-2", "b")];
+    assert_eq!(
+        violations_of(|job| job.zone_affinity = true, &different_zones),
+        expected
+    );
+    let same_zone = [
         placement("n-1", "a"),
         placement("n-2", "a"),
         placement("n-3", "a"),
     ];
-    assert_eq!(wrong(|j| j.topology_spread = true, &near), found);
-    assert_eq!(wrong(|j| j.topology_spread = true, &near[..2]), []);
+    assert_eq!(
+        violations_of(|job| job.topology_spread = true, &same_zone),
+        expected
+    );
+    assert_eq!(
+        violations_of(|job| job.topology_spread = true, &same_zone[..2]),
+        []
+    );
 }
 
 #[test]
 fn a_task_that_outlives_its_cancelled_job_is_a_violation() {
-    let late = (CANCEL_WITHIN_S * 1_000.0) as u64 + 200;
-    let mut left = checker(submission(2));
-    left.task_started(&task(0), &placement("n-1", "a"), 10);
-    left.cancellation_requested(JOB);
-    left.job_status_answered(JOB, JobStatus::Aborted, 50, 100);
-    left.check_cancelled_jobs(late - 200);
-    assert_eq!(violated(&left), []);
-    left.check_cancelled_jobs(late);
-    assert_eq!(violated(&left), [Invariant::RunAfterCancellation]);
+    let overdue_ms = (CANCEL_WITHIN_S * 1_000.0) as u64 + 200;
+    let mut still_running = checker(submission(2));
+    still_running.task_started(&task(0), &placement("n-1", "a"), 10);
+    still_running.cancellation_requested(JOB);
+    still_running.job_status_answered(JOB, JobStatus::Aborted, 50, 100);
+    still_running.check_cancelled_jobs(overdue_ms - 200);
+    assert_eq!(violated(&still_running), []);
+    still_running.check_cancelled_jobs(overdue_ms);
+    assert_eq!(violated(&still_running), [Invariant::RunAfterCancellation]);
 
     let mut started = checker(submission(2));
     started.cancellation_requested(JOB);
     started.job_status_answered(JOB, JobStatus::Aborted, 50, 100);
-    started.task_started(&task(1), &placement("n-1", "a"), late);
+    started.task_started(&task(1), &placement("n-1", "a"), overdue_ms);
     assert_eq!(violated(&started), [Invariant::RunAfterCancellation]);
 }
 
@@ -153,18 +165,18 @@
     unknown.job_not_found(JOB, 5, 6);
     assert_eq!(violated(&unknown), [Invariant::JobLost]);
 
-    let mut refused = checker(submission(1));
-    refused.job_rejected(JOB, 5);
-    assert_eq!(violated(&refused), [Invariant::JobLost]);
+    let mut rejected = checker(submission(1));
+    rejected.job_rejected(JOB, 5);
+    assert_eq!(violated(&rejected), [Invariant::JobLost]);
 
-    let mut silent = checker(submission(1));
-    for at in 0..100 {
-        silent.job_not_found("j-000009", at, at);
+    let mut unanswered = checker(submission(1));
+    for at_ms in 0..100 {
+        unanswered.job_not_found("j-000009", at_ms, at_ms);
     }
-    silent.poll_unanswered(JOB, 60_000);
-    assert_eq!(violated(&silent), []);
-    silent.poll_unanswered(JOB, 95_000);
-    assert_eq!(violated(&silent), [Invariant::JobLost]);
+    unanswered.poll_unanswered(JOB, 60_000);
+    assert_eq!(violated(&unanswered), []);
+    unanswered.poll_unanswered(JOB, 95_000);
+    assert_eq!(violated(&unanswered), [Invariant::JobLost]);
 }
 
 #[test]
@@ -192,11 +204,15 @@
     changed.task_ended(&task(0), "n-1", true);
     changed.job_status_answered(JOB, JobStatus::Done, 20, 21);
     changed.job_status_answered(JOB, JobStatus::Running, 20, 22);
-    assert_eq!(violated(&changed), [], "the question was older");
+    assert_eq!(
+        violated(&changed),
+        [],
+        "the request was sent before the final answer"
+    );
     changed.job_status_answered(JOB, JobStatus::Running, 22, 23);
     assert_eq!(violated(&changed), [Invariant::FinalStatusChanged]);
 
-    let mut uncalled = checker(submission(1));
-    uncalled.job_status_answered(JOB, JobStatus::Aborted, 20, 21);
-    assert_eq!(violated(&uncalled), [Invariant::FinalStatusChanged]);
+    let mut unrequested = checker(submission(1));
+    unrequested.job_status_answered(JOB, JobStatus::Aborted, 20, 21);
+    assert_eq!(violated(&unrequested), [Invariant::FinalStatusChanged]);
 }
--- a/crates/loadtest/tests/plans.rs
+++ b/crates/loadtest/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans, results and slopes: good ones are taken, bad ones are named in one line.
+//! Validation of plans and result files with errors of one line, and the fit of lines to figures.
 
 use glenmount_loadtest::measurement::result::EarlierResult;
 use glenmount_loadtest::measurement::scaling::{fit, Point};
@@ -6,7 +6,7 @@
 
 const TARGET: &str = include_str!("../plans/target.toml");
 
-/// Points of sizes and values.
+/// Returns points from pairs of size and value.
 fn points(pairs: &[(f64, f64)]) -> Vec<Point> {
     let pairs = pairs.iter();
     pairs
@@ -17,9 +17,9 @@
         .collect()
 }
 
-fn problem(changes: &[&str]) -> String {
-    let changes: Vec<String> = changes.iter().map(|c| c.to_string()).collect();
-    let error = Plan::parse(TARGET, &changes).unwrap_err().to_string();
+fn plan_error(overrides: &[&str]) -> String {
+    let overrides: Vec<String> = overrides.iter().map(|text| text.to_string()).collect();
+    let error = Plan::parse(TARGET, &overrides).unwrap_err().to_string();
     assert!(!error.contains('\n'), "{error}");
     error
 }
@@ -39,7 +39,7 @@
 
 #[test]
 fn an_invalid_plan_is_rejected_by_field() {
-    for (change, field) in [
+    for (override_text, field) in [
         ("workers.count=0", "workers.count"),
         ("workers.count=900000", "workers.count"),
         ("controllers.count=9", "controllers.count"),
@@ -62,12 +62,12 @@
         ("workers.count", "workers.count"),
         ("workers.count=\"many\"", "plan"),
     ] {
-        let said = problem(&[change]);
-        assert!(said.starts_with(field), "{change}: {said}");
+        let error = plan_error(&[override_text]);
+        assert!(error.starts_with(field), "{override_text}: {error}");
     }
     let unknown = TARGET.replace("seed = 1", "seed = 1\ncolour = 3");
-    let said = Plan::parse(&unknown, &[]).unwrap_err().to_string();
-    assert!(said.contains("colour"), "{said}");
+    let error = Plan::parse(&unknown, &[]).unwrap_err().to_string();
+    assert!(error.contains("colour"), "{error}");
     assert!(Plan::parse("name = [", &[]).is_err());
 }
 
@@ -78,17 +78,17 @@
     let path = folder.join("result.json");
     for text in ["", "{", "{\"figures\":{\"seconds\":\"long\"}}", "[]"] {
         std::fs::write(&path, text).unwrap();
-        let said = EarlierResult::read(&path).unwrap_err().to_string();
+        let error = EarlierResult::read(&path).unwrap_err().to_string();
         assert!(
-            said.contains("result.json") && !said.contains('\n'),
-            "{said}"
+            error.contains("result.json") && !error.contains('\n'),
+            "{error}"
         );
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn a_linear_fit_is_found_and_other_growth_is_told_apart() {
+fn a_linear_fit_is_found_and_distinguished_from_other_growth() {
     let line = fit(&points(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)])).unwrap();
     assert!((line.intercept - 3.0).abs() < 1e-9 && (line.slope - 2.0).abs() < 1e-9);
     assert!(line.residual < 1e-9 && line.is_line() && (line.value_at(10.0) - 23.0).abs() < 1e-9);
--- a/crates/loadtest/tests/state_store.rs
+++ b/crates/loadtest/tests/state_store.rs
@@ -1,4 +1,4 @@
-//! The state store's stand-in keeps to the protocol, as does the rate limit of all stand-ins.
+//! Conformance of the state store's stand-in and of the rate limit of all stand-ins to the protocol.
 
 use glenmount_loadtest::protocol::state_store::Transaction;
 use glenmount_loadtest::stand_ins::state_store::key_value_store::{
@@ -19,30 +19,33 @@
 #[test]
 fn a_transaction_commits_only_if_its_conditions_hold() {
     let mut store = KeyValueStore::default();
-    let first =
+    let creation =
         r#"{"if":[{"k":"c/a","stamp":0}],"apply":[{"put":"c/a","v":1},{"put":"d/b","v":2}]}"#;
     assert_eq!(
-        transact(&mut store, first),
+        transact(&mut store, creation),
         TransactionOutcome::Committed(1)
     );
     let failed_keys = vec!["c/a".to_string()];
     assert_eq!(
-        transact(&mut store, first),
+        transact(&mut store, creation),
         TransactionOutcome::Conflict {
             failed_keys,
             revision: 1
         }
     );
-    let again = r#"{"if":[{"k":"c/a","stamp":1}],"apply":[{"put":"c/a","v":1}]}"#;
+    let update = r#"{"if":[{"k":"c/a","stamp":1}],"apply":[{"put":"c/a","v":1}]}"#;
     assert_eq!(
-        transact(&mut store, again),
+        transact(&mut store, update),
         TransactionOutcome::Committed(2)
     );
     let page = store.list("c/", "", 10);
     assert_eq!((page.items.len(), page.more), (1, false));
     assert!(store.list("c/", "c/a", 10).items.is_empty());
-    let gone = r#"{"if":[{"k":"c/a","stamp":2}],"apply":[{"remove":"c/a"}]}"#;
-    assert_eq!(transact(&mut store, gone), TransactionOutcome::Committed(3));
+    let removal = r#"{"if":[{"k":"c/a","stamp":2}],"apply":[{"remove":"c/a"}]}"#;
+    assert_eq!(
+        transact(&mut store, removal),
+        TransactionOutcome::Committed(3)
+    );
     assert!(store.get("c/a").is_none() && store.revision() == 3);
     assert_eq!(store.changes_since("c/", 2).unwrap().len(), 1);
     assert_eq!(store.changes_since("", 0).unwrap().len(), 4);
@@ -67,7 +70,7 @@
 }
 
 #[test]
-fn keys_expire_with_their_lease_and_a_watch_too_old_is_rejected() {
+fn keys_expire_with_their_lease_and_an_outdated_watch_is_rejected() {
     let mut store = KeyValueStore::default();
     let lease = store.grant_lease(1_000, 0);
     let put = format!(r#"{{"apply":[{{"put":"a","v":1,"tenancy":{lease}}}]}}"#);
@@ -76,10 +79,10 @@
         store.renew_lease(lease, 900) && !store.expire_leases(1_800) && store.expire_leases(2_000)
     );
     assert_eq!((store.key_count(), store.revision()), (0, 2));
-    for n in 0..10_001 {
+    for value in 0..10_001 {
         transact(
             &mut store,
-            &format!(r#"{{"apply":[{{"put":"k","v":{n}}}]}}"#),
+            &format!(r#"{{"apply":[{{"put":"k","v":{value}}}]}}"#),
         );
     }
     assert!(store.changes_since("", 1).is_none());
@@ -88,7 +91,7 @@
 
 #[test]
 fn a_token_bucket_allows_its_burst_and_then_its_rate() {
-    let mut limit = TokenBucket::new(10.0, 2.0);
-    assert!((0..20).all(|_| limit.take(1.0, 0)));
-    assert!(!limit.take(1.0, 0) && limit.take(1.0, 100) && !limit.take(1.0, 150));
+    let mut bucket = TokenBucket::new(10.0, 2.0);
+    assert!((0..20).all(|_| bucket.take(1.0, 0)));
+    assert!(!bucket.take(1.0, 0) && bucket.take(1.0, 100) && !bucket.take(1.0, 150));
 }
