--- a/crates/loadtest/src/environment.rs
+++ b/crates/loadtest/src/environment.rs
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Returns the milliseconds since the begin of the run.
+    /// Returns the milliseconds since the start of the run.
     pub fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Returns the instant `at_ms` milliseconds after the begin of the run.
+    /// Returns the instant `at_ms` milliseconds after the start of the run.
     pub fn instant_at(&self, at_ms: u64) -> Instant {
         self.started + Duration::from_millis(at_ms)
     }
--- a/crates/loadtest/src/invariants/mod.rs
+++ b/crates/loadtest/src/invariants/mod.rs
@@ -33,7 +33,7 @@
 }
 
 /// The observed state of all jobs and tasks, and the violations found so far. All times are milliseconds
-/// since the begin of the run.
+/// since the start of the run.
 pub struct InvariantChecker {
     cancel_within_ms: u64,
     quotas: TeamQuotas,
--- a/crates/loadtest/src/measurement/latencies.rs
+++ b/crates/loadtest/src/measurement/latencies.rs
@@ -37,7 +37,7 @@
     /// From a configuration's commit to a controller's record that it follows that version.
     #[serde(rename = "in_force")]
     ConfigurationInForce,
-    /// From the begin to the end of an operator's command.
+    /// From the start to the end of an operator's command.
     ConfigurationChange,
     /// From the start of a controller's process to its readiness, also before the measured phase.
     ControllerReady,
--- a/crates/loadtest/src/measurement/traffic.rs
+++ b/crates/loadtest/src/measurement/traffic.rs
@@ -127,7 +127,7 @@
     answer_bytes: AtomicU64,
 }
 
-/// The counters of exchanges of each kind since the begin of the run.
+/// The counters of exchanges of each kind since the start of the run.
 #[derive(Default)]
 pub struct TrafficCounters {
     /// Counters in the order of [`ExchangeKind::ALL`].
--- a/crates/loadtest/src/plan/faults.rs
+++ b/crates/loadtest/src/plan/faults.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A fault that is injected `at_s` seconds after the begin of the measured phase.
+/// A fault that is injected `at_s` seconds after the start of the measured phase.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Trouble")]
 pub struct Fault {
--- a/crates/loadtest/src/plan/jobs.rs
+++ b/crates/loadtest/src/plan/jobs.rs
@@ -34,7 +34,7 @@
     /// Jobs per second between `from_s` and `until_s`.
     #[serde(default, rename = "rate")]
     pub jobs_per_s: f64,
-    /// Begin of the arrivals, relative to the begin of the measured phase.
+    /// Start of the arrivals, relative to the start of the measured phase.
     #[serde(default)]
     pub from_s: f64,
     /// End of the arrivals; by default the end of the measured phase.
--- a/crates/loadtest/src/plan/mod.rs
+++ b/crates/loadtest/src/plan/mod.rs
@@ -53,7 +53,7 @@
     /// Length of the warm-up before the measured phase, in which controllers read records, register workers and
     /// start services.
     pub warm_up_s: f64,
-    /// Length of the measured phase; the times of arrivals and faults are relative to its begin.
+    /// Length of the measured phase; the times of arrivals and faults are relative to its start.
     pub seconds: f64,
     /// Length of real operation whose faults are injected within `seconds`.
     #[serde(rename = "stands_for_s")]
@@ -115,7 +115,7 @@
     pub sockets: u32,
 }
 
-/// The number of workers at the begin of the run, their resources and their intervals.
+/// The number of workers at the start of the run, their resources and their intervals.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Workers")]
 pub struct WorkerSizes {
@@ -171,7 +171,7 @@
     /// Typical time from a request for an instance to the boot of its worker, which then sends its first
     /// heartbeat.
     pub boot_s: f64,
-    /// Number of instances that can be provisioned in addition to those at the begin of the run.
+    /// Number of instances that can be provisioned in addition to those at the start of the run.
     #[serde(rename = "spare")]
     pub spare_instances: u32,
 }
--- a/crates/loadtest/src/plan/validation.rs
+++ b/crates/loadtest/src/plan/validation.rs
@@ -8,7 +8,8 @@
 const MAX_TEAMS: u32 = 10_000;
 /// Each controller is a process, and a run must stay below twenty processes.
 const MAX_CONTROLLERS: u32 = 8;
-const MAX_SECONDS: f64 = 1_200.0;
+/// Upper bound of the measured phase, and of the duration of a fault.
+const MAX_DURATION_S: f64 = 1_200.0;
 /// Upper bound of the number of job classes, and of faults.
 const MAX_LIST_ENTRIES: usize = 200;
 /// Upper bound of the expected number of jobs, which bounds the memory of a run.
@@ -68,7 +69,7 @@
         let changes_per_minute = self.configuration_changes_per_minute;
         let amounts = [
             ("warm_up_s", self.warm_up_s, 0.0, 300.0),
-            ("seconds", self.seconds, 1.0, MAX_SECONDS),
+            ("seconds", self.seconds, 1.0, MAX_DURATION_S),
             ("settle_s", self.settle_s, 0.0, 300.0),
             ("stands_for_s", self.represents_s, 1.0, 1e8),
             ("controllers.cpu_share", controllers.cpu_share, 0.01, 64.0),
@@ -159,7 +160,7 @@
 
     fn validate_fault(&self, fault: &Fault) -> Result<(), PlanError> {
         require_amount("troubles.at_s", fault.at_s, 0.0, self.seconds)?;
-        require_amount("troubles.for_s", fault.duration_s, 0.0, MAX_SECONDS)?;
+        require_amount("troubles.for_s", fault.duration_s, 0.0, MAX_DURATION_S)?;
         require_amount("troubles.latency_ms", fault.latency_ms, 0.0, 1e4)?;
         let has_count = !fault.kind.needs_count() || fault.count > 0;
         require(has_count, "troubles.count", "how many machines")?;
--- a/crates/loadtest/src/processes/ports.rs
+++ b/crates/loadtest/src/processes/ports.rs
@@ -7,11 +7,11 @@
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 use tokio::net::TcpListener;
 
-/// Begin of the range of candidate ports. It ends before the kernel's range for outgoing connections, since an
+/// Start of the range of candidate ports. It ends before the kernel's range for outgoing connections, since an
 /// outgoing connection could occupy a controller's port while the controller is down.
 const FIRST_PORT: u16 = 12_000;
 const OUTGOING_PORTS_FILE: &str = "/proc/sys/net/ipv4/ip_local_port_range";
-/// Begin of the kernel's range for outgoing connections if the file can't be read.
+/// Start of the kernel's range for outgoing connections if the file can't be read.
 const DEFAULT_FIRST_OUTGOING_PORT: u16 = 32_768;
 /// Distance between the first candidate ports of processes with consecutive ids, for concurrent processes.
 const PORT_STRIDE: u32 = 1_009;
--- a/crates/loadtest/src/run/measuring.rs
+++ b/crates/loadtest/src/run/measuring.rs
@@ -45,7 +45,7 @@
 struct Recording {
     controllers: Vec<UsageRecorder>,
     stand_ins: UsageRecorder,
-    /// The counters at the begin of the measured phase.
+    /// The counters at the start of the measured phase.
     begin: Option<Snapshot>,
     /// Number of running tasks in each second of the measured phase.
     running_tasks: Vec<usize>,
--- a/crates/loadtest/src/stand_ins/cloud.rs
+++ b/crates/loadtest/src/stand_ins/cloud.rs
@@ -40,7 +40,7 @@
 const LOCAL_DISK_GB: f64 = 60.0;
 
 /// An instance with the times of its state changes, since lists show an earlier state. Times are milliseconds
-/// since the begin of the run, negative before it.
+/// since the start of the run, negative before it.
 struct Instance {
     reservation: Reservation,
     zone: ZoneIndex,
--- a/crates/loadtest/src/stand_ins/hollow_worker/mod.rs
+++ b/crates/loadtest/src/stand_ins/hollow_worker/mod.rs
@@ -91,7 +91,7 @@
     incarnation: u64,
     sequence: u64,
     fencing_token: u64,
-    /// Begin of the lease: the send time of the latest answered heartbeat, or the begin of the incarnation.
+    /// Start of the lease: the send time of the latest answered heartbeat, or the start of the incarnation.
     lease_begin_ms: u64,
     attempts: BTreeMap<AttemptId, Attempt>,
     /// Cached images, most recently used last.
--- a/crates/loadtest/src/stand_ins/worker_fleet/mod.rs
+++ b/crates/loadtest/src/stand_ins/worker_fleet/mod.rs
@@ -153,7 +153,7 @@
         worker.wake();
     }
 
-    /// Powers a worker off and releases its address.
+    /// Powers a worker off and removes it from the fleet.
     pub fn remove(&self, name: &str) {
         let found = {
             let workers = lock(&self.workers);
--- a/crates/loadtest/src/users/arrivals.rs
+++ b/crates/loadtest/src/users/arrivals.rs
@@ -22,7 +22,7 @@
 const CANCELLATION_DELAY_MS: Range<u64> = 500..15_000;
 /// Interval between two polls of jobs that no user has submitted.
 const UNKNOWN_JOB_POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Share of the warm-up, from its begin, in which the initial jobs are submitted.
+/// Share of the warm-up, from its start, in which the initial jobs are submitted.
 const INITIAL_JOBS_WARM_UP_SHARE: f64 = 0.4;
 /// Range of the run times of a class's jobs, relative to the class's run time.
 const RUN_TIME_FACTORS: Range<f64> = 0.7..1.3;
--- a/crates/loadtest/src/users/load_balancer.rs
+++ b/crates/loadtest/src/users/load_balancer.rs
@@ -111,7 +111,7 @@
 /// The load balancer with the health of all controllers.
 pub struct LoadBalancer {
     targets: Vec<Arc<Target>>,
-    /// Number of picks, which rotates among controllers with equally many connections.
+    /// Number of picks so far, by which picks rotate among controllers with equally many connections.
     picks: AtomicUsize,
 }
 
