--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -1,4 +1,5 @@
-//! Days of a site, described in TOML: what there is, what is asked, and what goes wrong when.
+//! Days of a site, described in TOML: machines and limits, the jobs that users submit, and the faults with their
+//! times.
 
 mod validation;
 
@@ -9,34 +10,34 @@
 use glenmount_core::tuning::Tuning;
 use serde::Deserialize;
 
-/// A file of `experiment`: days, and variants that each of them is played with.
+/// An experiment file: days, and variants that each of them is run with.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// The days, each of which is played.
+    /// Days, each of which is run.
     #[serde(rename = "day")]
     pub days: Vec<Day>,
-    /// None: as the service runs.
+    /// Variants of each day; without any, the day runs unchanged.
     #[serde(rename = "variant", default)]
     pub variants: Vec<Variant>,
 }
 
-/// What is left out or changed. Only the simulation has this.
+/// Disabled checks and changed values of a run. Only the simulation has variants.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// Name, unique within its kind.
+    /// Name, unique among the variants.
     pub name: String,
-    /// Checks that are left out, by their names.
+    /// Names of the checks that are disabled.
     #[serde(rename = "without", default)]
     pub disabled_checks: Vec<String>,
-    /// Constants that are changed, by their names.
+    /// Changed tuning constants.
     #[serde(default)]
     pub tuning: Tuning,
-    /// Machines at the start.
+    /// Number of machines at the start, if it differs from the day's.
     #[serde(default)]
     pub machines: Option<usize>,
-    /// Controllers.
+    /// Number of controllers, if it differs from the day's.
     #[serde(rename = "nodes", default)]
     pub controllers: Option<usize>,
 }
@@ -45,73 +46,73 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Day {
-    /// Name, unique within its kind.
+    /// Name, unique among the days.
     pub name: String,
-    /// Seconds in which jobs are submitted.
+    /// Seconds in which users submit jobs.
     pub seconds: u64,
-    /// Seconds before anything is counted.
+    /// Seconds before measurements begin.
     #[serde(rename = "warm_s")]
     pub warmup_s: u64,
-    /// Machines at the start.
+    /// Number of machines at the start.
     pub machines: usize,
-    /// Machines that the cloud has beyond these.
+    /// Number of further machines that the cloud can provision.
     #[serde(default)]
     pub capacity: u32,
-    /// Controllers.
+    /// Number of controllers.
     #[serde(rename = "nodes")]
     pub controllers: usize,
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// Zones that have controllers, in turn; all of them if not said.
+    /// Zones of the controllers, assigned in turn; all zones by default.
     #[serde(rename = "nodes_in", default)]
     pub controller_zones: Vec<String>,
-    /// Limits of the state service and the cloud.
+    /// Limits of the state store, the cloud and the controllers.
     pub limits: Limits,
-    /// Intervals and bounds of workers.
+    /// Intervals and timeouts of workers.
     pub workers: Workers,
-    /// Teams, by their names.
+    /// Teams and their quotas.
     #[serde(rename = "team")]
     pub teams: Vec<Team>,
     /// Classes of jobs.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// Faults.
+    /// Faults to inject.
     #[serde(rename = "trouble", default)]
     pub faults: Vec<Fault>,
 }
 
-/// What the outside services take.
+/// Limits of the external services and of controllers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Requests to the state service, a second.
+    /// Requests per second that the state store accepts.
     pub state_rps: f64,
-    /// Changes of the state service, a second.
+    /// Changes per second that the state store accepts.
     pub write_rps: f64,
-    /// Calls to the cloud, a second.
+    /// Calls per second that the cloud accepts.
     pub cloud_rps: f64,
-    /// Seconds by which the cloud's list lags.
+    /// Seconds by which the cloud's instance list lags.
     pub list_lag_s: f64,
-    /// Largest value in KiB.
+    /// Size limit of a value in KiB.
     pub value_kb: f64,
-    /// Changes of a transaction, at most.
+    /// Maximum number of changes in a transaction.
     #[serde(rename = "txn_ops")]
     pub transaction_changes: usize,
-    /// Workers' connections that a controller holds at most.
+    /// Maximum number of worker connections of a controller.
     #[serde(rename = "sockets")]
     pub worker_connections: usize,
 }
 
-/// Intervals and bounds of workers.
+/// Intervals and timeouts of workers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workers {
-    /// Seconds between two heartbeats.
+    /// Seconds between two heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
     /// Seconds after which the lease of a worker expires.
     pub lease_s: f64,
-    /// Seconds within which cancelled tasks have ended.
+    /// Seconds within which tasks of a cancelled job must have ended.
     pub cancel_s: f64,
 }
 
@@ -119,92 +120,92 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Name, unique within its kind.
+    /// Name, unique among the teams.
     pub name: String,
-    /// Processors; 0 is none.
+    /// Guaranteed processors; 0 for none.
     pub cpus: f64,
-    /// Most processors at a time; 0 is no limit.
+    /// Maximum number of processors in use at a time; 0 for no limit.
     pub cpus_max: f64,
 }
 
-/// A class of jobs. Sizes and run times are spread like a logarithmic normal distribution.
+/// A class of jobs. Sizes and run times follow a log-normal distribution.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Name, unique within its kind.
+    /// Name, unique among the classes.
     pub name: String,
-    /// Teams, by their names.
+    /// Names of the teams that submit its jobs.
     pub teams: Vec<String>,
-    /// Its jobs are services, which run until they are cancelled.
+    /// Whether its jobs are services, which run until a user cancels them.
     #[serde(default)]
     pub service: bool,
-    /// `low`, `standard`, `high` or `critical`.
+    /// Priority: `low`, `standard`, `high` or `critical`.
     #[serde(rename = "rank")]
     pub priority: String,
-    /// Median number of tasks.
+    /// Median number of tasks of a job.
     pub tasks: f64,
-    /// Most tasks of a job.
+    /// Maximum number of tasks of a job.
     #[serde(default)]
     pub tasks_max: Option<u32>,
-    /// Median run time in seconds.
+    /// Median run time of a task in seconds.
     pub run_s: f64,
     /// Processors of a task.
     pub cpus: f64,
-    /// Jobs a second, and at the start.
+    /// Jobs submitted per second.
     pub rate: f64,
     /// Jobs submitted at the start.
     #[serde(default)]
     pub initial: u32,
-    /// Seconds within which its jobs should be done.
+    /// Completion goals of its jobs in seconds.
     #[serde(rename = "within_s", default)]
     pub objectives_s: Vec<f64>,
-    /// Due so many times its run time and 10 s after its submission.
+    /// Factor of the estimated run time after which, plus 10 s, a job is due.
     #[serde(rename = "deadline", default)]
     pub deadline_factor: Option<f64>,
-    /// Tasks may run on spot machines.
+    /// Whether tasks may run on spot machines.
     #[serde(default)]
     pub spot: bool,
-    /// Tasks are spread over the zones.
+    /// Whether tasks are spread over the zones.
     #[serde(default)]
     #[serde(rename = "scatter")]
     pub topology_spread: bool,
-    /// Number of images.
+    /// Number of different images of its jobs.
     #[serde(default)]
     pub images: Option<u32>,
-    /// Share of its jobs that are cancelled half way.
+    /// Share of its jobs that users cancel after half of their run time.
     #[serde(rename = "cancelled", default)]
     pub cancelled_share: f64,
 }
 
-/// A fault and when it begins.
+/// A fault and the times at which it begins.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Fault {
-    /// Seconds after the day's start.
+    /// Seconds from the day's start to the first time.
     pub at_s: f64,
-    /// Again so many times, so often.
+    /// Number of times that the fault is injected; 0 counts as 1.
     #[serde(default)]
     pub times: u32,
-    /// Seconds between two repetitions.
+    /// Seconds between two of these times.
     #[serde(default)]
     pub every_s: f64,
-    /// What goes wrong.
+    /// Kind of the fault.
     #[serde(flatten)]
-    pub what: FaultKind,
+    pub kind: FaultKind,
 }
 
-/// What goes wrong.
+/// A kind of fault with its parameters. The busiest controller is the one with the most workers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The busiest controllers end, and are back after some time.
+    /// The busiest controllers crash and restart.
     #[serde(rename = "end")]
     Crash {
-        /// How many.
+        /// Number of controllers.
         count: usize,
         /// Seconds until the next process starts.
         back_s: f64,
     },
-    /// The busiest controller is asked to end.
+    /// The busiest controller shuts down gracefully and restarts.
     #[serde(rename = "leave")]
     ShutDown {
         /// Seconds until the next process starts.
@@ -213,97 +214,97 @@
     /// The busiest controllers are paused.
     #[serde(rename = "freeze")]
     Pause {
-        /// How many.
+        /// Number of controllers.
         count: usize,
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
-    /// The busiest controller loses the state service.
+    /// The busiest controller loses its connection to the state store.
     CutState {
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
-    /// The busiest controller loses its workers.
+    /// The busiest controller loses its connections to workers.
     CutWorkers {
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
-    /// The busiest controller loses its peers.
+    /// The busiest controller loses its connections to peers.
     CutPeers {
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
-    /// The state service is down.
+    /// The state store is unavailable.
     StateOutage {
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
-    /// A zone is cut off from everything else, with the controllers in it.
+    /// A zone, with the controllers in it, is partitioned from everything else.
     ZoneCut {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
-    /// Machines die.
+    /// Random machines fail for good.
     MachinesDie {
-        /// How many.
+        /// Number of machines.
         count: usize,
     },
-    /// They lose the network.
+    /// Random machines lose their network connection.
     MachinesCut {
-        /// How many.
+        /// Number of machines.
         count: usize,
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
-    /// The busiest controller loses the state service and its peers, not its workers or users.
+    /// The busiest controller loses the state store and its peers, but not its workers and users.
     CutAlone {
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
-    /// The state service answers the busiest controller alone with 503.
+    /// The state store answers only the busiest controller with 503.
     RefuseState {
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
-    /// Answers and commands to these machines are lost; their reports arrive.
+    /// Random machines lose all messages to them, while their heartbeats arrive.
     #[serde(rename = "deaf")]
     InboundLost {
-        /// How many.
+        /// Number of machines.
         count: usize,
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
-    /// That share of transactions gets no answer and is carried out seconds later.
+    /// A share of the transactions gets no answer and is executed seconds later.
     LateWrites {
         /// Share between 0 and 1.
         share: f64,
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
-    /// Of that share of the reports a copy arrives again later.
+    /// A share of the workers' heartbeats arrives a second time, later.
     LateReports {
         /// Share between 0 and 1.
         share: f64,
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
     /// A class submits more jobs.
     Burst {
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// By how much more often its jobs are submitted.
+        /// Factor on the rate of its submissions.
         factor: f64,
-        /// Seconds that it lasts.
+        /// Duration in seconds.
         for_s: f64,
     },
 }
 
-/// Leaves a check out, by its name.
+/// Disables a check by its name.
 ///
 /// # Errors
-/// There is no such check.
+/// Returns [`DayError::UnknownCheck`] for an unknown name.
 pub fn disable_check(checks: &mut Checks, name: &str) -> Result<(), DayError> {
     let check = match name {
         "proof" => &mut checks.linearizable_reads,
@@ -337,7 +338,7 @@
     Ok(())
 }
 
-/// The job priority that a class names, if there is such.
+/// Returns the job priority for a `rank`, or `None` for an unknown one.
 pub fn parse_priority(name: &str) -> Option<JobPriority> {
     Some(match name {
         "low" => JobPriority::Low,
--- a/crates/simulation/src/day/validation.rs
+++ b/crates/simulation/src/day/validation.rs
@@ -1,73 +1,73 @@
-//! Parsing and checking of described days.
+//! Parsing and validation of described days.
 
 use super::{disable_check, parse_priority, Class, Day, Experiment, Fault, FaultKind, Variant};
 use glenmount_core::safety_checks::Checks;
 use thiserror::Error;
 
-/// Name of the variant that is played when a file has none.
+/// Name of the variant that is run when a file has none.
 const DEFAULT_VARIANT: &str = "as it is";
-/// Most processors of a task: as many as the largest machine type has.
+/// Maximum number of processors of a task: as many as the largest machine type has.
 const MAX_TASK_CPUS: f64 = 8.0;
 
-/// Why a file of days is refused.
+/// Errors in an experiment file.
 #[derive(Debug, Error)]
 pub enum DayError {
-    /// It is no TOML, or a field is unknown, missing or of another type.
+    /// The file is not valid TOML, or a field is unknown, missing or of another type.
     #[error(transparent)]
     Syntax(#[from] toml::de::Error),
-    /// A variant leaves out a check that there is not.
+    /// A variant disables an unknown check.
     #[error("without: there is no check {0:?}")]
     UnknownCheck(String),
-    /// A day is described in a way that cannot be played.
+    /// A day has an invalid description.
     #[error("day {day:?}: {reason}")]
     Invalid {
-        /// The day's name.
+        /// Name of the day.
         day: String,
-        /// What is wrong with it.
+        /// Reason why it is invalid.
         reason: InvalidDay,
     },
 }
 
-/// What is wrong with a day. Messages name the field as the file has it.
+/// Reasons why a day is invalid. Messages name a field by its key in the file.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum InvalidDay {
-    /// A number is out of its bounds.
+    /// A number is out of range.
     #[error("{field}: must be between {min} and {max}")]
     OutOfRange {
-        /// The field.
+        /// Key of the field.
         field: &'static str,
-        /// The least that it may be.
+        /// Smallest valid value.
         min: usize,
-        /// The most that it may be.
+        /// Largest valid value.
         max: usize,
     },
-    /// A class names a team that the day does not have.
+    /// A class names an unknown team.
     #[error("class {class:?}: unknown team {team:?}")]
     UnknownTeam {
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// The team.
+        /// Name of the team.
         team: String,
     },
-    /// A class names a job priority that there is not.
+    /// A class names an unknown job priority.
     #[error("class {0:?}: rank: unknown")]
     UnknownPriority(String),
-    /// The tasks of a class fit on no machine, or it has no tasks or no team.
+    /// The tasks of a class fit on no machine, or the class has no tasks or no team.
     #[error("class {0:?}: cpus, tasks or teams")]
     InvalidClass(String),
-    /// A fault names a zone that the day does not have.
+    /// A fault names an unknown zone.
     #[error("trouble: unknown zone")]
     UnknownZone,
-    /// A fault concerns a share that is none.
+    /// The share of a fault is not between 0 and 1.
     #[error("trouble: share: must be between 0 and 1")]
     InvalidShare,
 }
 
 impl Experiment {
-    /// Parses and checks a file.
+    /// Parses and validates an experiment file.
     ///
     /// # Errors
-    /// Names the day, the class and the field that is wrong.
+    /// Returns a [`DayError`] that names the day, the class and the invalid field.
     pub fn read(text: &str) -> Result<Experiment, DayError> {
         let mut experiment: Experiment = toml::from_str(text)?;
         if experiment.variants.is_empty() {
@@ -92,9 +92,14 @@
     }
 }
 
-/// Refuses a number that is out of its bounds.
-fn check_range(field: &'static str, n: usize, min: usize, max: usize) -> Result<(), InvalidDay> {
-    match (min..=max).contains(&n) {
+/// Returns an error if a number is out of range.
+fn check_range(
+    field: &'static str,
+    value: usize,
+    min: usize,
+    max: usize,
+) -> Result<(), InvalidDay> {
+    match (min..=max).contains(&value) {
         true => Ok(()),
         false => Err(InvalidDay::OutOfRange { field, min, max }),
     }
@@ -134,7 +139,7 @@
     }
 
     fn validate_fault(&self, fault: &Fault) -> Result<(), InvalidDay> {
-        match &fault.what {
+        match &fault.kind {
             FaultKind::ZoneCut { zone, .. } if !self.zones.contains(zone) => {
                 Err(InvalidDay::UnknownZone)
             }
--- a/crates/simulation/src/day_runner.rs
+++ b/crates/simulation/src/day_runner.rs
@@ -1,4 +1,4 @@
-//! Plays a described day: users, faults, and what is measured meanwhile.
+//! Runs a described day: submits its jobs, injects its faults and measures the outcome.
 
 mod failovers;
 mod faults;
@@ -18,39 +18,41 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
-/// Seconds after a day's last submission in which what is left may end.
+/// Time after a day's last submission in which its remaining jobs may end.
 const DRAIN_S: u64 = 240;
-/// Milliseconds after which a machine that nothing needs is returned.
-const IDLE_RETURN_MS: u64 = 45_000;
+/// Time after which controllers release an idle machine.
+const IDLE_TIMEOUT_MS: u64 = 45_000;
 /// Records per page of a list.
-const PAGE: usize = 1_000;
+const PAGE_SIZE: usize = 1_000;
 
+/// The run of a day.
 struct DayRun<'a> {
     day: &'a Day,
     sim: Simulation,
     users: Users,
     rng: SmallRng,
+    /// Number of the next job.
     next_job: u32,
-    /// Seconds at which each class submits its next job.
+    /// Time of each class's next submission.
     next_submission_s: Vec<f64>,
-    /// By how much each class submits more often.
+    /// Factor on each class's rate of submissions.
     rate_factors: Vec<f64>,
     failovers: Vec<FailoverObservation>,
     outcome: Outcome,
-    /// Faults that end at a time.
+    /// Faults in force, with the times at which they end.
     active_faults: Vec<(u64, ActiveFault)>,
-    /// Replicas that ran and that should have, once a second.
+    /// Numbers of running replicas and of expected replicas, sampled once a second.
     replica_samples: Vec<(u64, u64)>,
-    /// When each controller's process began that was measured last.
+    /// Start of each controller's process that was measured last.
     measured_starts_ms: Vec<u64>,
 }
 
-/// Plays a day once.
+/// Runs a day once.
 pub fn run_day(day: &Day, variant: &Variant, seed: u64) -> Result<Outcome, DayError> {
     Ok(run_day_with_digest(day, variant, seed, None)?.0)
 }
 
-/// The same; hashes what the controllers do, if given a digest.
+/// Runs a day once, and adds the effects of the controllers to the digest if there is one.
 pub fn run_day_with_digest(
     day: &Day,
     variant: &Variant,
@@ -60,17 +62,17 @@
     let mut day = day.clone();
     day.machines = variant.machines.unwrap_or(day.machines);
     day.controllers = variant.controllers.unwrap_or(day.controllers);
-    let mut play = DayRun::new(&day, variant, seed)?;
-    play.sim.digest = digest;
-    play.run();
-    Ok((play.outcome, play.sim.digest))
+    let mut run = DayRun::new(&day, variant, seed)?;
+    run.sim.digest = digest;
+    run.run();
+    Ok((run.outcome, run.sim.digest))
 }
 
-fn to_ms(s: f64) -> u64 {
-    (s * 1e3) as u64
+fn to_ms(seconds: f64) -> u64 {
+    (seconds * 1e3) as u64
 }
 
-/// The settings of a day's controllers.
+/// Applies a day and a variant to the settings of the controllers.
 fn apply_settings(settings: &mut Settings, day: &Day, variant: &Variant) -> Result<(), DayError> {
     for name in &variant.disabled_checks {
         day::disable_check(&mut settings.checks, name)?;
@@ -85,7 +87,7 @@
     settings.write_rps = day.limits.write_rps / day.controllers as f64;
     settings.announced_write_rps = settings.write_rps;
     settings.instance_list_lag_ms = to_ms(day.limits.list_lag_s);
-    settings.idle_timeout_ms = IDLE_RETURN_MS;
+    settings.idle_timeout_ms = IDLE_TIMEOUT_MS;
     let teams = day.teams.iter().map(|t| (t.name.clone(), team(t)));
     settings.policy.teams = teams.collect();
     let goals = day.classes.iter().filter(|c| !c.objectives_s.is_empty());
@@ -100,38 +102,38 @@
 }
 
 fn team(team: &day::Team) -> Team {
-    let milli = |cpus: f64| (cpus * 1e3) as u64;
+    let to_thousandths = |cpus: f64| (cpus * 1e3) as u64;
     Team {
         name: team.name.clone(),
-        cpus: milli(team.cpus),
-        cpus_max: milli(team.cpus_max),
+        cpus: to_thousandths(team.cpus),
+        cpus_max: to_thousandths(team.cpus_max),
         gpus: 0,
         gpus_max: 0,
     }
 }
 
-/// What the state service and the cloud take on a day.
+/// Applies a day's limits to the state store, the cloud and the controllers.
 fn apply_limits(sim: &mut Simulation, day: &Day) {
     sim.controller_zones = day.controller_zones.clone();
     sim.cloud.capacity = day.capacity;
-    sim.state.page_size = PAGE;
+    sim.state.page_size = PAGE_SIZE;
     sim.service_limits.state_requests = Some(TokenBucket::new(day.limits.state_rps, 1.0));
     sim.service_limits.state_changes = Some(TokenBucket::new(day.limits.write_rps, 1.0));
     sim.service_limits.cloud_calls = Some(TokenBucket::new(day.limits.cloud_rps, 2.0));
     sim.service_limits.worker_connections = Some(day.limits.worker_connections);
     sim.service_limits.list_lag_ms = to_ms(day.limits.list_lag_s);
-    for kind in &mut sim.cloud.machine_types {
-        kind.zones = day.zones.clone();
+    for machine_type in &mut sim.cloud.machine_types {
+        machine_type.zones = day.zones.clone();
     }
 }
 
-/// Boots a day's machines, of which every fourth is large, within one interval between reports.
+/// Boots a day's machines, every fourth of type `large`, within one heartbeat interval.
 fn boot_machines(sim: &mut Simulation, day: &Day) {
-    for i in 0..day.machines {
-        let zone = &day.zones[i % day.zones.len()];
-        let kind = if i % 4 == 0 { "large" } else { "small" };
-        let delay = 10 + (i as u64 * 7) % to_ms(day.workers.heartbeat_s);
-        sim.boot_machine(kind, zone, false, delay);
+    for index in 0..day.machines {
+        let zone = &day.zones[index % day.zones.len()];
+        let type_name = if index % 4 == 0 { "large" } else { "small" };
+        let delay_ms = 10 + (index as u64 * 7) % to_ms(day.workers.heartbeat_s);
+        sim.boot_machine(type_name, zone, false, delay_ms);
     }
 }
 
@@ -160,53 +162,56 @@
         })
     }
 
-    /// The day's faults and when each begins.
-    fn schedule(&self) -> Vec<(u64, FaultKind)> {
-        let mut troubles: Vec<(u64, FaultKind)> = Vec::new();
-        for t in &self.day.faults {
-            for i in 0..t.times.max(1) {
-                troubles.push((to_ms(t.at_s + f64::from(i) * t.every_s), t.what.clone()));
+    /// Returns the day's faults with the times at which they begin, in order of time.
+    fn fault_schedule(&self) -> Vec<(u64, FaultKind)> {
+        let mut schedule: Vec<(u64, FaultKind)> = Vec::new();
+        for fault in &self.day.faults {
+            for repetition in 0..fault.times.max(1) {
+                let at_s = fault.at_s + f64::from(repetition) * fault.every_s;
+                schedule.push((to_ms(at_s), fault.kind.clone()));
             }
         }
-        troubles.sort_by_key(|(at, _)| *at);
-        troubles
+        schedule.sort_by_key(|(at, _)| *at);
+        schedule
     }
 
     fn run(&mut self) {
-        let begun = std::time::Instant::now();
-        let mut troubles = self.schedule().into_iter().peekable();
-        let end = self.day.seconds * 1_000;
-        while self.sim.now_ms < end + DRAIN_S * 1_000 {
-            while let Some((_, what)) = troubles.next_if(|(at, _)| *at <= self.sim.now_ms) {
-                self.begin_fault(what);
+        let started = std::time::Instant::now();
+        let mut faults = self.fault_schedule().into_iter().peekable();
+        let end_ms = self.day.seconds * 1_000;
+        while self.sim.now_ms < end_ms + DRAIN_S * 1_000 {
+            while let Some((_, fault)) = faults.next_if(|(at, _)| *at <= self.sim.now_ms) {
+                self.begin_fault(fault);
             }
             self.end_faults();
-            if self.sim.now_ms < end {
+            if self.sim.now_ms < end_ms {
                 self.submit();
             }
             self.users.step(&mut self.sim);
             self.sim.run(STEP_MS);
             self.observe_failovers();
             if self.sim.now_ms % 1_000 < STEP_MS {
-                self.sample_replicas(self.sim.now_ms < end);
+                self.sample_replicas(self.sim.now_ms < end_ms);
             }
-            if self.sim.now_ms > end && self.all_ended() {
+            if self.sim.now_ms > end_ms && self.all_ended() {
                 break;
             }
         }
         self.sim.check_records();
-        self.compute_outcome(begun.elapsed());
+        self.compute_outcome(started.elapsed());
     }
 
+    /// Returns whether all jobs but services have ended for their users.
     fn all_ended(&self) -> bool {
-        let open = |(id, u): (&String, &crate::users::User)| {
-            let service = self.sim.job_specs[id].kind == JobKind::Service;
-            !(service || u.gave_up || u.cancelled || u.completed_ms.is_some())
+        let is_open = |(id, user): (&String, &crate::users::User)| {
+            let is_service = self.sim.job_specs[id].kind == JobKind::Service;
+            !(is_service || user.gave_up || user.cancelled || user.completed_ms.is_some())
         };
-        !self.users.users.iter().any(open)
+        !self.users.users.iter().any(is_open)
     }
 
-    fn counted(&self) -> bool {
+    /// Returns whether the warm-up is over.
+    fn is_measuring(&self) -> bool {
         self.sim.now_ms >= self.day.warmup_s * 1_000
     }
 }
--- a/crates/simulation/src/day_runner/failovers.rs
+++ b/crates/simulation/src/day_runner/failovers.rs
@@ -1,4 +1,4 @@
-//! What happens after a controller's end, and after a process's start.
+//! Measurements of failovers after a controller's crash, and of process starts.
 
 use super::DayRun;
 use crate::outcome::Outcome;
@@ -7,36 +7,40 @@
 use glenmount_core::peers::PeerStatus;
 use std::collections::BTreeSet;
 
-/// Milliseconds for which a controller's end is followed.
-const FOLLOWED_MS: u64 = 60_000;
-/// Milliseconds after a process's start at which it is measured.
-const STARTED_MS: u64 = 20_000;
+/// Time for which a failover is observed.
+const OBSERVATION_MS: u64 = 60_000;
+/// Time after a process's start at which the start is measured.
+const START_MEASUREMENT_MS: u64 = 20_000;
 
-/// A controller's end that is followed until its work is taken over.
+/// A controller's failure, observed until its peers have taken over its workers and duties.
 pub(super) struct FailoverObservation {
     controller: usize,
     failed_ms: u64,
-    /// Machines that reported to it and have not been heard since.
+    /// Machines that sent heartbeats to the failed controller, and none to another one since.
     pending_workers: BTreeSet<String>,
-    /// How many they were.
-    workers: usize,
+    /// Number of machines that sent heartbeats to it.
+    worker_count: usize,
+    /// Whether a peer has detected the failure.
     is_detected: bool,
+    /// Whether one of these workers has got a start command since.
     has_start: bool,
+    /// Whether a peer has taken over the duties.
     has_duty: bool,
 }
 
 impl FailoverObservation {
-    /// The end of a controller, now.
+    /// Begins the observation of a controller that fails now.
     fn new(sim: &Simulation, controller: usize) -> FailoverObservation {
-        let there = sim
+        let its_workers = sim
             .workers
             .values()
-            .filter(|m| m.alive && m.controller == controller);
-        let pending_workers: BTreeSet<String> = there.map(|m| m.name.clone()).collect();
+            .filter(|worker| worker.alive && worker.controller == controller);
+        let pending_workers: BTreeSet<String> =
+            its_workers.map(|worker| worker.name.clone()).collect();
         FailoverObservation {
             controller,
             failed_ms: sim.now_ms,
-            workers: pending_workers.len(),
+            worker_count: pending_workers.len(),
             pending_workers,
             is_detected: false,
             has_start: false,
@@ -44,105 +48,120 @@
         }
     }
 
-    fn look(&mut self, sim: &Simulation, out: &mut Outcome) {
-        self.look_at_siblings(sim, out);
-        self.look_at_machines(sim, out);
-        self.look_for_claims(sim, out);
+    /// Records the progress of the failover since the last call.
+    fn update(&mut self, sim: &Simulation, outcome: &mut Outcome) {
+        self.observe_peers(sim, outcome);
+        self.observe_workers(sim, outcome);
+        self.observe_starts(sim, outcome);
     }
 
-    /// Whether its peers have noticed it, and one does its duties.
-    fn look_at_siblings(&mut self, sim: &Simulation, out: &mut Outcome) {
-        let took = sim.now_ms - self.failed_ms;
+    /// Records when a peer has detected the failure, and when one acts as coordinator.
+    fn observe_peers(&mut self, sim: &Simulation, outcome: &mut Outcome) {
+        let elapsed_ms = sim.now_ms - self.failed_ms;
         let name = &sim.settings.controllers[self.controller];
-        let lives = |n: usize| {
-            sim.controllers[n]
+        let running = |index: usize| {
+            sim.controllers[index]
                 .controller
                 .as_ref()
-                .filter(|_| !sim.is_paused(n))
+                .filter(|_| !sim.is_paused(index))
         };
-        let others = (0..sim.controllers.len()).filter(|n| *n != self.controller);
-        let others: Vec<&Controller> = others.filter_map(lives).collect();
-        let away = |o: &&Controller| o.status_of(name).is_some_and(PeerStatus::is_inactive);
-        if !self.is_detected && others.iter().any(away) {
+        let others = (0..sim.controllers.len()).filter(|index| *index != self.controller);
+        let peers: Vec<&Controller> = others.filter_map(running).collect();
+        let sees_failure =
+            |peer: &&Controller| peer.status_of(name).is_some_and(PeerStatus::is_inactive);
+        if !self.is_detected && peers.iter().any(sees_failure) {
             self.is_detected = true;
-            out.failure_detection.record(took);
+            outcome.failure_detection.record(elapsed_ms);
         }
-        if !self.has_duty && self.is_detected && others.iter().any(|o| o.acts_as_coordinator()) {
+        if !self.has_duty && self.is_detected && peers.iter().any(|peer| peer.acts_as_coordinator())
+        {
             self.has_duty = true;
-            out.duty_takeover.record(took);
+            outcome.duty_takeover.record(elapsed_ms);
         }
     }
 
-    /// Which of its machines have been heard, and told to start something.
-    fn look_at_machines(&mut self, sim: &Simulation, out: &mut Outcome) {
-        let mut came = Vec::new();
+    /// Records the first heartbeat of each of its workers after the failure, and the first start command.
+    fn observe_workers(&mut self, sim: &Simulation, outcome: &mut Outcome) {
+        let mut settled = Vec::new();
         for id in &self.pending_workers {
             match sim.workers.get(id) {
                 Some(worker) if worker.last_heard.at_ms > self.failed_ms => {
-                    out.worker_reconnection
+                    outcome
+                        .worker_reconnection
                         .record(worker.last_heard.at_ms - self.failed_ms);
-                    came.push(id.clone());
+                    settled.push(id.clone());
                     if !self.has_start && worker.last_start_ms > self.failed_ms {
                         self.has_start = true;
-                        out.first_start_after_failure
+                        outcome
+                            .first_start_after_failure
                             .record(worker.last_start_ms - self.failed_ms);
                     }
                 }
                 Some(worker) if worker.alive && !worker.disconnected => {}
-                _ => came.push(id.clone()),
+                _ => settled.push(id.clone()),
             }
         }
-        for id in came {
+        for id in settled {
             self.pending_workers.remove(&id);
         }
     }
 
-    /// A claim on a machine that was heard already.
-    fn look_for_claims(&mut self, sim: &Simulation, out: &mut Outcome) {
+    /// Records the first start command on a worker whose first heartbeat after the failure was recorded before.
+    fn observe_starts(&mut self, sim: &Simulation, outcome: &mut Outcome) {
         if self.has_start {
             return;
         }
-        let told =
-            |m: &&Worker| m.last_heard.at_ms > self.failed_ms && m.last_start_ms > self.failed_ms;
-        let starts = sim.workers.values().filter(told).map(|m| m.last_start_ms);
-        if let Some(at) = starts.min().filter(|_| self.workers > 0) {
+        let has_start = |worker: &&Worker| {
+            worker.last_heard.at_ms > self.failed_ms && worker.last_start_ms > self.failed_ms
+        };
+        let starts = sim
+            .workers
+            .values()
+            .filter(has_start)
+            .map(|worker| worker.last_start_ms);
+        if let Some(at_ms) = starts.min().filter(|_| self.worker_count > 0) {
             self.has_start = true;
-            out.first_start_after_failure.record(at - self.failed_ms);
+            outcome
+                .first_start_after_failure
+                .record(at_ms - self.failed_ms);
         }
     }
 
-    fn is_over(&self, now: u64) -> bool {
+    /// Returns whether the failover is complete, or the observation has lasted its time.
+    fn is_over(&self, now_ms: u64) -> bool {
         let taken_over =
             self.pending_workers.is_empty() && self.is_detected && self.has_start && self.has_duty;
-        now >= self.failed_ms + FOLLOWED_MS || taken_over
+        now_ms >= self.failed_ms + OBSERVATION_MS || taken_over
     }
 }
 
 impl DayRun<'_> {
-    pub(super) fn observe_failure(&mut self, n: usize) {
-        self.failovers.push(FailoverObservation::new(&self.sim, n));
+    /// Begins the observation of a controller that fails now.
+    pub(super) fn observe_failure(&mut self, controller: usize) {
+        self.failovers
+            .push(FailoverObservation::new(&self.sim, controller));
     }
 
-    /// Looks at all that is followed.
+    /// Updates all observed failovers and measures the starts of processes.
     pub(super) fn observe_failovers(&mut self) {
-        for followed in &mut self.failovers {
-            followed.look(&self.sim, &mut self.outcome);
+        for failover in &mut self.failovers {
+            failover.update(&self.sim, &mut self.outcome);
         }
-        let now = self.sim.now_ms;
-        self.failovers.retain(|followed| !followed.is_over(now));
+        let now_ms = self.sim.now_ms;
+        self.failovers.retain(|failover| !failover.is_over(now_ms));
         self.measure_starts();
     }
 
-    /// What processes did in their first seconds.
+    /// Records the start times of the processes that started [`START_MEASUREMENT_MS`] ago.
     fn measure_starts(&mut self) {
-        for (n, slot) in self.sim.controllers.iter().enumerate() {
-            if slot.started_ms <= self.measured_starts_ms[n]
-                || self.sim.now_ms < slot.started_ms + STARTED_MS
+        for (index, slot) in self.sim.controllers.iter().enumerate() {
+            if slot.started_ms <= self.measured_starts_ms[index]
+                || self.sim.now_ms < slot.started_ms + START_MEASUREMENT_MS
             {
                 continue;
             }
-            self.measured_starts_ms[n] = slot.started_ms;
-            for (at, times) in [
+            self.measured_starts_ms[index] = slot.started_ms;
+            for (reached_ms, durations) in [
                 (slot.first_ready_ms, &mut self.outcome.time_to_ready),
                 (
                     slot.first_accepted_ms,
@@ -150,8 +169,8 @@
                 ),
                 (slot.first_start_ms, &mut self.outcome.time_to_first_start),
             ] {
-                if let Some(at) = at {
-                    times.record(at - slot.started_ms);
+                if let Some(reached_ms) = reached_ms {
+                    durations.record(reached_ms - slot.started_ms);
                 }
             }
         }
--- a/crates/simulation/src/day_runner/faults.rs
+++ b/crates/simulation/src/day_runner/faults.rs
@@ -1,11 +1,11 @@
-//! Faults of a day: how each begins, and how those end that last for some time.
+//! Faults of a day: injects each one, and ends those that last for some time.
 
 use super::{to_ms, DayRun};
 use crate::day::FaultKind;
 use rand::seq::SliceRandom;
 use std::collections::BTreeMap;
 
-/// A fault that lasts for some time.
+/// A fault that lasts for some time, with the controllers, machines or values that it affects.
 pub(super) enum ActiveFault {
     CutState(usize),
     CutWorkers(usize),
@@ -15,26 +15,29 @@
     StateOutage,
     ZoneCut(String),
     MachinesCut(Vec<String>),
-    Deaf(Vec<String>),
+    InboundLost(Vec<String>),
     LateWrites(f64),
     LateReports(f64),
     Burst { class: usize, factor: f64 },
 }
 
 impl DayRun<'_> {
-    /// Controllers that live, the one with the most workers first.
-    fn busiest(&self) -> Vec<usize> {
-        let mut load: BTreeMap<usize, usize> = BTreeMap::new();
+    /// Returns the running controllers, the one with the most workers first.
+    fn busiest_controllers(&self) -> Vec<usize> {
+        let mut workers: BTreeMap<usize, usize> = BTreeMap::new();
         for worker in self.sim.workers.values().filter(|worker| worker.alive) {
-            *load.entry(worker.controller).or_default() += 1;
+            *workers.entry(worker.controller).or_default() += 1;
         }
-        let lives =
-            |n: &usize| self.sim.controllers[*n].controller.is_some() && !self.sim.is_paused(*n);
-        let mut controllers: Vec<usize> = (0..self.day.controllers).filter(lives).collect();
-        controllers.sort_by_key(|n| std::cmp::Reverse(load.get(n).copied().unwrap_or(0)));
+        let is_running = |index: &usize| {
+            self.sim.controllers[*index].controller.is_some() && !self.sim.is_paused(*index)
+        };
+        let mut controllers: Vec<usize> = (0..self.day.controllers).filter(is_running).collect();
+        controllers
+            .sort_by_key(|index| std::cmp::Reverse(workers.get(index).copied().unwrap_or(0)));
         controllers
     }
 
+    /// Draws machines that are up.
     fn draw_machines(&mut self, count: usize) -> Vec<String> {
         let alive = self.sim.workers.values().filter(|worker| worker.alive);
         let mut names: Vec<String> = alive.map(|worker| worker.name.clone()).collect();
@@ -43,36 +46,38 @@
         names
     }
 
-    /// A fault begins.
-    pub(super) fn begin_fault(&mut self, what: FaultKind) {
-        let busiest = self.busiest();
-        match (what, busiest.first().copied()) {
+    /// Injects a fault.
+    pub(super) fn begin_fault(&mut self, kind: FaultKind) {
+        let busiest = self.busiest_controllers();
+        match (kind, busiest.first().copied()) {
             (FaultKind::Crash { count, back_s }, _) => {
-                for n in busiest.into_iter().take(count) {
-                    self.observe_failure(n);
-                    self.sim.crash(n, to_ms(back_s));
+                for controller in busiest.into_iter().take(count) {
+                    self.observe_failure(controller);
+                    self.sim.crash(controller, to_ms(back_s));
                 }
             }
-            (FaultKind::ShutDown { back_s }, Some(n)) => self.sim.shut_down(n, to_ms(back_s)),
+            (FaultKind::ShutDown { back_s }, Some(controller)) => {
+                self.sim.shut_down(controller, to_ms(back_s))
+            }
             (FaultKind::Pause { count, for_s }, _) => {
-                for n in busiest.into_iter().take(count) {
-                    self.sim.pause(n, to_ms(for_s));
+                for controller in busiest.into_iter().take(count) {
+                    self.sim.pause(controller, to_ms(for_s));
                 }
             }
-            (FaultKind::CutState { for_s }, Some(n)) => {
-                self.begin_lasting_fault(for_s, ActiveFault::CutState(n))
+            (FaultKind::CutState { for_s }, Some(controller)) => {
+                self.begin_lasting_fault(for_s, ActiveFault::CutState(controller))
             }
-            (FaultKind::CutWorkers { for_s }, Some(n)) => {
-                self.begin_lasting_fault(for_s, ActiveFault::CutWorkers(n))
+            (FaultKind::CutWorkers { for_s }, Some(controller)) => {
+                self.begin_lasting_fault(for_s, ActiveFault::CutWorkers(controller))
             }
-            (FaultKind::CutPeers { for_s }, Some(n)) => {
-                self.begin_lasting_fault(for_s, ActiveFault::CutPeers(n))
+            (FaultKind::CutPeers { for_s }, Some(controller)) => {
+                self.begin_lasting_fault(for_s, ActiveFault::CutPeers(controller))
             }
-            (FaultKind::CutAlone { for_s }, Some(n)) => {
-                self.begin_lasting_fault(for_s, ActiveFault::CutAlone(n))
+            (FaultKind::CutAlone { for_s }, Some(controller)) => {
+                self.begin_lasting_fault(for_s, ActiveFault::CutAlone(controller))
             }
-            (FaultKind::RefuseState { for_s }, Some(n)) => {
-                self.begin_lasting_fault(for_s, ActiveFault::RefuseState(n))
+            (FaultKind::RefuseState { for_s }, Some(controller)) => {
+                self.begin_lasting_fault(for_s, ActiveFault::RefuseState(controller))
             }
             (FaultKind::StateOutage { for_s }, _) => {
                 self.begin_lasting_fault(for_s, ActiveFault::StateOutage)
@@ -91,7 +96,7 @@
             }
             (FaultKind::InboundLost { count, for_s }, _) => {
                 let names = self.draw_machines(count);
-                self.begin_lasting_fault(for_s, ActiveFault::Deaf(names));
+                self.begin_lasting_fault(for_s, ActiveFault::InboundLost(names));
             }
             (FaultKind::LateWrites { share, for_s }, _) => {
                 self.begin_lasting_fault(for_s, ActiveFault::LateWrites(share))
@@ -116,64 +121,73 @@
         }
     }
 
-    /// Begins a fault that lasts for so many seconds.
-    fn begin_lasting_fault(&mut self, for_s: f64, trouble: ActiveFault) {
-        self.set_fault(&trouble, true);
+    /// Injects a fault that lasts for some time.
+    fn begin_lasting_fault(&mut self, duration_s: f64, fault: ActiveFault) {
+        self.set_fault(&fault, true);
         self.active_faults
-            .push((self.sim.now_ms + to_ms(for_s), trouble));
+            .push((self.sim.now_ms + to_ms(duration_s), fault));
     }
 
-    /// Ends the faults whose time is over.
+    /// Ends the faults that have lasted their time.
     pub(super) fn end_faults(&mut self) {
-        let now = self.sim.now_ms;
-        let ongoing = std::mem::take(&mut self.active_faults);
-        let (over, last): (Vec<_>, Vec<_>) = ongoing.into_iter().partition(|(at, _)| *at <= now);
-        self.active_faults = last;
-        for (_, trouble) in over {
-            self.set_fault(&trouble, false);
+        let now_ms = self.sim.now_ms;
+        let active = std::mem::take(&mut self.active_faults);
+        let (expired, remaining): (Vec<_>, Vec<_>) =
+            active.into_iter().partition(|(at, _)| *at <= now_ms);
+        self.active_faults = remaining;
+        for (_, fault) in expired {
+            self.set_fault(&fault, false);
         }
     }
 
-    /// Puts a fault in force, or takes it back.
-    fn set_fault(&mut self, trouble: &ActiveFault, on: bool) {
+    /// Puts a fault in force, or ends it.
+    fn set_fault(&mut self, fault: &ActiveFault, active: bool) {
         let sim = &mut self.sim;
-        match trouble {
-            ActiveFault::CutState(n) => sim.controllers[*n].cut_from_state = on,
-            ActiveFault::CutWorkers(n) => sim.controllers[*n].cut_from_workers = on,
-            ActiveFault::CutPeers(n) => sim.controllers[*n].cut_from_peers = on,
-            ActiveFault::CutAlone(n) => {
-                let slot = &mut sim.controllers[*n];
-                (slot.cut_from_state, slot.cut_from_peers) = (on, on);
-            }
-            ActiveFault::RefuseState(n) => sim.controllers[*n].refused_by_state = on,
-            ActiveFault::StateOutage => sim.state.is_down = on,
-            ActiveFault::ZoneCut(zone) if on => {
-                let there = |n: &usize| sim.zone_of_controller(*n) == *zone;
-                let inside: Vec<usize> = (0..self.day.controllers).filter(there).collect();
+        match fault {
+            ActiveFault::CutState(controller) => {
+                sim.controllers[*controller].cut_from_state = active
+            }
+            ActiveFault::CutWorkers(controller) => {
+                sim.controllers[*controller].cut_from_workers = active
+            }
+            ActiveFault::CutPeers(controller) => {
+                sim.controllers[*controller].cut_from_peers = active
+            }
+            ActiveFault::CutAlone(controller) => {
+                let slot = &mut sim.controllers[*controller];
+                (slot.cut_from_state, slot.cut_from_peers) = (active, active);
+            }
+            ActiveFault::RefuseState(controller) => {
+                sim.controllers[*controller].refused_by_state = active
+            }
+            ActiveFault::StateOutage => sim.state.is_down = active,
+            ActiveFault::ZoneCut(zone) if active => {
+                let is_inside = |index: &usize| sim.zone_of_controller(*index) == *zone;
+                let inside: Vec<usize> = (0..self.day.controllers).filter(is_inside).collect();
                 sim.partition_zone(zone, &inside);
             }
             ActiveFault::ZoneCut(_) => sim.heal_zone(),
             ActiveFault::MachinesCut(names) => {
                 for name in names {
                     if let Some(worker) = sim.workers.get_mut(name) {
-                        worker.disconnected = on;
+                        worker.disconnected = active;
                     }
                 }
             }
-            ActiveFault::Deaf(names) => {
+            ActiveFault::InboundLost(names) => {
                 for name in names {
                     if let Some(worker) = sim.workers.get_mut(name) {
-                        worker.inbound_lost = on;
+                        worker.inbound_lost = active;
                     }
                 }
             }
             ActiveFault::LateWrites(share) => {
-                sim.network.faults.transaction_late = if on { *share } else { 0.0 }
+                sim.network.faults.transaction_late = if active { *share } else { 0.0 }
             }
             ActiveFault::LateReports(share) => {
-                sim.network.faults.heartbeat_duplicated = if on { *share } else { 0.0 }
+                sim.network.faults.heartbeat_duplicated = if active { *share } else { 0.0 }
             }
-            ActiveFault::Burst { class, factor } if on => {
+            ActiveFault::Burst { class, factor } if active => {
                 self.rate_factors[*class] *= factor;
                 self.next_submission_s[*class] = sim.now_ms as f64 / 1e3;
             }
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of the protocol, checked at every step, and of the records.
+//! Invariants of the protocol, checked at every step, and of the stored records.
 
 use crate::Simulation;
 use glenmount_core::model::TaskId;
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 impl Simulation {
-    /// Checks that a task may start on a machine: it runs nowhere else, its dependencies are complete, and machine
-    /// and zone are allowed.
+    /// Checks that a task may start on a machine: it runs on no other machine, its dependencies are complete, and its
+    /// job allows the machine and the zone.
     pub(crate) fn check_start(&self, machine: &str, task: &TaskId) {
         let spec = &self.job_specs[&task.job];
         let worker = &self.workers[machine];
@@ -30,7 +30,7 @@
             let others = self.placements.machines_of_job(&task.job);
             let others = others.filter(|(index, _)| *index != task.index);
             others
-                .filter(|(_, m)| self.workers[*m].zone == zone)
+                .filter(|(_, machine)| self.workers[*machine].zone == zone)
                 .count() as u32
         };
         if spec.topology_spread {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Notes that a task is on a machine, and checks the quota of its team.
+    /// Records that a task is on a machine, and checks the quota of its team.
     pub(crate) fn add_placement(&mut self, machine: &str, task: &TaskId) {
         let spec = &self.job_specs[&task.job];
         self.placements.add(machine, task, spec);
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Notes that a task has ended on a machine.
+    /// Records that a task has ended on a machine.
     pub(crate) fn remove_placement(&mut self, machine: &str, task: &TaskId) {
         self.placements
             .remove(machine, task, &self.job_specs[&task.job]);
     }
 
-    /// Notes that all tasks of a machine have ended.
+    /// Records that all tasks of a machine have ended.
     pub(crate) fn remove_all_placements(&mut self, machine: &str) {
         let live: Vec<TaskId> = (self.workers.get(machine).into_iter())
             .flat_map(|worker| worker.live_tasks().map(|(t, _)| t.clone()))
@@ -76,33 +76,33 @@
         }
     }
 
-    /// Checks that no task of a cancelled job runs after the time by which it must have ended.
+    /// Checks that no task of a cancelled job runs after its cancellation timeout.
     pub(crate) fn check_invariants(&self) {
         if let Some((task, machine)) = self.placements.overdue_task(self.now_ms) {
             panic!("ran_cancelled: {task} on {machine}");
         }
     }
 
-    /// Checks what must hold among the records, and that synced caches of controllers agree with them.
+    /// Checks the consistency of the records, and that up-to-date caches of controllers agree with them.
     pub fn check_records(&self) {
         for (key, (record, _)) in &self.state.records {
-            let (Key::Chunk(id, _), Record::Chunk(c)) = (key, record) else {
+            let (Key::Chunk(id, _), Record::Chunk(chunk)) = (key, record) else {
                 continue;
             };
-            let Some((Record::Job(j), _)) = self.state.records.get(&Key::Job(id.clone())) else {
-                panic!("a chunk of an unknown job {id}");
+            let Some((Record::Job(job), _)) = self.state.records.get(&Key::Job(id.clone())) else {
+                panic!("chunk of unknown job {id}");
             };
             assert!(
-                c.first + c.tasks.len() as u32 <= j.tasks,
+                chunk.first + chunk.tasks.len() as u32 <= job.tasks,
                 "{id}: too many tasks"
             );
-            for (index, b) in c.assigned() {
+            for (index, assignment) in chunk.assigned() {
                 assert!(
                     self.state
                         .records
-                        .contains_key(&Key::Machine(b.machine.clone())),
-                    "{id}/{index} is booked on {}, which is not on record",
-                    b.machine
+                        .contains_key(&Key::Machine(assignment.machine.clone())),
+                    "{id}/{index} is assigned to {}, which has no record",
+                    assignment.machine
                 );
             }
         }
@@ -116,13 +116,13 @@
                     assert_eq!(
                         slot.cache.mod_revision(key),
                         *mod_revision,
-                        "copy of {key:?}"
+                        "cached revision of {key:?}"
                     );
                 }
                 assert_eq!(
                     slot.cache.len(),
                     self.state.records.len(),
-                    "what is gone is not in a copy"
+                    "number of cached records"
                 );
             }
             for (team, used) in &self.assigned_cpus() {
@@ -133,30 +133,30 @@
         }
     }
 
-    /// Thousandths of processors that are assigned on record, by team.
+    /// Returns the thousandths of processors that the records assign, by team.
     pub(crate) fn assigned_cpus(&self) -> BTreeMap<String, u64> {
         let mut used: BTreeMap<String, u64> = BTreeMap::new();
         for team in self.settings.policy.teams.keys() {
             used.insert(team.clone(), 0);
         }
         for (record, _) in self.state.records.values() {
-            if let Record::Chunk(c) = record {
-                *used.entry(c.team.clone()).or_default() +=
-                    c.assigned().count() as u64 * c.resources.cpus;
+            if let Record::Chunk(chunk) = record {
+                *used.entry(chunk.team.clone()).or_default() +=
+                    chunk.assigned().count() as u64 * chunk.resources.cpus;
             }
         }
         used
     }
 
-    /// The phase of a job on record.
+    /// Returns the stored phase of a job.
     pub fn job_phase(&self, id: &str) -> Option<JobPhase> {
         match self.state.records.get(&Key::Job(id.into())) {
-            Some((Record::Job(j), _)) => Some(j.phase),
+            Some((Record::Job(job), _)) => Some(job.phase),
             _ => None,
         }
     }
 
-    /// Whether all tasks of a job have completed.
+    /// Returns whether all tasks of a job have completed.
     pub(crate) fn is_complete(&self, id: &str) -> bool {
         self.job_specs.get(id).is_some_and(|s| {
             (0..s.tasks).all(|index| {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,11 +1,11 @@
-//! Deterministic simulation of controllers, state service, cloud, workers and users in memory, with fault injection.
+//! Deterministic simulation of controllers, state store, cloud, workers and users in memory, with fault injection.
 //!
-//! Everything runs in one thread and in simulated time, and all chance comes from one seed: the same seed and the
-//! same calls give the same run. The invariants of the protocol are checked at every step, and fleets of thousands
-//! of machines are played in seconds.
+//! Everything runs in one thread and in simulated time, and all random numbers come from one seed: the same seed
+//! and the same calls give the same run. The simulation checks the invariants of the protocol at every step, and
+//! simulates fleets of thousands of machines in seconds.
 //!
-//! [`Simulation`] is the entry point: tests submit jobs, inject faults and run until something holds.
-//! [`day_runner`] plays described days ([`day`]) and measures them ([`outcome`]).
+//! [`Simulation`] is the entry point: tests submit jobs, inject faults and run until a condition holds.
+//! [`day_runner`] runs described days ([`day`]) and measures them ([`outcome`]).
 
 #![warn(missing_docs)]
 
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! Connections: partitions, and messages that are lost or late.
+//! The network between the components: partitions, and messages that are lost, late or duplicated.
 
 use crate::{Action, Simulation};
 use glenmount_core::controller::{CommandOutcome, Event};
@@ -6,14 +6,14 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// Probability of each fault per message, between 0 and 1.
+/// Probabilities of faults per message, between 0 and 1.
 #[derive(Default, Clone)]
 pub struct FaultRates {
-    /// A transaction is committed, but its answer is lost.
+    /// The state store executes a transaction, but its answer is lost.
     pub transaction_answer_lost: f64,
-    /// A transaction is committed seconds later, when its sender has given up.
+    /// The state store executes a transaction seconds later, after its sender has timed out.
     pub transaction_late: f64,
-    /// An answer is overtaken by the watch, by up to a second.
+    /// An answer of the state store takes up to a second, so that the watch can overtake it.
     pub answer_slow: f64,
     /// A worker's heartbeat is lost.
     pub heartbeat_lost: f64,
@@ -21,11 +21,11 @@
     pub heartbeat_late: f64,
     /// A worker's heartbeat arrives twice, the second time up to half a minute later.
     pub heartbeat_duplicated: f64,
-    /// A copy is kept for the next controller that begins: all controllers get it then.
+    /// The network keeps a copy of a worker's heartbeat and delivers it to all controllers when the next one starts.
     pub heartbeat_kept: f64,
     /// The reply to a heartbeat is lost.
     pub reply_lost: f64,
-    /// A call to the cloud is executed, but its sender is told that it failed.
+    /// The cloud executes a call, but its sender gets an error.
     pub cloud_answer_lost: f64,
     /// A command to a worker is lost.
     pub command_lost: f64,
@@ -33,47 +33,48 @@
     pub command_late: f64,
 }
 
-/// A zone that nothing gets into or out of.
+/// A partition: no message gets into or out of the zone.
 struct ZonePartition {
     zone: String,
-    /// Controllers inside.
+    /// Controllers inside the zone.
     controllers: BTreeSet<usize>,
 }
 
-/// Connections between the parts.
+/// Connections between the components.
 #[derive(Default)]
 pub struct Network {
-    /// Which messages are lost or late.
+    /// Probabilities of lost, late and duplicated messages.
     pub faults: FaultRates,
-    /// Milliseconds that a message between a controller and a worker takes longer, at most.
+    /// Maximum additional latency of a message between a controller and a worker.
     pub max_extra_latency_ms: u64,
     partition: Option<ZonePartition>,
-    /// What was sent into or out of the zone that is cut off: it arrives once that is over.
+    /// Messages into and out of the partitioned zone, which arrive after the partition heals.
     pub(crate) held_back: Vec<Action>,
-    /// Copies of heartbeats that are sent again once a controller starts.
+    /// Copies of workers' heartbeats that all controllers get when a controller starts.
     pub(crate) kept_heartbeats: Vec<WorkerHeartbeat>,
 }
 
-pub(crate) fn command_unanswered(machine: String, reach: CommandOutcome) -> Event {
+/// Returns the result of a command without a heartbeat of its worker.
+pub(crate) fn command_unanswered(machine: String, outcome: CommandOutcome) -> Event {
     Event::CommandResult {
         machine,
-        outcome: reach,
+        outcome,
         heartbeat: None,
     }
 }
 
 impl Simulation {
-    /// Whether what a controller sends to a peer gets there.
+    /// Returns whether messages of a controller reach a peer.
     pub(crate) fn peers_connected(&self, controller: usize, peer: usize) -> bool {
-        let cut = |controller: usize| self.controllers[controller].cut_from_peers;
+        let is_cut = |index: usize| self.controllers[index].cut_from_peers;
         peer != controller
-            && !cut(controller)
-            && !cut(peer)
+            && !is_cut(controller)
+            && !is_cut(peer)
             && !self.controllers[controller].outbound_lost
             && self.is_partitioned(controller) == self.is_partitioned(peer)
     }
 
-    /// Cuts a zone off with these controllers inside.
+    /// Partitions a zone, with these controllers inside, from everything else.
     pub fn partition_zone(&mut self, zone: &str, inside: &[usize]) {
         self.network.partition = Some(ZonePartition {
             zone: zone.into(),
@@ -81,38 +82,39 @@
         });
     }
 
-    /// Ends the cut: what was sent across arrives now.
+    /// Heals the partition of a zone. The messages that it held back arrive now.
     pub fn heal_zone(&mut self) {
         self.network.partition = None;
-        for act in std::mem::take(&mut self.network.held_back) {
-            let delay = self.rng.gen_range(1..60);
-            self.schedule(delay, act);
+        for action in std::mem::take(&mut self.network.held_back) {
+            let delay_ms = self.rng.gen_range(1..60);
+            self.schedule(delay_ms, action);
         }
     }
 
-    /// Whether a controller is cut off, with its zone, from all that belongs to the region.
+    /// Returns whether a controller is inside the partitioned zone.
     pub(crate) fn is_partitioned(&self, controller: usize) -> bool {
         let partition = self.network.partition.as_ref();
         partition.is_some_and(|p| p.controllers.contains(&controller))
     }
 
-    /// Whether users do not reach a controller.
+    /// Returns whether users cannot reach a controller.
     pub fn is_unreachable(&self, controller: usize) -> bool {
         self.is_partitioned(controller) || self.controllers[controller].outbound_lost
     }
 
+    /// Returns whether no partition lies between a controller and a machine.
     pub(crate) fn controller_reaches(&self, controller: usize, machine: &str) -> bool {
         let Some(partition) = &self.network.partition else {
             return true;
         };
-        let there = self
+        let is_inside = self
             .workers
             .get(machine)
             .map(|worker| worker.zone == partition.zone);
-        there == Some(partition.controllers.contains(&controller))
+        is_inside == Some(partition.controllers.contains(&controller))
     }
 
-    /// Ends all outages and cuts.
+    /// Heals the partition, ends all outages and restores all connections.
     pub fn heal_all(&mut self) {
         self.heal_zone();
         (self.state.is_down, self.cloud.is_down) = (false, false);
@@ -132,10 +134,11 @@
         }
     }
 
+    /// Draws the additional latency of a message.
     pub(crate) fn extra_latency_ms(&mut self) -> u64 {
         match self.network.max_extra_latency_ms {
             0 => 0,
-            most => self.rng.gen_range(0..most),
+            max_ms => self.rng.gen_range(0..max_ms),
         }
     }
 }
--- a/crates/simulation/src/random_faults.rs
+++ b/crates/simulation/src/random_faults.rs
@@ -1,37 +1,37 @@
-//! Random faults that fall together: jobs come and go while controllers end, are paused and are cut off, machines
-//! hang or restart, and messages are lost, late or doubled. The same seed gives the same run.
+//! Random combinations of faults: users submit and cancel jobs while controllers crash, pause and lose connections,
+//! machines stall or restart, and messages are lost, late or duplicated. The same seed gives the same run.
 
 use crate::{job, service, use_long_leases, FaultRates, Simulation};
 use rand::Rng;
 
-/// Steps of a run, each a fault or a request, 50 ms to 2.5 s apart.
+/// Number of steps of a run. Each step is a fault or a request, 50 ms to 2.5 s after the previous one.
 pub const STEPS: usize = 140;
 
 const CONTROLLERS: usize = 3;
 
-/// A run whose faults are still in force.
+/// A run at its end, with its faults still in force.
 pub struct RandomFaults {
-    /// The simulation at the end of the run.
+    /// Simulation at the end of the run.
     pub simulation: Simulation,
-    /// Jobs that were submitted, whether they were accepted or not.
+    /// Names of the submitted jobs, accepted or not.
     pub jobs: Vec<String>,
-    /// It began with the version before, which is replaced meanwhile.
+    /// Whether the controllers began with the previous version and were upgraded during the run.
     pub rolling_upgrade: bool,
 }
 
-/// Plays so many steps on three controllers.
+/// Runs a number of steps on three controllers.
 pub fn play(seed: u64, machines: usize, steps: usize) -> RandomFaults {
     play_on(seed, machines, steps, |_| {})
 }
 
-/// The same in a simulation that is prepared first.
+/// Runs a number of steps on three controllers, after `prepare` has changed the simulation.
 pub fn play_on(
     seed: u64,
     machines: usize,
     steps: usize,
     prepare: impl FnOnce(&mut Simulation),
 ) -> RandomFaults {
-    // Some begin with the version before, which is replaced meanwhile.
+    // One seed in four begins with the previous version, and upgrades the controllers during the run.
     let rolling_upgrade = seed % 4 == 1;
     let mut sim = match rolling_upgrade {
         true => Simulation::previous_version(7_000 + seed, CONTROLLERS, machines),
@@ -42,8 +42,8 @@
     sim.cloud.capacity = 4;
     if seed % 3 == 0 {
         use_long_leases(&mut sim);
-        for n in 0..CONTROLLERS {
-            sim.crash(n, 50);
+        for controller in 0..CONTROLLERS {
+            sim.crash(controller, 50);
         }
         sim.run(9_000);
     }
@@ -53,76 +53,81 @@
         rolling_upgrade,
     };
     for step in 0..steps {
-        run.act(step);
-        run.pause();
+        run.perform_step(step);
+        run.advance_time();
     }
     run
 }
 
 impl RandomFaults {
-    /// One fault or request.
-    fn act(&mut self, step: usize) {
+    /// Injects one fault or sends one request.
+    fn perform_step(&mut self, step: usize) {
         let kind = self.simulation.rng.gen_range(0..25);
         match kind {
             0..=3 => self.submit(step),
             4 | 5 if !self.jobs.is_empty() => {
-                let id = self.some_job();
+                let id = self.random_job();
                 self.cancel(&id);
             }
-            6..=9 | 13 => self.disturb_controllers(kind),
+            6..=9 | 13 => self.inject_controller_fault(kind),
             10 => self.simulation.state.is_down = !self.simulation.state.is_down,
-            11 | 12 => self.cut_workers(),
-            14 => self.draw_mishaps(),
+            11 | 12 => self.toggle_worker_connections(),
+            14 => self.draw_message_faults(),
             15 => self.simulation.heal_all(),
             16 if self.rolling_upgrade => {
-                let (n, back) = (self.some_controller(), self.draw(100..3_000));
-                self.simulation.upgrade(n, back);
+                let (controller, restart_after_ms) =
+                    (self.random_controller(), self.draw(100..3_000));
+                self.simulation.upgrade(controller, restart_after_ms);
             }
             17 => self.simulation.follow_up_requests = !self.simulation.follow_up_requests,
             18 => self.simulation.cancel_at_completion = self.one_of([0.0, 0.5]),
-            19 | 20 if !self.jobs.is_empty() => self.cancel_on_hanging_machines(),
-            21 if !self.simulation.workers.is_empty() => self.end_a_machine(),
+            19 | 20 if !self.jobs.is_empty() => self.cancel_on_stalled_machines(),
+            21 if !self.simulation.workers.is_empty() => self.kill_or_restart_machine(),
             22 => self.simulation.cloud.boot_ms = self.one_of([1_000..5_000, 20..2_000]),
             23 => self.simulation.network.max_extra_latency_ms = self.one_of([0, 300, 1_500]),
             _ => {
                 for id in self.jobs.clone() {
-                    let n = self.some_controller();
-                    self.simulation.status(n, &id);
+                    let controller = self.random_controller();
+                    self.simulation.status(controller, &id);
                 }
             }
         }
     }
 
-    /// Time passes, now and then for longer than a cancellation may take; at times all faults end.
-    fn pause(&mut self) {
-        let pause = self.draw(50..2_500);
+    /// Runs the simulation for a random time, sometimes for longer than the cancellation timeout, and sometimes
+    /// ends all faults.
+    fn advance_time(&mut self) {
+        let duration_ms = self.draw(50..2_500);
         let sim = &mut self.simulation;
-        sim.run(pause);
+        sim.run(duration_ms);
         if sim.rng.gen_bool(0.03) {
-            let long = sim.settings.cancellation_timeout_ms + 10_000;
-            sim.run(long);
+            let long_ms = sim.settings.cancellation_timeout_ms + 10_000;
+            sim.run(long_ms);
         }
         if sim.rng.gen_bool(0.12) {
             sim.heal_all();
         }
     }
 
+    /// Draws a number from a range.
     fn draw(&mut self, range: std::ops::Range<u64>) -> u64 {
         self.simulation.rng.gen_range(range)
     }
 
+    /// Draws one of several values.
     fn one_of<T: Clone, const N: usize>(&mut self, values: [T; N]) -> T {
         values[self.simulation.rng.gen_range(0..N)].clone()
     }
 
-    fn some_controller(&mut self) -> usize {
+    fn random_controller(&mut self) -> usize {
         self.simulation.rng.gen_range(0..CONTROLLERS)
     }
 
-    fn some_job(&mut self) -> String {
+    fn random_job(&mut self) -> String {
         self.jobs[self.simulation.rng.gen_range(0..self.jobs.len())].clone()
     }
 
+    /// A user submits a job of random size and constraints.
     fn submit(&mut self, step: usize) {
         let sim = &mut self.simulation;
         let id = format!("j-{step}");
@@ -136,57 +141,60 @@
         }
         spec.topology_spread = sim.rng.gen_bool(0.3);
         spec.zone_affinity = !spec.topology_spread && sim.rng.gen_bool(0.2);
-        let ms = [2_000, 15_000, 70_000][sim.rng.gen_range(0..3)];
-        sim.workload.job_run_ms.insert(id.clone(), ms);
+        let run_ms = [2_000, 15_000, 70_000][sim.rng.gen_range(0..3)];
+        sim.workload.job_run_ms.insert(id.clone(), run_ms);
         sim.submit(step % CONTROLLERS, spec);
         self.jobs.push(id);
     }
 
     /// A user asks all controllers to cancel a job.
     fn cancel(&mut self, id: &str) {
-        for n in 0..CONTROLLERS {
-            self.simulation.cancel(n, id);
+        for controller in 0..CONTROLLERS {
+            self.simulation.cancel(controller, id);
         }
     }
 
-    /// One or all end, one is cut off, refused by the state service or is paused.
-    fn disturb_controllers(&mut self, kind: u32) {
+    /// Crashes one or all controllers, cuts one off, lets the state store refuse one, or pauses one.
+    fn inject_controller_fault(&mut self, kind: u32) {
         match kind {
             6 => {
-                let (n, back) = (self.some_controller(), self.draw(100..4_000));
-                self.simulation.crash(n, back);
+                let (controller, restart_after_ms) =
+                    (self.random_controller(), self.draw(100..4_000));
+                self.simulation.crash(controller, restart_after_ms);
             }
             7 => {
-                let back = self.draw(100..6_000);
-                for n in 0..CONTROLLERS {
-                    self.simulation.crash(n, back * (n as u64 + 1) / 2);
+                let restart_after_ms = self.draw(100..6_000);
+                for controller in 0..CONTROLLERS {
+                    let delay_ms = restart_after_ms * (controller as u64 + 1) / 2;
+                    self.simulation.crash(controller, delay_ms);
                 }
             }
             8 => {
-                let n = self.some_controller();
-                let slot = &mut self.simulation.controllers[n];
+                let controller = self.random_controller();
+                let slot = &mut self.simulation.controllers[controller];
                 (slot.cut_from_state, slot.cut_from_peers) = (true, true);
             }
             9 => {
-                let n = self.some_controller();
-                let slot = &mut self.simulation.controllers[n];
+                let controller = self.random_controller();
+                let slot = &mut self.simulation.controllers[controller];
                 slot.refused_by_state = !slot.refused_by_state;
             }
             _ => {
-                let (n, ms) = (self.some_controller(), self.draw(1_000..30_000));
-                self.simulation.pause(n, ms);
+                let (controller, duration_ms) =
+                    (self.random_controller(), self.draw(1_000..30_000));
+                self.simulation.pause(controller, duration_ms);
             }
         }
     }
 
-    /// A share of the workers loses its connections in one way, or gets them back.
-    fn cut_workers(&mut self) {
+    /// Cuts the connections of a random share of the workers in one direction or both, or restores them.
+    fn toggle_worker_connections(&mut self) {
         let sim = &mut self.simulation;
-        let what = sim.rng.gen_range(0..3);
+        let direction = sim.rng.gen_range(0..3);
         let share = sim.rng.gen_range(0.1..0.8);
         for worker in sim.workers.values_mut() {
             if sim.rng.gen_bool(share) {
-                match what {
+                match direction {
                     0 => worker.inbound_lost = !worker.inbound_lost,
                     1 => worker.outbound_lost = !worker.outbound_lost,
                     _ => worker.disconnected = !worker.disconnected,
@@ -195,7 +203,8 @@
         }
     }
 
-    fn draw_mishaps(&mut self) {
+    /// Draws the probabilities of message faults.
+    fn draw_message_faults(&mut self) {
         self.simulation.network.faults = FaultRates {
             transaction_late: self.one_of([0.0, 0.1, 0.4]),
             transaction_answer_lost: self.one_of([0.0, 0.3]),
@@ -209,21 +218,21 @@
         };
     }
 
-    /// Jobs that run are called off, and their machines hang; some go on inside their lease.
-    fn cancel_on_hanging_machines(&mut self) {
-        let most = 2 * self.simulation.settings.lease_ms;
-        let ms = self.draw(500..most);
+    /// Users cancel jobs whose machines stall at the same time. Some machines resume before their lease expires.
+    fn cancel_on_stalled_machines(&mut self) {
+        let max_ms = 2 * self.simulation.settings.lease_ms;
+        let duration_ms = self.draw(500..max_ms);
         for _ in 0..self.simulation.rng.gen_range(1..4) {
-            let id = self.some_job();
+            let id = self.random_job();
             for machine in self.simulation.machines_of(&id) {
-                self.simulation.stall(&machine, ms);
+                self.simulation.stall(&machine, duration_ms);
             }
             self.cancel(&id);
         }
     }
 
-    /// A machine dies, or its worker restarts.
-    fn end_a_machine(&mut self) {
+    /// Kills a random machine, or restarts its worker.
+    fn kill_or_restart_machine(&mut self) {
         let sim = &mut self.simulation;
         let names: Vec<String> = sim.workers.keys().cloned().collect();
         let name = &names[sim.rng.gen_range(0..names.len())];
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation: its parts, and how one is set up.
+//! The [`Simulation`] type, its components and its construction.
 
 use crate::cloud::Cloud;
 use crate::digest::EffectDigest;
@@ -20,98 +20,104 @@
 use rand::SeedableRng;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Wall-clock time at the start of every simulation, in milliseconds since the Unix revision.
+/// Wall-clock time at the start of every simulation, in milliseconds since the Unix epoch.
 pub const START_TIME_MS: u64 = 1_700_000_000_000;
-/// Milliseconds between the first starts of two controllers.
+/// Delay between the initial starts of two controllers.
 const CONTROLLER_START_GAP_MS: u64 = 7;
-/// Milliseconds until the first machine is up, and between two.
+/// Delay until the first machine is up.
 const FIRST_BOOT_MS: u64 = 10;
+/// Delay between the initial boots of two machines.
 const BOOT_GAP_MS: u64 = 13;
-/// Limits that the state service announces for the time after an upgrade from the previous version.
+/// Limits that the state store announces for the time after an upgrade from the previous version.
 const LOWERED_LIMITS: TransactionLimits = TransactionLimits {
     max_value_bytes: 2 * 1024,
     changes: 5,
 };
 
-/// One process of a controller. Events for an earlier one are dropped.
+/// Identifies one process of a controller. The event loop drops events for earlier processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ProcessId {
     pub controller: usize,
     pub incarnation: u32,
 }
 
-/// Controllers, state service, cloud, workers and users, in one thread and in simulated time. The same seed
-/// and the same calls give the same run.
+/// A simulation of controllers, state store, cloud, workers and users, in one thread and in simulated time. The
+/// same seed and the same calls give the same run.
 pub struct Simulation {
     /// Simulated time in milliseconds since the start.
     pub now_ms: u64,
     /// Source of all random numbers.
     pub rng: SmallRng,
     pub(crate) queue: EventQueue,
-    /// Settings with which controllers start next; workers and the state service follow them at once.
+    /// Settings. Controllers use them from their next start on, workers and the state store at once.
     pub settings: Settings,
-    /// The controllers, by their index.
+    /// Controllers by index.
     pub controllers: Vec<ControllerSlot>,
-    /// Zones that have controllers, in turn; empty for all zones.
+    /// Zones of the controllers, assigned in turn; empty for all zones.
     pub controller_zones: Vec<String>,
-    /// Milliseconds by which each controller's wall clock is ahead.
+    /// Milliseconds by which each controller's wall clock is ahead of simulated time.
     pub clock_ahead_ms: Vec<u64>,
-    /// The state service.
+    /// State store.
     pub state: StateStore,
-    /// The cloud.
+    /// Cloud.
     pub cloud: Cloud,
-    /// Connections and what is lost on them.
+    /// Network between the components, with its faults.
     pub network: Network,
-    /// Limits of what the state service, the cloud and controllers take, if any.
+    /// Limits of the state store, the cloud and the controllers.
     pub service_limits: ServiceLimits,
     /// Workers by the names of their machines.
     pub workers: BTreeMap<String, Worker>,
-    /// The lease of a stalled worker expires in time; else it holds its tasks until it resumes, which is more
-    /// than the protocol promises, so nothing that users are told may rest on the former.
+    /// Whether the lease of a stalled worker expires on time. Otherwise the worker holds its tasks until it
+    /// resumes. The protocol does not guarantee the expiry on time, so no answer to a user may depend on it.
     pub stalled_leases_expire: bool,
     pub(crate) pending_heartbeats: HashMap<(ProcessId, RequestId), PendingHeartbeat>,
-    /// How long tasks run, and which fail.
+    /// Run times of tasks, and jobs whose tasks fail.
     pub workload: Workload,
-    /// Jobs that were submitted, whether they were accepted or not.
+    /// Specs of all submitted jobs, accepted or not.
     pub job_specs: BTreeMap<String, JobSpec>,
     /// Tasks that have completed on a worker.
     pub completed_tasks: BTreeSet<TaskId>,
-    /// What users were told, by job.
+    /// Answers that users have received so far, summarised by job.
     pub user_views: BTreeMap<String, UserView>,
-    /// Answers to users' requests.
+    /// Answers to users' requests, by request.
     pub answers: BTreeMap<RequestId, UserReply>,
     pub(crate) pending_requests: HashMap<RequestId, PendingRequest>,
     pub(crate) next_request: u64,
-    /// Users send requests about a job to all controllers within milliseconds of its acceptance, cancellation
-    /// or completion.
+    /// Whether users send requests about a job to all controllers within milliseconds of its acceptance,
+    /// cancellation or completion.
     pub follow_up_requests: bool,
-    /// Share of the jobs that users cancel in the moment in which the last task completes.
+    /// Share of the jobs that users cancel at the moment at which the last task completes.
     pub cancel_at_completion: f64,
-    /// Invariants are not checked, which takes longer than all else: for measurements.
+    /// Whether to skip the checks of invariants for measurements: they take longer than everything else.
     pub skip_invariants: bool,
     pub(crate) placements: Placements,
-    /// What operators have configured.
+    /// Configuration that operators have committed.
     pub operator: OperatorState,
-    /// Counts of what happened.
+    /// Counters of the simulation.
     pub metrics: Metrics,
-    /// Hashes what controllers do, if present.
+    /// Digest of the effects of controllers, if enabled.
     pub digest: Option<EffectDigest>,
 }
 
 impl Simulation {
-    /// A simulation of so many controllers, and machines of the small type in two zones.
+    /// Creates a simulation with controllers, and with machines of type `small` in two zones.
     pub fn new(seed: u64, controllers: usize, machines: usize) -> Simulation {
         let mut sim = Simulation::without_machines(seed, controllers);
-        for i in 0..controllers {
+        for index in 0..controllers {
             sim.controllers.push(ControllerSlot::default());
             sim.schedule(
-                i as u64 * CONTROLLER_START_GAP_MS,
-                Action::StartController(i),
+                index as u64 * CONTROLLER_START_GAP_MS,
+                Action::StartController(index),
             );
         }
-        for i in 0..machines {
-            let zone = ["east", "west"][i % 2];
-            sim.boot_machine("small", zone, false, FIRST_BOOT_MS + i as u64 * BOOT_GAP_MS);
+        for index in 0..machines {
+            let zone = ["east", "west"][index % 2];
+            sim.boot_machine(
+                "small",
+                zone,
+                false,
+                FIRST_BOOT_MS + index as u64 * BOOT_GAP_MS,
+            );
         }
         sim
     }
@@ -149,14 +155,14 @@
         }
     }
 
-    /// A simulation whose controllers all run the previous version, under limits that will be lowered after
+    /// Creates a simulation whose controllers all run the previous version, under limits that are lowered after
     /// their upgrade.
     pub fn previous_version(seed: u64, controllers: usize, machines: usize) -> Simulation {
         let mut sim = Simulation::new(seed, controllers, machines);
         for slot in &mut sim.controllers {
             slot.upgraded_from = u32::MAX;
         }
-        // Cancellations that the previous version confirms at their commit rest on leases.
+        // The previous version confirms a cancellation at its commit, which is correct only if leases expire on time.
         sim.stalled_leases_expire = true;
         sim.state.limits = Some(sim.state.previous_limits);
         sim.settings.max_value_bytes = LOWERED_LIMITS.max_value_bytes;
--- a/crates/simulation/src/stalls.rs
+++ b/crates/simulation/src/stalls.rs
@@ -1,31 +1,30 @@
-//! Stalled machines: they do nothing for some time and resume later, with what reached them meanwhile.
+//! Stalled machines: a machine executes nothing for some time, and handles the deferred actions when it resumes.
 
 use crate::network::command_unanswered;
 use crate::{Action, Simulation};
 use glenmount_core::controller::CommandOutcome;
 
-/// Milliseconds after which a controller gives up on a command to a machine that is stalled.
+/// Delay after which a command to a stalled machine times out at its controller.
 const COMMAND_TIMEOUT_MS: u64 = 1_200;
 
 impl Simulation {
-    /// Stalls a machine for so many milliseconds: it executes nothing and sends no heartbeats. What reaches it
-    /// meanwhile is deferred.
-    pub fn stall(&mut self, machine: &str, ms: u64) {
-        let until = self.now_ms + ms;
+    /// Stalls a machine: it executes nothing and sends no heartbeats, and its messages are deferred.
+    pub fn stall(&mut self, machine: &str, duration_ms: u64) {
+        let until_ms = self.now_ms + duration_ms;
         if let Some(worker) = self.workers.get_mut(machine).filter(|worker| worker.alive) {
-            worker.stalled_until_ms = worker.stalled_until_ms.max(until);
-            self.schedule(ms, Action::ResumeWorker(machine.to_string()));
+            worker.stalled_until_ms = worker.stalled_until_ms.max(until_ms);
+            self.schedule(duration_ms, Action::ResumeWorker(machine.to_string()));
         }
     }
 
-    /// Whether a machine is stalled.
+    /// Returns whether a machine is stalled.
     pub fn is_stalled(&self, machine: &str) -> bool {
         self.workers
             .get(machine)
             .is_some_and(|worker| worker.stalled_until_ms > 0)
     }
 
-    /// Defers an action of or for a stalled machine until it resumes; returns any other.
+    /// Defers an action of a stalled machine, or for one, until the machine resumes. Returns any other action.
     pub(crate) fn unless_stalled(&mut self, action: Action) -> Option<Action> {
         let name = match &action {
             Action::CheckLease(_) if self.stalled_leases_expire => return Some(action),
@@ -42,8 +41,8 @@
         let mut action = action;
         if let Action::DeliverCommand(command) = &mut action {
             if !std::mem::replace(&mut command.answer_expired, true) {
-                let silent = command_unanswered(name.clone(), CommandOutcome::NoAnswer);
-                self.deliver(COMMAND_TIMEOUT_MS, command.process, silent);
+                let timeout = command_unanswered(name.clone(), CommandOutcome::NoAnswer);
+                self.deliver(COMMAND_TIMEOUT_MS, command.process, timeout);
             }
         }
         if let Some(worker) = self.workers.get_mut(&name) {
@@ -52,7 +51,8 @@
         None
     }
 
-    /// A stalled machine resumes. Its lease may have expired meanwhile: then no deferred order is executed.
+    /// Resumes a stalled machine and schedules its deferred actions. The lease check comes first: if the lease has
+    /// expired meanwhile, the worker executes no deferred command.
     pub(crate) fn resume_worker(&mut self, name: &str) {
         let now = self.now_ms;
         let Some(worker) = self.workers.get_mut(name) else {
@@ -63,14 +63,14 @@
         }
         worker.stalled_until_ms = 0;
         let mut deferred = std::mem::take(&mut worker.deferred);
-        // By its own clock it has timed out what it waited for.
+        // The worker's clock ran on: its pending heartbeat has timed out before it reads any reply.
         deferred.sort_by_key(|action| match action {
             Action::CheckLease(_) => 0,
             Action::TimeOutHeartbeat { .. } => 1,
             _ => 2,
         });
-        for (i, action) in deferred.into_iter().enumerate() {
-            self.schedule(i as u64 / 4, action);
+        for (index, action) in deferred.into_iter().enumerate() {
+            self.schedule(index as u64 / 4, action);
         }
         self.schedule(1, Action::SendHeartbeat(name.to_string()));
     }
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: their machines come up, restart and die, and their leases end.
+//! Workers and their machines: boots, restarts, failures and lease expiry.
 
 mod commands;
 mod heartbeats;
@@ -13,18 +13,18 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// An attempt of a task on a worker.
+/// A task attempt on a worker.
 pub struct Task {
-    /// Its phase.
+    /// Phase of the attempt.
     pub phase: TaskPhase,
 }
 
-/// When a controller last got a heartbeat of a worker, and which controller.
+/// The latest receipt of a worker's heartbeat by a controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Heard {
-    /// When.
+    /// Time of the receipt.
     pub at_ms: u64,
-    /// The controller.
+    /// Index of the controller.
     pub by: usize,
 }
 
@@ -37,59 +37,68 @@
     pub type_name: String,
     /// Zone of the machine.
     pub zone: String,
-    /// It is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// Number of the worker's process.
+    /// Incarnation of the worker, which each restart increments.
     pub incarnation: u64,
     /// Sequence number of its last heartbeat.
     pub sequence: u64,
     /// Highest fencing token that it has seen.
     pub fencing_token: u64,
-    /// When it last told a higher token.
+    /// Time at which it last reported a higher token.
     pub(crate) token_reported_ms: Option<u64>,
-    /// Since when its lease runs.
+    /// Start of its current lease.
     pub lease_renewed_ms: u64,
-    /// Attempts of tasks that it has not forgotten.
+    /// Task attempts that no controller has told it to forget.
     pub tasks: BTreeMap<(TaskId, u64), Task>,
+    /// Serial number of the heartbeat that awaits its reply.
     pub(crate) pending_heartbeat: Option<u64>,
     pub(crate) heartbeat_sent_ms: u64,
-    pub(crate) last_heartbeat: u64,
-    /// The controller that it sends heartbeats to.
+    /// Serial number of its last heartbeat.
+    pub(crate) last_heartbeat_serial: u64,
+    /// Index of the controller that it sends heartbeats to.
     pub controller: usize,
-    /// Its machine is up.
+    /// Whether its machine is up.
     pub alive: bool,
-    /// When a controller last got a heartbeat of it, and which.
+    /// Latest receipt of its heartbeat by a controller.
     pub last_heard: Heard,
-    /// When it was last told to start something.
+    /// Time of the last start command that it executed.
     pub last_start_ms: u64,
-    /// It has no connection to any controller.
+    /// Whether it has no connection to any controller.
     pub disconnected: bool,
-    /// Its reports arrive; answers and commands to it are lost.
+    /// Whether replies and commands to it are lost, while its heartbeats arrive.
     pub inbound_lost: bool,
-    /// Its reports reach no controller; commands to it arrive, and so do their answers.
+    /// Whether its heartbeats are lost, while commands to it and their answers arrive.
     pub outbound_lost: bool,
-    /// Until when it is stalled, and what comes to it meanwhile.
+    /// Time until which it is stalled; 0 if it is not.
     pub(crate) stalled_until_ms: u64,
+    /// Actions that were due during the stall.
     pub(crate) deferred: Vec<Action>,
-    /// Every task fails on it.
+    /// Whether every task fails on it.
     pub fails_tasks: bool,
-    /// Seconds until the cloud takes the machine away, if it has said so.
+    /// Seconds until the cloud terminates the machine, if it has announced that.
     pub termination_notice_s: Option<f64>,
 }
 
 impl Worker {
-    /// Attempts that have not ended.
+    /// Returns the task attempts that have not exited.
     pub fn live_tasks(&self) -> impl Iterator<Item = &(TaskId, u64)> {
         self.tasks
             .iter()
             .filter(|(_, t)| !matches!(t.phase, TaskPhase::Exited(_)))
-            .map(|(k, _)| k)
+            .map(|(key, _)| key)
     }
 }
 
 impl Simulation {
-    /// A machine of a type comes up after so many milliseconds. Returns its name.
-    pub fn boot_machine(&mut self, type_name: &str, zone: &str, spot: bool, delay: u64) -> String {
+    /// Boots a machine, which is up after a delay. Returns its name.
+    pub fn boot_machine(
+        &mut self,
+        type_name: &str,
+        zone: &str,
+        spot: bool,
+        delay_ms: u64,
+    ) -> String {
         let name = format!("n-{:06}", self.cloud.provisioned);
         self.cloud.provisioned += 1;
         let worker = Worker {
@@ -98,39 +107,39 @@
             zone: zone.into(),
             spot,
             incarnation: 1,
-            lease_renewed_ms: self.now_ms + delay,
+            lease_renewed_ms: self.now_ms + delay_ms,
             controller: self.rng.gen_range(0..self.settings.controllers.len()),
             ..Worker::default()
         };
         self.workers.insert(name.clone(), worker);
-        self.schedule(delay, Action::StartWorker(name.clone()));
+        self.schedule(delay_ms, Action::StartWorker(name.clone()));
         name
     }
 
-    /// A machine is up: its worker begins to report.
+    /// Starts the worker of a machine that is up: it sends its first heartbeat.
     pub(crate) fn start_worker(&mut self, name: String) {
-        let now = self.now_ms;
+        let now_ms = self.now_ms;
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.alive = true;
-            worker.lease_renewed_ms = now;
+            worker.lease_renewed_ms = now_ms;
             self.schedule(1, Action::SendHeartbeat(name.clone()));
             self.schedule(self.settings.lease_ms + 1, Action::CheckLease(name));
         }
     }
 
-    /// A machine's process ends, with all its tasks, and is back so long after, as a newer incarnation.
-    pub fn restart_machine(&mut self, name: &str, back_after: u64) {
+    /// Restarts the worker of a machine, which ends all its tasks. The next incarnation starts after a delay.
+    pub fn restart_machine(&mut self, name: &str, restart_after_ms: u64) {
         self.remove_all_placements(name);
         if let Some(worker) = self.workers.get_mut(name) {
             worker.incarnation += 1;
             worker.tasks.clear();
             worker.pending_heartbeat = None;
-            worker.lease_renewed_ms = self.now_ms + back_after;
-            self.schedule(back_after, Action::SendHeartbeat(name.to_string()));
+            worker.lease_renewed_ms = self.now_ms + restart_after_ms;
+            self.schedule(restart_after_ms, Action::SendHeartbeat(name.to_string()));
         }
     }
 
-    /// A machine dies.
+    /// Ends a machine for good, with all its tasks.
     pub fn kill_machine(&mut self, name: &str) {
         self.remove_all_placements(name);
         if let Some(worker) = self.workers.get_mut(name) {
@@ -139,15 +148,15 @@
         }
     }
 
-    /// Ends a worker's tasks if its lease has ended.
+    /// Ends a worker's tasks and starts its next incarnation if its lease has expired.
     pub(crate) fn check_lease(&mut self, name: String) {
-        let (now, lease) = (self.now_ms, self.settings.lease_ms);
+        let (now_ms, lease_ms) = (self.now_ms, self.settings.lease_ms);
         let Some(worker) = self.workers.get(&name).filter(|worker| worker.alive) else {
             return;
         };
-        let ends = worker.lease_renewed_ms + lease;
-        if now <= ends {
-            self.schedule(ends + 1 - now, Action::CheckLease(name));
+        let expires_ms = worker.lease_renewed_ms + lease_ms;
+        if now_ms <= expires_ms {
+            self.schedule(expires_ms + 1 - now_ms, Action::CheckLease(name));
             return;
         }
         self.metrics.killed_by_lease += worker.live_tasks().count() as u32;
@@ -155,23 +164,23 @@
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.incarnation += 1;
             worker.tasks.clear();
-            worker.lease_renewed_ms = now;
+            worker.lease_renewed_ms = now_ms;
             worker.pending_heartbeat = None;
         }
         self.schedule(1, Action::SendHeartbeat(name.clone()));
-        self.schedule(lease + 1, Action::CheckLease(name));
+        self.schedule(lease_ms + 1, Action::CheckLease(name));
     }
 
-    /// How many tasks of a job run.
+    /// Returns the number of running tasks of a job.
     pub fn running(&self, job: &str) -> usize {
         self.workers
             .values()
             .flat_map(|worker| worker.tasks.iter())
-            .filter(|((t, _), s)| t.job == job && s.phase == TaskPhase::Running)
+            .filter(|((id, _), task)| id.job == job && task.phase == TaskPhase::Running)
             .count()
     }
 
-    /// A machine on which a task of a job is.
+    /// Returns the first machine that has a task of a job.
     pub fn machine_of(&self, job: &str) -> Option<String> {
         self.workers
             .values()
@@ -179,10 +188,10 @@
             .map(|worker| worker.name.clone())
     }
 
-    /// Machines on which a job's tasks are.
+    /// Returns all machines that have tasks of a job.
     pub fn machines_of(&self, job: &str) -> Vec<String> {
-        let holds = |worker: &&Worker| worker.live_tasks().any(|(t, _)| t.job == job);
-        let those = self.workers.values().filter(holds);
-        those.map(|worker| worker.name.clone()).collect()
+        let has_task = |worker: &&Worker| worker.live_tasks().any(|(t, _)| t.job == job);
+        let machines = self.workers.values().filter(has_task);
+        machines.map(|worker| worker.name.clone()).collect()
     }
 }
--- a/crates/simulation/src/workers/heartbeats.rs
+++ b/crates/simulation/src/workers/heartbeats.rs
@@ -95,8 +95,8 @@
             return;
         }
         worker.sequence += 1;
-        worker.last_heartbeat += 1;
-        let serial = worker.last_heartbeat;
+        worker.last_heartbeat_serial += 1;
+        let serial = worker.last_heartbeat_serial;
         worker.pending_heartbeat = Some(serial);
         worker.heartbeat_sent_ms = self.now_ms;
         let worker = name.to_string();
