--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the cloud: it provisions, lists and deletes machines.
+//! Simulated cloud: it provisions, lists and deletes machines.
 
 use crate::fixtures::machine_type;
 use crate::{ProcessId, Simulation};
@@ -8,38 +8,38 @@
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Range;
 
-/// Milliseconds that an answer is on its way.
-const ANSWER_MS: u64 = 20;
-/// Milliseconds that a machine takes that never comes up.
+/// Latency of an answer.
+const ANSWER_LATENCY_MS: u64 = 20;
+/// Boot time of a machine that never comes up within a simulation.
 const STUCK_BOOT_MS: u64 = 86_400_000;
 
 /// A call of a controller to the cloud.
 #[derive(Clone, Debug)]
 pub(crate) struct CloudRequest {
     pub process: ProcessId,
-    pub token: OperationId,
-    pub op: CloudOperation,
-    /// It is carried out, but the controller is told that it failed.
+    pub operation_id: OperationId,
+    pub operation: CloudOperation,
+    /// Whether the cloud executes the call, but the controller gets an error.
     pub answer_lost: bool,
 }
 
-/// The cloud's machines and what is asked of it.
+/// The cloud: its machine types, its capacity and its faults.
 pub struct Cloud {
-    /// Types of machines that can be provisioned.
+    /// Machine types on offer.
     pub machine_types: Vec<MachineType>,
-    /// Machines that can still be provisioned.
+    /// Number of machines that can still be provisioned.
     pub capacity: u32,
-    /// Machines that were provisioned since the start.
+    /// Number of machines provisioned since the start.
     pub provisioned: u32,
-    /// Machines of each request for instances, by the request's name.
+    /// Machines of each instance request, by its name.
     pub(crate) instance_requests: HashMap<String, Vec<String>>,
-    /// Machines that were deleted.
+    /// Names of the deleted machines.
     pub deleted: BTreeSet<String>,
-    /// Milliseconds in which machines come up.
+    /// Range of boot times in milliseconds.
     pub boot_ms: Range<u64>,
-    /// This many of the next machines never come up.
+    /// Number of the next machines that never come up.
     pub stuck_boots: u32,
-    /// All calls fail.
+    /// Whether all calls fail.
     pub is_down: bool,
 }
 
@@ -59,27 +59,28 @@
 }
 
 impl Simulation {
-    /// A call arrives.
+    /// Executes a call that arrives, unless the rate limit refuses it, and sends the answer.
     pub(crate) fn execute_cloud_request(&mut self, request: CloudRequest) {
-        let answer = match self.service_limits.admit_cloud_call(self.now_ms) {
-            true => self.execute_cloud_operation(request.op),
+        let response = match self.service_limits.admit_cloud_call(self.now_ms) {
+            true => self.execute_cloud_operation(request.operation),
             false => CloudResponse::Failed,
         };
         let event = Event::Cloud {
-            operation_id: request.token,
+            operation_id: request.operation_id,
             response: match request.answer_lost {
                 true => CloudResponse::Failed,
-                false => answer,
+                false => response,
             },
         };
-        self.deliver(ANSWER_MS, request.process, event);
+        self.deliver(ANSWER_LATENCY_MS, request.process, event);
     }
 
-    fn execute_cloud_operation(&mut self, op: CloudOperation) -> CloudResponse {
+    /// Executes an operation. An instance request that is repeated under its name returns the same machines.
+    fn execute_cloud_operation(&mut self, operation: CloudOperation) -> CloudResponse {
         if self.cloud.is_down {
             return CloudResponse::Failed;
         }
-        match op {
+        match operation {
             CloudOperation::Types => CloudResponse::Types(self.cloud.machine_types.clone()),
             CloudOperation::Provision {
                 name,
@@ -114,22 +115,23 @@
         }
     }
 
-    /// Boots so many machines, or as many as there are.
+    /// Boots a number of machines, or as many as the capacity allows.
     fn provision(&mut self, type_name: &str, zone: &str, spot: bool, count: u32) -> Vec<String> {
         let count = count.min(self.cloud.capacity);
         self.cloud.capacity -= count;
         (0..count)
             .map(|_| {
-                let mut boot = self.rng.gen_range(self.cloud.boot_ms.clone());
+                let mut boot_ms = self.rng.gen_range(self.cloud.boot_ms.clone());
                 if self.cloud.stuck_boots > 0 {
                     self.cloud.stuck_boots -= 1;
-                    boot = STUCK_BOOT_MS;
+                    boot_ms = STUCK_BOOT_MS;
                 }
-                self.boot_machine(type_name, zone, spot, boot)
+                self.boot_machine(type_name, zone, spot, boot_ms)
             })
             .collect()
     }
 
+    /// Deletes a machine and returns its capacity.
     fn delete_machine(&mut self, name: String) {
         self.remove_all_placements(&name);
         if self.workers.remove(&name).is_some() {
@@ -138,8 +140,9 @@
         self.cloud.deleted.insert(name);
     }
 
+    /// Returns all machines as the cloud lists them.
     fn instances(&self) -> Vec<CloudInstance> {
-        let instance = |worker: &crate::Worker| CloudInstance {
+        let to_instance = |worker: &crate::Worker| CloudInstance {
             name: worker.name.clone(),
             address: String::new(),
             type_name: worker.type_name.clone(),
@@ -148,6 +151,6 @@
             state: CloudInstanceState::Running,
             age_s: 100.0,
         };
-        self.workers.values().map(instance).collect()
+        self.workers.values().map(to_instance).collect()
     }
 }
--- a/crates/simulation/src/effects.rs
+++ b/crates/simulation/src/effects.rs
@@ -1,4 +1,4 @@
-//! Effects of controllers: how each gets to its receiver, or does not.
+//! Effects of controllers: delivery of each to its receiver, with delays and losses.
 
 use crate::network::command_unanswered;
 use crate::state_store::{RequestFate, StateRequest};
@@ -12,23 +12,24 @@
 use glenmount_core::model::WorkerCommand;
 use rand::Rng;
 
-/// Milliseconds after which a controller gives up on a request to the state service.
-const STATE_REQUEST_GIVE_UP_MS: u64 = 1_200;
-/// Milliseconds after which a controller gives up on a call to the cloud.
+/// Timeout of a request to the state store. For a transaction it follows [`STATE_TIMEOUT_MS`].
+const STATE_REQUEST_TIMEOUT_MS: u64 = 1_200;
+/// Timeout of a call to the cloud.
 const CLOUD_TIMEOUT_MS: u64 = 1_500;
-/// Milliseconds after which a controller gives up on a command that does not get through.
+/// Timeout of a command that is lost.
 const COMMAND_TIMEOUT_MS: u64 = 2_000;
-/// The same across the border of a zone that is cut off.
-const CUT_COMMAND_TIMEOUT_MS: u64 = 1_200;
+/// Timeout of a command into or out of a partitioned zone.
+const PARTITION_COMMAND_TIMEOUT_MS: u64 = 1_200;
 
+/// Returns whether one of the commands is a start.
 fn has_start(commands: &[WorkerCommand]) -> bool {
     commands
         .iter()
-        .any(|o| matches!(o, WorkerCommand::Start { .. }))
+        .any(|command| matches!(command, WorkerCommand::Start { .. }))
 }
 
 impl Simulation {
-    /// Carries out what a controller wants done.
+    /// Applies an effect of a controller.
     pub(crate) fn apply_effect(&mut self, process: ProcessId, effect: Effect) {
         let controller = process.controller;
         match effect {
@@ -42,14 +43,14 @@
             }
             Effect::Worker { request, reply } => self.send_heartbeat_reply(process, request, reply),
             Effect::State {
-                operation_id: token,
-                operation: op,
+                operation_id,
+                operation,
                 ..
-            } => self.send_state_operation(process, token, op),
+            } => self.send_state_operation(process, operation_id, operation),
             Effect::Cloud {
-                operation_id: token,
-                operation: op,
-            } => self.send_cloud_operation(process, token, op),
+                operation_id,
+                operation,
+            } => self.send_cloud_operation(process, operation_id, operation),
             Effect::Watch { since } => {
                 self.controllers[controller].watched_revision = Some(since);
                 self.schedule(3, Action::NotifyWatch(process));
@@ -70,17 +71,17 @@
             }),
             Effect::Exit => {
                 let restart_after_ms = self.controllers[controller].restart_after_ms;
-                let end = Action::StopController {
+                let stop = Action::StopController {
                     process,
                     restart_after_ms,
                 };
-                self.schedule(2, end);
+                self.schedule(2, stop);
             }
             Effect::PeerHeartbeat(heartbeat) => self.send_peer_heartbeat(controller, &heartbeat),
         }
     }
 
-    /// The answer to a worker's report.
+    /// Sends the reply to a worker's heartbeat.
     fn send_heartbeat_reply(&mut self, process: ProcessId, request: RequestId, reply: WorkerReply) {
         let Some(heartbeat) = self.pending_heartbeats.remove(&(process, request)) else {
             return;
@@ -93,62 +94,70 @@
             }
             return;
         }
-        let delay = self.rng.gen_range(1..6) + self.extra_latency_ms();
+        let delay_ms = self.rng.gen_range(1..6) + self.extra_latency_ms();
         self.schedule(
-            delay,
+            delay_ms,
             Action::DeliverHeartbeatReply(HeartbeatReply { heartbeat, reply }),
         );
     }
 
-    /// Whether nothing of what a controller sends gets to a worker.
+    /// Returns whether messages of a controller cannot reach a worker.
     fn is_disconnected_from(&self, controller: usize, worker: &str) -> bool {
         let slot = &self.controllers[controller];
-        let deaf = self
+        let is_inbound_lost = self
             .workers
             .get(worker)
             .is_some_and(|worker| worker.inbound_lost);
         slot.cut_from_workers
             || slot.outbound_lost
-            || deaf
+            || is_inbound_lost
             || !self.controller_reaches(controller, worker)
     }
 
-    fn send_state_operation(&mut self, process: ProcessId, token: OperationId, op: StateOperation) {
+    /// Sends an operation to the state store, which executes it, refuses it or, with a fault, answers it late or not
+    /// at all.
+    fn send_state_operation(
+        &mut self,
+        process: ProcessId,
+        operation_id: OperationId,
+        operation: StateOperation,
+    ) {
         let controller = process.controller;
-        let op = match self.is_previous_version(process) {
-            true => operation_as_written(op),
-            false => Some(op),
+        let operation = match self.is_previous_version(process) {
+            true => operation_as_written(operation),
+            false => Some(operation),
         };
-        let Some(op) = op.filter(|_| !self.controllers[controller].refused_by_state) else {
-            let answer = StateResponse::Unavailable;
+        let Some(operation) = operation.filter(|_| !self.controllers[controller].refused_by_state)
+        else {
+            let response = StateResponse::Unavailable;
             self.deliver(
                 5,
                 process,
                 Event::State {
-                    operation_id: token,
-                    response: answer,
+                    operation_id,
+                    response,
                 },
             );
             return;
         };
-        let transaction = matches!(op, StateOperation::Transaction(_));
-        self.controllers[controller].messages_sent += u32::from(transaction);
+        let is_transaction = matches!(operation, StateOperation::Transaction(_));
+        self.controllers[controller].messages_sent += u32::from(is_transaction);
         let mut request = StateRequest {
             process,
-            token,
-            op,
+            operation_id,
+            operation,
             fate: RequestFate::Normal,
         };
         if self.controllers[controller].cut_from_state || self.is_partitioned(controller) {
             self.hold_back_request(request);
             return;
         }
-        if transaction {
-            let (lost, late) = (
+        if is_transaction {
+            let (answer_lost, late) = (
                 self.network.faults.transaction_answer_lost,
                 self.network.faults.transaction_late,
             );
-            if self.chance(lost) {
+            if self.chance(answer_lost) {
                 request.fate = RequestFate::AnswerLost;
             } else if self.chance(late) {
                 request.fate = RequestFate::Late(self.rng.gen_range(1_300..20_000));
@@ -157,82 +166,87 @@
         self.send_state_request(request);
     }
 
-    /// A request that does not get through: a transaction from a zone that is cut off does once that is over.
+    /// Lets a request time out that cannot reach the state store. A transaction from a partitioned zone is executed
+    /// once the partition heals.
     fn hold_back_request(&mut self, request: StateRequest) {
-        let (process, token) = (request.process, request.token);
-        let transaction = matches!(request.op, StateOperation::Transaction(_));
-        if self.is_partitioned(process.controller) && transaction {
+        let (process, operation_id) = (request.process, request.operation_id);
+        let is_transaction = matches!(request.operation, StateOperation::Transaction(_));
+        if self.is_partitioned(process.controller) && is_transaction {
             let fate = RequestFate::Late(0);
-            let late = StateRequest { fate, ..request };
+            let late_request = StateRequest { fate, ..request };
             self.network
                 .held_back
-                .push(Action::ExecuteStateRequest(late));
+                .push(Action::ExecuteStateRequest(late_request));
         }
-        self.time_out_state_request(process, token, transaction);
+        self.time_out_state_request(process, operation_id, is_transaction);
     }
 
-    /// A controller gets no answer from the state service, of which it learns in two steps if it waits for a
-    /// transaction.
+    /// Delivers the timeout of a request to the state store. A transaction gets two events: its outcome is uncertain
+    /// first, and has no answer later.
     fn time_out_state_request(
         &mut self,
         process: ProcessId,
-        token: OperationId,
-        transaction: bool,
+        operation_id: OperationId,
+        is_transaction: bool,
     ) {
-        if transaction {
+        if is_transaction {
             self.deliver(
                 STATE_TIMEOUT_MS,
                 process,
-                Event::StateTimeout {
-                    operation_id: token,
-                },
+                Event::StateTimeout { operation_id },
             );
         }
-        let answer = StateResponse::NoAnswer;
+        let response = StateResponse::NoAnswer;
         let event = Event::State {
-            operation_id: token,
-            response: answer,
+            operation_id,
+            response,
         };
-        self.deliver(STATE_REQUEST_GIVE_UP_MS, process, event);
+        self.deliver(STATE_REQUEST_TIMEOUT_MS, process, event);
     }
 
-    /// Sends a request to the state service.
+    /// Sends a request to the state store. The sender of a late or unanswered one gets a timeout.
     fn send_state_request(&mut self, request: StateRequest) {
-        let delay = match request.fate {
+        let delay_ms = match request.fate {
             RequestFate::Late(ms) => ms,
             _ => self.rng.gen_range(2..10),
         };
         if request.fate != RequestFate::Normal {
-            self.time_out_state_request(request.process, request.token, true);
+            self.time_out_state_request(request.process, request.operation_id, true);
         }
-        self.schedule(delay, Action::ExecuteStateRequest(request));
+        self.schedule(delay_ms, Action::ExecuteStateRequest(request));
     }
 
-    fn send_cloud_operation(&mut self, process: ProcessId, token: OperationId, op: CloudOperation) {
+    /// Sends a call to the cloud. It fails if the controller is partitioned.
+    fn send_cloud_operation(
+        &mut self,
+        process: ProcessId,
+        operation_id: OperationId,
+        operation: CloudOperation,
+    ) {
         let answer_lost = self.chance(self.network.faults.cloud_answer_lost);
         if self.is_partitioned(process.controller) {
-            let answer = CloudResponse::Failed;
+            let response = CloudResponse::Failed;
             let event = Event::Cloud {
-                operation_id: token,
-                response: answer,
+                operation_id,
+                response,
             };
             self.deliver(CLOUD_TIMEOUT_MS, process, event);
             return;
         }
-        let delay = self.rng.gen_range(30..200);
+        let delay_ms = self.rng.gen_range(30..200);
         let request = CloudRequest {
             process,
-            token,
-            op,
+            operation_id,
+            operation,
             answer_lost,
         };
-        self.schedule(delay, Action::ExecuteCloudRequest(request));
+        self.schedule(delay_ms, Action::ExecuteCloudRequest(request));
     }
 
-    /// Orders that a controller sends to a worker directly.
+    /// Sends commands from a controller directly to a worker.
     fn send_command(&mut self, mut command: Command) {
         let (process, controller) = (command.process, command.process.controller);
-        let silent = command_unanswered(command.worker.clone(), CommandOutcome::NoAnswer);
+        let timeout = command_unanswered(command.worker.clone(), CommandOutcome::NoAnswer);
         let slot = &mut self.controllers[controller];
         slot.messages_sent += u32::from(!command.commands.is_empty());
         if has_start(&command.commands) {
@@ -241,27 +255,27 @@
         if !self.controller_reaches(controller, &command.worker) {
             command.answer_expired = true;
             self.network.held_back.push(Action::DeliverCommand(command));
-            self.deliver(CUT_COMMAND_TIMEOUT_MS, process, silent);
+            self.deliver(PARTITION_COMMAND_TIMEOUT_MS, process, timeout);
             return;
         }
         if self.is_disconnected_from(controller, &command.worker)
             || self.chance(self.network.faults.command_lost)
         {
-            self.deliver(COMMAND_TIMEOUT_MS, process, silent);
+            self.deliver(COMMAND_TIMEOUT_MS, process, timeout);
             return;
         }
         command.answer_expired = self.chance(self.network.faults.command_late);
-        let delay = match command.answer_expired {
+        let delay_ms = match command.answer_expired {
             true => self.rng.gen_range(2_000..60_000),
             false => self.rng.gen_range(1..5) + self.extra_latency_ms(),
         };
         if command.answer_expired {
-            self.deliver(COMMAND_TIMEOUT_MS, process, silent);
+            self.deliver(COMMAND_TIMEOUT_MS, process, timeout);
         }
-        self.schedule(delay, Action::DeliverCommand(command));
+        self.schedule(delay_ms, Action::DeliverCommand(command));
     }
 
-    /// A controller's heartbeat to its peers.
+    /// Sends a controller's heartbeat to the peers that it can reach.
     fn send_peer_heartbeat(&mut self, controller: usize, heartbeat: &PeerHeartbeat) {
         self.metrics.heartbeat_bytes = heartbeat
             .workers
--- a/crates/simulation/src/event_loop.rs
+++ b/crates/simulation/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: what is due when, in simulated time, and which part carries it out.
+//! The event loop: the queue of scheduled actions in simulated time, and their execution.
 
 use crate::workers::{Command, HeartbeatReply, PhaseChange};
 use crate::{CloudRequest, FollowUp, ProcessId, Simulation, StateRequest};
@@ -7,56 +7,51 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Something that happens at a time.
+/// A scheduled action.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
-    /// A controller's process starts.
+    /// Starts a controller's process.
     StartController(usize),
+    /// Delivers a tick to a controller.
     Tick(ProcessId),
-    /// An event reaches a controller.
-    DeliverEvent {
-        process: ProcessId,
-        event: Event,
-    },
-    /// A paused controller resumes.
+    /// Delivers an event to a controller's process.
+    DeliverEvent { process: ProcessId, event: Event },
+    /// Resumes a paused controller.
     ResumeController(ProcessId),
-    /// A controller that was asked to end has nothing left to do.
+    /// Ends a controller's process after its graceful shutdown.
     StopController {
         process: ProcessId,
         restart_after_ms: u64,
     },
-    /// A request reaches the state service.
+    /// Executes a request in the state store.
     ExecuteStateRequest(StateRequest),
-    /// A controller's watch is told what has changed.
+    /// Delivers changes to a controller's watch.
     NotifyWatch(ProcessId),
-    /// A call reaches the cloud.
+    /// Executes a call in the cloud.
     ExecuteCloudRequest(CloudRequest),
-    /// A machine is up.
+    /// Starts the worker of a machine that is up.
     StartWorker(String),
-    /// A worker sends a report.
+    /// Lets a worker send a heartbeat.
     SendHeartbeat(String),
-    /// A worker's report reaches a controller.
+    /// Delivers a worker's heartbeat to a controller.
     DeliverHeartbeat {
         controller: usize,
-        report: WorkerHeartbeat,
+        heartbeat: WorkerHeartbeat,
         serial: u64,
     },
-    /// The answer to a report reaches its worker.
+    /// Delivers the reply to a heartbeat to its worker.
     DeliverHeartbeatReply(HeartbeatReply),
-    /// A worker waits no longer for the answer to a report.
-    TimeOutHeartbeat {
-        worker: String,
-        serial: u64,
-    },
-    /// A worker's lease may have ended.
+    /// Ends a worker's wait for the reply to a heartbeat.
+    TimeOutHeartbeat { worker: String, serial: u64 },
+    /// Checks whether a worker's lease has expired.
     CheckLease(String),
-    /// A task on a worker goes from one phase to the next.
+    /// Moves a task on a worker to its next phase.
     ChangePhase(PhaseChange),
-    /// Orders reach a worker directly.
+    /// Delivers commands to a worker.
     DeliverCommand(Command),
-    /// A machine that were stalled goes on.
+    /// Resumes a stalled machine.
     ResumeWorker(String),
-    /// Users look at a job that was just accepted, cancelled or done.
+    /// Sends a user's follow-up request.
     FollowUp {
         controller: usize,
         job: String,
@@ -64,7 +59,7 @@
     },
 }
 
-/// What is due, by time; of what is due at the same time, what was scheduled first.
+/// Scheduled actions, ordered by time and, at the same time, by the order in which they were scheduled.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     actions: BTreeMap<(u64, u64), Action>,
@@ -72,63 +67,76 @@
 }
 
 impl EventQueue {
-    fn push(&mut self, due: u64, action: Action) {
+    fn push(&mut self, due_ms: u64, action: Action) {
         self.sequence += 1;
-        self.actions.insert((due, self.sequence), action);
+        self.actions.insert((due_ms, self.sequence), action);
     }
 
-    /// The next that is due by a time, and when it is.
-    fn pop_due(&mut self, by: u64) -> Option<(u64, Action)> {
+    /// Removes and returns the next action that is due by a time, with its own time.
+    fn pop_due(&mut self, until_ms: u64) -> Option<(u64, Action)> {
         let first = self.actions.first_entry()?;
-        let (due, _) = *first.key();
-        (due <= by).then(|| (due, first.remove()))
+        let (due_ms, _) = *first.key();
+        (due_ms <= until_ms).then(|| (due_ms, first.remove()))
     }
 }
 
 impl Simulation {
-    /// Schedules an action in so many milliseconds.
-    pub(crate) fn schedule(&mut self, delay: u64, act: Action) {
-        self.queue.push(self.now_ms + delay, act);
+    /// Schedules an action after a delay.
+    pub(crate) fn schedule(&mut self, delay_ms: u64, action: Action) {
+        self.queue.push(self.now_ms + delay_ms, action);
     }
 
-    /// Lets an event reach a controller's process, if that still runs then.
-    pub(crate) fn deliver(&mut self, delay: u64, process: ProcessId, event: Event) {
-        self.schedule(delay, Action::DeliverEvent { process, event });
+    /// Delivers an event to a controller's process after a delay, if that process still runs then.
+    pub(crate) fn deliver(&mut self, delay_ms: u64, process: ProcessId, event: Event) {
+        self.schedule(delay_ms, Action::DeliverEvent { process, event });
     }
 
-    /// Draws whether something of a probability happens; draws nothing at a probability of zero.
-    pub(crate) fn chance(&mut self, p: f64) -> bool {
-        p > 0.0 && self.rng.gen_bool(p)
+    /// Draws whether an event of a probability happens. Takes no random number if the probability is zero.
+    pub(crate) fn chance(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.gen_bool(probability)
     }
 
-    /// Runs for so many milliseconds.
-    pub fn run(&mut self, ms: u64) {
-        let end = self.now_ms + ms;
-        while let Some((due, act)) = self.queue.pop_due(end) {
-            self.now_ms = due;
-            self.perform(act);
+    /// Runs the simulation for a time.
+    pub fn run(&mut self, duration_ms: u64) {
+        let end_ms = self.now_ms + duration_ms;
+        while let Some((due_ms, action)) = self.queue.pop_due(end_ms) {
+            self.now_ms = due_ms;
+            self.perform(action);
             if !self.skip_invariants {
                 self.check_invariants();
             }
         }
-        self.now_ms = end;
+        self.now_ms = end_ms;
     }
 
-    /// Runs until something holds, or fails after so many milliseconds.
-    pub fn run_until(&mut self, ms: u64, what: &str, mut holds: impl FnMut(&Simulation) -> bool) {
-        let end = self.now_ms + ms;
-        while !holds(self) {
-            assert!(self.now_ms < end, "in vain at {}: {what}", self.now_ms);
+    /// Runs until a condition holds.
+    ///
+    /// # Panics
+    /// If it does not hold within the timeout.
+    pub fn run_until(
+        &mut self,
+        timeout_ms: u64,
+        description: &str,
+        mut condition: impl FnMut(&Simulation) -> bool,
+    ) {
+        let end_ms = self.now_ms + timeout_ms;
+        while !condition(self) {
+            assert!(
+                self.now_ms < end_ms,
+                "timed out at {} ms: {description}",
+                self.now_ms
+            );
             self.run(10);
         }
     }
 
-    fn perform(&mut self, act: Action) {
-        let Some(act) = self.unless_stalled(act) else {
+    /// Performs an action, unless it is deferred by a stalled machine.
+    fn perform(&mut self, action: Action) {
+        let Some(action) = self.unless_stalled(action) else {
             return;
         };
-        match act {
-            Action::StartController(n) => self.start_controller(n),
+        match action {
+            Action::StartController(controller) => self.start_controller(controller),
             Action::Tick(process) => self.tick(process),
             Action::DeliverEvent { process, event } => {
                 if self.is_current(process) {
@@ -151,9 +159,9 @@
             Action::SendHeartbeat(worker) => self.send_heartbeat(&worker),
             Action::DeliverHeartbeat {
                 controller,
-                report,
+                heartbeat,
                 serial,
-            } => self.receive_heartbeat(controller, report, serial),
+            } => self.receive_heartbeat(controller, heartbeat, serial),
             Action::DeliverHeartbeatReply(reply) => self.receive_heartbeat_reply(reply),
             Action::TimeOutHeartbeat { worker, serial } => self.time_out_heartbeat(worker, serial),
             Action::CheckLease(worker) => self.check_lease(worker),
--- a/crates/simulation/src/fixtures.rs
+++ b/crates/simulation/src/fixtures.rs
@@ -8,7 +8,7 @@
 use glenmount_core::tuning::Tuning;
 use std::collections::BTreeMap;
 
-/// Run times learned, and used for all that they can be.
+/// Returns settings that enable every use of run-time estimates.
 pub fn all_estimate_uses() -> RuntimeEstimateUse {
     RuntimeEstimateUse {
         enabled: true,
@@ -19,16 +19,16 @@
     }
 }
 
-/// Settings of one of several controllers, with a team `blue` that has a limit and a team `red` that has none.
-pub fn settings(controller: &str, count: usize) -> Settings {
+/// Returns the settings of one of several controllers, with a limited team `blue` and an unlimited team `red`.
+pub fn settings(controller: &str, controller_count: usize) -> Settings {
     let mut teams = BTreeMap::new();
-    for (name, max) in [("blue", 12_000), ("red", 0)] {
+    for (name, cpus_max) in [("blue", 12_000), ("red", 0)] {
         teams.insert(
             name.to_string(),
             Team {
                 name: name.into(),
                 cpus: 8_000,
-                cpus_max: max,
+                cpus_max,
                 gpus: 0,
                 gpus_max: 0,
             },
@@ -36,7 +36,7 @@
     }
     Settings {
         controller: controller.into(),
-        controllers: (0..count).map(|i| format!("node-{i}")).collect(),
+        controllers: (0..controller_count).map(|i| format!("node-{i}")).collect(),
         zones: vec!["east".into(), "west".into()],
         zone: "east".into(),
         controller_zones: BTreeMap::new(),
@@ -50,8 +50,8 @@
         cancellation_timeout_ms: 35_000,
         max_value_bytes: 8 * 1024,
         max_transaction_changes: 16,
-        write_rps: 50.0 / count as f64,
-        announced_write_rps: 35.0 / count as f64,
+        write_rps: 50.0 / controller_count as f64,
+        announced_write_rps: 35.0 / controller_count as f64,
         clock_skew_ms: 1_000,
         idle_timeout_ms: 30_000,
         instance_list_lag_ms: 4_000,
@@ -61,7 +61,7 @@
     }
 }
 
-/// An array of tasks of the team `red` that take two processors each.
+/// Returns an array job of team `red`, whose tasks take two processors each.
 pub fn job(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
@@ -90,15 +90,15 @@
     }
 }
 
-/// A job that awaits others.
+/// Returns an array job with dependencies.
 pub fn dependent_job(id: &str, tasks: u32, dependencies: &[&str]) -> JobSpec {
     JobSpec {
-        dependencies: dependencies.iter().map(|a| a.to_string()).collect(),
+        dependencies: dependencies.iter().map(|id| id.to_string()).collect(),
         ..job(id, tasks)
     }
 }
 
-/// A service of the team `red`.
+/// Returns a service of team `red`.
 pub fn service(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         kind: JobKind::Service,
@@ -107,7 +107,7 @@
     }
 }
 
-/// The same, of the team that has a limit.
+/// Returns a job with the limited team `blue` as its team.
 pub fn limited_team(spec: JobSpec) -> JobSpec {
     JobSpec {
         team: "blue".into(),
@@ -115,16 +115,17 @@
     }
 }
 
-/// Reports, leases and cancellations take as long as on the large fleets.
+/// Sets the heartbeat interval, the lease and the cancellation timeout of large fleets.
 pub fn use_long_leases(sim: &mut Simulation) {
-    let s = &mut sim.settings;
+    let settings = &mut sim.settings;
     (
-        s.heartbeat_interval_ms,
-        s.lease_ms,
-        s.cancellation_timeout_ms,
+        settings.heartbeat_interval_ms,
+        settings.lease_ms,
+        settings.cancellation_timeout_ms,
     ) = (5_000, 26_500, 51_500);
 }
 
+/// Returns a machine type with a number of processors.
 pub(crate) fn machine_type(name: &str, cpus: u64) -> MachineType {
     MachineType {
         name: name.into(),
--- a/crates/simulation/src/outcome.rs
+++ b/crates/simulation/src/outcome.rs
@@ -1,24 +1,24 @@
-//! What a played day is measured by: what was served per class and team, services' replicas, and
-//! how long each failover and each start took.
+//! The measured outcome of a day: work served per class and team, availability of services' replicas, and the
+//! durations of failovers and starts.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Milliseconds, told apart to a hundredth.
+/// A distribution of durations in milliseconds, with two significant digits.
 #[derive(Clone)]
 pub struct Durations(Histogram<u32>);
 
 impl Default for Durations {
     fn default() -> Durations {
-        Durations(Histogram::new_with_bounds(1, 3_600_000, 2).expect("the bounds are fixed"))
+        Durations(Histogram::new_with_bounds(1, 3_600_000, 2).expect("valid bounds"))
     }
 }
 
-/// What of them is written down, in milliseconds.
+/// Count and percentiles of a distribution, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct DurationSummary {
-    /// How many.
+    /// Number of durations.
     pub count: u64,
     /// Median.
     pub p50: u64,
@@ -37,55 +37,55 @@
 }
 
 impl Durations {
-    /// Adds one, in milliseconds.
+    /// Records a duration in milliseconds.
     pub fn record(&mut self, ms: u64) {
         self.0.saturating_record(ms.max(1));
     }
-    /// Adds all of another distribution.
+    /// Adds all durations of another distribution.
     pub fn merge(&mut self, other: &Durations) {
         self.0.add(&other.0).expect("the bounds are the same");
     }
-    /// Count and percentiles.
+    /// Returns the count and the percentiles.
     pub fn summary(&self) -> DurationSummary {
-        let at = |q| self.0.value_at_quantile(q);
+        let quantile = |share| self.0.value_at_quantile(share);
         if self.0.is_empty() {
             return DurationSummary::default();
         }
         DurationSummary {
             count: self.0.len(),
-            p50: at(0.5),
-            p90: at(0.9),
-            p99: at(0.99),
+            p50: quantile(0.5),
+            p90: quantile(0.9),
+            p99: quantile(0.99),
             max: self.0.max(),
         }
     }
-    /// Pairs of milliseconds and the share that took no longer, for plots.
+    /// Returns pairs of a duration in milliseconds and the share of durations up to it, for plots.
     pub fn cumulative_distribution(&self) -> Vec<(f64, f64)> {
-        let all = self.0.len().max(1) as f64;
-        let mut sum = 0;
+        let total = self.0.len().max(1) as f64;
+        let mut count = 0;
         let mut curve = vec![(0.0, 0.0)];
-        for v in self.0.iter_recorded() {
-            sum += v.count_since_last_iteration();
-            curve.push((v.value_iterated_to() as f64, sum as f64 / all));
+        for value in self.0.iter_recorded() {
+            count += value.count_since_last_iteration();
+            curve.push((value.value_iterated_to() as f64, count as f64 / total));
         }
         curve
     }
 }
 
-/// Of a class, or a team.
+/// Counts of the jobs and tasks of a class or a team.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Served {
-    /// Jobs submitted.
+    /// Submitted jobs.
     pub jobs: u32,
-    /// Jobs accepted.
+    /// Accepted jobs.
     pub accepted: u32,
-    /// A task of it ran.
+    /// Jobs of which a task ran.
     pub started: u32,
-    /// Jobs that users were told to be done.
+    /// Jobs of which users were told that they are done.
     pub done: u32,
-    /// Done within the first of its goals, of those that have one.
+    /// Jobs that were done within the first goal of their class.
     pub in_time: u32,
-    /// Jobs that have an objective.
+    /// Jobs that have a goal.
     #[serde(rename = "with_goal")]
     pub with_objective: u32,
     /// Tasks of these jobs.
@@ -109,106 +109,104 @@
         self.tasks_done += other.tasks_done;
     }
 
-    /// The share that was served: of services those started, of others those done.
+    /// Returns the share of the tasks that were served: started tasks of services, completed tasks of other jobs.
     pub fn share(&self, service: bool) -> f64 {
-        let (n, of) = match service {
+        let (served, total) = match service {
             true => (self.tasks_started, self.tasks),
             false => (self.tasks_done, self.tasks),
         };
-        match of {
+        match total {
             0 => 1.0,
-            _ => n as f64 / of as f64,
+            _ => served as f64 / total as f64,
         }
     }
 }
 
-/// A day that was played, or several of the same kind added up.
+/// The outcome of one run of a day, or the sum of several.
 #[derive(Clone, Default, Serialize)]
 pub struct Outcome {
-    /// Runs that are added up.
+    /// Number of runs.
     pub plays: u32,
-    /// By class: whether it is a service, and what was served.
+    /// Counts by class, and whether the class is a service.
     pub classes: BTreeMap<String, (bool, Served)>,
-    /// What was served by team.
+    /// Counts by team.
     pub teams: BTreeMap<String, Served>,
-    /// Replicas of services that ran, of those that should have; and in the worst 30 s.
+    /// Share of the expected replicas of services that were running.
     #[serde(rename = "up")]
     pub replica_availability: f64,
     /// The same in the worst 30 s.
     #[serde(rename = "up_worst")]
     pub worst_replica_availability: f64,
-    /// From a submission to its acceptance.
+    /// Time from a job's submission to its acceptance.
     #[serde(rename = "submitted")]
     pub time_to_acceptance: Durations,
-    /// Jobs that were counted.
+    /// Number of submitted jobs.
     pub submissions: u32,
-    /// Submissions without an answer in time.
+    /// Number of submissions without an answer in time.
     pub unanswered: u32,
-    /// Submissions that were told to retry later.
+    /// Number of submissions that were told to retry later.
     #[serde(rename = "told_later")]
     pub retry_replies: u32,
-    /// Milliseconds in which the balancer had no healthy controller.
+    /// Milliseconds in which the load balancer had no healthy controller.
     #[serde(rename = "blind_ms")]
     pub no_healthy_controller_ms: u64,
-    // From a controller's end
-    /// From a controller's failure to its detection by a peer.
+    /// Time from a controller's failure to its detection by a peer.
     #[serde(rename = "noticed")]
     pub failure_detection: Durations,
-    /// From a controller's failure to the next heartbeat of each of its workers.
+    /// Time from a controller's failure to the next heartbeat of each of its workers.
     #[serde(rename = "heard")]
     pub worker_reconnection: Durations,
-    /// From a controller's failure to the first start on one of its workers.
+    /// Time from a controller's failure to the first start command on a worker.
     #[serde(rename = "first_claim")]
     pub first_start_after_failure: Durations,
-    /// From a controller's failure until a peer has taken over its duties.
+    /// Time from a controller's failure until a peer has taken over its duties.
     #[serde(rename = "duty")]
     pub duty_takeover: Durations,
-    // From a process's start
-    /// From a process's start until it was ready.
+    /// Time from a process's start until it was ready.
     #[serde(rename = "ready")]
     pub time_to_ready: Durations,
-    /// From a process's start until it accepted a job.
+    /// Time from a process's start until it accepted a job.
     #[serde(rename = "accepted")]
     pub time_to_first_acceptance: Durations,
-    /// From a process's start until it sent a start.
+    /// Time from a process's start until it sent a start command.
     #[serde(rename = "claimed")]
     pub time_to_first_start: Durations,
-    /// From a job's submission to its first task, per class.
+    /// Time from a job's submission to the run of its first task, by class.
     #[serde(rename = "waits")]
     pub time_to_first_task: BTreeMap<String, Durations>,
-    /// Tasks that ended because a lease expired.
+    /// Number of tasks killed because a lease expired.
     pub killed_by_lease: u32,
-    /// Tasks that were started.
+    /// Number of started tasks.
     pub starts: u32,
-    /// Tasks that completed.
+    /// Number of completed tasks.
     pub tasks_done: u64,
-    /// Tasks that were stopped by reason, and the milliseconds that they had run.
+    /// Number of stopped tasks by reason, and the milliseconds that they had run.
     pub stops: BTreeMap<String, (u32, u64)>,
-    /// Machines that were deleted.
+    /// Number of deleted machines.
     pub deleted: u32,
-    /// Changes in transactions.
+    /// Number of changes in transactions.
     pub changes: u32,
-    /// Transactions of which a condition did not hold.
+    /// Number of transactions with a conflict.
     pub conflicts: u32,
-    /// Requests beyond a rate limit.
+    /// Number of requests refused by a rate limit.
     pub throttled: u32,
-    /// Heartbeats that found no free connection.
+    /// Number of workers' heartbeats refused for lack of a free connection.
     #[serde(rename = "no_socket")]
     pub connections_refused: u32,
-    /// Most workers that one controller had, of all.
+    /// Largest share of the workers that sent heartbeats to one controller.
     #[serde(rename = "crowded")]
     pub max_worker_share: f64,
-    /// Microseconds of real time per event of a controller.
+    /// Microseconds of real time that a controller took per event.
     pub us_per_event: f64,
-    /// KiB of a heartbeat between controllers.
+    /// Size of a heartbeat between controllers in KiB.
     #[serde(rename = "beat_kb")]
     pub heartbeat_kb: f64,
-    /// Seconds of real time.
+    /// Seconds of real time that the runs took.
     pub seconds: u64,
 }
 
 impl Outcome {
-    /// Classes and teams of which less than half was served: they fail the day.
+    /// Returns the classes and teams of which less than half was served. The day fails if there are any.
     pub fn failed(&self) -> Vec<String> {
         let classes = self.classes.iter();
         let classes = classes.filter(|(_, (service, s))| s.share(*service) < 0.5);
@@ -222,11 +220,11 @@
             .collect()
     }
 
-    /// Another play of the same day.
+    /// Adds the outcome of other runs of the same day.
     pub fn add(&mut self, other: &Outcome) {
-        self.add_means(other);
+        self.combine_means(other);
         self.add_served(other);
-        self.add_times(other);
+        self.add_durations(other);
         self.plays += other.plays;
         self.seconds += other.seconds;
         self.submissions += other.submissions;
@@ -236,8 +234,8 @@
         self.killed_by_lease += other.killed_by_lease;
         self.starts += other.starts;
         self.tasks_done += other.tasks_done;
-        for (why, (count, ms)) in &other.stops {
-            let sum = self.stops.entry(why.clone()).or_default();
+        for (reason, (count, ms)) in &other.stops {
+            let sum = self.stops.entry(reason.clone()).or_default();
             (sum.0, sum.1) = (sum.0 + count, sum.1 + ms);
         }
         self.deleted += other.deleted;
@@ -247,10 +245,10 @@
         self.connections_refused += other.connections_refused;
     }
 
-    /// Figures of which the mean, the least or the most is told.
-    fn add_means(&mut self, other: &Outcome) {
-        let (n, m) = (f64::from(self.plays), f64::from(other.plays));
-        let mean = |a: f64, b: f64| (a * n + b * m) / (n + m);
+    /// Combines the values of which an outcome has the mean, the minimum or the maximum.
+    fn combine_means(&mut self, other: &Outcome) {
+        let (runs, other_runs) = (f64::from(self.plays), f64::from(other.plays));
+        let mean = |a: f64, b: f64| (a * runs + b * other_runs) / (runs + other_runs);
         self.replica_availability = mean(self.replica_availability, other.replica_availability);
         self.worst_replica_availability = match self.plays {
             0 => other.worst_replica_availability,
@@ -265,23 +263,23 @@
 
     fn add_served(&mut self, other: &Outcome) {
         for (name, (service, served)) in &other.classes {
-            let of_class = self.classes.entry(name.clone());
-            let of_class = of_class.or_insert((*service, Served::default()));
-            of_class.1.add(served);
+            let entry = self.classes.entry(name.clone());
+            let (_, sum) = entry.or_insert((*service, Served::default()));
+            sum.add(served);
         }
         for (name, served) in &other.teams {
             self.teams.entry(name.clone()).or_default().add(served);
         }
     }
 
-    fn add_times(&mut self, other: &Outcome) {
-        for (name, times) in &other.time_to_first_task {
+    fn add_durations(&mut self, other: &Outcome) {
+        for (name, durations) in &other.time_to_first_task {
             self.time_to_first_task
                 .entry(name.clone())
                 .or_default()
-                .merge(times);
+                .merge(durations);
         }
-        for (a, b) in [
+        for (durations, others) in [
             (&mut self.time_to_acceptance, &other.time_to_acceptance),
             (&mut self.failure_detection, &other.failure_detection),
             (&mut self.worker_reconnection, &other.worker_reconnection),
@@ -297,7 +295,7 @@
             ),
             (&mut self.time_to_first_start, &other.time_to_first_start),
         ] {
-            a.merge(b);
+            durations.merge(others);
         }
     }
 }
--- a/crates/simulation/src/previous_version.rs
+++ b/crates/simulation/src/previous_version.rs
@@ -1,6 +1,6 @@
-//! The shapes in which the version before format 2 stores records, copied as it had them. What a
-//! controller of that version reads and writes goes through them: it passes over fields it does not know
-//! and drops them when it writes a record anew.
+//! Storage formats of the previous version, which supports only format 1. Records that a controller of that version
+//! reads or writes are converted through these types: it ignores unknown fields, and drops them when it writes the
+//! record again.
 
 use glenmount_core::controller::{Event, StateOperation, StateResponse};
 use glenmount_core::state::formats::OLDEST;
@@ -33,14 +33,16 @@
 
 #[derive(Default, Serialize, Deserialize)]
 struct Resources {
-    c: u64,
-    #[serde(default)]
-    g: u64,
-    r: u64,
+    #[serde(rename = "c")]
+    cpus: u64,
+    #[serde(rename = "g", default)]
+    gpus: u64,
+    #[serde(rename = "r")]
+    ram: u64,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Spec {
+struct JobSpec {
     id: String,
     class: String,
     team: String,
@@ -73,27 +75,31 @@
 struct Job {
     phase: JobPhase,
     tasks: u32,
-    chunk: u32,
-    at: u64,
-    #[serde(default)]
-    ended: u64,
-    spec: Option<Box<Spec>>,
+    #[serde(rename = "chunk")]
+    tasks_per_chunk: u32,
+    #[serde(rename = "at")]
+    accepted_at: u64,
+    #[serde(rename = "ended", default)]
+    ended_at: u64,
+    spec: Option<Box<JobSpec>>,
 }
 
 #[derive(Serialize, Deserialize)]
 struct Assignment {
-    m: String,
-    a: u64,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    s: Option<(u64, u64)>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    d: Option<(u64, u64)>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    x: Option<String>,
+    #[serde(rename = "m")]
+    machine: String,
+    #[serde(rename = "a")]
+    attempt: u64,
+    #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
+    reply_start: Option<(u64, u64)>,
+    #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
+    direct_start: Option<(u64, u64)>,
+    #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
+    stop_reason: Option<String>,
 }
 
 #[derive(Serialize, Deserialize)]
-enum Task {
+enum TaskState {
     #[serde(rename = "w")]
     Waiting,
     #[serde(rename = "d")]
@@ -104,23 +110,24 @@
 
 #[derive(Serialize, Deserialize)]
 struct Chunk {
-    #[serde(default)]
-    i: u32,
-    t: Vec<Task>,
-    #[serde(default)]
-    o: String,
-    #[serde(default)]
-    u: Resources,
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    f: Vec<String>,
-    #[serde(default)]
-    n: u32,
-    #[serde(default)]
-    p: u64,
+    #[serde(rename = "i", default)]
+    first: u32,
+    #[serde(rename = "t")]
+    tasks: Vec<TaskState>,
+    #[serde(rename = "o", default)]
+    team: String,
+    #[serde(rename = "u", default)]
+    resources: Resources,
+    #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
+    failed_on: Vec<String>,
+    #[serde(rename = "n", default)]
+    failure_count: u32,
+    #[serde(rename = "p", default)]
+    pause_until: u64,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Place {
+struct ZoneSpread {
     zones: BTreeMap<String, u32>,
 }
 
@@ -140,7 +147,8 @@
     zone: String,
     spot: bool,
     phase: MachinePhase,
-    at: u64,
+    #[serde(rename = "at")]
+    created_at: u64,
     #[serde(default)]
     address: String,
     #[serde(default)]
@@ -157,7 +165,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Hire {
+struct InstanceRequest {
     #[serde(rename = "type")]
     type_name: String,
     zone: String,
@@ -165,15 +173,17 @@
     count: u32,
     #[serde(rename = "node")]
     controller: String,
-    at: u64,
+    #[serde(rename = "at")]
+    created_at: u64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "hosts")]
     instances: Option<Vec<String>>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Fleet {
-    next: u64,
+struct Provisioning {
+    #[serde(rename = "next")]
+    next_request_number: u64,
     #[serde(default)]
     refused: BTreeMap<String, u64>,
 }
@@ -184,15 +194,16 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Types {
+struct MachineTypes {
     #[serde(rename = "types")]
-    machine_types: Vec<Type>,
+    machine_types: Vec<MachineType>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Type {
+struct MachineType {
     name: String,
-    room: Resources,
+    #[serde(rename = "room")]
+    capacity: Resources,
     cache_gb: f64,
     fetch_gb_per_s: f64,
     price: f64,
@@ -201,24 +212,25 @@
     zones: Vec<String>,
 }
 
+/// Converts a value through a type of the previous version. Returns `None` if that version can't read it.
 fn through<T: Serialize + DeserializeOwned>(value: Value) -> Option<Value> {
-    let old: T = serde_json::from_value(value).ok()?;
-    serde_json::to_value(old).ok()
+    let record: T = serde_json::from_value(value).ok()?;
+    serde_json::to_value(record).ok()
 }
 
-/// A value as that version reads it and would write it again; none for what it can't read.
+/// Returns a value as the previous version reads it and writes it again, or `None` if that version can't read it.
 pub fn value(key: &Key, value: Value) -> Option<Value> {
     match key {
         Key::Term => through::<Term>(value),
-        Key::MachineTypes => through::<Types>(value),
-        Key::Provisioning => through::<Fleet>(value),
+        Key::MachineTypes => through::<MachineTypes>(value),
+        Key::Provisioning => through::<Provisioning>(value),
         Key::Job(_) => through::<Job>(value),
         Key::Chunk(..) => through::<Chunk>(value),
-        Key::ZoneSpread(_) => through::<Place>(value),
+        Key::ZoneSpread(_) => through::<ZoneSpread>(value),
         Key::Machine(_) => through::<Machine>(value),
         Key::Team(_) => through::<Team>(value),
-        Key::InstanceRequest(_) => through::<Hire>(value),
-        // A kind of key that it does not know is none of its records.
+        Key::InstanceRequest(_) => through::<InstanceRequest>(value),
+        // The previous version does not know these keys.
         Key::Format(_)
         | Key::CancellationConfirmation
         | Key::RunTimes(_)
@@ -229,24 +241,28 @@
     }
 }
 
-/// A record as that version reads it and would write it again; none for what it cannot read.
+/// Returns a record as the previous version reads it and writes it again, or `None` if that version can't read it.
 pub fn record(key: &Key, record: &Record) -> Option<Record> {
     Record::from_value(key, value(key, record.value(OLDEST))?)
 }
 
-/// What a controller of the previous version makes of records.
+/// Returns an event as a controller of the previous version reads it, without the records that it can't read.
 pub(crate) fn event_as_read(event: Event) -> Event {
     match event {
         Event::WatchUpdate { revision, changes } => {
-            let seen = |(key, mod_revision, record): (Key, u64, Option<Record>)| match record {
-                Some(r) => Some((key.clone(), mod_revision, Some(self::record(&key, &r)?))),
+            let read = |(key, mod_revision, record): (Key, u64, Option<Record>)| match record {
+                Some(record) => Some((
+                    key.clone(),
+                    mod_revision,
+                    Some(self::record(&key, &record)?),
+                )),
                 None => Some((key, mod_revision, None)),
             };
-            let changes = changes.into_iter().filter_map(seen).collect();
+            let changes = changes.into_iter().filter_map(read).collect();
             Event::WatchUpdate { revision, changes }
         }
         Event::State {
-            operation_id: token,
+            operation_id,
             response:
                 StateResponse::Listed {
                     items,
@@ -255,32 +271,33 @@
                     revision,
                 },
         } => {
-            let seen = |(key, mod_revision, r): (Key, u64, Record)| {
-                let record = self::record(&key, &r)?;
+            let read = |(key, mod_revision, record): (Key, u64, Record)| {
+                let record = self::record(&key, &record)?;
                 Some((key, mod_revision, record))
             };
-            let answer = StateResponse::Listed {
-                items: items.into_iter().filter_map(seen).collect(),
+            let response = StateResponse::Listed {
+                items: items.into_iter().filter_map(read).collect(),
                 last,
                 more,
                 revision,
             };
             Event::State {
-                operation_id: token,
-                response: answer,
+                operation_id,
+                response,
             }
         }
         event => event,
     }
 }
 
-/// What a controller of the previous version sends: nothing of formats, and records in their old shape.
-pub(crate) fn operation_as_written(op: StateOperation) -> Option<StateOperation> {
-    let StateOperation::Transaction(mut transaction) = op else {
-        return Some(op);
+/// Returns an operation as a controller of the previous version sends it, with records in its format, or `None` if
+/// the operation writes the supported format, which that version does not do.
+pub(crate) fn operation_as_written(operation: StateOperation) -> Option<StateOperation> {
+    let StateOperation::Transaction(mut transaction) = operation else {
+        return Some(operation);
     };
-    let format = |(key, _): &(Key, Option<Record>)| matches!(key, Key::Format(_));
-    if transaction.changes.iter().any(format) {
+    let writes_format = |(key, _): &(Key, Option<Record>)| matches!(key, Key::Format(_));
+    if transaction.changes.iter().any(writes_format) {
         return None;
     }
     transaction
@@ -288,8 +305,8 @@
         .retain(|(key, _)| *key != Key::CancellationConfirmation);
     transaction.format = OLDEST;
     for (key, record) in &mut transaction.changes {
-        if let Some(r) = record {
-            *r = self::record(key, r).expect("what it writes is in its shape");
+        if let Some(record) = record {
+            *record = self::record(key, record).expect("a record in the previous format");
         }
     }
     Some(StateOperation::Transaction(transaction))
--- a/crates/simulation/src/rate_limits.rs
+++ b/crates/simulation/src/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the state service, the cloud and controllers: rates, connections and lag of lists.
+//! Limits of the state store, the cloud and controllers: rates, connections and the lag of instance lists.
 
 use glenmount_core::model::CloudInstance;
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket that holds the tokens of `burst_s` seconds.
     pub fn new(per_s: f64, burst_s: f64) -> TokenBucket {
         TokenBucket {
             per_s,
@@ -23,78 +23,83 @@
         }
     }
 
-    /// Takes so many tokens, if there are as many.
-    pub fn try_take(&mut self, now: u64, n: f64) -> bool {
-        let passed = (now - self.refilled_ms) as f64 / 1e3;
-        self.refilled_ms = now;
-        self.tokens = (self.tokens + passed * self.per_s).min(self.per_s * self.burst_s);
-        let fits = self.tokens >= n;
-        if fits {
-            self.tokens -= n;
+    /// Takes tokens if the bucket holds enough, and returns whether it did.
+    pub fn try_take(&mut self, now_ms: u64, count: f64) -> bool {
+        let elapsed_s = (now_ms - self.refilled_ms) as f64 / 1e3;
+        self.refilled_ms = now_ms;
+        self.tokens = (self.tokens + elapsed_s * self.per_s).min(self.per_s * self.burst_s);
+        let is_available = self.tokens >= count;
+        if is_available {
+            self.tokens -= count;
         }
-        fits
+        is_available
     }
 }
 
-/// Limits of what the services take; absent ones are unlimited.
+/// Limits of the external services and controllers. `None` stands for no limit.
 #[derive(Default)]
 pub struct ServiceLimits {
-    /// Requests to the state service.
+    /// Rate limit of requests to the state store.
     pub state_requests: Option<TokenBucket>,
-    /// Changes in transactions.
+    /// Rate limit of changes in transactions.
     pub state_changes: Option<TokenBucket>,
-    /// Calls to the cloud.
+    /// Rate limit of calls to the cloud.
     pub cloud_calls: Option<TokenBucket>,
-    /// Workers' connections that a controller holds.
+    /// Maximum number of worker connections of a controller.
     pub worker_connections: Option<usize>,
-    /// Milliseconds by which the cloud's list lags.
+    /// Milliseconds by which the cloud's instance list lags.
     pub list_lag_ms: u64,
-    /// Requests that were refused for being too many.
+    /// Number of requests refused by a rate limit.
     pub throttled: u32,
-    /// Heartbeats that found no free socket.
+    /// Number of workers' heartbeats refused for lack of a free connection.
     pub connections_refused: u32,
+    /// Instance lists by time, back to the lag.
     delayed_lists: VecDeque<(u64, Vec<CloudInstance>)>,
 }
 
 impl ServiceLimits {
-    /// Whether the state service takes a request with so many changes now.
-    pub(crate) fn admit_state_request(&mut self, now: u64, changes: usize) -> bool {
-        let requests = self
+    /// Returns whether the state store admits a request with a number of changes now.
+    pub(crate) fn admit_state_request(&mut self, now_ms: u64, changes: usize) -> bool {
+        let is_request_admitted = self
             .state_requests
             .as_mut()
-            .is_none_or(|r| r.try_take(now, 1.0));
-        let n = changes as f64;
-        let takes = requests
+            .is_none_or(|bucket| bucket.try_take(now_ms, 1.0));
+        let change_count = changes as f64;
+        let is_admitted = is_request_admitted
             && self
                 .state_changes
                 .as_mut()
-                .is_none_or(|r| r.try_take(now, n));
-        self.throttled += u32::from(!takes);
-        takes
+                .is_none_or(|bucket| bucket.try_take(now_ms, change_count));
+        self.throttled += u32::from(!is_admitted);
+        is_admitted
     }
 
-    /// Whether the cloud takes a call now.
-    pub(crate) fn admit_cloud_call(&mut self, now: u64) -> bool {
-        let takes = self
+    /// Returns whether the cloud admits a call now.
+    pub(crate) fn admit_cloud_call(&mut self, now_ms: u64) -> bool {
+        let is_admitted = self
             .cloud_calls
             .as_mut()
-            .is_none_or(|r| r.try_take(now, 1.0));
-        self.throttled += u32::from(!takes);
-        takes
+            .is_none_or(|bucket| bucket.try_take(now_ms, 1.0));
+        self.throttled += u32::from(!is_admitted);
+        is_admitted
     }
 
-    /// The list as it was some time ago.
+    /// Records the current instance list, and returns the list from [`Self::list_lag_ms`] ago.
     pub(crate) fn delay_list(
         &mut self,
-        now: u64,
+        now_ms: u64,
         instances: Vec<CloudInstance>,
     ) -> Vec<CloudInstance> {
         if self.list_lag_ms == 0 {
             return instances;
         }
-        self.delayed_lists.push_back((now, instances));
-        let old = now.saturating_sub(self.list_lag_ms);
-        while self.delayed_lists.get(1).is_some_and(|(at, _)| *at <= old) {
+        self.delayed_lists.push_back((now_ms, instances));
+        let cutoff_ms = now_ms.saturating_sub(self.list_lag_ms);
+        while self
+            .delayed_lists
+            .get(1)
+            .is_some_and(|(at, _)| *at <= cutoff_ms)
+        {
             self.delayed_lists.pop_front();
         }
         self.delayed_lists[0].1.clone()
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -1,28 +1,28 @@
-//! Requests of users, and the check of every answer against all that users were told before.
+//! Requests of users, and the check of each answer against all earlier answers.
 
 use crate::Simulation;
 use glenmount_core::controller::{Event, RequestId, UserReply};
 use glenmount_core::model::{JobSpec, JobState};
 use std::collections::BTreeSet;
 
-/// What users were told about a job.
+/// The answers that users have received about a job.
 #[derive(Default)]
 pub struct UserView {
-    /// Whether it was accepted.
+    /// Whether users were told that it is accepted.
     pub accepted: bool,
-    /// When users were first told that it is accepted.
+    /// Time at which users were first told that it is accepted.
     pub accepted_ms: Option<u64>,
-    /// When users were first told that it is cancelled.
+    /// Time at which users were first told that it is cancelled.
     pub cancelled_ms: Option<u64>,
     /// Whether users were told that it is done.
     pub completed: bool,
-    /// When users were first told that it is done.
+    /// Time at which users were first told that it is done.
     pub completed_ms: Option<u64>,
     /// Whether a user asked to cancel it.
     pub cancel_requested: bool,
 }
 
-/// What of a job's life users were told.
+/// The states of a job that users have been told.
 #[derive(Clone, Copy, PartialEq)]
 struct Milestones {
     accepted: bool,
@@ -40,44 +40,45 @@
     }
 }
 
-/// A request that waits for its answer: about which job, and when it was sent.
+/// A request that waits for its answer.
 pub(crate) struct PendingRequest {
     job: String,
     sent_ms: u64,
 }
 
-/// Answers that were older than another which a controller gave while they were on their way: asked before it,
-/// given after it.
+/// Counts of outdated answers: requested before another controller gave a newer answer, and given after it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Overlaps {
-    /// How many.
+    /// Number of outdated answers.
     pub answers: u32,
-    /// Milliseconds at most by which the newer one was given earlier.
+    /// Longest time from a newer answer to an outdated one.
     pub longest_ms: u64,
 }
 
 impl Overlaps {
-    /// An answer says less than one that was given before. It may only if it was asked for before that:
-    /// the two were on their way together, and no controller can know what another is just about to say.
-    fn note_older_answer(&mut self, asked_at: u64, told_at: u64, now: u64, why: &str) {
+    /// Counts an answer that is behind an earlier one, and checks that this is allowed: its request was sent before
+    /// the earlier answer was given. The two requests then overlapped, and no controller can know the answer that
+    /// another one is about to give.
+    fn record_outdated_answer(&mut self, sent_ms: u64, told_ms: u64, now_ms: u64, violation: &str) {
         assert!(
-            asked_at < told_at,
-            "{why}, asked at {asked_at}, told at {told_at}"
+            sent_ms < told_ms,
+            "{violation}, requested at {sent_ms}, told at {told_ms}"
         );
         assert!(
-            now - told_at <= OVERLAP_MOST_MS,
-            "{why}, {} ms later",
-            now - told_at
+            now_ms - told_ms <= MAX_OVERLAP_MS,
+            "{violation}, {} ms later",
+            now_ms - told_ms
         );
         self.answers += 1;
-        self.longest_ms = self.longest_ms.max(now - told_at);
+        self.longest_ms = self.longest_ms.max(now_ms - told_ms);
     }
 }
 
-/// Milliseconds that an answer may be on its way: users wait as long for the answer to a status request.
-const OVERLAP_MOST_MS: u64 = 1_500;
+/// Maximum time that two requests may overlap, which is how long users wait for the answer to a status request.
+const MAX_OVERLAP_MS: u64 = 1_500;
 
 impl Simulation {
+    /// Sends a user's request about a job to a controller. It is lost if the controller is partitioned.
     pub(crate) fn request(
         &mut self,
         controller: usize,
@@ -95,7 +96,7 @@
         request
     }
 
-    /// A user submits a job to a controller.
+    /// Submits a job to a controller for a user.
     pub fn submit(&mut self, controller: usize, spec: JobSpec) -> RequestId {
         let id = spec.id.clone();
         self.job_specs.insert(id.clone(), spec.clone());
@@ -105,13 +106,13 @@
         })
     }
 
-    /// A user asks a controller for the status of a job.
+    /// Requests the status of a job from a controller for a user.
     pub fn status(&mut self, controller: usize, id: &str) -> RequestId {
         let job = id.to_string();
         self.request(controller, id, |request| Event::Status { request, job })
     }
 
-    /// A user asks a controller to cancel a job.
+    /// Requests the cancellation of a job from a controller for a user.
     pub fn cancel(&mut self, controller: usize, id: &str) -> RequestId {
         self.user_views
             .entry(id.to_string())
@@ -121,7 +122,7 @@
         self.request(controller, id, |request| Event::Cancel { request, job })
     }
 
-    /// Sends a request and runs until it is answered.
+    /// Runs until a request is answered, and returns the answer.
     pub fn await_answer(&mut self, request: RequestId) -> UserReply {
         for _ in 0..6_000 {
             if let Some(reply) = self.answers.get(&request) {
@@ -132,116 +133,134 @@
         panic!("request {request} was never answered");
     }
 
-    /// All jobs that a job needs, directly or through others.
-    fn upstream(&self, id: &str) -> BTreeSet<String> {
+    /// Returns all jobs that a job depends on, directly or through others.
+    fn all_dependencies(&self, id: &str) -> BTreeSet<String> {
         let mut found = BTreeSet::new();
-        let mut next = vec![id.to_string()];
-        while let Some(id) = next.pop() {
+        let mut pending = vec![id.to_string()];
+        while let Some(id) = pending.pop() {
             for dependency in self.job_specs.get(&id).iter().flat_map(|s| &s.dependencies) {
                 if found.insert(dependency.clone()) {
-                    next.push(dependency.clone());
+                    pending.push(dependency.clone());
                 }
             }
         }
         found
     }
 
-    /// A user gets an answer: it is held against all that users were told before.
+    /// Records an answer that a user gets, and checks it against all earlier answers.
     pub(crate) fn record_answer(&mut self, request: RequestId, reply: UserReply) {
-        let Some(asked) = self.pending_requests.remove(&request) else {
+        let Some(pending) = self.pending_requests.remove(&request) else {
             return;
         };
-        let id = &asked.job;
+        let id = &pending.job;
         let before = self.user_views.entry(id.clone()).or_default().milestones();
         match &reply {
             UserReply::Status { state, .. } | UserReply::Cancelled { state, .. } => {
                 assert!(self.job_specs.contains_key(id), "invented: {id}");
-                self.check_state(&asked, *state);
+                self.check_state(&pending, *state);
             }
             UserReply::NotFound | UserReply::Rejected(_) => {
-                if let Some(at) = self.user_views[id].accepted_ms {
-                    let why = format!("forgotten: {id}: {reply:?}");
-                    self.metrics
-                        .overlaps
-                        .note_older_answer(asked.sent_ms, at, self.now_ms, &why);
+                if let Some(accepted_ms) = self.user_views[id].accepted_ms {
+                    let violation = format!("forgotten: {id}: {reply:?}");
+                    self.metrics.overlaps.record_outdated_answer(
+                        pending.sent_ms,
+                        accepted_ms,
+                        self.now_ms,
+                        &violation,
+                    );
                 }
             }
             UserReply::Accepted { .. } | UserReply::RetryAfter { .. } => {}
         }
-        let known = matches!(
+        let is_accepted = matches!(
             reply,
             UserReply::Accepted { .. } | UserReply::Status { .. } | UserReply::Cancelled { .. }
         );
-        let now = self.now_ms;
-        let told = self.user_views.entry(id.clone()).or_default();
-        if known {
-            told.accepted = true;
-            told.accepted_ms.get_or_insert(now);
+        let now_ms = self.now_ms;
+        let view = self.user_views.entry(id.clone()).or_default();
+        if is_accepted {
+            view.accepted = true;
+            view.accepted_ms.get_or_insert(now_ms);
         }
-        let after = told.milestones();
+        let after = view.milestones();
         self.answers.insert(request, reply);
         if self.follow_up_requests && after != before {
             self.schedule_follow_ups(id, !before.accepted);
         }
     }
 
-    /// Checks a state that a user is told, and keeps it in mind.
-    fn check_state(&mut self, asked: &PendingRequest, state: JobState) {
+    /// Checks and records a state that a user is told.
+    fn check_state(&mut self, request: &PendingRequest, state: JobState) {
         match state {
-            JobState::Done => self.check_done(&asked.job),
-            JobState::Cancelled => self.check_cancelled(&asked.job),
-            JobState::Pending | JobState::Running => self.check_open(asked, state),
+            JobState::Done => self.check_done(&request.job),
+            JobState::Cancelled => self.check_cancelled(&request.job),
+            JobState::Pending | JobState::Running => self.check_open(request, state),
         }
         if state != JobState::Cancelled {
-            let id = &asked.job;
-            let upstream = self.upstream(id);
-            let told = upstream.iter().filter_map(|a| self.user_views.get(a));
-            let cancelled_above = told.filter_map(|t| t.cancelled_ms).min();
-            let late = |at: u64| self.now_ms > at + self.settings.cancellation_timeout_ms;
-            let orphaned = cancelled_above.is_some_and(late);
+            let id = &request.job;
+            let dependencies = self.all_dependencies(id);
+            let views = dependencies
+                .iter()
+                .filter_map(|dependency| self.user_views.get(dependency));
+            let dependency_cancelled_ms = views.filter_map(|view| view.cancelled_ms).min();
+            let is_overdue = |at: u64| self.now_ms > at + self.settings.cancellation_timeout_ms;
+            let orphaned = dependency_cancelled_ms.is_some_and(is_overdue);
             assert!(!orphaned, "orphaned: {id} is called {state:?}");
         }
     }
 
+    /// Checks and records that a user is told that a job is done.
     fn check_done(&mut self, id: &str) {
         assert!(self.is_complete(id), "not_done: {id} called done");
-        let now = self.now_ms;
-        let told = self.user_views.entry(id.to_string()).or_default();
-        assert!(told.cancelled_ms.is_none(), "went_back: {id}");
-        told.completed = true;
-        told.completed_ms.get_or_insert(now);
+        let now_ms = self.now_ms;
+        let view = self.user_views.entry(id.to_string()).or_default();
+        assert!(view.cancelled_ms.is_none(), "went_back: {id}");
+        view.completed = true;
+        view.completed_ms.get_or_insert(now_ms);
     }
 
+    /// Checks and records that a user is told that a job is cancelled. Its tasks must end within the cancellation
+    /// timeout from the first such answer.
     fn check_cancelled(&mut self, id: &str) {
-        let upstream = self.upstream(id);
-        let mut above = upstream.iter().filter_map(|a| self.user_views.get(a));
-        let asked_above = above.any(|t| t.cancel_requested);
-        let (now, state) = (self.now_ms, JobState::Cancelled);
-        let told = self.user_views.entry(id.to_string()).or_default();
-        assert!(!told.completed, "went_back: {id} was done, now {state:?}");
-        let asked = told.cancel_requested || asked_above;
-        assert!(asked, "went_back: {id} cancelled by nobody");
-        if told.cancelled_ms.is_none() {
-            told.cancelled_ms = Some(now);
+        let dependencies = self.all_dependencies(id);
+        let mut dependency_views = dependencies
+            .iter()
+            .filter_map(|dependency| self.user_views.get(dependency));
+        let dependency_cancel_requested = dependency_views.any(|view| view.cancel_requested);
+        let (now_ms, state) = (self.now_ms, JobState::Cancelled);
+        let view = self.user_views.entry(id.to_string()).or_default();
+        assert!(!view.completed, "went_back: {id} was done, now {state:?}");
+        let requested = view.cancel_requested || dependency_cancel_requested;
+        assert!(requested, "went_back: {id} cancelled by nobody");
+        if view.cancelled_ms.is_none() {
+            view.cancelled_ms = Some(now_ms);
             self.placements
-                .add_cancelled_job(id, now + self.settings.cancellation_timeout_ms);
+                .add_cancelled_job(id, now_ms + self.settings.cancellation_timeout_ms);
         }
     }
 
-    fn check_open(&mut self, asked: &PendingRequest, state: JobState) {
-        let (id, now) = (&asked.job, self.now_ms);
-        let told = &self.user_views[id];
-        if let Some(at) = told.completed_ms {
-            let why = format!("went_back: {id} was done, now {state:?}");
-            self.metrics
-                .overlaps
-                .note_older_answer(asked.sent_ms, at, now, &why);
+    /// Checks that a user is told an unfinished state of a job only if no final state was told before, or by a request
+    /// that overlapped with that answer.
+    fn check_open(&mut self, request: &PendingRequest, state: JobState) {
+        let (id, now_ms) = (&request.job, self.now_ms);
+        let view = &self.user_views[id];
+        if let Some(completed_ms) = view.completed_ms {
+            let violation = format!("went_back: {id} was done, now {state:?}");
+            self.metrics.overlaps.record_outdated_answer(
+                request.sent_ms,
+                completed_ms,
+                now_ms,
+                &violation,
+            );
         }
-        if let Some(at) = told.cancelled_ms {
-            let why = format!("went_back: {id} was cancelled, now {state:?}");
-            self.metrics
-                .overlaps
-                .note_older_answer(asked.sent_ms, at, now, &why);
+        if let Some(cancelled_ms) = view.cancelled_ms {
+            let violation = format!("went_back: {id} was cancelled, now {state:?}");
+            self.metrics.overlaps.record_outdated_answer(
+                request.sent_ms,
+                cancelled_ms,
+                now_ms,
+                &violation,
+            );
         }
     }
 }
--- a/crates/simulation/src/state_store.rs
+++ b/crates/simulation/src/state_store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the state service: a store of records, compare-and-swap transactions, lists and watches.
+//! Simulated state store: records, compare-and-swap transactions, lists and watches.
 
 use crate::{Action, ProcessId, Simulation};
 use glenmount_core::constants::STATE_TIMEOUT_MS;
@@ -8,77 +8,79 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Milliseconds after which what the state service refused for being too much is sent again.
-const TOO_MANY_PAUSE_MS: u64 = 150;
-/// Milliseconds that an answer is on its way.
-const ANSWER_MS: u64 = 3;
-/// Milliseconds after which a watch is tried again.
+/// Delay after which a throttled request is retried.
+const THROTTLE_RETRY_MS: u64 = 150;
+/// Latency of an answer.
+const ANSWER_LATENCY_MS: u64 = 3;
+/// Delay after which an unreachable watch is retried.
 const WATCH_RETRY_MS: u64 = 200;
-/// Conditions that a transaction may have for each of the changes that it may make.
+/// Maximum number of conditions in a transaction for each change of its limit.
 const CONDITIONS_PER_CHANGE: usize = 4;
 
-/// What becomes of a request to the state service.
+/// The fate of a request to the state store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestFate {
+    /// The state store executes and answers the request.
     Normal,
-    /// Executed, but the answer is lost.
+    /// The state store executes the request, but the answer is lost.
     AnswerLost,
-    /// Given up by the controller, executed later.
+    /// The state store executes the request after these milliseconds, when the controller has timed out.
     Late(u64),
 }
 
-/// A request of a controller to the state service.
+/// A request of a controller to the state store.
 #[derive(Clone, Debug)]
 pub(crate) struct StateRequest {
     pub process: ProcessId,
-    pub token: OperationId,
-    pub op: StateOperation,
+    pub operation_id: OperationId,
+    pub operation: StateOperation,
     pub fate: RequestFate,
 }
 
-/// Largest value in bytes, and most changes of one transaction.
+/// Limits of a transaction.
 #[derive(Clone, Copy, Debug)]
 pub struct TransactionLimits {
-    /// Largest value in bytes.
+    /// Size limit of a value in bytes.
     pub max_value_bytes: u64,
-    /// Changes of one transaction.
+    /// Maximum number of changes.
     pub changes: usize,
 }
 
-/// Keys of all records in the order of their paths, as of a revision.
+/// Keys of all records in the order of their paths, cached for a revision.
 #[derive(Default)]
 struct Listing {
     revision: u64,
     keys: Vec<(String, Key)>,
 }
 
-/// The records, and counts of what was asked of them.
+/// The state store: its records, its faults and counts of its requests.
 pub struct StateStore {
     /// Each record and the revision of its last change.
     pub records: BTreeMap<Key, (Record, u64)>,
     /// Revision of the last change.
     pub revision: u64,
+    /// All changes with their revisions.
     log: Vec<(u64, Key, Option<Record>)>,
     listing: Listing,
     /// Records per page of a list.
     pub page_size: usize,
-    /// All requests are answered with 503.
+    /// Whether it answers all requests with 503.
     pub is_down: bool,
-    /// Limits in force, if not those that controllers keep to.
+    /// Limits in force, if they differ from those announced to the sender.
     pub limits: Option<TransactionLimits>,
-    /// Limits that controllers of the previous version keep to.
+    /// Limits announced to controllers of the previous version.
     pub previous_limits: TransactionLimits,
-    /// Transactions beyond the limits in force.
+    /// Number of transactions beyond the limits in force.
     pub too_large: u32,
-    /// Transactions, and changes in them, whether they were committed or not.
+    /// Number of transactions, committed or not.
     pub transactions: u32,
-    /// Changes of one transaction.
+    /// Number of changes in transactions, committed or not.
     pub changes: u32,
-    /// Transactions of which a condition did not hold.
+    /// Number of transactions with a conflict.
     pub conflicts: u32,
-    /// Reads of the current revision.
+    /// Number of reads of the current revision.
     pub linearizable_reads: u32,
-    /// Pages of lists that were read.
+    /// Number of pages of lists that were read.
     pub list_requests: u32,
 }
 
@@ -107,16 +109,17 @@
 }
 
 impl Simulation {
-    /// Somebody else changes a record.
+    /// Writes a record on behalf of another client.
     pub fn put_record(&mut self, key: Key, record: Record) {
         self.commit_single(key, Some(record));
     }
 
-    /// Somebody else removes a record.
+    /// Removes a record on behalf of another client.
     pub fn remove_record(&mut self, key: Key) {
         self.commit_single(key, None);
     }
 
+    /// Commits one change without conditions.
     fn commit_single(&mut self, key: Key, record: Option<Record>) {
         self.state.revision += 1;
         self.store_change(key, record);
@@ -125,27 +128,27 @@
         }
     }
 
-    /// Takes a change up at the current revision.
+    /// Stores a change at the current revision.
     fn store_change(&mut self, key: Key, record: Option<Record>) {
         match &record {
-            Some(r) => self
+            Some(record) => self
                 .state
                 .records
-                .insert(key.clone(), (r.clone(), self.state.revision)),
+                .insert(key.clone(), (record.clone(), self.state.revision)),
             None => self.state.records.remove(&key),
         };
         self.state.log.push((self.state.revision, key, record));
     }
 
-    /// The limits of the state service fall to those announced.
+    /// Lowers the limits in force to those announced.
     pub fn lower_limits(&mut self) {
         self.state.limits = None;
     }
 
-    /// A request arrives.
+    /// Executes a request that arrives, unless the rate limits refuse it, and sends the answer.
     pub(crate) fn execute_state_request(&mut self, request: StateRequest) {
-        let (process, token) = (request.process, request.token);
-        let changes = match &request.op {
+        let (process, operation_id) = (request.process, request.operation_id);
+        let changes = match &request.operation {
             StateOperation::Transaction(transaction) => transaction.changes.len(),
             _ => 0,
         };
@@ -154,46 +157,47 @@
                 .service_limits
                 .admit_state_request(self.now_ms, changes)
         {
-            self.deliver(ANSWER_MS, process, Event::Throttled);
-            self.schedule(TOO_MANY_PAUSE_MS, Action::ExecuteStateRequest(request));
+            self.deliver(ANSWER_LATENCY_MS, process, Event::Throttled);
+            self.schedule(THROTTLE_RETRY_MS, Action::ExecuteStateRequest(request));
             return;
         }
-        let answer = match self.state.is_down {
+        let response = match self.state.is_down {
             true => StateResponse::Unavailable,
-            false => self.execute_state_operation(request.op, self.is_previous_version(process)),
+            false => {
+                self.execute_state_operation(request.operation, self.is_previous_version(process))
+            }
         };
         if request.fate != RequestFate::Normal {
             return;
         }
-        let delay = match self.chance(self.network.faults.answer_slow) {
-            true => self.rng.gen_range(ANSWER_MS..1_000),
-            false => ANSWER_MS,
+        let delay_ms = match self.chance(self.network.faults.answer_slow) {
+            true => self.rng.gen_range(ANSWER_LATENCY_MS..1_000),
+            false => ANSWER_LATENCY_MS,
         };
-        if delay > STATE_TIMEOUT_MS && changes > 0 {
+        if delay_ms > STATE_TIMEOUT_MS && changes > 0 {
             self.deliver(
                 STATE_TIMEOUT_MS,
                 process,
-                Event::StateTimeout {
-                    operation_id: token,
-                },
+                Event::StateTimeout { operation_id },
             );
         }
         self.deliver(
-            delay,
+            delay_ms,
             process,
             Event::State {
-                operation_id: token,
-                response: answer,
+                operation_id,
+                response,
             },
         );
     }
 
+    /// Executes an operation of a controller of the current or the previous version.
     pub(crate) fn execute_state_operation(
         &mut self,
-        op: StateOperation,
-        old: bool,
+        operation: StateOperation,
+        is_previous_version: bool,
     ) -> StateResponse {
-        match op {
+        match operation {
             StateOperation::ReadIndex => {
                 self.state.linearizable_reads += 1;
                 StateResponse::ReadIndex {
@@ -201,11 +205,13 @@
                 }
             }
             StateOperation::List { after } => self.list_records(after.as_ref()),
-            StateOperation::Transaction(transaction) => self.commit_transaction(transaction, old),
+            StateOperation::Transaction(transaction) => {
+                self.commit_transaction(transaction, is_previous_version)
+            }
         }
     }
 
-    /// A page of records, in the order of their paths.
+    /// Returns a page of records, in the order of their paths.
     fn list_records(&mut self, after: Option<&String>) -> StateResponse {
         self.state.list_requests += 1;
         if self.state.listing.revision != self.state.revision {
@@ -213,7 +219,7 @@
                 .state
                 .records
                 .keys()
-                .map(|k| (k.path(), k.clone()))
+                .map(|key| (key.path(), key.clone()))
                 .collect();
             keys.sort();
             self.state.listing = Listing {
@@ -222,45 +228,51 @@
             };
         }
         let keys = &self.state.listing.keys;
-        let from = keys.partition_point(|(path, _)| Some(path) <= after);
-        let page = &keys[from..keys.len().min(from + self.state.page_size)];
-        let items = page.iter().map(|(_, k)| {
-            let (r, mod_revision) = &self.state.records[k];
-            (k.clone(), *mod_revision, r.clone())
+        let first = keys.partition_point(|(path, _)| Some(path) <= after);
+        let page = &keys[first..keys.len().min(first + self.state.page_size)];
+        let items = page.iter().map(|(_, key)| {
+            let (record, mod_revision) = &self.state.records[key];
+            (key.clone(), *mod_revision, record.clone())
         });
         StateResponse::Listed {
             items: items.collect(),
             last: page.last().map(|(path, _)| path.clone()),
-            more: from + page.len() < keys.len(),
+            more: first + page.len() < keys.len(),
             revision: self.state.revision,
         }
     }
 
-    /// Carries out a transaction if all its conditions hold.
-    fn commit_transaction(&mut self, transaction: CasTransaction, old: bool) -> StateResponse {
+    /// Commits a transaction if it keeps to the limits in force and all its conditions hold.
+    fn commit_transaction(
+        &mut self,
+        transaction: CasTransaction,
+        is_previous_version: bool,
+    ) -> StateResponse {
         self.state.transactions += 1;
         self.state.changes += transaction.changes.len() as u32;
-        let announced = match old {
+        let announced = match is_previous_version {
             true => self.state.previous_limits,
             false => TransactionLimits {
                 max_value_bytes: self.settings.max_value_bytes,
                 changes: self.settings.max_transaction_changes,
             },
         };
-        let largest = self.check_limits_and_format(&transaction, announced);
+        let largest_value_bytes = self.check_limits_and_format(&transaction, announced);
         let in_force = self.state.limits.unwrap_or(announced);
-        if transaction.changes.len() > in_force.changes || largest > in_force.max_value_bytes {
+        if transaction.changes.len() > in_force.changes
+            || largest_value_bytes > in_force.max_value_bytes
+        {
             self.state.too_large += 1;
             return StateResponse::Refused;
         }
-        let stamp_of = |key: &Key| {
+        let current_revision = |key: &Key| {
             self.state
                 .records
                 .get(key)
                 .map_or(0, |(_, mod_revision)| *mod_revision)
         };
         if !(transaction.conditions.iter())
-            .all(|(key, mod_revision)| stamp_of(key) == *mod_revision)
+            .all(|(key, mod_revision)| current_revision(key) == *mod_revision)
         {
             self.state.conflicts += 1;
             return StateResponse::Conflict {
@@ -270,24 +282,24 @@
         self.check_claims(&transaction);
         self.state.revision += 1;
         for (key, record) in transaction.changes {
-            // Through JSON, as on the wire.
-            if let Some(r) = &record {
-                let back = Record::from_value(&key, r.value(transaction.format));
-                assert_eq!(back.as_ref(), Some(r), "a record reads back");
+            // On the wire a record is JSON, and must survive the conversion.
+            if let Some(record) = &record {
+                let decoded = Record::from_value(&key, record.value(transaction.format));
+                assert_eq!(decoded.as_ref(), Some(record), "decoded record");
             }
             self.store_change(key, record);
         }
         for controller in 0..self.controllers.len() {
-            let delay = self.rng.gen_range(2..8);
-            self.schedule(delay, Action::NotifyWatch(self.process(controller)));
+            let delay_ms = self.rng.gen_range(2..8);
+            self.schedule(delay_ms, Action::NotifyWatch(self.process(controller)));
         }
         StateResponse::Committed {
             revision: self.state.revision,
         }
     }
 
-    /// Checks that a transaction keeps to the limits that its sender was told, and that while one controller has
-    /// the previous version all is written in the old shape. Returns the bytes of its largest value.
+    /// Checks that a transaction keeps to the limits announced to its sender, and that all records have the previous
+    /// format while a controller runs the previous version. Returns the size of the largest value in bytes.
     fn check_limits_and_format(
         &self,
         transaction: &CasTransaction,
@@ -297,56 +309,66 @@
             transaction.changes.len() <= limits.changes,
             "too many changes"
         );
-        let most = limits.changes * CONDITIONS_PER_CHANGE;
-        assert!(transaction.conditions.len() <= most, "too many conditions");
-        let all_new = !(0..self.controllers.len())
+        let max_conditions = limits.changes * CONDITIONS_PER_CHANGE;
+        assert!(
+            transaction.conditions.len() <= max_conditions,
+            "too many conditions"
+        );
+        let is_upgraded = !(0..self.controllers.len())
             .any(|controller| self.is_previous_version(self.process(controller)));
-        let mut largest = 0;
+        let mut largest_bytes = 0;
         for (key, record) in &transaction.changes {
             let Some(record) = record else { continue };
             let value = record.value(transaction.format);
-            let size = value.to_string().len() as u64;
-            let before = (self.state.records.get(key))
-                .map_or(0, |(r, _)| r.value(OLDEST).to_string().len() as u64);
-            // A chunk of the previous version's may be written as large as it is.
-            let shrinks = transaction.format == OLDEST && size <= before;
+            let size_bytes = value.to_string().len() as u64;
+            let previous_bytes = (self.state.records.get(key)).map_or(0, |(record, _)| {
+                record.value(OLDEST).to_string().len() as u64
+            });
+            // A chunk of the previous version may exceed the limit as long as it does not grow.
+            let shrinks = transaction.format == OLDEST && size_bytes <= previous_bytes;
             assert!(
-                size <= limits.max_value_bytes || shrinks,
-                "{key:?} has {size} bytes, had {before}"
+                size_bytes <= limits.max_value_bytes || shrinks,
+                "{key:?} has {size_bytes} bytes, had {previous_bytes}"
             );
-            largest = largest.max(size);
-            let plain = crate::previous_version::value(key, value.clone()) == Some(value);
-            let kept = plain
+            largest_bytes = largest_bytes.max(size_bytes);
+            let is_unchanged = crate::previous_version::value(key, value.clone()) == Some(value);
+            let is_allowed = is_unchanged
                 || matches!(
                     key,
                     Key::Format(_) | Key::CancellationConfirmation | Key::RunTimes(_)
                 );
-            assert!(all_new || kept, "{key:?} is not in the old shape");
+            assert!(
+                is_upgraded || is_allowed,
+                "{key:?} is not in the previous format"
+            );
         }
-        largest
+        largest_bytes
     }
 
-    /// Tells a controller's watch what has changed since it was told last.
+    /// Delivers the changes since its last update to a controller's watch, or retries later if it is unreachable.
     pub(crate) fn notify_watch(&mut self, process: ProcessId) {
         let controller = process.controller;
         let slot = &self.controllers[controller];
         let Some(since) = slot.watched_revision.filter(|_| self.is_current(process)) else {
             return;
         };
-        let lags = self.now_ms < slot.watch_delayed_until_ms;
+        let is_delayed = self.now_ms < slot.watch_delayed_until_ms;
         if slot.cut_from_state
             || slot.refused_by_state
             || self.state.is_down
             || self.is_partitioned(controller)
-            || lags
+            || is_delayed
         {
             self.schedule(WATCH_RETRY_MS, Action::NotifyWatch(process));
             return;
         }
-        let from = self.state.log.partition_point(|(e, ..)| *e <= since);
-        let changes: Vec<_> = self.state.log[from..]
+        let first = self
+            .state
+            .log
+            .partition_point(|(revision, ..)| *revision <= since);
+        let changes: Vec<_> = self.state.log[first..]
             .iter()
-            .map(|(e, k, r)| (k.clone(), *e, r.clone()))
+            .map(|(revision, key, record)| (key.clone(), *revision, record.clone()))
             .collect();
         if !changes.is_empty() {
             let revision = self.state.revision;
--- a/crates/simulation/src/workers/commands.rs
+++ b/crates/simulation/src/workers/commands.rs
@@ -1,16 +1,16 @@
-//! Commands: orders that controllers send to workers directly.
+//! Commands that controllers send directly to workers.
 
 use crate::network::command_unanswered;
 use crate::{Action, ProcessId, Simulation};
 use glenmount_core::controller::{CommandOutcome, Event};
 use glenmount_core::model::WorkerCommand;
 
-/// Milliseconds after which a controller gives up on a worker that does not answer.
-const TIMEOUT_MS: u64 = 2_000;
-/// Milliseconds that an answer is on its way.
-const ANSWER_MS: u64 = 2;
+/// Timeout of a command to a worker that does not answer.
+const COMMAND_TIMEOUT_MS: u64 = 2_000;
+/// Latency of an answer.
+const ANSWER_LATENCY_MS: u64 = 2;
 
-/// Orders on their way to a worker.
+/// Commands in flight to a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Command {
     pub process: ProcessId,
@@ -18,24 +18,25 @@
     pub incarnation: u64,
     pub fencing_token: u64,
     pub commands: Vec<WorkerCommand>,
-    /// Its sender waits no longer for an answer.
+    /// Whether its sender has timed out.
     pub answer_expired: bool,
 }
 
 impl Simulation {
-    /// Orders arrive at a worker.
+    /// Executes commands that arrive at a worker, unless their token or incarnation is outdated.
     pub(crate) fn receive_command(&mut self, command: Command) {
-        let late = command.answer_expired;
+        let is_late = command.answer_expired;
         let worker = self.workers.get_mut(&command.worker);
-        let Some(worker) = worker.filter(|worker| worker.alive && (late || !worker.disconnected))
+        let Some(worker) =
+            worker.filter(|worker| worker.alive && (is_late || !worker.disconnected))
         else {
-            let silent = command_unanswered(command.worker, CommandOutcome::NoAnswer);
-            self.deliver(TIMEOUT_MS, command.process, silent);
+            let timeout = command_unanswered(command.worker, CommandOutcome::NoAnswer);
+            self.deliver(COMMAND_TIMEOUT_MS, command.process, timeout);
             return;
         };
         if command.fencing_token < worker.fencing_token || command.incarnation != worker.incarnation
         {
-            if !late {
+            if !is_late {
                 self.answer_command(
                     command.process,
                     command.worker,
@@ -45,49 +46,49 @@
             }
             return;
         }
-        let pause = self.settings.lease_ms / 2;
-        let may = worker
+        let min_interval_ms = self.settings.lease_ms / 2;
+        let may_report = worker
             .token_reported_ms
-            .is_none_or(|at| self.now_ms >= at + pause);
-        let tells = command.fencing_token > worker.fencing_token && may;
+            .is_none_or(|at| self.now_ms >= at + min_interval_ms);
+        let reports_token = command.fencing_token > worker.fencing_token && may_report;
         worker.fencing_token = command.fencing_token;
-        if tells {
-            // It tells a higher token, now and then.
+        if reports_token {
+            // The worker reports a higher token, at most once per half a lease.
             worker.token_reported_ms = Some(self.now_ms);
             self.schedule(500, Action::SendHeartbeat(command.worker.clone()));
         }
-        let stops = |o: &WorkerCommand| matches!(o, WorkerCommand::Stop { .. });
-        let reports = command.commands.is_empty() || command.commands.iter().any(stops);
-        for order in command.commands {
-            self.execute_order(&command.worker, order);
+        let is_stop = |command: &WorkerCommand| matches!(command, WorkerCommand::Stop { .. });
+        let with_heartbeat = command.commands.is_empty() || command.commands.iter().any(is_stop);
+        for worker_command in command.commands {
+            self.execute_command(&command.worker, worker_command);
         }
-        if !late {
+        if !is_late {
             self.answer_command(
                 command.process,
                 command.worker,
                 CommandOutcome::Accepted,
-                reports,
+                with_heartbeat,
             );
         }
     }
 
-    /// A worker answers a command, with a report if that is asked for.
+    /// Sends a worker's answer to a command, with a heartbeat on request.
     fn answer_command(
         &mut self,
-        to: ProcessId,
+        process: ProcessId,
         machine: String,
-        reach: CommandOutcome,
-        reports: bool,
+        outcome: CommandOutcome,
+        with_heartbeat: bool,
     ) {
         if let Some(worker) = self.workers.get_mut(&machine) {
             worker.sequence += 1;
         }
-        let report = reports.then(|| Box::new(self.heartbeat_of(&machine)));
+        let heartbeat = with_heartbeat.then(|| Box::new(self.heartbeat_of(&machine)));
         let event = Event::CommandResult {
             machine,
-            outcome: reach,
-            heartbeat: report,
+            outcome,
+            heartbeat,
         };
-        self.deliver(ANSWER_MS, to, event);
+        self.deliver(ANSWER_LATENCY_MS, process, event);
     }
 }
--- a/crates/simulation/src/workers/heartbeats.rs
+++ b/crates/simulation/src/workers/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Reports of workers: how they get to controllers, and their answers back.
+//! Heartbeats of workers to controllers, and the replies.
 
 use super::{Heard, Worker};
 use crate::{Action, Simulation};
@@ -6,18 +6,18 @@
 use glenmount_core::model::{TaskStatus, WorkerHeartbeat};
 use rand::Rng;
 
-/// Milliseconds after which a worker waits no longer for the answer to a report.
-const REPORT_TIMEOUT_MS: u64 = 4_000;
-/// Milliseconds after which a worker turns to another controller.
+/// Time that a worker waits for the reply to a heartbeat.
+const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
+/// Delay after which a worker tries the next controller.
 const RETRY_MS: u64 = 1_000;
-/// Milliseconds after which it turns to one that it was sent to.
+/// Delay after which a worker follows a redirect.
 const REDIRECT_MS: u64 = 100;
-/// Milliseconds within which old reports come once a controller begins.
-const KEPT_WITHIN_MS: u64 = 3_000;
-/// Reports that are kept.
-const KEPT_MOST: usize = 400;
+/// Time after a controller's start within which the kept heartbeats arrive.
+const KEPT_HEARTBEATS_WINDOW_MS: u64 = 3_000;
+/// Maximum number of kept heartbeats that are delivered, the latest ones.
+const KEPT_HEARTBEATS_MAX: usize = 400;
 
-/// A report that a controller has got and not answered.
+/// A heartbeat that a controller has received and not yet answered.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingHeartbeat {
     pub worker: String,
@@ -25,7 +25,7 @@
     pub serial: u64,
 }
 
-/// The answer to a report.
+/// The reply to a heartbeat.
 #[derive(Clone, Debug)]
 pub(crate) struct HeartbeatReply {
     pub heartbeat: PendingHeartbeat,
@@ -33,7 +33,7 @@
 }
 
 impl Simulation {
-    /// What a machine would report now.
+    /// Returns the heartbeat that a machine would send now.
     pub fn heartbeat_of(&self, machine: &str) -> WorkerHeartbeat {
         let worker = &self.workers[machine];
         WorkerHeartbeat {
@@ -49,38 +49,39 @@
             tasks: worker
                 .tasks
                 .iter()
-                .map(|((task, attempt), t)| TaskStatus {
-                    task: task.clone(),
+                .map(|((id, attempt), task)| TaskStatus {
+                    task: id.clone(),
                     attempt: *attempt,
-                    phase: t.phase,
+                    phase: task.phase,
                 })
                 .collect(),
         }
     }
 
-    /// Lets an old report of a machine, without tasks, arrive at a controller now.
+    /// Delivers an old heartbeat of a machine, without tasks, to a controller.
     pub fn inject_stale_heartbeat(&mut self, controller: usize, machine: &str, sequence: u64) {
-        let report = WorkerHeartbeat {
+        let heartbeat = WorkerHeartbeat {
             sequence,
             notice_s: None,
             tasks: Vec::new(),
             ..self.heartbeat_of(machine)
         };
-        self.inject_heartbeat(controller, &report);
+        self.inject_heartbeat(controller, &heartbeat);
     }
 
-    /// Lets a report arrive at a controller once more, as it was.
-    pub fn inject_heartbeat(&mut self, controller: usize, report: &WorkerHeartbeat) {
+    /// Delivers a copy of a heartbeat to a controller.
+    pub fn inject_heartbeat(&mut self, controller: usize, heartbeat: &WorkerHeartbeat) {
         self.schedule(
             1,
             Action::DeliverHeartbeat {
                 controller,
-                report: report.clone(),
+                heartbeat: heartbeat.clone(),
                 serial: 0,
             },
         );
     }
 
+    /// Lets a worker send a heartbeat, unless it waits for the reply to another or is stalled.
     pub(crate) fn send_heartbeat(&mut self, name: &str) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -101,125 +102,123 @@
         worker.heartbeat_sent_ms = self.now_ms;
         let worker = name.to_string();
         self.schedule(
-            REPORT_TIMEOUT_MS,
+            HEARTBEAT_TIMEOUT_MS,
             Action::TimeOutHeartbeat { worker, serial },
         );
         self.transmit_heartbeat(name, serial);
     }
 
-    /// A worker's report is on its way, if it gets through.
+    /// Transmits a worker's heartbeat, which faults may lose, delay or duplicate.
     fn transmit_heartbeat(&mut self, name: &str, serial: u64) {
-        let mishaps = self.network.faults.clone();
+        let faults = self.network.faults.clone();
         let worker = &self.workers[name];
-        let (controller, cut) = (
+        let (controller, is_cut) = (
             worker.controller,
             worker.disconnected || worker.outbound_lost,
         );
-        let report = self.heartbeat_of(name);
-        let arrive = |report: WorkerHeartbeat| Action::DeliverHeartbeat {
+        let heartbeat = self.heartbeat_of(name);
+        let delivery = |heartbeat: WorkerHeartbeat| Action::DeliverHeartbeat {
             controller,
-            report,
+            heartbeat,
             serial,
         };
         if !self.controller_reaches(controller, name) {
-            self.network.held_back.push(arrive(report));
+            self.network.held_back.push(delivery(heartbeat));
             return;
         }
-        if cut || self.chance(mishaps.heartbeat_lost) {
+        if is_cut || self.chance(faults.heartbeat_lost) {
             return;
         }
-        if self.chance(mishaps.heartbeat_kept) {
-            self.network.kept_heartbeats.push(report.clone());
+        if self.chance(faults.heartbeat_kept) {
+            self.network.kept_heartbeats.push(heartbeat.clone());
         }
-        if self.chance(mishaps.heartbeat_duplicated) {
-            let late = self.rng.gen_range(500..30_000);
-            self.schedule(late, arrive(report.clone()));
+        if self.chance(faults.heartbeat_duplicated) {
+            let copy_delay_ms = self.rng.gen_range(500..30_000);
+            self.schedule(copy_delay_ms, delivery(heartbeat.clone()));
         }
-        let delay = match self.chance(mishaps.heartbeat_late) {
+        let delay_ms = match self.chance(faults.heartbeat_late) {
             true => self.rng.gen_range(3_000..40_000),
             false => self.rng.gen_range(1..5) + self.extra_latency_ms(),
         };
-        self.schedule(delay, arrive(report));
+        self.schedule(delay_ms, delivery(heartbeat));
     }
 
-    /// Old reports reach every controller just as one begins.
+    /// Delivers the kept heartbeats to every controller when one starts.
     pub(crate) fn send_kept_heartbeats(&mut self) {
         let kept = std::mem::take(&mut self.network.kept_heartbeats);
-        for report in kept.into_iter().rev().take(KEPT_MOST) {
+        for heartbeat in kept.into_iter().rev().take(KEPT_HEARTBEATS_MAX) {
             for controller in 0..self.controllers.len() {
-                let delay = self.rng.gen_range(0..KEPT_WITHIN_MS);
-                let arrive = Action::DeliverHeartbeat {
+                let delay_ms = self.rng.gen_range(0..KEPT_HEARTBEATS_WINDOW_MS);
+                let delivery = Action::DeliverHeartbeat {
                     controller,
-                    report: report.clone(),
+                    heartbeat: heartbeat.clone(),
                     serial: 0,
                 };
-                self.schedule(delay, arrive);
+                self.schedule(delay_ms, delivery);
             }
         }
     }
 
-    /// A report arrives at a controller.
+    /// Delivers a heartbeat to a controller. Its host refuses the connection if the controller is not running or has
+    /// no free connection.
     pub(crate) fn receive_heartbeat(
         &mut self,
         controller: usize,
-        report: WorkerHeartbeat,
+        heartbeat: WorkerHeartbeat,
         serial: u64,
     ) {
         if self.controllers[controller].cut_from_workers {
             return;
         }
-        let here = |worker: &&Worker| worker.alive && worker.controller == controller;
-        let full = (self.service_limits.worker_connections)
-            .is_some_and(|most| self.workers.values().filter(here).count() > most);
-        self.service_limits.connections_refused += u32::from(full);
-        if self.controllers[controller].controller.is_none() || full {
-            // Its host refuses the connection.
-            let worker = report.machine;
+        let is_connected = |worker: &&Worker| worker.alive && worker.controller == controller;
+        let is_full = (self.service_limits.worker_connections)
+            .is_some_and(|max| self.workers.values().filter(is_connected).count() > max);
+        self.service_limits.connections_refused += u32::from(is_full);
+        if self.controllers[controller].controller.is_none() || is_full {
+            let worker = heartbeat.machine;
             self.schedule(1, Action::TimeOutHeartbeat { worker, serial });
             return;
         }
-        let (now, frozen) = (self.now_ms, self.is_paused(controller));
-        if let Some(worker) = self.workers.get_mut(&report.machine).filter(|_| !frozen) {
+        let (now_ms, is_paused) = (self.now_ms, self.is_paused(controller));
+        if let Some(worker) = self
+            .workers
+            .get_mut(&heartbeat.machine)
+            .filter(|_| !is_paused)
+        {
             worker.last_heard = Heard {
-                at_ms: now,
+                at_ms: now_ms,
                 by: controller,
             };
         }
         let request = self.next_request;
         self.next_request += 1;
-        let checkin = PendingHeartbeat {
-            worker: report.machine.clone(),
-            incarnation: report.incarnation,
+        let pending = PendingHeartbeat {
+            worker: heartbeat.machine.clone(),
+            incarnation: heartbeat.incarnation,
             serial,
         };
         self.pending_heartbeats
-            .insert((self.process(controller), request), checkin);
-        let report = Box::new(report);
-        self.handle(
-            controller,
-            Event::WorkerHeartbeat {
-                request,
-                heartbeat: report,
-            },
-        );
+            .insert((self.process(controller), request), pending);
+        let heartbeat = Box::new(heartbeat);
+        self.handle(controller, Event::WorkerHeartbeat { request, heartbeat });
     }
 
-    /// The answer to a report arrives at its worker.
+    /// Handles the reply to a heartbeat at its worker.
     pub(crate) fn receive_heartbeat_reply(
         &mut self,
         HeartbeatReply {
-            heartbeat: checkin,
+            heartbeat: pending,
             reply,
         }: HeartbeatReply,
     ) {
-        let name = checkin.worker;
+        let name = pending.worker;
         let Some(worker) = self.workers.get_mut(&name) else {
             return;
         };
-        // The worker drops what comes after it gave up, or from an earlier incarnation.
-        let expected = worker.pending_heartbeat == Some(checkin.serial)
-            && worker.incarnation == checkin.incarnation;
-        if !worker.alive || worker.disconnected || !expected {
+        // The worker ignores a reply after its timeout, or to an earlier incarnation.
+        let is_expected = worker.pending_heartbeat == Some(pending.serial)
+            && worker.incarnation == pending.incarnation;
+        if !worker.alive || worker.disconnected || !is_expected {
             return;
         }
         worker.pending_heartbeat = None;
@@ -229,25 +228,25 @@
                     return;
                 }
                 worker.fencing_token = token;
-                // The lease counts from when the answered report was sent.
+                // The lease runs from the time at which the worker sent the answered heartbeat.
                 worker.lease_renewed_ms = worker.heartbeat_sent_ms;
-                for order in commands {
-                    self.execute_order(&name, order);
+                for command in commands {
+                    self.execute_command(&name, command);
                 }
-                let report_ms = self.settings.heartbeat_interval_ms;
-                let wait = self.rng.gen_range(report_ms * 3 / 4..report_ms * 5 / 4);
-                self.schedule(wait, Action::SendHeartbeat(name));
+                let interval_ms = self.settings.heartbeat_interval_ms;
+                let delay_ms = self.rng.gen_range(interval_ms * 3 / 4..interval_ms * 5 / 4);
+                self.schedule(delay_ms, Action::SendHeartbeat(name));
             }
             WorkerReply::Redirect {
                 controller: Some(target),
             } => {
-                if let Some(i) = self
+                if let Some(index) = self
                     .settings
                     .controllers
                     .iter()
                     .position(|controller| *controller == target)
                 {
-                    worker.controller = i;
+                    worker.controller = index;
                 }
                 self.schedule(REDIRECT_MS, Action::SendHeartbeat(name));
             }
@@ -258,7 +257,7 @@
         }
     }
 
-    /// A worker got no answer to a report, and turns to the next controller.
+    /// Handles the timeout of a heartbeat: its worker tries the next controller.
     pub(crate) fn time_out_heartbeat(&mut self, name: String, serial: u64) {
         let count = self.controllers.len();
         let Some(worker) = self.workers.get_mut(&name) else {
--- a/crates/simulation/src/workers/tasks.rs
+++ b/crates/simulation/src/workers/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on workers: they are started and stopped by orders, run, and end.
+//! Tasks on workers: starts, phase changes, stops and exits.
 
 use super::Task;
 use crate::{Action, Simulation};
@@ -6,16 +6,16 @@
 use glenmount_core::state::{JobPhase, Key, Record};
 use rand::Rng;
 
-/// Milliseconds after which a worker reports what orders have changed.
-const REPORT_AFTER_ORDER_MS: u64 = 500;
-/// Milliseconds after which a worker reports that a task has gone on by itself.
-const REPORT_AFTER_CHANGE_MS: u64 = 5;
-/// Milliseconds after which a task with a mistake fails.
-const FAILS_AFTER_MS: u64 = 300;
-/// By how much a slow machine takes longer.
+/// Delay after which a worker reports the effect of a command.
+const HEARTBEAT_AFTER_COMMAND_MS: u64 = 500;
+/// Delay after which a worker reports a phase change of a task.
+const HEARTBEAT_AFTER_CHANGE_MS: u64 = 5;
+/// Run time of a task that fails.
+const FAILING_RUN_MS: u64 = 300;
+/// Factor on the run time of tasks on slow machines.
 const SLOW_FACTOR: u64 = 3;
 
-/// A task goes from one phase to the next.
+/// A change of a task attempt to its next phase.
 #[derive(Clone, Debug)]
 pub(crate) struct PhaseChange {
     pub worker: String,
@@ -25,30 +25,32 @@
 }
 
 impl Simulation {
-    /// A worker carries out an order.
-    pub(crate) fn execute_order(&mut self, name: &str, order: WorkerCommand) {
-        match order {
+    /// Executes a command on a worker.
+    pub(crate) fn execute_command(&mut self, name: &str, command: WorkerCommand) {
+        match command {
             WorkerCommand::Start { task, attempt } => self.start_task(name, task, attempt),
             WorkerCommand::Stop { task, attempt, .. } => self.stop_task(name, task, attempt),
             WorkerCommand::Forget { task, attempt } => {
                 let tasks = self.workers.get_mut(name).map(|worker| &mut worker.tasks);
-                let gone = tasks.and_then(|tasks| tasks.remove(&(task, attempt)));
-                if let Some(t) = gone {
-                    assert!(matches!(t.phase, TaskPhase::Exited(_)));
+                let removed = tasks.and_then(|tasks| tasks.remove(&(task, attempt)));
+                if let Some(task) = removed {
+                    assert!(matches!(task.phase, TaskPhase::Exited(_)));
                 }
             }
         }
     }
 
+    /// Starts a task attempt that the worker does not know, and checks that it may start.
     fn start_task(&mut self, name: &str, task: TaskId, attempt: u64) {
         let key = (task.clone(), attempt);
         if self.workers[name].tasks.contains_key(&key) {
             return;
         }
-        if let Some(told) = self.user_views.get(&task.job) {
-            let over = self.settings.cancellation_timeout_ms;
+        if let Some(view) = self.user_views.get(&task.job) {
+            let timeout_ms = self.settings.cancellation_timeout_ms;
             assert!(
-                told.cancelled_ms.is_none_or(|at| self.now_ms <= at + over),
+                view.cancelled_ms
+                    .is_none_or(|at| self.now_ms <= at + timeout_ms),
                 "ran_cancelled: {task} starts"
             );
         }
@@ -57,41 +59,43 @@
             self.check_start(name, &task);
             self.metrics.starts += 1;
         }
-        let now = self.now_ms;
+        let now_ms = self.now_ms;
         if let Some(worker) = self.workers.get_mut(name) {
             worker.tasks.insert(key, Task { phase });
-            worker.last_start_ms = now;
+            worker.last_start_ms = now_ms;
         }
         if phase == TaskPhase::Fetching {
             self.add_placement(name, &task);
-            let fetch = self.rng.gen_range(50..900);
+            let fetch_ms = self.rng.gen_range(50..900);
             let change = PhaseChange {
                 worker: name.to_string(),
                 task,
                 attempt,
                 phase: TaskPhase::Running,
             };
-            self.schedule(fetch, Action::ChangePhase(change));
+            self.schedule(fetch_ms, Action::ChangePhase(change));
         }
         self.schedule(
-            REPORT_AFTER_ORDER_MS,
+            HEARTBEAT_AFTER_COMMAND_MS,
             Action::SendHeartbeat(name.to_string()),
         );
     }
 
-    /// What a worker makes of an order to start: it begins to fetch the image, or has no room.
+    /// Returns the first phase of a started task: it fetches its image, or exits because the task is on the worker
+    /// already or there are not enough resources.
     fn initial_phase(&self, name: &str, task: &TaskId) -> TaskPhase {
         let worker = &self.workers[name];
-        let kind = (self.cloud.machine_types.iter()).find(|t| t.name == worker.type_name);
-        let kind = kind.expect("a machine's type is one of the cloud's");
+        let mut machine_types = self.cloud.machine_types.iter();
+        let machine_type = machine_types.find(|offered| offered.name == worker.type_name);
+        let machine_type = machine_type.expect("a machine type of the cloud");
         let used = worker
             .live_tasks()
-            .fold(Resources::default(), |sum, (t, _)| {
-                sum.saturating_add(&self.job_specs[&t.job].resources)
+            .fold(Resources::default(), |sum, (id, _)| {
+                sum.saturating_add(&self.job_specs[&id.job].resources)
             });
-        if worker.tasks.keys().any(|(t, _)| t == task) {
+        if worker.tasks.keys().any(|(id, _)| id == task) {
             TaskPhase::Exited(ExitCause::Busy)
-        } else if !kind
+        } else if !machine_type
             .capacity
             .saturating_sub(&used)
             .fits(&self.job_specs[&task.job].resources)
@@ -102,58 +106,59 @@
         }
     }
 
+    /// Stops a task attempt that has not exited.
     fn stop_task(&mut self, name: &str, task: TaskId, attempt: u64) {
-        let now = self.now_ms;
+        let now_ms = self.now_ms;
         let tasks = self.workers.get_mut(name).map(|worker| &mut worker.tasks);
-        if let Some(t) = tasks.and_then(|tasks| tasks.get_mut(&(task.clone(), attempt))) {
-            if t.phase == TaskPhase::Running {
-                if let Some(done) = self.workload.progress.get_mut(&task) {
-                    done.0 += now - done.1;
+        if let Some(found) = tasks.and_then(|tasks| tasks.get_mut(&(task.clone(), attempt))) {
+            if found.phase == TaskPhase::Running {
+                if let Some((ran_ms, started_ms)) = self.workload.progress.get_mut(&task) {
+                    *ran_ms += now_ms - *started_ms;
                 }
             }
-            if !matches!(t.phase, TaskPhase::Exited(_)) {
-                t.phase = TaskPhase::Exited(ExitCause::Stopped);
+            if !matches!(found.phase, TaskPhase::Exited(_)) {
+                found.phase = TaskPhase::Exited(ExitCause::Stopped);
                 self.remove_placement(name, &task);
                 self.count_stop(&task, attempt);
             }
         }
         self.schedule(
-            REPORT_AFTER_ORDER_MS,
+            HEARTBEAT_AFTER_COMMAND_MS,
             Action::SendHeartbeat(name.to_string()),
         );
     }
 
-    /// Notes why a task was stopped.
+    /// Counts a stopped task by its reason.
     fn count_stop(&mut self, task: &TaskId, attempt: u64) {
-        let ran = self
+        let started_ms = self
             .metrics
             .running_since_ms
             .remove(&(task.clone(), attempt));
-        let ran = ran.map_or(0, |at| self.now_ms - at);
+        let ran_ms = started_ms.map_or(0, |started_ms| self.now_ms - started_ms);
         let job = match self.state.records.get(&Key::Job(task.job.clone())) {
             Some((Record::Job(job), _)) => job,
             _ => return,
         };
-        let why = match self
+        let reason = match self
             .state
             .records
             .get(&Key::Chunk(task.job.clone(), job.chunk_of(task.index)))
         {
             _ if job.phase == JobPhase::Cancelled => Some("cancelled"),
-            Some((Record::Chunk(c), _)) => c
+            Some((Record::Chunk(chunk), _)) => chunk
                 .assignment(task.index)
-                .and_then(|b| b.stop_reason.as_deref()),
+                .and_then(|assignment| assignment.stop_reason.as_deref()),
             _ => None,
         };
         let (count, ms) = self
             .metrics
             .stops
-            .entry(why.unwrap_or("other").to_string())
+            .entry(reason.unwrap_or("other").to_string())
             .or_default();
-        (*count, *ms) = (*count + 1, *ms + ran);
+        (*count, *ms) = (*count + 1, *ms + ran_ms);
     }
 
-    /// A task goes to its next phase, unless it has ended meanwhile.
+    /// Moves a task attempt to its next phase, unless it has exited meanwhile.
     pub(crate) fn change_phase(&mut self, change: PhaseChange) {
         let PhaseChange {
             worker: name,
@@ -164,13 +169,13 @@
         let Some(worker) = self.workers.get_mut(name).filter(|worker| worker.alive) else {
             return;
         };
-        let Some(t) = worker.tasks.get_mut(&(task.clone(), *attempt)) else {
+        let Some(found) = worker.tasks.get_mut(&(task.clone(), *attempt)) else {
             return;
         };
-        if matches!(t.phase, TaskPhase::Exited(_)) {
+        if matches!(found.phase, TaskPhase::Exited(_)) {
             return;
         }
-        t.phase = *phase;
+        found.phase = *phase;
         match phase {
             TaskPhase::Exited(cause) => {
                 self.remove_placement(name, task);
@@ -182,57 +187,61 @@
             TaskPhase::Running => self.begin_run(&change),
             TaskPhase::Fetching | TaskPhase::Checkpointing => {}
         }
-        self.schedule(REPORT_AFTER_CHANGE_MS, Action::SendHeartbeat(change.worker));
+        self.schedule(
+            HEARTBEAT_AFTER_CHANGE_MS,
+            Action::SendHeartbeat(change.worker),
+        );
     }
 
-    /// A task runs: it fails soon, or is done after its time; a service runs on.
+    /// Begins the run of a task: it fails soon, or completes after its run time. Services run until a controller stops
+    /// them. The progress of a checkpointed task shortens the run time of its next attempt.
     fn begin_run(&mut self, change: &PhaseChange) {
-        let (now, task) = (self.now_ms, &change.task);
+        let (now_ms, task) = (self.now_ms, &change.task);
         self.metrics
             .first_run_ms
             .entry(task.job.clone())
-            .or_insert(now);
+            .or_insert(now_ms);
         self.metrics
             .running_since_ms
-            .insert((task.clone(), change.attempt), now);
+            .insert((task.clone(), change.attempt), now_ms);
         let fails = self.workers[&change.worker].fails_tasks
             || self.workload.failing_jobs.contains(&task.job);
         let spec = &self.job_specs[&task.job];
-        let (after, cause) = if fails {
-            (FAILS_AFTER_MS, ExitCause::Error)
+        let (run_ms, cause) = if fails {
+            (FAILING_RUN_MS, ExitCause::Error)
         } else if spec.kind == JobKind::Array {
-            let saves = spec.checkpoint_interval_s > 0.0;
+            let is_checkpointed = spec.checkpoint_interval_s > 0.0;
             let mut run_ms = self.run_ms_of(change);
-            if saves {
-                let done = self
+            if is_checkpointed {
+                let (ran_ms, started_ms) = self
                     .workload
                     .progress
                     .entry(task.clone())
-                    .or_insert((0, now));
-                done.1 = now;
-                run_ms = run_ms.saturating_sub(done.0);
+                    .or_insert((0, now_ms));
+                *started_ms = now_ms;
+                run_ms = run_ms.saturating_sub(*ran_ms);
             }
             (run_ms, ExitCause::Done)
         } else {
             return;
         };
-        let end = PhaseChange {
+        let exit = PhaseChange {
             phase: TaskPhase::Exited(cause),
             ..change.clone()
         };
-        self.schedule(after, Action::ChangePhase(end));
+        self.schedule(run_ms, Action::ChangePhase(exit));
     }
 
-    /// Milliseconds that a task takes on its machine.
+    /// Returns the run time of a task on its machine.
     fn run_ms_of(&self, change: &PhaseChange) -> u64 {
         let job = &change.task.job;
         let class = &self.job_specs[job].class;
-        let known = self
+        let configured_ms = self
             .workload
             .job_run_ms
             .get(job)
             .or(self.workload.class_run_ms.get(class));
-        let run_ms = known.copied().unwrap_or(self.workload.run_ms);
+        let run_ms = configured_ms.copied().unwrap_or(self.workload.run_ms);
         match self.workload.slow_machines.contains(&change.worker) {
             true => run_ms * SLOW_FACTOR,
             false => run_ms,
