--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -1,4 +1,4 @@
-//! Described days: what is read, what is refused, and that a play measures what happened.
+//! Described days: reading, rejection of invalid days, and the measured outcome of a run.
 
 use glenmount_simulation::day::Experiment;
 use glenmount_simulation::day_runner::run_day;
@@ -39,36 +39,49 @@
 
 #[test]
 fn a_small_day_is_run_and_measured() {
-    let read = Experiment::read(DAY).unwrap();
-    let once = || run_day(&read.days[0], &read.variants[0], 3).unwrap();
-    let (a, b) = (once(), once());
-    assert_eq!((a.starts, a.changes), (b.starts, b.changes), "it repeats");
-    assert!(a.failed().is_empty(), "{:?}", a.failed());
-    let noticed = a.failure_detection.summary();
-    assert!(noticed.count == 1 && noticed.max <= 60, "{noticed:?}");
-    let heard = a.worker_reconnection.summary();
-    assert!(heard.count >= 8 && heard.p99 < 4_500, "{heard:?}");
-    assert_eq!((a.duty_takeover.summary().count, a.killed_by_lease), (1, 0));
-    assert!(a.replica_availability > 0.95 && a.submissions > 20);
-    let sort = &a.classes["sort"].1;
+    let experiment = Experiment::read(DAY).unwrap();
+    let run = || run_day(&experiment.days[0], &experiment.variants[0], 3).unwrap();
+    let (first, second) = (run(), run());
+    assert_eq!(
+        (first.starts, first.changes),
+        (second.starts, second.changes),
+        "two runs are equal"
+    );
+    assert!(first.failed().is_empty(), "{:?}", first.failed());
+    let detection = first.failure_detection.summary();
+    assert!(detection.count == 1 && detection.max <= 60, "{detection:?}");
+    let reconnection = first.worker_reconnection.summary();
+    assert!(
+        reconnection.count >= 8 && reconnection.p99 < 4_500,
+        "{reconnection:?}"
+    );
+    assert_eq!(
+        (first.duty_takeover.summary().count, first.killed_by_lease),
+        (1, 0)
+    );
+    assert!(first.replica_availability > 0.95 && first.submissions > 20);
+    let sort = &first.classes["sort"].1;
     assert_eq!(sort.jobs, sort.done);
-    let mut sum = a.clone();
-    sum.add(&b);
-    assert_eq!((sum.plays, sum.starts), (2, 2 * a.starts));
+    let mut sum = first.clone();
+    sum.add(&second);
+    assert_eq!((sum.plays, sum.starts), (2, 2 * first.starts));
     assert_eq!(sum.failure_detection.summary().count, 2);
 }
 
-/// An instance request whose outcome could not be recorded in a controller's first seconds was asked again at a time
-/// before its start, which the subtraction did not allow for.
+/// Also guards against an arithmetic underflow: a controller that could not record the outcome of an instance request
+/// in its first seconds scheduled the retry at a time before its own start.
 #[test]
 fn a_day_of_which_less_than_half_is_served_fails() {
-    let flood = DAY
+    let overloaded = DAY
         .replace("rate = 1.0", "rate = 6.0")
         .replace("run_s = 4.0", "run_s = 200.0");
-    let read = Experiment::read(&flood).unwrap();
-    let outcome = run_day(&read.days[0], &read.variants[0], 3).unwrap();
+    let experiment = Experiment::read(&overloaded).unwrap();
+    let outcome = run_day(&experiment.days[0], &experiment.variants[0], 3).unwrap();
     assert_eq!(outcome.failed(), ["class sort", "team red"]);
-    assert!(outcome.replica_availability > 0.95, "services go on");
+    assert!(
+        outcome.replica_availability > 0.95,
+        "replicas of services keep running"
+    );
 }
 
 #[test]
@@ -86,11 +99,11 @@
             "unknown zone",
         ),
     ];
-    for (from, to, named) in cases {
+    for (from, to, expected) in cases {
         let text = DAY.replace(from, to);
         assert_ne!(text, DAY);
         let error = Experiment::read(&text).unwrap_err().to_string();
-        assert!(error.contains(named), "{to}: {error}");
+        assert!(error.contains(expected), "{to}: {error}");
     }
     let variant = format!("{DAY}\n[[variant]]\nname = \"x\"\nwithout = [\"all\"]\n");
     let error = Experiment::read(&variant).unwrap_err().to_string();
