--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -263,7 +263,8 @@
         }
     }
 
-    /// Returns the zone of a controller: the zones for controllers, or else all zones, are assigned in turn.
+    /// Returns the zone of a controller: controllers are assigned to [`Self::controller_zones`] in turn,
+    /// or to all zones if that is empty.
     pub fn zone_of_controller(&self, controller: usize) -> String {
         let zones = match self.controller_zones.is_empty() {
             true => &self.settings.zones,
--- a/crates/simulation/src/day_runner/measurements.rs
+++ b/crates/simulation/src/day_runner/measurements.rs
@@ -76,14 +76,14 @@
         let max_share =
             workers_per_controller.iter().max().copied().unwrap_or(0) as f64 / all.max(1) as f64;
         self.outcome.max_worker_share = self.outcome.max_worker_share.max(max_share);
-        let (mut up, mut expected) = (0, 0);
+        let (mut available, mut expected) = (0, 0);
         for (id, user) in &self.users.users {
             if self.should_run(id, user) {
                 expected += u64::from(self.sim.job_specs[id].tasks);
-                up += running.get(id.as_str()).copied().unwrap_or(0);
+                available += running.get(id.as_str()).copied().unwrap_or(0);
             }
         }
-        self.replica_samples.push((up, expected));
+        self.replica_samples.push((available, expected));
     }
 
     /// Returns whether a job is a service all of whose replicas should run.
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -36,7 +36,7 @@
         if spec.topology_spread {
             assert!(
                 in_zone(&worker.zone) < spec.tasks.div_ceil(2),
-                "wrong_place: {task} crowds {}",
+                "wrong_place: {task} exceeds the spread limit of zone {}",
                 worker.zone
             );
         }
@@ -44,7 +44,7 @@
             for zone in &self.settings.zones {
                 assert!(
                     *zone == worker.zone || in_zone(zone) == 0,
-                    "wrong_place: {task} apart from its job"
+                    "wrong_place: {task} is outside its job's zone"
                 );
             }
         }
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -18,7 +18,7 @@
     pub completed: bool,
     /// Time at which users were first told that it is done.
     pub completed_ms: Option<u64>,
-    /// Whether a user asked to cancel it.
+    /// Whether a user requested its cancellation.
     pub cancel_requested: bool,
 }
 
@@ -205,13 +205,13 @@
             let dependency_cancelled_ms = views.filter_map(|view| view.cancelled_ms).min();
             let is_overdue = |at: u64| self.now_ms > at + self.settings.cancellation_timeout_ms;
             let orphaned = dependency_cancelled_ms.is_some_and(is_overdue);
-            assert!(!orphaned, "orphaned: {id} is called {state:?}");
+            assert!(!orphaned, "orphaned: {id} is reported {state:?}");
         }
     }
 
     /// Checks and records that a user is told that a job is done.
     fn check_done(&mut self, id: &str) {
-        assert!(self.is_complete(id), "not_done: {id} called done");
+        assert!(self.is_complete(id), "not_done: {id} is reported done");
         let now_ms = self.now_ms;
         let view = self.user_views.entry(id.to_string()).or_default();
         assert!(view.cancelled_ms.is_none(), "went_back: {id}");
@@ -231,7 +231,7 @@
         let view = self.user_views.entry(id.to_string()).or_default();
         assert!(!view.completed, "went_back: {id} was done, now {state:?}");
         let requested = view.cancel_requested || dependency_cancel_requested;
-        assert!(requested, "went_back: {id} cancelled by nobody");
+        assert!(requested, "went_back: {id} was cancelled without a request");
         if view.cancelled_ms.is_none() {
             view.cancelled_ms = Some(now_ms);
             self.placements
--- a/crates/simulation/src/starvation.rs
+++ b/crates/simulation/src/starvation.rs
@@ -31,7 +31,7 @@
 
 impl Simulation {
     /// Returns the jobs of which a task waits although a machine that it may use has capacity for it, and its team is
-    /// under its limit. Jobs with a zone constraint are left out.
+    /// under its limit. Excludes jobs with a zone constraint.
     pub fn jobs_waiting_despite_capacity(&self) -> BTreeSet<String> {
         let mut waiting = BTreeSet::new();
         let is_open = |id: &str| match self.user_views.get(id) {
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -130,7 +130,7 @@
     pub submitted_ms: u64,
     /// Time at which the user was told that the job is accepted.
     pub accepted_ms: Option<u64>,
-    /// Time at which a poll told that the job is done.
+    /// Time at which the user was told that the job is done.
     pub completed_ms: Option<u64>,
     /// Whether the user has given up.
     pub gave_up: bool,
