--- a/crates/core/tests/scenarios/cancellations_under_faults.rs
+++ b/crates/core/tests/scenarios/cancellations_under_faults.rs
@@ -93,7 +93,8 @@
                 sim.crash(0, 200);
             }
             sim.run(500);
-            let heard = |x: &Worker| x.last_heard.by == 0 && x.last_heard.at_ms > down + 20_000;
+            let heard =
+                |x: &Worker| x.last_heard.controller == 0 && x.last_heard.at_ms > down + 20_000;
             reported |= sim.workers.values().any(heard);
             gone = gone.or((sim.running("j-1") == 0).then_some(sim.now_ms));
         }
--- a/crates/core/tests/scenarios/random_faults.rs
+++ b/crates/core/tests/scenarios/random_faults.rs
@@ -175,7 +175,7 @@
             simulation: mut sim,
             jobs,
             rolling_upgrade: rolls,
-        } = random_faults::play(seed, 6, STEPS);
+        } = random_faults::run(seed, 6, STEPS);
         sim.network.faults = FaultRates::default();
         (
             sim.cancel_at_completion,
--- a/crates/simulation/src/day_runner.rs
+++ b/crates/simulation/src/day_runner.rs
@@ -151,7 +151,7 @@
             rate_factors: vec![1.0; day.classes.len()],
             failovers: Vec::new(),
             outcome: Outcome {
-                plays: 1,
+                runs: 1,
                 ..Outcome::default()
             },
             active_faults: Vec::new(),
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -53,5 +53,5 @@
 pub use starvation::StarvationTracker;
 pub(crate) use state_store::StateRequest;
 pub use state_store::{StateStore, TransactionLimits};
-pub use workers::{Heard, Task, Worker};
+pub use workers::{HeartbeatReceipt, Task, Worker};
 pub use workload::Workload;
--- a/crates/simulation/src/outcome.rs
+++ b/crates/simulation/src/outcome.rs
@@ -126,7 +126,8 @@
 #[derive(Clone, Default, Serialize)]
 pub struct Outcome {
     /// Number of runs.
-    pub plays: u32,
+    #[serde(rename = "plays")]
+    pub runs: u32,
     /// Counts by class, and whether the class is a service.
     pub classes: BTreeMap<String, (bool, Served)>,
     /// Counts by team.
@@ -225,7 +226,7 @@
         self.combine_means(other);
         self.add_served(other);
         self.add_durations(other);
-        self.plays += other.plays;
+        self.runs += other.runs;
         self.seconds += other.seconds;
         self.submissions += other.submissions;
         self.unanswered += other.unanswered;
@@ -247,10 +248,10 @@
 
     /// Combines the values of which an outcome has the mean, the minimum or the maximum.
     fn combine_means(&mut self, other: &Outcome) {
-        let (runs, other_runs) = (f64::from(self.plays), f64::from(other.plays));
+        let (runs, other_runs) = (f64::from(self.runs), f64::from(other.runs));
         let mean = |a: f64, b: f64| (a * runs + b * other_runs) / (runs + other_runs);
         self.replica_availability = mean(self.replica_availability, other.replica_availability);
-        self.worst_replica_availability = match self.plays {
+        self.worst_replica_availability = match self.runs {
             0 => other.worst_replica_availability,
             _ => self
                 .worst_replica_availability
--- a/crates/simulation/src/random_faults.rs
+++ b/crates/simulation/src/random_faults.rs
@@ -20,12 +20,12 @@
 }
 
 /// Runs a number of steps on three controllers.
-pub fn play(seed: u64, machines: usize, steps: usize) -> RandomFaults {
-    play_on(seed, machines, steps, |_| {})
+pub fn run(seed: u64, machines: usize, steps: usize) -> RandomFaults {
+    run_prepared(seed, machines, steps, |_| {})
 }
 
 /// Runs a number of steps on three controllers, after `prepare` has changed the simulation.
-pub fn play_on(
+pub fn run_prepared(
     seed: u64,
     machines: usize,
     steps: usize,
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -21,11 +21,11 @@
 
 /// The latest receipt of a worker's heartbeat by a controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct HeartbeatReceipt {
     /// Time of the receipt.
     pub at_ms: u64,
     /// Index of the controller.
-    pub by: usize,
+    pub controller: usize,
 }
 
 /// A worker and its machine.
@@ -61,7 +61,7 @@
     /// Whether its machine is up.
     pub alive: bool,
     /// Latest receipt of its heartbeat by a controller.
-    pub last_heard: Heard,
+    pub last_heard: HeartbeatReceipt,
     /// Time of the last start command that it executed.
     pub last_start_ms: u64,
     /// Whether it has no connection to any controller.
--- a/crates/simulation/src/workers/heartbeats.rs
+++ b/crates/simulation/src/workers/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Heartbeats of workers to controllers, and the replies.
 
-use super::{Heard, Worker};
+use super::{HeartbeatReceipt, Worker};
 use crate::{Action, Simulation};
 use glenmount_core::controller::{Event, WorkerReply};
 use glenmount_core::model::{TaskStatus, WorkerHeartbeat};
@@ -185,9 +185,9 @@
             .get_mut(&heartbeat.machine)
             .filter(|_| !is_paused)
         {
-            worker.last_heard = Heard {
+            worker.last_heard = HeartbeatReceipt {
                 at_ms: now_ms,
-                by: controller,
+                controller,
             };
         }
         let request = self.next_request;
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -64,7 +64,7 @@
     assert_eq!(sort.jobs, sort.done);
     let mut sum = first.clone();
     sum.add(&second);
-    assert_eq!((sum.plays, sum.starts), (2, 2 * first.starts));
+    assert_eq!((sum.runs, sum.starts), (2, 2 * first.starts));
     assert_eq!(sum.failure_detection.summary().count, 2);
 }
 
--- a/crates/xtask/src/digest.rs
+++ b/crates/xtask/src/digest.rs
@@ -60,7 +60,7 @@
                         world.settings.runtime_estimates = all_estimate_uses();
                     }
                 };
-                let run = random_faults::play_on(*seed, *machines, STEPS, prepare);
+                let run = random_faults::run_prepared(*seed, *machines, STEPS, prepare);
                 run.simulation.digest.ok_or(DigestError::Missing)
             }
             Run::Day { day, variant } => {
--- a/crates/xtask/src/experiment/table.rs
+++ b/crates/xtask/src/experiment/table.rs
@@ -56,7 +56,7 @@
         "{:28} {:20} {:>5} {:>7.4} {:>7.4} {:>16} {:>16} {:>16} {:>14} {:>12} {:>6} {:>6} {:>7.1}",
         p.day,
         p.variant,
-        o.plays,
+        o.runs,
         o.replica_availability,
         o.worst_replica_availability,
         two(&o.failure_detection),
