--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -28,6 +28,7 @@
     pub cut_from_peers: bool,
     /// Whether its messages to workers and peers are lost, while it receives theirs.
     pub outbound_lost: bool,
+    /// Revision up to which its watch has delivered changes, if it has a watch.
     pub(crate) watched_revision: Option<u64>,
     /// Time until which its watch delivers nothing.
     pub(crate) watch_delayed_until_ms: u64,
@@ -210,14 +211,18 @@
             .filter_map(|worker| Some((worker.name.clone(), worker.pending_heartbeat?)))
             .collect();
         for (worker, serial) in waiting_workers {
-            let delay = self.rng.gen_range(1..4);
-            self.schedule(delay, Action::TimeOutHeartbeat { worker, serial });
+            let delay_ms = self.rng.gen_range(1..4);
+            self.schedule(delay_ms, Action::TimeOutHeartbeat { worker, serial });
         }
         for peer in (0..self.controllers.len()).filter(|peer| *peer != controller) {
             if self.peers_connected(controller, peer) {
                 let controller = self.settings.controllers[controller].clone();
-                let delay = self.rng.gen_range(1..4);
-                self.deliver(delay, self.process(peer), Event::LinkEnded { controller });
+                let delay_ms = self.rng.gen_range(1..4);
+                self.deliver(
+                    delay_ms,
+                    self.process(peer),
+                    Event::LinkEnded { controller },
+                );
             }
         }
     }
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -165,8 +165,8 @@
             max_value_bytes: self.settings.max_value_bytes as usize,
             max_transaction_changes: self.settings.max_transaction_changes,
         };
-        let now_ms = crate::START_TIME_MS + self.now_ms;
-        configuration::change_transaction(settings, current, enabled_revision, limits, now_ms, "")
+        let wall_ms = crate::START_TIME_MS + self.now_ms;
+        configuration::change_transaction(settings, current, enabled_revision, limits, wall_ms, "")
             .map_err(ConfigureError::Invalid)
     }
 
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Maximum time that two requests may overlap, which is how long users wait for the answer to a status request.
+/// Maximum time that an answer may be in flight: users wait as long for the answer to a status request.
 const MAX_OVERLAP_MS: u64 = 1_500;
 
 impl Simulation {
--- a/crates/simulation/src/stalls.rs
+++ b/crates/simulation/src/stalls.rs
@@ -54,11 +54,11 @@
     /// Resumes a stalled machine and schedules its deferred actions. The lease check comes first: if the lease has
     /// expired meanwhile, the worker executes no deferred command.
     pub(crate) fn resume_worker(&mut self, name: &str) {
-        let now = self.now_ms;
+        let now_ms = self.now_ms;
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if worker.stalled_until_ms == 0 || now < worker.stalled_until_ms {
+        if worker.stalled_until_ms == 0 || now_ms < worker.stalled_until_ms {
             return;
         }
         worker.stalled_until_ms = 0;
