--- a/crates/core/tests/allocations.rs
+++ b/crates/core/tests/allocations.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat allocates in the core: exact, and so bounded here, unlike its time.
+//! The heap allocations for a heartbeat in the core. Unlike times they are deterministic, so a test can bound them.
 
 use glenmount_core::controller::{Effect, Event, WorkerReply};
 use glenmount_core::model::{TaskStatus, WorkerHeartbeat};
@@ -7,14 +7,14 @@
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
 
-/// Blocks that a heartbeat without news may take: what is reported by task, and the list of effects with
-/// its answer. Names that were copied into maps, and what a record lacks of a machine, made it 9.
-const BLOCKS: f64 = 4.0;
-/// Bytes, the same: most of them for the list of effects.
-const BYTES: f64 = 900.0;
+/// The number of blocks that an unchanged heartbeat may allocate: the reported tasks, and the list of effects with the
+/// answer. Copies of names in maps, and of fields that the machine record lacks, raised it to 9.
+const MAX_BLOCKS: f64 = 4.0;
+/// The bytes that an unchanged heartbeat may allocate, most of them for the list of effects.
+const MAX_BYTES: f64 = 900.0;
 
 #[test]
-fn a_heartbeat_without_news_allocates_little() {
+fn an_unchanged_heartbeat_allocates_little() {
     let mut sim = Simulation::new(1, 1, 40);
     sim.settings.idle_timeout_ms = 3_600_000;
     sim.run(6_000);
@@ -26,42 +26,39 @@
         (0..20).all(|i| sim.running(&format!("j-{i}")) == 4)
     });
     sim.run(20_000);
-    let mut reports: Vec<WorkerHeartbeat> = (sim.workers.values())
-        .map(|m| WorkerHeartbeat {
-            machine: m.name.clone(),
+    let mut heartbeats: Vec<WorkerHeartbeat> = (sim.workers.values())
+        .map(|worker| WorkerHeartbeat {
+            machine: worker.name.clone(),
             address: "10.0.0.9:9000".into(),
-            type_name: m.type_name.clone(),
-            zone: m.zone.clone(),
-            spot: m.spot,
-            incarnation: m.incarnation,
-            sequence: m.sequence + 100,
-            token: m.fencing_token,
+            type_name: worker.type_name.clone(),
+            zone: worker.zone.clone(),
+            spot: worker.spot,
+            incarnation: worker.incarnation,
+            sequence: worker.sequence + 100,
+            token: worker.fencing_token,
             notice_s: None,
-            tasks: (m.tasks.iter())
-                .map(|((task, attempt), t)| TaskStatus {
+            tasks: (worker.tasks.iter())
+                .map(|((task, attempt), state)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
-                    phase: t.phase,
+                    phase: state.phase,
                 })
                 .collect(),
         })
         .collect();
-    let tasks: usize = reports.iter().map(|r| r.tasks.len()).sum();
-    assert!(tasks >= 80, "{tasks} tasks run");
+    let tasks: usize = heartbeats.iter().map(|h| h.tasks.len()).sum();
+    assert!(tasks >= 80, "only {tasks} tasks run");
     let (now, wall) = (sim.now_ms, START_TIME_MS + sim.now_ms);
     let controller = sim.controllers[0].controller.as_mut().unwrap();
-    // The first round has news: whatever it takes is not counted.
-    let mut events = |sequence: u64| -> Vec<Event> {
-        (reports.iter_mut())
+    // The first round of heartbeats differs from the controller's state, so its allocations are not counted.
+    let mut events = |increment: u64| -> Vec<Event> {
+        (heartbeats.iter_mut())
             .enumerate()
-            .map(|(i, report)| {
-                report.sequence += sequence;
-                let report = Box::new(report.clone());
+            .map(|(i, heartbeat)| {
+                heartbeat.sequence += increment;
+                let heartbeat = Box::new(heartbeat.clone());
                 let request = 1_000_000 + i as u64;
-                Event::WorkerHeartbeat {
-                    request,
-                    heartbeat: report,
-                }
+                Event::WorkerHeartbeat { request, heartbeat }
             })
             .collect()
     };
@@ -69,7 +66,7 @@
         controller.handle(now, wall, event);
     }
     let counted = events(1);
-    let n = counted.len() as f64;
+    let count = counted.len() as f64;
     let profiler = dhat::Profiler::builder().testing().build();
     let before = dhat::HeapStats::get();
     let mut answers = 0;
@@ -90,10 +87,13 @@
     }
     let after = dhat::HeapStats::get();
     drop(profiler);
-    assert_eq!(answers, n as usize, "each is answered, and at once");
-    let blocks = (after.total_blocks - before.total_blocks) as f64 / n;
-    let bytes = (after.total_bytes - before.total_bytes) as f64 / n;
-    println!("a check-in: {blocks:.1} blocks, {bytes:.0} bytes");
-    assert!(blocks <= BLOCKS, "{blocks} blocks");
-    assert!(bytes <= BYTES, "{bytes} bytes");
+    assert_eq!(
+        answers, count as usize,
+        "every heartbeat is answered at once"
+    );
+    let blocks = (after.total_blocks - before.total_blocks) as f64 / count;
+    let bytes = (after.total_bytes - before.total_bytes) as f64 / count;
+    println!("a heartbeat: {blocks:.1} blocks, {bytes:.0} bytes");
+    assert!(blocks <= MAX_BLOCKS, "{blocks} blocks");
+    assert!(bytes <= MAX_BYTES, "{bytes} bytes");
 }
--- a/crates/core/tests/pinned_forms.rs
+++ b/crates/core/tests/pinned_forms.rs
@@ -1,7 +1,7 @@
 //! The stored forms of records, keys and transactions, byte for byte.
 //!
-//! What is on record was written by versions that are still in service or may be gone back to, so the
-//! samples under `samples/` are never made anew: each is read, written again and compared with itself.
+//! Versions that are still in service, or to which operators may roll back, wrote these records. The samples under
+//! `samples/` are therefore never regenerated: each test reads a sample, writes it again and compares the two.
 
 use glenmount_core::state::formats::{LATEST, OLDEST};
 use glenmount_core::state::{CasTransaction, Key, Record};
@@ -9,25 +9,26 @@
 use std::collections::{BTreeSet, HashSet};
 
 const RECORDS: &str = include_str!("samples/records.tsv");
-const SHORT_RECORDS: &str = include_str!("samples/records_without_optional_fields.tsv");
-const REFUSED: &str = include_str!("samples/refused_records.tsv");
+const RECORDS_WITHOUT_OPTIONAL_FIELDS: &str =
+    include_str!("samples/records_without_optional_fields.tsv");
+const REFUSED_RECORDS: &str = include_str!("samples/refused_records.tsv");
 const TRANSACTIONS: &str = include_str!("samples/transactions.tsv");
 
-/// The columns of a sample's lines.
+/// Returns the columns of each line of a sample.
 fn lines<const N: usize>(sample: &'static str) -> impl Iterator<Item = [&'static str; N]> {
     sample.lines().map(|line| {
         let columns: Vec<&str> = line.split('\t').collect();
         columns
             .try_into()
-            .unwrap_or_else(|_| panic!("not {N} columns: {line}"))
+            .unwrap_or_else(|_| panic!("the line does not have {N} columns: {line}"))
     })
 }
 
 fn key(path: &str) -> Key {
-    Key::parse(path).unwrap_or_else(|| panic!("no key: {path}"))
+    Key::parse(path).unwrap_or_else(|| panic!("not a key: {path}"))
 }
 
-/// A record read from its text, which must not differ from what is read from its value.
+/// Reads a record from its text and asserts that reading it from its JSON value gives the same.
 fn record(path: &str, text: &str) -> Record {
     let record = Record::parse(&key(path), text);
     let value = serde_json::from_str(text).expect("samples are JSON");
@@ -36,9 +37,10 @@
         Record::from_value(&key(path), value),
         "{path} {text}"
     );
-    record.unwrap_or_else(|| panic!("unreadable: {path} {text}"))
+    record.unwrap_or_else(|| panic!("unreadable record: {path} {text}"))
 }
 
+/// Returns the name of the record's kind, from its key.
 fn kind(path: &str) -> &str {
     let parts: Vec<&str> = path.split('/').collect();
     match parts.as_slice() {
@@ -48,7 +50,7 @@
 }
 
 #[test]
-fn there_are_samples_of_every_kind_of_record_in_every_format() {
+fn every_kind_of_record_has_a_sample_in_every_format() {
     let kinds = [
         "chunk",
         "configurable",
@@ -69,29 +71,29 @@
     ];
     for format in OLDEST..=LATEST {
         let format = format.to_string();
-        let of_format = lines(RECORDS).filter(|[f, ..]: &[&str; 3]| **f == *format);
-        let sampled: BTreeSet<&str> = of_format.map(|[_, path, _]| kind(path)).collect();
+        let records = lines(RECORDS).filter(|[f, ..]: &[&str; 3]| **f == *format);
+        let sampled: BTreeSet<&str> = records.map(|[_, path, _]| kind(path)).collect();
         assert_eq!(sampled, kinds.into(), "format {format}");
     }
 }
 
 #[test]
-fn paths_of_keys_are_read_and_written_the_same() {
+fn paths_of_keys_round_trip() {
     for [_, path, _] in lines(RECORDS) {
         assert_eq!(key(path).path(), path);
     }
 }
 
 #[test]
-fn records_of_every_format_are_read_and_written_the_same() {
+fn records_of_every_format_round_trip() {
     for [format, path, text] in lines(RECORDS) {
-        let format: u32 = format.parse().expect("a format's number");
+        let format: u32 = format.parse().expect("a format number");
         assert_eq!(record(path, text).value(format).to_string(), text, "{path}");
     }
 }
 
 #[test]
-fn records_of_one_format_are_written_in_the_others_as_in_the_samples() {
+fn records_are_converted_between_formats_as_in_the_samples() {
     let sampled: HashSet<(String, &str, &str)> = lines(RECORDS)
         .map(|[format, path, text]| (format.to_string(), path, text))
         .collect();
@@ -106,8 +108,8 @@
 }
 
 #[test]
-fn records_without_optional_fields_are_read_as_if_those_had_their_defaults() {
-    for [path, stored, written] in lines(SHORT_RECORDS) {
+fn records_without_optional_fields_are_read_with_their_defaults() {
+    for [path, stored, written] in lines(RECORDS_WITHOUT_OPTIONAL_FIELDS) {
         let value = record(path, stored).value(LATEST);
         assert_eq!(value.to_string(), written, "{path} {stored}");
     }
@@ -115,7 +117,7 @@
 
 #[test]
 fn damaged_records_and_unknown_keys_are_refused() {
-    for [path, text, refusal] in lines(REFUSED) {
+    for [path, text, refusal] in lines(REFUSED_RECORDS) {
         let found = match Key::parse(path) {
             None => "no such key",
             Some(key) => match Record::parse(&key, text) {
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn records_that_are_cut_off_are_refused() {
+fn truncated_records_are_refused() {
     for [_, path, text] in lines(RECORDS) {
         for (end, _) in text.char_indices() {
             assert_eq!(Record::parse(&key(path), &text[..end]), None, "{path}");
@@ -136,7 +138,7 @@
     }
 }
 
-/// A transaction that the text of one stands for.
+/// Builds a transaction from the text of a request body.
 fn transaction(format: u32, text: &str) -> CasTransaction {
     let body: Value = serde_json::from_str(text).expect("samples are JSON");
     let list = |field: &str| body[field].as_array().expect("a list").clone();
@@ -160,9 +162,9 @@
 }
 
 #[test]
-fn transactions_are_written_as_the_state_service_takes_them() {
+fn transactions_are_written_in_the_form_of_the_state_service() {
     for [format, text] in lines(TRANSACTIONS) {
-        let format: u32 = format.parse().expect("a format's number");
+        let format: u32 = format.parse().expect("a format number");
         assert_eq!(transaction(format, text).request_body(), text);
     }
 }
--- a/crates/core/tests/scenarios/cancellations.rs
+++ b/crates/core/tests/scenarios/cancellations.rs
@@ -1,6 +1,6 @@
-//! Cancellations: starts in flight, lost state service, machines that keep a cancelled task.
+//! Cancellations: starts in flight, loss of the state service, machines that keep a cancelled task.
 
-use crate::common::started;
+use crate::common::started_cluster;
 use glenmount_core::controller::UserReply;
 use glenmount_core::model::JobState;
 use glenmount_core::state::{Key, Record};
@@ -8,14 +8,14 @@
 
 #[test]
 fn a_cancellation_reaches_a_start_in_flight() {
-    for delay in [0, 3, 8, 15, 30, 60, 150, 700] {
-        let mut sim = started(10, 3, 2);
-        let r = sim.submit(0, service("j-1", 3));
-        sim.await_answer(r);
-        sim.run(delay);
-        let r = sim.cancel(1, "j-1");
+    for delay_ms in [0, 3, 8, 15, 30, 60, 150, 700] {
+        let mut sim = started_cluster(10, 3, 2);
+        let request = sim.submit(0, service("j-1", 3));
+        sim.await_answer(request);
+        sim.run(delay_ms);
+        let request = sim.cancel(1, "j-1");
         assert!(matches!(
-            sim.await_answer(r),
+            sim.await_answer(request),
             UserReply::Cancelled {
                 state: JobState::Cancelled,
                 ..
@@ -23,9 +23,9 @@
         ));
         sim.run(5_000);
         assert_eq!(sim.running("j-1"), 0);
-        let r = sim.status(2, "j-1");
+        let request = sim.status(2, "j-1");
         assert!(matches!(
-            sim.await_answer(r),
+            sim.await_answer(request),
             UserReply::Status {
                 state: JobState::Cancelled,
                 ..
@@ -38,9 +38,9 @@
 
 #[test]
 fn a_cancelled_task_stops_in_time_although_its_controller_lost_the_state_service() {
-    // With peers reachable, workers are handed over; alone, the controller stops renewing.
-    for alone in [false, true] {
-        let mut sim = started(11, 3, 2);
+    // A controller that reaches its peers redirects its workers to them; an isolated one stops renewing leases.
+    for isolated in [false, true] {
+        let mut sim = started_cluster(11, 3, 2);
         sim.submit(0, service("j-1", 3));
         sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 3);
         let n = 0;
@@ -49,58 +49,59 @@
         }
         sim.run(3_000);
         sim.controllers[n].cut_from_state = true;
-        sim.controllers[n].cut_from_peers = alone;
+        sim.controllers[n].cut_from_peers = isolated;
         sim.run(3_000);
-        // Told when to come back while its machines are not heard, the user repeats the request.
-        let told = (0..10).any(|_| {
-            let r = sim.cancel(1, "j-1");
-            let told = matches!(sim.await_answer(r), UserReply::Cancelled { .. });
+        // The user repeats the request while the answer is to retry because the machines are not heard.
+        let confirmed = (0..10).any(|_| {
+            let request = sim.cancel(1, "j-1");
+            let confirmed = matches!(sim.await_answer(request), UserReply::Cancelled { .. });
             sim.run(2_000);
-            told
+            confirmed
         });
-        assert!(told, "alone: {alone}");
+        assert!(confirmed, "isolated: {isolated}");
         sim.run(36_000);
-        assert_eq!(sim.running("j-1"), 0, "alone: {alone}");
+        assert_eq!(sim.running("j-1"), 0, "isolated: {isolated}");
     }
 }
 
 #[test]
 fn a_heartbeat_from_before_the_start_does_not_prove_that_it_never_arrived() {
-    let mut sim = started(22, 2, 1);
+    let mut sim = started_cluster(22, 2, 1);
     let mut spec = service("j-1", 1);
     spec.team = "blue".into();
     sim.submit(0, spec);
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
     let name = sim.machine_of("j-1").unwrap();
     sim.workers.get_mut(&name).unwrap().disconnected = true;
-    let r = sim.cancel(0, "j-1");
-    sim.await_answer(r);
+    let request = sim.cancel(0, "j-1");
+    sim.await_answer(request);
     for n in 0..2 {
         sim.inject_stale_heartbeat(n, &name, 1);
     }
     sim.run(500);
-    let Some((Record::Chunk(c), _)) = sim.state.records.get(&Key::Chunk("j-1".into(), 0)) else {
-        panic!("the chunk has a record");
+    let Some((Record::Chunk(chunk), _)) = sim.state.records.get(&Key::Chunk("j-1".into(), 0))
+    else {
+        panic!("the chunk is not on record");
     };
     assert_eq!(
-        c.assignment(0).map(|b| &b.machine),
+        chunk.assignment(0).map(|assignment| &assignment.machine),
         Some(&name),
-        "the task still runs and still counts"
+        "the task still runs and stays assigned"
     );
 }
 
 #[test]
 fn a_machine_that_keeps_a_cancelled_task_is_deleted() {
-    let mut sim = started(12, 2, 1);
+    let mut sim = started_cluster(12, 2, 1);
     sim.submit(0, service("j-1", 1));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
     let name = sim.machine_of("j-1").unwrap();
-    // Reports arrive, answers do not: the worker's lease would run out, but later.
+    // The controllers are cut off from their workers: the leases would expire too, but later.
     for slot in &mut sim.controllers {
         slot.cut_from_workers = true;
     }
-    let r = sim.cancel(0, "j-1");
-    sim.await_answer(r);
+    let request = sim.cancel(0, "j-1");
+    sim.await_answer(request);
     sim.run(34_000);
     assert!(sim.cloud.deleted.contains(&name) || sim.running("j-1") == 0);
 }
--- a/crates/core/tests/scenarios/configuration_changes.rs
+++ b/crates/core/tests/scenarios/configuration_changes.rs
@@ -1,4 +1,4 @@
-//! Configuration changes: in force at every controller, by transactions, whatever else happens.
+//! Configuration changes: they take effect by transactions at every controller, also under faults.
 
 use crate::common::{fixed_fleet, is_accepted, team_settings};
 use glenmount_core::configuration::ObservedVersionRecord;
@@ -9,18 +9,18 @@
 use glenmount_simulation::{job, limited_team, service, FaultRates, Simulation};
 use rand::Rng;
 
-/// Jobs of the limited team that take all of its 12 processors.
-fn fill_blue(sim: &mut Simulation) {
+/// Submits jobs of the limited team that use all of its 12 CPUs.
+fn fill_quota(sim: &mut Simulation) {
     sim.workload.run_ms = 3_600_000;
-    let r = sim.submit(0, limited_team(service("j-s", 2)));
-    sim.await_answer(r);
+    let request = sim.submit(0, limited_team(service("j-s", 2)));
+    sim.await_answer(request);
     let low = JobSpec {
         priority: JobPriority::Low,
         ..limited_team(job("j-low", 2))
     };
-    let r = sim.submit(1, low);
-    sim.await_answer(r);
-    sim.run_until(10_000, "the first run", |sim| {
+    let request = sim.submit(1, low);
+    sim.await_answer(request);
+    sim.run_until(10_000, "the first jobs run", |sim| {
         sim.running("j-s") + sim.running("j-low") == 4
     });
     sim.submit(0, limited_team(job("j-normal", 9)));
@@ -37,8 +37,12 @@
     let settings = sim.with_limit("blue", 4.0);
     assert_eq!(sim.configure(&settings), Ok(1));
     sim.run_until(1_000, "in force", |sim| sim.all_controllers_follow(1));
-    sim.run_until(1_000, "said on record", |sim| {
-        let follows = |n: &String| match sim.state.records.get(&Key::ObservedVersion(n.clone())) {
+    sim.run_until(1_000, "the observed version is on record", |sim| {
+        let follows = |controller: &String| match sim
+            .state
+            .records
+            .get(&Key::ObservedVersion(controller.clone()))
+        {
             Some((Record::ObservedVersion(ObservedVersionRecord { version }), _)) => *version == 1,
             _ => false,
         };
@@ -51,20 +55,24 @@
     sim.check_records();
 }
 
-/// What is above a limit that was lowered goes: the lowest rank and the youngest first, services last.
+/// A lowered limit evicts tasks above it, those of the lowest priority and the newest first, services last.
 #[test]
 fn a_lowered_limit_evicts_the_lowest_priority_until_the_rest_fits() {
     let mut sim = fixed_fleet(2, 3, 8);
-    fill_blue(&mut sim);
+    fill_quota(&mut sim);
     let settings = sim.with_limit("blue", 8.0);
     sim.configure(&settings).unwrap();
-    sim.run_until(10_000, "the low ones go", |sim| sim.running("j-low") == 0);
+    sim.run_until(10_000, "tasks of low priority are evicted", |sim| {
+        sim.running("j-low") == 0
+    });
     sim.run(5_000);
     assert_eq!((sim.running("j-s"), sim.running("j-normal")), (2, 2));
     assert_eq!(sim.metrics.stops["limit"].0, 2);
     let settings = sim.with_limit("blue", 4.0);
     sim.configure(&settings).unwrap();
-    sim.run_until(10_000, "batches go", |sim| sim.running("j-normal") == 0);
+    sim.run_until(10_000, "batch tasks are evicted", |sim| {
+        sim.running("j-normal") == 0
+    });
     sim.run(5_000);
     assert_eq!(sim.running("j-s"), 2);
     let settings = sim.with_limit("blue", 12.0);
@@ -75,12 +83,12 @@
     sim.check_records();
 }
 
-/// With every team at its limit controllers end one after another while limits change.
+/// Limits change while the team is at its limit and controllers crash one after another.
 #[test]
 fn limits_change_while_teams_are_at_them_and_controllers_fail() {
     for seed in 0..4 {
         let mut sim = fixed_fleet(20 + seed, 3, 8);
-        fill_blue(&mut sim);
+        fill_quota(&mut sim);
         for step in 0..6 {
             sim.crash(step % 3, 700);
             let settings = sim.with_limit("blue", [6.0, 12.0][step % 2]);
@@ -90,7 +98,7 @@
         let settings = sim.with_limit("blue", 4.0);
         let version = sim.configure(&settings).unwrap();
         sim.run_until(8_000, "in force", |sim| sim.all_controllers_follow(version));
-        sim.run_until(20_000, "it fits", |sim| {
+        sim.run_until(20_000, "usage fits the limit", |sim| {
             sim.running("j-normal") + sim.running("j-low") == 0
         });
         assert_eq!(sim.running("j-s"), 2, "seed {seed}");
@@ -98,7 +106,8 @@
     }
 }
 
-/// The answer is lost and the operator sends it again; a copy comes late, after another change.
+/// The operator repeats a change whose answer was lost, and a copy arrives late after another change. Only the first
+/// may take effect.
 #[test]
 fn a_repeated_or_late_change_takes_effect_once() {
     let mut sim = fixed_fleet(3, 3, 6);
@@ -134,7 +143,8 @@
     assert_eq!(sim.team_limit("blue"), Some(6_000));
 }
 
-/// Cut off from the state service alone, or refused, it comes back after three changes.
+/// One controller is cut off from the state service, or refused by it, and recovers after three changes. It must not
+/// claim by the limit in its cache.
 #[test]
 fn a_partitioned_controller_claims_nothing_by_a_stale_limit() {
     for seed in 0..4 {
@@ -159,13 +169,13 @@
     }
 }
 
-/// The records are read anew, page by page, while changes go on.
+/// Controllers relist the records page by page while configuration changes commit.
 #[test]
 fn a_relist_during_changes_ends_with_the_latest() {
     for seed in 0..6 {
         let mut sim = fixed_fleet(40 + seed, 3, 8);
         sim.state.page_size = 2;
-        fill_blue(&mut sim);
+        fill_quota(&mut sim);
         for step in 0..8 {
             let settings = sim.with_limit("blue", [6.0, 12.0][step % 2]);
             sim.break_watch(step % 3);
@@ -184,7 +194,7 @@
 #[test]
 fn changes_before_and_after_a_state_service_outage_take_effect() {
     let mut sim = fixed_fleet(5, 3, 8);
-    fill_blue(&mut sim);
+    fill_quota(&mut sim);
     let settings = sim.with_limit("blue", 8.0);
     sim.configure(&settings).unwrap();
     sim.state.is_down = true;
@@ -194,13 +204,14 @@
     sim.state.is_down = false;
     assert_eq!(sim.configure(&settings), Ok(2));
     sim.run_until(7_000, "in force", |sim| sim.all_controllers_follow(2));
-    sim.run_until(15_000, "it fits", |sim| {
+    sim.run_until(15_000, "usage fits the limit", |sim| {
         sim.running("j-low") + sim.running("j-normal") == 0
     });
     sim.check_records();
 }
 
-/// The simulation holds each claim against the limit in force at its commit.
+/// A limit changes while a claim is in flight. The simulation compares each claim with the limit in force at its
+/// commit.
 #[test]
 fn a_change_between_draft_and_commit_of_a_claim_rejects_the_claim() {
     for seed in 0..8 {
@@ -209,7 +220,7 @@
         for round in 0..4 {
             let id = format!("j-{round}");
             sim.submit(round % 3, limited_team(job(&id, 3)));
-            // The claim is on its way within some milliseconds.
+            // The claim is in flight some milliseconds after the submission.
             sim.run(2 + seed);
             let settings = sim.with_limit("blue", [2.0, 12.0][round % 2]);
             sim.configure(&settings).unwrap();
@@ -230,13 +241,13 @@
 #[test]
 fn a_limit_can_be_lowered_raised_and_lowered_within_a_second() {
     let mut sim = fixed_fleet(6, 3, 8);
-    fill_blue(&mut sim);
+    fill_quota(&mut sim);
     for cpus in [6.0, 12.0, 4.0] {
         let settings = sim.with_limit("blue", cpus);
         sim.configure(&settings).unwrap();
         sim.run(300);
     }
-    sim.run_until(15_000, "it fits", |sim| {
+    sim.run_until(15_000, "usage fits the limit", |sim| {
         sim.running("j-low") + sim.running("j-normal") == 0
     });
     sim.run(3_000);
@@ -251,25 +262,25 @@
         team: "green".into(),
         ..job(id, 2)
     };
-    let r = sim.submit(0, spec("j-0"));
-    assert!(matches!(sim.await_answer(r), UserReply::Rejected(_)));
+    let request = sim.submit(0, spec("j-0"));
+    assert!(matches!(sim.await_answer(request), UserReply::Rejected(_)));
     let before = sim.policy_settings();
     let mut settings = before.clone();
     settings.teams.push(team_settings("green", 6.0));
-    // A controller that the watch tells nothing says when to come back, never that the team is unknown.
+    // A controller whose watch is delayed answers with a retry, never that the team is unknown.
     sim.delay_watch(2, 3_000);
     sim.configure(&settings).unwrap();
     sim.run(50);
-    let r = sim.submit(2, spec("j-1"));
-    let reply = sim.await_answer(r);
+    let request = sim.submit(2, spec("j-1"));
+    let reply = sim.await_answer(request);
     assert!(!matches!(reply, UserReply::Rejected(_)), "{reply:?}");
     for n in 0..2 {
         assert!(is_accepted(&mut sim, n, spec(&format!("j-{}", n + 2))));
     }
-    let refused = sim.configure(&before).unwrap_err();
+    let error = sim.configure(&before).unwrap_err();
     assert!(
-        matches!(&refused, ConfigureError::Invalid(e) if e.field == "settings.teams.green"),
-        "{refused:?}"
+        matches!(&error, ConfigureError::Invalid(e) if e.field == "settings.teams.green"),
+        "{error:?}"
     );
     sim.run_until(30_000, "done", |sim| {
         sim.job_phase("j-2") == Some(JobPhase::Done) && sim.job_phase("j-3") == Some(JobPhase::Done)
@@ -277,16 +288,16 @@
     sim.run(5_000);
     assert_eq!(sim.configure(&before), Ok(2));
     sim.run(1_000);
-    let r = sim.submit(1, spec("j-9"));
-    assert!(matches!(sim.await_answer(r), UserReply::Rejected(_)));
+    let request = sim.submit(1, spec("j-9"));
+    assert!(matches!(sim.await_answer(request), UserReply::Rejected(_)));
     sim.check_records();
 }
 
-/// Three seconds behind, a controller neither claims nor accepts by what it knows.
+/// The watch lags by three seconds. A controller must neither claim nor accept by its stale cache.
 #[test]
 fn a_watch_that_lags_by_seconds_decides_nothing_stale() {
     let mut sim = fixed_fleet(8, 3, 8);
-    fill_blue(&mut sim);
+    fill_quota(&mut sim);
     for n in 0..3 {
         sim.delay_watch(n, 3_000);
         let settings = sim.with_limit("blue", [8.0, 4.0, 6.0][n]);
@@ -295,17 +306,18 @@
         sim.run(1_500);
     }
     sim.run_until(10_000, "in force", |sim| sim.all_controllers_follow(3));
-    sim.run_until(15_000, "it fits", |sim| {
+    sim.run_until(15_000, "usage fits the limit", |sim| {
         sim.running("j-s") + sim.running("j-low") + sim.running("j-normal") <= 3
     });
     sim.check_records();
 }
 
-/// Random changes among random faults: the simulation checks the rules, and each claim against the limit in force.
+/// Random configuration changes under random faults. The simulation checks the invariants, and each claim against the
+/// limit in force.
 #[test]
 fn random_changes_under_message_faults_break_no_invariant() {
-    let more = std::env::var("SEEDS").ok().and_then(|n| n.parse().ok());
-    for seed in 0..more.unwrap_or(12_u64) {
+    let requested = std::env::var("SEEDS").ok().and_then(|n| n.parse().ok());
+    for seed in 0..requested.unwrap_or(12_u64) {
         eprintln!("seed {seed}");
         let mut sim = Simulation::new(8_000 + seed, 3, 8);
         sim.run(7_000);
@@ -326,20 +338,20 @@
                 4..=7 => {
                     let cpus = [4.0, 6.0, 8.0, 12.0][sim.rng.gen_range(0..4)];
                     let settings = sim.with_limit("blue", cpus);
-                    // Refused where a service needs more, or while the service is down.
+                    // Rejected where an accepted service needs more, and while the state service is down.
                     let _ = sim.configure(&settings);
                 }
                 8 => {
-                    let (n, back) = (sim.rng.gen_range(0..3), sim.rng.gen_range(100..3_000));
-                    sim.crash(n, back);
+                    let (n, restart_ms) = (sim.rng.gen_range(0..3), sim.rng.gen_range(100..3_000));
+                    sim.crash(n, restart_ms);
                 }
                 9 => {
                     let n = sim.rng.gen_range(0..3);
                     sim.controllers[n].cut_from_state = !sim.controllers[n].cut_from_state;
                 }
                 10 => {
-                    let (n, ms) = (sim.rng.gen_range(0..3), sim.rng.gen_range(100..4_000));
-                    sim.delay_watch(n, ms);
+                    let (n, delay_ms) = (sim.rng.gen_range(0..3), sim.rng.gen_range(100..4_000));
+                    sim.delay_watch(n, delay_ms);
                 }
                 11 => {
                     let n = sim.rng.gen_range(0..3);
@@ -355,8 +367,8 @@
                 }
                 _ => sim.state.is_down = !sim.state.is_down,
             }
-            let ms = sim.rng.gen_range(5..900);
-            sim.run(ms);
+            let step_ms = sim.rng.gen_range(5..900);
+            sim.run(step_ms);
         }
         sim.heal_all();
         sim.network.faults = FaultRates::default();
--- a/crates/core/tests/scenarios/configuration_records.rs
+++ b/crates/core/tests/scenarios/configuration_records.rs
@@ -1,4 +1,4 @@
-//! Configuration records: versions, validation, damage and controllers of an older version.
+//! Configuration records: versions, validation, damaged records, and controllers of an older version.
 
 use crate::common::{fixed_fleet, is_accepted, team_settings};
 use glenmount_core::configuration::{
@@ -17,8 +17,8 @@
     max_transaction_changes: 16,
 };
 
-/// A page is gone, or of no form that is known: nothing is claimed and submissions are told to come back,
-/// until there is a configuration that can be read.
+/// A page of the configuration is missing or has an unknown format. Controllers must claim nothing and tell users to
+/// retry until a readable configuration is on record.
 #[test]
 fn an_unreadable_configuration_stops_claims_and_rejects_no_job() {
     for damage in 0..3 {
@@ -28,7 +28,7 @@
         sim.run(1_000);
         let (current, _) = sim.state.records[&Key::Configuration].clone();
         let Record::Configuration(mut record) = current.clone() else {
-            panic!("a configuration");
+            panic!("not a configuration record");
         };
         record.version += 1;
         match damage {
@@ -44,21 +44,24 @@
         }
         sim.put_record(Key::Configuration, Record::Configuration(record));
         sim.run(500);
-        let r = sim.submit(0, job("j-1", 2));
-        let reply = sim.await_answer(r);
+        let request = sim.submit(0, job("j-1", 2));
+        let reply = sim.await_answer(request);
         assert!(matches!(reply, UserReply::RetryAfter { .. }), "{reply:?}");
-        let r = sim.submit(
+        let request = sim.submit(
             1,
             JobSpec {
                 team: "none".into(),
                 ..job("j-2", 1)
             },
         );
-        assert!(matches!(sim.await_answer(r), UserReply::RetryAfter { .. }));
+        assert!(matches!(
+            sim.await_answer(request),
+            UserReply::RetryAfter { .. }
+        ));
         let starts = sim.metrics.starts;
         sim.run(5_000);
         assert_eq!(sim.metrics.starts, starts);
-        // The operator goes back to what was there.
+        // The operator restores the previous record.
         sim.put_record(Key::Configuration, current);
         sim.run(1_000);
         assert!(is_accepted(&mut sim, 0, job("j-1", 2)));
@@ -68,7 +71,8 @@
     }
 }
 
-/// Until every controller reads configurations none can be put on record, whoever comes back old meanwhile.
+/// No configuration may be recorded until every controller can read configurations, also if a controller restarts with
+/// the older version meanwhile.
 #[test]
 fn configurations_are_not_recorded_while_an_older_version_runs() {
     let mut sim = Simulation::previous_version(70, 3, 6);
@@ -79,7 +83,7 @@
         sim.upgrade(n, 500);
         sim.run(4_000);
         if n == 1 {
-            // It ends before its turn and comes back old.
+            // Controller 2 crashes before its upgrade and restarts with the older version.
             sim.crash(2, 500);
             sim.run(6_000);
         }
@@ -93,8 +97,8 @@
     sim.check_records();
 }
 
-/// A process of an older version that is started after all others are new knows the limits of its file only.
-/// It can't read what claims of a limited team have written since, so its own for that team conflict.
+/// A controller of an older version that starts after all others are upgraded knows only the limits of its settings
+/// file. It must not be able to read the team records that newer claims wrote, so its own claims for the team conflict.
 #[test]
 fn an_older_version_cannot_read_records_of_new_claims() {
     let record = Record::Team(TeamRecord {
@@ -105,15 +109,16 @@
     let fenced = record.value(formats::STORED_CONFIGURATION);
     assert_eq!(previous_version::value(&key, fenced.clone()), None);
     assert_eq!(Record::from_value(&key, fenced), Some(record.clone()));
-    let plain = record.value(formats::CONFIRMED_CANCELLATION);
+    let unfenced = record.value(formats::CONFIRMED_CANCELLATION);
     assert_eq!(
-        previous_version::value(&key, plain.clone()),
-        Some(plain.clone())
+        previous_version::value(&key, unfenced.clone()),
+        Some(unfenced.clone())
     );
-    assert_eq!(Record::from_value(&key, plain), Some(record));
+    assert_eq!(Record::from_value(&key, unfenced), Some(record));
 }
 
-/// 350 and 700 teams: the pages fit into small values, one transaction holds them, and they read back.
+/// Configurations of up to 540 teams: the pages fit into small values, one transaction holds them, and reading them
+/// back gives the same settings. A configuration of 3000 teams is rejected.
 #[test]
 fn a_change_of_any_size_is_one_transaction_or_rejected() {
     let settings = |teams: usize| PolicySettings {
@@ -150,8 +155,8 @@
             );
         }
     }
-    let large = configuration::change_transaction(&settings(3_000), None, 9, LIMITS, 1, "");
-    assert_eq!(large.unwrap_err().field, "settings.teams");
+    let too_large = configuration::change_transaction(&settings(3_000), None, 9, LIMITS, 1, "");
+    assert_eq!(too_large.unwrap_err().field, "settings.teams");
 }
 
 #[test]
@@ -183,8 +188,11 @@
         ),
     ];
     for (change, field) in cases {
-        let said = check(change);
-        assert!(said.starts_with(field) && !said.contains('\n'), "{said}");
+        let message = check(change);
+        assert!(
+            message.starts_with(field) && !message.contains('\n'),
+            "{message}"
+        );
     }
 }
 
@@ -197,9 +205,9 @@
     sim.configure(&settings).unwrap();
     sim.run(1_000);
     assert!(is_accepted(&mut sim, 0, limited_team(service("j-s", 4))));
-    let refused = sim.configure(&first).unwrap_err();
-    let ConfigureError::Invalid(error) = refused else {
-        panic!("{refused:?}");
+    let refusal = sim.configure(&first).unwrap_err();
+    let ConfigureError::Invalid(error) = refusal else {
+        panic!("{refusal:?}");
     };
     assert_eq!(error.field, "settings.teams.blue.cpus_max");
     assert!(error.problem.contains("j-s"), "{error}");
@@ -213,13 +221,13 @@
     };
     let mut current: Option<ConfigurationVersionRecord> = None;
     for n in 0..100 {
-        let before = current.as_ref().map(|record| (record, n));
-        let large = ChangeLimits {
+        let previous = current.as_ref().map(|record| (record, n));
+        let limits = ChangeLimits {
             max_value_bytes: 16 * 1024,
             ..LIMITS
         };
         let transaction =
-            configuration::change_transaction(&settings, before, 1, large, n, "why").unwrap();
+            configuration::change_transaction(&settings, previous, 1, limits, n, "why").unwrap();
         current = transaction
             .changes
             .into_iter()
@@ -239,7 +247,7 @@
     assert_eq!(outdated[0], Key::ConfigurationPage(1, 0));
 }
 
-/// Values that are truncated, foreign or huge are no records; nothing panics on them.
+/// Truncated, foreign or huge values are not read as records, and none of them causes a panic.
 #[test]
 fn damaged_records_are_skipped() {
     let record = Record::Configuration(ConfigurationVersionRecord {
--- a/crates/core/tests/scenarios/controller_failures.rs
+++ b/crates/core/tests/scenarios/controller_failures.rs
@@ -1,7 +1,7 @@
 //! Controllers that crash, pause or lose their connections.
 
 use crate::common::{
-    cancel_until_confirmed, is_answered, is_done, is_running, started, without_scale_in,
+    cancel_until_confirmed, is_answered, is_done, is_running, started_cluster, without_scale_in,
 };
 use glenmount_core::controller::{Controller, UserReply};
 use glenmount_core::model::JobState;
@@ -11,9 +11,9 @@
 #[test]
 fn assignments_of_a_crashed_controller_are_completed_by_its_peers() {
     for delay in [3, 8, 12, 20, 40, 200, 900] {
-        let mut sim = started(6, 3, 2);
-        let r = sim.submit(0, job("j-1", 2));
-        sim.await_answer(r);
+        let mut sim = started_cluster(6, 3, 2);
+        let request = sim.submit(0, job("j-1", 2));
+        sim.await_answer(request);
         sim.run(delay);
         sim.crash(0, 20_000);
         sim.run_until(30_000, "done", |sim| is_done(sim, "j-1"));
@@ -22,10 +22,11 @@
 }
 
 #[test]
-fn a_restarted_controller_takes_no_machine_for_silent() {
-    // Its first heartbeat has heard of nothing. Peers must remember what it said before.
+fn a_restarted_controller_makes_no_machine_look_silent() {
+    // The first heartbeat of a restarted controller lists no workers. Peers must remember its earlier heartbeats, or
+    // they take the machines that report to it for silent and delete them.
     for seed in 0..6 {
-        let mut sim = started(600 + seed, 3, 6);
+        let mut sim = started_cluster(600 + seed, 3, 6);
         sim.settings.idle_timeout_ms = 600_000;
         for worker in sim.workers.values_mut() {
             worker.controller = 0;
@@ -45,9 +46,9 @@
 
 #[test]
 fn a_controller_cut_off_from_workers_deletes_no_machine() {
-    // All machines fall silent to it at once and none can be asked: it is the controller that is
-    // cut off. They turn to its peers.
-    let mut sim = started(25, 3, 6);
+    // The controller stops receiving heartbeats from all machines at once and can probe none of them, so the controller
+    // itself is cut off. The workers switch to its peers.
+    let mut sim = started_cluster(25, 3, 6);
     sim.settings.idle_timeout_ms = 600_000;
     for worker in sim.workers.values_mut() {
         worker.controller = 0;
@@ -65,13 +66,14 @@
 }
 
 #[test]
-fn unreachable_peers_cost_no_machine() {
-    // Each controller hears a third of the machines and nothing of the others. It asks these, and
-    // they answer. Found when 600 healthy machines were deleted within 30 s as silent.
-    let mut sim = started(28, 3, 9);
+fn no_machine_is_deleted_while_controllers_cannot_reach_each_other() {
+    // Each controller receives heartbeats from a third of the machines and learns nothing about the others from its
+    // peers. It must probe these machines before it deletes any: 600 healthy machines were once deleted as silent
+    // within 30 s.
+    let mut sim = started_cluster(28, 3, 9);
     sim.submit(0, service("j-1", 9));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 9);
-    let busy = |sim: &Simulation| {
+    let machines_in_use = |sim: &Simulation| {
         let workers = sim
             .workers
             .values()
@@ -80,13 +82,13 @@
             .map(|worker| worker.name.clone())
             .collect::<Vec<_>>()
     };
-    let used = busy(&sim);
+    let used = machines_in_use(&sim);
     for slot in &mut sim.controllers {
         slot.cut_from_peers = true;
     }
     sim.run(90_000);
-    assert_eq!((sim.metrics.starts, busy(&sim)), (9, used));
-    // One that does die meanwhile is still found.
+    assert_eq!((sim.metrics.starts, machines_in_use(&sim)), (9, used));
+    // A machine that does die meanwhile is still detected.
     let name = sim.machine_of("j-1").unwrap();
     sim.kill_machine(&name);
     sim.run_until(30_000, "runs elsewhere", |sim| sim.running("j-1") == 9);
@@ -95,7 +97,7 @@
 
 #[test]
 fn a_controller_that_starts_during_a_cloud_outage_accepts_jobs() {
-    let mut sim = started(30, 2, 2);
+    let mut sim = started_cluster(30, 2, 2);
     sim.cloud.is_down = true;
     sim.crash(0, 1_000);
     sim.crash(1, 1_000);
@@ -104,9 +106,9 @@
         .controllers
         .iter()
         .all(|s| s.controller.as_ref().is_some_and(|n| n.ready())));
-    let r = sim.submit(0, job("j-1", 1));
+    let request = sim.submit(0, job("j-1", 1));
     assert_eq!(
-        sim.await_answer(r),
+        sim.await_answer(request),
         UserReply::Accepted { job: "j-1".into() }
     );
     sim.run_until(20_000, "done", |sim| is_done(sim, "j-1"));
@@ -114,12 +116,15 @@
 
 #[test]
 fn a_started_controller_learns_cached_images_from_its_peers() {
-    let mut sim = started(31, 2, 2);
+    let mut sim = started_cluster(31, 2, 2);
     sim.submit(1, job("j-1", 2));
     sim.run_until(20_000, "done", |sim| is_done(sim, "j-1"));
     sim.crash(0, 1_000);
     sim.run(6_000);
-    let controller = sim.controllers[0].controller.as_ref().expect("it is back");
+    let controller = sim.controllers[0]
+        .controller
+        .as_ref()
+        .expect("the controller is back");
     let machines = sim.workers.keys();
     assert!(machines
         .into_iter()
@@ -128,7 +133,7 @@
 
 #[test]
 fn a_restart_of_all_controllers_loses_nothing() {
-    let mut sim = started(15, 3, 3);
+    let mut sim = started_cluster(15, 3, 3);
     sim.submit(0, service("j-1", 2));
     sim.submit(1, job("j-2", 4));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 2);
@@ -136,22 +141,22 @@
         sim.crash(n, 4_000);
     }
     sim.run(6_000);
-    sim.run_until(40_000, "goes on", |sim| {
+    sim.run_until(40_000, "work continues", |sim| {
         sim.running("j-1") == 2 && is_done(sim, "j-2")
     });
     assert!(
         sim.workers.values().all(|worker| worker.incarnation == 1),
-        "no lease lapsed"
+        "no lease expired"
     );
     assert_eq!(sim.metrics.starts, 6);
     sim.check_records();
 }
 
-/// A controller that is paused wakes with heartbeats of workers and peers and answers from before in its queues. It
-/// must neither delete machines that reported elsewhere meanwhile nor act on its old view.
+/// A paused controller resumes with heartbeats and answers from before the pause in its queues. It must neither delete
+/// machines that reported to its peers meanwhile nor act on its stale cache.
 #[test]
 fn a_paused_controller_acts_on_no_stale_input() {
-    for ms in [5_000, 20_000, 70_000] {
+    for pause_ms in [5_000, 20_000, 70_000] {
         let mut sim = without_scale_in(62, 3, 6);
         sim.cloud.capacity = 0;
         sim.workload.run_ms = 4_000;
@@ -159,26 +164,29 @@
         sim.run_until(10_000, "up", |sim| sim.running("j-1") == 3);
         sim.submit(0, job("j-2", 12));
         sim.run(30);
-        sim.pause(0, ms);
+        sim.pause(0, pause_ms);
         sim.run(2_000);
-        let r = sim.cancel(1, "j-2");
-        assert!(matches!(sim.await_answer(r), UserReply::Cancelled { .. }));
+        let request = sim.cancel(1, "j-2");
+        assert!(matches!(
+            sim.await_answer(request),
+            UserReply::Cancelled { .. }
+        ));
         sim.submit(2, job("j-3", 6));
-        let late = sim.status(0, "j-2");
-        let r = sim.submit(0, job("j-4", 1));
-        sim.run_until(ms, "awake", |sim| !sim.is_paused(0));
+        let status_request = sim.status(0, "j-2");
+        let request = sim.submit(0, job("j-4", 1));
+        sim.run_until(pause_ms, "resumed", |sim| !sim.is_paused(0));
         let sent = sim.controllers[0].messages_sent;
         sim.run(1);
         assert_eq!(
             sim.controllers[0].messages_sent, sent,
-            "nothing goes out before its view is current"
+            "nothing is sent before the cache is current"
         );
         assert!(
-            matches!(sim.await_answer(r), UserReply::RetryAfter { .. }),
-            "told to come back"
+            matches!(sim.await_answer(request), UserReply::RetryAfter { .. }),
+            "the user is told to retry"
         );
         assert!(matches!(
-            sim.await_answer(late),
+            sim.await_answer(status_request),
             UserReply::RetryAfter { .. }
                 | UserReply::Status {
                     state: JobState::Cancelled,
@@ -189,13 +197,13 @@
         sim.run(20_000);
         assert!(
             sim.cloud.deleted.is_empty(),
-            "{:?} after {ms} ms",
+            "{:?} after {pause_ms} ms",
             sim.cloud.deleted
         );
         assert_eq!(sim.running("j-1"), 3);
         assert!(
             sim.controllers[0].controller.as_ref().unwrap().ready(),
-            "it serves again"
+            "the controller is ready again"
         );
         sim.check_records();
     }
@@ -212,44 +220,44 @@
         sim.pause(n, ms);
     }
     sim.run(33_000);
-    sim.run_until(30_000, "up again", |sim| sim.running("j-1") == 3);
+    sim.run_until(30_000, "running again", |sim| sim.running("j-1") == 3);
     sim.run_until(30_000, "done", |sim| is_done(sim, "j-2"));
     sim.run(20_000);
     assert!(sim.cloud.deleted.is_empty(), "{:?}", sim.cloud.deleted);
     sim.check_records();
 }
 
-/// While a controller is paused its peers carry on with all of it: workers, claims assigned and
-/// never commanded, the state service's changes.
+/// Peers take over everything from a paused controller: its workers, its claims whose start commands were never sent,
+/// and the changes in the state store.
 #[test]
 fn peers_complete_the_claims_of_a_paused_controller() {
-    for after in [14, 18, 22, 26, 30] {
-        let mut sim = started(64, 3, 4);
+    for delay_ms in [14, 18, 22, 26, 30] {
+        let mut sim = started_cluster(64, 3, 4);
         sim.submit(0, service("j-1", 2));
-        sim.run(after);
+        sim.run(delay_ms);
         sim.pause(0, 120_000);
-        let r = sim.submit(1, service("j-1", 2));
-        sim.await_answer(r);
+        let request = sim.submit(1, service("j-1", 2));
+        sim.await_answer(request);
         sim.run_until(20_000, "up", |sim| sim.running("j-1") == 2);
         assert!(sim.is_paused(0));
     }
 }
 
-/// One-way or not, a controller that workers do not reach claims nothing once it has noticed, deletes
-/// nothing, and sends users elsewhere; it serves again when that is over.
+/// A controller that lost its workers, in both directions or only outbound, claims nothing once it has noticed, deletes
+/// no machine and reports not ready, so that users go to its peers. It serves again once the fault is over.
 #[test]
 fn a_controller_that_workers_cannot_reach_leaves_work_to_its_peers() {
-    for mute in [false, true] {
+    for outbound_only in [false, true] {
         let mut sim = without_scale_in(65, 3, 6);
         sim.cloud.capacity = 0;
-        sim.controllers[0].cut_from_workers = !mute;
-        sim.controllers[0].outbound_lost = mute;
+        sim.controllers[0].cut_from_workers = !outbound_only;
+        sim.controllers[0].outbound_lost = outbound_only;
         for i in 0..6 {
             sim.submit(0, job(&format!("j-{i}"), 2));
             sim.run(3_000);
         }
         let ready = |sim: &Simulation| sim.controllers[0].controller.as_ref().unwrap().ready();
-        assert!(!ready(&sim), "users are sent to others");
+        assert!(!ready(&sim), "the controller reports not ready");
         sim.run_until(20_000, "done", |sim| {
             (0..6).all(|i| is_done(sim, &format!("j-{i}")))
         });
@@ -259,32 +267,40 @@
     }
 }
 
-/// After a cut or a freeze all workers sit at the controllers they turned to.
+/// After a pause all workers remain at the controllers that they switched to; the controllers must hand some back.
 #[test]
 fn workers_are_rebalanced_after_a_controller_was_away() {
     let mut sim = without_scale_in(66, 3, 60);
     sim.pause(0, 12_000);
     sim.run(14_000);
-    let at = |sim: &Simulation, n| {
+    let workers_of = |sim: &Simulation, n| {
         sim.workers
             .values()
             .filter(|worker| worker.controller == n)
             .count()
     };
-    assert!(at(&sim, 0) < 10, "they have turned to others");
-    sim.run_until(40_000, "shared out", |sim| (0..3).all(|n| at(sim, n) >= 12));
+    assert!(
+        workers_of(&sim, 0) < 10,
+        "workers have switched to the peers"
+    );
+    sim.run_until(40_000, "rebalanced", |sim| {
+        (0..3).all(|n| workers_of(sim, n) >= 12)
+    });
     sim.run(10_000);
-    assert!((0..3).all(|n| at(&sim, n) >= 12), "and it stays so");
+    assert!(
+        (0..3).all(|n| workers_of(&sim, n) >= 12),
+        "workers stay balanced"
+    );
 }
 
-/// A controller that loses the state service and its peers, not its workers and users: it asks the
-/// balancer to send users elsewhere, and its workers find the others, where what is cancelled ends and
-/// what is done is known. Both while it is cut off and after.
+/// A controller loses the state service and its peers but not its workers and users. It must report not ready to the
+/// load balancer and let its workers switch to its peers, so that cancelled tasks end and results are recorded, during
+/// the fault and after it.
 #[test]
 fn an_isolated_controller_keeps_neither_users_nor_workers() {
-    for long in [false, true] {
+    for long_leases in [false, true] {
         let mut sim = Simulation::new(80, 3, 9);
-        if long {
+        if long_leases {
             use_long_leases(&mut sim);
         }
         sim.run(15_000);
@@ -305,18 +321,20 @@
                 .as_ref()
                 .is_some_and(Controller::ready)
         };
-        let from = sim.now_ms;
-        sim.run_until(10_000, "users are sent elsewhere", |sim| !ready(sim));
-        if long {
-            sim.run_until(10_000, "workers are", |sim| {
+        let start_ms = sim.now_ms;
+        sim.run_until(10_000, "the controller reports not ready", |sim| {
+            !ready(sim)
+        });
+        if long_leases {
+            sim.run_until(10_000, "workers switch to peers", |sim| {
                 sim.workers.values().all(|worker| worker.controller != 0)
             });
-            assert!(sim.now_ms < from + 15_000);
+            assert!(sim.now_ms < start_ms + 15_000);
         }
-        let r = sim.submit(1, job("j-n", 3));
-        sim.await_answer(r);
-        let told = cancel_until_confirmed(&mut sim, 2, "j-s", 60_000);
-        assert!(told.is_some(), "cancelled");
+        let request = sim.submit(1, job("j-n", 3));
+        sim.await_answer(request);
+        let confirmed_ms = cancel_until_confirmed(&mut sim, 2, "j-s", 60_000);
+        assert!(confirmed_ms.is_some(), "the cancellation is confirmed");
         sim.run_until(90_000, "done", |sim| {
             (0..6).all(|i| sim.job_phase(&format!("j-{i}")) == Some(JobPhase::Done))
                 && sim.job_phase("j-n") == Some(JobPhase::Done)
--- a/crates/core/tests/scenarios/failover_under_load.rs
+++ b/crates/core/tests/scenarios/failover_under_load.rs
@@ -1,4 +1,4 @@
-//! Work that goes on through repeated or simultaneous failures of controllers.
+//! Work that continues through repeated or simultaneous failures of controllers.
 
 use crate::common::{is_answered, is_cancel_confirmed, is_over, is_running};
 use glenmount_core::controller::UserReply;
@@ -6,8 +6,8 @@
 use glenmount_core::state::JobPhase;
 use glenmount_simulation::{job, limited_team, service, use_long_leases, Simulation};
 
-/// Jobs of two or three tasks that end far apart, while controllers hand over and back, all end, and one of
-/// them is back within a second.
+/// The tasks of a job end far apart, while controllers shut down, all crash, and one of them is back within a second.
+/// No result may be lost between them.
 #[test]
 fn results_survive_controller_changes_between_tasks_of_a_job() {
     for seed in 0..4 {
@@ -17,7 +17,7 @@
         for i in 0..6 {
             sim.submit(i % 3, job(&format!("j-{i}"), 2 + i as u32 % 2));
         }
-        // One task of each goes to a machine that takes three times as long.
+        // Tasks on three of the machines take three times as long, so the tasks of a job end far apart.
         sim.workload.slow_machines = sim.workers.keys().take(3).cloned().collect();
         sim.workload.run_ms = 12_000;
         sim.run(4_000);
@@ -42,8 +42,8 @@
     }
 }
 
-/// Jobs bound to one zone, arrays too, lose machines there, with and without room left in the zone, and with
-/// new machines to be had there only.
+/// Services and arrays bound to one zone lose machines there, with and without remaining capacity in the zone, and with
+/// new machines available.
 #[test]
 fn jobs_bound_to_a_zone_survive_the_loss_of_machines() {
     for seed in 0..9_u64 {
@@ -54,13 +54,13 @@
         sim.settings.idle_timeout_ms = 3_600_000;
         sim.run(15_000);
         (sim.cloud.capacity, sim.workload.run_ms) = ([0, 6, 6][seed as usize % 3], 15_000);
-        let east = |spec: JobSpec| JobSpec {
+        let in_east = |spec: JobSpec| JobSpec {
             zone: Some("east".into()),
             ..spec
         };
         let tasks = if seed % 3 == 2 { 12 } else { 8 };
-        sim.submit(0, east(job("j-a", tasks)));
-        sim.submit(1, east(service("j-s", 3)));
+        sim.submit(0, in_east(job("j-a", tasks)));
+        sim.submit(1, in_east(service("j-s", 3)));
         sim.submit(
             2,
             JobSpec {
@@ -72,12 +72,12 @@
         sim.run_until(30_000, "up", |sim| {
             is_running(sim, "j-s") && is_running(sim, "j-t")
         });
-        let there: Vec<String> = sim
+        let machines: Vec<String> = sim
             .machines_of("j-s")
             .into_iter()
             .chain(sim.machines_of("j-a"))
             .collect();
-        for (i, name) in there.iter().enumerate().take(4) {
+        for (i, name) in machines.iter().enumerate().take(4) {
             match (i + seed as usize) % 3 {
                 0 => sim.kill_machine(name),
                 1 => sim.stall(name, 40_000),
@@ -87,7 +87,7 @@
         if seed % 3 == 1 {
             sim.crash(seed as usize % 3, 400);
         }
-        sim.run_until(200_000, "served", |sim| {
+        sim.run_until(200_000, "services run and arrays are over", |sim| {
             is_running(sim, "j-s")
                 && is_running(sim, "j-t")
                 && is_over(sim, "j-a")
@@ -98,8 +98,8 @@
     }
 }
 
-/// All controllers are away for longer than a lease: what ran has ended, and is run once more; nothing that was
-/// accepted is forgotten, nothing that was cancelled runs.
+/// All controllers are down for longer than a lease. Ended tasks must run again, no accepted job may be lost, and no
+/// task of a cancelled job may run.
 #[test]
 fn work_recovers_after_all_controllers_were_down_longer_than_a_lease() {
     for seed in 0..6_u64 {
@@ -116,27 +116,30 @@
         }
         sim.run_until(30_000, "up", |sim| is_running(sim, "j-s"));
         sim.cancel(1, "j-4");
-        let away = sim.settings.lease_ms + 4_000 + 1_000 * seed;
+        let downtime_ms = sim.settings.lease_ms + 4_000 + 1_000 * seed;
         for n in 0..3 {
-            sim.crash(n, away + 300 * n as u64);
+            sim.crash(n, downtime_ms + 300 * n as u64);
         }
         let holders = sim.machines_of("j-s");
-        sim.stall(&holders[0], away - 2_000);
+        sim.stall(&holders[0], downtime_ms - 2_000);
         sim.kill_machine(&holders[1]);
-        sim.run(away + 2_000);
+        sim.run(downtime_ms + 2_000);
         sim.run_until(40_000, "up again", |sim| is_running(sim, "j-s"));
-        let over = |sim: &Simulation| (0..5).all(|j| is_over(sim, &format!("j-{j}")));
-        sim.run_until(400_000, "over", over);
+        let all_over = |sim: &Simulation| (0..5).all(|j| is_over(sim, &format!("j-{j}")));
+        sim.run_until(400_000, "all jobs are over", all_over);
         for j in 0..5 {
-            let r = sim.status(j % 3, &format!("j-{j}"));
-            assert!(matches!(sim.await_answer(r), UserReply::Status { .. }));
+            let request = sim.status(j % 3, &format!("j-{j}"));
+            assert!(matches!(
+                sim.await_answer(request),
+                UserReply::Status { .. }
+            ));
         }
         sim.check_records();
     }
 }
 
-/// Controllers end ten times in two minutes, one after another, also inside an outage, while jobs of two or three
-/// tasks end far apart and some are called off.
+/// Controllers crash ten times in two minutes, one after another, also during an outage of the state service, while the
+/// tasks of jobs end far apart and users cancel some jobs. All work must still complete.
 #[test]
 fn work_completes_while_controllers_fail_ten_times_in_two_minutes() {
     for seed in 0..5_u64 {
@@ -161,23 +164,23 @@
         }
         sim.submit(0, service("j-s", 4));
         sim.run(5_000);
-        for end in 0..10_u64 {
-            sim.state.is_down = (4..6).contains(&end);
-            let back = [300, 900, 4_000, 9_000][(end + seed) as usize % 4];
-            sim.crash((end + seed) as usize % 3, back);
+        for crash in 0..10_u64 {
+            sim.state.is_down = (4..6).contains(&crash);
+            let downtime_ms = [300, 900, 4_000, 9_000][(crash + seed) as usize % 4];
+            sim.crash((crash + seed) as usize % 3, downtime_ms);
             sim.run(3_000);
-            sim.cancel(end as usize % 3, &format!("j-{end}"));
+            sim.cancel(crash as usize % 3, &format!("j-{crash}"));
             sim.run(9_000);
         }
         sim.heal_all();
-        for end in 0..10 {
-            let id = format!("j-{end}");
+        for j in 0..10 {
+            let id = format!("j-{j}");
             assert!(
                 is_over(&sim, &id) || is_cancel_confirmed(&mut sim, &id),
                 "{id}"
             );
         }
-        sim.run_until(150_000, "over", |sim| {
+        sim.run_until(150_000, "all jobs are over", |sim| {
             (0..12).all(|j| is_over(sim, &format!("j-{j}")))
         });
         sim.run_until(60_000, "up", |sim| {
--- a/crates/core/tests/scenarios/guard_harness.rs
+++ b/crates/core/tests/scenarios/guard_harness.rs
@@ -1,41 +1,53 @@
-//! Runs a scenario with all safety guards, and with one left out.
+//! Runs a scenario with all safety checks, and with one check disabled.
 
 use glenmount_core::safety_checks::Checks;
 use glenmount_simulation::day::disable_check;
 use glenmount_simulation::Simulation;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// What a scenario cost, or the rule that it broke.
+/// The cost of a scenario in its own unit, or the message of the invariant violation.
 pub type Cost = Result<u64, String>;
 
-pub fn outcome_of(checks: &Checks, story: impl Fn(&Checks) -> u64) -> Cost {
-    let played = catch_unwind(AssertUnwindSafe(|| story(checks)));
-    played.map_err(|panic| match panic.downcast_ref::<String>() {
-        Some(why) => why.clone(),
+/// Runs the scenario and turns a panic into its message.
+pub fn run_scenario(checks: &Checks, scenario: impl Fn(&Checks) -> u64) -> Cost {
+    let result = catch_unwind(AssertUnwindSafe(|| scenario(checks)));
+    result.map_err(|panic| match panic.downcast_ref::<String>() {
+        Some(message) => message.clone(),
         None => panic.downcast_ref::<&str>().unwrap_or(&"").to_string(),
     })
 }
 
-/// With all checks the scenario costs at most so much; without the one it breaks an invariant or costs more.
-pub fn assert_needed(check: &str, most: u64, story: impl Fn(&Checks) -> u64) -> Cost {
-    let with = outcome_of(&Checks::default(), &story);
-    assert!(with.as_ref().is_ok_and(|c| *c <= most), "{check}: {with:?}");
+/// Asserts that the scenario costs at most `max_cost` with all checks, and that it violates an invariant or costs more
+/// with the named check disabled. Returns the cost without that check.
+pub fn assert_check_needed(check: &str, max_cost: u64, scenario: impl Fn(&Checks) -> u64) -> Cost {
+    let with = run_scenario(&Checks::default(), &scenario);
+    assert!(
+        with.as_ref().is_ok_and(|c| *c <= max_cost),
+        "{check}: {with:?}"
+    );
     let mut checks = Checks::default();
     disable_check(&mut checks, check).unwrap();
-    let without = outcome_of(&checks, &story);
+    let without = run_scenario(&checks, &scenario);
     assert!(
-        !without.as_ref().is_ok_and(|c| *c <= most),
-        "nothing happens without {check}: {with:?} and {without:?}"
+        !without.as_ref().is_ok_and(|c| *c <= max_cost),
+        "the scenario does not need check {check}: {with:?} with it, {without:?} without"
     );
     without
 }
 
-pub fn assert_violates(cost: Cost, rule: &str) {
-    let why = cost.expect_err("a rule is broken");
-    assert!(why.contains(rule), "{why}");
+/// Asserts that the scenario ended with a violation whose message contains `violation`.
+pub fn assert_violates(cost: Cost, violation: &str) {
+    let message = cost.expect_err("an invariant is violated");
+    assert!(message.contains(violation), "{message}");
 }
 
-pub fn guarded(checks: &Checks, seed: u64, controllers: usize, machines: usize) -> Simulation {
+/// A simulation with the given checks whose idle machines are never deprovisioned.
+pub fn simulation_with_checks(
+    checks: &Checks,
+    seed: u64,
+    controllers: usize,
+    machines: usize,
+) -> Simulation {
     let mut sim = Simulation::new(seed, controllers, machines);
     sim.settings.checks = *checks;
     sim.settings.idle_timeout_ms = 3_600_000;
--- a/crates/core/tests/scenarios/main.rs
+++ b/crates/core/tests/scenarios/main.rs
@@ -1,5 +1,5 @@
 //! Scenarios: jobs run while controllers, workers and connections fail. The simulation checks the invariants of
-//! the protocol at every step; each test states what must come of it in the end.
+//! the protocol at every step; each test asserts the final outcome.
 
 mod cancellations;
 mod cancellations_under_faults;
--- a/crates/core/tests/scenarios/one_way_partitions.rs
+++ b/crates/core/tests/scenarios/one_way_partitions.rs
@@ -1,15 +1,15 @@
-//! Workers that can send and not receive, or receive and not send.
+//! Workers whose inbound or outbound messages are lost while the other direction works.
 
-use crate::common::{is_over, is_running, led};
+use crate::common::{is_over, is_running, with_workers_on_controller_0};
 use glenmount_core::controller::UserReply;
 use glenmount_simulation::{job, service, use_long_leases, Simulation};
 
-/// Machines whose reports arrive and that hear nothing lose their leases, look free, and have the
-/// images: what is placed there does not start. Others have room, so all is up soon after the leases
-/// have ended, and nothing waits for them.
+/// Workers whose heartbeats arrive but that receive nothing lose their leases, then look idle and have the images
+/// cached, so controllers may place tasks there that never start. Other machines have capacity: all services must run
+/// there soon after the leases have expired.
 #[test]
 fn tasks_of_workers_without_inbound_messages_restart_elsewhere() {
-    let mut worst = 0;
+    let mut slowest_ms = 0;
     for seed in 0..6 {
         let mut sim = Simulation::new(60 + seed, 3, 12);
         use_long_leases(&mut sim);
@@ -18,50 +18,53 @@
         for i in 0..4 {
             sim.submit(i % 3, service(&format!("j-{i}"), 3));
         }
-        let all_up = |sim: &Simulation| (0..4).all(|i| is_running(sim, &format!("j-{i}")));
-        sim.run_until(20_000, "up", all_up);
-        // All that run something, but one in three of the machines at most.
+        let all_running = |sim: &Simulation| (0..4).all(|i| is_running(sim, &format!("j-{i}")));
+        sim.run_until(20_000, "up", all_running);
+        // Machines that run tasks, at most a third of all.
         let busy = sim
             .workers
             .values()
             .filter(|worker| worker.live_tasks().count() > 0);
-        let deaf: Vec<String> = busy.map(|worker| worker.name.clone()).take(4).collect();
-        for name in &deaf {
+        let without_inbound: Vec<String> = busy.map(|worker| worker.name.clone()).take(4).collect();
+        for name in &without_inbound {
             sim.workers.get_mut(name).unwrap().inbound_lost = true;
         }
-        let from = sim.now_ms;
-        sim.run_until(40_000, "leases end", |sim| !all_up(sim));
-        let ended = sim.now_ms;
-        sim.run_until(60_000, "up elsewhere", all_up);
-        worst = worst.max(sim.now_ms - ended);
-        assert!(ended >= from + 12_000, "nothing ends before its lease");
-        for name in &deaf {
+        let fault_ms = sim.now_ms;
+        sim.run_until(40_000, "leases expire", |sim| !all_running(sim));
+        let expired_ms = sim.now_ms;
+        sim.run_until(60_000, "up elsewhere", all_running);
+        slowest_ms = slowest_ms.max(sim.now_ms - expired_ms);
+        assert!(
+            expired_ms >= fault_ms + 12_000,
+            "no task ends before its lease"
+        );
+        for name in &without_inbound {
             if let Some(worker) = sim.workers.get_mut(name) {
                 worker.inbound_lost = false;
             }
         }
-        // They are used again once they answer.
+        // The machines are used again once they answer.
         sim.run(8_000);
         sim.submit(0, service("j-9", 24 - 12));
         sim.run_until(20_000, "used again", |sim| is_running(sim, "j-9"));
         sim.check_records();
     }
-    assert!(worst <= 12_000, "{worst} ms");
+    assert!(slowest_ms <= 12_000, "{slowest_ms} ms");
 }
 
-/// The controller that all machines report to ends while half of them can't be reached, or do not hear the
-/// next one's answer, for less than their leases allow: nothing that runs there ends, or runs twice.
+/// The controller that all workers report to crashes while half of the workers are disconnected, or do not receive the
+/// answers of the next controller, for less than their leases. No task may end or run twice.
 #[test]
 fn a_controller_fails_while_workers_with_long_tasks_receive_nothing() {
-    for (seed, deaf) in (0..6).flat_map(|seed| [(seed, true), (seed, false)]) {
+    for (seed, inbound_only) in (0..6).flat_map(|seed| [(seed, true), (seed, false)]) {
         let mut sim = Simulation::new(150 + seed, 3, 8);
         use_long_leases(&mut sim);
-        let mut sim = led(sim, 12);
+        let mut sim = with_workers_on_controller_0(sim, 12);
         let names: Vec<String> = sim.workers.keys().take(4).cloned().collect();
-        let sets = |sim: &mut Simulation, on: bool| {
+        let set_fault = |sim: &mut Simulation, on: bool| {
             for name in &names {
                 if let Some(worker) = sim.workers.get_mut(name) {
-                    match deaf {
+                    match inbound_only {
                         true => worker.inbound_lost = on,
                         false => worker.disconnected = on,
                     }
@@ -69,9 +72,9 @@
             }
         };
         sim.crash(0, [200, 8_000][seed as usize % 2]);
-        sets(&mut sim, true);
+        set_fault(&mut sim, true);
         sim.run(5_000);
-        sets(&mut sim, false);
+        set_fault(&mut sim, false);
         sim.run(40_000);
         assert_eq!(
             (
@@ -80,17 +83,17 @@
                 sim.metrics.killed_by_lease
             ),
             (12, 12, 0),
-            "deaf {deaf}"
+            "inbound only: {inbound_only}"
         );
         sim.check_records();
     }
 }
 
-/// Machines whose reports reach nobody answer direct commands all the same. They get no work that their
-/// lease would end; what they serve is up elsewhere before that, and what they run is known to be over.
+/// Workers whose heartbeats are lost still answer direct commands. They must get no task that their lease would end;
+/// their services move before the leases expire, and the results of their tasks become known.
 #[test]
 fn services_move_off_workers_whose_heartbeats_are_lost() {
-    let mut worst = 0;
+    let mut longest_degraded_ms = 0;
     for seed in 0..6_u64 {
         let mut sim = Simulation::new(3_000 + seed, 3, 16);
         use_long_leases(&mut sim);
@@ -100,44 +103,44 @@
         for j in 0..4 {
             sim.submit(j % 3, service(&format!("j-{j}"), 3));
         }
-        let all_up = |sim: &Simulation| (0..4).all(|j| is_running(sim, &format!("j-{j}")));
-        sim.run_until(20_000, "up", all_up);
+        let all_running = |sim: &Simulation| (0..4).all(|j| is_running(sim, &format!("j-{j}")));
+        sim.run_until(20_000, "up", all_running);
         let busy = sim.workers.values().filter(|x| x.live_tasks().count() > 0);
-        let mute: Vec<String> = busy.map(|x| x.name.clone()).take(3).collect();
-        for name in &mute {
+        let without_outbound: Vec<String> = busy.map(|x| x.name.clone()).take(3).collect();
+        for name in &without_outbound {
             sim.workers.get_mut(name).unwrap().outbound_lost = true;
         }
-        let from = sim.now_ms;
-        let mut down = 0;
+        let fault_ms = sim.now_ms;
+        let mut degraded_ms = 0;
         for j in 0..60 {
             sim.submit(j % 3, job(&format!("j-9{j}"), 1));
             sim.run(1_000);
-            down += if all_up(&sim) { 0 } else { 1_000 };
-            let told = |name: &String| sim.workers.get(name).map_or(0, |x| x.last_start_ms);
-            let late = mute.iter().map(told).max().unwrap_or(0);
+            degraded_ms += if all_running(&sim) { 0 } else { 1_000 };
+            let last_start = |name: &String| sim.workers.get(name).map_or(0, |x| x.last_start_ms);
+            let last_start_ms = without_outbound.iter().map(last_start).max().unwrap_or(0);
             assert!(
-                late <= from + 13_500,
-                "seed {seed}: one is told to start something at {late}"
+                last_start_ms <= fault_ms + 13_500,
+                "seed {seed}: a worker without outbound messages gets a start at {last_start_ms}"
             );
         }
-        worst = worst.max(down);
+        longest_degraded_ms = longest_degraded_ms.max(degraded_ms);
         sim.heal_all();
         sim.run(15_000);
         sim.run_until(60_000, "done", |sim| {
             (0..60).all(|j| is_over(sim, &format!("j-9{j}")))
         });
-        assert!(all_up(&sim));
+        assert!(all_running(&sim));
         sim.check_records();
     }
-    eprintln!("services were short of a task for {worst} ms at most");
-    assert!(worst <= 8_000, "{worst} ms");
+    eprintln!("a service lacked a task for {longest_degraded_ms} ms at most");
+    assert!(longest_degraded_ms <= 8_000, "{longest_degraded_ms} ms");
 }
 
-/// A whole part of the fleet, or all of it, reaches nobody for longer than a lease: what is provisioned meanwhile
-/// stays within what the lost work needs, and all is served after.
+/// The heartbeats of half of the fleet, or all of it, are lost for longer than a lease. The machines provisioned
+/// meanwhile must not exceed the demand of the lost work, and all work runs afterwards.
 #[test]
 fn lost_heartbeats_of_a_fleet_lead_to_bounded_provisioning() {
-    for (seed, share) in (0..6_u64).flat_map(|seed| [(seed, 2), (seed, 1)]) {
+    for (seed, one_in) in (0..6_u64).flat_map(|seed| [(seed, 2), (seed, 1)]) {
         let mut sim = Simulation::new(3_100 + seed, 3, 24);
         use_long_leases(&mut sim);
         sim.settings.idle_timeout_ms = 3_600_000;
@@ -152,16 +155,19 @@
         sim.run_until(30_000, "up", |sim| {
             (0..4).all(|j| is_running(sim, &format!("j-{j}")))
         });
-        let before = sim.cloud.provisioned;
+        let provisioned_before = sim.cloud.provisioned;
         for (i, worker) in sim.workers.values_mut().enumerate() {
-            worker.outbound_lost = i % share == 0;
+            worker.outbound_lost = i % one_in == 0;
         }
         sim.run(45_000);
-        // 40 tasks of two processors, on machines of four or eight.
-        let rented = sim.cloud.provisioned - before;
-        assert!(rented <= 40, "seed {seed}, one in {share}: {rented} rented");
+        // 40 tasks of two CPUs, on machines with four or eight.
+        let provisioned = sim.cloud.provisioned - provisioned_before;
+        assert!(
+            provisioned <= 40,
+            "seed {seed}, one worker in {one_in}: {provisioned} machines provisioned"
+        );
         sim.heal_all();
-        sim.run_until(120_000, "served", |sim| {
+        sim.run_until(120_000, "all work runs or is over", |sim| {
             (0..4).all(|j| is_running(sim, &format!("j-{j}")) && is_over(sim, &format!("j-9{j}")))
         });
         sim.run(20_000);
@@ -169,11 +175,11 @@
     }
 }
 
-/// Jobs on machines whose reports reach nobody are called off: stops reach these, and their answers show what has
-/// ended, so users are told as soon as anywhere.
+/// Users cancel jobs on workers whose heartbeats are lost. Stop commands reach the workers and the answers prove that
+/// the tasks have ended, so cancellations must be confirmed as fast as elsewhere.
 #[test]
 fn cancellations_on_workers_with_lost_heartbeats_are_confirmed_as_fast() {
-    let mut waits = Vec::new();
+    let mut waits_ms = Vec::new();
     for seed in 0..4_u64 {
         let mut sim = Simulation::new(4_100 + seed, 3, 12);
         use_long_leases(&mut sim);
@@ -191,16 +197,16 @@
             .for_each(|x| x.outbound_lost = true);
         sim.run(14_000);
         for j in 0..6 {
-            let at = sim.now_ms;
-            let r = sim.cancel(j % 3, &format!("j-{j}"));
-            let reply = sim.await_answer(r);
+            let cancelled_ms = sim.now_ms;
+            let request = sim.cancel(j % 3, &format!("j-{j}"));
+            let reply = sim.await_answer(request);
             assert!(matches!(reply, UserReply::Cancelled { .. }), "{reply:?}");
-            waits.push(sim.now_ms - at);
+            waits_ms.push(sim.now_ms - cancelled_ms);
             sim.run(200);
         }
         sim.heal_all();
         sim.run(20_000);
         sim.check_records();
     }
-    assert!(waits.iter().all(|ms| *ms <= 1_500), "{waits:?}");
+    assert!(waits_ms.iter().all(|ms| *ms <= 1_500), "{waits_ms:?}");
 }
--- a/crates/core/tests/scenarios/provisioning.rs
+++ b/crates/core/tests/scenarios/provisioning.rs
@@ -1,11 +1,11 @@
-//! Provisioning of machines: one request of all controllers, lost answers, machines that never boot.
+//! Provisioning of machines: one instance request among all controllers, lost answers, machines that never boot.
 
-use crate::common::{is_done, is_over, started, time_to_confirm_cancel};
+use crate::common::{is_done, is_over, started_cluster, time_to_confirm_cancel};
 use glenmount_simulation::{job, service, use_long_leases, FaultRates, Simulation};
 
 #[test]
 fn controllers_agree_on_one_instance_request() {
-    let mut sim = started(16, 3, 0);
+    let mut sim = started_cluster(16, 3, 0);
     sim.submit(0, job("j-1", 2));
     sim.submit(1, job("j-2", 2));
     sim.run_until(40_000, "done", |sim| {
@@ -13,17 +13,17 @@
     });
     assert!(
         sim.cloud.provisioned <= 3,
-        "{} machines for eight processors",
+        "{} machines provisioned for eight CPUs",
         sim.cloud.provisioned
     );
     sim.run(60_000);
-    assert_eq!(sim.workers.len(), 0, "returned when idle");
+    assert_eq!(sim.workers.len(), 0, "idle machines are deprovisioned");
     sim.check_records();
 }
 
 #[test]
-fn an_unanswered_instance_request_is_retried_by_the_same_name() {
-    let mut sim = started(17, 3, 0);
+fn an_unanswered_instance_request_is_retried_under_the_same_name() {
+    let mut sim = started_cluster(17, 3, 0);
     sim.network.faults.cloud_answer_lost = 1.0;
     sim.submit(0, job("j-1", 2));
     sim.run(3_000);
@@ -35,34 +35,34 @@
 
 #[test]
 fn machines_provisioned_by_a_crashed_controller_are_adopted() {
-    let mut sim = started(18, 3, 0);
-    let r = sim.submit(0, job("j-1", 2));
-    sim.await_answer(r);
+    let mut sim = started_cluster(18, 3, 0);
+    let request = sim.submit(0, job("j-1", 2));
+    sim.await_answer(request);
     sim.run(15);
     sim.crash(0, 60_000);
     sim.run_until(40_000, "done", |sim| is_done(sim, "j-1"));
     sim.check_records();
 }
 
-/// A provisioned machine that does not come up in time is not waited for, and given up later on.
+/// A provisioned machine does not boot. Its tasks must run on another one, and the machine is deleted later.
 #[test]
 fn tasks_do_not_wait_for_a_machine_that_never_boots() {
-    let mut sim = started(72, 3, 0);
+    let mut sim = started_cluster(72, 3, 0);
     sim.cloud.stuck_boots = 1;
     sim.submit(0, job("j-1", 2));
     sim.run_until(25_000, "done on another", |sim| is_done(sim, "j-1"));
-    sim.run_until(40_000, "given up", |sim| {
+    sim.run_until(40_000, "the machine is deleted", |sim| {
         sim.cloud.deleted.contains("n-000000")
     });
     assert!(
         sim.cloud.provisioned <= 3,
-        "{} rented",
+        "{} machines provisioned",
         sim.cloud.provisioned
     );
 }
 
-/// New machines are up within two seconds and get work at once while writes lag, and the controller that most
-/// report to ends: each is used or returned, nothing runs twice, and what is provisioned stays near what is asked.
+/// New machines boot within two seconds and get work at once while transactions are late and controllers crash. Every
+/// machine must be used or deprovisioned, no task runs twice, and the number of machines stays near the demand.
 #[test]
 fn machines_that_boot_within_two_seconds_are_used_while_writes_are_late() {
     for seed in 0..8_u64 {
@@ -87,7 +87,7 @@
         sim.crash((seed % 3) as usize, [200, 3_000][seed as usize % 2]);
         sim.run(1_500);
         sim.crash(((seed + 1) % 3) as usize, 400);
-        let (start, rented) = (sim.now_ms, sim.cloud.provisioned);
+        let (start_ms, provisioned_before) = (sim.now_ms, sim.cloud.provisioned);
         sim.run_until(120_000, "runs", |sim| {
             (0..6).all(|j| sim.metrics.first_run_ms.contains_key(&format!("j-{j}")))
                 && sim.running("j-s") == 4
@@ -96,21 +96,18 @@
         sim.run_until(240_000, "done", |sim| {
             (0..6).all(|j| is_over(sim, &format!("j-{j}")))
         });
-        // 40 tasks of 2 processors take 20 of the small machines, or 10 of the large.
+        // 40 tasks of 2 CPUs take 20 of the small machines, or 10 of the large ones.
         assert!(
             sim.cloud.provisioned <= 2 + 20 * 2,
-            "seed {seed}: {rented}, {} rented",
+            "seed {seed}: {provisioned_before} machines provisioned before, {} in all",
             sim.cloud.provisioned
         );
-        assert!(sim.now_ms < start + 240_000);
-        time_to_confirm_cancel(&mut sim, 0, "j-s").expect("told");
-        // All of them are on record or returned: what nothing needs is given back.
+        assert!(sim.now_ms < start_ms + 240_000);
+        time_to_confirm_cancel(&mut sim, 0, "j-s").expect("the cancellation is confirmed");
+        // Every machine is on record or deleted, so unneeded ones are deprovisioned.
         sim.run(sim.settings.idle_timeout_ms + 120_000);
         let left = sim.workers.len();
-        assert!(
-            left <= 4,
-            "seed {seed}: {left} machines are left with nothing to do"
-        );
+        assert!(left <= 4, "seed {seed}: {left} idle machines are left");
         sim.check_records();
     }
 }
--- a/crates/core/tests/scenarios/quotas.rs
+++ b/crates/core/tests/scenarios/quotas.rs
@@ -1,13 +1,13 @@
 //! Quotas: limits and guaranteed shares of teams.
 
-use crate::common::{is_done, is_over, started, time_to_confirm_cancel, without_scale_in};
+use crate::common::{is_done, is_over, started_cluster, time_to_confirm_cancel, without_scale_in};
 use glenmount_core::model::{JobPriority, JobSpec};
 use glenmount_simulation::{job, limited_team, use_long_leases, Simulation, StarvationTracker};
 
 #[test]
 fn a_team_never_exceeds_its_limit() {
     for seed in 0..8 {
-        let mut sim = started(300 + seed, 3, 6);
+        let mut sim = started_cluster(300 + seed, 3, 6);
         for i in 0..6 {
             let mut spec = job(&format!("j-{i}"), 3);
             spec.team = "blue".into();
@@ -21,8 +21,8 @@
     }
 }
 
-/// A guest fills the site with work beyond its guarantee; a team within its own does not wait for
-/// it, nor is more of it stopped than that takes, nor does a guest stop anybody's.
+/// A team without a guaranteed share fills the fleet. A team within its own share must not wait for that work, must not
+/// preempt more of it than needed, and the borrowing team must preempt no one.
 #[test]
 fn a_team_within_its_guaranteed_share_reclaims_borrowed_capacity() {
     let mut sim = without_scale_in(67, 3, 4);
@@ -36,28 +36,32 @@
     sim.run_until(8_000, "all machines are full", |sim| {
         sim.running("j-1") == 8
     });
-    let mut own = job("j-2", 3);
-    own.team = "blue".into();
-    sim.submit(1, own);
+    let mut within_share = job("j-2", 3);
+    within_share.team = "blue".into();
+    sim.submit(1, within_share);
     sim.run_until(9_000, "runs", |sim| sim.running("j-2") == 3);
-    assert_eq!(sim.running("j-1"), 5, "no more are stopped than needed");
+    assert_eq!(
+        sim.running("j-1"),
+        5,
+        "no more tasks are preempted than needed"
+    );
     sim.submit(2, job("j-3", 2));
     sim.run(6_000);
-    assert_eq!(sim.running("j-2"), 3, "a guest stops nobody");
-    let mut more = job("j-4", 2);
-    more.team = "blue".into();
-    sim.submit(2, more);
+    assert_eq!(sim.running("j-2"), 3, "a borrowing team preempts no one");
+    let mut beyond_share = job("j-4", 2);
+    beyond_share.team = "blue".into();
+    sim.submit(2, beyond_share);
     sim.run(6_000);
-    assert_eq!(sim.running("j-4"), 0, "beyond its guarantee it waits");
+    assert_eq!(sim.running("j-4"), 0, "a job beyond the share waits");
     sim.run_until(200_000, "all done", |sim| {
         (1..5).all(|i| is_done(sim, &format!("j-{i}")))
     });
     sim.check_records();
 }
 
-/// More work than room: a team's urgent work has taken what others are guaranteed, and one of these comes back
-/// with work that is not urgent. What is stopped for it gives it room; the urgent work does not take that again,
-/// to be stopped once more, and so on.
+/// Under overload a team's urgent jobs use another team's guaranteed share, and that team submits a job that is not
+/// urgent. The capacity preempted for it must go to it; if urgent tasks retake the capacity, they are preempted again
+/// and again.
 #[test]
 fn tasks_preempted_for_a_guaranteed_share_do_not_retake_the_capacity() {
     for seed in 0..6_u64 {
@@ -68,19 +72,25 @@
             priority: JobPriority::High,
             ..job(id, tasks)
         };
-        // Sixteen processors, of which eight are guaranteed to either team.
+        // 16 CPUs, of which eight are guaranteed to each team.
         sim.submit(0, urgent("j-1", 12));
         sim.submit(1, urgent("j-2", 12));
-        sim.run_until(20_000, "all is taken", |sim| {
+        sim.run_until(20_000, "the fleet is full", |sim| {
             sim.running("j-1") + sim.running("j-2") == 8
         });
-        let before = sim.metrics.starts;
+        let starts_before = sim.metrics.starts;
         sim.submit(2, limited_team(job("j-3", 3)));
-        sim.run_until(15_000, "it runs", |sim| sim.running("j-3") == 3);
+        sim.run_until(15_000, "the job within the share runs", |sim| {
+            sim.running("j-3") == 3
+        });
         sim.run(30_000);
-        assert_eq!(sim.running("j-3"), 3, "it is left alone");
+        assert_eq!(
+            sim.running("j-3"),
+            3,
+            "the job within the share is not preempted"
+        );
         let stops = sim.metrics.stops.get("preempted").map_or(0, |s| s.0);
-        let starts = sim.metrics.starts - before;
+        let starts = sim.metrics.starts - starts_before;
         assert!(
             stops <= 6 && starts <= 9,
             "seed {seed}: {stops} stops, {starts} starts"
@@ -89,9 +99,9 @@
     }
 }
 
-/// Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and controllers
-/// change. The simulation holds what runs against the limit at each start; once all is over nothing waits beside
-/// capacity for longer than a round of reports and a few seconds.
+/// A team is at its limit while its users cancel jobs whose machines stall or lose connections, and controllers crash.
+/// The simulation checks the running tasks against the limit at each start. After the faults no job may wait despite
+/// capacity for longer than a heartbeat round and a few seconds.
 #[test]
 fn quota_of_cancelled_jobs_on_stalled_workers_is_released_in_time() {
     for seed in 0..8_u64 {
@@ -101,7 +111,7 @@
         }
         sim.run(15_000);
         (sim.cloud.capacity, sim.workload.run_ms) = (0, 25_000);
-        // 12 processors at most: six tasks, of which three jobs ask for thrice as many.
+        // The limit of 12 CPUs is six tasks; six jobs ask for three tasks each.
         for j in 0..6 {
             sim.submit(j % 3, limited_team(job(&format!("j-{j}"), 3)));
         }
@@ -142,14 +152,14 @@
         }
         let mut waits = StarvationTracker::default();
         let open = |sim: &Simulation| (0..9).any(|j| !is_over(sim, &format!("j-{j}")));
-        let end = sim.now_ms + 300_000;
-        while open(&sim) && sim.now_ms < end {
+        let deadline_ms = sim.now_ms + 300_000;
+        while open(&sim) && sim.now_ms < deadline_ms {
             sim.run(500);
             waits.observe(&sim);
         }
-        assert!(!open(&sim), "seed {seed}: all is served in the end");
-        let least = sim.settings.heartbeat_due_ms() + 8_000;
-        assert!(waits.longest_ms <= least, "seed {seed}: {waits:?}");
+        assert!(!open(&sim), "seed {seed}: all jobs end");
+        let max_ms = sim.settings.heartbeat_due_ms() + 8_000;
+        assert!(waits.longest_ms <= max_ms, "seed {seed}: {waits:?}");
         sim.check_records();
     }
 }
--- a/crates/core/tests/scenarios/random_faults.rs
+++ b/crates/core/tests/scenarios/random_faults.rs
@@ -1,26 +1,26 @@
-//! Random faults of all kinds at once; invariants are checked at every step.
+//! Random faults of all kinds at once. The simulation checks the invariants at every step.
 
-use crate::common::{is_answered, started};
+use crate::common::{is_answered, started_cluster};
 use glenmount_core::model::JobKind;
 use glenmount_core::state::JobPhase;
 use glenmount_simulation::random_faults::{self, RandomFaults, STEPS};
 use glenmount_simulation::{all_estimate_uses, job, service, FaultRates, Simulation};
 use rand::Rng;
 
-/// Seeds of random meetings, each some minutes long.
+/// The number of seeds to run, from the environment variable SEEDS. Each covers some minutes of simulated time.
 fn seeds() -> u64 {
-    let more = std::env::var("SEEDS").ok();
-    more.and_then(|n| n.parse().ok()).unwrap_or(12)
+    let requested = std::env::var("SEEDS").ok();
+    requested.and_then(|n| n.parse().ok()).unwrap_or(12)
 }
 
-/// Everything at once, by chance: the rules are checked at every step.
+/// Message faults, crashes, partitions, outages and user requests occur at random and overlap.
 #[test]
 fn random_message_faults_break_no_invariant() {
     for seed in 0..20 {
-        let mut sim = started(1_000 + seed, 3, 4);
+        let mut sim = started_cluster(1_000 + seed, 3, 4);
         sim.cloud.capacity = 4;
         if seed % 2 == 1 {
-            // From its next start on each controller uses learned run times, beside others that do not.
+            // Each controller uses run-time estimates from its next start on, beside others that do not yet.
             sim.settings.runtime_estimates = all_estimate_uses();
         }
         sim.network.faults = FaultRates {
@@ -83,8 +83,8 @@
                     let names: Vec<String> = sim.workers.keys().cloned().collect();
                     if !names.is_empty() {
                         let name = &names[sim.rng.gen_range(0..names.len())];
-                        let cut = !sim.workers[name].disconnected;
-                        sim.workers.get_mut(name).unwrap().disconnected = cut;
+                        let disconnected = !sim.workers[name].disconnected;
+                        sim.workers.get_mut(name).unwrap().disconnected = disconnected;
                     }
                 }
                 11 => {
@@ -107,7 +107,7 @@
                 15 => match sim.rng.gen_range(0..4) {
                     0 => sim.partition_zone("west", &[1]),
                     1 => sim.partition_zone("east", &[0, 2]),
-                    // With nobody inside.
+                    // A zone without a controller.
                     2 => sim.partition_zone("west", &[]),
                     _ => sim.heal_zone(),
                 },
@@ -118,24 +118,24 @@
                     }
                 }
             }
-            let pause = sim.rng.gen_range(100..2_500);
-            sim.run(pause);
-            // Now and then what is wrong stays so for longer than a cancellation may take.
+            let step_ms = sim.rng.gen_range(100..2_500);
+            sim.run(step_ms);
+            // Occasionally the faults last for longer than a cancellation may take.
             if sim.rng.gen_bool(0.03) {
-                let long = sim.settings.cancellation_timeout_ms + 10_000;
-                sim.run(long);
+                let fault_ms = sim.settings.cancellation_timeout_ms + 10_000;
+                sim.run(fault_ms);
             }
             if sim.rng.gen_bool(0.2) {
                 sim.heal_all();
             }
         }
-        // Peace: whatever is left must come to an end.
+        // Without faults all remaining work must complete.
         sim.network.faults = FaultRates::default();
         sim.heal_all();
         sim.cloud.capacity += 4;
-        sim.run_until(75_000, "awake", |sim| (0..3).all(|n| !sim.is_paused(n)));
+        sim.run_until(75_000, "resumed", |sim| (0..3).all(|n| !sim.is_paused(n)));
         sim.run(5_000);
-        // Services hold their team's limit for as long as they are wanted.
+        // Running services use their team's quota until they are cancelled.
         for id in jobs
             .iter()
             .filter(|id| sim.job_specs[*id].kind == JobKind::Service)
@@ -149,9 +149,9 @@
         let open = |sim: &Simulation, id: &String| {
             sim.job_phase(id) == Some(JobPhase::Open) && sim.job_specs[id].kind == JobKind::Array
         };
-        let jobs2 = jobs.clone();
+        let all_jobs = jobs.clone();
         sim.run_until(200_000, "arrays end", |sim| {
-            !jobs2.iter().any(|id| open(sim, id))
+            !all_jobs.iter().any(|id| open(sim, id))
         });
         sim.check_records();
         assert!(
@@ -174,7 +174,7 @@
         let RandomFaults {
             simulation: mut sim,
             jobs,
-            rolling_upgrade: rolls,
+            rolling_upgrade,
         } = random_faults::play(seed, 6, STEPS);
         sim.network.faults = FaultRates::default();
         (
@@ -184,25 +184,25 @@
         ) = (0.0, false, 0);
         sim.heal_all();
         sim.cloud.capacity += 6;
-        sim.run_until(75_000, "awake", |sim| (0..3).all(|n| !sim.is_paused(n)));
-        for n in (0..3).filter(|_| rolls) {
+        sim.run_until(75_000, "resumed", |sim| (0..3).all(|n| !sim.is_paused(n)));
+        for n in (0..3).filter(|_| rolling_upgrade) {
             sim.upgrade(n, 500);
             sim.run(3_000);
         }
         sim.run_until(10_000, "back", |sim| {
             sim.controllers.iter().all(|n| n.controller.is_some())
         });
-        // What was accepted stays known: within 75 s each gets an answer, whoever is asked.
-        let told: Vec<String> = jobs
+        // Every accepted job stays known: any controller answers for it within 75 s.
+        let accepted: Vec<String> = jobs
             .iter()
             .filter(|id| sim.user_views.get(*id).is_some_and(|t| t.accepted))
             .cloned()
             .collect();
-        for (i, id) in told.iter().enumerate() {
-            let end = sim.now_ms + 75_000;
+        for (i, id) in accepted.iter().enumerate() {
+            let deadline_ms = sim.now_ms + 75_000;
             while !is_answered(&mut sim, i % 3, id) {
                 sim.run(1_000);
-                assert!(sim.now_ms < end, "seed {seed}: forgotten: {id}");
+                assert!(sim.now_ms < deadline_ms, "seed {seed}: no answer for {id}");
             }
         }
         for id in &jobs {
@@ -215,9 +215,9 @@
         let open = |sim: &Simulation, id: &String| {
             sim.job_phase(id) == Some(JobPhase::Open) && sim.job_specs[id].kind == JobKind::Array
         };
-        let all = jobs.clone();
+        let all_jobs = jobs.clone();
         sim.run_until(400_000, "arrays end", |sim| {
-            !all.iter().any(|id| open(sim, id))
+            !all_jobs.iter().any(|id| open(sim, id))
         });
         sim.run(5_000);
         sim.check_records();
--- a/crates/core/tests/scenarios/rolling_upgrade.rs
+++ b/crates/core/tests/scenarios/rolling_upgrade.rs
@@ -1,6 +1,6 @@
-//! Rolling upgrades: controllers of the previous version beside new ones, on the same records, and limits of the
-//! state service that are lowered afterwards. The simulation lets the previous version read and write only the
-//! forms that it knows, and checks that nothing else is written until all controllers are new.
+//! Rolling upgrades: controllers of the previous version and of the new one share the records, and the limits of the
+//! state service are lowered afterwards. The simulation lets the previous version read and write only the formats that
+//! it knows, and checks that no other format is written until all controllers are upgraded.
 
 use crate::common::has_phase;
 use glenmount_core::controller::UserReply;
@@ -12,7 +12,8 @@
 };
 use rand::Rng;
 
-fn upgraded(sim: &Simulation) -> bool {
+/// Returns whether every controller has recorded its format.
+fn is_upgraded(sim: &Simulation) -> bool {
     let formats = sim
         .state
         .records
@@ -21,17 +22,17 @@
     formats.count() == sim.controllers.len()
 }
 
-/// Upgrades one controller after another, `gap` milliseconds apart.
-fn upgrade_all(sim: &mut Simulation, gap: u64) {
+/// Upgrades one controller after another, `gap_ms` apart.
+fn upgrade_all(sim: &mut Simulation, gap_ms: u64) {
     for n in 0..sim.controllers.len() {
         sim.upgrade(n, 2_000);
-        sim.run(gap);
+        sim.run(gap_ms);
     }
-    sim.run_until(10_000, "upgraded", upgraded);
+    sim.run_until(10_000, "upgraded", is_upgraded);
 }
 
-/// A simulation in which old controllers have stored a chunk of 100 tasks with 80 assignments: twice the size
-/// that a value may have later.
+/// A simulation in which controllers of the previous version have stored a chunk of 100 tasks with 80 assignments,
+/// about twice the size that the lowered limit allows for a value.
 fn with_a_large_chunk(seed: u64) -> Simulation {
     let mut sim = Simulation::previous_version(seed, 3, 40);
     sim.settings.idle_timeout_ms = 3_600_000;
@@ -51,33 +52,36 @@
     for seed in 0..6 {
         let mut sim = Simulation::previous_version(seed, 3, 6);
         sim.run(4_000);
-        let r = sim.submit(0, service("j-1", 3));
-        sim.await_answer(r);
+        let request = sim.submit(0, service("j-1", 3));
+        sim.await_answer(request);
         for i in 2..8 {
-            let r = sim.submit(i % 3, job(&format!("j-{i}"), 4));
-            sim.await_answer(r);
+            let request = sim.submit(i % 3, job(&format!("j-{i}"), 4));
+            sim.await_answer(request);
         }
         sim.upgrade(0, 2_000);
         sim.run(9_000);
-        // Not its turn yet: it comes back old.
+        // Controller 2 restarts with the previous version, since it is not upgraded yet.
         sim.crash(2, 2_000);
         sim.run(9_000);
-        let r = sim.submit(0, dependent_job("j-8", 1, &["j-2"]));
+        let request = sim.submit(0, dependent_job("j-8", 1, &["j-2"]));
         assert!(
-            matches!(sim.await_answer(r), UserReply::RetryAfter { after_s } if after_s > 1),
-            "an old node would start it at once"
+            matches!(sim.await_answer(request), UserReply::RetryAfter { after_s } if after_s > 1),
+            "a controller of the previous version would start the job at once"
         );
         sim.upgrade(1, 2_000);
         sim.run(1_000);
         sim.crash(1, 2_000);
         sim.run(9_000);
-        assert!(!upgraded(&sim));
+        assert!(!is_upgraded(&sim));
         sim.upgrade(2, 2_000);
-        sim.run_until(15_000, "upgraded", upgraded);
+        sim.run_until(15_000, "upgraded", is_upgraded);
         sim.run(500);
-        assert_eq!(sim.running("j-1"), 3, "services stay up");
-        let r = sim.submit(1, dependent_job("j-8", 1, &["j-2"]));
-        assert!(matches!(sim.await_answer(r), UserReply::Accepted { .. }));
+        assert_eq!(sim.running("j-1"), 3, "services keep running");
+        let request = sim.submit(1, dependent_job("j-8", 1, &["j-2"]));
+        assert!(matches!(
+            sim.await_answer(request),
+            UserReply::Accepted { .. }
+        ));
         sim.lower_limits();
         sim.run_until(60_000, "done", |sim| {
             (2..9).all(|i| has_phase(sim, &format!("j-{i}"), JobPhase::Done))
@@ -110,11 +114,11 @@
     sim.run(9_000);
     sim.upgrade(1, 2_000);
     sim.run(9_000);
-    // The last old controller stays away: its peers record what ends meanwhile.
+    // The last controller of the previous version stays down; its peers record the results meanwhile.
     sim.crash(2, 60_000);
     sim.run_until(40_000, "all have started", |sim| sim.metrics.starts == 100);
     sim.run_until(45_000, "done", |sim| has_phase(sim, "j-1", JobPhase::Done));
-    assert!(!upgraded(&sim));
+    assert!(!is_upgraded(&sim));
     assert_eq!(sim.state.too_large, 0);
     sim.check_records();
 }
@@ -125,16 +129,18 @@
     sim.workload.run_ms = 3_600_000;
     upgrade_all(&mut sim, 9_000);
     sim.lower_limits();
-    // First some are stopped for work of higher rank, each with a reason on record.
+    // A job of higher priority first preempts some tasks, each with a stop reason on record.
     let urgent = JobSpec {
         priority: JobPriority::High,
         ..job("j-2", 10)
     };
     sim.submit(1, urgent);
-    sim.run_until(15_000, "room is made", |sim| sim.running("j-2") == 10);
-    let r = sim.cancel(2, "j-1");
-    sim.await_answer(r);
-    sim.run_until(30_000, "gone", |sim| {
+    sim.run_until(15_000, "the urgent job runs", |sim| {
+        sim.running("j-2") == 10
+    });
+    let request = sim.cancel(2, "j-1");
+    sim.await_answer(request);
+    sim.run_until(30_000, "no task or chunk is left", |sim| {
         sim.running("j-1") == 0 && !sim.state.records.contains_key(&Key::Chunk("j-1".into(), 0))
     });
     assert_eq!(sim.state.too_large, 0);
@@ -155,7 +161,7 @@
     sim.submit(2, job("j-1", 100));
     sim.run_until(15_000, "most run", |sim| sim.running("j-1") > 60);
     sim.upgrade(2, 2_000);
-    sim.run_until(10_000, "upgraded", upgraded);
+    sim.run_until(10_000, "upgraded", is_upgraded);
     sim.lower_limits();
     sim.run_until(120_000, "done", |sim| has_phase(sim, "j-1", JobPhase::Done));
     assert_eq!(sim.state.too_large, 0);
@@ -164,7 +170,7 @@
 
 #[test]
 fn a_record_rejected_by_the_state_service_blocks_no_other() {
-    // Its limits are smaller than announced: so many assignments at once don't fit.
+    // The limits of the state service are smaller than configured, so a chunk with all assignments is rejected.
     let mut sim = Simulation::new(7, 2, 82);
     sim.settings.idle_timeout_ms = 3_600_000;
     sim.settings.max_value_bytes = 2 * 1024;
@@ -176,22 +182,22 @@
     });
     let mut spec = job("j-1", 80);
     spec.resources.cpus = 4_000;
-    let r = sim.submit(0, spec);
-    sim.await_answer(r);
+    let request = sim.submit(0, spec);
+    sim.await_answer(request);
     sim.run(1_000);
-    let r = sim.submit(1, job("j-2", 1));
-    sim.await_answer(r);
-    sim.run_until(20_000, "the other is done", |sim| {
+    let request = sim.submit(1, job("j-2", 1));
+    sim.await_answer(request);
+    sim.run_until(20_000, "the other job is done", |sim| {
         has_phase(sim, "j-2", JobPhase::Done)
     });
     sim.run(60_000);
     assert!(
         (1..20).contains(&sim.state.too_large),
-        "{} tries",
+        "{} rejected attempts",
         sim.state.too_large
     );
     sim.state.limits = None;
-    sim.run_until(90_000, "done after all", |sim| {
+    sim.run_until(90_000, "done without the limit", |sim| {
         has_phase(sim, "j-1", JobPhase::Done)
     });
 }
@@ -215,14 +221,14 @@
             ..FaultRates::default()
         };
         let mut jobs: Vec<String> = Vec::new();
-        let mut turn = 0;
+        let mut upgraded = 0;
         for step in 0..120 {
             let n = sim.rng.gen_range(0..3);
             match sim.rng.gen_range(0..12) {
                 0..=3 => {
                     let mut spec = job(&format!("j-{step}"), sim.rng.gen_range(1..6));
                     for _ in 0..sim.rng.gen_range(0..3) {
-                        if !jobs.is_empty() && upgraded(&sim) {
+                        if !jobs.is_empty() && is_upgraded(&sim) {
                             spec.dependencies
                                 .push(jobs[sim.rng.gen_range(0..jobs.len())].clone());
                         }
@@ -234,13 +240,13 @@
                     if sim.rng.gen_bool(0.4) {
                         spec.team = "blue".into();
                     }
-                    let r = sim.submit(n, spec.clone());
+                    let request = sim.submit(n, spec.clone());
                     sim.run(400);
-                    // Only accepted jobs are named.
+                    // Only accepted jobs can be dependencies.
                     let accepted = |sim: &Simulation| {
                         sim.state.records.contains_key(&Key::Job(spec.id.clone()))
                     };
-                    if sim.answers.contains_key(&r) && accepted(&sim) {
+                    if sim.answers.contains_key(&request) && accepted(&sim) {
                         jobs.push(spec.id);
                     }
                 }
@@ -252,9 +258,9 @@
                 6 => sim.controllers[n].cut_from_state = !sim.controllers[n].cut_from_state,
                 7 => sim.state.is_down = !sim.state.is_down,
                 8 => sim.pause(n, 5_000),
-                9 if turn < 3 && step > 20 => {
-                    sim.upgrade(turn, 4_000);
-                    turn += 1;
+                9 if upgraded < 3 && step > 20 => {
+                    sim.upgrade(upgraded, 4_000);
+                    upgraded += 1;
                 }
                 _ => {
                     for id in jobs.clone() {
@@ -263,11 +269,11 @@
                     }
                 }
             }
-            if upgraded(&sim) && sim.rng.gen_bool(0.1) {
+            if is_upgraded(&sim) && sim.rng.gen_bool(0.1) {
                 sim.lower_limits();
             }
-            let pause = sim.rng.gen_range(100..2_000);
-            sim.run(pause);
+            let step_ms = sim.rng.gen_range(100..2_000);
+            sim.run(step_ms);
             if sim.rng.gen_bool(0.3) {
                 sim.heal_all();
             }
@@ -275,21 +281,21 @@
         sim.network.faults = FaultRates::default();
         sim.heal_all();
         sim.cloud.capacity += 6;
-        for n in turn..3 {
+        for n in upgraded..3 {
             sim.upgrade(n, 1_000);
         }
-        sim.run_until(30_000, "upgraded", upgraded);
+        sim.run_until(30_000, "upgraded", is_upgraded);
         sim.lower_limits();
-        let over = |sim: &Simulation| jobs.iter().all(|id| !has_phase(sim, id, JobPhase::Open));
-        sim.run_until(400_000, "all end", over);
+        let all_over = |sim: &Simulation| jobs.iter().all(|id| !has_phase(sim, id, JobPhase::Open));
+        sim.run_until(400_000, "all jobs end", all_over);
         sim.run(3_000);
         sim.check_records();
-        // A seed may draw few jobs; none draws hardly any, and together they start many.
+        // A single seed may draw few jobs but never almost none; all seeds together start many tasks.
         let tasks: u32 = jobs.iter().map(|id| sim.job_specs[id].tasks).sum();
-        let drawn = format!("seed {seed}: {} starts, {tasks} tasks", sim.metrics.starts);
+        let counts = format!("seed {seed}: {} starts, {tasks} tasks", sim.metrics.starts);
         assert!(
             sim.metrics.starts > 10 && sim.metrics.starts * 2 >= tasks,
-            "{drawn}"
+            "{counts}"
         );
         starts += sim.metrics.starts;
     }
--- a/crates/core/tests/scenarios/starvation.rs
+++ b/crates/core/tests/scenarios/starvation.rs
@@ -1,4 +1,4 @@
-//! Starvation: no job waits for long although there is capacity for it.
+//! Starvation: no job waits for long while there is capacity for it.
 
 use crate::common::{is_cancel_confirmed, is_over};
 use glenmount_core::controller::UserReply;
@@ -8,12 +8,12 @@
 };
 use rand::Rng;
 
-/// More work than room, urgent and not, over slow links, with some faults. Once these are over no job waits
-/// for 90 s beside a machine that fits and has capacity while its team is under its limit: by the simulation's own sum
-/// of what is where.
+/// Jobs of several priorities exceed the capacity over slow links and under faults. After the faults no job may wait
+/// for 90 s while a suitable machine has capacity and its team is below its limit, by the simulation's own count of the
+/// running tasks.
 #[test]
 fn no_job_waits_despite_capacity_after_faults() {
-    let mut worst = (0, 0);
+    let mut longest = (0, 0);
     let seeds = std::env::var("SEEDS").ok().and_then(|n| n.parse().ok());
     for seed in std::env::var("FROM")
         .ok()
@@ -47,10 +47,10 @@
             sim.workload
                 .job_run_ms
                 .insert(id.clone(), sim.rng.clone().gen_range(4_000..40_000));
-            let r = sim.submit(j % 3, spec);
+            let request = sim.submit(j % 3, spec);
             sim.run(1_200);
-            // What is not accepted is not repeated.
-            if matches!(sim.answers.get(&r), Some(UserReply::Accepted { .. })) {
+            // A submission that is not accepted is not repeated.
+            if matches!(sim.answers.get(&request), Some(UserReply::Accepted { .. })) {
                 ids.push(id);
             }
             match j {
@@ -83,52 +83,55 @@
         sim.network.faults = FaultRates::default();
         sim.heal_all();
         sim.network.max_extra_latency_ms = 0;
-        // Also those whose users were not told in time that they are accepted.
-        let of_all = sim
+        // Includes services whose users did not learn in time that they are accepted.
+        let all_services = sim
             .job_specs
             .values()
             .filter(|s| s.kind == JobKind::Service);
-        let services: Vec<String> = of_all.map(|s| s.id.clone()).collect();
-        // In some the services stay, for which room is kept.
-        let stay = seed % 3 == 0;
+        let services: Vec<String> = all_services.map(|s| s.id.clone()).collect();
+        // In a third of the seeds the services keep running, and capacity stays reserved for them.
+        let services_stay = seed % 3 == 0;
         for id in &services {
-            if sim.job_phase(id).is_none() || stay {
+            if sim.job_phase(id).is_none() || services_stay {
                 continue;
             }
             assert!(is_cancel_confirmed(&mut sim, id), "{id}");
         }
-        let mut waits = StarvationTracker::default();
-        let end = sim.now_ms + 600_000;
-        while !ids.iter().all(|id| is_over(&sim, id)) && sim.now_ms < end {
+        let mut starvation = StarvationTracker::default();
+        let deadline_ms = sim.now_ms + 600_000;
+        while !ids.iter().all(|id| is_over(&sim, id)) && sim.now_ms < deadline_ms {
             sim.run(500);
-            waits.observe(&sim);
+            starvation.observe(&sim);
         }
-        let ends = |id: &&String| !stay || sim.job_specs[*id].team == "red";
+        let must_end = |id: &&String| !services_stay || sim.job_specs[*id].team == "red";
         let arrays = ids
             .iter()
             .filter(|id| sim.job_specs[*id].kind == JobKind::Array);
-        let left: Vec<&String> = arrays
-            .filter(ends)
+        let unfinished: Vec<&String> = arrays
+            .filter(must_end)
             .filter(|id| !is_over(&sim, id))
             .collect();
-        assert!(left.is_empty(), "seed {seed}: {left:?}");
-        if waits.longest_ms > 20_000 {
-            eprintln!("seed {seed}: {waits:?}");
+        assert!(unfinished.is_empty(), "seed {seed}: {unfinished:?}");
+        if starvation.longest_ms > 20_000 {
+            eprintln!("seed {seed}: {starvation:?}");
         }
-        worst = worst.max((waits.longest_ms, seed));
-        assert!(waits.longest_ms < 90_000, "seed {seed}: {waits:?}");
+        longest = longest.max((starvation.longest_ms, seed));
+        assert!(
+            starvation.longest_ms < 90_000,
+            "seed {seed}: {starvation:?}"
+        );
         sim.check_records();
     }
     eprintln!(
-        "the longest wait beside room: {} ms, seed {}",
-        worst.0, worst.1
+        "longest wait despite capacity: {} ms, seed {}",
+        longest.0, longest.1
     );
 }
 
-/// Urgent work of the same team, and of others, asks for more than there is all the time. What is not urgent
-/// begins within four minutes all the same, and what has begun is not stopped for it again and again.
+/// Urgent jobs of several teams permanently exceed the capacity. Other jobs must still start within four minutes, and
+/// their tasks must not be preempted again and again.
 #[test]
-fn jobs_crowded_out_by_urgent_work_begin_within_four_minutes() {
+fn jobs_crowded_out_by_urgent_work_start_within_four_minutes() {
     for seed in 0..3_u64 {
         let mut sim = Simulation::new(4_000 + seed, 3, 5);
         sim.run(9_000);
@@ -137,26 +140,26 @@
             priority: JobPriority::High,
             ..job(&id, tasks)
         };
-        let mut late = Vec::new();
+        let mut normal_priority = Vec::new();
         for i in 0..180 {
             let spec = urgent(format!("j-1{i:03}"), 4);
             sim.submit(i % 3, if i % 3 == 0 { limited_team(spec) } else { spec });
             if (10..40).contains(&i) && i % 5 == 0 {
                 let id = format!("j-9{i:03}");
                 sim.submit(i % 3, job(&id, 1 + i as u32));
-                late.push((id, sim.now_ms));
+                normal_priority.push((id, sim.now_ms));
             }
             sim.run(2_000);
         }
-        for (id, at) in &late {
-            let waited = sim.metrics.first_run_ms.get(id).map(|ran| ran - at);
+        for (id, submitted_ms) in &normal_priority {
+            let wait_ms = sim.metrics.first_run_ms.get(id).map(|ms| ms - submitted_ms);
             assert!(
-                waited.is_some_and(|ms| ms <= 240_000),
-                "seed {seed}: {id}: {waited:?}"
+                wait_ms.is_some_and(|ms| ms <= 240_000),
+                "seed {seed}: {id}: {wait_ms:?}"
             );
         }
         let stops = sim.metrics.stops.get("preempted").map_or(0, |s| s.0);
-        assert!(stops <= 60, "seed {seed}: {stops} stops");
+        assert!(stops <= 60, "seed {seed}: {stops} preemptions");
         sim.check_records();
     }
 }
--- a/crates/core/tests/scenarios/state_outages.rs
+++ b/crates/core/tests/scenarios/state_outages.rs
@@ -1,26 +1,26 @@
 //! Outages of the state service.
 
-use crate::common::{cancel_until_confirmed, is_answered, started};
+use crate::common::{cancel_until_confirmed, is_answered, started_cluster};
 use glenmount_core::controller::UserReply;
 use glenmount_core::state::JobPhase;
 use glenmount_simulation::{job, service, FaultRates, Simulation};
 
 #[test]
-fn a_state_service_outage_costs_no_lease_and_no_task() {
-    let mut sim = started(14, 3, 2);
+fn leases_and_tasks_survive_a_state_service_outage() {
+    let mut sim = started_cluster(14, 3, 2);
     sim.submit(0, service("j-1", 3));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 3);
     sim.state.is_down = true;
     sim.run(60_000);
     assert_eq!(sim.running("j-1"), 3);
-    let r = sim.submit(0, job("j-2", 1));
+    let request = sim.submit(0, job("j-2", 1));
     assert!(
-        matches!(sim.await_answer(r), UserReply::RetryAfter { .. }),
-        "answered at once"
+        matches!(sim.await_answer(request), UserReply::RetryAfter { .. }),
+        "the user is told to retry at once"
     );
     assert!(
         sim.controllers[0].controller.as_ref().unwrap().ready(),
-        "no node is better"
+        "no controller could serve better"
     );
     sim.state.is_down = false;
     sim.run(3_000);
@@ -29,8 +29,8 @@
     assert!(sim.workers.values().all(|worker| worker.incarnation == 1));
 }
 
-/// The state service answers slowly, refuses one controller, then is down for all for longer than `cancel_s`;
-/// meanwhile users cancel and ask. Once it is over each has an answer within 75 s.
+/// The state service answers slowly, refuses one controller, then is down for all for longer than `cancel_s`, while
+/// users cancel jobs and request their status. Every job must be answered within 75 s of the end of the outage.
 #[test]
 fn every_request_is_answered_after_an_outage() {
     for seed in 0..3 {
@@ -60,11 +60,14 @@
         }
         sim.network.faults = FaultRates::default();
         sim.heal_all();
-        let healed = sim.now_ms;
+        let healed_ms = sim.now_ms;
         for i in 0..8 {
             for n in 0..3 {
                 while !is_answered(&mut sim, n, &format!("j-{i}")) {
-                    assert!(sim.now_ms < healed + 75_000, "j-{i} at {n}");
+                    assert!(
+                        sim.now_ms < healed_ms + 75_000,
+                        "controller {n} does not answer for j-{i}"
+                    );
                 }
             }
         }
@@ -74,7 +77,7 @@
         let done = |sim: &Simulation| {
             (5..8).all(|i| sim.job_phase(&format!("j-{i}")) == Some(JobPhase::Done))
         };
-        sim.run_until(200_000, "the rest is done", done);
+        sim.run_until(200_000, "the other jobs are done", done);
         sim.check_records();
     }
 }
--- a/crates/core/tests/scenarios/storage_formats.rs
+++ b/crates/core/tests/scenarios/storage_formats.rs
@@ -14,7 +14,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// As the version before format 2 writes them.
+/// Records as the version before format 2 writes them.
 const SAMPLES: [(&str, &str); 10] = [
     (
         "g/job/j-000412",
@@ -55,24 +55,24 @@
         let key = Key::parse(path).unwrap();
         let value: Value = serde_json::from_str(text).unwrap();
         let record = Record::from_value(&key, value.clone()).expect(path);
-        let text = Record::parse(&key, &value.to_string());
-        assert_eq!(text.as_ref(), Some(&record), "{path}: from its text");
+        let parsed = Record::parse(&key, &value.to_string());
+        assert_eq!(parsed.as_ref(), Some(&record), "{path}: read from the text");
         assert_eq!(record.value(formats::OLDEST), value, "{path}");
         assert_eq!(
             previous_version::value(&key, value.clone()),
             Some(value),
             "{path}"
         );
-        // In the latest format it says the same.
-        let again = Record::from_value(&key, record.value(formats::LATEST));
-        assert_eq!(again, Some(record), "{path}");
+        // The latest format represents the same record.
+        let reread = Record::from_value(&key, record.value(formats::LATEST));
+        assert_eq!(reread, Some(record), "{path}");
     }
 }
 
 #[test]
 fn the_previous_version_drops_or_rejects_new_fields() {
-    // Reasons for waiting until all are new: it drops whom a job awaits, and can't read a compact
-    // chunk. A key of a kind it does not know it passes over.
+    // Controllers wait for the upgrade of all before they write these fields: the previous version drops the
+    // dependencies of a job, cannot read a compact chunk, and skips keys of an unknown kind.
     let mut spec = dependent_job("j-000414", 1, &["j-000412"]);
     spec.dependencies.push("j-000413".into());
     let record = Record::Job(JobRecord {
@@ -84,8 +84,8 @@
         spec: Some(Box::new(spec)),
     });
     let key = Key::Job("j-000414".into());
-    let back = previous_version::value(&key, record.value(formats::LATEST)).unwrap();
-    assert!(back["spec"].get("awaits").is_none());
+    let rewritten = previous_version::value(&key, record.value(formats::LATEST)).unwrap();
+    assert!(rewritten["spec"].get("awaits").is_none());
     let key = Key::parse(SAMPLES[2].0).unwrap();
     let chunk = Record::from_value(&key, serde_json::from_str(SAMPLES[2].1).unwrap()).unwrap();
     assert_eq!(
@@ -94,10 +94,10 @@
     );
     let compact = chunk.value(formats::LATEST)["z"].to_string();
     assert_eq!(compact, r#""=1 +1 1:0:d1.7 2:0!0""#);
-    // Kept as written, should the way of writing change.
+    // A fixed sample, which must stay readable if the compact form changes.
     let text = r#"{"i":0,"z":"=1 +1 1:0:d1.7 2:0!0","m":"n-00023","a":41,"s":"s2.88","x":["preempted"],"o":"hub","u":{"c":2000,"g":0,"r":3200},"f":["n-000230"],"n":1,"p":1700000001000}"#;
-    let read = Record::from_value(&key, serde_json::from_str(text).unwrap());
-    assert_eq!(read, Some(chunk));
+    let parsed = Record::from_value(&key, serde_json::from_str(text).unwrap());
+    assert_eq!(parsed, Some(chunk));
     let format = Key::Format("a node".into());
     assert_eq!(Key::parse(&format.path()), Some(format.clone()));
     let record = Record::Format(FormatRecord { version: 2 });
@@ -110,11 +110,11 @@
     let mut rng = rand::rngs::SmallRng::seed_from_u64(1);
     let names = ["n-000231", "n-000232", "n-1", "", "a b:c*2!~", "=3", "é"];
     for _ in 0..2_000 {
-        let mut pair = |most: u64| {
-            let some = rng.gen_bool(0.5);
-            some.then(|| (rng.gen_range(0..most), rng.gen_range(0..u64::MAX)))
+        let mut random_start = |bound: u64| {
+            let is_present = rng.gen_bool(0.5);
+            is_present.then(|| (rng.gen_range(0..bound), rng.gen_range(0..u64::MAX)))
         };
-        let (reply_start, direct_start) = (pair(3), pair(u64::MAX));
+        let (reply_start, direct_start) = (random_start(3), random_start(u64::MAX));
         let tasks = (0..rng.gen_range(0..30))
             .map(|_| match rng.gen_range(0..4) {
                 0 => TaskState::Pending,
@@ -143,7 +143,7 @@
         );
     }
     let key = Key::Chunk("j-1".into(), 0);
-    for z in [
+    for compact in [
         "x",
         "=",
         "=-1",
@@ -153,23 +153,23 @@
         "a:1*x",
         "é",
     ] {
-        let value = serde_json::json!({"z": z});
-        assert_eq!(Record::from_value(&key, value), None, "{z}");
+        let value = serde_json::json!({"z": compact});
+        assert_eq!(Record::from_value(&key, value), None, "{compact}");
     }
 }
 
 #[test]
 fn every_record_at_its_largest_fits_into_2_kib() {
-    let most = 2 * 1024;
-    let fits = |what: &str, record: Record| {
+    let max_bytes = 2 * 1024;
+    let assert_fits = |description: &str, record: Record| {
         let bytes = formats::stored_bytes(&record, formats::LATEST);
-        assert!(bytes <= most, "{what}: {bytes} bytes");
+        assert!(bytes <= max_bytes, "{description}: {bytes} bytes");
     };
-    let long = |n: usize| "x".repeat(n);
+    let long_name = |n: usize| "x".repeat(n);
     let spec = JobSpec {
-        class: long(200),
-        team: long(200),
-        image: long(200),
+        class: long_name(200),
+        team: long_name(200),
+        image: long_name(200),
         dependencies: (0..36).map(|i| format!("j-{i:018}")).collect(),
         ..job("j-123456789012345678", 100_000)
     };
@@ -181,36 +181,39 @@
         ended_at: 0,
         spec: Some(Box::new(spec)),
     };
-    fits("a job with the longest names", Record::Job(job(spec)));
-    let mut usual = dependent_job("j-000001", 100, &[]);
-    usual.dependencies = (0..130).map(|i| format!("j-{i:06}")).collect();
-    fits("a job that awaits 130 others", Record::Job(job(usual)));
+    assert_fits("a job with the longest names", Record::Job(job(spec)));
+    let mut typical = dependent_job("j-000001", 100, &[]);
+    typical.dependencies = (0..130).map(|i| format!("j-{i:06}")).collect();
+    assert_fits("a job with 130 dependencies", Record::Job(job(typical)));
     let mut machine = MachineRecord::new(
-        &long(200),
-        &long(200),
+        &long_name(200),
+        &long_name(200),
         true,
         MachinePhase::Up,
         START_TIME_MS,
     );
-    machine.address = long(100);
+    machine.address = long_name(100);
     machine.faults = vec!["j-123456789012345678".into(); MACHINE_FAULTS_MAX];
-    fits("a machine", Record::Machine(machine));
+    assert_fits("a machine", Record::Machine(machine));
     let instances = (0..PROVISION_MAX_INSTANCES).map(|i| format!("n-{:06}", 999_000 + i));
     let instance_request = InstanceRequestRecord {
-        type_name: long(200),
-        zone: long(200),
+        type_name: long_name(200),
+        zone: long_name(200),
         spot: true,
         count: PROVISION_MAX_INSTANCES,
-        controller: long(60),
+        controller: long_name(60),
         created_at: START_TIME_MS,
         instances: Some(instances.collect()),
     };
-    fits("a rental", Record::InstanceRequest(instance_request));
+    assert_fits(
+        "an instance request",
+        Record::InstanceRequest(instance_request),
+    );
     let zones = (0..60).map(|i| (format!("zone-{i:04}"), 100_000));
     let zones = ZoneSpreadRecord {
         zones: zones.collect(),
     };
-    fits("places in 60 zones", Record::ZoneSpread(zones));
+    assert_fits("a zone spread over 60 zones", Record::ZoneSpread(zones));
     let refused: BTreeMap<_, _> = (0..40)
         .map(|i| {
             (
@@ -219,8 +222,8 @@
             )
         })
         .collect();
-    fits(
-        "the fleet",
+    assert_fits(
+        "the provisioning record",
         Record::Provisioning(ProvisioningRecord {
             next_request_number: 9,
             refused,
@@ -244,17 +247,17 @@
         pause_until: START_TIME_MS,
         ..ChunkRecord::default()
     };
-    let n = formats::tasks_per_chunk(formats::LATEST, most as u64);
+    let n = formats::tasks_per_chunk(formats::LATEST, max_bytes as u64);
     assert!(n > 80, "{n} tasks of a new job");
-    fits(
-        "a chunk, all booked and to be stopped",
+    assert_fits(
+        "a chunk whose tasks are all assigned and to be stopped",
         Record::Chunk(chunk(n)),
     );
 }
 
 #[test]
 fn a_chunk_is_never_claimed_beyond_what_can_be_written() {
-    // Names that have nothing in common take the most room.
+    // Machine names without a common prefix need the most space.
     let limit = 2 * 1024;
     for format in [formats::OLDEST, formats::LATEST] {
         let mut chunk = ChunkRecord {
@@ -277,18 +280,18 @@
             });
             assigned += 1;
         }
-        // Then each is armed anew, and is to be stopped.
+        // Each task then gets a new start and a stop reason.
         for task in &mut chunk.tasks {
-            if let TaskState::Assigned(b) = task {
-                (b.reply_start, b.direct_start) = (Some((2, 1_234).into()), None);
-                b.stop_reason = Some("preempted".into());
+            if let TaskState::Assigned(assignment) = task {
+                (assignment.reply_start, assignment.direct_start) = (Some((2, 1_234).into()), None);
+                assignment.stop_reason = Some("preempted".into());
             }
         }
         let bytes = formats::stored_bytes(&Record::Chunk(chunk), format) as u64;
         assert!(
             bytes <= limit,
-            "format {format}: {assigned} make {bytes} bytes"
+            "format {format}: {assigned} assignments take {bytes} bytes"
         );
-        assert!(assigned > 15, "format {format}: {assigned}");
+        assert!(assigned > 15, "format {format}: {assigned} assignments");
     }
 }
--- a/crates/core/tests/scenarios/worker_failures.rs
+++ b/crates/core/tests/scenarios/worker_failures.rs
@@ -1,17 +1,18 @@
 //! Workers and machines that fail: death, expired leases, partitions, termination notices, failing tasks.
 
-use crate::common::{is_done, started, without_scale_in};
+use crate::common::{is_done, started_cluster, without_scale_in};
 use glenmount_core::controller::UserReply;
 use glenmount_core::state::JobPhase;
 use glenmount_simulation::{job, service, Simulation};
 
 #[test]
 fn tasks_of_an_expired_lease_are_restarted() {
-    let mut sim = started(7, 2, 1);
+    let mut sim = started_cluster(7, 2, 1);
     sim.submit(0, service("j-1", 1));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
     let name = sim.machine_of("j-1").unwrap();
-    // The limit for silence lies below the lease: keep the cloud away to see the incarnation.
+    // A silent machine is deleted before its lease expires, so the cloud is down to let the worker reach the next
+    // incarnation.
     sim.cloud.is_down = true;
     sim.workers.get_mut(&name).unwrap().disconnected = true;
     sim.run(14_000);
@@ -25,19 +26,22 @@
 
 #[test]
 fn a_dead_machine_is_deleted_and_its_service_moves() {
-    let mut sim = started(8, 3, 3);
+    let mut sim = started_cluster(8, 3, 3);
     sim.submit(0, service("j-1", 1));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
     let name = sim.machine_of("j-1").unwrap();
     sim.kill_machine(&name);
     sim.run_until(25_000, "runs elsewhere", |sim| sim.running("j-1") == 1);
-    assert!(sim.cloud.deleted.contains(&name), "deletion is the proof");
+    assert!(
+        sim.cloud.deleted.contains(&name),
+        "the machine is deleted, which proves that its tasks ended"
+    );
     sim.check_records();
 }
 
 #[test]
 fn a_dead_machine_is_detected_before_a_worker_could_reconnect() {
-    let mut sim = started(24, 1, 5);
+    let mut sim = started_cluster(24, 1, 5);
     sim.submit(0, service("j-1", 1));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
     let name = sim.machine_of("j-1").unwrap();
@@ -47,7 +51,7 @@
 
 #[test]
 fn a_machine_that_dies_with_its_controller_is_detected_before_its_lease_expires() {
-    let mut sim = started(30, 3, 6);
+    let mut sim = started_cluster(30, 3, 6);
     sim.settings.idle_timeout_ms = 600_000;
     for worker in sim.workers.values_mut() {
         worker.controller = 0;
@@ -63,7 +67,7 @@
 
 #[test]
 fn a_machine_that_dies_while_all_controllers_are_down_is_detected() {
-    // None of them has heard of it since, so none knows its incarnation.
+    // No controller has received a heartbeat of the machine since its start, so none knows its incarnation.
     let mut sim = without_scale_in(24, 3, 2);
     sim.submit(0, job("j-1", 1));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 1);
@@ -79,8 +83,8 @@
 
 #[test]
 fn a_partitioned_machine_runs_no_task_twice() {
-    // The worker goes on behind the cut; only its deletion frees the task.
-    let mut sim = started(9, 3, 3);
+    // The worker keeps running behind the partition; only its deletion proves that the task has ended.
+    let mut sim = started_cluster(9, 3, 3);
     sim.submit(0, service("j-1", 2));
     sim.run_until(10_000, "runs", |sim| sim.running("j-1") == 2);
     let name = sim.machine_of("j-1").unwrap();
@@ -92,9 +96,9 @@
 
 #[test]
 fn a_machine_on_which_every_task_fails_is_quarantined_and_deleted() {
-    let mut sim = started(19, 2, 3);
-    let sick = "n-000000".to_string();
-    sim.workers.get_mut(&sick).unwrap().fails_tasks = true;
+    let mut sim = started_cluster(19, 2, 3);
+    let faulty = "n-000000".to_string();
+    sim.workers.get_mut(&faulty).unwrap().fails_tasks = true;
     for i in 0..4 {
         sim.submit(0, job(&format!("j-{i}"), 3));
     }
@@ -108,7 +112,7 @@
 
 #[test]
 fn a_failing_job_backs_off_and_quarantines_no_machine() {
-    let mut sim = started(20, 2, 4);
+    let mut sim = started_cluster(20, 2, 4);
     sim.cloud.capacity = 0;
     for worker in sim.workers.values_mut() {
         worker.fails_tasks = true;
@@ -120,12 +124,12 @@
         worker.fails_tasks = false;
     }
     sim.submit(0, job("j-2", 1));
-    sim.run_until(60_000, "others run", |sim| is_done(sim, "j-2"));
+    sim.run_until(60_000, "other jobs run", |sim| is_done(sim, "j-2"));
 }
 
 #[test]
 fn a_checkpointing_task_moves_on_a_termination_notice() {
-    let mut sim = started(32, 2, 2);
+    let mut sim = started_cluster(32, 2, 2);
     sim.workload.run_ms = 20_000;
     let mut spec = job("j-1", 1);
     (spec.checkpoint_interval_s, spec.checkpoint_duration_s) = (5.0, 1.0);
@@ -141,7 +145,7 @@
 
 #[test]
 fn a_machine_with_a_termination_notice_gets_no_new_task() {
-    let mut sim = started(21, 2, 2);
+    let mut sim = started_cluster(21, 2, 2);
     sim.workers
         .get_mut("n-000000")
         .unwrap()
@@ -155,9 +159,9 @@
         .is_none_or(|worker| worker.tasks.is_empty()));
 }
 
-/// Jobs started twice on machines with many tasks: of two starts that a lapsed lease had ended, one
-/// was sent again in the answer to a heartbeat, under the same attempt, while the proof that it was
-/// gone still waited to be recorded; then the task was given to another machine as well.
+/// A task of an expired lease ran twice on a machine with many tasks: a controller resent its start under the same
+/// attempt in the answer to a heartbeat, while the proof that the attempt had ended was not yet recorded, and then
+/// assigned the task to another machine as well.
 #[test]
 fn a_task_of_an_expired_lease_is_not_restarted_as_the_same_attempt() {
     for seed in 0..6 {
@@ -168,21 +172,20 @@
             sim.submit(i % 3, service(&format!("j-{i}"), 4));
             sim.run(200);
         }
-        let up = |sim: &Simulation| (0..30).all(|i| sim.running(&format!("j-{i}")) == 4);
-        sim.run_until(40_000, "up", up);
-        // Few changes a second: proofs wait long.
+        let all_running = |sim: &Simulation| (0..30).all(|i| sim.running(&format!("j-{i}")) == 4);
+        sim.run_until(40_000, "up", all_running);
+        // The low write rate delays the recording of ended attempts.
         sim.settings.write_rps = 4.0;
         for n in 0..3 {
             sim.crash(n, 13_000);
         }
         sim.run(13_000);
-        sim.run_until(90_000, "up again", up);
+        sim.run_until(90_000, "up again", all_running);
     }
 }
 
-/// Jobs submitted with a mistake fail everywhere until they are cancelled. They must not make
-/// healthy machines look sick, nor take the room of others; nor must a job be taken for one that
-/// only met sick machines.
+/// Faulty jobs fail on every machine until they are cancelled. They must neither make healthy machines look faulty nor
+/// take the capacity of other jobs. A job that only met faulty machines must not be considered faulty.
 #[test]
 fn failing_jobs_quarantine_no_machines_and_starve_nobody() {
     let mut sim = without_scale_in(69, 3, 8);
@@ -193,21 +196,27 @@
         sim.run(1_500);
     }
     sim.run(40_000);
-    let (starts, rented) = (sim.metrics.starts, sim.cloud.provisioned);
+    let (starts, provisioned) = (sim.metrics.starts, sim.cloud.provisioned);
     sim.run(40_000);
     assert!(
         sim.metrics.starts < starts + 20,
-        "{} more",
+        "{} more starts",
         sim.metrics.starts - starts
     );
-    assert_eq!(sim.cloud.provisioned, rented, "nothing is rented for them");
+    assert_eq!(
+        sim.cloud.provisioned, provisioned,
+        "no machine is provisioned for failing jobs"
+    );
     assert!(sim.cloud.deleted.is_empty(), "{:?}", sim.cloud.deleted);
     sim.submit(1, job("j-4", 12));
-    sim.run_until(20_000, "others run", |sim| is_done(sim, "j-4"));
+    sim.run_until(20_000, "other jobs run", |sim| is_done(sim, "j-4"));
     for id in ["j-1", "j-2", "j-3"] {
         assert_eq!(sim.job_phase(id), Some(JobPhase::Open));
-        let r = sim.cancel(2, id);
-        assert!(matches!(sim.await_answer(r), UserReply::Cancelled { .. }));
+        let request = sim.cancel(2, id);
+        assert!(matches!(
+            sim.await_answer(request),
+            UserReply::Cancelled { .. }
+        ));
     }
     for name in ["n-000000", "n-000001", "n-000002"] {
         sim.workers.get_mut(name).unwrap().fails_tasks = true;
--- a/crates/core/tests/scenarios/worker_guards.rs
+++ b/crates/core/tests/scenarios/worker_guards.rs
@@ -1,15 +1,16 @@
-//! The same for guards that concern workers and their machines.
+//! One scenario for each safety check that concerns workers and their machines, as in `safety_guards`.
 
-use crate::guard_harness::{assert_needed, assert_violates, guarded};
+use crate::guard_harness::{assert_check_needed, assert_violates, simulation_with_checks};
 use glenmount_core::controller::{Controller, UserReply};
 use glenmount_core::state::Record;
 use glenmount_simulation::{job, service, Simulation};
 
-/// Half of the machines die while all controllers are away. Which, a controller that comes back can't know.
+/// Most machines die while all controllers are down. A restarted controller cannot know which ones, so it must wait
+/// for heartbeats before it assigns tasks. The cost is the milliseconds until a service runs.
 #[test]
 fn without_liveness_dead_machines_are_assigned_tasks() {
-    let cost = assert_needed("heard", 6_000, |checks| {
-        let mut sim = guarded(checks, 980, 3, 30);
+    let cost = assert_check_needed("heard", 6_000, |checks| {
+        let mut sim = simulation_with_checks(checks, 980, 3, 30);
         sim.settings.heartbeat_interval_ms = 5_000;
         sim.settings.lease_ms = 26_500;
         sim.cloud.capacity = 0;
@@ -22,19 +23,20 @@
             sim.kill_machine(name);
         }
         sim.run(3_500);
-        let r = sim.submit(0, service("j-1", 16));
-        sim.await_answer(r);
-        let at = sim.now_ms;
+        let request = sim.submit(0, service("j-1", 16));
+        sim.await_answer(request);
+        let submitted_ms = sim.now_ms;
         sim.run_until(90_000, "up", |sim| sim.running("j-1") == 16);
-        sim.now_ms - at
+        sim.now_ms - submitted_ms
     });
     assert!(cost.is_ok_and(|ms| ms > 6_000));
 }
 
+/// A zone is cut off. The cost is the milliseconds until a service runs outside that zone.
 #[test]
 fn without_zone_failure_detection_work_waits_in_a_partitioned_zone() {
-    let cost = assert_needed("zones", 2_500, |checks| {
-        let mut sim = guarded(checks, 995, 3, 40);
+    let cost = assert_check_needed("zones", 2_500, |checks| {
+        let mut sim = simulation_with_checks(checks, 995, 3, 40);
         sim.settings.heartbeat_interval_ms = 5_000;
         sim.settings.lease_ms = 26_500;
         sim.settings.cancellation_timeout_ms = 51_500;
@@ -42,22 +44,23 @@
         sim.run(9_000);
         sim.partition_zone("west", &[1]);
         sim.run(4_500);
-        let r = sim.submit(0, service("j-1", 30));
-        sim.await_answer(r);
-        let at = sim.now_ms;
+        let request = sim.submit(0, service("j-1", 30));
+        sim.await_answer(request);
+        let submitted_ms = sim.now_ms;
         sim.run_until(90_000, "up", |sim| sim.running("j-1") == 30);
-        sim.now_ms - at
+        sim.now_ms - submitted_ms
     });
     assert!(cost.is_ok_and(|ms| ms > 2_500));
 }
 
-/// Each claim that goes nowhere costs its machine a raised token, and its task the time for that.
+/// A controller cannot reach its workers. Each claim that it cannot deliver raises the fencing token of the machine and
+/// delays the task. The cost is the sum of the token offsets.
 #[test]
 fn without_worker_reachability_claims_are_not_delivered() {
-    let cost = assert_needed("workers", 12, |checks| {
+    let cost = assert_check_needed("workers", 12, |checks| {
         let mut token_offset = 0;
         for seed in 0..4 {
-            let mut sim = guarded(checks, 1_000 + seed, 3, 12);
+            let mut sim = simulation_with_checks(checks, 1_000 + seed, 3, 12);
             sim.run(6_000);
             sim.controllers[0].cut_from_workers = true;
             for i in 0..10 {
@@ -75,11 +78,12 @@
     assert!(cost.is_ok_and(|token_offset| token_offset > 12));
 }
 
-/// The state service refuses a controller alone, a peer confirms a cancellation, then it is down for all; the
-/// stops were lost, and the worker reports to the refused one. Both old and new versions serve.
+/// During an upgrade the state service refuses one controller, a peer confirms a cancellation, then the state service
+/// is down for all. The stop commands are lost and the workers report to the refused controller, which must not renew
+/// their leases without bound.
 #[test]
 fn without_a_bound_tasks_cancelled_by_the_previous_version_run_on() {
-    let cost = assert_needed("bounded", 0, |checks| {
+    let cost = assert_check_needed("bounded", 0, |checks| {
         let mut sim = Simulation::previous_version(43, 3, 4);
         sim.settings.checks = *checks;
         sim.run(9_000);
@@ -88,8 +92,8 @@
         sim.upgrade(1, 500);
         (sim.workload.run_ms, sim.cloud.capacity) = (600_000, 0);
         sim.run(9_000);
-        let r = sim.submit(1, job("j-1", 4));
-        sim.await_answer(r);
+        let request = sim.submit(1, job("j-1", 4));
+        sim.await_answer(request);
         sim.run_until(20_000, "runs", |sim| sim.running("j-1") == 4);
         for worker in sim.workers.values_mut() {
             worker.controller = 0;
@@ -100,8 +104,11 @@
             sim.controllers[n].cut_from_workers = true;
         }
         sim.run(100);
-        let r = sim.cancel(1, "j-1");
-        assert!(matches!(sim.await_answer(r), UserReply::Cancelled { .. }));
+        let request = sim.cancel(1, "j-1");
+        assert!(matches!(
+            sim.await_answer(request),
+            UserReply::Cancelled { .. }
+        ));
         sim.state.is_down = true;
         for _ in 0..100 {
             for worker in sim.workers.values_mut() {
@@ -114,11 +121,12 @@
     assert_violates(cost, "ran_cancelled");
 }
 
-/// Copies of a dead machine's last report go on arriving.
+/// Copies of a dead machine's last heartbeat keep arriving. The cost is the milliseconds until its service runs
+/// elsewhere.
 #[test]
 fn without_duplicate_detection_a_dead_machine_stays_alive() {
-    let cost = assert_needed("copies", 15_000, |checks| {
-        let mut sim = guarded(checks, 990, 3, 6);
+    let cost = assert_check_needed("copies", 15_000, |checks| {
+        let mut sim = simulation_with_checks(checks, 990, 3, 6);
         sim.run(9_000);
         sim.submit(0, service("j-1", 2));
         sim.run_until(10_000, "up", |sim| sim.running("j-1") == 2);
@@ -126,133 +134,137 @@
         let id = sim.machine_of("j-1").unwrap();
         let last = sim.heartbeat_of(&id);
         sim.kill_machine(&id);
-        let from = sim.now_ms;
-        while sim.running("j-1") < 2 && sim.now_ms < from + 60_000 {
+        let start_ms = sim.now_ms;
+        while sim.running("j-1") < 2 && sim.now_ms < start_ms + 60_000 {
             (0..3).for_each(|n| sim.inject_heartbeat(n, &last));
             sim.run(700);
         }
-        sim.now_ms - from
+        sim.now_ms - start_ms
     });
     assert!(cost.is_ok_and(|ms| ms >= 60_000));
 }
 
-/// Half of the machines hear nothing, and look free once their leases have ended.
+/// Some workers send heartbeats but receive nothing, and look idle once their leases have expired. The cost is the
+/// milliseconds until their service runs elsewhere.
 #[test]
 fn without_confirmed_delivery_workers_without_inbound_messages_get_tasks() {
-    let cost = assert_needed("hears", 12_000, |checks| {
-        let mut sim = guarded(checks, 991, 3, 12);
+    let cost = assert_check_needed("hears", 12_000, |checks| {
+        let mut sim = simulation_with_checks(checks, 991, 3, 12);
         (sim.settings.heartbeat_interval_ms, sim.settings.lease_ms) = (5_000, 26_500);
         sim.cloud.capacity = 0;
         sim.run(15_000);
         sim.submit(0, service("j-1", 10));
-        let up = |sim: &Simulation| sim.running("j-1") == 10;
-        sim.run_until(20_000, "up", up);
+        let all_running = |sim: &Simulation| sim.running("j-1") == 10;
+        sim.run_until(20_000, "up", all_running);
         let busy = sim
             .workers
             .values()
             .filter(|worker| worker.live_tasks().count() > 0);
-        let deaf: Vec<String> = busy.map(|worker| worker.name.clone()).take(3).collect();
-        for name in deaf {
+        let without_inbound: Vec<String> = busy.map(|worker| worker.name.clone()).take(3).collect();
+        for name in without_inbound {
             sim.workers.get_mut(&name).unwrap().inbound_lost = true;
         }
-        sim.run_until(40_000, "leases end", |sim| !up(sim));
-        let from = sim.now_ms;
-        while !up(&sim) && sim.now_ms < from + 60_000 {
+        sim.run_until(40_000, "leases expire", |sim| !all_running(sim));
+        let start_ms = sim.now_ms;
+        while !all_running(&sim) && sim.now_ms < start_ms + 60_000 {
             sim.run(100);
         }
-        sim.now_ms - from
+        sim.now_ms - start_ms
     });
     assert!(cost.is_ok_and(|ms| ms > 12_000));
 }
 
-/// Milliseconds in which a controller that is cut off alone goes on drawing users.
+/// A controller is cut off from the state service and its peers. The cost is the milliseconds in which it still
+/// reports ready to the load balancer.
 #[test]
 fn without_isolation_detection_a_controller_keeps_its_users() {
-    let cost = assert_needed("alone", 6_000, |checks| {
-        let mut sim = guarded(checks, 992, 3, 4);
+    let cost = assert_check_needed("alone", 6_000, |checks| {
+        let mut sim = simulation_with_checks(checks, 992, 3, 4);
         sim.run(9_000);
         (
             sim.controllers[0].cut_from_state,
             sim.controllers[0].cut_from_peers,
         ) = (true, true);
-        let from = sim.now_ms;
+        let start_ms = sim.now_ms;
         while sim.controllers[0]
             .controller
             .as_ref()
             .is_some_and(Controller::ready)
-            && sim.now_ms < from + 90_000
+            && sim.now_ms < start_ms + 90_000
         {
             sim.run(100);
         }
-        sim.now_ms - from
+        sim.now_ms - start_ms
     });
     assert!(cost.is_ok_and(|ms| ms >= 90_000));
 }
 
-/// Half of the machines reach no controller for much longer than a lease, which are too many to be moved off.
+/// Nearly half of the machines reach no controller for much longer than a lease, which is too many to move the work
+/// off them. The cost is the milliseconds until the service runs again.
 #[test]
 fn without_incarnations_in_answers_expired_tasks_stay_assigned() {
-    let cost = assert_needed("session", 50_000, |checks| {
-        let mut sim = guarded(checks, 997, 3, 12);
+    let cost = assert_check_needed("session", 50_000, |checks| {
+        let mut sim = simulation_with_checks(checks, 997, 3, 12);
         (sim.settings.heartbeat_interval_ms, sim.settings.lease_ms) = (5_000, 26_500);
         sim.cloud.capacity = 0;
         sim.run(15_000);
         sim.submit(0, service("j-1", 10));
-        let up = |sim: &Simulation| sim.running("j-1") == 10;
-        sim.run_until(20_000, "up", up);
+        let all_running = |sim: &Simulation| sim.running("j-1") == 10;
+        sim.run_until(20_000, "up", all_running);
         let busy: Vec<String> = sim.machines_of("j-1").into_iter().take(5).collect();
         for name in busy {
             sim.workers.get_mut(&name).unwrap().outbound_lost = true;
         }
-        let from = sim.now_ms;
-        sim.run_until(40_000, "leases end", |sim| !up(sim));
-        while !up(&sim) && sim.now_ms < from + 120_000 {
+        let start_ms = sim.now_ms;
+        sim.run_until(40_000, "leases expire", |sim| !all_running(sim));
+        while !all_running(&sim) && sim.now_ms < start_ms + 120_000 {
             sim.run(100);
         }
-        sim.now_ms - from
+        sim.now_ms - start_ms
     });
     assert!(cost.is_ok_and(|ms| ms >= 120_000));
 }
 
-/// Some machines reach no controller. Milliseconds in which a service lacks a task.
+/// The heartbeats of some workers are lost. The cost is the milliseconds in which a service lacks a task.
 #[test]
 fn without_moves_off_workers_with_lost_heartbeats_services_end_with_their_leases() {
-    let cost = assert_needed("mute", 3_000, |checks| {
-        let mut sim = guarded(checks, 998, 3, 14);
+    let cost = assert_check_needed("mute", 3_000, |checks| {
+        let mut sim = simulation_with_checks(checks, 998, 3, 14);
         (sim.settings.heartbeat_interval_ms, sim.settings.lease_ms) = (5_000, 26_500);
         sim.cloud.capacity = 0;
         sim.run(15_000);
         for i in 0..3 {
             sim.submit(i % 3, service(&format!("j-{i}"), 3));
         }
-        let up = |sim: &Simulation| (0..3).all(|i| sim.running(&format!("j-{i}")) == 3);
-        sim.run_until(20_000, "up", up);
+        let all_running = |sim: &Simulation| (0..3).all(|i| sim.running(&format!("j-{i}")) == 3);
+        sim.run_until(20_000, "up", all_running);
         let busy = sim
             .workers
             .values()
             .filter(|worker| worker.live_tasks().count() > 0);
-        let mute: Vec<String> = busy.map(|worker| worker.name.clone()).take(3).collect();
-        for name in mute {
+        let without_outbound: Vec<String> =
+            busy.map(|worker| worker.name.clone()).take(3).collect();
+        for name in without_outbound {
             sim.workers.get_mut(&name).unwrap().outbound_lost = true;
         }
-        let mut down = 0;
+        let mut degraded_ms = 0;
         for _ in 0..600 {
             sim.run(100);
-            down += if up(&sim) { 0 } else { 100 };
+            degraded_ms += if all_running(&sim) { 0 } else { 100 };
         }
-        down
+        degraded_ms
     });
     assert!(cost.is_ok_and(|ms| ms > 3_000));
 }
 
-/// Reports of machines that died, and were deleted, reach controllers that have just started. Milliseconds until a
-/// service is up that needs most of what there is.
+/// Heartbeats of machines that died and were deleted reach controllers that have just started. The cost is the
+/// milliseconds until a service runs that needs most of the fleet.
 #[test]
 fn without_probing_unknown_machines_work_goes_to_deleted_ones() {
-    let cost = assert_needed("strangers", 9_000, |checks| {
-        let mut slowest = 0;
+    let cost = assert_check_needed("strangers", 9_000, |checks| {
+        let mut slowest_ms = 0;
         for seed in 0..4 {
-            let mut sim = guarded(checks, 1_300 + seed, 3, 12);
+            let mut sim = simulation_with_checks(checks, 1_300 + seed, 3, 12);
             (sim.settings.heartbeat_interval_ms, sim.settings.lease_ms) = (5_000, 26_500);
             sim.cloud.capacity = 0;
             sim.run(15_000);
@@ -263,20 +275,20 @@
             for name in &names {
                 sim.kill_machine(name);
             }
-            let gone = |sim: &Simulation| names.iter().all(|n| sim.cloud.deleted.contains(n));
-            sim.run_until(60_000, "deleted", gone);
+            let deleted = |sim: &Simulation| names.iter().all(|n| sim.cloud.deleted.contains(n));
+            sim.run_until(60_000, "deleted", deleted);
             sim.cloud.capacity = 0;
             sim.run(3_000);
             for n in 0..3 {
                 sim.crash(n, 400);
             }
             sim.run(1_500);
-            let from = sim.now_ms;
+            let start_ms = sim.now_ms;
             sim.submit(0, service("j-1", 17));
             sim.run_until(90_000, "up", |sim| sim.running("j-1") == 17);
-            slowest = slowest.max(sim.now_ms - from);
+            slowest_ms = slowest_ms.max(sim.now_ms - start_ms);
         }
-        slowest
+        slowest_ms
     });
     assert!(cost.is_ok_and(|ms| ms > 9_000));
 }
--- a/crates/core/tests/sizes.rs
+++ b/crates/core/tests/sizes.rs
@@ -1,13 +1,13 @@
-//! What a controller does by the number of machines. A measurement, run by hand:
+//! The cost of events in a controller by fleet size. A measurement, run by hand:
 //! `cargo test --release -p glenmount-core --test sizes -- --ignored --nocapture`
 
 use glenmount_simulation::{job, service, Simulation};
 
 #[test]
-#[ignore = "a measurement of minutes"]
+#[ignore = "a measurement that takes minutes"]
 fn cost_by_fleet_size() {
     println!("machines  events/s  us/event  node share  txns/s  changes/s  beat KB  us/beat");
-    let mut per_event = Vec::new();
+    let mut us_per_event_and_machine = Vec::new();
     for machines in [300, 1_250, 2_500, 5_000] {
         let mut sim = Simulation::new(7, 3, machines);
         sim.skip_invariants = true;
@@ -21,40 +21,43 @@
         sim.cloud.capacity = 0;
         sim.workload.run_ms = 40_000;
         sim.run(40_000);
-        // A third of the machines in use, by services and batches, which come and go.
+        // Services and short batch jobs use about a third of the machines.
         let jobs = machines / 30;
         for i in 0..jobs {
             sim.submit(i % 3, service(&format!("j-{i}"), 10));
             sim.run(100);
         }
-        let begun = (
+        let before = (
             sim.metrics.events,
             sim.metrics.event_time,
             sim.state.transactions,
             sim.state.changes,
         );
-        let heartbeats = (sim.metrics.heartbeats, sim.metrics.heartbeat_time);
-        let seconds = 30;
-        for i in 0..seconds {
+        let heartbeats_before = (sim.metrics.heartbeats, sim.metrics.heartbeat_time);
+        let duration_s = 30;
+        for i in 0..duration_s {
             let id = format!("j-9{i:03}");
             sim.submit(i % 3, job(&id, (machines / 100) as u32));
             sim.run(1_000);
         }
-        let events = sim.metrics.events - begun.0;
-        let spent = (sim.metrics.event_time - begun.1).as_secs_f64();
-        let us = spent * 1e6 / events as f64;
+        let events = sim.metrics.events - before.0;
+        let busy_s = (sim.metrics.event_time - before.1).as_secs_f64();
+        let us_per_event = busy_s * 1e6 / events as f64;
         println!(
-            "{machines:8}  {:8.0}  {us:8.1}  {:9.2}%  {:6.1}  {:9.1}  {:7.1}  {:7.0}",
-            events as f64 / seconds as f64,
-            spent * 100.0 / seconds as f64 / 3.0,
-            f64::from(sim.state.transactions - begun.2) / seconds as f64,
-            f64::from(sim.state.changes - begun.3) / seconds as f64,
+            "{machines:8}  {:8.0}  {us_per_event:8.1}  {:9.2}%  {:6.1}  {:9.1}  {:7.1}  {:7.0}",
+            events as f64 / duration_s as f64,
+            busy_s * 100.0 / duration_s as f64 / 3.0,
+            f64::from(sim.state.transactions - before.2) / duration_s as f64,
+            f64::from(sim.state.changes - before.3) / duration_s as f64,
             sim.metrics.heartbeat_bytes as f64 / 1024.0,
-            (sim.metrics.heartbeat_time - heartbeats.1).as_secs_f64() * 1e6
-                / (sim.metrics.heartbeats - heartbeats.0) as f64,
+            (sim.metrics.heartbeat_time - heartbeats_before.1).as_secs_f64() * 1e6
+                / (sim.metrics.heartbeats - heartbeats_before.0) as f64,
         );
-        per_event.push(us / machines as f64);
+        us_per_event_and_machine.push(us_per_event / machines as f64);
     }
-    // Nothing is worse than linear in the machines, apart from what the measurement itself varies.
-    assert!(per_event[3] < per_event[0] * 1.5, "{per_event:?}");
+    // The cost of an event grows at most linearly with the fleet, with a margin of a half for noise.
+    assert!(
+        us_per_event_and_machine[3] < us_per_event_and_machine[0] * 1.5,
+        "{us_per_event_and_machine:?}"
+    );
 }
