--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -47,7 +47,7 @@
     /// Monotonic time of the current event.
     pub(crate) now: Millis,
     /// Wall-clock time of the current event.
-    pub(crate) wall: WallMs,
+    pub(crate) wall_time: WallMs,
     /// Whether the current event has changed the cache.
     pub(crate) cache_changed: bool,
     /// Effects of the current event.
@@ -73,8 +73,8 @@
 
 impl Controller {
     /// Creates a controller that has just started. `seed` seeds its random number generator, `now` is the
-    /// monotonic time and `wall` the wall-clock time.
-    pub fn new(settings: Settings, seed: u64, now: Millis, wall: WallMs) -> Controller {
+    /// monotonic time and `wall_time` the wall-clock time.
+    pub fn new(settings: Settings, seed: u64, now: Millis, wall_time: WallMs) -> Controller {
         let mut cache = StateCache::default();
         cache.members = match settings.checks.storage_format {
             true => settings.controllers.clone(),
@@ -85,7 +85,7 @@
             machine_types: HashMap::new(),
             rng: SmallRng::seed_from_u64(seed),
             now,
-            wall,
+            wall_time,
             cache_changed: false,
             effects: Vec::new(),
             lifecycle: Lifecycle::new(now),
@@ -96,7 +96,7 @@
             requests: RequestTable::new(&settings, now),
             workers: WorkerRegistry::new(now),
             write_back: WriteBack::new(),
-            peers: PeerTracker::new(&settings, wall),
+            peers: PeerTracker::new(&settings, wall_time),
             zones: ZoneTracker::default(),
             provisioning: ProvisioningTracker::new(now),
             scheduling: Schedule::new(now),
@@ -110,10 +110,10 @@
     }
 
     /// Handles one event at a monotonic time and a wall-clock time. Returns the effects to carry out.
-    pub fn handle(&mut self, now: Millis, wall: WallMs, event: Event) -> Vec<Effect> {
+    pub fn handle(&mut self, now: Millis, wall_time: WallMs, event: Event) -> Vec<Effect> {
         let gap = now.saturating_sub(self.now);
         self.now = self.now.max(now);
-        self.wall = wall;
+        self.wall_time = wall_time;
         if gap >= PAUSE_DETECTION_MS && self.settings.checks.pause_detection {
             self.reset_after_pause(gap);
         }
--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -21,7 +21,7 @@
             {
                 finished.push((
                     id.to_string(),
-                    job.with_final_phase(JobPhase::Done, self.wall),
+                    job.with_final_phase(JobPhase::Done, self.wall_time),
                 ));
             }
         }
@@ -91,7 +91,7 @@
             if !builder.has_room(&self.settings, 1, 1, SMALL_RECORD_BYTES) {
                 break;
             }
-            let over = job.with_final_phase(JobPhase::Cancelled, self.wall);
+            let over = job.with_final_phase(JobPhase::Cancelled, self.wall_time);
             builder.put(Key::Job(id.clone()), Record::Job(over));
             jobs.push(id.clone());
         }
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -169,7 +169,7 @@
             self.await_cancellation(request);
             return;
         }
-        let cancelled = job.with_final_phase(JobPhase::Cancelled, self.wall);
+        let cancelled = job.with_final_phase(JobPhase::Cancelled, self.wall_time);
         let mut builder = TransactionBuilder::new(&self.cache);
         builder.put(Key::Job(id), Record::Job(cancelled));
         // The order of this transaction's revision and that of the key decides whether the
@@ -222,7 +222,7 @@
                 self.cache.common_format(),
                 self.settings.max_value_bytes,
             ),
-            accepted_at: self.wall,
+            accepted_at: self.wall_time,
             ended_at: 0,
             spec: Some(spec),
         }
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -15,9 +15,9 @@
     pub(crate) fn receive_peer_heartbeat(&mut self, heartbeat: PeerHeartbeat) {
         let images = heartbeat.cached_images.clone();
         let is_behind = self.is_behind(&heartbeat.controller);
-        let (now, wall) = (self.now, self.wall);
+        let (now, wall_time) = (self.now, self.wall_time);
         let own = &self.workers.last_heartbeats;
-        let outcome = self.peers.receive_heartbeat(now, wall, heartbeat, own);
+        let outcome = self.peers.receive_heartbeat(now, wall_time, heartbeat, own);
         if outcome != HeartbeatOutcome::Accepted {
             return;
         }
@@ -154,7 +154,7 @@
             && self.cache.common_format() >= formats::COMPACT_CHUNKS_AND_DEPENDENCIES;
         self.emit(Effect::PeerHeartbeat(PeerHeartbeat {
             controller: self.settings.controller.clone(),
-            sent_at: self.wall,
+            sent_at: self.wall_time,
             has_current_state: self.has_current_state(),
             workers_reachable: self.workers_reachable()
                 && self.lifecycle.shutting_down_since.is_none(),
--- a/crates/core/src/peers/tracker.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -62,7 +62,7 @@
 }
 
 impl PeerTracker {
-    pub fn new(settings: &Settings, wall: WallMs) -> PeerTracker {
+    pub fn new(settings: &Settings, wall_time: WallMs) -> PeerTracker {
         let membership = Membership {
             own_name: settings.controller.clone(),
             members: settings.controllers.clone(),
@@ -70,10 +70,10 @@
             worker_failover_ms: WORKER_FAILOVER_MS + settings.heartbeat_due_ms(),
             tuning: settings.tuning,
         };
-        PeerTracker::with_membership(membership, wall)
+        PeerTracker::with_membership(membership, wall_time)
     }
 
-    pub(super) fn with_membership(membership: Membership, wall: WallMs) -> PeerTracker {
+    pub(super) fn with_membership(membership: Membership, wall_time: WallMs) -> PeerTracker {
         PeerTracker {
             membership,
             peers: BTreeMap::new(),
@@ -81,7 +81,7 @@
             failovers: BTreeMap::new(),
             rejected: BTreeMap::new(),
             rejected_logged_at: 0,
-            process_started_at: wall,
+            process_started_at: wall_time,
             heartbeats_sent: 0,
             last_heartbeat_at: 0,
             share_images: false,
@@ -97,11 +97,11 @@
     pub fn receive_heartbeat(
         &mut self,
         now: Millis,
-        wall: WallMs,
+        wall_time: WallMs,
         heartbeat: PeerHeartbeat,
         own: &HashMap<String, ReceivedHeartbeat>,
     ) -> HeartbeatOutcome {
-        if let Some(reason) = self.reason_to_reject(now, wall, &heartbeat) {
+        if let Some(reason) = self.reason_to_reject(now, wall_time, &heartbeat) {
             *self.rejected.entry(reason).or_default() += 1;
             tracing::debug!(
                 controller = heartbeat.controller,
@@ -297,7 +297,7 @@
     fn reason_to_reject(
         &self,
         now: Millis,
-        wall: WallMs,
+        wall_time: WallMs,
         heartbeat: &PeerHeartbeat,
     ) -> Option<RejectedHeartbeat> {
         let Membership {
@@ -311,14 +311,14 @@
         if heartbeat.workers.len() > HEARTBEAT_MAX_MACHINES || heard_peers > members.len() {
             return Some(RejectedHeartbeat::TooLarge);
         }
-        if wall
+        if wall_time
             > heartbeat
                 .sent_at
                 .saturating_add(HEARTBEAT_MAX_AGE_MS + clock_tolerance_ms)
         {
             return Some(RejectedHeartbeat::TooOld);
         }
-        if heartbeat.sent_at > wall + clock_tolerance_ms + HEARTBEAT_MAX_AGE_MS {
+        if heartbeat.sent_at > wall_time + clock_tolerance_ms + HEARTBEAT_MAX_AGE_MS {
             return Some(RejectedHeartbeat::FromTheFuture);
         }
         let peer = self.peers.get(&heartbeat.controller)?;
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -137,8 +137,10 @@
         let mut draft = TransactionBuilder::new(&self.cache);
         if (instances.len() as u32) < request.count {
             let mut provisioning = draft.provisioning_record();
-            provisioning.refused.retain(|_, until| *until > self.wall);
-            let refused_until = self.wall + OFFER_UNAVAILABLE_MS;
+            provisioning
+                .refused
+                .retain(|_, until| *until > self.wall_time);
+            let refused_until = self.wall_time + OFFER_UNAVAILABLE_MS;
             provisioning.refused.insert(request.offer(), refused_until);
             let record = fit_provisioning_record(provisioning, max_bytes);
             draft.put(Key::Provisioning, record);
@@ -271,7 +273,7 @@
             &instance.zone,
             instance.spot,
             MachinePhase::Booting,
-            self.wall,
+            self.wall_time,
         );
         let mut draft = TransactionBuilder::new(&self.cache);
         draft.put(Key::Machine(instance.name.clone()), Record::Machine(record));
--- a/crates/core/src/provisioning/demand.rs
+++ b/crates/core/src/provisioning/demand.rs
@@ -32,7 +32,7 @@
     /// Returns whether a zone is unreachable, so that no heartbeat of a machine provisioned there would arrive.
     pub is_zone_unreachable: &'a dyn Fn(&str) -> bool,
     /// The current wall-clock time.
-    pub wall: WallMs,
+    pub wall_time: WallMs,
 }
 
 /// A machine that could be provisioned, or one that is expected.
@@ -177,7 +177,7 @@
     fn is_late(&self, type_name: &str, requested_at: WallMs) -> bool {
         let boot_s = self.machine_types.get(type_name).map_or(0.0, |t| t.boot_s);
         let boot_ms = (boot_s * 1_000.0 * BOOT_LATE_FACTOR) as u64;
-        self.wall > requested_at + boot_ms + BOOT_LATE_MARGIN_MS
+        self.wall_time > requested_at + boot_ms + BOOT_LATE_MARGIN_MS
     }
 
     /// Returns an instance of the offer that serves the tasks at the lowest price per task.
@@ -236,7 +236,7 @@
         let is_refused = offers
             .refused
             .get(&offer_key(&machine_type.name, zone, spot))
-            .is_some_and(|until| *until > self.wall);
+            .is_some_and(|until| *until > self.wall_time);
         let allowed_in_zone = u64::from(remaining_zone_tasks(tasks.spec, &tasks.zone_spread, zone));
         let fits = machine_type.capacity.max_tasks(&tasks.spec.resources);
         let served_tasks = fits.min(tasks.count).min(allowed_in_zone);
--- a/crates/core/src/provisioning/scale_out.rs
+++ b/crates/core/src/provisioning/scale_out.rs
@@ -30,7 +30,7 @@
                 self.settings.checks.outstanding_instances && self.is_expected_instance(id)
             },
             is_zone_unreachable: &|zone| self.is_zone_unreachable(zone),
-            wall: self.wall,
+            wall_time: self.wall_time,
         };
         let demand = view.demand(work);
         if demand.is_empty() {
@@ -63,7 +63,7 @@
                     spot: demand.spot,
                     count: demand.count.min(max_instances),
                     controller: self.settings.controller.clone(),
-                    created_at: self.wall,
+                    created_at: self.wall_time,
                     instances: None,
                 }),
             );
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -282,7 +282,7 @@
                 .machine(&machine)
                 .is_some_and(|m| !m.faults.is_empty());
             if is_representative && !is_machine_faulty {
-                let line = run_record_line(&run, &task, &machine, self.wall);
+                let line = run_record_line(&run, &task, &machine, self.wall_time);
                 tracing::info!(run = %line, "ran");
                 self.run_times.book.ran(&run);
                 self.run_times.counted_runs += 1;
@@ -350,7 +350,7 @@
         let record = RunTimesRecord {
             team: truncated(team),
             class: truncated(name),
-            updated_at: self.wall,
+            updated_at: self.wall_time,
             packed: history.pack(),
         };
         let mut draft = TransactionBuilder::new(&self.cache);
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -134,7 +134,7 @@
     draft: &mut TransactionBuilder,
     settings: &Settings,
     request: &ClaimRequest,
-    wall: WallMs,
+    wall_time: WallMs,
 ) -> Result<(), Refusal> {
     let cache = draft.cache;
     let task = request.task;
@@ -149,7 +149,7 @@
         spec,
         chunk_number: job.chunk_of(task.index),
     };
-    claim.check_chunk(draft, settings, wall)?;
+    claim.check_chunk(draft, settings, wall_time)?;
     claim.check_machine(draft, settings)?;
     let team = settings
         .policy
@@ -189,7 +189,7 @@
         &self,
         draft: &TransactionBuilder,
         settings: &Settings,
-        wall: WallMs,
+        wall_time: WallMs,
     ) -> Result<(), Refusal> {
         let (cache, task) = (draft.cache, self.request.task);
         if cache.is_refused(&self.chunk_key()) {
@@ -202,7 +202,7 @@
         if chunk.tasks.get(slot) != Some(&TaskState::Pending) {
             return Err(Refusal::TaskNotPending);
         }
-        if chunk.pause_until > wall {
+        if chunk.pause_until > wall_time {
             return Err(Refusal::ChunkPaused);
         }
         let (format, max_bytes) = (cache.common_format(), settings.max_value_bytes);
@@ -362,7 +362,7 @@
     task: &TaskId,
     attempt: u64,
     outcome: AttemptOutcome,
-    wall: WallMs,
+    wall_time: WallMs,
 ) {
     let Some(job) = draft.cache.job(&task.job) else {
         return;
@@ -389,8 +389,8 @@
         | AttemptOutcome::Terminated => TaskState::Pending,
     };
     match outcome {
-        AttemptOutcome::Refused => chunk.pause_until = wall + TASK_BACKOFF_MS,
-        AttemptOutcome::Failed => pause_after_failure(chunk, &machine_id, wall),
+        AttemptOutcome::Refused => chunk.pause_until = wall_time + TASK_BACKOFF_MS,
+        AttemptOutcome::Failed => pause_after_failure(chunk, &machine_id, wall_time),
         AttemptOutcome::Done | AttemptOutcome::Terminated => {}
     }
     let has_assigned = chunk.assigned().next().is_some();
@@ -400,7 +400,7 @@
         draft.remove(Key::Chunk(task.job.clone(), chunk_number));
     } else if job.open_spec().is_some() && job.chunk_count() == 1 && is_complete {
         draft.remove(Key::Chunk(task.job.clone(), 0));
-        let done = job.with_final_phase(JobPhase::Done, wall);
+        let done = job.with_final_phase(JobPhase::Done, wall_time);
         draft.put(Key::Job(task.job.clone()), Record::Job(done));
     }
     update_machine_faults(draft, &machine_id, &task.job, outcome);
@@ -409,7 +409,7 @@
 /// Counts a failure of a chunk's task and pauses the chunk. The pause grows only once tasks have failed on several
 /// machines: failures on one faulty machine must not slow the job, but a faulty job must not be restarted in a
 /// tight loop.
-fn pause_after_failure(chunk: &mut ChunkRecord, machine_id: &str, wall: WallMs) {
+fn pause_after_failure(chunk: &mut ChunkRecord, machine_id: &str, wall_time: WallMs) {
     chunk.failure_count = chunk.failure_count.saturating_add(1);
     let is_machine_known = chunk.failed_on.iter().any(|id| id == machine_id);
     if !is_machine_known && chunk.failed_on.len() < FAULTY_JOB_MIN_MACHINES {
@@ -419,7 +419,7 @@
         true => chunk.failure_count.min(FAIL_PAUSE_MAX_DOUBLINGS),
         false => 0,
     };
-    chunk.pause_until = wall + (TASK_BACKOFF_MS << doublings).min(TASK_BACKOFF_MAX_MS);
+    chunk.pause_until = wall_time + (TASK_BACKOFF_MS << doublings).min(TASK_BACKOFF_MAX_MS);
 }
 
 /// Updates the faults on a machine's record after an attempt. A machine on which tasks of several jobs fail with
--- a/crates/core/src/scheduling/cluster_view.rs
+++ b/crates/core/src/scheduling/cluster_view.rs
@@ -13,5 +13,5 @@
     /// The cloud's machine types by name.
     pub machine_types: &'a HashMap<String, MachineType>,
     /// The current wall-clock time.
-    pub wall: WallMs,
+    pub wall_time: WallMs,
 }
--- a/crates/core/src/scheduling/deferral.rs
+++ b/crates/core/src/scheduling/deferral.rs
@@ -32,13 +32,13 @@
 
 impl CachedQueueOrder {
     /// Returns whether the order has to be computed again, which is also the case if the clock was set back.
-    pub fn has_expired(&self, wall: WallMs) -> bool {
-        wall >= self.expires_at || wall + QUEUE_ORDER_CACHE_MS < self.expires_at
+    pub fn has_expired(&self, wall_time: WallMs) -> bool {
+        wall_time >= self.expires_at || wall_time + QUEUE_ORDER_CACHE_MS < self.expires_at
     }
 
     /// Stores the result for each job.
-    pub fn store(&mut self, queue: &[PendingWork], wall: WallMs) {
-        self.expires_at = wall + QUEUE_ORDER_CACHE_MS;
+    pub fn store(&mut self, queue: &[PendingWork], wall_time: WallMs) {
+        self.expires_at = wall_time + QUEUE_ORDER_CACHE_MS;
         let place = |work: &PendingWork| {
             let (is_deferred, due) = (work.urgency.is_deferred, work.urgency.due);
             (work.job.clone(), CachedPlace { is_deferred, due })
@@ -64,7 +64,7 @@
     /// The processors, in thousandths, of all machines that work can be placed on.
     pub usable_cpus: u64,
     /// The current wall-clock time.
-    pub wall: WallMs,
+    pub wall_time: WallMs,
 }
 
 /// The remaining work of the running batches of one priority.
@@ -107,14 +107,19 @@
                 .iter()
                 .map(|work| self.queued_job(work, next_goals, &exempt))
                 .collect();
-            let places =
-                queue_order::places_with_hysteresis(&jobs, &capacity, threshold, share, self.wall);
+            let places = queue_order::places_with_hysteresis(
+                &jobs,
+                &capacity,
+                threshold,
+                share,
+                self.wall_time,
+            );
             for (work, place) in group.iter_mut().zip(places) {
                 match place {
                     QueuePlace::Due(due) => work.urgency.due = due,
                     // Overdue work is not deferred, so that no work is deferred forever.
                     QueuePlace::Deferred => {
-                        let is_overdue = work.urgency.due <= self.wall;
+                        let is_overdue = work.urgency.due <= self.wall_time;
                         work.urgency.is_deferred = !is_overdue && !exempt.contains(&work.job);
                     }
                 }
@@ -195,7 +200,7 @@
     /// Returns the jobs that have just arrived and fit into their team's guarantee together with all earlier jobs
     /// of the team. These jobs are exempt from deferral.
     fn new_jobs_within_guarantee(&self, queue: &[PendingWork]) -> BTreeSet<String> {
-        let has_just_arrived = |ready_at: WallMs| self.wall < ready_at + NEW_JOB_MS;
+        let has_just_arrived = |ready_at: WallMs| self.wall_time < ready_at + NEW_JOB_MS;
         if !queue.iter().any(|work| has_just_arrived(work.ready_at)) {
             return BTreeSet::new();
         }
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -94,7 +94,7 @@
                 start_lead_ms: &|job| self.start_lead_time_ms(job),
             },
             usable_cpus: &|| self.usable_cpus(),
-            wall: self.wall,
+            wall_time: self.wall_time,
         };
         let work = queue.collect(&mut order);
         self.scheduling.queue_order = order;
@@ -206,7 +206,8 @@
             .iter_mut()
             .filter(|work| work.own_priority == JobPriority::Production)
         {
-            let remaining_wait_ms = (work.ready_at + WARM_IMAGE_WAIT_MS).saturating_sub(self.wall);
+            let remaining_wait_ms =
+                (work.ready_at + WARM_IMAGE_WAIT_MS).saturating_sub(self.wall_time);
             if remaining_wait_ms > 0 && self.starts_sooner_by_preemption(work, inherited) {
                 work.requires_cached_image = true;
                 shortest_wait_ms = shortest_wait_ms.min(remaining_wait_ms);
@@ -245,7 +246,7 @@
             cache: &self.cache,
             settings: &self.settings,
             machine_types: &self.machine_types,
-            wall: self.wall,
+            wall_time: self.wall_time,
         }
     }
 
--- a/crates/core/src/scheduling/pending_work.rs
+++ b/crates/core/src/scheduling/pending_work.rs
@@ -114,13 +114,13 @@
     /// Returns the processors, in thousandths, of all machines that work can be placed on.
     pub usable_cpus: &'a dyn Fn() -> u64,
     /// The current wall-clock time.
-    pub wall: WallMs,
+    pub wall_time: WallMs,
 }
 
 impl PendingWorkQueue<'_> {
     /// Returns the pending work of at most `PASS_MAX_JOBS` jobs, in the order in which it is served.
     pub fn collect(&self, cached_order: &mut CachedQueueOrder) -> Vec<PendingWork> {
-        let must_refresh_order = cached_order.has_expired(self.wall);
+        let must_refresh_order = cached_order.has_expired(self.wall_time);
         let mut candidates: Vec<PendingWork> = Vec::new();
         let mut next_goals = NextGoals::default();
         for (id, job, spec) in self.cache.waiting_jobs() {
@@ -135,7 +135,7 @@
         if self.settings.tuning.defer_jobs {
             if must_refresh_order {
                 self.deferral().defer_excess(&mut candidates, &next_goals);
-                cached_order.store(&candidates, self.wall);
+                cached_order.store(&candidates, self.wall_time);
             } else {
                 cached_order.apply(&mut candidates);
             }
@@ -206,7 +206,7 @@
                 chunks_used += 1;
                 continue;
             };
-            if chunk.pause_until > self.wall {
+            if chunk.pause_until > self.wall_time {
                 continue;
             }
             let failed_on = chunk.failed_on.iter().cloned();
@@ -250,7 +250,7 @@
             .into_iter()
             .chain(completion)
             .chain(start)
-            .filter(|due| self.wall + run_ms <= *due)
+            .filter(|due| self.wall_time + run_ms <= *due)
             .collect()
     }
 
@@ -259,7 +259,7 @@
             cache: self.cache,
             settings: self.settings,
             usable_cpus: (self.usable_cpus)(),
-            wall: self.wall,
+            wall_time: self.wall_time,
         }
     }
 
@@ -276,7 +276,7 @@
                 self.settings,
                 &work.job,
                 work.ready_at,
-                self.wall,
+                self.wall_time,
             );
             if started_tasks == Some(0) {
                 work.urgency.is_deferred = false;
@@ -364,9 +364,9 @@
     settings: &Settings,
     id: &str,
     ready_at: WallMs,
-    wall: WallMs,
+    wall_time: WallMs,
 ) -> Option<u32> {
-    if !settings.checks.batch_start_delay || wall <= ready_at + BATCH_START_LATE_MS {
+    if !settings.checks.batch_start_delay || wall_time <= ready_at + BATCH_START_LATE_MS {
         return None;
     }
     let spec = cache
--- a/crates/core/src/scheduling/placement.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -333,8 +333,8 @@
             free: machine.free,
             start_channel: machine.start_channel,
         };
-        let (settings, wall) = (self.view.settings, self.view.wall);
-        claims::claim(&mut self.transaction, settings, &request, wall)?;
+        let (settings, wall_time) = (self.view.settings, self.view.wall_time);
+        claims::claim(&mut self.transaction, settings, &request, wall_time)?;
         self.claims.push(PlannedClaim {
             task,
             machine: machine.id.to_string(),
--- a/crates/core/src/scheduling/preemption_step.rs
+++ b/crates/core/src/scheduling/preemption_step.rs
@@ -52,7 +52,7 @@
             let Some(delay_ms) = preemption_delay_ms(work) else {
                 continue;
             };
-            match (work.ready_at + delay_ms).saturating_sub(self.wall) {
+            match (work.ready_at + delay_ms).saturating_sub(self.wall_time) {
                 0 => preemptors.push(work.clone()),
                 remaining_ms => shortest_wait_ms = shortest_wait_ms.min(remaining_ms),
             }
@@ -86,7 +86,7 @@
                     )
             },
         };
-        let reserve_open_to = service_reserve::reserve_open_to(work, self.wall);
+        let reserve_open_to = service_reserve::reserve_open_to(work, self.wall_time);
         preemption::choose_stops(self.cluster_view(), preemptors, &context, reserve_open_to)
     }
 
@@ -103,7 +103,13 @@
             return priority;
         }
         let ready_at = (self.cache.job(id)).map_or(0, |job| self.cache.ready_at(job));
-        match started_tasks_of_overdue_batch(&self.cache, &self.settings, id, ready_at, self.wall) {
+        match started_tasks_of_overdue_batch(
+            &self.cache,
+            &self.settings,
+            id,
+            ready_at,
+            self.wall_time,
+        ) {
             Some(_) => JobPriority::High,
             None => priority,
         }
--- a/crates/core/src/scheduling/queue_order.rs
+++ b/crates/core/src/scheduling/queue_order.rs
@@ -104,7 +104,7 @@
     jobs: &mut [(WallMs, AdmittedJob)],
     cpus: u64,
     cpu_work_ahead: u128,
-    wall: WallMs,
+    wall_time: WallMs,
     deferred: &mut [bool],
 ) {
     jobs.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -115,7 +115,7 @@
         if !job.is_exempt {
             deferrable.push(job);
         }
-        let available_cpu_work = u128::from(cpus) * u128::from(due.saturating_sub(wall));
+        let available_cpu_work = u128::from(cpus) * u128::from(due.saturating_sub(wall_time));
         while admitted_cpu_work > available_cpu_work {
             let Some(largest) = deferrable.pop() else {
                 break;
@@ -145,22 +145,22 @@
     capacity: &Capacity,
     threshold: f64,
     share: f64,
-    wall: WallMs,
+    wall_time: WallMs,
 ) -> Vec<QueuePlace> {
-    let lenient_places = places(jobs, &capacity.scaled(threshold), wall);
+    let lenient_places = places(jobs, &capacity.scaled(threshold), wall_time);
     let misses_goal = |(job, place): (&QueuedJob, &QueuePlace)| {
         job.due.is_some() && *place == QueuePlace::Deferred
     };
     match jobs.iter().zip(&lenient_places).any(misses_goal) {
-        true => places(jobs, &capacity.scaled(share), wall),
+        true => places(jobs, &capacity.scaled(share), wall_time),
         false => lenient_places,
     }
 }
 
 /// Returns the place of each job of one priority: its due time, or deferred.
-pub fn places(jobs: &[QueuedJob], capacity: &Capacity, wall: WallMs) -> Vec<QueuePlace> {
+pub fn places(jobs: &[QueuedJob], capacity: &Capacity, wall_time: WallMs) -> Vec<QueuePlace> {
     let Some(cpu_work_per_task) = cpu_work_per_task(jobs, capacity) else {
-        return places_by_cpu_work(jobs, capacity, wall);
+        return places_by_cpu_work(jobs, capacity, wall_time);
     };
     let by_tasks = |job: &QueuedJob| QueuedJob {
         cpu_work: u128::from(job.tasks) * cpu_work_per_task,
@@ -173,12 +173,16 @@
         team_limits: Vec::new(),
         ..capacity.clone()
     };
-    places_by_cpu_work(&jobs, &capacity, wall)
+    places_by_cpu_work(&jobs, &capacity, wall_time)
 }
 
-fn places_by_cpu_work(jobs: &[QueuedJob], capacity: &Capacity, wall: WallMs) -> Vec<QueuePlace> {
+fn places_by_cpu_work(
+    jobs: &[QueuedJob],
+    capacity: &Capacity,
+    wall_time: WallMs,
+) -> Vec<QueuePlace> {
     let mut deferred = vec![false; jobs.len()];
-    defer_by_team_limits(jobs, capacity, wall, &mut deferred);
+    defer_by_team_limits(jobs, capacity, wall_time, &mut deferred);
     let with_goal = |(position, job): (usize, &QueuedJob)| {
         let due = job.due?;
         Some((due, AdmittedJob::of(position, job)))
@@ -188,7 +192,13 @@
         .filter_map(with_goal)
         .collect();
     let (cpus, cpu_work_ahead) = (capacity.cpus, capacity.cpu_work_ahead);
-    defer_until_fitting(&mut admitted, cpus, cpu_work_ahead, wall, &mut deferred);
+    defer_until_fitting(
+        &mut admitted,
+        cpus,
+        cpu_work_ahead,
+        wall_time,
+        &mut deferred,
+    );
     // Deferred jobs are tried again with their next goals, with only the capacity that the admitted jobs leave.
     let mut retried: Vec<_> = (jobs.iter().enumerate())
         .filter_map(|(position, job)| {
@@ -205,7 +215,7 @@
         &mut retried,
         cpus,
         cpu_work_ahead,
-        wall,
+        wall_time,
         &mut deferred_again,
     );
     let place = |(position, job): (usize, &QueuedJob)| {
@@ -223,7 +233,7 @@
 fn defer_by_team_limits(
     jobs: &[QueuedJob],
     capacity: &Capacity,
-    wall: WallMs,
+    wall_time: WallMs,
     deferred: &mut [bool],
 ) {
     for (team, cpus) in capacity.team_limits.iter().enumerate() {
@@ -234,7 +244,7 @@
             .filter(|(_, job)| job.team == team)
             .filter_map(|(position, job)| Some((job.due?, AdmittedJob::of(position, job))))
             .collect();
-        defer_until_fitting(&mut team_jobs, *cpus, 0, wall, deferred);
+        defer_until_fitting(&mut team_jobs, *cpus, 0, wall_time, deferred);
     }
 }
 
--- a/crates/core/src/scheduling/service_reserve.rs
+++ b/crates/core/src/scheduling/service_reserve.rs
@@ -24,7 +24,7 @@
     cpus_per_zone: u64,
     zones: BTreeMap<String, ZoneCapacity>,
     /// The current wall-clock time.
-    wall: WallMs,
+    wall_time: WallMs,
     /// The lowest priority to which the reserve is open, if any.
     open_to: Option<JobPriority>,
 }
@@ -32,16 +32,16 @@
 /// Returns the lowest priority of any work that has waited so long that the service reserve is open to it. The
 /// reserve is open to all higher priorities as well: otherwise capacity that preemption frees for work of a higher
 /// priority would go to the work that has waited longer, which would be preempted again, in a cycle.
-pub fn reserve_open_to(work: &[PendingWork], wall: WallMs) -> Option<JobPriority> {
+pub fn reserve_open_to(work: &[PendingWork], wall_time: WallMs) -> Option<JobPriority> {
     work.iter()
-        .filter(|work| has_waited_long(work, wall))
+        .filter(|work| has_waited_long(work, wall_time))
         .map(|work| work.urgency.priority.0)
         .min()
 }
 
 /// Returns whether the work has waited so long that the service reserve may be opened to it.
-fn has_waited_long(work: &PendingWork, wall: WallMs) -> bool {
-    wall > work.ready_at + RESERVE_ACCESS_DELAY_MS
+fn has_waited_long(work: &PendingWork, wall_time: WallMs) -> bool {
+    wall_time > work.ready_at + RESERVE_ACCESS_DELAY_MS
 }
 
 impl ServiceReserve {
@@ -65,8 +65,8 @@
         ServiceReserve {
             cpus_per_zone: largest_service_cpus(view.cache) * RESERVE_SERVICES / zone_count,
             zones,
-            wall: view.wall,
-            open_to: reserve_open_to(work, view.wall),
+            wall_time: view.wall_time,
+            open_to: reserve_open_to(work, view.wall_time),
         }
     }
 
@@ -102,7 +102,7 @@
     fn is_open_to(&self, work: &PendingWork) -> bool {
         let priority = work.urgency.priority.0;
         self.open_to.is_some_and(|open_to| {
-            priority > open_to || priority == open_to && has_waited_long(work, self.wall)
+            priority > open_to || priority == open_to && has_waited_long(work, self.wall_time)
         })
     }
 }
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -69,7 +69,7 @@
         for (key, record) in &transaction.changes {
             if let (Key::Job(job), Some(Record::Job(record))) = (key, record) {
                 if record.phase == JobPhase::Done {
-                    let duration_ms = self.wall.saturating_sub(record.accepted_at);
+                    let duration_ms = self.wall_time.saturating_sub(record.accepted_at);
                     tracing::info!(job, tasks = record.tasks, duration_ms, "job completed");
                 }
             }
@@ -178,8 +178,8 @@
                 let accepted_at = self
                     .cache
                     .job(&task.job)
-                    .map_or(self.wall, |job| job.accepted_at);
-                let waited_ms = self.wall.saturating_sub(accepted_at);
+                    .map_or(self.wall_time, |job| job.accepted_at);
+                let waited_ms = self.wall_time.saturating_sub(accepted_at);
                 self.metrics
                     .record_claim(task, claim.attempt, waited_ms, self.now);
             }
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -211,7 +211,7 @@
             let timed_out = self.cache.job(job).is_some_and(|job| {
                 job.phase == JobPhase::Cancelled
                     && counts.assigned > 0
-                    && self.wall > job.ended_at + self.settings.clock_skew_ms + after_ms
+                    && self.wall_time > job.ended_at + self.settings.clock_skew_ms + after_ms
             });
             if !timed_out {
                 continue;
--- a/crates/core/src/workers/machine_updates.rs
+++ b/crates/core/src/workers/machine_updates.rs
@@ -123,7 +123,7 @@
                     &update.zone,
                     update.spot,
                     MachinePhase::Up,
-                    self.wall,
+                    self.wall_time,
                 )
             });
         };
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -190,7 +190,7 @@
                 draft.is_full = true;
                 break;
             }
-            claims::release(&mut draft.builder, task, attempt, outcome, self.wall);
+            claims::release(&mut draft.builder, task, attempt, outcome, self.wall_time);
             released.push((task.clone(), attempt));
         }
         released
@@ -460,7 +460,7 @@
                 &instance_request.zone,
                 instance_request.spot,
                 MachinePhase::Booting,
-                self.wall,
+                self.wall_time,
             )
         })
     }
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -188,7 +188,7 @@
             }
             let work = self.work_on_machine(id, machine, outage, &mut capacity);
             let lease_ms = self.settings.lease_ms;
-            match evacuation_reason(outage, &work.tasks, lease_ms, tuning, self.wall) {
+            match evacuation_reason(outage, &work.tasks, lease_ms, tuning, self.wall_time) {
                 Some(reason) => plan.candidates.push(EvacuationCandidate {
                     urgency: work.urgency,
                     machine: id.to_string(),
@@ -251,8 +251,8 @@
         };
         let tasks: Vec<EvacuationTask> = tasks.iter().map(with_capacity).collect();
         let (lease_ms, tuning) = (self.settings.lease_ms, &self.settings.tuning);
-        let wall = self.wall + ZONE_PROVISION_AHEAD_MS;
-        evacuation_reason(&outage, &tasks, lease_ms, tuning, wall).is_some()
+        let wall_time = self.wall_time + ZONE_PROVISION_AHEAD_MS;
+        evacuation_reason(&outage, &tasks, lease_ms, tuning, wall_time).is_some()
     }
 
     /// Returns the tasks of machines as if they were pending, so that capacity is provisioned for them before the
--- a/crates/core/src/zones/failures.rs
+++ b/crates/core/src/zones/failures.rs
@@ -84,13 +84,13 @@
 }
 
 /// Returns the reason to delete a machine in an unreachable zone, if there is one. It depends on the machine's
-/// tasks, the duration of the outage and the capacity elsewhere. `wall` is the wall-clock time.
+/// tasks, the duration of the outage and the capacity elsewhere. `wall_time` is the current wall-clock time.
 pub fn evacuation_reason(
     outage: &ZoneOutage,
     work: &[EvacuationTask],
     lease_ms: Millis,
     tuning: &Tuning,
-    wall: WallMs,
+    wall_time: WallMs,
 ) -> Option<EvacuationReason> {
     let duration_ms = outage.duration_ms;
     if !work.iter().any(|task| task.fits_elsewhere) {
@@ -118,7 +118,7 @@
     }
     work.iter()
         .filter(|task| task.fits_elsewhere && !task.is_service)
-        .filter_map(|task| batch_evacuation_reason(duration_ms, task, tuning, wall))
+        .filter_map(|task| batch_evacuation_reason(duration_ms, task, tuning, wall_time))
         .min()
 }
 
@@ -127,12 +127,12 @@
     duration_ms: Millis,
     task: &EvacuationTask,
     tuning: &Tuning,
-    wall: WallMs,
+    wall_time: WallMs,
 ) -> Option<EvacuationReason> {
     // Estimates that the outage lasts as long again as it has lasted. Without prior knowledge of its duration this
     // is the median estimate.
-    let expected_recovery_at = wall + duration_ms;
-    let done_elsewhere_at = wall + START_DURATION_MS + task.run_ms;
+    let expected_recovery_at = wall_time + duration_ms;
+    let done_elsewhere_at = wall_time + START_DURATION_MS + task.run_ms;
     let next_deadline = task.deadlines.iter().find(|at| done_elsewhere_at <= **at);
     match next_deadline {
         Some(deadline) => (expected_recovery_at + ZONE_RECOVERY_MARGIN_MS > *deadline)
--- a/crates/core/tests/allocations.rs
+++ b/crates/core/tests/allocations.rs
@@ -48,7 +48,7 @@
         .collect();
     let tasks: usize = reports.iter().map(|r| r.tasks.len()).sum();
     assert!(tasks >= 80, "{tasks} tasks run");
-    let (now, wall) = (sim.now_ms, START_TIME_MS + sim.now_ms);
+    let (now, wall_time) = (sim.now_ms, START_TIME_MS + sim.now_ms);
     let controller = sim.controllers[0].controller.as_mut().unwrap();
     // The first round has news: whatever it takes is not counted.
     let mut events = |sequence: u64| -> Vec<Event> {
@@ -66,7 +66,7 @@
             .collect()
     };
     for event in events(1) {
-        controller.handle(now, wall, event);
+        controller.handle(now, wall_time, event);
     }
     let counted = events(1);
     let n = counted.len() as f64;
@@ -74,7 +74,7 @@
     let before = dhat::HeapStats::get();
     let mut answers = 0;
     for event in counted {
-        let effects = controller.handle(now, wall, event);
+        let effects = controller.handle(now, wall_time, event);
         answers += effects
             .iter()
             .filter(|e| {
--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -135,7 +135,7 @@
             self.controllers[controller].backlog.push(event);
             return;
         }
-        let (now, wall) = (self.now_ms, self.wall_clock(controller));
+        let (now, wall_time) = (self.now_ms, self.wall_clock(controller));
         let process = self.process(controller);
         let old = self.is_previous_version(process);
         let slot = &mut self.controllers[controller];
@@ -148,7 +148,7 @@
         };
         let heartbeat = matches!(event, Event::PeerHeartbeat(_));
         let begun = std::time::Instant::now();
-        let effects = running.handle(now, wall, event);
+        let effects = running.handle(now, wall_time, event);
         let took = begun.elapsed();
         self.metrics.event_time += took;
         if heartbeat {
