--- a/crates/core/src/configuration/change.rs
+++ b/crates/core/src/configuration/change.rs
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// Limits of the state service for a change.
+/// Limits of the state store for a change.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeLimits {
     /// Limit of the size of a value.
--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -30,16 +30,17 @@
 /// Size of a chunk record without its tasks and names.
 pub const CHUNK_BASE_BYTES: usize = 120;
 /// Bytes reserved per task when the value limit sets the size of a compact chunk. An assignment takes 8 to
-/// 12, and 10 more once its lease is re-armed and it is to be stopped.
+/// 12, and 10 more once its start is delivered again under a new delivery and it gets a stop reason.
 pub const COMPACT_TASK_BYTES: u64 = 20;
 /// Size of a compact assignment without the name of its machine: its attempt and its start. A new name may
 /// also shorten the common prefix; `VALUE_MARGIN_BYTES` covers the growth of the other names.
 pub const COMPACT_ASSIGNMENT_BYTES: usize = 24;
-/// Growth of an assignment, beyond its reserved bytes, when it is re-armed and gets a stop reason.
+/// Growth of an assignment, beyond its reserved bytes, when its start is delivered again under a new
+/// delivery and it gets a stop reason.
 pub const ASSIGNMENT_EDIT_BYTES: usize = 10;
-/// Margin added to the length of a serialized value, in case the state service counts spaces.
+/// Margin added to the length of a serialized value, in case the state store counts spaces.
 pub const VALUE_MARGIN_BYTES: usize = 48;
-/// Limit of remembered records that were too large for the state service.
+/// Limit of remembered records that were too large for the state store.
 pub const REFUSED_RECORDS_MAX: usize = 1_000;
 /// Interval after which records that were too large are written again.
 pub const REFUSED_RECORDS_RETRY_MS: u64 = 30_000;
@@ -57,10 +58,10 @@
 pub const TRACKED_IMAGES_MAX: usize = 20_000;
 /// Limit of the total size of a transaction: 64 KiB by protocol, less a margin.
 pub const TRANSACTION_MAX_BYTES: usize = 60_000;
-/// Changes per transaction that the state service must allow. A claim writes the chunk, the team record and
+/// Changes per transaction that the state store must allow. A claim writes the chunk, the team record and
 /// the zone spread of the job.
 pub const REQUIRED_TRANSACTION_CHANGES: u32 = 3;
-/// Value size that the state service must allow. A job with the longest names takes about 1,100 bytes.
+/// Value size that the state store must allow. A job with the longest names takes about 1,100 bytes.
 pub const REQUIRED_VALUE_KIB: f64 = 1.5;
 /// Conditions allowed per change of a transaction, by protocol.
 pub const CONDITIONS_PER_CHANGE: usize = 4;
@@ -68,14 +69,14 @@
 /// Interval between two reads that prove the cache current. Requests that arrive meanwhile share a read:
 /// users wait 2 s for a status, and poll the status of hundreds of services all the time.
 pub const READ_INDEX_INTERVAL_MS: u64 = 120;
-/// Burst of a controller's changes to the state service, in seconds of its rate. The state service allows
+/// Burst of a controller's changes to the state store, in seconds of its rate. The state store allows
 /// a burst of one second for all controllers.
 pub const WRITE_BURST_S: f64 = 0.9;
 /// Changes that must be available before a flush or a claim is drafted.
 pub const MIN_AVAILABLE_CHANGES: usize = 4;
 /// Unrecorded results above which results are written in larger transactions.
 pub const BACKLOG_MIN_RESULTS: usize = 40;
-/// Changes that must be available before results are written from such a backlog.
+/// Changes that must be available before results are written from a backlog.
 pub const BACKLOG_MIN_AVAILABLE_CHANGES: usize = 12;
 /// Delay after which a result is written before other results that would share a change. Users expect
 /// `done` within 3 s.
@@ -93,7 +94,7 @@
 /// Delay after which other controllers cancel the dependents of a cancelled job, in case the controller
 /// that received the cancellation has not done so.
 pub const CASCADE_TAKEOVER_DELAY_MS: u64 = 1_500;
-/// Amount by which the shared term is raised once no task is left of cancellations that were answered at
+/// Amount by which the shared term is raised once no task remains of cancellations that were answered at
 /// their commit. Terms start at 1 and a machine's token rises by 1 with each lost command, at most once a
 /// second, so that no term reaches this value in any other way.
 pub const CONFIRMED_CANCELLATION_TERM: u64 = 1 << 24;
@@ -108,30 +109,30 @@
 pub const CANCEL_UNCONFIRMED_TIMEOUT_MS: u64 = 40_000;
 /// `Retry-After` for a request that could not be decided.
 pub const RETRY_AFTER_S: u32 = 1;
-/// `Retry-After` during an outage of the state service, which lasts longer than `RETRY_AFTER_S`.
+/// `Retry-After` during an outage of the state store, which lasts longer than `RETRY_AFTER_S`.
 pub const OUTAGE_RETRY_AFTER_S: u32 = 2;
 
 /// Shortest timeout of a transaction. Some responses take a few hundred milliseconds.
 pub const STATE_TIMEOUT_MS: u64 = 400;
-/// Time without the state service and without any peer after which a controller considers itself isolated
+/// Time without the state store and without any peer after which a controller considers itself isolated
 /// and asks the load balancer to route users elsewhere. Lost peers are detected within this time too.
 pub const ISOLATION_TIMEOUT_MS: u64 = 3_500;
 /// Interval between two probes of a machine that sends heartbeats and may not receive commands. Each probe
-/// without an answer holds a connection for more than a second.
+/// without a response holds a connection for more than a second.
 pub const UNREACHABLE_PROBE_INTERVAL_MS: u64 = 3_000;
-/// Limit of such machines probed in one check.
+/// Limit of machines with heartbeats, but possibly without commands, that are probed in one check.
 pub const UNREACHABLE_PROBES_MAX: usize = 8;
-/// Time without a successful response after which the state service counts as lost.
+/// Time without a successful response after which the state store counts as lost.
 pub const STATE_LOST_TIMEOUT_MS: u64 = 1_500;
-/// Interval between probe reads of the state service when nothing else is read.
+/// Interval between probe reads of the state store when nothing else is read.
 pub const STATE_PROBE_INTERVAL_MS: u64 = 500;
 /// Longest time that a transaction with a conflict waits for the watch before its retry.
 pub const CONFLICT_RETRY_MAX_DELAY_MS: u64 = 400;
 /// Lag of the watch behind a revision that was read after which it is reopened.
 pub const WATCH_LAG_REOPEN_MS: u64 = 1_000;
-/// Lag of the watch, reopened or not, after which the controller counts as cut off from the state service.
+/// Lag of the watch, reopened or not, after which the controller counts as cut off from the state store.
 pub const WATCH_LAG_LOST_MS: u64 = 4_000;
-/// Time for which the state service holds a watch request open.
+/// Time for which the state store holds a watch request open.
 pub const WATCH_POLL_TIMEOUT_MS: u64 = 10_000;
 
 /// Interval between two heartbeats to each peer.
@@ -157,11 +158,11 @@
 pub const SLOW_CONTROLLER_LOAD_DIVISOR: usize = 4;
 /// Limit of machines in a peer heartbeat, of about 60 bytes each, twice a second. A site has up to 5,000.
 pub const HEARTBEAT_MAX_MACHINES: usize = 20_000;
-/// Workers of a silent peer that must fail over to this controller before they count as evidence.
+/// Number of a silent peer's workers that must fail over to this controller before they count as evidence.
 pub const FAILOVER_WORKERS_MIN: usize = 3;
 /// One in this many of a silent peer's workers must fail over before they count as evidence.
 pub const FAILOVER_WORKERS_DIVISOR: usize = 20;
-/// Margin by which the report of one peer about another may lag behind the local observation.
+/// Margin by which a peer's report about another peer may lag behind the local observation.
 pub const PEER_OPINION_MARGIN_MS: u64 = 400;
 /// A failover is complete when at most one in this many of the workers has not reported.
 pub const FAILOVER_MISSING_DIVISOR: usize = 100;
@@ -174,7 +175,7 @@
 /// Time after which a controller shuts down whatever it still waits for, in addition to one heartbeat
 /// interval of all workers.
 pub const SHUTDOWN_MARGIN_MS: u64 = 2_000;
-/// Delay after the loss of a peer before machines are asked for the starts that it claimed last. Starts
+/// Delay after the loss of a peer before machines are probed for the starts that it claimed last. Starts
 /// that the peer did send have arrived by then.
 pub const FAILOVER_START_CHECK_DELAY_MS: u64 = 1_000;
 /// Age of a start from which any later heartbeat of its machine ends its tracking here. The controller
@@ -184,7 +185,7 @@
 pub const FAILOVER_STAGGER_MS: u64 = 100;
 /// Interval between two ticks of a controller's clock.
 pub const CLOCK_TICK_MS: u64 = 50;
-/// Limit of machines asked for the last starts of a lost peer.
+/// Limit of machines probed for the last starts of a lost peer.
 pub const FAILOVER_START_CHECKS_MAX: usize = 200;
 
 /// Jobs are deferred once finishing all in time needs this many times the capacity. Below that, serving the
@@ -193,7 +194,7 @@
 /// Share of the processors and changes that deferral plans with. Estimates are off by half, and later jobs
 /// need their part (experiments/hot-classes.toml).
 pub const DEFER_CAPACITY_SHARE: f64 = 0.5;
-/// Changes of the state service per task, for claims, results and machines together, when many tasks share
+/// Changes of the state store per task, for claims, results and machines together, when many tasks share
 /// the writes of their chunks (docs/design.md, Budget).
 pub const CHANGES_PER_TASK: f64 = 0.7;
 /// Sustained share of a controller's changes for acceptances. Each accepted task takes about 0.7 changes
@@ -219,20 +220,20 @@
 pub const BATCH_START_LATE_MS: u64 = 120_000;
 /// The first part of a batch is one in this many of its tasks.
 pub const BATCH_START_DIVISOR: u32 = 16;
-/// Time for which a job within its team's guarantee counts as just arrived. It is to start within about
+/// Time for which a job within its team's guaranteed share counts as just arrived. It is to start within about
 /// 10 s.
 pub const NEW_JOB_MS: u64 = 12_000;
 
 /// Age from which a peer heartbeat is dropped, by times of day that may differ. A network partition or a
 /// pause of this controller delayed it, so that it does not describe the present.
 pub const HEARTBEAT_MAX_AGE_MS: u64 = 1_500;
-/// Consecutive direct commands without an answer, and without a heartbeat meanwhile, after which a
-/// controller considers itself partitioned from the workers that its peers still hear.
+/// Consecutive direct commands without a response, and without a heartbeat meanwhile, after which a
+/// controller considers itself partitioned from the workers whose heartbeats its peers still receive.
 pub const PARTITION_UNANSWERED_COMMANDS: u32 = 3;
 /// Shortest gap without any heartbeat after which a controller concludes that it was partitioned from its
 /// workers. The gap must also cover as many missed heartbeats as `ZONE_MISSED_HEARTBEATS`.
 pub const INBOUND_GAP_MIN_MS: u64 = 600;
-/// Time after a rate limit error of the state service for which a controller keeps to its own share of
+/// Time after a rate limit error of the state store for which a controller keeps to its own share of
 /// the rate.
 pub const THROTTLE_PERIOD_MS: u64 = 20_000;
 /// Interval between the probes with which a partitioned controller tests whether workers reach it again.
@@ -279,12 +280,13 @@
 /// again elsewhere.
 pub const ZONE_UNCONFIRMED_START_MS: u64 = 6_000;
 /// Time for which a zone must count as silent before its machines are deleted: several heartbeats of
-/// peers that may still hear it.
+/// peers that may still receive its heartbeats.
 pub const ZONE_CONFIRM_MS: u64 = 3_000;
 /// Margin after the lease until all tasks have ended in a zone without a controller. A heartbeat may have
 /// been sent a while before it arrived, but not after.
 pub const ZONE_LEASE_MARGIN_MS: u64 = 1_000;
-/// Silence after which the machines of a zone count as failed while all controllers of that zone are heard.
+/// Silence after which the machines of a zone count as failed while heartbeats of all its controllers
+/// arrive.
 /// The cloud lists failed machines after about 30 s, and most hung machines resume sooner.
 pub const ZONE_DEAD_MS: u64 = 40_000;
 /// Silence of a zone after which its machines are deleted although their tasks may still run.
@@ -292,7 +294,7 @@
 /// Silence of a zone from which tasks that miss their deadline in any case restart elsewhere.
 pub const ZONE_OVERDUE_WORK_MS: u64 = 60_000;
 /// Time from the recovery of a zone until its results are on record: thousands of results at the state
-/// service's rate of changes.
+/// store's rate of changes.
 pub const ZONE_RECOVERY_MARGIN_MS: u64 = 5_000;
 /// Limit of machines of failed zones deleted in one evaluation, so that other changes are not starved.
 pub const ZONE_TERMINATIONS_MAX: usize = 40;
@@ -300,26 +302,26 @@
 pub const ZONE_EVACUATION_INTERVAL_MS: u64 = 1_000;
 /// Lead time for provisioning capacity outside a failed zone. A boot takes 15 to 35 s.
 pub const ZONE_PROVISION_AHEAD_MS: u64 = 20_000;
-/// Limit of machines of a silent zone that are probed in one check. Each probe without an answer holds a
-/// connection for more than a second, and starts elsewhere need these connections.
+/// Limit of machines of a silent zone that are probed in one check. Each probe without a response holds
+/// a connection for more than a second, and starts elsewhere need these connections.
 pub const ZONE_PROBES_MAX: usize = 2;
-/// Interval between the same step of two controllers, so that one of them goes first.
+/// Interval between the executions of one step by two controllers, so that they do not run it at once.
 pub const CONTROLLER_STAGGER_MS: u64 = 600;
-/// Margin before `cancel_s` expires that is left for a halt or a deletion to take effect.
+/// Margin before `cancel_s` expires in which a halt or a deletion takes effect.
 pub const CANCEL_MARGIN_MS: u64 = 5_000;
 /// Share of `cancel_s` after which a machine that still holds a cancelled task is deleted.
 pub const CANCEL_DELETE_SHARE: f64 = 0.6;
 /// Time for which heartbeats may lack a start that was sent by a direct command before the machine's token
 /// is raised. A command and the watch event of its claim take a few milliseconds each.
 pub const START_MISSING_MS: u64 = 1_000;
-/// Time for which a claim is looked for in the cache whose transaction got no response. The state service
+/// Time for which the controller looks in the cache for a claim whose transaction got no response. The state store
 /// applies late transactions within about 12 s.
 pub const UNCERTAIN_CLAIM_MS: u64 = 30_000;
-/// Margin after the timeout of such a transaction before its start is fenced and sent again. A response
+/// Margin after the timeout of a claim's transaction before its start is fenced and sent again. A response
 /// that is merely slow arrives sooner.
 pub const UNCERTAIN_CLAIM_MARGIN_MS: u64 = 200;
 /// An incarnation that no worker has, since they count from 1. A worker rejects a command for it, and the
-/// rejection is a sign of life.
+/// rejection shows that it is alive.
 pub const NO_INCARNATION: u64 = 0;
 /// Time for which starts are sent with heartbeat replies after a direct command failed.
 pub const COMMAND_BACKOFF_MS: u64 = 8_000;
@@ -356,7 +358,7 @@
 pub const BOOT_TIMEOUT_FACTOR: f64 = 4.0;
 /// Multiple of the catalog's boot time after which a booting machine is late. Most need 0.6 to 1.5.
 pub const BOOT_LATE_FACTOR: f64 = 1.8;
-/// Margin added to that time, for clock differences and the first heartbeat.
+/// Margin added to the time after which a booting machine is late, for clock differences and the first heartbeat.
 pub const BOOT_LATE_MARGIN_MS: u64 = 5_000;
 /// Late machines that are replaced without waiting for them, whatever their share.
 pub const LATE_BOOTS_MIN: u32 = 3;
@@ -367,7 +369,7 @@
 /// Time for which a machine stays idle before it is returned. The minimum charge is 60 s, and the next
 /// work of the same kind usually arrives within this time.
 pub const IDLE_TIMEOUT_MS: u64 = 45_000;
-/// Ratio of a machine's price per used processor to the cheapest ordinary one from which the machine is
+/// Ratio of a machine's price per used processor to the cheapest on-demand one from which the machine is
 /// drained for scale-in. Below that, the migration of its services saves too little.
 pub const SCALE_IN_PRICE_FACTOR: f64 = 2.0;
 /// Time that a machine must have been up, without pending work, before scale-in. After only 30 s, machines
@@ -379,11 +381,13 @@
 /// Time that a service waits for capacity on machines that hold its image. A stop, its confirmation and
 /// the claim take about 500 ms.
 pub const WARM_IMAGE_WAIT_MS: u64 = 1_000;
-/// Fetch time of the image, at the rate of the fastest type, from which that wait is worthwhile.
+/// Fetch time of an image, at the rate of the fastest type, from which a service waits for a machine that
+/// holds it.
 pub const WARM_IMAGE_MIN_FETCH_MS: u64 = 1_000;
 /// Time for which urgent work is pending before it preempts. Capacity often becomes free by itself.
 pub const PREEMPT_URGENT_DELAY_MS: u64 = 250;
-/// Time for which other work is pending before it preempts. Work within a guarantee is to start in about
+/// Time for which work that is not urgent is pending before it preempts. Work within a guaranteed share is
+/// to start in about
 /// 10 s, and a stop, a start and a fetch take several seconds.
 pub const PREEMPT_DELAY_MS: u64 = 1_500;
 /// Interval between two rounds of preemption.
@@ -401,7 +405,7 @@
 pub const MIGRATIONS_MAX: usize = 32;
 /// Interval between two rounds of migrations. Each migration costs its service half a second.
 pub const MIGRATION_INTERVAL_MS: u64 = 2_000;
-/// Time in which a task does not migrate again, except off a machine that is to be removed.
+/// Time after a migration in which a task does not migrate again, except off a machine that is to be removed.
 pub const MIGRATION_REPEAT_DELAY_MS: u64 = 300_000;
 /// Limit of migrated tasks that are remembered.
 pub const TRACKED_MIGRATIONS_MAX: usize = 20_000;
@@ -429,7 +433,7 @@
 /// Longest backoff of a failed task. A job that failed everywhere is retried with one task only.
 pub const TASK_BACKOFF_MAX_MS: u64 = 20_000;
 
-/// Interval between two cleanups of the state kept for machines that are gone.
+/// Interval between two cleanups of the state kept for deleted machines.
 pub const CLEANUP_INTERVAL_MS: u64 = 10_000;
 /// Limit of names of deleted machines that are kept, so that a late heartbeat does not add them again.
 pub const DELETED_MACHINES_MAX: usize = 2_000;
@@ -449,7 +453,7 @@
 pub const JOB_MAX_TASKS: u64 = 100_000;
 /// Services of the largest size for which capacity is reserved against lower priorities.
 pub const RESERVE_SERVICES: u64 = 2;
-/// The reserve takes at most one in this many of the processors of a zone's ordinary machines.
+/// The reserve takes at most one in this many of the processors of a zone's on-demand machines.
 pub const RESERVE_DIVISOR: u64 = 8;
 /// Time for which a job is pending before it may use the reserve. Users count a job as starved that is
 /// pending for 90 s beside free capacity for it.
--- a/crates/core/src/controller/housekeeping.rs
+++ b/crates/core/src/controller/housekeeping.rs
@@ -8,8 +8,8 @@
 use crate::controller::{CloudOperation, Controller, Effect, PendingOperation};
 
 impl Controller {
-    /// Handles a tick of the clock. Every tick answers waiting users and workers; the remaining work is done
-    /// every `HOUSEKEEPING_INTERVAL_MS`.
+    /// Handles a tick of the clock. Every tick answers waiting users and replies to waiting workers; the remaining
+    /// work is done every `HOUSEKEEPING_INTERVAL_MS`.
     pub(super) fn tick(&mut self) {
         self.peers
             .record_tick(self.now - self.lifecycle.last_tick_at);
@@ -57,7 +57,7 @@
         self.reopen_lagging_watch();
     }
 
-    /// Reads the cloud's machine types when they are due. The cloud client delays its answer to a failed request,
+    /// Reads the cloud's machine types when they are due. The cloud client delays its response to a failed request,
     /// so retries need no backoff here.
     fn read_machine_types(&mut self) {
         let last = self.provisioning.machine_types_read_at;
--- a/crates/core/src/controller/lifecycle.rs
+++ b/crates/core/src/controller/lifecycle.rs
@@ -16,7 +16,7 @@
     pub(crate) cache_predates_resume: bool,
     /// Operations with lower IDs were sent before the last pause. Their responses don't show the present state.
     pub(crate) first_operation_since_resume: OperationId,
-    /// When the process was asked to shut down.
+    /// When the process received a request to shut down.
     pub(crate) shutting_down_since: Option<Millis>,
     /// Problems that were logged as begun, with their begin.
     pub(crate) ongoing_problems: BTreeMap<Problem, Millis>,
--- a/crates/core/src/controller/messages.rs
+++ b/crates/core/src/controller/messages.rs
@@ -7,7 +7,7 @@
 use crate::state::{CasTransaction, Key, Record};
 use serde::{Deserialize, Serialize};
 
-/// Identifies a user's or worker's request that awaits a reply.
+/// Identifies a user's or worker's request that awaits an answer or a reply.
 pub type RequestId = u64;
 /// Identifies an operation on the state store or the cloud that awaits a response.
 pub type OperationId = u64;
@@ -182,7 +182,7 @@
     Accepted,
     /// The worker refused the command, so the machine is up.
     Refused,
-    /// The worker did not answer before the timeout.
+    /// The worker did not respond before the timeout.
     NoAnswer,
     /// The command was not sent, so its failure is no evidence about the machine.
     NotSent,
@@ -211,7 +211,7 @@
         operation_id: OperationId,
         response: StateResponse,
     },
-    /// A transaction has had no answer within the timeout. An answer may still arrive.
+    /// A transaction got no response within the timeout. A response may still arrive.
     StateTimeout {
         operation_id: OperationId,
     },
@@ -233,13 +233,13 @@
     LinkEnded {
         controller: String,
     },
-    /// The process was asked to shut down.
+    /// The process received a request to shut down.
     Shutdown,
     /// The outcome of a direct command.
     CommandResult {
         machine: String,
         outcome: CommandOutcome,
-        /// The worker's heartbeat in its answer, if it was readable.
+        /// The worker's heartbeat in its response, if it was readable.
         heartbeat: Option<Box<WorkerHeartbeat>>,
     },
 }
--- a/crates/core/src/controller/operations.rs
+++ b/crates/core/src/controller/operations.rs
@@ -24,7 +24,7 @@
     UserRequest(RequestId),
     /// Records observations from heartbeats: ends of attempts, starts to be sent in replies, machines.
     WriteResults {
-        /// Machines whose held heartbeats are answered with a start once the transaction has committed.
+        /// Machines whose held heartbeats get a start with the reply once the transaction has committed.
         machines_to_start: Vec<String>,
         /// Whether the transaction marks machines for deprovisioning.
         deprovisions_machines: bool,
@@ -37,7 +37,7 @@
     Claim(Vec<ClaimedTask>),
     /// Records instance requests before they are sent to the cloud under their names.
     CreateInstanceRequests(Vec<u64>),
-    /// Asks the cloud for the instances of a recorded request.
+    /// Requests the instances of a recorded instance request from the cloud.
     Provision(u64),
     /// Records which instances the cloud created for a request.
     RecordProvisioned(u64),
@@ -45,7 +45,7 @@
     RemoveInstanceRequest(u64),
     /// Marks tasks to be stopped, with their machines.
     Stop(Vec<(String, TaskId)>),
-    /// Asks the cloud to delete machines.
+    /// Requests the deletion of machines from the cloud.
     Deprovision(Vec<String>),
     /// Records that a job is done.
     FinishJob(String),
--- a/crates/core/src/controller/pause.rs
+++ b/crates/core/src/controller/pause.rs
@@ -29,7 +29,8 @@
         self.workers.reachability.reset_after_pause();
     }
 
-    /// Asks waiting users and workers to retry. Their requests have timed out, or are about to.
+    /// Answers waiting users and replies to waiting workers so that they retry. Their requests have timed out, or
+    /// are about to.
     fn answer_all_after_pause(&mut self) {
         for request in self.requests.open.keys().copied().collect::<Vec<_>>() {
             let reply = self.retry_later_reply();
--- a/crates/core/src/controller/readiness.rs
+++ b/crates/core/src/controller/readiness.rs
@@ -40,7 +40,7 @@
 }
 
 impl Controller {
-    /// Returns whether the state cache is complete and current and the state store answered recently.
+    /// Returns whether the state cache is complete and current and the state store responded recently.
     pub fn has_current_state(&self) -> bool {
         let is_lost = |lagging_since| self.now >= lagging_since + WATCH_LAG_LOST_MS;
         let answered_recently = |at| self.now.saturating_sub(at) <= STATE_LOST_TIMEOUT_MS;
@@ -53,7 +53,7 @@
                 .is_some_and(answered_recently)
     }
 
-    /// Returns the milliseconds since the state store last answered, or since the start.
+    /// Returns the milliseconds since the state store last responded, or since the start.
     pub(crate) fn state_age_ms(&self) -> Millis {
         let last = self.list_watch.last_response_at;
         self.now - last.unwrap_or(self.lifecycle.started_at)
@@ -102,7 +102,7 @@
             && self.state_age_ms() >= ISOLATION_TIMEOUT_MS
     }
 
-    /// Logs the begin and the end of each problem.
+    /// Logs the beginning and the end of each problem.
     pub(super) fn log_problems(&mut self) {
         let not_ready = self.not_ready();
         let is_cut_off = self.list_watch.has_listed && !self.has_current_state();
--- a/crates/core/src/controller/shutdown.rs
+++ b/crates/core/src/controller/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: a controller hands over its workers and users before it exits.
+//! Graceful shutdown: a controller hands off its workers and users before it exits.
 
 use crate::constants::SHUTDOWN_MARGIN_MS;
 use crate::controller::{Controller, Effect};
@@ -13,7 +13,7 @@
         let (workers, requests) = (self.load(), self.requests.open.len());
         tracing::info!(workers, requests, "shutdown requested");
         self.lifecycle.shutting_down_since = Some(self.now);
-        // Tells the peers at once rather than with the next scheduled heartbeat.
+        // Notifies the peers at once rather than with the next scheduled heartbeat.
         self.peers.send_heartbeat_now();
         self.send_heartbeat();
     }
--- a/crates/core/src/jobs/admission.rs
+++ b/crates/core/src/jobs/admission.rs
@@ -4,7 +4,7 @@
 //! Each acceptance costs a change. A flood of small jobs would use up the changes that start and
 //! end the jobs accepted before, and one team's flood would starve all other teams. A token bucket
 //! therefore limits acceptances to a share of this controller's changes, and while tokens are short
-//! the teams that submit get equal shares. A refused user is told at once when to retry.
+//! the teams that submit get equal shares. A refused user gets a retry time at once.
 
 use crate::constants::{
     ADMISSION_BURST_S, ADMISSION_CHANGE_SHARE, ADMISSION_DECAY_MS, ADMISSION_MAX_RETRY_AFTER_S,
@@ -55,7 +55,7 @@
         let own = self.admitted.get(team).copied().unwrap_or(0.0);
         let total: f64 = self.admitted.values().sum();
         let teams = self.admitted.len() + usize::from(!self.admitted.contains_key(team));
-        // While at least half of the tokens are left, nobody is limited. A team without recent
+        // While at least half of the tokens remain, no team is limited. A team without recent
         // requests always gets the tokens that the other teams' shares leave.
         let is_ample = self.tokens >= self.capacity / 2.0;
         let is_fair = own <= total / teams as f64;
--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -1,7 +1,7 @@
-//! Confirmed cancellations: a user is told that a job is cancelled only when every assignment of
-//! the job is proven to be over.
+//! Confirmed cancellations: a user gets the answer that a job is cancelled only when every
+//! assignment of the job is proven to have ended.
 //!
-//! Nothing of a job may run `cancel_s` after its user was told that it is cancelled. A cancellation
+//! No task of a job may run `cancel_s` after its user got this answer. A cancellation
 //! answered at its commit depends on later events: a stop that arrives, a deletion that the cloud
 //! carries out, or a lease that nobody renews. A controller cut off from the state store together
 //! with its zone would then have to stop renewing leases in time, and healthy tasks would end with
@@ -31,9 +31,9 @@
 
 impl Controller {
     /// Records, once all controllers have the format, from which revision on cancellations are
-    /// confirmed before they are answered. Once nothing is left of earlier cancellations, raises
-    /// the term beyond `CONFIRMED_CANCELLATION_TERM`: a worker that has seen such a token proves
-    /// that to a controller without records.
+    /// confirmed before they are answered. Once no task of earlier cancellations is assigned any
+    /// more, raises the term beyond `CONFIRMED_CANCELLATION_TERM`: the token of a worker then proves
+    /// this to a controller without records.
     pub(crate) fn record_cancellation_confirmation(&mut self) {
         let confirmed_from = self.cache.mod_revision(&Key::CancellationConfirmation);
         if self.upgrade.confirmation_in_flight
@@ -82,9 +82,9 @@
         );
     }
 
-    /// Lets the user of a committed or repeated cancellation wait a moment while tasks of the job
-    /// may be left, since most tasks end within half a second. If a machine with such a task can't
-    /// be reached now, tells the user at once when to retry.
+    /// Queues the request of a committed or repeated cancellation while tasks of the job may still
+    /// run, since most tasks end within half a second. If a machine with such a task can't be reached
+    /// now, answers at once with a retry time.
     pub(crate) fn await_cancellation(&mut self, id: RequestId) {
         let Some(job) = self.requests.open.get(&id).map(|r| r.job.clone()) else {
             return;
@@ -114,8 +114,8 @@
         machine.phase != MachinePhase::Deprovisioning && is_reached
     }
 
-    /// Answers the requests that wait for a confirmed cancellation, for each job of which nothing
-    /// is left.
+    /// Answers the requests that wait for a confirmed cancellation, for each job that has
+    /// no assigned task any more.
     pub(crate) fn confirm_cancellations(&mut self) {
         if self.requests.awaiting_cancellation.is_empty() || !self.list_watch.has_listed {
             return;
@@ -153,9 +153,10 @@
     }
 
     /// Returns whether renewing a worker's lease can break no rule. Cancellations later than
-    /// `g/settled` are answered when nothing of the job is left. A cache that has reached that
-    /// revision knows all earlier ones, and stops their tasks. A worker that has seen a token above
-    /// `CONFIRMED_CANCELLATION_TERM` proves that none of the earlier ones is left.
+    /// `g/settled` are answered when no task of the job is assigned any more. A cache that has
+    /// reached that revision contains all earlier cancellations, and the controller stops their
+    /// tasks. A worker with a token above `CONFIRMED_CANCELLATION_TERM` proves that no task of an
+    /// earlier cancellation runs.
     fn is_lease_renewal_safe(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let confirmed_from = self.cache.mod_revision(&Key::CancellationConfirmation);
         heartbeat.token >= CONFIRMED_CANCELLATION_TERM
@@ -166,7 +167,7 @@
 
     /// Returns the reply to a heartbeat while the controller is cut off from the state store: it
     /// redirects the worker to a peer that reaches the store, or renews its lease. It starts
-    /// nothing, and stops tasks of jobs cancelled before the cut, since a cancellation is final. A
+    /// no task, and stops tasks of jobs cancelled before the cut, since a cancellation is final. A
     /// controller that has started during the cut and so has no records does the same.
     pub(crate) fn reply_without_state(&mut self, heartbeat: &WorkerHeartbeat) -> WorkerReply {
         if let Some(controller) = self.peer_with_current_state() {
@@ -182,7 +183,7 @@
         };
         let token = self.fencing_token(&heartbeat.machine).unwrap_or(0);
         // Peers may have raised the token since this controller was cut off. A start that the
-        // higher token fences stays fenced, since nothing is started here.
+        // higher token fences stays fenced, since no task is started here.
         let token = token.max(heartbeat.token);
         if !renews_lease || token == 0 {
             return WorkerReply::Unavailable;
@@ -222,10 +223,10 @@
 
     /// Returns whether a worker is kept rather than sent to look for another controller. A
     /// controller that is cut off alone must not keep workers that others could serve; one that is
-    /// cut off with its zone is the only one that its workers reach. The heartbeats tell which:
-    /// only machines of its own zone report, or machines of other zones as well. In the latter case
+    /// cut off with its zone is the only one that its workers reach. The heartbeats show which is the
+    /// case: only machines of its own zone report, or machines of other zones as well. In the latter case
     /// each worker is redirected once, if its lease lasts for a search of all controllers: a worker
-    /// that comes back found no other.
+    /// that returns has found no other controller.
     fn should_keep_worker(&mut self, id: &str) -> bool {
         let reaches_all_peers = self.live_peers().count() + 1 == self.settings.controllers.len();
         if self.list_watch.has_listed && reaches_all_peers {
@@ -247,7 +248,7 @@
         if search_ms >= lease_ms {
             return self.lost_state_recently();
         }
-        // Workers that come back to a controller after its pause have searched already.
+        // Workers that return to a controller after its pause have searched already.
         let redirected_at = self.workers.redirected_at.get(id).copied();
         if self.now < self.lifecycle.resumed_at + lease_ms
             || redirected_at.is_some_and(|at| self.now < at + 2 * lease_ms)
--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -40,8 +40,8 @@
 
     /// Records the cancellation of jobs that depend on a cancelled job, if that is overdue. The
     /// controller that received the cancellation does so at once, and the others after a delay if
-    /// it has not. Until then users are told all the same that such jobs are cancelled, so nothing
-    /// depends on when it is recorded.
+    /// it has not. Until then controllers already answer that such jobs are cancelled, so nothing
+    /// depends on the time of the record.
     pub(crate) fn cancel_overdue_dependents(&mut self) {
         let doomed = self.cache.dependents().with_cancelled_dependency();
         self.cleanup
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Removes the chunk and zone spread records of jobs that are over.
+    /// Removes the chunk and zone spread records of jobs that have ended.
     pub(crate) fn remove_obsolete_records(&mut self) {
         if self.cleanup.removal_in_flight {
             return;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Drops what this controller knows of machines that have been deleted.
+    /// Drops the observations of machines that have been deleted.
     pub(crate) fn forget_deleted_machines(&mut self) {
         let cache = &self.cache;
         self.workers
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -36,9 +36,9 @@
     }
 }
 
-/// Returns what each open job that others need inherits from them. The last job of a pipeline has
-/// the priority and the deadline; passed upstream, a deadline is earlier by the run time of each
-/// job between. Only a share of that run time is counted, since estimates are often too high.
+/// Returns the priority and deadline that each open job inherits from its downstream jobs. The last
+/// job of a pipeline has the priority and the deadline; passed upstream, a deadline is earlier by the
+/// run time of each job between. Only a share of that run time is counted, since estimates are often too high.
 pub fn inherited_priorities(
     cache: &StateCache,
     min_run_ms: &dyn Fn(&str, &JobSpec) -> u64,
--- a/crates/core/src/jobs/request_table.rs
+++ b/crates/core/src/jobs/request_table.rs
@@ -11,9 +11,9 @@
 pub(crate) struct RequestTable {
     /// Requests without an answer.
     pub(crate) open: BTreeMap<RequestId, UserRequest>,
-    /// Admits submissions and cancellations at a rate that leaves changes for the rest.
+    /// Admits submissions and cancellations at a rate that leaves changes for other writes.
     pub(crate) admission: AdmissionControl,
-    /// Those of the open requests that wait until no task of a cancelled job is left.
+    /// Open requests that wait until no task of their cancelled job is assigned any more.
     pub(crate) awaiting_cancellation: BTreeSet<RequestId>,
 }
 
--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -30,7 +30,7 @@
     pub kind: RequestKind,
     /// When the request arrived.
     pub received_at: Millis,
-    /// When the user is told to retry.
+    /// When the user gets the answer to retry.
     pub expires_at: Millis,
 }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Returns the reply to a request that needs no current cache, or that can't be served now.
+    /// Returns the answer to a request that needs no current cache, or that can't be served now.
     fn immediate_reply(&self, request: &UserRequest) -> Option<UserReply> {
         // A final state never changes, so the cache suffices however old it is.
         let job = self.cache.job(&request.job);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Returns the reply that asks the user to retry.
+    /// Returns the answer that asks the user to retry.
     pub(crate) fn retry_later_reply(&self) -> UserReply {
         let after_s = match self.has_current_state() {
             true => RETRY_AFTER_S,
@@ -163,7 +163,8 @@
         }
     }
 
-    /// Cancels a job on record. If it is cancelled already, its user only waits.
+    /// Cancels a job on record. If it is cancelled already, only queues the request until the
+    /// cancellation is confirmed.
     fn cancel_job(&mut self, request: RequestId, id: String, job: &JobRecord) {
         if job.phase == JobPhase::Cancelled {
             self.await_cancellation(request);
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Handles a failed read for a request: queues another read, or tells the user to retry.
+    /// Handles a failed read for a request: queues another read, or answers that the user should retry.
     pub(crate) fn retry_read(&mut self, request: RequestId) {
         if self.has_current_state() && self.requests.open.contains_key(&request) {
             self.reads.unissued.push(request);
@@ -280,8 +281,8 @@
         self.reply_to_user(request, UserReply::Accepted { job });
     }
 
-    /// Stops the tasks of a job whose cancellation was committed, and answers its user or lets the
-    /// user wait.
+    /// Stops the tasks of a job whose cancellation was committed, and answers its user, or
+    /// queues the request until the cancellation is confirmed.
     fn job_cancelled(&mut self, request: RequestId, job: String) {
         tracing::info!(job, "job cancelled");
         self.send_job_stops(&job);
@@ -294,8 +295,8 @@
         self.reply_to_user(request, UserReply::Cancelled { job, state });
     }
 
-    /// Tells users to retry whose requests have waited too long, or all users once the cache is no
-    /// longer known to be current.
+    /// Answers requests that have waited too long with a retry time, or all requests once the cache
+    /// is no longer known to be current.
     pub(crate) fn expire_user_requests(&mut self) {
         let now = self.now;
         let expired = |request: &UserRequest| now >= request.expires_at;
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Tells the users of several requests to retry.
+    /// Answers several requests with a retry time.
     fn reply_retry_to_all(&mut self, requests: Vec<RequestId>) {
         for request in requests {
             let reply = self.retry_later_reply();
@@ -332,7 +333,7 @@
         }
     }
 
-    /// Returns the reply to a request about a job on record.
+    /// Returns the answer to a request about a job on record.
     fn job_reply(&self, request: &UserRequest, job: &JobRecord) -> UserReply {
         let (state, done, running) = self.job_state(&request.job, job);
         match request.kind {
@@ -353,7 +354,7 @@
     fn job_state(&self, id: &str, job: &JobRecord) -> (JobState, u32, u32) {
         match job.phase {
             JobPhase::Done => (JobState::Done, job.tasks, 0),
-            // No user has been told of the cancellation yet.
+            // No user has got a confirmation of the cancellation yet.
             JobPhase::Cancelled if self.cache.is_cancellation_pending(id) => {
                 let counts = self.cache.task_counts(id);
                 (JobState::Running, counts.done, counts.assigned)
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -40,7 +40,7 @@
     pub heartbeats: u64,
     pub scheduling_passes: u64,
     pub transactions: u64,
-    /// Changes sent to the state service, committed or not.
+    /// Changes sent to the state store, committed or not.
     pub changes: u64,
     /// Changes sent, by the purpose of the transaction and the kind of record.
     changes_by_kind: BTreeMap<(&'static str, &'static str), u64>,
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns whether this controller's cache lags behind the revision that a peer had reported with its previous
-    /// heartbeat, half a second ago.
+    /// heartbeat, one heartbeat interval ago.
     fn is_behind(&self, controller: &str) -> bool {
         let peer = self.peers.peer(controller);
         let status = peer.and_then(|peer| peer.heartbeat.status.as_ref());
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Asks machines whether they received the starts of claims that a lost peer may have made without sending
-    /// the starts. Only the coordinator asks.
+    /// Probes machines to find out whether they received the starts of claims that a lost peer may have made
+    /// without sending the starts. Only the coordinator does so.
     pub(crate) fn check_starts_of_lost_peers(&mut self) {
         if !self.is_coordinator() {
             return;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Fences the starts of this controller's claims whose transactions got no answer but whose assignments are in
+    /// Fences the starts of this controller's claims whose transactions got no response but whose assignments are in
     /// the cache by now. Nobody has sent their starts. This controller may not send them as they are, since a
     /// peer may have made the same claim. Fenced at once, a start goes with the next reply to a heartbeat, and not
     /// only after a heartbeat that lacks the task.
--- a/crates/core/src/peers/handoff.rs
+++ b/crates/core/src/peers/handoff.rs
@@ -13,15 +13,15 @@
 #[derive(Debug, Default)]
 pub(super) struct Handoff {
     planned: Option<PlannedHandoff>,
-    /// When a single worker was last handed over to a peer without workers, as a probe.
+    /// When a single worker was last handed off to a peer without workers, as a probe.
     last_probe_at: Millis,
 }
 
 #[derive(Debug)]
 struct PlannedHandoff {
-    /// The peer that the workers are handed over to.
+    /// The peer that the workers are handed off to.
     target: String,
-    /// Number of workers that are still to be handed over.
+    /// Number of workers that are still to be handed off.
     remaining: usize,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl PeerTracker {
-    /// Plans how many workers to hand over, and to which peer, until the next heartbeat. `own_load` is the number of
+    /// Plans how many workers to hand off, and to which peer, until the next heartbeat. `own_load` is the number of
     /// workers that send their heartbeats here; a peer's load counts heartbeats of the last `recent_ms`.
     ///
     /// Workers that lost their controller all switch to the same next controller and stay there. That controller
@@ -47,7 +47,7 @@
             .map(|p| (p.load(recent_ms), p.heartbeat.controller.clone()))
             .collect();
         // A controller whose ticks are late has too little processor time for its share. It counts its load as
-        // higher than it is, so that it hands over workers.
+        // higher than it is, so that it hands off workers.
         let own_load = match self.tick_delay_ms > f64::from(TICK_DELAY_SLOW_MS) {
             true => own_load + own_load / SLOW_CONTROLLER_LOAD_DIVISOR,
             false => own_load,
@@ -91,7 +91,7 @@
         self.handoff.cancel();
     }
 
-    /// Returns the peer that the next worker is handed over to, if any, and counts the worker.
+    /// Returns the peer that the next worker is handed off to, if any, and counts the worker.
     pub fn next_handoff(&mut self) -> Option<String> {
         let planned = self.handoff.planned.as_mut()?;
         planned.remaining = planned.remaining.checked_sub(1)?;
--- a/crates/core/src/peers/tracker.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -1,7 +1,7 @@
 //! Tracking of peers by their heartbeats: their status, their workers and their regularity.
 //!
 //! There is no leader election: every controller is a standby for each of its peers and fails over by itself. The
-//! tracker assesses a silent peer by more than one sign (`failure_detector`); the controller acts on the result
+//! tracker assesses a silent peer by several kinds of evidence (`failure_detector`); the controller acts on the result
 //! (`failover`).
 
 use super::failure_detector::Failover;
--- a/crates/core/src/provisioning/scale_in.rs
+++ b/crates/core/src/provisioning/scale_in.rs
@@ -158,7 +158,7 @@
             let sum = planned.entry(target).or_default();
             *sum = sum.saturating_add(&placed.resources);
         }
-        // The free capacity left afterwards must still take a new service of the largest size at once.
+        // The free capacity that remains must still take a new service of the largest size at once.
         let others = self.machines.iter().filter(|(other, _)| **other != id);
         let free_cpus: u64 = others.map(|(_, target)| target.free.cpus).sum();
         let planned_cpus: u64 = planned.values().map(|resources| resources.cpus).sum();
--- a/crates/core/src/provisioning/tracker.rs
+++ b/crates/core/src/provisioning/tracker.rs
@@ -19,7 +19,7 @@
     pub(crate) request_creation_in_flight: bool,
     /// Numbers of the instance requests whose records are being removed.
     pub(crate) removing_requests: BTreeSet<u64>,
-    /// Numbers of the instance requests that the cloud has not answered yet.
+    /// Numbers of the instance requests that the cloud has not responded to yet.
     pub(crate) requests_in_flight: BTreeSet<u64>,
     /// Machines whose deletion the cloud has confirmed.
     pub(crate) deletion_confirmed: BTreeSet<String>,
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -391,7 +391,7 @@
             StateResponse::Conflict { .. } | StateResponse::Unavailable => {
                 self.run_times.book.unsent(class, &batches)
             }
-            // It may still take effect, and a retry might count these runs twice.
+            // The write may still take effect, and a retry might count these runs twice.
             _ => tracing::info!(
                 jobs = batches.len(),
                 "run times write unanswered, runs dropped"
--- a/crates/core/src/safety_checks.rs
+++ b/crates/core/src/safety_checks.rs
@@ -6,7 +6,7 @@
 /// The enabled checks. A deployed controller enables all of them; no settings file contains them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Checks {
-    /// Responses about open jobs, rejections and 404 depend on a read that began after the request.
+    /// Answers about open jobs, rejections and 404 depend on a read that began after the request.
     pub linearizable_reads: bool,
     /// Held requests and cached state from before a pause of the process count as outdated.
     pub pause_detection: bool,
@@ -33,21 +33,21 @@
     pub worker_reachability: bool,
     /// Duplicate heartbeats, and those older than the latest, are ignored as evidence.
     pub duplicate_heartbeats: bool,
-    /// No task is placed on a machine that sends heartbeats but does not answer commands.
+    /// No task is placed on a machine that sends heartbeats but does not respond to commands.
     pub command_reachability: bool,
-    /// A controller that reaches neither the state service nor a peer reports that it is not ready.
+    /// A controller that reaches neither the state store nor a peer reports that it is not ready.
     pub isolation: bool,
     /// While cancellations are answered at their commit, leases are renewed only for a bounded time.
     pub bounded_leases: bool,
     /// A transaction without a response blocks no later transaction.
     pub unanswered_transactions: bool,
-    /// A change that the cache shows of a transaction without a response is acted on at once.
+    /// If the cache shows that a transaction without a response has committed, its effects follow at once.
     pub uncertain_outcomes: bool,
     /// A newer incarnation in the response to a direct command ends the attempts of earlier ones.
     pub incarnation: bool,
     /// Machines whose heartbeats reach no controller get no tasks, and services migrate off them.
     pub heartbeat_reachability: bool,
-    /// Machines without an instance request are recorded only once they have answered a probe.
+    /// Machines without an instance request are recorded only once they have responded to a probe.
     pub unmanaged_instances: bool,
     /// The first part of a batch that has waited long without a start becomes urgent.
     pub batch_start_delay: bool,
@@ -55,7 +55,7 @@
     pub stored_configuration: bool,
     /// Claims and acceptances are conditional on the configuration that they depend on.
     pub configuration_conditions: bool,
-    /// Tasks above a quota that was lowered are stopped.
+    /// Tasks of a team above its limit, once that was lowered, are stopped.
     pub quota_eviction: bool,
 }
 
--- a/crates/core/src/scheduling/claims.rs
+++ b/crates/core/src/scheduling/claims.rs
@@ -228,7 +228,7 @@
         if !spec.allows(&machine.type_name, &machine.zone, machine.spot) {
             return Err(Refusal::MachineExcluded);
         }
-        // The worker may refuse an attempt as `in_use` while it still knows an older attempt of the same task.
+        // The worker may refuse an attempt as `in_use` while it still lists an older attempt of the same task.
         let is_assigned_there = cache.assignment(self.request.machine, task).is_some();
         if !self.request.free.fits(&spec.resources) || is_assigned_there {
             return Err(Refusal::MachineUnavailable);
--- a/crates/core/src/scheduling/deferral.rs
+++ b/crates/core/src/scheduling/deferral.rs
@@ -79,7 +79,7 @@
 struct Running<'a> {
     /// Thousandths of processors that all services hold.
     service_cpus: u64,
-    /// The same by team.
+    /// Thousandths of processors that the services of each team hold.
     service_cpus_by_team: BTreeMap<&'a str, u64>,
     batches: BTreeMap<JobPriority, RunningWork>,
 }
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -193,7 +193,7 @@
             .sum()
     }
 
-    /// Holds services of production priority briefly for capacity on machines that cache their image, if
+    /// Delays services of production priority briefly to wait for capacity on machines that cache their image, if
     /// preempting batch tasks there lets them start sooner than fetching the image would. Schedules the next
     /// pass for the end of the first such wait.
     fn hold_for_cached_images(
--- a/crates/core/src/scheduling/placement.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -41,7 +41,7 @@
 
 /// Places pending work, given in order of urgency, in a transaction of at most `max_changes` changes. Within a
 /// group of equal urgency, jobs are first placed on machines that cache their image. Each job fills its best
-/// machine before the next one. AssignedTask tasks are removed from `work`.
+/// machine before the next one. Placed tasks are removed from `work`.
 pub fn plan(
     view: ClusterView,
     work: &mut [PendingWork],
--- a/crates/core/src/scheduling/preemption.rs
+++ b/crates/core/src/scheduling/preemption.rs
@@ -11,7 +11,7 @@
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-/// What a controller knows about machines, jobs and attempts that is not in the state cache.
+/// Information about machines, jobs and attempts that is not in the state cache.
 pub struct PreemptionContext<'a> {
     /// Returns whether pending work may use a machine.
     pub is_usable: &'a dyn Fn(&str) -> bool,
--- a/crates/core/src/scheduling/queue_order.rs
+++ b/crates/core/src/scheduling/queue_order.rs
@@ -21,10 +21,10 @@
     pub team: usize,
     /// The wall-clock time by which it should start for the first goal that it could meet if it ran alone.
     pub due: Option<WallMs>,
-    /// The same for its next later goal.
+    /// The wall-clock time by which it should start for the first goal after that of `due`.
     pub next_due: Option<WallMs>,
     /// Whether it is exempt from deferral, however large it is, because it has just arrived and is within its
-    /// team's guarantee.
+    /// team's guaranteed share.
     pub is_exempt: bool,
 }
 
--- a/crates/core/src/scheduling/quota_enforcement.rs
+++ b/crates/core/src/scheduling/quota_enforcement.rs
@@ -97,7 +97,7 @@
 }
 
 /// Returns the stops that bring each team's usage down to its limit. Tasks that are already being stopped or belong
-/// to a cancelled job count as gone.
+/// to a cancelled job count as ended.
 pub fn stops_over_limits(cache: &StateCache, policy: &Policy) -> Vec<Stop> {
     let teams = teams_over_limit(cache, policy);
     if teams.is_empty() {
--- a/crates/core/src/scheduling/stops.rs
+++ b/crates/core/src/scheduling/stops.rs
@@ -13,7 +13,7 @@
     Preempted,
     /// The task is to be placed on another machine.
     Migrated(MigrationReason),
-    /// Its team is above its limit.
+    /// The task's team is above the team's limit.
     OverLimit,
 }
 
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -27,12 +27,12 @@
     pub lease_ms: u64,
     /// Time after the confirmation of a cancellation within which all tasks of the job must have ended.
     pub cancellation_timeout_ms: u64,
-    /// Limit of the size of a value. Like `max_transaction_changes`, the smaller of the state service's
+    /// Limit of the size of a value. Like `max_transaction_changes`, the smaller of the state store's
     /// current limit and its announced one.
     pub max_value_bytes: u64,
     /// Limit of changes per transaction.
     pub max_transaction_changes: usize,
-    /// Changes per second that this controller may currently make to the state service.
+    /// Changes per second that this controller may currently make to the state store.
     pub write_rps: f64,
     /// Changes per second once the announced limits apply.
     pub announced_write_rps: f64,
--- a/crates/core/src/state/formats.rs
+++ b/crates/core/src/state/formats.rs
@@ -18,8 +18,8 @@
 //! tasks, and `MACHINE:ATTEMPT[:START][!STOP][*N]` for an assignment. MACHINE is the machine's name
 //! without the common prefix of all names in the chunk. ATTEMPT is the difference to the lowest
 //! attempt, in base 36. START is omitted if it is the most frequent one of the chunk; otherwise it
-//! is `n` for none, `sSESSION.TALLY` for the reply to a heartbeat, or `dSESSION.TOKEN` for a direct
-//! command. STOP is the index of a stop reason. `*N` means that N consecutive tasks have this word.
+//! is `n` for none, `sINCARNATION.SEQUENCE` for the reply to a heartbeat, or `dINCARNATION.TOKEN`
+//! for a direct command. STOP is the index of a stop reason. `*N` means that N consecutive tasks have this word.
 //! A task takes about 8 bytes instead of about 45, so a hundred of them fit into 2 KiB.
 
 use crate::constants::{
@@ -83,8 +83,8 @@
     pause_until: WallMs,
 }
 
-/// Encodes a start delivery as a word: `n` for none, else `s` and the position of the heartbeat,
-/// followed by `d` and the pair of numbers of the direct command.
+/// Encodes a start delivery as a word: `n` for none, else `s` and the position of the heartbeat, `d`
+/// and the pair of numbers of the direct command, or both in this order.
 fn delivery_word(delivery: StartDelivery) -> String {
     let part = |kind: char, numbers: Option<(u64, u64)>| {
         numbers.map_or(String::new(), |(a, b)| format!("{kind}{a}.{b}"))
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -41,7 +41,7 @@
     pub(crate) watch_lag_since: Option<Millis>,
     /// Time at which the watch was last opened.
     pub(crate) watch_opened_at: Millis,
-    /// Recent revisions and the time at which this controller learnt of each.
+    /// Recent revisions and the time at which this controller learned of each.
     pub(crate) revision_times: VecDeque<(u64, Millis)>,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// The source from which this controller learnt of a change to a record.
+/// The source from which this controller learned of a change to a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ChangeOrigin {
     /// The response to a transaction of this controller.
@@ -202,7 +202,7 @@
         let fenced_machine = self.machine_with_raised_token(&key, &record);
         self.cache.put(key, mod_revision, record);
         if let Some(machine) = fenced_machine {
-            // An empty command delivers the higher fencing token; the worker answers it with a
+            // An empty command delivers the higher fencing token; the worker responds to it with a
             // heartbeat at once.
             self.send_command(machine, Vec::new());
         }
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -31,7 +31,7 @@
     pub phase: JobPhase,
     /// Number of tasks.
     pub tasks: u32,
-    /// Tasks per chunk; the same for all controllers, and constant for the life of the job.
+    /// Tasks per chunk; the same for all controllers, and constant as long as the job exists.
     #[serde(rename = "chunk")]
     pub tasks_per_chunk: u32,
     /// Wall-clock time at which a controller accepted the job.
@@ -143,7 +143,7 @@
     /// State of each task, in order of the task index.
     #[serde(rename = "t")]
     pub tasks: Vec<TaskState>,
-    /// Team whose quota the tasks use; kept here, like `resources`, for after the job has ended.
+    /// Team whose quota the tasks use. The chunk keeps it, like `resources`, after the job has ended.
     #[serde(rename = "o", default)]
     pub team: String,
     /// Resources that each task uses.
@@ -226,7 +226,7 @@
     Up,
     /// Gets no new tasks, because of a spot notice or faults, or before it is deprovisioned.
     Draining,
-    /// Its deletion is committed; its assignments stay until the cloud has answered with 200.
+    /// Its deletion is committed; its assignments stay until the cloud has responded with 200.
     #[serde(rename = "Returning")]
     Deprovisioning,
 }
@@ -290,8 +290,8 @@
     }
 }
 
-/// CPUs and GPUs in use, as counted from the assignments. Each claim of a team with a quota writes
-/// the record, so that of two concurrent claims that together exceed the quota one conflicts.
+/// CPUs and GPUs in use, as counted from the assignments. Each claim of a team with a limit writes
+/// the record, so that of two concurrent claims that together exceed the limit one conflicts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamRecord {
     /// CPUs, in thousandths.
@@ -302,7 +302,7 @@
     pub gpus: u64,
 }
 
-/// The stored form of a [`TeamRecord`] from format 4 on. Versions that know quotas only from the
+/// The stored form of a [`TeamRecord`] from format 4 on. Versions that read limits only from the
 /// settings can't parse it: they keep an outdated record cached, so their claims always conflict.
 #[derive(Serialize)]
 struct FencedTeamValue {
@@ -346,7 +346,7 @@
     }
 }
 
-/// Returns the key of an offer of the cloud: machine type, zone, and whether spot or ordinary.
+/// Returns the key of an offer of the cloud: machine type, zone, and whether spot or on-demand.
 pub fn offer_key(type_name: &str, zone: &str, spot: bool) -> String {
     format!(
         "{type_name}|{zone}|{}",
@@ -386,9 +386,9 @@
 pub struct RunTimesRecord {
     /// Name of the team, truncated to the space available; the key identifies the class.
     pub team: String,
-    /// Name of the class, truncated likewise.
+    /// Name of the class, truncated to the space available.
     pub class: String,
-    /// Wall-clock time of the latest change; of too many records, the one unchanged longest goes.
+    /// Wall-clock time of the latest change. The oldest record is removed if there are too many.
     #[serde(rename = "at")]
     pub updated_at: WallMs,
     /// The statistics in packed form.
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -217,7 +217,7 @@
             self.scheduling.pass_requested = true;
             return;
         }
-        // Retries soon: the cloud answers a repeated request of the same name as it did the first
+        // Retries soon: the cloud responds to a repeated request of the same name as to the first
         // time. The subtraction saturates because shortly after a start `now` is less than the
         // usual retry interval.
         let tried_at = (self.now + PROVISION_FAST_RETRY_MS).saturating_sub(PROVISION_RETRY_MS);
--- a/crates/core/src/token_bucket.rs
+++ b/crates/core/src/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket that limits the rate of changes of a controller to the state service.
+//! A token bucket that limits the rate of changes of a controller to the state store.
 //!
 //! A transaction is built only when it can be sent at once. A queued transaction would conflict with
 //! the changes made meanwhile, and would use tokens nevertheless.
--- a/crates/core/src/tuning.rs
+++ b/crates/core/src/tuning.rs
@@ -19,7 +19,7 @@
     /// Whether the end of a peer's connection counts as evidence that the peer failed.
     #[serde(rename = "link_ends")]
     pub detect_link_loss: bool,
-    /// Whether machines are asked for the starts that a failed peer claimed last.
+    /// Whether machines are probed for the starts that a failed peer claimed last.
     #[serde(rename = "carry_on")]
     pub recover_starts: bool,
     /// Whether jobs are deferred when not all can finish in time.
--- a/crates/core/src/workers/commands.rs
+++ b/crates/core/src/workers/commands.rs
@@ -29,7 +29,7 @@
     }
 
     /// Sends the starts of a committed claim. Each is sent only once: a second copy that arrives
-    /// late could start the task after the worker was told to forget its result.
+    /// late could start the task after the command to forget its result.
     pub(crate) fn send_starts(&mut self, claimed: &[ClaimedTask]) {
         let mut by_machine: BTreeMap<String, (DirectStart, Vec<WorkerCommand>)> = BTreeMap::new();
         for claim in claimed {
@@ -77,9 +77,9 @@
     }
 
     /// Sends a direct command under the machine's current token and incarnation, or nothing if they
-    /// are unknown. A probe needs no incarnation: a machine that died while all controllers were
-    /// away has sent none of them a heartbeat since, and without a probe would never be found
-    /// silent.
+    /// are unknown. A probe needs no incarnation: a machine that failed while no
+    /// controller was running has sent no heartbeat since, and only a probe shows that it is
+    /// unreachable.
     pub(crate) fn send_command(&mut self, id: String, commands: Vec<WorkerCommand>) {
         let probe_incarnation = commands.is_empty().then_some(NO_INCARNATION);
         let incarnation = self.liveness(&id).incarnation().or(probe_incarnation);
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -47,20 +47,20 @@
         self.liveness(id).last_heartbeat_at()
     }
 
-    /// Returns the milliseconds since a machine's last sign of life: a heartbeat to any controller,
-    /// or a response to a direct command.
+    /// Returns the milliseconds since the last contact with a machine: a heartbeat to any
+    /// controller, or a response to a direct command.
     fn silence_ms(&self, id: &str) -> Millis {
         self.silence_ms_of(&self.liveness(id))
     }
 
-    /// Returns the same as `silence_ms` for a liveness that was looked up already.
+    /// Returns the result of `silence_ms` for a machine whose liveness was already looked up.
     pub(crate) fn silence_ms_of(&self, liveness: &Liveness) -> Millis {
         let answered_at = liveness.observation.answered_at.unwrap_or(0);
         self.now - self.last_heard_at(liveness).max(answered_at)
     }
 
-    /// Returns the milliseconds in which a worker finds another controller. After them a silent
-    /// machine is probed, whichever controller it reported to.
+    /// Returns the milliseconds after which a silent machine is probed, whichever controller it
+    /// reported to: the time that a worker needs to find another controller, and a margin.
     pub(crate) fn worker_silence_limit_ms(&self) -> Millis {
         self.worker_failover_ms() + SILENCE_MARGIN_MS
     }
@@ -76,7 +76,8 @@
         self.has_recent_heartbeat_of(&self.liveness(id))
     }
 
-    /// Returns the same as `has_recent_heartbeat` for a liveness that was looked up already.
+    /// Returns the result of `has_recent_heartbeat` for a machine whose liveness was already looked
+    /// up.
     pub(crate) fn has_recent_heartbeat_of(&self, liveness: &Liveness) -> bool {
         self.now - self.last_heard_at(liveness) < self.settings.heartbeat_interval_ms * 5 / 2
     }
@@ -100,16 +101,17 @@
 
     /// Returns the machines that are overdue, in order of their names.
     ///
-    /// A machine that reports to this controller is given up soon: its heartbeat is overdue, a
-    /// direct command sent since has failed, and other machines that report here do send
-    /// heartbeats. A worker turns to another controller only when this one fails it, so there is no
-    /// need to wait for that. If more than a third of them are overdue, this controller rather than
+    /// A machine that reports to this controller is deleted soon: its heartbeat is overdue, a direct
+    /// command sent since has failed, and other machines that report here do send heartbeats. A
+    /// worker switches to another controller only when this one does not reply, so there is no need
+    /// to wait for that. If more than a third of them are overdue, this controller rather than
     /// the machines may be partitioned.
     ///
-    /// A machine that no controller is known to have heard for as long as a worker needs to find
-    /// another controller is given up later if there are many such machines, since the network is
-    /// the likelier cause. While peers can't be reached, most machines are heard by the peers
-    /// alone; the responses to probes tell live machines from dead ones.
+    /// A machine from which no controller is known to have received a heartbeat for as long as a
+    /// worker needs to find another controller is deleted later if there are many such machines,
+    /// since the network is the likelier cause. While peers can't be reached, the heartbeats of most
+    /// machines reach only the peers; the responses to probes distinguish live machines from failed
+    /// ones.
     fn overdue_machines(&self, survey: MachineSurvey) -> Vec<OverdueMachine> {
         let mut give_up = BTreeMap::new();
         let limit_ms = self.worker_silence_limit_ms();
--- a/crates/core/src/workers/handoff.rs
+++ b/crates/core/src/workers/handoff.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns the peer that a worker is to report to instead, if any. A worker with results or a
-    /// reclaim notice is not handed over: both controllers would record these.
+    /// reclaim notice is not handed off: both controllers would record these.
     pub(super) fn handoff_target(&mut self, heartbeat: &WorkerHeartbeat) -> Option<String> {
         let has_exited = |status: &TaskStatus| matches!(status.phase, TaskPhase::Exited(_));
         if heartbeat.notice_s.is_some() || heartbeat.tasks.iter().any(has_exited) {
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Worker heartbeats: the controller drops, answers, holds or redirects each one.
+//! Worker heartbeats: the controller drops, replies to, holds or redirects each one.
 
 use crate::constants::{HEARTBEAT_REPLY_MAX_DELAY_MS, WORKER_FAILOVER_MS, WORKER_HANDOFF_MS};
 use crate::controller::{Controller, Effect, RequestId, WorkerReply};
@@ -29,7 +29,7 @@
 
 impl Controller {
     /// Receives a worker's heartbeat: drops duplicates, updates when the machine and its zone were
-    /// last heard, and processes the heartbeat.
+    /// last heard from, and processes the heartbeat.
     pub(crate) fn receive_worker_heartbeat(
         &mut self,
         request: RequestId,
@@ -89,8 +89,8 @@
             return;
         };
         if heartbeat.token > token {
-            // The worker has seen a token of a newer term than this controller knows, so this
-            // controller must not command it.
+            // The worker has a token of a newer term than the one in this controller's cache, so
+            // this controller must not send commands to it.
             self.reply_to_worker(request, WorkerReply::Unavailable);
             return;
         }
@@ -117,8 +117,8 @@
     }
 
     /// Detects machines that send heartbeats but receive no replies. Such a machine keeps
-    /// reporting, and looks free once its lease has ended, so its heartbeats alone are no reason to
-    /// place work there. It counts as unreachable until it answers a probe
+    /// reporting, and seems to be free once its lease has ended, so its heartbeats alone are no reason to
+    /// place work there. It counts as unreachable until it responds to a probe
     /// (`probe_unreachable_machines`).
     fn detect_unreachable_worker(&mut self, heartbeat: &WorkerHeartbeat) {
         let id = &heartbeat.machine;
@@ -139,7 +139,7 @@
             return;
         }
         // Its worker timed out waiting for a healthy controller's reply. A worker that was handed
-        // over arrives within `WORKER_HANDOFF_MS` instead.
+        // off arrives within `WORKER_HANDOFF_MS` instead.
         let timed_out = |at: Millis| self.now + WORKER_HANDOFF_MS >= at + WORKER_FAILOVER_MS;
         let previous_peer = liveness
             .from_peers
--- a/crates/core/src/workers/machine_updates.rs
+++ b/crates/core/src/workers/machine_updates.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns whether a machine is on record, or known to have been provisioned. Any other machine
-    /// must answer a probe before it is recorded: its heartbeat may be old and the machine long
+    /// must respond to a probe before it is recorded: its heartbeat may be old and the machine long
     /// deleted, which a controller that has just started does not know.
     fn is_known_machine(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
         let id = &heartbeat.machine;
@@ -113,7 +113,7 @@
         self.workers.starts.request_token_raise(id);
     }
 
-    /// Returns a machine's record with the data of a heartbeat, if these change it.
+    /// Returns a machine's record with the data of a heartbeat, if they change it.
     pub(crate) fn updated_record(&self, id: &str, update: &MachineUpdate) -> Option<MachineRecord> {
         let Some(record) = self.cache.machine(id) else {
             return (!self.workers.recently_deleted.contains(id)).then(|| MachineRecord {
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -45,7 +45,7 @@
 /// detection use every part of it for every machine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Liveness<'a> {
-    /// Its latest heartbeat that came to this controller.
+    /// Its latest heartbeat that this controller received.
     pub received: Option<&'a ReceivedHeartbeat>,
     /// Its latest heartbeat that a peer reported.
     pub from_peers: Option<&'a PeerObservation>,
@@ -60,8 +60,8 @@
         received_at.max(self.from_peers.map(|heartbeat| heartbeat.received_at))
     }
 
-    /// Returns the time of the latest sign of life that any controller is known to have had, if
-    /// any: a heartbeat or a response to a direct command.
+    /// Returns the time of the latest contact that any controller is known to have had, if any: a
+    /// heartbeat or a response to a direct command.
     pub fn last_sign_of_life_at(&self) -> Option<Millis> {
         self.last_heartbeat_at().max(self.observation.answered_at)
     }
@@ -77,7 +77,7 @@
         self.last_position().is_some_and(|known| position <= known)
     }
 
-    /// Returns whether its latest heartbeat, as far as is known, came to this controller.
+    /// Returns whether its latest heartbeat, as far as is known, arrived at this controller.
     pub fn reports_here(&self) -> bool {
         self.received
             .is_some_and(|heartbeat| !heartbeat.is_older_than(self.from_peers))
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -13,11 +13,12 @@
 /// Evidence of whether this controller is partitioned from the workers.
 #[derive(Debug)]
 pub(crate) struct WorkerReachability {
-    /// Consecutive direct commands without a response since a worker was last heard.
+    /// Consecutive direct commands without a response since the last heartbeat or response of any
+    /// worker.
     unanswered_commands: u32,
     /// When a worker's heartbeat or response last arrived.
     heard_at: Millis,
-    /// End of the last interval without either that was too long to be chance.
+    /// End of the last interval without heartbeats and responses that was too long to be chance.
     inbound_lost_until: Millis,
     /// When this controller last probed a machine to find out whether the partition is over.
     probed_at: Millis,
@@ -33,13 +34,13 @@
         }
     }
 
-    /// Returns the milliseconds since a worker was heard.
+    /// Returns the milliseconds since the last heartbeat or response of any worker.
     pub fn silence_ms(&self, now: Millis) -> Millis {
         now - self.heard_at
     }
 
     /// Records that a worker's heartbeat or response has arrived. `max_gap_ms` is the longest
-    /// interval without either that is no evidence of a partition.
+    /// interval without heartbeats and responses that is no evidence of a partition.
     pub fn record_contact(&mut self, now: Millis, max_gap_ms: Millis) {
         if self.silence_ms(now) > max_gap_ms {
             self.inbound_lost_until = now;
@@ -57,8 +58,8 @@
         self.unanswered_commands >= PARTITION_UNANSWERED_COMMANDS
     }
 
-    /// Returns whether a direct command that failed is no evidence against its machine: no worker
-    /// was heard since, or the command was sent shortly before a partition ended.
+    /// Returns whether a direct command that failed is no evidence against its machine: no
+    /// heartbeat or response has arrived since, or the command was sent shortly before a partition ended.
     pub fn is_failure_inconclusive(&self, at: Millis) -> bool {
         self.heard_at <= at || at <= self.inbound_lost_until + 2 * COMMAND_TIMEOUT_MS
     }
@@ -94,7 +95,8 @@
     }
 
     /// Returns whether an unanswered probe may be due to a partition of this controller: it has
-    /// heard no worker since the probe, while peers have. Without this check a partitioned
+    /// received no heartbeat or response since the probe, while peers have received heartbeats.
+    /// Without this check a partitioned
     /// controller terminated the first two or three machines that fell silent.
     pub(super) fn may_be_partitioned(&self, probed_at: Millis) -> bool {
         let heard_elsewhere = self.live_peers().any(|peer| {
--- a/crates/core/src/workers/reconciliation.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -240,7 +240,7 @@
 /// Returns whether the start of an assignment can no longer arrive, unless it has arrived already.
 /// A worker of a newer incarnation has killed and forgotten everything older; a heartbeat later
 /// than the one whose reply carried the start shows that the reply did not deliver it; and a worker
-/// that has seen a higher token than the direct command's refuses that command however late it
+/// that has received a higher token than the direct command's refuses that command however late it
 /// arrives.
 pub(super) fn is_start_fenced(
     assignment: &Assignment,
--- a/crates/core/src/workers/registry.rs
+++ b/crates/core/src/workers/registry.rs
@@ -1,4 +1,4 @@
-//! This controller's knowledge of workers beyond their records.
+//! State of workers that this controller keeps in memory, besides their records.
 
 use crate::constants::DELETED_MACHINES_MAX;
 use crate::model::{HeartbeatPosition, Millis};
@@ -10,7 +10,7 @@
 use foldhash::{HashMap, HashMapExt, HashSet};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The latest heartbeat of a worker that came to this controller.
+/// The latest heartbeat of a worker that this controller received.
 #[derive(Debug)]
 pub(crate) struct ReceivedHeartbeat {
     pub at: Millis,
@@ -40,11 +40,11 @@
     }
 }
 
-/// This controller's knowledge of workers beyond their records.
+/// State of workers that this controller keeps in memory, besides their records.
 pub(crate) struct WorkerRegistry {
     /// Heartbeats whose reply is held back, by machine.
     pub(crate) held_heartbeats: BTreeMap<String, HeldHeartbeat>,
-    /// The latest heartbeat that came here, by machine.
+    /// The latest heartbeat that this controller received, by machine.
     pub(crate) last_heartbeats: HashMap<String, ReceivedHeartbeat>,
     /// Other observations of each machine.
     pub(crate) observations: MachineObservations,
@@ -58,14 +58,14 @@
     pub(crate) redirected_at: HashMap<String, Millis>,
     /// When a machine of each zone last reported to this controller.
     pub(crate) zone_heartbeat_at: BTreeMap<String, Millis>,
-    /// When a task was last placed on a machine, as far as seen here.
+    /// When a task was last placed on a machine, as far as this controller knows.
     pub(crate) last_assigned_at: HashMap<String, Millis>,
     /// Until when machines are estimated to fetch images for tasks that this controller placed
     /// there.
     pub(crate) fetching_until: HashMap<String, Millis>,
     /// Machines whose deletion is to be recorded, with the reasons.
     pub(crate) marked_for_termination: BTreeMap<String, TerminationReason>,
-    /// When machine failures were last looked for.
+    /// When failure detection last ran.
     pub(crate) failures_detected_at: Millis,
 }
 
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -1,4 +1,4 @@
-//! Replies to heartbeats: which commands they carry, and when held heartbeats are answered.
+//! Replies to heartbeats: which commands they carry, and when the controller replies to held heartbeats.
 
 use crate::constants::{HEARTBEAT_REPLY_MAX_DELAY_MS, REPLY_MAX_COMMANDS};
 use crate::controller::{Controller, RequestId, WorkerReply};
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -1,8 +1,8 @@
 //! Writing of evidence from heartbeats and deletions to the state store: each transaction at the
 //! write interval takes as much of it as fits.
 //!
-//! Heartbeats are answered before their evidence is written. A worker repeats each result until it
-//! is told to forget it, which happens after the commit, so a controller that ends in between loses
+//! The controller replies to heartbeats before it writes their evidence. A worker repeats each result until it
+//! gets the command to forget it, which happens after the commit, so a controller that ends in between loses
 //! nothing.
 
 use crate::constants::{
@@ -24,7 +24,7 @@
     pub outcome: AttemptOutcome,
     pub at: Millis,
     /// The delivery on which the proof is conditional: it shows only that this delivery of the
-    /// start never arrived, or is over with its incarnation. If another controller sends the start
+    /// start never arrived, or that its incarnation has ended. If another controller sends the start
     /// of the same attempt again meanwhile, the proof is void.
     pub conditional_on: Option<StartDelivery>,
 }
@@ -73,8 +73,8 @@
 
         let max_changes = self.max_result_changes(changes_left);
         // While the rate limit is short of changes, results alone would fill every transaction.
-        // Machines that came up would then never be recorded or used, and would be given up as
-        // never heard; tasks on unreachable machines would not restart, and cancelled tasks on
+        // Machines that came up would then never be recorded or used, and would be deleted as machines
+        // that never came up; tasks on unreachable machines would not restart, and cancelled tasks on
         // others would outlive their time limit. Up to half of the changes are therefore reserved
         // for machine records.
         let (in_use, idle) = self.machines_to_delete();
@@ -200,7 +200,7 @@
     fn draft_reply_starts(&self, draft: &mut ResultsDraft) -> Vec<String> {
         let mut machines = Vec::new();
         for (id, held) in &self.workers.held_heartbeats {
-            // As many as fit: a machine may lack hundreds of starts, which share the puts of a few
+            // Drafts as many as fit: a machine may lack hundreds of starts, which share the puts of a few
             // chunks. The others go with its next heartbeat.
             let position = held.position();
             let mut has_drafted = false;
@@ -392,7 +392,7 @@
     }
 
     /// Queues the ends of all assignments on deleted machines: the cloud's 200 to a deletion proves
-    /// that everything on the machine is gone.
+    /// that every task on the machine has ended.
     fn queue_results_of_deleted_machines(&mut self) {
         let cache = &self.cache;
         self.provisioning
@@ -444,7 +444,7 @@
         }
     }
 
-    /// Returns a new record for a machine that an instance request brought and that has sent no
+    /// Returns a new record for a machine that an instance request provisioned and that has sent no
     /// heartbeat.
     fn new_record_of_instance(&self, id: &str) -> Option<MachineRecord> {
         let (_, instance_request, _) = self.cache.instance_requests().find(|(_, request, _)| {
--- a/crates/core/src/workers/starts.rs
+++ b/crates/core/src/workers/starts.rs
@@ -34,7 +34,7 @@
     /// When machines are to be probed for starts that a failed peer may not have sent, and the
     /// earliest claim to check.
     failover_check: Option<(Millis, Millis)>,
-    /// Machines that were probed for such starts.
+    /// Machines that were probed for starts that a failed peer may not have sent.
     failover_checked: BTreeSet<String>,
     /// Machines whose token this controller has requested to be raised.
     raise_requested: BTreeSet<String>,
@@ -129,8 +129,8 @@
         now >= since + START_MISSING_MS || claimed_at.is_some_and(|at| now >= at + patience_ms)
     }
 
-    /// Returns whether a start is on its way to a machine: claimed since the last sign of life from
-    /// there.
+    /// Returns whether a start is in flight to a machine: claimed since the last contact with the
+    /// machine.
     pub fn is_in_flight(&self, start: &Attempt, last_sign_at: Millis) -> bool {
         self.tracked
             .get(start)
@@ -138,7 +138,7 @@
     }
 
     /// Schedules a check of the machines to which a failed peer may not have sent its last starts.
-    /// The peer's last heartbeat came at `heard_at`.
+    /// The peer's last heartbeat arrived at `heard_at`.
     pub fn schedule_failover_check(&mut self, now: Millis, heard_at: Millis) {
         let from = heard_at.saturating_sub(PEER_HEARTBEAT_INTERVAL_MS);
         let from = self
--- a/crates/core/src/zones/detector.rs
+++ b/crates/core/src/zones/detector.rs
@@ -1,6 +1,6 @@
 //! Detection of zones whose machines all fall silent. Machine failures, also correlated ones, do not silence all
 //! machines of a zone within one heartbeat interval, but a partition does: the machines continue to run, and a
-//! controller inside the zone answers their heartbeats. Deleting them would end tasks that the partition leaves
+//! controller inside the zone replies to their heartbeats. Deleting them would end tasks that the partition leaves
 //! running.
 
 use crate::constants::{
@@ -67,12 +67,12 @@
     pub silent: Vec<SilentMachine>,
     /// Number of machines that send their heartbeats to this controller.
     pub reporting_here: usize,
-    /// Those of them whose heartbeat is overdue.
+    /// Machines that send their heartbeats to this controller and whose heartbeat is overdue.
     pub overdue_here: Vec<String>,
 }
 
 impl Controller {
-    /// Returns the time of the last known contact of any controller with a machine: a heartbeat or an answer to a
+    /// Returns the time of the last known contact of any controller with a machine: a heartbeat or a response to a
     /// direct command.
     pub(crate) fn last_contact_at(&self, id: &str) -> Option<Millis> {
         self.liveness(id).last_sign_of_life_at()
@@ -127,7 +127,7 @@
                 && observed.has_enough_overdue()
                 && self.now > observed.last_contact_at + limit_ms;
             // A zone remains unreachable until there is contact with one of its machines, even if only a few
-            // machines are left.
+            // machines remain.
             let since = self.zones.unreachable_since(zone);
             let continues =
                 since.is_some_and(|last_contact_at| observed.last_contact_at <= last_contact_at);
@@ -150,7 +150,7 @@
         self.zones.replace_observations(observations);
     }
 
-    /// Returns the most likely kind of a zone's outage, by whether peers in the zone are still heard.
+    /// Returns the most likely kind of a zone's outage, by whether heartbeats of peers in the zone still arrive.
     pub(crate) fn failure_kind(&self, zone: &str) -> ZoneFailureKind {
         let controllers = self.settings.controller_zones.iter();
         let mut in_zone = controllers.filter(|(_, z)| *z == zone).peekable();
@@ -201,9 +201,9 @@
         self.settings.checks.zone_reachability && self.zones.unreachable_since(zone).is_some()
     }
 
-    /// Returns whether a machine answered a direct command after its heartbeat was overdue. Then its heartbeats reach
-    /// no controller, and its lease and its tasks end unless it reaches one in time. While a peer is unreachable
-    /// this is not known, as the heartbeats may reach that peer.
+    /// Returns whether a machine responded to a direct command after its heartbeat was overdue. Then its
+    /// heartbeats reach no controller, and its lease and its tasks end unless it reaches one in time. While a peer
+    /// is unreachable this is not known, as the heartbeats may reach that peer.
     pub(crate) fn is_outbound_lost(&self, liveness: &Liveness) -> bool {
         let overdue_ms = self.settings.heartbeat_due_ms() + PROBE_DELAY_MS;
         let answered_when_overdue = |heartbeat_at: Millis| {
@@ -217,8 +217,8 @@
             && self.all_peers_reachable()
     }
 
-    /// Returns whether a machine answered a direct command recently and none has gone unanswered since. Then a stop
-    /// reaches it, and its answer reports ended tasks even if its heartbeats reach no controller.
+    /// Returns whether a machine responded to a direct command recently and to each one since. Then a stop
+    /// reaches it, and its response reports ended tasks even if its heartbeats reach no controller.
     pub(crate) fn answers_commands(&self, id: &str) -> bool {
         let observation = self.workers.observations.get(id);
         let answered_at = observation.answered_at;
@@ -258,8 +258,8 @@
         machines.flat_map(|id| self.migrations_off(id)).collect()
     }
 
-    /// Returns whether tasks may be placed or preempted on a machine: it sent a heartbeat recently, answered a
-    /// direct command since one last went unanswered, and its zone is reachable. Heartbeats alone do not show
+    /// Returns whether tasks may be placed or preempted on a machine: it sent a heartbeat recently, responded
+    /// to a direct command since one last got no response, and its zone is reachable. Heartbeats alone do not show
     /// that commands reach the machine.
     pub(crate) fn is_reachable(&self, id: &str, zone: &str) -> bool {
         self.is_reachable_with(&self.liveness(id), zone)
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -104,7 +104,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Urgency {
     priority: Reverse<JobPriority>,
-    /// Whether all tasks belong to teams that use more than their quota.
+    /// Whether all tasks belong to teams that use more than their guaranteed share.
     beyond_quota: bool,
     /// The earliest deadline of a task, in wall-clock time.
     deadline: WallMs,
@@ -225,7 +225,7 @@
             .collect()
     }
 
-    /// Returns whether a machine is left alone because it runs a service inside a partitioned zone. Then no
+    /// Returns whether a machine is kept because it runs a service inside a partitioned zone. Then no
     /// capacity needs to be reserved for its tasks.
     fn is_left_to_serve(&self, id: &str, outage: &ZoneOutage) -> bool {
         let serves = |(task, placed): (&TaskId, &AssignedTask)| {
@@ -342,7 +342,7 @@
         deadlines
     }
 
-    /// Returns whether a team uses more than its quota.
+    /// Returns whether a team uses more than its guaranteed share.
     fn is_beyond_quota(&self, team: &str) -> bool {
         let usage = self.cache.usage(team);
         let quota = self.settings.policy.teams.get(team);
--- a/crates/core/src/zones/failures.rs
+++ b/crates/core/src/zones/failures.rs
@@ -220,7 +220,7 @@
 
     /// Returns the last contact with a zone once it has been unreachable for `ZONE_CONFIRM_MS`. Within that time
     /// peers that reach the zone would have reported its machines: a controller that was itself partitioned first
-    /// takes zones for unreachable although it reaches them again.
+    /// regards zones as unreachable although it reaches them again.
     pub fn confirmed_unreachable_since(&self, now: Millis, zone: &str) -> Option<Millis> {
         let outage = self.unreachable.get(zone)?;
         (now >= outage.detected_at + ZONE_CONFIRM_MS).then_some(outage.last_contact_at)
