--- a/crates/core/src/configuration/records.rs
+++ b/crates/core/src/configuration/records.rs
@@ -180,9 +180,12 @@
     )?;
     let version = record.version;
     let mut pages = Vec::new();
-    for n in 0..record.pages {
-        let missing = || ConfigurationError::new(format!("page {n}"), "missing or unreadable");
-        let page = cache.configuration_page(version, n).ok_or_else(missing)?;
+    for page_number in 0..record.pages {
+        let missing =
+            || ConfigurationError::new(format!("page {page_number}"), "missing or unreadable");
+        let page = cache
+            .configuration_page(version, page_number)
+            .ok_or_else(missing)?;
         pages.push(page.clone());
     }
     let settings = settings_from_pages(&pages);
--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -236,9 +236,9 @@
         let recent_ms = 2 * self.settings.heartbeat_interval_ms;
         let own_zone = self.settings.zone.as_str();
         let mut zones = self.workers.zone_heartbeat_at.iter();
-        let hears_other_zones =
+        let has_heartbeats_of_other_zones =
             zones.any(|(zone, at)| zone != own_zone && self.now < at + recent_ms);
-        if has_several_zones && !hears_other_zones {
+        if has_several_zones && !has_heartbeats_of_other_zones {
             return true;
         }
         let lease_ms = self.settings.lease_ms;
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -16,8 +16,10 @@
         let images = heartbeat.cached_images.clone();
         let is_behind = self.is_behind(&heartbeat.controller);
         let (now, wall_time) = (self.now, self.wall_time);
-        let own = &self.workers.last_heartbeats;
-        let outcome = self.peers.receive_heartbeat(now, wall_time, heartbeat, own);
+        let own_heartbeats = &self.workers.last_heartbeats;
+        let outcome = self
+            .peers
+            .receive_heartbeat(now, wall_time, heartbeat, own_heartbeats);
         if outcome != HeartbeatOutcome::Accepted {
             return;
         }
@@ -78,10 +80,10 @@
         let pass_at = self.now + self.settings.controller_index() * FAILOVER_STAGGER_MS;
         self.scheduling.next_pass_at = self.scheduling.next_pass_at.min(pass_at);
         if self.settings.tuning.recover_starts {
-            let heard_at = self.now - lost.silent_ms;
+            let last_heartbeat_at = self.now - lost.silent_ms;
             self.workers
                 .starts
-                .schedule_failover_check(self.now, heard_at);
+                .schedule_failover_check(self.now, last_heartbeat_at);
         }
     }
 
--- a/crates/core/src/peers/failure_detector.rs
+++ b/crates/core/src/peers/failure_detector.rs
@@ -14,9 +14,9 @@
 /// The failover of a lost peer's workers to other controllers.
 #[derive(Debug)]
 pub(super) struct Failover {
-    /// When the peer's last heartbeat arrived.
-    started_at: Millis,
-    /// Workers from which no controller has received a heartbeat since.
+    /// When the peer's last heartbeat arrived. The duration of the failover counts from then.
+    last_heartbeat_at: Millis,
+    /// Workers from which no controller has received a heartbeat since the peer's last one.
     pub(super) missing: BTreeSet<String>,
     /// Number of workers that sent their heartbeats to the peer.
     workers: usize,
@@ -29,7 +29,7 @@
     pub controller: String,
     /// Number of workers that sent their heartbeats to the peer.
     pub workers: usize,
-    /// Number of these workers from which no controller has received a heartbeat since.
+    /// Number of these workers from which no controller has received a heartbeat since the peer's last one.
     pub missing: usize,
     pub duration_ms: Millis,
 }
@@ -51,7 +51,7 @@
             let workers = peer.workers.len() + peer.failed_over;
             if status.is_inactive() && !previous.is_inactive() {
                 let failover = Failover {
-                    started_at: peer.last_heartbeat_at,
+                    last_heartbeat_at: peer.last_heartbeat_at,
                     missing: peer.workers.clone(),
                     workers,
                 };
@@ -74,7 +74,7 @@
         let max_ms = FAILOVER_TIMEOUT_FACTOR * self.membership.worker_failover_ms;
         let is_complete = |failover: &Failover| {
             let max_missing = failover.workers / FAILOVER_MISSING_DIVISOR;
-            failover.missing.len() <= max_missing || now > failover.started_at + max_ms
+            failover.missing.len() <= max_missing || now > failover.last_heartbeat_at + max_ms
         };
         let complete = self.failovers.iter().filter(|(_, f)| is_complete(f));
         let complete: Vec<String> = complete.map(|(controller, _)| controller.clone()).collect();
@@ -84,7 +84,7 @@
                 controller,
                 workers: failover.workers,
                 missing: failover.missing.len(),
-                duration_ms: now - failover.started_at,
+                duration_ms: now - failover.last_heartbeat_at,
             })
         });
         completed.collect()
--- a/crates/core/src/peers/tracker.rs
+++ b/crates/core/src/peers/tracker.rs
@@ -30,7 +30,7 @@
     /// The names of all controllers.
     pub(super) members: Vec<String>,
     /// Milliseconds by which the wall clocks of controllers may differ.
-    pub(super) clock_off_ms: Millis,
+    pub(super) clock_skew_ms: Millis,
     /// Milliseconds within which all workers of an exited controller have switched to another one.
     pub(super) worker_failover_ms: Millis,
     pub(super) tuning: Tuning,
@@ -66,7 +66,7 @@
         let membership = Membership {
             own_name: settings.controller.clone(),
             members: settings.controllers.clone(),
-            clock_off_ms: settings.clock_skew_ms,
+            clock_skew_ms: settings.clock_skew_ms,
             worker_failover_ms: WORKER_FAILOVER_MS + settings.heartbeat_due_ms(),
             tuning: settings.tuning,
         };
@@ -92,14 +92,14 @@
 
     // ---- Events -------------------------------------------------------------------------
 
-    /// Accepts a peer's heartbeat, or returns the reason to reject it. `own` are the latest heartbeats of workers
-    /// that this controller received itself.
+    /// Accepts a peer's heartbeat, or returns the reason to reject it. `own_heartbeats` are the latest heartbeats of
+    /// workers that this controller received itself.
     pub fn receive_heartbeat(
         &mut self,
         now: Millis,
         wall_time: WallMs,
         heartbeat: PeerHeartbeat,
-        own: &HashMap<String, ReceivedHeartbeat>,
+        own_heartbeats: &HashMap<String, ReceivedHeartbeat>,
     ) -> HeartbeatOutcome {
         if let Some(reason) = self.reason_to_reject(now, wall_time, &heartbeat) {
             *self.rejected.entry(reason).or_default() += 1;
@@ -110,7 +110,7 @@
             );
             return HeartbeatOutcome::Rejected(reason);
         }
-        self.observe_workers(now, &heartbeat, own);
+        self.observe_workers(now, &heartbeat, own_heartbeats);
         self.share_images |= self.has_just_started(&heartbeat);
         match self.peers.get_mut(&heartbeat.controller) {
             Some(peer) => {
@@ -303,7 +303,7 @@
         let Membership {
             own_name, members, ..
         } = &self.membership;
-        let clock_tolerance_ms = 2 * self.membership.clock_off_ms;
+        let clock_tolerance_ms = 2 * self.membership.clock_skew_ms;
         if heartbeat.controller == *own_name || !members.contains(&heartbeat.controller) {
             return Some(RejectedHeartbeat::UnknownController);
         }
@@ -327,12 +327,16 @@
             // If a process exits soon after its start and the wall clock is set back meanwhile, its successor seems
             // to be an earlier process. Its heartbeats are accepted once the known process is silent, or its link
             // has ended.
-            (Some(a), Some(b)) if b.process_started_at < a.process_started_at => peer
-                .is_in_time(now)
-                .then_some(RejectedHeartbeat::EarlierProcess),
+            (Some(known_status), Some(status))
+                if status.process_started_at < known_status.process_started_at =>
+            {
+                peer.is_in_time(now)
+                    .then_some(RejectedHeartbeat::EarlierProcess)
+            }
             // Within one process the heartbeat count decides, as the wall clock may be set back within its tolerance.
-            (Some(a), Some(b))
-                if b.process_started_at == a.process_started_at && b.sequence <= a.sequence =>
+            (Some(known_status), Some(status))
+                if status.process_started_at == known_status.process_started_at
+                    && status.sequence <= known_status.sequence =>
             {
                 Some(RejectedHeartbeat::Duplicate)
             }
@@ -348,10 +352,10 @@
         &mut self,
         now: Millis,
         heartbeat: &PeerHeartbeat,
-        own: &HashMap<String, ReceivedHeartbeat>,
+        own_heartbeats: &HashMap<String, ReceivedHeartbeat>,
     ) {
         for worker in &heartbeat.workers {
-            self.observe_worker(now, &heartbeat.controller, worker, own);
+            self.observe_worker(now, &heartbeat.controller, worker, own_heartbeats);
         }
     }
 
@@ -361,7 +365,7 @@
         now: Millis,
         controller: &str,
         worker: &HeardWorker,
-        own: &HashMap<String, ReceivedHeartbeat>,
+        own_heartbeats: &HashMap<String, ReceivedHeartbeat>,
     ) {
         let (machine, position) = (&worker.machine, worker.position());
         let at = now.saturating_sub(worker.age_ms);
@@ -380,7 +384,9 @@
             return;
         }
         known.position = position;
-        let received_here = own.get(machine).is_some_and(|h| h.position >= position);
+        let received_here = own_heartbeats
+            .get(machine)
+            .is_some_and(|h| h.position >= position);
         let has_switched = known.peer != controller;
         let previous =
             has_switched.then(|| std::mem::replace(&mut known.peer, controller.to_string()));
--- a/crates/core/src/peers/tracker/tests.rs
+++ b/crates/core/src/peers/tracker/tests.rs
@@ -20,7 +20,7 @@
     let membership = Membership {
         own_name: "a".into(),
         members,
-        clock_off_ms: 1_000,
+        clock_skew_ms: 1_000,
         worker_failover_ms: 11_250,
         tuning: Tuning::default(),
     };
--- a/crates/core/src/provisioning/cloud.rs
+++ b/crates/core/src/provisioning/cloud.rs
@@ -18,8 +18,12 @@
 
 impl Controller {
     /// Handles the cloud's response to a request, or the failure of the request.
-    pub(crate) fn handle_cloud_response(&mut self, token: OperationId, response: CloudResponse) {
-        let Some((purpose, _)) = self.operations.outstanding.remove(&token) else {
+    pub(crate) fn handle_cloud_response(
+        &mut self,
+        operation: OperationId,
+        response: CloudResponse,
+    ) {
+        let Some((purpose, _)) = self.operations.outstanding.remove(&operation) else {
             return;
         };
         match (purpose, response) {
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -101,16 +101,21 @@
     }
 
     /// Observes new claims and lost attempts in a chunk that is about to change in the cache.
-    pub(crate) fn observe_assignment_changes(&mut self, job: &str, n: u32, chunk: &ChunkRecord) {
+    pub(crate) fn observe_assignment_changes(
+        &mut self,
+        job: &str,
+        chunk_number: u32,
+        chunk: &ChunkRecord,
+    ) {
         if !self.estimates_run_times() {
             return;
         }
-        let before = self.cache.claim_revision(job, n);
+        let before = self.cache.claim_revision(job, chunk_number);
         let is_pending = |index: u32| {
             let slot = index.saturating_sub(chunk.first) as usize;
             chunk.tasks.get(slot) == Some(&TaskState::Pending)
         };
-        let old = self.cache.chunk(job, n).map(|c| c.assigned());
+        let old = self.cache.chunk(job, chunk_number).map(|c| c.assigned());
         let lost: Vec<(u32, u64)> = (old.into_iter().flatten())
             .filter(|(index, _)| is_pending(*index))
             .map(|(index, assignment)| (index, assignment.attempt))
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -50,8 +50,8 @@
         if work.is_empty() {
             return;
         }
-        let has_heard_all = self.has_completed_heartbeat_round();
-        if has_heard_all {
+        let is_round_complete = self.has_completed_heartbeat_round();
+        if is_round_complete {
             self.hold_for_cached_images(&mut work, &inherited);
         } else {
             // Further machines are still sending their first heartbeats: early passes use each of them soon.
@@ -65,7 +65,7 @@
         self.commit_plan(plan);
         // A machine that has not sent a heartbeat yet is not necessarily lost, so the pass neither preempts nor
         // provisions before a full round of heartbeats.
-        if !is_transaction_full && has_heard_all {
+        if !is_transaction_full && is_round_complete {
             work.retain(|work| !work.indices.is_empty() && !work.is_suspect);
             self.preempt(&work, &inherited);
             work.retain(|work| !work.requires_cached_image);
--- a/crates/core/src/state/cache/assignments.rs
+++ b/crates/core/src/state/cache/assignments.rs
@@ -68,8 +68,8 @@
 
     /// Returns the assignment of an attempt of a task, on any machine.
     pub fn assignment_of_attempt(&self, task: &TaskId, attempt: u64) -> Option<&Assignment> {
-        let n = self.job(&task.job)?.chunk_of(task.index);
-        let assignment = self.chunk(&task.job, n)?.assignment(task.index);
+        let chunk_number = self.job(&task.job)?.chunk_of(task.index);
+        let assignment = self.chunk(&task.job, chunk_number)?.assignment(task.index);
         assignment.filter(|assignment| assignment.attempt == attempt)
     }
 
--- a/crates/core/src/state/cache/mod.rs
+++ b/crates/core/src/state/cache/mod.rs
@@ -125,22 +125,28 @@
         row.map_or(0, |(_, mod_revision)| *mod_revision)
     }
 
-    /// Returns chunk `n` of a job, if it is on record.
-    pub fn chunk(&self, job: &str, n: u32) -> Option<&ChunkRecord> {
-        self.chunks.get(job)?.get(&n).map(|(chunk, _)| chunk)
+    /// Returns a chunk of a job, if it is on record.
+    pub fn chunk(&self, job: &str, chunk_number: u32) -> Option<&ChunkRecord> {
+        self.chunks
+            .get(job)?
+            .get(&chunk_number)
+            .map(|(chunk, _)| chunk)
     }
 
     /// Returns the revision of a chunk's latest change, or 0 without a record.
-    pub fn chunk_revision(&self, job: &str, n: u32) -> u64 {
-        let row = self.chunks.get(job).and_then(|chunks| chunks.get(&n));
+    pub fn chunk_revision(&self, job: &str, chunk_number: u32) -> u64 {
+        let row = self
+            .chunks
+            .get(job)
+            .and_then(|chunks| chunks.get(&chunk_number));
         row.map_or(0, |(_, mod_revision)| *mod_revision)
     }
 
     /// Returns the revision that a claim in this chunk is conditional on, which is also the number
     /// of the attempt. A chunk that isn't on record yet has no revision. Its first claim uses the
     /// revision of the job, which is lower than all later revisions of the chunk.
-    pub fn claim_revision(&self, job: &str, n: u32) -> u64 {
-        match self.chunk_revision(job, n) {
+    pub fn claim_revision(&self, job: &str, chunk_number: u32) -> u64 {
+        match self.chunk_revision(job, chunk_number) {
             0 => self.job_revision(job),
             mod_revision => mod_revision,
         }
@@ -174,9 +180,13 @@
         row.map(|(record, mod_revision)| (record, *mod_revision))
     }
 
-    /// Returns page `n` of a configuration version.
-    pub fn configuration_page(&self, version: u64, n: u32) -> Option<&ConfigurationPageRecord> {
-        let row = self.configuration_pages.get(&(version, n));
+    /// Returns a page of a configuration version.
+    pub fn configuration_page(
+        &self,
+        version: u64,
+        page_number: u32,
+    ) -> Option<&ConfigurationPageRecord> {
+        let row = self.configuration_pages.get(&(version, page_number));
         row.map(|(page, _)| page)
     }
 
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -239,8 +239,8 @@
 
     /// Starts tracking the task starts of the claims that a chunk's change adds, whichever
     /// controller made them.
-    fn record_new_claims(&mut self, job: &str, n: u32, chunk: &ChunkRecord) {
-        let claim_revision = self.cache.claim_revision(job, n);
+    fn record_new_claims(&mut self, job: &str, chunk_number: u32, chunk: &ChunkRecord) {
+        let claim_revision = self.cache.claim_revision(job, chunk_number);
         for (index, assignment) in chunk.assigned() {
             if assignment.attempt != claim_revision {
                 continue;
--- a/crates/core/src/state/records.rs
+++ b/crates/core/src/state/records.rs
@@ -161,9 +161,9 @@
 }
 
 impl ChunkRecord {
-    /// Creates chunk `n` of a job, with all tasks pending.
-    pub fn new(job: &JobRecord, spec: &JobSpec, n: u32) -> ChunkRecord {
-        let first = n.saturating_mul(job.tasks_per_chunk);
+    /// Creates a chunk of a job, with all tasks pending.
+    pub fn new(job: &JobRecord, spec: &JobSpec, chunk_number: u32) -> ChunkRecord {
+        let first = chunk_number.saturating_mul(job.tasks_per_chunk);
         let task_count = job.tasks.saturating_sub(first).min(job.tasks_per_chunk);
         ChunkRecord {
             first,
--- a/crates/core/src/state/transaction.rs
+++ b/crates/core/src/state/transaction.rs
@@ -130,17 +130,17 @@
     }
     /// Returns a chunk with the changes so far, or none if neither the cache nor the transaction
     /// has it.
-    pub fn chunk(&self, job: &str, n: u32) -> Option<&ChunkRecord> {
-        match self.changes.get(&Key::Chunk(job.to_string(), n)) {
+    pub fn chunk(&self, job: &str, chunk_number: u32) -> Option<&ChunkRecord> {
+        match self.changes.get(&Key::Chunk(job.to_string(), chunk_number)) {
             Some(Some(Record::Chunk(chunk))) => Some(chunk),
             Some(_) => None,
-            None => self.cache.chunk(job, n),
+            None => self.cache.chunk(job, chunk_number),
         }
     }
     /// Returns a task's assignment with the changes so far.
     pub fn assignment(&self, task: &TaskId) -> Option<&Assignment> {
-        let n = self.cache.job(&task.job)?.chunk_of(task.index);
-        self.chunk(&task.job, n)?.assignment(task.index)
+        let chunk_number = self.cache.job(&task.job)?.chunk_of(task.index);
+        self.chunk(&task.job, chunk_number)?.assignment(task.index)
     }
     /// Adds a chunk to the changes and returns it for modification. `new_chunk` creates a chunk
     /// that has no record yet. Returns none if the state store refused the chunk as it is, or if
@@ -148,15 +148,19 @@
     pub fn chunk_mut(
         &mut self,
         job: &str,
-        n: u32,
+        chunk_number: u32,
         new_chunk: impl FnOnce() -> Option<ChunkRecord>,
     ) -> Option<&mut ChunkRecord> {
-        let key = Key::Chunk(job.to_string(), n);
+        let key = Key::Chunk(job.to_string(), chunk_number);
         if self.cache.is_refused(&key) {
             return None;
         }
         if !self.changes.contains_key(&key) {
-            let chunk = self.cache.chunk(job, n).cloned().or_else(new_chunk)?;
+            let chunk = self
+                .cache
+                .chunk(job, chunk_number)
+                .cloned()
+                .or_else(new_chunk)?;
             self.put(key.clone(), Record::Chunk(chunk));
         }
         match self.changes.get_mut(&key) {
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -20,7 +20,7 @@
 struct OverdueMachine {
     machine: String,
     /// Whether it is to be deleted when a probe of it fails.
-    give_up: bool,
+    delete_if_probe_fails: bool,
 }
 
 /// Machines to be deleted, with the reason, in the order in which they were found.
@@ -113,23 +113,26 @@
     /// machines reach only the peers; the responses to probes distinguish live machines from failed
     /// ones.
     fn overdue_machines(&self, survey: MachineSurvey) -> Vec<OverdueMachine> {
-        let mut give_up = BTreeMap::new();
+        let mut overdue = BTreeMap::new();
         let limit_ms = self.worker_silence_limit_ms();
         if self.now - self.lifecycle.resumed_at >= limit_ms + self.settings.heartbeat_interval_ms {
-            let patience_ms = match survey.silent.len() * 3 <= survey.up {
+            let silence_limit_ms = match survey.silent.len() * 3 <= survey.up {
                 true => limit_ms,
                 false => limit_ms.max(self.settings.lease_ms) * MASS_SILENCE_FACTOR,
             };
             for silent in survey.silent {
-                give_up.insert(silent.machine, silent.silence_ms > patience_ms);
+                overdue.insert(silent.machine, silent.silence_ms > silence_limit_ms);
             }
         }
         if survey.overdue_here.len() * 3 <= survey.reporting_here {
-            give_up.extend(survey.overdue_here.into_iter().map(|id| (id, true)));
+            overdue.extend(survey.overdue_here.into_iter().map(|id| (id, true)));
         }
-        let overdue = give_up.into_iter();
         overdue
-            .map(|(machine, give_up)| OverdueMachine { machine, give_up })
+            .into_iter()
+            .map(|(machine, delete_if_probe_fails)| OverdueMachine {
+                machine,
+                delete_if_probe_fails,
+            })
             .collect()
     }
 
@@ -140,7 +143,11 @@
         let mut overdue = self.overdue_machines(survey);
         // In an unreachable zone only a few machines are probed, a random choice each time.
         overdue.shuffle(&mut self.rng);
-        for OverdueMachine { machine, give_up } in overdue {
+        for OverdueMachine {
+            machine,
+            delete_if_probe_fails,
+        } in overdue
+        {
             let record = self.cache.machine(&machine);
             let zone = record.map_or(String::new(), |record| record.zone.clone());
             let MachineObservation {
@@ -152,7 +159,8 @@
             let probe_failed = unanswered_at
                 .is_some_and(|at| at > overdue_at && self.now < at + PROBE_VALIDITY_MS);
             let failed_at = unanswered_at.unwrap_or(0);
-            let is_unreachable = probe_failed && give_up && !self.may_be_partitioned(failed_at);
+            let is_unreachable =
+                probe_failed && delete_if_probe_fails && !self.may_be_partitioned(failed_at);
             if is_unreachable && self.is_single_machine_silence(&zone, failed_at) {
                 self.mark_for_termination(&machine, TerminationReason::Unreachable);
                 continue;
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -17,7 +17,7 @@
     /// worker.
     unanswered_commands: u32,
     /// When a worker's heartbeat or response last arrived.
-    heard_at: Millis,
+    last_contact_at: Millis,
     /// End of the last interval without heartbeats and responses that was too long to be chance.
     inbound_lost_until: Millis,
     /// When this controller last probed a machine to find out whether the partition is over.
@@ -28,7 +28,7 @@
     pub fn new(now: Millis) -> WorkerReachability {
         WorkerReachability {
             unanswered_commands: 0,
-            heard_at: now,
+            last_contact_at: now,
             inbound_lost_until: 0,
             probed_at: now,
         }
@@ -36,7 +36,7 @@
 
     /// Returns the milliseconds since the last heartbeat or response of any worker.
     pub fn silence_ms(&self, now: Millis) -> Millis {
-        now - self.heard_at
+        now - self.last_contact_at
     }
 
     /// Records that a worker's heartbeat or response has arrived. `max_gap_ms` is the longest
@@ -45,7 +45,7 @@
         if self.silence_ms(now) > max_gap_ms {
             self.inbound_lost_until = now;
         }
-        (self.unanswered_commands, self.heard_at) = (0, now);
+        (self.unanswered_commands, self.last_contact_at) = (0, now);
     }
 
     /// Records that a direct command got no response.
@@ -61,7 +61,7 @@
     /// Returns whether a direct command that failed is no evidence against its machine: no
     /// heartbeat or response has arrived since, or the command was sent shortly before a partition ended.
     pub fn is_failure_inconclusive(&self, at: Millis) -> bool {
-        self.heard_at <= at || at <= self.inbound_lost_until + 2 * COMMAND_TIMEOUT_MS
+        self.last_contact_at <= at || at <= self.inbound_lost_until + 2 * COMMAND_TIMEOUT_MS
     }
 
     /// Returns whether to probe a machine now to find out whether the partition is over, and
@@ -96,8 +96,8 @@
 
     /// Returns whether an unanswered probe may be due to a partition of this controller: it has
     /// received no heartbeat or response since the probe, while peers have received heartbeats.
-    /// Without this check a partitioned
-    /// controller terminated the first two or three machines that fell silent.
+    /// Without this check a partitioned controller terminated the first two or three machines that
+    /// fell silent.
     pub(super) fn may_be_partitioned(&self, probed_at: Millis) -> bool {
         let heard_elsewhere = self.live_peers().any(|peer| {
             let peer_age_ms = self.now - peer.last_heartbeat_at;
--- a/crates/core/src/workers/reconciliation.rs
+++ b/crates/core/src/workers/reconciliation.rs
@@ -212,8 +212,8 @@
         let Some(job) = self.cache.job(&task.job) else {
             return false;
         };
-        let n = job.chunk_of(task.index);
-        self.cache.chunk_revision(&task.job, n) > attempt
+        let chunk_number = job.chunk_of(task.index);
+        self.cache.chunk_revision(&task.job, chunk_number) > attempt
             || job.open_spec().is_none()
                 && self.cache.revision >= self.cache.job_revision(&task.job)
     }
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -21,8 +21,8 @@
         };
         self.cache
             .assignments(&held.heartbeat.machine)
-            .filter(|(task, p)| {
-                let assignment = &p.assignment;
+            .filter(|(task, placed)| {
+                let assignment = &placed.assignment;
                 assignment.reply_start != Some(position)
                     && assignment.stop_reason.is_none()
                     && self.cache.open_job(&task.job).is_some()
@@ -32,7 +32,7 @@
                     && !predates_incarnation(assignment, position)
                     && is_start_fenced(assignment, position, held.heartbeat.token)
             })
-            .map(|(task, p)| (task.clone(), p.assignment.attempt))
+            .map(|(task, placed)| (task.clone(), placed.assignment.attempt))
             .collect()
     }
 
@@ -78,8 +78,8 @@
                 }
             }
         }
-        for (task, p) in self.cache.assignments(id) {
-            let assignment = &p.assignment;
+        for (task, placed) in self.cache.assignments(id) {
+            let assignment = &placed.assignment;
             if assignment.reply_start == Some(position)
                 && assignment.stop_reason.is_none()
                 && !(heartbeat.tasks.iter())
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -87,12 +87,13 @@
             is_full: false,
         };
         let released = self.draft_results(&mut draft);
-        let reply_start = self.draft_reply_starts(&mut draft);
+        let machines_to_start = self.draft_reply_starts(&mut draft);
         self.draft_checkpoints(&mut draft);
         let reserved_for_updates = usize::from(!self.write_back.machine_updates.is_empty());
-        let mut returning = self.draft_deletions(&mut draft, in_use, reserved_for_updates);
+        let mut deprovisions_machines =
+            self.draft_deletions(&mut draft, in_use, reserved_for_updates);
         self.draft_machine_updates(&mut draft);
-        returning |= self.draft_deletions(&mut draft, idle, 0);
+        deprovisions_machines |= self.draft_deletions(&mut draft, idle, 0);
         self.draft_confirmed_deletions(&mut draft);
 
         let is_full = draft.is_full;
@@ -106,8 +107,8 @@
         self.write_back.written_at = if is_full { 0 } else { self.now };
         let transaction = builder.finish();
         let purpose = PendingOperation::WriteResults {
-            machines_to_start: reply_start,
-            deprovisions_machines: returning,
+            machines_to_start,
+            deprovisions_machines,
             ended_attempts: released,
         };
         self.commit_assignments(transaction, purpose, RequestClass::Result);
@@ -365,8 +366,8 @@
     /// transaction, a commit doubles it.
     pub(crate) fn handle_results_response(
         &mut self,
-        reply_start: Vec<String>,
-        returning: bool,
+        machines_to_start: Vec<String>,
+        deprovisions_machines: bool,
         committed: bool,
     ) {
         if !committed {
@@ -383,10 +384,10 @@
             let phase = cache.machine(id).map(|m| m.phase);
             phase.is_some_and(|p| p != MachinePhase::Deprovisioning)
         });
-        for id in reply_start {
+        for id in machines_to_start {
             self.reply_to_held(&id);
         }
-        if returning {
+        if deprovisions_machines {
             self.send_deletions();
         }
     }
--- a/crates/core/src/workers/starts.rs
+++ b/crates/core/src/workers/starts.rs
@@ -121,26 +121,26 @@
     /// claim if it is tracked, else from the first heartbeat that lacked the start.
     pub fn is_missing(&mut self, now: Millis, start: &Attempt, machine: &str) -> bool {
         let since = *self.missing_since.entry(start.clone()).or_insert(now);
-        let patience_ms = match self.failover_checked.contains(machine) {
+        let missing_limit_ms = match self.failover_checked.contains(machine) {
             true => FAILOVER_START_CHECK_DELAY_MS,
             false => START_MISSING_MS + COMMAND_TIMEOUT_MS,
         };
         let claimed_at = self.tracked.get(start).map(|s| s.known_at);
-        now >= since + START_MISSING_MS || claimed_at.is_some_and(|at| now >= at + patience_ms)
+        now >= since + START_MISSING_MS || claimed_at.is_some_and(|at| now >= at + missing_limit_ms)
     }
 
     /// Returns whether a start is in flight to a machine: claimed since the last contact with the
     /// machine.
-    pub fn is_in_flight(&self, start: &Attempt, last_sign_at: Millis) -> bool {
+    pub fn is_in_flight(&self, start: &Attempt, last_contact_at: Millis) -> bool {
         self.tracked
             .get(start)
-            .is_some_and(|s| s.known_at >= last_sign_at)
+            .is_some_and(|s| s.known_at >= last_contact_at)
     }
 
     /// Schedules a check of the machines to which a failed peer may not have sent its last starts.
-    /// The peer's last heartbeat arrived at `heard_at`.
-    pub fn schedule_failover_check(&mut self, now: Millis, heard_at: Millis) {
-        let from = heard_at.saturating_sub(PEER_HEARTBEAT_INTERVAL_MS);
+    /// The peer's last heartbeat arrived at `last_heartbeat_at`.
+    pub fn schedule_failover_check(&mut self, now: Millis, last_heartbeat_at: Millis) {
+        let from = last_heartbeat_at.saturating_sub(PEER_HEARTBEAT_INTERVAL_MS);
         let from = self
             .failover_check
             .map_or(from, |(_, earliest)| earliest.min(from));
@@ -182,11 +182,12 @@
     pub fn prune(
         &mut self,
         is_assigned: impl Fn(&Attempt) -> bool,
-        last_sign_at: impl Fn(&str) -> Millis,
+        last_contact_at: impl Fn(&str) -> Millis,
     ) {
-        self.tracked.retain(|start, s| {
+        self.tracked.retain(|start, in_flight| {
             is_assigned(start)
-                && last_sign_at(&s.machine) < s.known_at + START_CONFIRMATION_WINDOW_MS
+                && last_contact_at(&in_flight.machine)
+                    < in_flight.known_at + START_CONFIRMATION_WINDOW_MS
         });
         self.missing_since.retain(|start, _| is_assigned(start));
     }
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -105,7 +105,7 @@
 struct Urgency {
     priority: Reverse<JobPriority>,
     /// Whether all tasks belong to teams that use more than their guaranteed share.
-    beyond_quota: bool,
+    beyond_guaranteed_share: bool,
     /// The earliest deadline of a task, in wall-clock time.
     deadline: WallMs,
 }
@@ -114,14 +114,14 @@
     /// Urgency of a machine without tasks.
     const NONE: Urgency = Urgency {
         priority: Reverse(JobPriority::Low),
-        beyond_quota: true,
+        beyond_guaranteed_share: true,
         deadline: WallMs::MAX,
     };
 
     /// Merges another task's urgency: each field takes the more urgent value.
     fn merge(&mut self, other: Urgency) {
         self.priority = self.priority.min(other.priority);
-        self.beyond_quota &= other.beyond_quota;
+        self.beyond_guaranteed_share &= other.beyond_guaranteed_share;
         self.deadline = self.deadline.min(other.deadline);
     }
 }
@@ -183,7 +183,7 @@
                 plan.already_marked += 1;
                 continue;
             }
-            if self.is_left_to_serve(id, outage) {
+            if self.is_kept_for_services(id, outage) {
                 continue;
             }
             let work = self.work_on_machine(id, machine, outage, &mut capacity);
@@ -227,7 +227,7 @@
 
     /// Returns whether a machine is kept because it runs a service inside a partitioned zone. Then no
     /// capacity needs to be reserved for its tasks.
-    fn is_left_to_serve(&self, id: &str, outage: &ZoneOutage) -> bool {
+    fn is_kept_for_services(&self, id: &str, outage: &ZoneOutage) -> bool {
         let serves = |(task, placed): (&TaskId, &AssignedTask)| {
             let spec = self.cache.open_job(&task.job);
             spec.is_some_and(|spec| spec.kind == JobKind::Service)
@@ -302,7 +302,7 @@
             let deadlines = self.deadlines_of(job, spec);
             work.urgency.merge(Urgency {
                 priority: Reverse(spec.priority),
-                beyond_quota: self.is_beyond_quota(&spec.team),
+                beyond_guaranteed_share: self.is_beyond_guaranteed_share(&spec.team),
                 deadline: deadlines.first().copied().unwrap_or(WallMs::MAX),
             });
             work.tasks.push(EvacuationTask {
@@ -343,10 +343,10 @@
     }
 
     /// Returns whether a team uses more than its guaranteed share.
-    fn is_beyond_quota(&self, team: &str) -> bool {
+    fn is_beyond_guaranteed_share(&self, team: &str) -> bool {
         let usage = self.cache.usage(team);
-        let quota = self.settings.policy.teams.get(team);
-        quota.is_none_or(|quota| usage.cpus > quota.cpus)
+        let team = self.settings.policy.teams.get(team);
+        team.is_none_or(|team| usage.cpus > team.cpus)
     }
 
     /// Returns whether a task's start was in flight at the last contact with its machine.
