--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -111,11 +111,11 @@
 
     /// Handles one event at a monotonic time and a wall-clock time. Returns the effects to carry out.
     pub fn handle(&mut self, now: Millis, wall_time: WallMs, event: Event) -> Vec<Effect> {
-        let gap = now.saturating_sub(self.now);
+        let gap_ms = now.saturating_sub(self.now);
         self.now = self.now.max(now);
         self.wall_time = wall_time;
-        if gap >= PAUSE_DETECTION_MS && self.settings.checks.pause_detection {
-            self.reset_after_pause(gap);
+        if gap_ms >= PAUSE_DETECTION_MS && self.settings.checks.pause_detection {
+            self.reset_after_pause(gap_ms);
         }
         match event {
             Event::Tick => self.tick(),
--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -25,9 +25,9 @@
                 ));
             }
         }
-        for (id, over) in finished {
+        for (id, done_job) in finished {
             let mut builder = TransactionBuilder::new(&self.cache);
-            builder.put(Key::Job(id.clone()), Record::Job(over));
+            builder.put(Key::Job(id.clone()), Record::Job(done_job));
             let transaction = builder.finish();
             self.cleanup.finishing_jobs.insert(id.clone());
             self.commit(
@@ -91,8 +91,8 @@
             if !builder.has_room(&self.settings, 1, 1, SMALL_RECORD_BYTES) {
                 break;
             }
-            let over = job.with_final_phase(JobPhase::Cancelled, self.wall_time);
-            builder.put(Key::Job(id.clone()), Record::Job(over));
+            let cancelled_job = job.with_final_phase(JobPhase::Cancelled, self.wall_time);
+            builder.put(Key::Job(id.clone()), Record::Job(cancelled_job));
             jobs.push(id.clone());
         }
         if !jobs.is_empty() {
@@ -113,11 +113,11 @@
         }
         let mut builder = TransactionBuilder::new(&self.cache);
         for (job, counts) in self.cache.task_counts_by_job() {
-            let is_over = self
+            let has_ended = self
                 .cache
                 .job(job)
                 .is_some_and(|j| j.phase != JobPhase::Open);
-            if !is_over || counts.assigned > 0 {
+            if !has_ended || counts.assigned > 0 {
                 continue;
             }
             for (chunk, _) in self.cache.chunks_of(job) {
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -58,10 +58,10 @@
                 }),
                 (TaskPhase::Exited(_), Some(_)) => {}
                 (phase, assignment) => {
-                    let is_job_over = job.is_none_or(|j| j.open_spec().is_none());
+                    let has_job_ended = job.is_none_or(|j| j.open_spec().is_none());
                     let is_stopped =
                         assignment.is_some_and(|assignment| assignment.stop_reason.is_some());
-                    if is_job_over || assignment.is_none() {
+                    if has_job_ended || assignment.is_none() {
                         commands.push(WorkerCommand::Stop {
                             task: status.task.clone(),
                             attempt: status.attempt,
--- a/crates/core/src/zones/failures.rs
+++ b/crates/core/src/zones/failures.rs
@@ -94,8 +94,8 @@
 ) -> Option<EvacuationReason> {
     let duration_ms = outage.duration_ms;
     if !work.iter().any(|task| task.fits_elsewhere) {
-        let nothing_runs = work.is_empty() || outage.kind == ZoneFailureKind::MachinesOnly;
-        return (nothing_runs && duration_ms > ZONE_EVACUATION_MAX_WAIT_MS)
+        let has_no_running_task = work.is_empty() || outage.kind == ZoneFailureKind::MachinesOnly;
+        return (has_no_running_task && duration_ms > ZONE_EVACUATION_MAX_WAIT_MS)
             .then_some(EvacuationReason::OutageForMinutes);
     }
     if work.iter().all(|task| task.start_in_flight)
