--- a/crates/core/src/constants.rs
+++ b/crates/core/src/constants.rs
@@ -262,7 +262,7 @@
 /// Time for which a failed direct command is evidence against a silent machine.
 pub const PROBE_VALIDITY_MS: u64 = 4_000;
 /// Factor by which the silence limit is longer while many machines are silent: then the network or the
-/// controllers are more likely at fault than the machines.
+/// controllers are a more likely cause than the machines.
 pub const MASS_SILENCE_FACTOR: u64 = 3;
 /// Machines of a zone from which the zone as a whole can count as silent. Fewer may well fail together.
 pub const ZONE_MIN_MACHINES: u64 = 8;
--- a/crates/core/src/jobs/cancellation.rs
+++ b/crates/core/src/jobs/cancellation.rs
@@ -221,11 +221,11 @@
         self.list_watch.has_listed && self.state_age_ms() < limit_ms
     }
 
-    /// Returns whether a worker is kept rather than sent to look for another controller. A
-    /// controller that is cut off alone must not keep workers that others could serve; one that is
-    /// cut off with its zone is the only one that its workers reach. The heartbeats show which is the
-    /// case: only machines of its own zone report, or machines of other zones as well. In the latter case
-    /// each worker is redirected once, if its lease lasts for a search of all controllers: a worker
+    /// Returns whether a worker is kept rather than redirected to search for another controller. If
+    /// only this controller is cut off, it must not keep workers that others could serve; if it is cut
+    /// off with its zone, its workers reach no other controller. The heartbeats show which is the
+    /// case: in the latter only machines of its own zone report, in the former machines of other zones
+    /// as well, and each worker is redirected once, if its lease lasts for a search of all controllers: a worker
     /// that returns has found no other controller.
     fn should_keep_worker(&mut self, id: &str) -> bool {
         let reaches_all_peers = self.live_peers().count() + 1 == self.settings.controllers.len();
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -229,7 +229,7 @@
 pub struct DirectStart {
     /// The worker rejects the command in any other incarnation.
     pub incarnation: u64,
-    /// The worker rejects the command once it has seen a higher token.
+    /// The worker rejects the command once it has received a higher token.
     pub token: u64,
 }
 
--- a/crates/core/src/provisioning/tracker.rs
+++ b/crates/core/src/provisioning/tracker.rs
@@ -27,7 +27,7 @@
     pub(crate) deletion_tried_at: HashMap<String, Millis>,
     /// Whether a deletion request is in flight. Only one is sent at a time.
     pub(crate) deletion_in_flight: bool,
-    /// Machines in the instance list that have no record, and when they were first seen.
+    /// Machines in the instance list that have no record, and when they were first listed.
     pub(crate) unmanaged: HashMap<String, Millis>,
     /// When the cloud's instances are to be listed next.
     pub(crate) next_instance_list_at: Millis,
--- a/crates/core/src/scheduling/cluster_view.rs
+++ b/crates/core/src/scheduling/cluster_view.rs
@@ -5,7 +5,7 @@
 use crate::state::StateCache;
 use foldhash::HashMap;
 
-/// The cluster as a scheduling pass sees it.
+/// The state of the cluster that a scheduling pass works from.
 #[derive(Clone, Copy)]
 pub struct ClusterView<'a> {
     pub cache: &'a StateCache,
--- a/crates/core/src/scheduling/deferral.rs
+++ b/crates/core/src/scheduling/deferral.rs
@@ -130,7 +130,7 @@
     }
 
     /// Returns the running services, which keep running, and the remaining work of the running batches, which are
-    /// taken to be half done, as they are on average.
+    /// assumed to be half done, as they are on average.
     fn running(&self) -> Running<'_> {
         let mut running = Running::default();
         for (id, _, spec) in self.cache.open_jobs() {
--- a/crates/core/src/scheduling/placement.rs
+++ b/crates/core/src/scheduling/placement.rs
@@ -32,7 +32,7 @@
     pub transaction: CasTransaction,
     pub claims: Vec<PlannedClaim>,
     pub fetches: Vec<PlannedFetch>,
-    /// Whether planning ended because the transaction had no space left, with work still unplaced.
+    /// Whether planning ended because the transaction had no more space, with work still unplaced.
     pub is_transaction_full: bool,
 }
 
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    /// Places a job's pending tasks on the machines that suit it best, until no task or no machine is left.
+    /// Places a job's pending tasks on the machines that suit it best, until no task or no machine remains.
     fn place_job(
         &mut self,
         work: &mut PendingWork,
@@ -362,7 +362,7 @@
     }
 
     /// Returns whether a zone already holds its share of an evenly spread service. The share applies in steps that
-    /// bound the tasks per machine or that consider only machines with the image. Tasks left after these steps
+    /// bound the tasks per machine or that consider only machines with the image. Tasks that remain after these steps
     /// may be placed in any zone.
     fn zone_has_its_share(&self, zone: &str, max_tasks: Option<usize>) -> bool {
         let share_applies = self.cached_image_only || max_tasks.is_some();
--- a/crates/core/src/scheduling/rescheduling.rs
+++ b/crates/core/src/scheduling/rescheduling.rs
@@ -2,8 +2,8 @@
 //!
 //! A migration stops a task on its machine and lets it be placed again. Its gain and its cost are given in seconds
 //! of a replica's time, and it is made only if the gain clearly exceeds the cost. A service never loses two tasks
-//! at a time, nor one while another is missing, and no task migrates twice within `MIGRATION_REPEAT_DELAY_MS`. A migration
-//! consists of a recorded stop and a claim, so it survives the end of any controller.
+//! at a time, nor one while another is missing, and no task migrates twice within `MIGRATION_REPEAT_DELAY_MS`. A
+//! migration consists of a recorded stop and a claim, so it survives the end of any controller.
 
 use crate::constants::{
     MIGRATION_MIN_GAIN_FACTOR, MIGRATION_REPEAT_DELAY_MS, SPREAD_GAIN_S, TRACKED_MIGRATIONS_MAX,
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -61,7 +61,7 @@
     pub due_times: bool,
     /// Tasks that are about to end are not preempted.
     pub preemption: bool,
-    /// A task that is likely to end before its spot machine is taken keeps running.
+    /// A task that is likely to end before its spot machine is reclaimed keeps running.
     pub termination_notice: bool,
 }
 
--- a/crates/core/src/state/transaction.rs
+++ b/crates/core/src/state/transaction.rs
@@ -107,7 +107,7 @@
         }
     }
     /// Returns whether a job's failures must not count against the machines that it ran on: the job
-    /// itself appears to be faulty, or the cache can't tell, as for a cancelled or unknown job.
+    /// itself appears to be faulty, or the cache doesn't show it, as for a cancelled or unknown job.
     pub fn is_suspect_job(&self, job: &str) -> bool {
         let Some(record) = self.cache.job(job) else {
             return true;
--- a/crates/core/src/workers/heartbeats.rs
+++ b/crates/core/src/workers/heartbeats.rs
@@ -28,8 +28,8 @@
 }
 
 impl Controller {
-    /// Receives a worker's heartbeat: drops duplicates, updates when the machine and its zone were
-    /// last heard from, and processes the heartbeat.
+    /// Receives a worker's heartbeat: drops duplicates, records the time of the last heartbeat of the
+    /// machine and of its zone, and processes the heartbeat.
     pub(crate) fn receive_worker_heartbeat(
         &mut self,
         request: RequestId,
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -12,9 +12,9 @@
 /// When this controller last observed each kind of event of a machine, `None` if never.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MachineObservation {
-    /// When its record was first seen.
+    /// When its record first appeared in this controller's cache.
     pub first_seen_at: Option<Millis>,
-    /// When its record was first seen in phase up by this controller.
+    /// When its record first had phase up in this controller's cache.
     pub up_since: Option<Millis>,
     /// Since when no task has been assigned to it.
     pub idle_since: Option<Millis>,
--- a/crates/core/src/workers/reachability.rs
+++ b/crates/core/src/workers/reachability.rs
@@ -75,8 +75,7 @@
         is_due
     }
 
-    /// Resets the count of missing responses: after a pause of this process they were its own
-    /// fault.
+    /// Resets the count of missing responses after a pause of this process, which caused them.
     pub fn reset_after_pause(&mut self) {
         self.unanswered_commands = 0;
     }
--- a/crates/core/src/workers/starts/tests.rs
+++ b/crates/core/src/workers/starts/tests.rs
@@ -21,7 +21,7 @@
         &start(0),
         "m"
     ));
-    // Without a tracked claim only the heartbeats tell when the start went missing.
+    // Without a tracked claim only the heartbeats show since when the start has been missing.
     assert!(!starts.is_missing(9_000, &start(1), "m"));
     assert!(starts.is_missing(9_000 + START_MISSING_MS, &start(1), "m"));
     starts.record_reported(&start(1));
--- a/crates/core/src/zones/detector.rs
+++ b/crates/core/src/zones/detector.rs
@@ -27,7 +27,7 @@
 }
 
 impl ZoneObservation {
-    /// Returns whether the zone has enough machines to tell its silence from that of single machines.
+    /// Returns whether the zone has enough machines to distinguish its silence from that of single machines.
     fn is_significant(&self) -> bool {
         self.machines >= ZONE_MIN_MACHINES
     }
@@ -234,7 +234,7 @@
 
     /// Returns migrations of service tasks off machines whose outbound connection is lost, once half of their lease
     /// has passed. Without the migration the tasks end with the lease. Returns none if more than a third of all
-    /// machines are affected, since then the controllers are more likely at fault.
+    /// machines are affected, since then the controllers are the more likely cause.
     pub(crate) fn service_migrations_off_outbound_lost(&self) -> Vec<MigrationCandidate> {
         let half_lease_ms = self.settings.lease_ms / 2;
         let lease_at_risk = |liveness: &Liveness| {
