--- a/crates/core/src/jobs/admission.rs
+++ b/crates/core/src/jobs/admission.rs
@@ -52,13 +52,13 @@
     /// Admits a team's request, or returns the seconds after which to retry.
     pub fn try_admit(&mut self, now: Millis, team: &str) -> Result<(), u32> {
         self.refill(now);
-        let own = self.admitted.get(team).copied().unwrap_or(0.0);
+        let team_tokens = self.admitted.get(team).copied().unwrap_or(0.0);
         let total: f64 = self.admitted.values().sum();
         let teams = self.admitted.len() + usize::from(!self.admitted.contains_key(team));
         // While at least half of the tokens remain, no team is limited. A team without recent
         // requests always gets the tokens that the other teams' shares leave.
         let is_ample = self.tokens >= self.capacity / 2.0;
-        let is_fair = own <= total / teams as f64;
+        let is_fair = team_tokens <= total / teams as f64;
         if self.tokens >= 1.0 && (is_ample || is_fair) {
             self.tokens -= 1.0;
             *self.admitted.entry(team.to_string()).or_default() += 1.0;
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -271,8 +271,8 @@
     }
 
     /// Counts the runs whose ends a transaction of this controller has recorded.
-    pub(crate) fn count_recorded_runs(&mut self, released: Vec<(TaskId, u64)>) {
-        for (task, attempt) in released {
+    pub(crate) fn count_recorded_runs(&mut self, ended_attempts: Vec<(TaskId, u64)>) {
+        for (task, attempt) in ended_attempts {
             let Some((run, machine)) = self.run_times.ended_runs.remove(&(task.clone(), attempt))
             else {
                 continue;
--- a/crates/core/src/state/list_watch.rs
+++ b/crates/core/src/state/list_watch.rs
@@ -191,9 +191,9 @@
         if self.requires_pass(&key, &record) {
             self.request_pass(origin);
         }
-        if let (Key::Chunk(job, n), Record::Chunk(chunk)) = (&key, &record) {
-            self.record_new_claims(job, *n, chunk);
-            self.observe_assignment_changes(job, *n, chunk);
+        if let (Key::Chunk(job, chunk_number), Record::Chunk(chunk)) = (&key, &record) {
+            self.record_new_claims(job, *chunk_number, chunk);
+            self.observe_assignment_changes(job, *chunk_number, chunk);
         }
         let run_times_class = match &key {
             Key::RunTimes(class) => Some(*class),
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -101,15 +101,15 @@
                 self.user_request_written(request, &response);
             }
             PendingOperation::WriteResults {
-                machines_to_start: reply_start,
-                deprovisions_machines: returning,
-                ended_attempts: released,
+                machines_to_start,
+                deprovisions_machines,
+                ended_attempts,
             } => {
                 self.assignment_write_finished(operation, &response);
                 if committed {
-                    self.count_recorded_runs(released);
+                    self.count_recorded_runs(ended_attempts);
                 }
-                self.handle_results_response(reply_start, returning, committed);
+                self.handle_results_response(machines_to_start, deprovisions_machines, committed);
             }
             PendingOperation::Claim(claimed) => {
                 self.assignment_write_finished(operation, &response);
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -62,7 +62,7 @@
 
     /// Returns the time of the latest contact that any controller is known to have had, if any: a
     /// heartbeat or a response to a direct command.
-    pub fn last_sign_of_life_at(&self) -> Option<Millis> {
+    pub fn last_contact_at(&self) -> Option<Millis> {
         self.last_heartbeat_at().max(self.observation.answered_at)
     }
 
--- a/crates/core/src/zones/detector.rs
+++ b/crates/core/src/zones/detector.rs
@@ -75,7 +75,7 @@
     /// Returns the time of the last known contact of any controller with a machine: a heartbeat or a response to a
     /// direct command.
     pub(crate) fn last_contact_at(&self, id: &str) -> Option<Millis> {
-        self.liveness(id).last_sign_of_life_at()
+        self.liveness(id).last_contact_at()
     }
 
     /// Surveys all machines that are up in a single pass.
@@ -86,7 +86,7 @@
         let mut survey = MachineSurvey::default();
         for (id, machine, _) in self.cache.machines().filter(|(_, m, _)| m.is_up()) {
             let liveness = self.liveness(id);
-            if let Some(at) = liveness.last_sign_of_life_at() {
+            if let Some(at) = liveness.last_contact_at() {
                 // Copies the zone's name only for a new zone.
                 if !survey.zones.contains_key(&machine.zone) {
                     let zone = ZoneObservation::default();
