--- a/crates/core/src/provisioning/scale_in.rs
+++ b/crates/core/src/provisioning/scale_in.rs
@@ -106,7 +106,7 @@
 struct MigrationTargets<'a> {
     cache: &'a StateCache,
     machines: BTreeMap<&'a str, MigrationTarget<'a>>,
-    /// Of these, the machines that receive tasks of others and so are not drained.
+    /// Machines that receive tasks of other machines and so are not drained.
     receiving: BTreeSet<&'a str>,
     /// Thousandths of processors that must stay free so that a new service of the largest size starts at once.
     reserved_cpus: u64,
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Observes the end of an attempt, which a heartbeat or the cloud's instance list showed.
+    /// Observes the end of an attempt, which a heartbeat or the response to a direct command showed.
     pub(crate) fn observe_run_end(&mut self, task: &TaskId, attempt: u64, outcome: AttemptOutcome) {
         if !self.estimates_run_times() {
             return;
--- a/crates/core/src/scheduling/preemption.rs
+++ b/crates/core/src/scheduling/preemption.rs
@@ -38,7 +38,7 @@
 impl PreemptionTarget<'_> {
     /// Returns the resources available on the machine to a preemptor. Resources that are free now on on-demand
     /// machines don't count for urgent work that can't use spot machines: the placement step has just denied
-    /// them to that work because they are reserved for services, and it will go on doing so.
+    /// them to that work because they are reserved for services, and would deny them again.
     fn available_to(&self, preemptor: &Preemptor) -> Resources {
         let is_denied_reserve =
             preemptor.priority == JobPriority::High && !preemptor.is_service_reserve_open;
--- a/crates/core/src/zones/detector.rs
+++ b/crates/core/src/zones/detector.rs
@@ -40,7 +40,7 @@
 
     /// Returns the milliseconds without contact after which the zone counts as unreachable. Within that time, each
     /// machine is overdue or `ZONE_MISSED_HEARTBEATS` heartbeats are expected from the zone, so that their absence
-    /// is no chance.
+    /// is not due to chance.
     fn silence_limit_ms(&self, report_ms: Millis) -> Millis {
         let each_overdue_ms = report_ms * 5 / 4;
         let enough_missed_ms = report_ms * ZONE_MISSED_HEARTBEATS / self.machines.max(1);
--- a/crates/core/src/zones/evacuation.rs
+++ b/crates/core/src/zones/evacuation.rs
@@ -225,8 +225,8 @@
             .collect()
     }
 
-    /// Returns whether a machine is kept because it runs a service inside a partitioned zone. Then no
-    /// capacity needs to be reserved for its tasks.
+    /// Returns whether a machine is kept because it runs a service inside a partitioned zone. It is kept
+    /// during at most `ZONE_ABANDON_MS` of the outage, and no capacity needs to be reserved for its tasks.
     fn is_kept_for_services(&self, id: &str, outage: &ZoneOutage) -> bool {
         let serves = |(task, placed): (&TaskId, &AssignedTask)| {
             let spec = self.cache.open_job(&task.job);
