--- a/crates/core/src/jobs/requests.rs
+++ b/crates/core/src/jobs/requests.rs
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Cancels a job on record. If it is cancelled already, only queues the request until the
-    /// cancellation is confirmed.
+    /// Cancels a job on record. If it is cancelled already, the request only awaits the
+    /// confirmation.
     fn cancel_job(&mut self, request: RequestId, id: String, job: &JobRecord) {
         if job.phase == JobPhase::Cancelled {
             self.await_cancellation(request);
