--- a/crates/core/src/jobs/cleanup.rs
+++ b/crates/core/src/jobs/cleanup.rs
@@ -21,13 +21,13 @@
             {
                 finished.push((
                     id.to_string(),
-                    job.with_final_phase(JobPhase::Done, self.wall),
+                    job.with_final_phase(JobPhase::Done, self.wall_time),
                 ));
             }
         }
-        for (id, over) in finished {
+        for (id, done_job) in finished {
             let mut builder = TransactionBuilder::new(&self.cache);
-            builder.put(Key::Job(id.clone()), Record::Job(over));
+            builder.put(Key::Job(id.clone()), Record::Job(done_job));
             let transaction = builder.finish();
             self.cleanup.finishing_jobs.insert(id.clone());
             self.commit(
@@ -40,8 +40,8 @@
 
     /// Records the cancellation of jobs that depend on a cancelled job, if that is overdue. The
     /// controller that received the cancellation does so at once, and the others after a delay if
-    /// it has not. Until then users are told all the same that such jobs are cancelled, so nothing
-    /// depends on when it is recorded.
+    /// it has not. Until then controllers already answer that such jobs are cancelled, so nothing
+    /// depends on the time of the record.
     pub(crate) fn cancel_overdue_dependents(&mut self) {
         let doomed = self.cache.dependents().with_cancelled_dependency();
         self.cleanup
@@ -91,8 +91,8 @@
             if !builder.has_room(&self.settings, 1, 1, SMALL_RECORD_BYTES) {
                 break;
             }
-            let over = job.with_final_phase(JobPhase::Cancelled, self.wall);
-            builder.put(Key::Job(id.clone()), Record::Job(over));
+            let cancelled_job = job.with_final_phase(JobPhase::Cancelled, self.wall_time);
+            builder.put(Key::Job(id.clone()), Record::Job(cancelled_job));
             jobs.push(id.clone());
         }
         if !jobs.is_empty() {
@@ -106,18 +106,18 @@
         }
     }
 
-    /// Removes the chunk and zone spread records of jobs that are over.
+    /// Removes the chunk and zone spread records of jobs that have ended.
     pub(crate) fn remove_obsolete_records(&mut self) {
         if self.cleanup.removal_in_flight {
             return;
         }
         let mut builder = TransactionBuilder::new(&self.cache);
         for (job, counts) in self.cache.task_counts_by_job() {
-            let is_over = self
+            let has_ended = self
                 .cache
                 .job(job)
                 .is_some_and(|j| j.phase != JobPhase::Open);
-            if !is_over || counts.assigned > 0 {
+            if !has_ended || counts.assigned > 0 {
                 continue;
             }
             for (chunk, _) in self.cache.chunks_of(job) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Drops what this controller knows of machines that have been deleted.
+    /// Drops the observations of machines that have been deleted.
     pub(crate) fn forget_deleted_machines(&mut self) {
         let cache = &self.cache;
         self.workers
--- a/crates/core/src/peers/failover.rs
+++ b/crates/core/src/peers/failover.rs
@@ -15,9 +15,11 @@
     pub(crate) fn receive_peer_heartbeat(&mut self, heartbeat: PeerHeartbeat) {
         let images = heartbeat.cached_images.clone();
         let is_behind = self.is_behind(&heartbeat.controller);
-        let (now, wall) = (self.now, self.wall);
-        let own = &self.workers.last_heartbeats;
-        let outcome = self.peers.receive_heartbeat(now, wall, heartbeat, own);
+        let (now, wall_time) = (self.now, self.wall_time);
+        let own_heartbeats = &self.workers.last_heartbeats;
+        let outcome = self
+            .peers
+            .receive_heartbeat(now, wall_time, heartbeat, own_heartbeats);
         if outcome != HeartbeatOutcome::Accepted {
             return;
         }
@@ -31,7 +33,7 @@
     }
 
     /// Returns whether this controller's cache lags behind the revision that a peer had reported with its previous
-    /// heartbeat, half a second ago.
+    /// heartbeat, one heartbeat interval ago.
     fn is_behind(&self, controller: &str) -> bool {
         let peer = self.peers.peer(controller);
         let status = peer.and_then(|peer| peer.heartbeat.status.as_ref());
@@ -78,15 +80,15 @@
         let pass_at = self.now + self.settings.controller_index() * FAILOVER_STAGGER_MS;
         self.scheduling.next_pass_at = self.scheduling.next_pass_at.min(pass_at);
         if self.settings.tuning.recover_starts {
-            let heard_at = self.now - lost.silent_ms;
+            let last_heartbeat_at = self.now - lost.silent_ms;
             self.workers
                 .starts
-                .schedule_failover_check(self.now, heard_at);
+                .schedule_failover_check(self.now, last_heartbeat_at);
         }
     }
 
-    /// Asks machines whether they received the starts of claims that a lost peer may have made without sending
-    /// the starts. Only the coordinator asks.
+    /// Probes machines to find out whether they received the starts of claims that a lost peer may have made
+    /// without sending the starts. Only the coordinator does so.
     pub(crate) fn check_starts_of_lost_peers(&mut self) {
         if !self.is_coordinator() {
             return;
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Fences the starts of this controller's claims whose transactions got no answer but whose assignments are in
+    /// Fences the starts of this controller's claims whose transactions got no response but whose assignments are in
     /// the cache by now. Nobody has sent their starts. This controller may not send them as they are, since a
     /// peer may have made the same claim. Fenced at once, a start goes with the next reply to a heartbeat, and not
     /// only after a heartbeat that lacks the task.
@@ -154,7 +156,7 @@
             && self.cache.common_format() >= formats::COMPACT_CHUNKS_AND_DEPENDENCIES;
         self.emit(Effect::PeerHeartbeat(PeerHeartbeat {
             controller: self.settings.controller.clone(),
-            sent_at: self.wall,
+            sent_at: self.wall_time,
             has_current_state: self.has_current_state(),
             workers_reachable: self.workers_reachable()
                 && self.lifecycle.shutting_down_since.is_none(),
--- a/crates/core/src/provisioning/scale_in.rs
+++ b/crates/core/src/provisioning/scale_in.rs
@@ -106,7 +106,7 @@
 struct MigrationTargets<'a> {
     cache: &'a StateCache,
     machines: BTreeMap<&'a str, MigrationTarget<'a>>,
-    /// Of these, the machines that receive tasks of others and so are not drained.
+    /// Machines that receive tasks of other machines and so are not drained.
     receiving: BTreeSet<&'a str>,
     /// Thousandths of processors that must stay free so that a new service of the largest size starts at once.
     reserved_cpus: u64,
@@ -158,7 +158,7 @@
             let sum = planned.entry(target).or_default();
             *sum = sum.saturating_add(&placed.resources);
         }
-        // The free capacity left afterwards must still take a new service of the largest size at once.
+        // The free capacity that remains must still take a new service of the largest size at once.
         let others = self.machines.iter().filter(|(other, _)| **other != id);
         let free_cpus: u64 = others.map(|(_, target)| target.free.cpus).sum();
         let planned_cpus: u64 = planned.values().map(|resources| resources.cpus).sum();
--- a/crates/core/src/provisioning/tracker.rs
+++ b/crates/core/src/provisioning/tracker.rs
@@ -19,7 +19,7 @@
     pub(crate) request_creation_in_flight: bool,
     /// Numbers of the instance requests whose records are being removed.
     pub(crate) removing_requests: BTreeSet<u64>,
-    /// Numbers of the instance requests that the cloud has not answered yet.
+    /// Numbers of the instance requests that the cloud has not responded to yet.
     pub(crate) requests_in_flight: BTreeSet<u64>,
     /// Machines whose deletion the cloud has confirmed.
     pub(crate) deletion_confirmed: BTreeSet<String>,
@@ -27,7 +27,7 @@
     pub(crate) deletion_tried_at: HashMap<String, Millis>,
     /// Whether a deletion request is in flight. Only one is sent at a time.
     pub(crate) deletion_in_flight: bool,
-    /// Machines in the instance list that have no record, and when they were first seen.
+    /// Machines in the instance list that have no record, and when they were first listed.
     pub(crate) unmanaged: HashMap<String, Millis>,
     /// When the cloud's instances are to be listed next.
     pub(crate) next_instance_list_at: Millis,
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -101,16 +101,21 @@
     }
 
     /// Observes new claims and lost attempts in a chunk that is about to change in the cache.
-    pub(crate) fn observe_assignment_changes(&mut self, job: &str, n: u32, chunk: &ChunkRecord) {
+    pub(crate) fn observe_assignment_changes(
+        &mut self,
+        job: &str,
+        chunk_number: u32,
+        chunk: &ChunkRecord,
+    ) {
         if !self.estimates_run_times() {
             return;
         }
-        let before = self.cache.claim_revision(job, n);
+        let before = self.cache.claim_revision(job, chunk_number);
         let is_pending = |index: u32| {
             let slot = index.saturating_sub(chunk.first) as usize;
             chunk.tasks.get(slot) == Some(&TaskState::Pending)
         };
-        let old = self.cache.chunk(job, n).map(|c| c.assigned());
+        let old = self.cache.chunk(job, chunk_number).map(|c| c.assigned());
         let lost: Vec<(u32, u64)> = (old.into_iter().flatten())
             .filter(|(index, _)| is_pending(*index))
             .map(|(index, assignment)| (index, assignment.attempt))
@@ -200,7 +205,7 @@
         }
     }
 
-    /// Observes the end of an attempt, which a heartbeat or the cloud's instance list showed.
+    /// Observes the end of an attempt, which a heartbeat or the response to a direct command showed.
     pub(crate) fn observe_run_end(&mut self, task: &TaskId, attempt: u64, outcome: AttemptOutcome) {
         if !self.estimates_run_times() {
             return;
@@ -266,8 +271,8 @@
     }
 
     /// Counts the runs whose ends a transaction of this controller has recorded.
-    pub(crate) fn count_recorded_runs(&mut self, released: Vec<(TaskId, u64)>) {
-        for (task, attempt) in released {
+    pub(crate) fn count_recorded_runs(&mut self, ended_attempts: Vec<(TaskId, u64)>) {
+        for (task, attempt) in ended_attempts {
             let Some((run, machine)) = self.run_times.ended_runs.remove(&(task.clone(), attempt))
             else {
                 continue;
@@ -282,7 +287,7 @@
                 .machine(&machine)
                 .is_some_and(|m| !m.faults.is_empty());
             if is_representative && !is_machine_faulty {
-                let line = run_record_line(&run, &task, &machine, self.wall);
+                let line = run_record_line(&run, &task, &machine, self.wall_time);
                 tracing::info!(run = %line, "ran");
                 self.run_times.book.ran(&run);
                 self.run_times.counted_runs += 1;
@@ -350,7 +355,7 @@
         let record = RunTimesRecord {
             team: truncated(team),
             class: truncated(name),
-            updated_at: self.wall,
+            updated_at: self.wall_time,
             packed: history.pack(),
         };
         let mut draft = TransactionBuilder::new(&self.cache);
@@ -391,7 +396,7 @@
             StateResponse::Conflict { .. } | StateResponse::Unavailable => {
                 self.run_times.book.unsent(class, &batches)
             }
-            // It may still take effect, and a retry might count these runs twice.
+            // The write may still take effect, and a retry might count these runs twice.
             _ => tracing::info!(
                 jobs = batches.len(),
                 "run times write unanswered, runs dropped"
--- a/crates/core/src/scheduling/cluster_view.rs
+++ b/crates/core/src/scheduling/cluster_view.rs
@@ -5,7 +5,7 @@
 use crate::state::StateCache;
 use foldhash::HashMap;
 
-/// The cluster as a scheduling pass sees it.
+/// The state of the cluster that a scheduling pass works from.
 #[derive(Clone, Copy)]
 pub struct ClusterView<'a> {
     pub cache: &'a StateCache,
@@ -13,5 +13,5 @@
     /// The cloud's machine types by name.
     pub machine_types: &'a HashMap<String, MachineType>,
     /// The current wall-clock time.
-    pub wall: WallMs,
+    pub wall_time: WallMs,
 }
--- a/crates/core/src/scheduling/pass.rs
+++ b/crates/core/src/scheduling/pass.rs
@@ -50,8 +50,8 @@
         if work.is_empty() {
             return;
         }
-        let has_heard_all = self.has_completed_heartbeat_round();
-        if has_heard_all {
+        let is_round_complete = self.has_completed_heartbeat_round();
+        if is_round_complete {
             self.hold_for_cached_images(&mut work, &inherited);
         } else {
             // Further machines are still sending their first heartbeats: early passes use each of them soon.
@@ -65,7 +65,7 @@
         self.commit_plan(plan);
         // A machine that has not sent a heartbeat yet is not necessarily lost, so the pass neither preempts nor
         // provisions before a full round of heartbeats.
-        if !is_transaction_full && has_heard_all {
+        if !is_transaction_full && is_round_complete {
             work.retain(|work| !work.indices.is_empty() && !work.is_suspect);
             self.preempt(&work, &inherited);
             work.retain(|work| !work.requires_cached_image);
@@ -94,7 +94,7 @@
                 start_lead_ms: &|job| self.start_lead_time_ms(job),
             },
             usable_cpus: &|| self.usable_cpus(),
-            wall: self.wall,
+            wall_time: self.wall_time,
         };
         let work = queue.collect(&mut order);
         self.scheduling.queue_order = order;
@@ -193,7 +193,7 @@
             .sum()
     }
 
-    /// Holds services of production priority briefly for capacity on machines that cache their image, if
+    /// Delays services of production priority briefly to wait for capacity on machines that cache their image, if
     /// preempting batch tasks there lets them start sooner than fetching the image would. Schedules the next
     /// pass for the end of the first such wait.
     fn hold_for_cached_images(
@@ -206,7 +206,8 @@
             .iter_mut()
             .filter(|work| work.own_priority == JobPriority::Production)
         {
-            let remaining_wait_ms = (work.ready_at + WARM_IMAGE_WAIT_MS).saturating_sub(self.wall);
+            let remaining_wait_ms =
+                (work.ready_at + WARM_IMAGE_WAIT_MS).saturating_sub(self.wall_time);
             if remaining_wait_ms > 0 && self.starts_sooner_by_preemption(work, inherited) {
                 work.requires_cached_image = true;
                 shortest_wait_ms = shortest_wait_ms.min(remaining_wait_ms);
@@ -245,7 +246,7 @@
             cache: &self.cache,
             settings: &self.settings,
             machine_types: &self.machine_types,
-            wall: self.wall,
+            wall_time: self.wall_time,
         }
     }
 
--- a/crates/core/src/state/responses.rs
+++ b/crates/core/src/state/responses.rs
@@ -69,7 +69,7 @@
         for (key, record) in &transaction.changes {
             if let (Key::Job(job), Some(Record::Job(record))) = (key, record) {
                 if record.phase == JobPhase::Done {
-                    let duration_ms = self.wall.saturating_sub(record.accepted_at);
+                    let duration_ms = self.wall_time.saturating_sub(record.accepted_at);
                     tracing::info!(job, tasks = record.tasks, duration_ms, "job completed");
                 }
             }
@@ -101,15 +101,15 @@
                 self.user_request_written(request, &response);
             }
             PendingOperation::WriteResults {
-                machines_to_start: reply_start,
-                deprovisions_machines: returning,
-                ended_attempts: released,
+                machines_to_start,
+                deprovisions_machines,
+                ended_attempts,
             } => {
                 self.assignment_write_finished(operation, &response);
                 if committed {
-                    self.count_recorded_runs(released);
+                    self.count_recorded_runs(ended_attempts);
                 }
-                self.handle_results_response(reply_start, returning, committed);
+                self.handle_results_response(machines_to_start, deprovisions_machines, committed);
             }
             PendingOperation::Claim(claimed) => {
                 self.assignment_write_finished(operation, &response);
@@ -178,8 +178,8 @@
                 let accepted_at = self
                     .cache
                     .job(&task.job)
-                    .map_or(self.wall, |job| job.accepted_at);
-                let waited_ms = self.wall.saturating_sub(accepted_at);
+                    .map_or(self.wall_time, |job| job.accepted_at);
+                let waited_ms = self.wall_time.saturating_sub(accepted_at);
                 self.metrics
                     .record_claim(task, claim.attempt, waited_ms, self.now);
             }
@@ -217,7 +217,7 @@
             self.scheduling.pass_requested = true;
             return;
         }
-        // Retries soon: the cloud answers a repeated request of the same name as it did the first
+        // Retries soon: the cloud responds to a repeated request of the same name as to the first
         // time. The subtraction saturates because shortly after a start `now` is less than the
         // usual retry interval.
         let tried_at = (self.now + PROVISION_FAST_RETRY_MS).saturating_sub(PROVISION_RETRY_MS);
--- a/crates/core/src/workers/failure_detection.rs
+++ b/crates/core/src/workers/failure_detection.rs
@@ -20,7 +20,7 @@
 struct OverdueMachine {
     machine: String,
     /// Whether it is to be deleted when a probe of it fails.
-    give_up: bool,
+    delete_if_probe_fails: bool,
 }
 
 /// Machines to be deleted, with the reason, in the order in which they were found.
@@ -47,20 +47,20 @@
         self.liveness(id).last_heartbeat_at()
     }
 
-    /// Returns the milliseconds since a machine's last sign of life: a heartbeat to any controller,
-    /// or a response to a direct command.
+    /// Returns the milliseconds since the last contact with a machine: a heartbeat to any
+    /// controller, or a response to a direct command.
     fn silence_ms(&self, id: &str) -> Millis {
         self.silence_ms_of(&self.liveness(id))
     }
 
-    /// Returns the same as `silence_ms` for a liveness that was looked up already.
+    /// Returns the result of `silence_ms` for a machine whose liveness was already looked up.
     pub(crate) fn silence_ms_of(&self, liveness: &Liveness) -> Millis {
         let answered_at = liveness.observation.answered_at.unwrap_or(0);
         self.now - self.last_heard_at(liveness).max(answered_at)
     }
 
-    /// Returns the milliseconds in which a worker finds another controller. After them a silent
-    /// machine is probed, whichever controller it reported to.
+    /// Returns the milliseconds after which a silent machine is probed, whichever controller it
+    /// reported to: the time that a worker needs to find another controller, and a margin.
     pub(crate) fn worker_silence_limit_ms(&self) -> Millis {
         self.worker_failover_ms() + SILENCE_MARGIN_MS
     }
@@ -76,7 +76,8 @@
         self.has_recent_heartbeat_of(&self.liveness(id))
     }
 
-    /// Returns the same as `has_recent_heartbeat` for a liveness that was looked up already.
+    /// Returns the result of `has_recent_heartbeat` for a machine whose liveness was already looked
+    /// up.
     pub(crate) fn has_recent_heartbeat_of(&self, liveness: &Liveness) -> bool {
         self.now - self.last_heard_at(liveness) < self.settings.heartbeat_interval_ms * 5 / 2
     }
@@ -100,34 +101,38 @@
 
     /// Returns the machines that are overdue, in order of their names.
     ///
-    /// A machine that reports to this controller is given up soon: its heartbeat is overdue, a
-    /// direct command sent since has failed, and other machines that report here do send
-    /// heartbeats. A worker turns to another controller only when this one fails it, so there is no
-    /// need to wait for that. If more than a third of them are overdue, this controller rather than
+    /// A machine that reports to this controller is deleted soon: its heartbeat is overdue, a direct
+    /// command sent since has failed, and other machines that report here do send heartbeats. A
+    /// worker switches to another controller only when this one does not reply, so there is no need
+    /// to wait for that. If more than a third of them are overdue, this controller rather than
     /// the machines may be partitioned.
     ///
-    /// A machine that no controller is known to have heard for as long as a worker needs to find
-    /// another controller is given up later if there are many such machines, since the network is
-    /// the likelier cause. While peers can't be reached, most machines are heard by the peers
-    /// alone; the responses to probes tell live machines from dead ones.
+    /// A machine from which no controller is known to have received a heartbeat for as long as a
+    /// worker needs to find another controller is deleted later if there are many such machines,
+    /// since the network is the likelier cause. While peers can't be reached, the heartbeats of most
+    /// machines reach only the peers; the responses to probes distinguish live machines from failed
+    /// ones.
     fn overdue_machines(&self, survey: MachineSurvey) -> Vec<OverdueMachine> {
-        let mut give_up = BTreeMap::new();
+        let mut overdue = BTreeMap::new();
         let limit_ms = self.worker_silence_limit_ms();
         if self.now - self.lifecycle.resumed_at >= limit_ms + self.settings.heartbeat_interval_ms {
-            let patience_ms = match survey.silent.len() * 3 <= survey.up {
+            let silence_limit_ms = match survey.silent.len() * 3 <= survey.up {
                 true => limit_ms,
                 false => limit_ms.max(self.settings.lease_ms) * MASS_SILENCE_FACTOR,
             };
             for silent in survey.silent {
-                give_up.insert(silent.machine, silent.silence_ms > patience_ms);
+                overdue.insert(silent.machine, silent.silence_ms > silence_limit_ms);
             }
         }
         if survey.overdue_here.len() * 3 <= survey.reporting_here {
-            give_up.extend(survey.overdue_here.into_iter().map(|id| (id, true)));
+            overdue.extend(survey.overdue_here.into_iter().map(|id| (id, true)));
         }
-        let overdue = give_up.into_iter();
         overdue
-            .map(|(machine, give_up)| OverdueMachine { machine, give_up })
+            .into_iter()
+            .map(|(machine, delete_if_probe_fails)| OverdueMachine {
+                machine,
+                delete_if_probe_fails,
+            })
             .collect()
     }
 
@@ -138,7 +143,11 @@
         let mut overdue = self.overdue_machines(survey);
         // In an unreachable zone only a few machines are probed, a random choice each time.
         overdue.shuffle(&mut self.rng);
-        for OverdueMachine { machine, give_up } in overdue {
+        for OverdueMachine {
+            machine,
+            delete_if_probe_fails,
+        } in overdue
+        {
             let record = self.cache.machine(&machine);
             let zone = record.map_or(String::new(), |record| record.zone.clone());
             let MachineObservation {
@@ -150,7 +159,8 @@
             let probe_failed = unanswered_at
                 .is_some_and(|at| at > overdue_at && self.now < at + PROBE_VALIDITY_MS);
             let failed_at = unanswered_at.unwrap_or(0);
-            let is_unreachable = probe_failed && give_up && !self.may_be_partitioned(failed_at);
+            let is_unreachable =
+                probe_failed && delete_if_probe_fails && !self.may_be_partitioned(failed_at);
             if is_unreachable && self.is_single_machine_silence(&zone, failed_at) {
                 self.mark_for_termination(&machine, TerminationReason::Unreachable);
                 continue;
@@ -211,7 +221,7 @@
             let timed_out = self.cache.job(job).is_some_and(|job| {
                 job.phase == JobPhase::Cancelled
                     && counts.assigned > 0
-                    && self.wall > job.ended_at + self.settings.clock_skew_ms + after_ms
+                    && self.wall_time > job.ended_at + self.settings.clock_skew_ms + after_ms
             });
             if !timed_out {
                 continue;
--- a/crates/core/src/workers/observations.rs
+++ b/crates/core/src/workers/observations.rs
@@ -12,9 +12,9 @@
 /// When this controller last observed each kind of event of a machine, `None` if never.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MachineObservation {
-    /// When its record was first seen.
+    /// When its record first appeared in this controller's cache.
     pub first_seen_at: Option<Millis>,
-    /// When its record was first seen in phase up by this controller.
+    /// When its record first had phase up in this controller's cache.
     pub up_since: Option<Millis>,
     /// Since when no task has been assigned to it.
     pub idle_since: Option<Millis>,
@@ -45,7 +45,7 @@
 /// detection use every part of it for every machine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Liveness<'a> {
-    /// Its latest heartbeat that came to this controller.
+    /// Its latest heartbeat that this controller received.
     pub received: Option<&'a ReceivedHeartbeat>,
     /// Its latest heartbeat that a peer reported.
     pub from_peers: Option<&'a PeerObservation>,
@@ -60,9 +60,9 @@
         received_at.max(self.from_peers.map(|heartbeat| heartbeat.received_at))
     }
 
-    /// Returns the time of the latest sign of life that any controller is known to have had, if
-    /// any: a heartbeat or a response to a direct command.
-    pub fn last_sign_of_life_at(&self) -> Option<Millis> {
+    /// Returns the time of the latest contact that any controller is known to have had, if any: a
+    /// heartbeat or a response to a direct command.
+    pub fn last_contact_at(&self) -> Option<Millis> {
         self.last_heartbeat_at().max(self.observation.answered_at)
     }
 
@@ -77,7 +77,7 @@
         self.last_position().is_some_and(|known| position <= known)
     }
 
-    /// Returns whether its latest heartbeat, as far as is known, came to this controller.
+    /// Returns whether its latest heartbeat, as far as is known, arrived at this controller.
     pub fn reports_here(&self) -> bool {
         self.received
             .is_some_and(|heartbeat| !heartbeat.is_older_than(self.from_peers))
--- a/crates/core/src/workers/replies.rs
+++ b/crates/core/src/workers/replies.rs
@@ -1,4 +1,4 @@
-//! Replies to heartbeats: which commands they carry, and when held heartbeats are answered.
+//! Replies to heartbeats: which commands they carry, and when the controller replies to held heartbeats.
 
 use crate::constants::{HEARTBEAT_REPLY_MAX_DELAY_MS, REPLY_MAX_COMMANDS};
 use crate::controller::{Controller, RequestId, WorkerReply};
@@ -21,8 +21,8 @@
         };
         self.cache
             .assignments(&held.heartbeat.machine)
-            .filter(|(task, p)| {
-                let assignment = &p.assignment;
+            .filter(|(task, placed)| {
+                let assignment = &placed.assignment;
                 assignment.reply_start != Some(position)
                     && assignment.stop_reason.is_none()
                     && self.cache.open_job(&task.job).is_some()
@@ -32,7 +32,7 @@
                     && !predates_incarnation(assignment, position)
                     && is_start_fenced(assignment, position, held.heartbeat.token)
             })
-            .map(|(task, p)| (task.clone(), p.assignment.attempt))
+            .map(|(task, placed)| (task.clone(), placed.assignment.attempt))
             .collect()
     }
 
@@ -58,10 +58,10 @@
                 }),
                 (TaskPhase::Exited(_), Some(_)) => {}
                 (phase, assignment) => {
-                    let is_job_over = job.is_none_or(|j| j.open_spec().is_none());
+                    let has_job_ended = job.is_none_or(|j| j.open_spec().is_none());
                     let is_stopped =
                         assignment.is_some_and(|assignment| assignment.stop_reason.is_some());
-                    if is_job_over || assignment.is_none() {
+                    if has_job_ended || assignment.is_none() {
                         commands.push(WorkerCommand::Stop {
                             task: status.task.clone(),
                             attempt: status.attempt,
@@ -78,8 +78,8 @@
                 }
             }
         }
-        for (task, p) in self.cache.assignments(id) {
-            let assignment = &p.assignment;
+        for (task, placed) in self.cache.assignments(id) {
+            let assignment = &placed.assignment;
             if assignment.reply_start == Some(position)
                 && assignment.stop_reason.is_none()
                 && !(heartbeat.tasks.iter())
--- a/crates/core/src/workers/results.rs
+++ b/crates/core/src/workers/results.rs
@@ -1,8 +1,8 @@
 //! Writing of evidence from heartbeats and deletions to the state store: each transaction at the
 //! write interval takes as much of it as fits.
 //!
-//! Heartbeats are answered before their evidence is written. A worker repeats each result until it
-//! is told to forget it, which happens after the commit, so a controller that ends in between loses
+//! The controller replies to heartbeats before it writes their evidence. A worker repeats each result until it
+//! gets the command to forget it, which happens after the commit, so a controller that ends in between loses
 //! nothing.
 
 use crate::constants::{
@@ -24,7 +24,7 @@
     pub outcome: AttemptOutcome,
     pub at: Millis,
     /// The delivery on which the proof is conditional: it shows only that this delivery of the
-    /// start never arrived, or is over with its incarnation. If another controller sends the start
+    /// start never arrived, or that its incarnation has ended. If another controller sends the start
     /// of the same attempt again meanwhile, the proof is void.
     pub conditional_on: Option<StartDelivery>,
 }
@@ -73,8 +73,8 @@
 
         let max_changes = self.max_result_changes(changes_left);
         // While the rate limit is short of changes, results alone would fill every transaction.
-        // Machines that came up would then never be recorded or used, and would be given up as
-        // never heard; tasks on unreachable machines would not restart, and cancelled tasks on
+        // Machines that came up would then never be recorded or used, and would be deleted as machines
+        // that never came up; tasks on unreachable machines would not restart, and cancelled tasks on
         // others would outlive their time limit. Up to half of the changes are therefore reserved
         // for machine records.
         let (in_use, idle) = self.machines_to_delete();
@@ -87,12 +87,13 @@
             is_full: false,
         };
         let released = self.draft_results(&mut draft);
-        let reply_start = self.draft_reply_starts(&mut draft);
+        let machines_to_start = self.draft_reply_starts(&mut draft);
         self.draft_checkpoints(&mut draft);
         let reserved_for_updates = usize::from(!self.write_back.machine_updates.is_empty());
-        let mut returning = self.draft_deletions(&mut draft, in_use, reserved_for_updates);
+        let mut deprovisions_machines =
+            self.draft_deletions(&mut draft, in_use, reserved_for_updates);
         self.draft_machine_updates(&mut draft);
-        returning |= self.draft_deletions(&mut draft, idle, 0);
+        deprovisions_machines |= self.draft_deletions(&mut draft, idle, 0);
         self.draft_confirmed_deletions(&mut draft);
 
         let is_full = draft.is_full;
@@ -106,8 +107,8 @@
         self.write_back.written_at = if is_full { 0 } else { self.now };
         let transaction = builder.finish();
         let purpose = PendingOperation::WriteResults {
-            machines_to_start: reply_start,
-            deprovisions_machines: returning,
+            machines_to_start,
+            deprovisions_machines,
             ended_attempts: released,
         };
         self.commit_assignments(transaction, purpose, RequestClass::Result);
@@ -190,7 +191,7 @@
                 draft.is_full = true;
                 break;
             }
-            claims::release(&mut draft.builder, task, attempt, outcome, self.wall);
+            claims::release(&mut draft.builder, task, attempt, outcome, self.wall_time);
             released.push((task.clone(), attempt));
         }
         released
@@ -200,7 +201,7 @@
     fn draft_reply_starts(&self, draft: &mut ResultsDraft) -> Vec<String> {
         let mut machines = Vec::new();
         for (id, held) in &self.workers.held_heartbeats {
-            // As many as fit: a machine may lack hundreds of starts, which share the puts of a few
+            // Drafts as many as fit: a machine may lack hundreds of starts, which share the puts of a few
             // chunks. The others go with its next heartbeat.
             let position = held.position();
             let mut has_drafted = false;
@@ -365,8 +366,8 @@
     /// transaction, a commit doubles it.
     pub(crate) fn handle_results_response(
         &mut self,
-        reply_start: Vec<String>,
-        returning: bool,
+        machines_to_start: Vec<String>,
+        deprovisions_machines: bool,
         committed: bool,
     ) {
         if !committed {
@@ -383,16 +384,16 @@
             let phase = cache.machine(id).map(|m| m.phase);
             phase.is_some_and(|p| p != MachinePhase::Deprovisioning)
         });
-        for id in reply_start {
+        for id in machines_to_start {
             self.reply_to_held(&id);
         }
-        if returning {
+        if deprovisions_machines {
             self.send_deletions();
         }
     }
 
     /// Queues the ends of all assignments on deleted machines: the cloud's 200 to a deletion proves
-    /// that everything on the machine is gone.
+    /// that every task on the machine has ended.
     fn queue_results_of_deleted_machines(&mut self) {
         let cache = &self.cache;
         self.provisioning
@@ -444,7 +445,7 @@
         }
     }
 
-    /// Returns a new record for a machine that an instance request brought and that has sent no
+    /// Returns a new record for a machine that an instance request provisioned and that has sent no
     /// heartbeat.
     fn new_record_of_instance(&self, id: &str) -> Option<MachineRecord> {
         let (_, instance_request, _) = self.cache.instance_requests().find(|(_, request, _)| {
@@ -460,7 +461,7 @@
                 &instance_request.zone,
                 instance_request.spot,
                 MachinePhase::Booting,
-                self.wall,
+                self.wall_time,
             )
         })
     }
