--- a/crates/core/src/controller/operations.rs
+++ b/crates/core/src/controller/operations.rs
@@ -7,8 +7,8 @@
 use crate::model::TaskId;
 use crate::state::CasTransaction;
 use foldhash::{HashMap, HashMapExt};
-use glenmount_runtime_estimates::book::ClassId;
-use glenmount_runtime_estimates::history::Batch;
+use glenmount_runtime_estimates::estimator::ClassId;
+use glenmount_runtime_estimates::history::RunBatch;
 
 /// The purpose of an outstanding operation.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
         ended_attempts: Vec<(TaskId, u64)>,
     },
     /// Records run times of a job class.
-    RecordRunTimes(ClassId, Vec<Batch>),
+    RecordRunTimes(ClassId, Vec<RunBatch>),
     /// Claims tasks for machines.
     Claim(Vec<ClaimedTask>),
     /// Records instance requests before they are sent to the cloud under their names.
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -16,12 +16,12 @@
 use crate::scheduling::claims::AttemptOutcome;
 use crate::state::{ChunkRecord, Key, Record, RunTimesRecord, TaskState, TransactionBuilder};
 use foldhash::HashMap;
-use glenmount_runtime_estimates::book::{class_id, About, Book, ClassId};
-use glenmount_runtime_estimates::constants::{CLASSES_KEPT, NAME_BYTES};
-use glenmount_runtime_estimates::history::{Batch, History};
-use glenmount_runtime_estimates::machines::Machines;
+use glenmount_runtime_estimates::constants::{CLASSES_MAX, RECORD_NAME_MAX_BYTES};
+use glenmount_runtime_estimates::estimator::{class_id, ClassId, JobDescription, RunTimeEstimator};
+use glenmount_runtime_estimates::history::{History, RunBatch};
+use glenmount_runtime_estimates::machine_speeds::MachineSpeeds;
 use glenmount_runtime_estimates::mixture::Mixture;
-use glenmount_runtime_estimates::{End, Run};
+use glenmount_runtime_estimates::{Run, RunOutcome};
 use std::collections::BTreeSet;
 
 type Attempt = (TaskId, u64);
@@ -59,8 +59,8 @@
 /// The observed runs and the estimates of a controller.
 #[derive(Default)]
 pub(crate) struct RunTimes {
-    pub book: Book,
-    machines: Machines,
+    pub estimator: RunTimeEstimator,
+    machines: MachineSpeeds,
     /// The latest attempt of each task.
     attempts: HashMap<TaskId, ObservedAttempt>,
     saved_progress: HashMap<TaskId, SavedProgress>,
@@ -82,15 +82,15 @@
 fn run_record_line(run: &Run, task: &TaskId, machine: &str, at: WallMs) -> String {
     serde_json::json!({
         "at": at, "job": run.job, "task": task.index, "team": run.team, "class": run.class,
-        "image": run.image, "expect_s": run.expect_s, "secs": (run.secs * 1e3).round() / 1e3,
-        "done": run.end == End::Done, "machine": machine,
+        "image": run.image, "expect_s": run.owner_estimate_s, "secs": (run.run_time_s * 1e3).round() / 1e3,
+        "done": run.outcome == RunOutcome::Completed, "machine": machine,
     })
     .to_string()
 }
 
-/// Returns the longest prefix of a name within `NAME_BYTES` that ends at a character boundary.
+/// Returns the longest prefix of a name within `RECORD_NAME_MAX_BYTES` that ends at a character boundary.
 fn truncated(name: &str) -> String {
-    let end = (0..=NAME_BYTES.min(name.len())).rev();
+    let end = (0..=RECORD_NAME_MAX_BYTES.min(name.len())).rev();
     let end = end.into_iter().find(|at| name.is_char_boundary(*at));
     name[..end.unwrap_or(0)].to_string()
 }
@@ -232,9 +232,9 @@
         let earlier_secs = saved.map_or(Some(0.0), |saved| saved.secs);
         let is_exact = observed.is_start_exact && earlier_secs.is_some();
         let secs = run_s + earlier_secs.unwrap_or(0.0);
-        let end = match outcome {
-            AttemptOutcome::Done if is_exact => End::Done,
-            AttemptOutcome::Done | AttemptOutcome::Terminated => End::AtLeast,
+        let run_outcome = match outcome {
+            AttemptOutcome::Done if is_exact => RunOutcome::Completed,
+            AttemptOutcome::Done | AttemptOutcome::Terminated => RunOutcome::LowerBound,
             AttemptOutcome::Failed | AttemptOutcome::Refused => return,
         };
         if has_checkpoints
@@ -257,9 +257,9 @@
                 class: spec.class,
                 image: spec.image,
                 job: task.job.clone(),
-                expect_s: spec.estimate_s,
-                secs,
-                end,
+                owner_estimate_s: spec.estimate_s,
+                run_time_s: secs,
+                outcome: run_outcome,
             };
             self.run_times.ended_runs.insert(key, (run, machine));
         }
@@ -273,10 +273,10 @@
                 continue;
             };
             let estimate = self.run_times.estimates.get(&run.job);
-            let expected = estimate.map_or(run.ln_secs(), |e| e.distribution.quantile(0.5));
-            let is_done = run.end == End::Done;
-            let excess = run.ln_secs() - expected;
-            let is_representative = !is_done || self.run_times.machines.ran(&machine, excess);
+            let expected = estimate.map_or(run.ln_run_time(), |e| e.distribution.quantile(0.5));
+            let is_done = run.outcome == RunOutcome::Completed;
+            let excess = run.ln_run_time() - expected;
+            let is_representative = !is_done || self.run_times.machines.add_run(&machine, excess);
             let is_machine_faulty = self
                 .cache
                 .machine(&machine)
@@ -284,7 +284,7 @@
             if is_representative && !is_machine_faulty {
                 let line = run_record_line(&run, &task, &machine, self.wall);
                 tracing::info!(run = %line, "ran");
-                self.run_times.book.ran(&run);
+                self.run_times.estimator.add_run(&run);
                 self.run_times.counted_runs += 1;
             }
         }
@@ -306,9 +306,11 @@
                     History::default()
                 });
                 let (team, name) = (record.team.clone(), record.class.clone());
-                self.run_times.book.recorded(class, &team, &name, history);
+                self.run_times
+                    .estimator
+                    .set_record(class, &team, &name, history);
             }
-            None => self.run_times.book.removed(class),
+            None => self.run_times.estimator.remove_record(class),
         }
     }
 
@@ -341,10 +343,17 @@
         {
             return;
         }
-        let Some(class) = self.run_times.book.unrecorded().first().copied() else {
+        let Some(class) = self
+            .run_times
+            .estimator
+            .classes_to_record()
+            .first()
+            .copied()
+        else {
             return;
         };
-        let Some((team, name, history, batches)) = self.run_times.book.to_record(class) else {
+        let Some((team, name, history, batches)) = self.run_times.estimator.updated_record(class)
+        else {
             return;
         };
         let record = RunTimesRecord {
@@ -359,7 +368,7 @@
             .map(|(class, record, _)| (record.updated_at, *class))
             .collect();
         let is_new = self.cache.run_times(&class).is_none();
-        if is_new && recorded.len() >= CLASSES_KEPT {
+        if is_new && recorded.len() >= CLASSES_MAX {
             if let Some((_, oldest)) = recorded.iter().min() {
                 draft.remove(Key::RunTimes(*oldest));
             }
@@ -372,7 +381,7 @@
         let pause_ms = draft.change_count() as f64 * 1e3 / rate_per_s.max(1e-6);
         self.run_times.next_write_at = self.now + pause_ms as Millis;
         self.run_times.recording_in_flight = true;
-        self.run_times.book.sent(class, &batches);
+        self.run_times.estimator.mark_recorded(class, &batches);
         let transaction = draft.finish();
         let purpose = PendingOperation::RecordRunTimes(class, batches);
         self.commit(transaction, purpose, RequestClass::Housekeeping);
@@ -382,14 +391,14 @@
     pub(crate) fn finish_recording_run_times(
         &mut self,
         class: ClassId,
-        batches: Vec<Batch>,
+        batches: Vec<RunBatch>,
         response: &StateResponse,
     ) {
         self.run_times.recording_in_flight = false;
         match response {
             StateResponse::Committed { .. } => self.run_times.written_records += 1,
             StateResponse::Conflict { .. } | StateResponse::Unavailable => {
-                self.run_times.book.unsent(class, &batches)
+                self.run_times.estimator.restore_unrecorded(class, &batches)
             }
             // It may still take effect, and a retry might count these runs twice.
             _ => tracing::info!(
@@ -426,12 +435,12 @@
             .cloned()
             .collect();
         for spec in outdated {
-            let distribution = self.run_times.book.distribution(&About {
+            let distribution = self.run_times.estimator.distribution(&JobDescription {
                 team: &spec.team,
                 class: &spec.class,
                 image: &spec.image,
                 job: &spec.id,
-                expect_s: spec.estimate_s,
+                owner_estimate_s: spec.estimate_s,
             });
             let min_run_ms = (distribution.quantile(FEASIBLE_RUN_TIME_QUANTILE).exp() * 1e3) as u64;
             let start_lead_time_ms =
@@ -493,7 +502,7 @@
         let ended_share = |secs: f64| {
             estimate
                 .distribution
-                .share_within(glenmount_runtime_estimates::ln(secs))
+                .cdf(glenmount_runtime_estimates::ln_run_time(secs))
         };
         let ended_before = ended_share(elapsed_s);
         let ended_by_then = ended_share(elapsed_s + within_ms as f64 / 1e3);
@@ -536,7 +545,7 @@
             .retain(|job, _| cache.open_job(job).is_some());
         if run_times.counted_runs + run_times.written_records > 0 {
             let (runs, records) = (run_times.counted_runs, run_times.written_records);
-            let (classes, followed) = (run_times.book.len(), run_times.attempts.len());
+            let (classes, followed) = (run_times.estimator.len(), run_times.attempts.len());
             tracing::info!(runs, records, classes, followed, "run times counted");
             (run_times.counted_runs, run_times.written_records) = (0, 0);
         }
@@ -544,6 +553,6 @@
 
     /// Returns the history of a class, for tests.
     pub fn class_history(&self, team: &str, class: &str) -> Option<&History> {
-        self.run_times.book.history(class_id(team, class))
+        self.run_times.estimator.history(class_id(team, class))
     }
 }
--- a/crates/core/tests/scenarios/runtime_estimates.rs
+++ b/crates/core/tests/scenarios/runtime_estimates.rs
@@ -3,8 +3,8 @@
 
 use glenmount_core::model::{JobPriority, JobSpec, Resources};
 use glenmount_core::state::{JobPhase, Key, Record, RunTimesRecord};
-use glenmount_runtime_estimates::book::class_id;
-use glenmount_runtime_estimates::constants::CLASSES_KEPT;
+use glenmount_runtime_estimates::constants::CLASSES_MAX;
+use glenmount_runtime_estimates::estimator::class_id;
 use glenmount_runtime_estimates::history::History;
 use glenmount_simulation::{all_estimate_uses, job, FaultRates, Simulation};
 
@@ -176,7 +176,7 @@
         panic!("not on record");
     };
     let like = like.clone();
-    for n in 0..CLASSES_KEPT as u64 {
+    for n in 0..CLASSES_MAX as u64 {
         let old = RunTimesRecord {
             updated_at: like.updated_at - 1_000_000 + n,
             class: format!("old{n}"),
@@ -193,7 +193,7 @@
         .keys()
         .filter(|k| matches!(k, Key::RunTimes(_)))
         .count();
-    assert!(classes <= CLASSES_KEPT + 1, "{classes}");
+    assert!(classes <= CLASSES_MAX + 1, "{classes}");
     assert!(
         !sim.state.records.contains_key(&Key::RunTimes(0)),
         "the oldest is gone"
--- a/crates/ctl/src/estimates.rs
+++ b/crates/ctl/src/estimates.rs
@@ -87,8 +87,8 @@
         let StoredHistory { record, history } = self;
         let prior = Mixture::new(Vec::new());
         let (jobs, within) = history.mixture(None, 0, &prior);
-        let estimate = jobs.wider(within).estimate();
-        let latest: Vec<f64> = history.excess().rev().take(OWNER_BIAS_JOBS).collect();
+        let estimate = jobs.with_added_variance(within).estimate();
+        let latest: Vec<f64> = history.ln_excesses().rev().take(OWNER_BIAS_JOBS).collect();
         let bias = latest.iter().sum::<f64>() / latest.len().max(1) as f64;
         ClassSummary {
             team: record.team.clone(),
@@ -115,10 +115,10 @@
             secs: job.mean.exp(),
             team: record.team.clone(),
             class: record.class.clone(),
-            image: format!("#{:04x}", job.image),
-            job: format!("#{:08x}", job.tag),
+            image: format!("#{:04x}", job.image_hash),
+            job: format!("#{:08x}", job.id_hash),
             task: None,
-            expect_s: job.expect.map_or(0.0, f64::exp),
+            expect_s: job.ln_estimate.map_or(0.0, f64::exp),
             done: job.runs > 0,
             runs: i32::from(job.runs.max(1)),
             machine: None,
--- a/crates/ctl/src/replay/mod.rs
+++ b/crates/ctl/src/replay/mod.rs
@@ -7,8 +7,8 @@
 pub use report::{ClassReport, ErrorReport, WorkerHeartbeat};
 
 use crate::run_record::RunRecord;
-use glenmount_runtime_estimates::book::{About, Book};
-use glenmount_runtime_estimates::End;
+use glenmount_runtime_estimates::estimator::{JobDescription, RunTimeEstimator};
+use glenmount_runtime_estimates::RunOutcome;
 use score::{Prediction, Score};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -59,7 +59,7 @@
 
 /// A replay under way.
 pub struct Replay {
-    book: Book,
+    estimator: RunTimeEstimator,
     min_jobs: u64,
     rows: u64,
     cut_short: u64,
@@ -76,7 +76,7 @@
     /// Runs are scored once so many jobs of their class are known.
     pub fn new(min_jobs: u64) -> Replay {
         Replay {
-            book: Book::default(),
+            estimator: RunTimeEstimator::default(),
             min_jobs,
             rows: 0,
             cut_short: 0,
@@ -113,7 +113,10 @@
 
     fn predict(&mut self, record: &RunRecord) -> Prediction {
         let run = record.run();
-        let estimate = self.book.distribution(&About::from(&run)).estimate();
+        let estimate = self
+            .estimator
+            .distribution(&JobDescription::from(&run))
+            .estimate();
         let past = self.past.get(&class_key(record));
         let known = past.filter(|past| past.runs > 0);
         Prediction {
@@ -142,10 +145,10 @@
     fn end_run(&mut self, record: &RunRecord, prediction: &Prediction) {
         let run = record.run();
         for _ in 0..record.runs.min(MAX_RUNS_PER_RECORD) {
-            self.book.ran(&run);
+            self.estimator.add_run(&run);
         }
         self.record_learned();
-        if run.end != End::Done {
+        if run.outcome != RunOutcome::Completed {
             self.cut_short += 1;
             return;
         }
@@ -165,14 +168,14 @@
 
     /// Stands for what controllers record from time to time, so that old jobs leave what is fresh.
     fn record_learned(&mut self) {
-        for id in self.book.unrecorded() {
-            let Some((team, class, history, batches)) = self.book.to_record(id) else {
+        for id in self.estimator.classes_to_record() {
+            let Some((team, class, history, batches)) = self.estimator.updated_record(id) else {
                 continue;
             };
             if batches.len() >= JOBS_PER_RECORDING {
                 let (team, class) = (team.to_string(), class.to_string());
-                self.book.sent(id, &batches);
-                self.book.recorded(id, &team, &class, history);
+                self.estimator.mark_recorded(id, &batches);
+                self.estimator.set_record(id, &team, &class, history);
             }
         }
     }
--- a/crates/ctl/src/run_record.rs
+++ b/crates/ctl/src/run_record.rs
@@ -1,6 +1,6 @@
 //! A run as exports have it, and how it is read from a controller's log.
 
-use glenmount_runtime_estimates::{End, Run};
+use glenmount_runtime_estimates::{Run, RunOutcome};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -72,11 +72,11 @@
             class: self.class.clone(),
             image: self.image.clone(),
             job: self.job.clone(),
-            expect_s: self.expect_s,
-            secs: self.secs,
-            end: match self.done {
-                true => End::Done,
-                false => End::AtLeast,
+            owner_estimate_s: self.expect_s,
+            run_time_s: self.secs,
+            outcome: match self.done {
+                true => RunOutcome::Completed,
+                false => RunOutcome::LowerBound,
             },
         }
     }
--- a/crates/ctl/tests/stored_estimates.rs
+++ b/crates/ctl/tests/stored_estimates.rs
@@ -1,9 +1,9 @@
 //! What is read from a state service: pages, refusals, damage, and what is none.
 
 use glenmount_core::state::{Key, Record, RunTimesRecord};
-use glenmount_runtime_estimates::book::class_id;
-use glenmount_runtime_estimates::history::{Batch, History};
-use glenmount_runtime_estimates::{End, Run};
+use glenmount_runtime_estimates::estimator::class_id;
+use glenmount_runtime_estimates::history::{History, RunBatch};
+use glenmount_runtime_estimates::{Run, RunOutcome};
 use glenmountctl::estimates::StoredHistories;
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpListener;
@@ -36,11 +36,11 @@
             class: class.into(),
             image: "i".into(),
             job: format!("j-{n}"),
-            expect_s: 30.0,
-            secs: 60.0,
-            end: End::Done,
+            owner_estimate_s: 30.0,
+            run_time_s: 60.0,
+            outcome: RunOutcome::Completed,
         };
-        history.take(&Batch::of(&run));
+        history.add_batch(&RunBatch::from_run(&run));
     }
     let record = RunTimesRecord {
         team: "red".into(),
--- a/crates/runtime-estimates/src/bias.rs
+++ b/crates/runtime-estimates/src/bias.rs
@@ -1,6 +1,6 @@
 //! How run times compare with owners' estimates, over a team or over all.
 
-use crate::constants::{OWNER_SD, PARENT_JOBS_PER_CLASS, PARENT_WEIGHT_JOBS};
+use crate::constants::{BIAS_JOBS_PER_CLASS, BIAS_SHRINKAGE_JOBS, OWNER_ESTIMATE_SD};
 use crate::history::History;
 use std::collections::HashMap;
 
@@ -26,7 +26,7 @@
 
     /// Drawn towards another, as far as it rests on few jobs: mean and variance.
     fn shrunk_towards(self, parent: (f64, f64)) -> (f64, f64) {
-        let share = self.jobs / (self.jobs + PARENT_WEIGHT_JOBS);
+        let share = self.jobs / (self.jobs + BIAS_SHRINKAGE_JOBS);
         let mean = parent.0 + (self.mean - parent.0) * share;
         // What the two means are apart counts as doubt.
         let between = (self.mean - parent.0).powi(2) * share * (1.0 - share);
@@ -46,7 +46,7 @@
     pub(crate) fn of<'a>(classes: impl Iterator<Item = (&'a str, &'a History)>) -> Biases {
         let mut teams: HashMap<String, Vec<f64>> = HashMap::new();
         for (team, history) in classes {
-            let latest = history.excess().rev().take(PARENT_JOBS_PER_CLASS);
+            let latest = history.ln_excesses().rev().take(BIAS_JOBS_PER_CLASS);
             teams.entry(team.to_string()).or_default().extend(latest);
         }
         let all = Bias::of(teams.values().flatten().copied());
@@ -61,7 +61,9 @@
     /// Mean and variance for a team, drawn towards those of all teams, and these towards owners about whom
     /// nothing is known.
     pub(crate) fn of_team(&self, team: &str) -> (f64, f64) {
-        let of_all = self.all.shrunk_towards((0.0, OWNER_SD * OWNER_SD));
+        let of_all = self
+            .all
+            .shrunk_towards((0.0, OWNER_ESTIMATE_SD * OWNER_ESTIMATE_SD));
         let team = self.teams.get(team).copied().unwrap_or_default();
         team.shrunk_towards(of_all)
     }
--- a/crates/runtime-estimates/src/history/mod.rs
+++ b/crates/runtime-estimates/src/history/mod.rs
@@ -7,19 +7,20 @@
 pub use packed::Packed;
 
 use crate::constants::{
-    JOBS_PER_CLASS, MAX_RUNS_PER_JOB, WITHIN_MAX_TASKS, WITHIN_SD, WITHIN_TASKS,
+    JOBS_PER_CLASS_MAX, RUNS_PER_JOB_MAX, WITHIN_JOB_MAX_TASKS, WITHIN_JOB_PRIOR_TASKS,
+    WITHIN_JOB_SD,
 };
-use crate::{ln_expect, End, Run};
+use crate::{ln_owner_estimate, Run, RunOutcome};
 
 /// One job's runs, as far as they were counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Job {
+pub struct JobSample {
     /// A hash of its id.
-    pub tag: u32,
+    pub id_hash: u32,
     /// A hash of its image's name.
-    pub image: u16,
+    pub image_hash: u16,
     /// Logarithm of the owner's estimate.
-    pub expect: Option<f64>,
+    pub ln_estimate: Option<f64>,
     /// Mean logarithm of its tasks' run times; the longest of those cut short, if none completed.
     pub mean: f64,
     /// Tasks counted: 0 if all were cut short.
@@ -28,30 +29,30 @@
 
 /// Sums over runs of one job until they are recorded.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Batch {
+pub struct RunBatch {
     /// What is counted so far.
-    pub job: Job,
+    pub job: JobSample,
     /// Squared deviations from the mean.
     squared_deviations: f64,
 }
 
-impl Batch {
+impl RunBatch {
     /// Of a single run.
-    pub fn of(run: &Run) -> Batch {
-        Batch {
-            job: Job {
-                tag: job_tag(&run.job),
-                image: image_tag(&run.image),
-                expect: ln_expect(run.expect_s),
-                mean: run.ln_secs(),
-                runs: u8::from(run.end == End::Done),
+    pub fn from_run(run: &Run) -> RunBatch {
+        RunBatch {
+            job: JobSample {
+                id_hash: job_hash(&run.job),
+                image_hash: image_hash(&run.image),
+                ln_estimate: ln_owner_estimate(run.owner_estimate_s),
+                mean: run.ln_run_time(),
+                runs: u8::from(run.outcome == RunOutcome::Completed),
             },
             squared_deviations: 0.0,
         }
     }
 
     /// Adds runs of the same job.
-    pub fn add(&mut self, other: &Batch) {
+    pub fn add(&mut self, other: &RunBatch) {
         let (a, b) = (f64::from(self.job.runs), f64::from(other.job.runs));
         if a + b == 0.0 {
             self.job.mean = self.job.mean.max(other.job.mean);
@@ -66,32 +67,32 @@
                 .job
                 .runs
                 .saturating_add(other.job.runs)
-                .min(MAX_RUNS_PER_JOB);
+                .min(RUNS_PER_JOB_MAX);
         }
-        if self.job.expect.is_none() {
-            self.job.expect = other.job.expect;
+        if self.job.ln_estimate.is_none() {
+            self.job.ln_estimate = other.job.ln_estimate;
         }
     }
 }
 
 /// The hash of a job's id that is stored.
-pub fn job_tag(id: &str) -> u32 {
-    crate::hash(&[id]) as u32
+pub fn job_hash(id: &str) -> u32 {
+    crate::stable_hash(&[id]) as u32
 }
 
 /// The hash of an image's name that is stored.
-pub fn image_tag(image: &str) -> u16 {
-    crate::hash(&[image]) as u16
+pub fn image_hash(image: &str) -> u16 {
+    crate::stable_hash(&[image]) as u16
 }
 
 /// The latest jobs of a class of a team, latest last.
 #[derive(Clone, Debug, PartialEq)]
 pub struct History {
-    jobs: Vec<Job>,
+    jobs: Vec<JobSample>,
     /// Variance of tasks within a job, in squared logarithms.
-    within_var: f64,
+    within_job_var: f64,
     /// Tasks that it rests on.
-    within_tasks: f64,
+    within_job_tasks: f64,
     /// Completed runs counted in all.
     pub runs: u64,
 }
@@ -100,8 +101,8 @@
     fn default() -> History {
         History {
             jobs: Vec::new(),
-            within_var: WITHIN_SD * WITHIN_SD,
-            within_tasks: WITHIN_TASKS,
+            within_job_var: WITHIN_JOB_SD * WITHIN_JOB_SD,
+            within_job_tasks: WITHIN_JOB_PRIOR_TASKS,
             runs: 0,
         }
     }
@@ -109,23 +110,27 @@
 
 impl History {
     /// The jobs that are remembered, latest last.
-    pub fn jobs(&self) -> &[Job] {
+    pub fn jobs(&self) -> &[JobSample] {
         &self.jobs
     }
 
     /// The latest job with this tag.
-    pub fn job(&self, tag: u32) -> Option<&Job> {
-        self.jobs.iter().rev().find(|j| j.tag == tag)
+    pub fn job(&self, id_hash: u32) -> Option<&JobSample> {
+        self.jobs.iter().rev().find(|j| j.id_hash == id_hash)
     }
 
     /// Counts a job's runs, once. More runs of one that it holds are added to that.
-    pub fn take(&mut self, batch: &Batch) {
+    pub fn add_batch(&mut self, batch: &RunBatch) {
         self.runs = self.runs.saturating_add(u64::from(batch.job.runs));
         let mut squares = batch.squared_deviations;
         let mut tasks = f64::from(batch.job.runs.saturating_sub(1));
-        match self.jobs.iter_mut().find(|j| j.tag == batch.job.tag) {
+        match self
+            .jobs
+            .iter_mut()
+            .find(|j| j.id_hash == batch.job.id_hash)
+        {
             Some(known) => {
-                let mut sum = Batch {
+                let mut sum = RunBatch {
                     job: *known,
                     squared_deviations: 0.0,
                 };
@@ -136,21 +141,21 @@
             }
             None => {
                 self.jobs.push(batch.job);
-                if self.jobs.len() > JOBS_PER_CLASS {
+                if self.jobs.len() > JOBS_PER_CLASS_MAX {
                     self.jobs.remove(0);
                 }
             }
         }
         if tasks > 0.0 {
-            let known = self.within_tasks.min(WITHIN_MAX_TASKS);
-            self.within_var = (self.within_var * known + squares) / (known + tasks);
-            self.within_tasks = (known + tasks).min(WITHIN_MAX_TASKS);
+            let known = self.within_job_tasks.min(WITHIN_JOB_MAX_TASKS);
+            self.within_job_var = (self.within_job_var * known + squares) / (known + tasks);
+            self.within_job_tasks = (known + tasks).min(WITHIN_JOB_MAX_TASKS);
         }
     }
 
     /// Mean logarithms by which run times exceed the owner's estimates, latest last.
-    pub fn excess(&self) -> impl DoubleEndedIterator<Item = f64> + '_ {
+    pub fn ln_excesses(&self) -> impl DoubleEndedIterator<Item = f64> + '_ {
         let done = self.jobs.iter().filter(|j| j.runs > 0);
-        done.filter_map(|j| Some(j.mean - j.expect?))
+        done.filter_map(|j| Some(j.mean - j.ln_estimate?))
     }
 }
--- a/crates/runtime-estimates/src/history/packed.rs
+++ b/crates/runtime-estimates/src/history/packed.rs
@@ -1,7 +1,7 @@
 //! How a history is stored.
 
-use super::{History, Job};
-use crate::constants::JOBS_PER_CLASS;
+use super::{History, JobSample};
+use crate::constants::JOBS_PER_CLASS_MAX;
 use base64::engine::general_purpose::STANDARD_NO_PAD as BASE64;
 use base64::Engine;
 use serde::{Deserialize, Serialize};
@@ -13,9 +13,9 @@
     jobs: String,
     /// In thousandths, as are the tasks.
     #[serde(rename = "w")]
-    within: u32,
+    within_job_var: u32,
     #[serde(rename = "k")]
-    within_tasks: u32,
+    within_job_tasks: u32,
     #[serde(rename = "n")]
     runs: u64,
     #[serde(rename = "s")]
@@ -39,8 +39,11 @@
 
 impl Packed {
     fn computed_checksum(&self) -> u32 {
-        let numbers = format!("{} {} {}", self.within, self.within_tasks, self.runs);
-        crate::hash(&[&self.jobs, &numbers]) as u32
+        let numbers = format!(
+            "{} {} {}",
+            self.within_job_var, self.within_job_tasks, self.runs
+        );
+        crate::stable_hash(&[&self.jobs, &numbers]) as u32
     }
 }
 
@@ -49,16 +52,16 @@
     pub fn pack(&self) -> Packed {
         let mut bytes = Vec::with_capacity(self.jobs.len() * JOB_BYTES);
         for j in &self.jobs {
-            bytes.extend_from_slice(&j.tag.to_le_bytes());
-            bytes.extend_from_slice(&j.image.to_le_bytes());
-            bytes.extend_from_slice(&j.expect.map_or(NO_LN, pack_ln).to_le_bytes());
+            bytes.extend_from_slice(&j.id_hash.to_le_bytes());
+            bytes.extend_from_slice(&j.image_hash.to_le_bytes());
+            bytes.extend_from_slice(&j.ln_estimate.map_or(NO_LN, pack_ln).to_le_bytes());
             bytes.extend_from_slice(&pack_ln(j.mean).to_le_bytes());
             bytes.push(j.runs);
         }
         let mut packed = Packed {
             jobs: BASE64.encode(bytes),
-            within: (self.within_var * 1_000.0).round().clamp(0.0, 1e6) as u32,
-            within_tasks: (self.within_tasks * 1_000.0).round().clamp(0.0, 1e6) as u32,
+            within_job_var: (self.within_job_var * 1_000.0).round().clamp(0.0, 1e6) as u32,
+            within_job_tasks: (self.within_job_tasks * 1_000.0).round().clamp(0.0, 1e6) as u32,
             runs: self.runs,
             checksum: 0,
         };
@@ -68,29 +71,29 @@
 
     /// Reads what is stored; none if it is damaged or too long.
     pub fn unpack(packed: &Packed) -> Option<History> {
-        let most = (JOBS_PER_CLASS * JOB_BYTES).div_ceil(3) * 4;
+        let most = (JOBS_PER_CLASS_MAX * JOB_BYTES).div_ceil(3) * 4;
         if packed.jobs.len() > most || packed.checksum != packed.computed_checksum() {
             return None;
         }
         let bytes = BASE64.decode(&packed.jobs).ok()?;
-        if bytes.len() % JOB_BYTES != 0 || bytes.len() > JOBS_PER_CLASS * JOB_BYTES {
+        if bytes.len() % JOB_BYTES != 0 || bytes.len() > JOBS_PER_CLASS_MAX * JOB_BYTES {
             return None;
         }
         let jobs = bytes.chunks_exact(JOB_BYTES).map(|b| {
             let two = |at: usize| u16::from_le_bytes([b[at], b[at + 1]]);
             let expect = two(6);
-            Job {
-                tag: u32::from_le_bytes([b[0], b[1], b[2], b[3]]),
-                image: two(4),
-                expect: (expect != NO_LN).then(|| unpack_ln(expect)),
+            JobSample {
+                id_hash: u32::from_le_bytes([b[0], b[1], b[2], b[3]]),
+                image_hash: two(4),
+                ln_estimate: (expect != NO_LN).then(|| unpack_ln(expect)),
                 mean: unpack_ln(two(8)),
                 runs: b[10],
             }
         });
         Some(History {
             jobs: jobs.collect(),
-            within_var: f64::from(packed.within.min(1_000_000)) / 1_000.0,
-            within_tasks: f64::from(packed.within_tasks.min(1_000_000)) / 1_000.0,
+            within_job_var: f64::from(packed.within_job_var.min(1_000_000)) / 1_000.0,
+            within_job_tasks: f64::from(packed.within_job_tasks.min(1_000_000)) / 1_000.0,
             runs: packed.runs,
         })
     }
--- a/crates/runtime-estimates/src/history/statistics.rs
+++ b/crates/runtime-estimates/src/history/statistics.rs
@@ -1,9 +1,9 @@
 //! Statistics of weighted jobs: medians, quartiles, changes of level, and whether images tell jobs apart.
 
-use super::Job;
+use super::JobSample;
 use crate::constants::{
-    CHANGE_MIN_DEVIATIONS, CHANGE_MIN_ERRORS, CHANGE_MIN_JOBS, CHANGE_MIN_SD, IMAGE_MIN_JOBS,
-    IMAGE_MIN_SHARE, MEDIAN_ERROR,
+    CHANGE_MIN_DEVIATIONS, CHANGE_MIN_ERRORS, CHANGE_MIN_JOBS, CHANGE_MIN_SD,
+    IMAGE_MIN_EXPLAINED_SHARE, IMAGE_MIN_JOBS, MEDIAN_ERROR_FACTOR,
 };
 use std::collections::BTreeMap;
 
@@ -69,7 +69,7 @@
             continue;
         }
         let parts = 1.0 / after.len() as f64 + 1.0 / before.len() as f64;
-        let errors = change.abs() / (sd * MEDIAN_ERROR * parts.sqrt());
+        let errors = change.abs() / (sd * MEDIAN_ERROR_FACTOR * parts.sqrt());
         if errors > best.0 {
             best = (errors, since);
         }
@@ -78,10 +78,10 @@
 }
 
 /// Whether jobs with the same image are alike and those with different ones are not.
-pub(super) fn images_differ(done: &[&Job], points: &[f64], changed: usize) -> bool {
+pub(super) fn images_differ(done: &[&JobSample], points: &[f64], changed: usize) -> bool {
     let mut groups: BTreeMap<u16, Vec<f64>> = Default::default();
     for (j, p) in done.iter().zip(points).skip(changed) {
-        groups.entry(j.image).or_default().push(*p);
+        groups.entry(j.image_hash).or_default().push(*p);
     }
     groups.retain(|_, points| points.len() >= 2);
     let all: Vec<f64> = groups.values().flatten().copied().collect();
@@ -100,5 +100,5 @@
     // Per degree of freedom, so that many small groups do not explain by their number alone.
     let free = (all.len() - groups.len()).max(1) as f64;
     let share = 1.0 - (inside / free) / (total / (all.len() - 1) as f64).max(1e-9);
-    all.len() > groups.len() && share > IMAGE_MIN_SHARE
+    all.len() > groups.len() && share > IMAGE_MIN_EXPLAINED_SHARE
 }
--- a/crates/runtime-estimates/src/mixture.rs
+++ b/crates/runtime-estimates/src/mixture.rs
@@ -1,10 +1,12 @@
 //! A distribution of run times: normal ones of their logarithms, each with its weight.
 
-use crate::constants::{CENSORED_FACTOR, HIGH_QUANTILE, LOW_QUANTILE, UNKNOWN_S, UNKNOWN_SD};
+use crate::constants::{
+    CENSORED_EXTENSION_FACTOR, DEFAULT_MEDIAN_S, DEFAULT_SD, HIGH_QUANTILE, LOW_QUANTILE,
+};
 
 /// A normal distribution of logarithms of seconds, and its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct Component {
     /// Its share of the whole.
     pub weight: f64,
     /// Mean logarithm.
@@ -16,7 +18,7 @@
 /// In logarithms of seconds. Never empty, its weights sum to one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mixture {
-    parts: Vec<Part>,
+    components: Vec<Component>,
 }
 
 /// What an estimate says: seconds, and how sure it is.
@@ -37,31 +39,31 @@
 
 impl Mixture {
     /// Parts that are no numbers, or weigh nothing, are left out.
-    pub fn new(parts: Vec<Part>) -> Mixture {
-        let sound = |p: &Part| {
+    pub fn new(components: Vec<Component>) -> Mixture {
+        let sound = |p: &Component| {
             p.weight.is_finite()
                 && p.weight > 0.0
                 && p.mean.is_finite()
                 && p.var.is_finite()
                 && p.var >= 0.0
         };
-        let mut parts: Vec<Part> = parts.into_iter().filter(sound).collect();
-        let sum: f64 = parts.iter().map(|p| p.weight).sum();
-        if parts.is_empty() || !sum.is_finite() || sum <= 0.0 {
-            parts = vec![Part {
+        let mut components: Vec<Component> = components.into_iter().filter(sound).collect();
+        let sum: f64 = components.iter().map(|p| p.weight).sum();
+        if components.is_empty() || !sum.is_finite() || sum <= 0.0 {
+            components = vec![Component {
                 weight: 1.0,
-                mean: UNKNOWN_S.ln(),
-                var: UNKNOWN_SD * UNKNOWN_SD,
+                mean: DEFAULT_MEDIAN_S.ln(),
+                var: DEFAULT_SD * DEFAULT_SD,
             }];
         } else {
-            parts.iter_mut().for_each(|p| p.weight /= sum);
+            components.iter_mut().for_each(|p| p.weight /= sum);
         }
-        Mixture { parts }
+        Mixture { components }
     }
 
     /// A single normal distribution.
     pub fn normal(mean: f64, var: f64) -> Mixture {
-        Mixture::new(vec![Part {
+        Mixture::new(vec![Component {
             weight: 1.0,
             mean,
             var,
@@ -69,27 +71,32 @@
     }
 
     /// Its parts, whose weights sum to one.
-    pub fn parts(&self) -> &[Part] {
-        &self.parts
+    pub fn components(&self) -> &[Component] {
+        &self.components
     }
 
     /// The share of runs that take no longer.
-    pub fn share_within(&self, ln_secs: f64) -> f64 {
-        let share = |p: &Part| p.weight * normal_cdf((ln_secs - p.mean) / p.var.sqrt().max(1e-6));
-        self.parts.iter().map(share).sum::<f64>().clamp(0.0, 1.0)
+    pub fn cdf(&self, ln_secs: f64) -> f64 {
+        let share =
+            |p: &Component| p.weight * normal_cdf((ln_secs - p.mean) / p.var.sqrt().max(1e-6));
+        self.components
+            .iter()
+            .map(share)
+            .sum::<f64>()
+            .clamp(0.0, 1.0)
     }
 
     /// The logarithm of the time within which this share of runs is over.
     pub fn quantile(&self, share: f64) -> f64 {
-        let reach = |p: &Part| 9.0 * p.var.sqrt() + 0.01;
-        let lows = self.parts.iter().map(|p| p.mean - reach(p));
-        let highs = self.parts.iter().map(|p| p.mean + reach(p));
+        let reach = |p: &Component| 9.0 * p.var.sqrt() + 0.01;
+        let lows = self.components.iter().map(|p| p.mean - reach(p));
+        let highs = self.components.iter().map(|p| p.mean + reach(p));
         let mut low = lows.fold(f64::INFINITY, f64::min);
         let mut high = highs.fold(f64::NEG_INFINITY, f64::max);
         // To a thousandth of a logarithm, which is a thousandth of the time.
         while high - low > 1e-3 {
             let middle = (low + high) / 2.0;
-            match self.share_within(middle) < share {
+            match self.cdf(middle) < share {
                 true => low = middle,
                 false => high = middle,
             }
@@ -99,38 +106,42 @@
 
     /// What is left of it once a job's own tasks are known: so many with this mean logarithm, that
     /// differ from one another by this variance. Says of which kind of work the job is, too.
-    pub fn given(&self, mean: f64, tasks: f64, within: f64) -> Mixture {
+    pub fn posterior(&self, mean: f64, tasks: f64, within: f64) -> Mixture {
         let noise = within / tasks.max(1.0);
-        let odds: Vec<f64> = (self.parts.iter())
+        let odds: Vec<f64> = (self.components.iter())
             .map(|p| {
                 let var = p.var + noise;
                 p.weight.ln() - 0.5 * (var.ln() + (mean - p.mean).powi(2) / var)
             })
             .collect();
         let most = odds.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-        let parts = self.parts.iter().zip(&odds).map(|(p, odds)| Part {
-            weight: (odds - most).exp(),
-            mean: (p.mean * noise + mean * p.var) / (p.var + noise).max(1e-12),
-            var: p.var * noise / (p.var + noise).max(1e-12),
-        });
-        Mixture::new(parts.collect())
+        let components = self
+            .components
+            .iter()
+            .zip(&odds)
+            .map(|(p, odds)| Component {
+                weight: (odds - most).exp(),
+                mean: (p.mean * noise + mean * p.var) / (p.var + noise).max(1e-12),
+                var: p.var * noise / (p.var + noise).max(1e-12),
+            });
+        Mixture::new(components.collect())
     }
 
     /// With independent deviations added.
-    pub fn wider(&self, var: f64) -> Mixture {
-        let parts = self.parts.iter().map(|p| Part {
+    pub fn with_added_variance(&self, var: f64) -> Mixture {
+        let components = self.components.iter().map(|p| Component {
             var: p.var + var,
             ..*p
         });
-        Mixture::new(parts.collect())
+        Mixture::new(components.collect())
     }
 
     /// Seconds that a run still takes with this chance, having lasted so long.
-    pub fn left_s(&self, elapsed_s: f64, share: f64) -> f64 {
-        let known = self.share_within(crate::ln(elapsed_s));
+    pub fn remaining_s(&self, elapsed_s: f64, share: f64) -> f64 {
+        let known = self.cdf(crate::ln_run_time(elapsed_s));
         if known > 0.999 {
             // It outlasts all that is known: the longer it has run, the longer it may go on.
-            return elapsed_s * (CENSORED_FACTOR - 1.0) * 2.0 * share;
+            return elapsed_s * (CENSORED_EXTENSION_FACTOR - 1.0) * 2.0 * share;
         }
         let at = self.quantile(known + (1.0 - known) * share);
         (at.exp() - elapsed_s).max(0.0)
--- a/crates/runtime-estimates/tests/estimates.rs
+++ b/crates/runtime-estimates/tests/estimates.rs
@@ -1,9 +1,9 @@
 //! Stories of estimates: histories with known truth go in, and what is said of the next run is
 //! held against it.
 
-use glenmount_runtime_estimates::book::{About, Book};
-use glenmount_runtime_estimates::constants::CLASSES_KEPT;
-use glenmount_runtime_estimates::{End, Run};
+use glenmount_runtime_estimates::constants::CLASSES_MAX;
+use glenmount_runtime_estimates::estimator::{JobDescription, RunTimeEstimator};
+use glenmount_runtime_estimates::{Run, RunOutcome};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Normal};
@@ -23,8 +23,15 @@
     fn normal(&mut self, sd: f64) -> f64 {
         Normal::new(0.0, sd).unwrap().sample(&mut self.rng)
     }
-    /// A job whose tasks take about `secs`, by its owner's word `expect_s`.
-    fn job(&mut self, class: &str, secs: f64, expect_s: f64, tasks: u32, within: f64) -> Vec<Run> {
+    /// A job whose tasks take about `secs`, by its owner's word `owner_estimate_s`.
+    fn job(
+        &mut self,
+        class: &str,
+        secs: f64,
+        owner_estimate_s: f64,
+        tasks: u32,
+        within: f64,
+    ) -> Vec<Run> {
         self.next += 1;
         let job = format!("j-{}", self.next);
         (0..tasks)
@@ -33,9 +40,9 @@
                 class: class.into(),
                 image: "img".into(),
                 job: job.clone(),
-                expect_s,
-                secs: secs * self.normal(within).exp(),
-                end: End::Done,
+                owner_estimate_s,
+                run_time_s: secs * self.normal(within).exp(),
+                outcome: RunOutcome::Completed,
             })
             .collect()
     }
@@ -50,12 +57,13 @@
 }
 
 impl Score {
-    fn note(&mut self, book: &mut Book, run: &Run) {
-        let e = book.distribution(&About::from(run)).estimate();
+    fn note(&mut self, book: &mut RunTimeEstimator, run: &Run) {
+        let e = book.distribution(&JobDescription::from(run)).estimate();
         assert!(e.low_s <= e.median_s && e.median_s <= e.high_s);
-        self.errors.push((run.secs / e.median_s).ln().abs());
-        self.owner.push((run.secs / run.expect_s).ln().abs());
-        self.within += usize::from((e.low_s..=e.high_s).contains(&run.secs));
+        self.errors.push((run.run_time_s / e.median_s).ln().abs());
+        self.owner
+            .push((run.run_time_s / run.owner_estimate_s).ln().abs());
+        self.within += usize::from((e.low_s..=e.high_s).contains(&run.run_time_s));
     }
     fn covered(&self) -> f64 {
         self.within as f64 / self.errors.len() as f64
@@ -67,8 +75,10 @@
     }
 }
 
-fn median_s(book: &mut Book, run: &Run) -> f64 {
-    book.distribution(&About::from(run)).estimate().median_s
+fn median_s(book: &mut RunTimeEstimator, run: &Run) -> f64 {
+    book.distribution(&JobDescription::from(run))
+        .estimate()
+        .median_s
 }
 
 #[test]
@@ -83,7 +93,7 @@
     for (i, (spread, error, within, tasks)) in kinds.into_iter().enumerate() {
         let mut score = Score::default();
         for seed in 0..12 {
-            let (mut s, mut book) = (Source::new(seed), Book::default());
+            let (mut s, mut book) = (Source::new(seed), RunTimeEstimator::default());
             for n in 0..60 {
                 let secs = 40.0 * s.normal(spread).exp();
                 let expect = secs * s.normal(error).exp();
@@ -92,7 +102,7 @@
                     if n >= 10 && t < 3 {
                         score.note(&mut book, run);
                     }
-                    book.ran(run);
+                    book.add_run(run);
                 }
             }
         }
@@ -106,7 +116,7 @@
 #[test]
 fn a_job_known_by_its_own_runs_is_estimated_far_better_than_by_its_owner() {
     let mut score = Score::default();
-    let (mut s, mut book) = (Source::new(5), Book::default());
+    let (mut s, mut book) = (Source::new(5), RunTimeEstimator::default());
     for n in 0..80 {
         let secs = 40.0 * s.normal(0.2).exp();
         let expect = secs * s.normal(0.6).exp();
@@ -114,7 +124,7 @@
             if n >= 10 {
                 score.note(&mut book, &run);
             }
-            book.ran(&run);
+            book.add_run(&run);
         }
     }
     let (own, owner) = (Score::median(&score.errors), Score::median(&score.owner));
@@ -123,9 +133,9 @@
 
 #[test]
 fn without_history_the_owner_is_believed_and_their_bias_learned_from_other_work() {
-    let (mut s, mut book) = (Source::new(1), Book::default());
+    let (mut s, mut book) = (Source::new(1), RunTimeEstimator::default());
     let run = s.job("new", 100.0, 100.0, 1, 0.0).remove(0);
-    let first = book.distribution(&About::from(&run)).estimate();
+    let first = book.distribution(&JobDescription::from(&run)).estimate();
     assert!((first.median_s / 100.0).ln().abs() < 0.02);
     assert!(
         first.high_s > 200.0 && first.low_s < 50.0,
@@ -137,7 +147,7 @@
             let secs = 60.0 * s.normal(0.3).exp();
             let expect = secs / 2.0 * s.normal(0.1).exp();
             for run in s.job(class, secs, expect, 1, 0.05) {
-                book.ran(&run);
+                book.add_run(&run);
             }
         }
     }
@@ -145,11 +155,11 @@
     assert!((150.0..230.0).contains(&then), "{then}");
     // Nothing is known at all, and no owner's word either.
     let silent = Run {
-        expect_s: 0.0,
+        owner_estimate_s: 0.0,
         team: "other".into(),
         ..run
     };
-    let e = book.distribution(&About::from(&silent)).estimate();
+    let e = book.distribution(&JobDescription::from(&silent)).estimate();
     assert!(e.high_s / e.low_s > 20.0);
 }
 
@@ -157,12 +167,12 @@
 fn a_doubled_class_is_followed_within_five_runs_and_a_freak_is_not() {
     let mut followed = Vec::new();
     for seed in 0..20 {
-        let (mut s, mut book) = (Source::new(seed), Book::default());
-        let night = |s: &mut Source, book: &mut Book, secs: f64| {
+        let (mut s, mut book) = (Source::new(seed), RunTimeEstimator::default());
+        let night = |s: &mut Source, book: &mut RunTimeEstimator, secs: f64| {
             let secs = secs * s.normal(0.12).exp();
             let run = s.job("report", secs, 120.0, 1, 0.05).remove(0);
             let before = median_s(book, &run);
-            book.ran(&run);
+            book.add_run(&run);
             before
         };
         for _ in 0..20 {
@@ -188,15 +198,15 @@
 
 #[test]
 fn estimates_off_by_half_for_a_day_are_corrected() {
-    let (mut s, mut book) = (Source::new(9), Book::default());
-    let mut day = |book: &mut Book, off: f64, jobs: usize| {
+    let (mut s, mut book) = (Source::new(9), RunTimeEstimator::default());
+    let mut day = |book: &mut RunTimeEstimator, off: f64, jobs: usize| {
         let mut errors = Vec::new();
         for _ in 0..jobs {
             let secs = 50.0 * s.normal(0.8).exp();
             let expect = secs * off * s.normal(0.1).exp();
             for run in s.job("map", secs, expect, 1, 0.05) {
-                errors.push((run.secs / median_s(book, &run)).ln().abs());
-                book.ran(&run);
+                errors.push((run.run_time_s / median_s(book, &run)).ln().abs());
+                book.add_run(&run);
             }
         }
         errors
@@ -210,7 +220,7 @@
 
 #[test]
 fn two_kinds_of_work_in_one_class() {
-    let (mut s, mut book) = (Source::new(3), Book::default());
+    let (mut s, mut book) = (Source::new(3), RunTimeEstimator::default());
     let kind = |s: &mut Source, long: bool| {
         let secs = if long { 3_600.0 } else { 120.0 } * s.normal(0.15).exp();
         // The owner says the same of both.
@@ -218,34 +228,40 @@
     };
     for i in 0..24 {
         for run in kind(&mut s, i % 2 == 0) {
-            book.ran(&run);
+            book.add_run(&run);
         }
     }
     let runs = kind(&mut s, true);
-    let first = book.distribution(&About::from(&runs[0])).estimate();
+    let first = book
+        .distribution(&JobDescription::from(&runs[0]))
+        .estimate();
     assert!(first.low_s < 200.0 && first.high_s > 2_500.0, "{first:?}");
     // The first task tells which it is.
-    book.ran(&runs[0]);
-    let known = book.distribution(&About::from(&runs[1])).estimate();
+    book.add_run(&runs[0]);
+    let known = book
+        .distribution(&JobDescription::from(&runs[1]))
+        .estimate();
     assert!(known.low_s > 2_000.0 && known.high_s < 6_500.0, "{known:?}");
     // One that has run for ten minutes is of the long kind as well.
     let other = kind(&mut s, true).remove(0);
-    let left = book.distribution(&About::from(&other)).left_s(600.0, 0.5);
+    let left = book
+        .distribution(&JobDescription::from(&other))
+        .remaining_s(600.0, 0.5);
     assert!((2_000.0..4_000.0).contains(&left), "{left}");
 }
 
 #[test]
 fn images_tell_kinds_apart() {
-    let (mut s, mut book) = (Source::new(4), Book::default());
+    let (mut s, mut book) = (Source::new(4), RunTimeEstimator::default());
     let run = |s: &mut Source, image: &str, secs: f64| Run {
         image: image.into(),
         ..s.job("nightly", secs, 0.0, 1, 0.1).remove(0)
     };
     for _ in 0..8 {
         let r = run(&mut s, "short", 100.0);
-        book.ran(&r);
+        book.add_run(&r);
         let r = run(&mut s, "long", 1_000.0);
-        book.ran(&r);
+        book.add_run(&r);
     }
     let long = run(&mut s, "long", 1_000.0);
     let e = median_s(&mut book, &long);
@@ -254,34 +270,34 @@
 
 #[test]
 fn runs_cut_short_say_at_least_and_never_short() {
-    let (mut s, mut book) = (Source::new(6), Book::default());
+    let (mut s, mut book) = (Source::new(6), RunTimeEstimator::default());
     let cut = |s: &mut Source, secs: f64| Run {
-        end: End::AtLeast,
+        outcome: RunOutcome::LowerBound,
         ..s.job("long", secs, 100.0, 1, 0.0).remove(0)
     };
     let before = median_s(&mut book, &cut(&mut Source::new(0), 1.0));
     for _ in 0..10 {
         let r = cut(&mut s, 20.0);
-        book.ran(&r);
+        book.add_run(&r);
     }
     let short = median_s(&mut book, &cut(&mut Source::new(0), 1.0));
     assert!((short / before).ln().abs() < 0.2, "{before} {short}");
     // All lasted longer than anybody said.
     for _ in 0..10 {
         let r = cut(&mut s, 2_000.0);
-        book.ran(&r);
+        book.add_run(&r);
     }
     let long = median_s(&mut book, &cut(&mut Source::new(0), 1.0));
     assert!(long > 2_000.0, "{long}");
     // A job of which one task was lost and the others completed is known by these.
     let runs = s.job("long", 3_000.0, 100.0, 6, 0.05);
     let lost = Run {
-        end: End::AtLeast,
-        secs: 4_000.0,
+        outcome: RunOutcome::LowerBound,
+        run_time_s: 4_000.0,
         ..runs[0].clone()
     };
     for run in runs.iter().chain([&lost]) {
-        book.ran(run);
+        book.add_run(run);
     }
     let e = median_s(&mut book, &runs[0]);
     assert!((2_600.0..3_500.0).contains(&e), "{e}");
@@ -289,18 +305,18 @@
 
 #[test]
 fn ten_thousand_classes_leave_the_most_used() {
-    let (mut s, mut book) = (Source::new(8), Book::default());
+    let (mut s, mut book) = (Source::new(8), RunTimeEstimator::default());
     for i in 0..10_000 {
         for run in s.job(&format!("c{i}"), 10.0, 10.0, 1, 0.1) {
-            book.ran(&run);
+            book.add_run(&run);
         }
         if i % 50 == 0 {
             for run in s.job("busy", 77.0, 10.0, 1, 0.01) {
-                book.ran(&run);
+                book.add_run(&run);
             }
         }
     }
-    assert_eq!(book.len(), CLASSES_KEPT);
+    assert_eq!(book.len(), CLASSES_MAX);
     let run = s.job("busy", 77.0, 10.0, 1, 0.01).remove(0);
     let e = median_s(&mut book, &run);
     assert!((70.0..85.0).contains(&e), "{e}");
@@ -308,21 +324,21 @@
 
 #[test]
 fn what_is_recorded_once_counts_once() {
-    let (mut s, mut book) = (Source::new(2), Book::default());
+    let (mut s, mut book) = (Source::new(2), RunTimeEstimator::default());
     let runs = s.job("report", 60.0, 60.0, 5, 0.1);
-    runs[..3].iter().for_each(|r| book.ran(r));
-    let id = book.unrecorded()[0];
-    let (_, _, whole, batches) = book.to_record(id).unwrap();
+    runs[..3].iter().for_each(|r| book.add_run(r));
+    let id = book.classes_to_record()[0];
+    let (_, _, whole, batches) = book.updated_record(id).unwrap();
     assert_eq!(whole.runs, 3);
     // More come while the record is under way, which then fails for certain, and then succeeds.
-    book.sent(id, &batches);
-    runs[3..].iter().for_each(|r| book.ran(r));
-    book.unsent(id, &batches);
-    let (_, _, whole, batches) = book.to_record(id).unwrap();
+    book.mark_recorded(id, &batches);
+    runs[3..].iter().for_each(|r| book.add_run(r));
+    book.restore_unrecorded(id, &batches);
+    let (_, _, whole, batches) = book.updated_record(id).unwrap();
     assert_eq!((whole.runs, whole.jobs().len()), (5, 1));
-    book.sent(id, &batches);
-    book.recorded(id, "red", "report", whole);
-    assert!(book.unrecorded().is_empty());
+    book.mark_recorded(id, &batches);
+    book.set_record(id, "red", "report", whole);
+    assert!(book.classes_to_record().is_empty());
     assert_eq!(book.classes().next().unwrap().2.runs, 5);
 }
 
@@ -331,7 +347,7 @@
 #[test]
 #[ignore]
 fn cost() {
-    let (mut s, mut book) = (Source::new(2), Book::default());
+    let (mut s, mut book) = (Source::new(2), RunTimeEstimator::default());
     let runs: Vec<Run> = (0..400)
         .flat_map(|i| {
             let secs = 40.0 * s.normal(0.7).exp();
@@ -340,14 +356,14 @@
         })
         .collect();
     let begun = std::time::Instant::now();
-    runs.iter().for_each(|r| book.ran(r));
+    runs.iter().for_each(|r| book.add_run(r));
     println!("count: {:?}", begun.elapsed() / runs.len() as u32);
     let begun = std::time::Instant::now();
     let ask = runs.iter().take(2_000);
     let sum: f64 = ask.map(|r| median_s(&mut book, r)).sum();
     println!("estimate: {:?} ({sum:.0})", begun.elapsed() / 2_000);
-    let id = book.unrecorded()[0];
-    let (.., whole, _) = book.to_record(id).unwrap();
+    let id = book.classes_to_record()[0];
+    let (.., whole, _) = book.updated_record(id).unwrap();
     let bytes = serde_json::to_string(&whole.pack()).unwrap().len();
     println!("record: {bytes} bytes, of random {}", s.rng.gen::<u8>());
 }
--- a/crates/runtime-estimates/tests/records.rs
+++ b/crates/runtime-estimates/tests/records.rs
@@ -1,38 +1,43 @@
 //! Records are read back as written, and what is broken is refused without harm.
 
-use glenmount_runtime_estimates::book::{About, Book};
-use glenmount_runtime_estimates::history::{Batch, History, Packed};
-use glenmount_runtime_estimates::{End, Run};
+use glenmount_runtime_estimates::estimator::{JobDescription, RunTimeEstimator};
+use glenmount_runtime_estimates::history::{History, Packed, RunBatch};
+use glenmount_runtime_estimates::{Run, RunOutcome};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 fn runs() -> impl Strategy<Value = Vec<Run>> {
     let run = (0..40u8, 0..3u8, -1.0..5e6f64, -1.0..5e6f64, any::<bool>());
-    let run = run.prop_map(|(job, image, expect_s, secs, done)| Run {
+    let run = run.prop_map(|(job, image, owner_estimate_s, run_time_s, done)| Run {
         team: "t".into(),
         class: "c".into(),
         image: format!("i{image}"),
         job: format!("j-{job}"),
-        expect_s,
-        secs,
-        end: if done { End::Done } else { End::AtLeast },
+        owner_estimate_s,
+        run_time_s,
+        outcome: if done {
+            RunOutcome::Completed
+        } else {
+            RunOutcome::LowerBound
+        },
     });
     prop::collection::vec(run, 0..200)
 }
 
 fn history(runs: &[Run]) -> History {
     let mut history = History::default();
-    runs.iter().for_each(|r| history.take(&Batch::of(r)));
+    runs.iter()
+        .for_each(|r| history.add_batch(&RunBatch::from_run(r)));
     history
 }
 
-fn sound(book: &mut Book, run: &Run) {
-    let d = book.distribution(&About::from(run));
+fn sound(book: &mut RunTimeEstimator, run: &Run) {
+    let d = book.distribution(&JobDescription::from(run));
     let e = d.estimate();
     assert!(e.low_s > 0.0 && e.low_s <= e.median_s && e.median_s <= e.high_s);
     assert!(e.high_s.is_finite());
     for elapsed in [0.0, 1.0, 1e3, 1e9] {
-        let (soon, late) = (d.left_s(elapsed, 0.1), d.left_s(elapsed, 0.9));
+        let (soon, late) = (d.remaining_s(elapsed, 0.1), d.remaining_s(elapsed, 0.9));
         assert!(soon >= 0.0 && soon <= late + 0.01 * late && late.is_finite());
     }
 }
@@ -56,7 +61,7 @@
         prop_assert_eq!(read.runs, history.runs);
         prop_assert_eq!(read.jobs().len(), history.jobs().len());
         for (a, b) in read.jobs().iter().zip(history.jobs()) {
-            prop_assert_eq!((a.tag, a.image, a.runs), (b.tag, b.image, b.runs));
+            prop_assert_eq!((a.id_hash, a.image_hash, a.runs), (b.id_hash, b.image_hash, b.runs));
             prop_assert!((a.mean - b.mean).abs() < 1e-3);
         }
         // What was read once more is the very same: no drift over restarts.
@@ -66,8 +71,8 @@
     /// However absurd the runs, estimates are finite and in order.
     #[test]
     fn estimates_stay_sound(runs in runs(), asked in runs()) {
-        let mut book = Book::default();
-        runs.iter().for_each(|r| book.ran(r));
+        let mut book = RunTimeEstimator::default();
+        runs.iter().for_each(|r| book.add_run(r));
         asked.iter().take(5).for_each(|r| sound(&mut book, r));
     }
 
@@ -100,25 +105,25 @@
     #[test]
     fn counting_in_parts_is_counting_at_once(runs in runs(), cut in any::<prop::sample::Index>()) {
         let done: Vec<Run> = (runs.into_iter())
-            .filter(|r| r.end == End::Done)
+            .filter(|r| r.outcome == RunOutcome::Completed)
             .map(|r| Run { job: "j-1".into(), ..r })
             .take(200)
             .collect();
         prop_assume!(done.len() > 1);
         let cut = cut.index(done.len());
         let sum = |runs: &[Run]| {
-            let mut all = Batch::of(&runs[0]);
-            runs[1..].iter().for_each(|r| all.add(&Batch::of(r)));
+            let mut all = RunBatch::from_run(&runs[0]);
+            runs[1..].iter().for_each(|r| all.add(&RunBatch::from_run(r)));
             all
         };
         let mut parts = History::default();
         for part in [&done[..cut], &done[cut..]] {
             if !part.is_empty() {
-                parts.take(&sum(part));
+                parts.add_batch(&sum(part));
             }
         }
         let mut whole = History::default();
-        whole.take(&sum(&done));
+        whole.add_batch(&sum(&done));
         prop_assert!((parts.jobs()[0].mean - whole.jobs()[0].mean).abs() < 1e-6);
         // To the thousandth that is stored.
         prop_assert_eq!(parts.pack(), whole.pack());
