--- a/crates/runtime-estimates/src/estimator.rs
+++ b/crates/runtime-estimates/src/estimator.rs
@@ -1,5 +1,5 @@
-//! All classes, and what stands in for those that are new: their team's bias, that of all teams,
-//! then nothing but the owner's word.
+//! The histories of all classes, the priors of new classes (the owner's estimate, corrected by the bias of the team's
+//! or of all owners), and the runs that are not recorded yet.
 
 use crate::bias::Biases;
 use crate::constants::{
@@ -11,15 +11,15 @@
 use crate::{ln_owner_estimate, Run};
 use std::collections::HashMap;
 
-/// Names a class of a team, the same everywhere.
+/// Identifies a class of a team, with the same value on every controller.
 pub type ClassId = u64;
 
-/// The id of a class, from its whole names.
+/// Returns the id of a class, a hash of its whole names.
 pub fn class_id(team: &str, class: &str) -> ClassId {
     crate::stable_hash(&[team, class])
 }
 
-/// What is asked about.
+/// The job that an estimate is for.
 #[derive(Clone, Copy, Debug)]
 pub struct JobDescription<'a> {
     /// The team that owns the job.
@@ -30,7 +30,7 @@
     pub image: &'a str,
     /// The job's id.
     pub job: &'a str,
-    /// Seconds; 0 if the owner gave no estimate.
+    /// The owner's estimate in seconds, or 0 if there is none.
     pub owner_estimate_s: f64,
 }
 
@@ -50,17 +50,18 @@
 struct Class {
     team: String,
     name: String,
+    /// The recorded history.
     history: History,
-    /// Runs not recorded yet, by job, in the order in which these were first heard of.
+    /// Runs that are not recorded yet, by job, in the order in which the jobs were first observed.
     unrecorded: Vec<RunBatch>,
-    /// What is recorded and what is not, together.
+    /// The recorded history with the unrecorded runs added.
     combined: History,
-    /// When it was last used, counted in runs.
+    /// Value of the use counter at the latest use.
     last_used: u64,
 }
 
 impl Class {
-    fn combine(&mut self) {
+    fn update_combined(&mut self) {
         self.combined = self.history.clone();
         for batch in &self.unrecorded {
             self.combined.add_batch(batch);
@@ -74,135 +75,136 @@
     }
 }
 
-/// What is learned, bounded.
+/// The histories of at most `CLASSES_MAX` classes.
 #[derive(Debug, Default)]
 pub struct RunTimeEstimator {
     classes: HashMap<ClassId, Class>,
-    /// Biases of teams and of all, until something changes.
+    /// Cached biases, until a history changes.
     biases: Option<Biases>,
-    clock: u64,
+    /// Counts the uses of classes, to find the least recently used one.
+    uses: u64,
 }
 
 impl RunTimeEstimator {
-    /// Classes that are remembered.
+    /// Returns the number of classes.
     pub fn len(&self) -> usize {
         self.classes.len()
     }
 
-    /// Whether none is remembered.
+    /// Returns whether there is no class.
     pub fn is_empty(&self) -> bool {
         self.classes.is_empty()
     }
 
-    /// The class with this id, which makes it the latest used; the least used makes way for a new one.
+    /// Returns the class with this id and marks it as used. A new class evicts the least recently used one if
+    /// necessary.
     fn class(&mut self, id: ClassId, team: &str, class: &str) -> &mut Class {
         if !self.classes.contains_key(&id) && self.classes.len() >= CLASSES_MAX {
-            // Those with something to record go last.
-            let least_used = self.classes.iter();
-            let least_used =
-                least_used.min_by_key(|(_, c)| (!c.unrecorded.is_empty(), c.last_used));
+            // Classes with unrecorded runs are evicted last.
+            let classes = self.classes.iter();
+            let least_used = classes.min_by_key(|(_, c)| (!c.unrecorded.is_empty(), c.last_used));
             if let Some(id) = least_used.map(|(id, _)| *id) {
                 self.classes.remove(&id);
             }
         }
-        self.clock += 1;
+        self.uses += 1;
         self.biases = None;
-        let known = self.classes.entry(id).or_default();
-        known.last_used = self.clock;
-        if known.team.is_empty() {
-            known.team = team.to_string();
-            known.name = class.to_string();
+        let entry = self.classes.entry(id).or_default();
+        entry.last_used = self.uses;
+        if entry.team.is_empty() {
+            entry.team = team.to_string();
+            entry.name = class.to_string();
         }
-        known
+        entry
     }
 
-    /// Counts a run that was heard here; it is to be recorded.
+    /// Adds a run that this controller observed and has yet to record.
     pub fn add_run(&mut self, run: &Run) {
         let class = self.class(class_id(&run.team, &run.class), &run.team, &run.class);
         let batch = RunBatch::from_run(run);
         match class.unrecorded_job(batch.job.id_hash) {
-            Some(known) => known.add(&batch),
+            Some(same_job) => same_job.add(&batch),
             None => {
-                // Unrecorded for long: what is oldest would fall out of the record anyway.
+                // The record would drop the oldest job anyway.
                 if class.unrecorded.len() >= JOBS_PER_CLASS_MAX {
                     class.unrecorded.remove(0);
                 }
                 class.unrecorded.push(batch);
             }
         }
-        class.combine();
+        class.update_combined();
     }
 
-    /// Takes up what is on record of a class, whose names may be shortened there.
+    /// Replaces the recorded history of a class. The names may be truncated, as they are in records.
     pub fn set_record(&mut self, id: ClassId, team: &str, class: &str, history: History) {
-        let known = self.class(id, team, class);
-        known.history = history;
-        known.combine();
+        let entry = self.class(id, team, class);
+        entry.history = history;
+        entry.update_combined();
     }
 
-    /// What was on record is no more.
+    /// Removes the recorded history of a class. Unrecorded runs stay.
     pub fn remove_record(&mut self, id: ClassId) {
         self.biases = None;
         if let Some(class) = self.classes.get_mut(&id) {
             class.history = History::default();
-            class.combine();
+            class.update_combined();
             if class.unrecorded.is_empty() {
                 self.classes.remove(&id);
             }
         }
     }
 
-    /// Classes with something to record: those with most first.
+    /// Returns the classes with unrecorded runs, those with the most jobs first.
     pub fn classes_to_record(&self) -> Vec<ClassId> {
-        let mut waiting: Vec<(usize, ClassId)> = (self.classes.iter())
+        let mut unrecorded: Vec<(usize, ClassId)> = (self.classes.iter())
             .filter(|(_, c)| !c.unrecorded.is_empty())
             .map(|(id, c)| (c.unrecorded.len(), *id))
             .collect();
-        waiting.sort_by(|a, b| b.cmp(a));
-        waiting.into_iter().map(|(_, id)| id).collect()
+        unrecorded.sort_by(|a, b| b.cmp(a));
+        unrecorded.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// What a class's record becomes with what is to be recorded: team, class, the history, and the batches
-    /// that are new in it.
+    /// Returns the record that a class should have: team, class, the history with all runs, and the batches in it that
+    /// are not recorded yet.
     pub fn updated_record(&self, id: ClassId) -> Option<(&str, &str, History, Vec<RunBatch>)> {
         let class = self.classes.get(&id)?;
         let unrecorded = class.unrecorded.clone();
         Some((&class.team, &class.name, class.combined.clone(), unrecorded))
     }
 
-    /// These have been recorded, or may have been: they are not recorded again. Runs that came
-    /// meanwhile stay.
+    /// Removes these batches from the unrecorded runs, because they have been recorded or may have been. Runs of other
+    /// jobs stay.
     pub fn mark_recorded(&mut self, id: ClassId, batches: &[RunBatch]) {
         if let Some(class) = self.classes.get_mut(&id) {
-            let sent = |b: &RunBatch| batches.iter().any(|s| s.job.id_hash == b.job.id_hash);
-            class.unrecorded.retain(|b| !sent(b));
+            let is_recorded = |b: &RunBatch| batches.iter().any(|r| r.job.id_hash == b.job.id_hash);
+            class.unrecorded.retain(|b| !is_recorded(b));
         }
     }
 
-    /// These were certainly not recorded.
+    /// Adds these batches to the unrecorded runs again, because the write certainly did not take effect.
     pub fn restore_unrecorded(&mut self, id: ClassId, batches: &[RunBatch]) {
         if let Some(class) = self.classes.get_mut(&id) {
             let later = std::mem::take(&mut class.unrecorded);
             class.unrecorded = batches.to_vec();
             for batch in later {
                 match class.unrecorded_job(batch.job.id_hash) {
-                    Some(known) => known.add(&batch),
+                    Some(same_job) => same_job.add(&batch),
                     None => class.unrecorded.push(batch),
                 }
             }
-            let over = class.unrecorded.len().saturating_sub(JOBS_PER_CLASS_MAX);
-            class.unrecorded.drain(..over);
-            class.combine();
+            let excess = class.unrecorded.len().saturating_sub(JOBS_PER_CLASS_MAX);
+            class.unrecorded.drain(..excess);
+            class.update_combined();
             self.biases = None;
         }
     }
 
-    /// What is learned of a class, recorded or not.
+    /// Returns the history of a class, with its unrecorded runs.
     pub fn history(&self, id: ClassId) -> Option<&History> {
         self.classes.get(&id).map(|c| &c.combined)
     }
 
-    /// Team, class and history of all, recorded or not.
+    /// Returns team, class and history of all classes, with their unrecorded runs.
     pub fn classes(&self) -> impl Iterator<Item = (&str, &str, &History)> {
         (self.classes.values()).map(|c| (c.team.as_str(), c.name.as_str(), &c.combined))
     }
@@ -210,22 +212,24 @@
     fn biases(&mut self) -> &Biases {
         let classes = self.classes.values();
         let classes = classes.map(|class| (class.team.as_str(), &class.combined));
-        self.biases.get_or_insert_with(|| Biases::of(classes))
+        self.biases
+            .get_or_insert_with(|| Biases::from_classes(classes))
     }
 
-    /// What stands in for a class without a history.
-    fn prior(&mut self, about: &JobDescription) -> Mixture {
-        let Some(expect) = ln_owner_estimate(about.owner_estimate_s) else {
-            return self.prior_without_estimate(about.team);
+    /// Returns the prior distribution of a job: the owner's estimate, corrected by the team's bias.
+    fn prior(&mut self, job: &JobDescription) -> Mixture {
+        let Some(ln_estimate) = ln_owner_estimate(job.owner_estimate_s) else {
+            return self.prior_without_estimate(job.team);
         };
-        let (mean, var) = self.biases().of_team(about.team);
-        Mixture::normal(expect + mean, var.max(MIN_SD * MIN_SD))
+        let (mean, var) = self.biases().of_team(job.team);
+        Mixture::normal(ln_estimate + mean, var.max(MIN_SD * MIN_SD))
     }
 
-    /// Without an estimate: what its team's work takes, widely.
+    /// Returns the prior without an owner's estimate: a wide distribution around the run times of the team's latest
+    /// jobs.
     fn prior_without_estimate(&self, team: &str) -> Mixture {
         let of_team = self.classes.values().filter(|c| c.team == team);
-        let parts = of_team.flat_map(|c| {
+        let components = of_team.flat_map(|c| {
             let done = c.combined.jobs().iter().rev().filter(|j| j.runs > 0);
             done.take(BIAS_JOBS_PER_CLASS).map(|j| Component {
                 weight: 1.0,
@@ -233,27 +237,28 @@
                 var: 0.25,
             })
         });
-        let unknown = Component {
+        let default = Component {
             weight: BIAS_SHRINKAGE_JOBS,
             mean: DEFAULT_MEDIAN_S.ln(),
             var: DEFAULT_SD * DEFAULT_SD,
         };
-        Mixture::new(parts.chain([unknown]).collect())
+        Mixture::new(components.chain([default]).collect())
     }
 
-    /// The distribution of the run time of a task of this job.
-    pub fn distribution(&mut self, about: &JobDescription) -> Mixture {
-        let prior = self.prior(about);
-        let id = class_id(about.team, about.class);
-        let none = History::default();
-        let history = self.classes.get(&id).map_or(&none, |c| &c.combined);
-        let expect = ln_owner_estimate(about.owner_estimate_s);
-        let (job, within) = history.mixture(expect, image_hash(about.image), &prior);
-        let known = history.job(job_hash(about.job)).filter(|j| j.runs > 0);
-        let job = match known {
-            Some(own) => job.posterior(own.mean, f64::from(own.runs), within),
-            None => job,
+    /// Returns the distribution of the run time of a task of this job.
+    pub fn distribution(&mut self, job: &JobDescription) -> Mixture {
+        let prior = self.prior(job);
+        let id = class_id(job.team, job.class);
+        let empty = History::default();
+        let history = self.classes.get(&id).map_or(&empty, |c| &c.combined);
+        let ln_estimate = ln_owner_estimate(job.owner_estimate_s);
+        let (job_mean, within_job_var) =
+            history.mixture(ln_estimate, image_hash(job.image), &prior);
+        let own = history.job(job_hash(job.job)).filter(|j| j.runs > 0);
+        let job_mean = match own {
+            Some(own) => job_mean.posterior(own.mean, f64::from(own.runs), within_job_var),
+            None => job_mean,
         };
-        job.with_added_variance(within)
+        job_mean.with_added_variance(within_job_var)
     }
 }
--- a/crates/runtime-estimates/src/history/distribution.rs
+++ b/crates/runtime-estimates/src/history/distribution.rs
@@ -1,5 +1,5 @@
-//! The distribution that a history makes: a weighted kernel density over its jobs, with what stands in for a
-//! history that is short, and with the runs that were cut short.
+//! Computes the distribution of a job's mean run time: a weighted kernel density over the jobs of the history, mixed
+//! with the prior while the history is short, and corrected for interrupted runs.
 
 use super::statistics::{dot, images_differ, last_change, robust_deviation};
 use super::{History, JobSample};
@@ -11,9 +11,8 @@
 use crate::mixture::{Component, Mixture};
 
 impl History {
-    /// The distribution of a job's mean, given what would stand in were there no history, and the
-    /// variance of tasks within a job. All in logarithms; `ln_estimate` is that of the owner's estimate,
-    /// `image` the hash of the image's name.
+    /// Returns the distribution of a job's mean logarithm, given the prior distribution, and the variance of tasks
+    /// within a job.
     pub fn mixture(
         &self,
         ln_estimate: Option<f64>,
@@ -21,41 +20,47 @@
         prior: &Mixture,
     ) -> (Mixture, f64) {
         let done: Vec<&JobSample> = self.jobs.iter().filter(|j| j.runs > 0).collect();
-        let within = self.within_job_var.max(WITHIN_JOB_MIN_VAR);
+        let within_job_var = self.within_job_var.max(WITHIN_JOB_MIN_VAR);
         if done.is_empty() {
-            let parts = prior.components().to_vec();
-            return (self.with_censored_runs(parts, ln_estimate, 0.0), within);
+            let components = prior.components().to_vec();
+            return (
+                self.with_censored_runs(components, ln_estimate, 0.0),
+                within_job_var,
+            );
         }
         let slope = slope(&done, ln_estimate);
         let points: Vec<f64> = (done.iter())
             .map(|job| scaled_mean(job, ln_estimate, slope))
             .collect();
         let weights = job_weights(&done, &points, image_hash);
-        let moments = Moments::of(&weights, &points);
-        // Jobs of one task each do not tell what is within them: part of what is seen, then.
-        let within = match self.within_job_tasks > WITHIN_JOB_PRIOR_TASKS {
-            true => within,
-            false => within
+        let moments = Moments::from_weighted(&weights, &points);
+        // Jobs of one task each do not show the variance within jobs. It is then at most half of the observed variance.
+        let within_job_var = match self.within_job_tasks > WITHIN_JOB_PRIOR_TASKS {
+            true => within_job_var,
+            false => within_job_var
                 .min(moments.unbiased_var / 2.0)
                 .max(WITHIN_JOB_MIN_VAR),
         };
-        // Means of few tasks are apart by what these are apart, too.
+        // The variance within jobs adds to the variance of means of few tasks.
         let noise = (weights.iter().zip(&done)).map(|(w, j)| w / f64::from(j.runs));
-        let noise = within * noise.sum::<f64>() / moments.weight;
-        let mut parts = kernels(&weights, &points, &moments, noise);
+        let noise = within_job_var * noise.sum::<f64>() / moments.weight;
+        let mut components = kernels(&weights, &points, &moments, noise);
         let prior_weight = PRIOR_JOBS / (1.0 + moments.count / PRIOR_HALVING_JOBS);
-        parts.extend(prior.components().iter().map(|p| Component {
+        components.extend(prior.components().iter().map(|p| Component {
             weight: p.weight * prior_weight,
             ..*p
         }));
-        (self.with_censored_runs(parts, ln_estimate, slope), within)
+        (
+            self.with_censored_runs(components, ln_estimate, slope),
+            within_job_var,
+        )
     }
 
-    /// Runs that were cut short take at least as long as they lasted: the weight of each goes to
-    /// what is longer (Efron's redistribution to the right).
+    /// Adds the interrupted runs, whose elapsed times are lower bounds: the weight of each is distributed over the
+    /// longer run times (Efron's redistribution to the right).
     fn with_censored_runs(
         &self,
-        mut parts: Vec<Component>,
+        mut components: Vec<Component>,
         ln_estimate: Option<f64>,
         slope: f64,
     ) -> Mixture {
@@ -63,36 +68,36 @@
             if job.runs > 0 {
                 continue;
             }
-            let least = scaled_mean(job, ln_estimate, slope);
+            let lower_bound = scaled_mean(job, ln_estimate, slope);
             let weight = JOB_DECAY.powi(age as i32);
-            let longer = parts.iter().filter(|p| p.mean > least);
-            let longer: f64 = longer.map(|p| p.weight).sum();
-            if longer > 0.05 * weight {
-                for part in parts.iter_mut().filter(|p| p.mean > least) {
-                    part.weight *= 1.0 + weight / longer;
+            let longer = components.iter().filter(|p| p.mean > lower_bound);
+            let longer_weight: f64 = longer.map(|p| p.weight).sum();
+            if longer_weight > 0.05 * weight {
+                for component in components.iter_mut().filter(|p| p.mean > lower_bound) {
+                    component.weight *= 1.0 + weight / longer_weight;
                 }
             } else {
-                parts.push(Component {
+                components.push(Component {
                     weight,
-                    mean: least + CENSORED_EXTENSION_FACTOR.ln(),
+                    mean: lower_bound + CENSORED_EXTENSION_FACTOR.ln(),
                     var: (CENSORED_EXTENSION_FACTOR.ln()).powi(2),
                 });
             }
         }
-        Mixture::new(parts)
+        Mixture::new(components)
     }
 }
 
-/// A job's mean as it would be were its owner's estimate the one given.
+/// Returns a job's mean, scaled to the given estimate of the owner.
 fn scaled_mean(job: &JobSample, ln_estimate: Option<f64>, slope: f64) -> f64 {
     match (ln_estimate, job.ln_estimate) {
-        (Some(asked), Some(own)) => job.mean + slope * (asked - own),
+        (Some(given), Some(own)) => job.mean + slope * (given - own),
         _ => job.mean,
     }
 }
 
-/// How run times go with the owner's estimates: 1 if they are proportional, 0 if these say
-/// nothing. A weighted ridge regression.
+/// Returns the slope of run times over the owner's estimates by weighted ridge regression: 1 if they are proportional,
+/// 0 if the estimates carry no information.
 fn slope(done: &[&JobSample], ln_estimate: Option<f64>) -> f64 {
     if ln_estimate.is_none() {
         return 0.0;
@@ -114,15 +119,15 @@
     ((xy + SLOPE_RIDGE) / (xx + SLOPE_RIDGE)).clamp(0.0, MAX_SLOPE)
 }
 
-/// What each job weighs: less with age, before a change of level, and with another image if images
-/// tell run times apart.
+/// Returns the weights of jobs. They fall with age, and are lower before a change of level, and for another image if
+/// images distinguish run times.
 fn job_weights(done: &[&JobSample], points: &[f64], image_hash: u16) -> Vec<f64> {
-    let changed = last_change(points);
-    let images_matter = images_differ(done, points, changed);
+    let change_start = last_change(points);
+    let images_matter = images_differ(done, points, change_start);
     let weight = |(i, job): (usize, &&JobSample)| {
         let age = (done.len() - 1 - i) as i32;
         let mut weight = JOB_DECAY.powi(age);
-        if i < changed {
+        if i < change_start {
             weight *= CHANGE_DECAY;
         }
         if images_matter && job.image_hash != image_hash {
@@ -136,7 +141,7 @@
 /// Moments of weighted points.
 struct Moments {
     weight: f64,
-    /// Points of equal weight that would tell as much.
+    /// Effective number of points of equal weight.
     count: f64,
     mean: f64,
     var: f64,
@@ -144,8 +149,8 @@
 }
 
 impl Moments {
-    /// Of at least one point; weights are above zero.
-    fn of(weights: &[f64], points: &[f64]) -> Moments {
+    /// Computes the moments of at least one point. Weights must be positive.
+    fn from_weighted(weights: &[f64], points: &[f64]) -> Moments {
         let sum: f64 = weights.iter().sum();
         let squares: f64 = weights.iter().map(|w| w * w).sum();
         let count = sum * sum / squares;
@@ -162,8 +167,8 @@
     }
 }
 
-/// Kernel density: each job spread out by a width that falls with their number, the points
-/// drawn together so that the whole keeps the variance of a new job's. `noise` is the part of the
+/// Returns a kernel density. Each job has a kernel whose width falls with the number of jobs. The points are moved
+/// towards or away from their mean so that the mixture has the variance of a new job. `noise` is the part of the
 /// variance that comes from means of few tasks.
 fn kernels(weights: &[f64], points: &[f64], moments: &Moments, noise: f64) -> Vec<Component> {
     let Moments {
@@ -173,21 +178,21 @@
         unbiased_var,
         ..
     } = *moments;
-    let wanted = (unbiased_var * (1.0 + 1.0 / count) - noise).max(MIN_SD * MIN_SD);
+    let target_var = (unbiased_var * (1.0 + 1.0 / count) - noise).max(MIN_SD * MIN_SD);
     let robust = robust_deviation(weights, points)
         .min(unbiased_var.sqrt())
         .max(MIN_SD);
-    let width = (robust * count.powf(-0.2)).min(wanted.sqrt());
+    let width = (robust * count.powf(-0.2)).min(target_var.sqrt());
     let stretch = match var > 1e-9 {
-        true => ((wanted - width * width).max(0.0) / var)
+        true => ((target_var - width * width).max(0.0) / var)
             .sqrt()
             .min(MAX_KERNEL_STRETCH),
         false => 1.0,
     };
-    let parts = weights.iter().zip(points).map(|(weight, p)| Component {
+    let components = weights.iter().zip(points).map(|(weight, p)| Component {
         weight: *weight,
         mean: mean + (p - mean) * stretch,
         var: width * width,
     });
-    parts.collect()
+    components.collect()
 }
--- a/crates/runtime-estimates/src/history/mod.rs
+++ b/crates/runtime-estimates/src/history/mod.rs
@@ -1,4 +1,5 @@
-//! A class's latest jobs: what is remembered, how it is stored, and the distribution it makes.
+//! The history of a class: its latest jobs, their packed form in the state store, and the distribution of run times
+//! that follows from them.
 
 mod distribution;
 mod packed;
@@ -12,32 +13,33 @@
 };
 use crate::{ln_owner_estimate, Run, RunOutcome};
 
-/// One job's runs, as far as they were counted.
+/// The counted runs of one job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobSample {
-    /// A hash of its id.
+    /// A hash of the job's id.
     pub id_hash: u32,
-    /// A hash of its image's name.
+    /// A hash of the image's name.
     pub image_hash: u16,
     /// Logarithm of the owner's estimate.
     pub ln_estimate: Option<f64>,
-    /// Mean logarithm of its tasks' run times; the longest of those cut short, if none completed.
+    /// Mean logarithm of the run times of completed tasks. If none completed, the largest logarithm of the
+    /// interrupted ones.
     pub mean: f64,
-    /// Tasks counted: 0 if all were cut short.
+    /// Completed tasks that count; 0 if all runs were interrupted.
     pub runs: u8,
 }
 
-/// Sums over runs of one job until they are recorded.
+/// Runs of one job that are not recorded yet, summed up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunBatch {
-    /// What is counted so far.
+    /// The runs counted so far.
     pub job: JobSample,
-    /// Squared deviations from the mean.
+    /// Sum of the squared deviations from the mean.
     squared_deviations: f64,
 }
 
 impl RunBatch {
-    /// Of a single run.
+    /// Creates a batch of a single run.
     pub fn from_run(run: &Run) -> RunBatch {
         RunBatch {
             job: JobSample {
@@ -53,16 +55,18 @@
 
     /// Adds runs of the same job.
     pub fn add(&mut self, other: &RunBatch) {
-        let (a, b) = (f64::from(self.job.runs), f64::from(other.job.runs));
-        if a + b == 0.0 {
+        let (own_runs, other_runs) = (f64::from(self.job.runs), f64::from(other.job.runs));
+        if own_runs + other_runs == 0.0 {
             self.job.mean = self.job.mean.max(other.job.mean);
         } else {
-            let apart = other.job.mean - self.job.mean;
-            if a > 0.0 && b > 0.0 {
-                self.squared_deviations += apart * apart * a * b / (a + b);
+            let mean_difference = other.job.mean - self.job.mean;
+            if own_runs > 0.0 && other_runs > 0.0 {
+                self.squared_deviations +=
+                    mean_difference * mean_difference * own_runs * other_runs
+                        / (own_runs + other_runs);
             }
             self.squared_deviations += other.squared_deviations;
-            self.job.mean += apart * b / (a + b);
+            self.job.mean += mean_difference * other_runs / (own_runs + other_runs);
             self.job.runs = self
                 .job
                 .runs
@@ -75,25 +79,25 @@
     }
 }
 
-/// The hash of a job's id that is stored.
+/// Returns the hash of a job's id that records hold.
 pub fn job_hash(id: &str) -> u32 {
     crate::stable_hash(&[id]) as u32
 }
 
-/// The hash of an image's name that is stored.
+/// Returns the hash of an image's name that records hold.
 pub fn image_hash(image: &str) -> u16 {
     crate::stable_hash(&[image]) as u16
 }
 
-/// The latest jobs of a class of a team, latest last.
+/// The latest jobs of a class, latest last.
 #[derive(Clone, Debug, PartialEq)]
 pub struct History {
     jobs: Vec<JobSample>,
     /// Variance of tasks within a job, in squared logarithms.
     within_job_var: f64,
-    /// Tasks that it rests on.
+    /// Weight of that variance, in tasks.
     within_job_tasks: f64,
-    /// Completed runs counted in all.
+    /// Completed runs counted since the beginning.
     pub runs: u64,
 }
 
@@ -109,35 +113,35 @@
 }
 
 impl History {
-    /// The jobs that are remembered, latest last.
+    /// Returns the jobs, latest last.
     pub fn jobs(&self) -> &[JobSample] {
         &self.jobs
     }
 
-    /// The latest job with this tag.
+    /// Returns the latest job whose id has this hash.
     pub fn job(&self, id_hash: u32) -> Option<&JobSample> {
         self.jobs.iter().rev().find(|j| j.id_hash == id_hash)
     }
 
-    /// Counts a job's runs, once. More runs of one that it holds are added to that.
+    /// Adds the runs of a job. If the history holds the job already, they are added to its runs.
     pub fn add_batch(&mut self, batch: &RunBatch) {
         self.runs = self.runs.saturating_add(u64::from(batch.job.runs));
-        let mut squares = batch.squared_deviations;
+        let mut squared_deviations = batch.squared_deviations;
         let mut tasks = f64::from(batch.job.runs.saturating_sub(1));
         match self
             .jobs
             .iter_mut()
             .find(|j| j.id_hash == batch.job.id_hash)
         {
-            Some(known) => {
+            Some(same_job) => {
                 let mut sum = RunBatch {
-                    job: *known,
+                    job: *same_job,
                     squared_deviations: 0.0,
                 };
                 sum.add(batch);
-                squares = sum.squared_deviations;
-                tasks += f64::from(u8::from(known.runs > 0 && batch.job.runs > 0));
-                *known = sum.job;
+                squared_deviations = sum.squared_deviations;
+                tasks += f64::from(u8::from(same_job.runs > 0 && batch.job.runs > 0));
+                *same_job = sum.job;
             }
             None => {
                 self.jobs.push(batch.job);
@@ -147,13 +151,14 @@
             }
         }
         if tasks > 0.0 {
-            let known = self.within_job_tasks.min(WITHIN_JOB_MAX_TASKS);
-            self.within_job_var = (self.within_job_var * known + squares) / (known + tasks);
-            self.within_job_tasks = (known + tasks).min(WITHIN_JOB_MAX_TASKS);
+            let earlier_tasks = self.within_job_tasks.min(WITHIN_JOB_MAX_TASKS);
+            self.within_job_var = (self.within_job_var * earlier_tasks + squared_deviations)
+                / (earlier_tasks + tasks);
+            self.within_job_tasks = (earlier_tasks + tasks).min(WITHIN_JOB_MAX_TASKS);
         }
     }
 
-    /// Mean logarithms by which run times exceed the owner's estimates, latest last.
+    /// Returns the logarithms by which the mean run times of jobs exceed their owner's estimates, latest last.
     pub fn ln_excesses(&self) -> impl DoubleEndedIterator<Item = f64> + '_ {
         let done = self.jobs.iter().filter(|j| j.runs > 0);
         done.filter_map(|j| Some(j.mean - j.ln_estimate?))
--- a/crates/runtime-estimates/src/history/packed.rs
+++ b/crates/runtime-estimates/src/history/packed.rs
@@ -1,4 +1,4 @@
-//! How a history is stored.
+//! The packed form of a history in the state store.
 
 use super::{History, JobSample};
 use crate::constants::JOBS_PER_CLASS_MAX;
@@ -6,14 +6,15 @@
 use base64::Engine;
 use serde::{Deserialize, Serialize};
 
-/// As it is stored: bytes of the jobs in base64, with a check sum.
+/// A packed history: the bytes of the jobs in base64, and a checksum.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Packed {
     #[serde(rename = "j")]
     jobs: String,
-    /// In thousandths, as are the tasks.
+    /// In thousandths of a squared logarithm.
     #[serde(rename = "w")]
     within_job_var: u32,
+    /// In thousandths.
     #[serde(rename = "k")]
     within_job_tasks: u32,
     #[serde(rename = "n")]
@@ -22,19 +23,19 @@
     checksum: u32,
 }
 
-/// Bytes of a stored job: tag 4, image 2, estimate 2, mean 2, runs 1.
+/// Size of a packed job: hash of the id 4, hash of the image 2, estimate 2, mean 2, runs 1.
 const JOB_BYTES: usize = 11;
-/// Logarithms are stored in thousandths, from here up.
+/// Logarithms are packed as thousandths above this value.
 const MIN_LN: f64 = -3.0;
-/// Stored where the owner gave no estimate.
+/// The packed value of a missing estimate.
 const NO_LN: u16 = u16::MAX;
 
 fn pack_ln(ln: f64) -> u16 {
     ((ln - MIN_LN) * 1_000.0).round().clamp(0.0, 65_000.0) as u16
 }
 
-fn unpack_ln(n: u16) -> f64 {
-    f64::from(n) / 1_000.0 + MIN_LN
+fn unpack_ln(packed: u16) -> f64 {
+    f64::from(packed) / 1_000.0 + MIN_LN
 }
 
 impl Packed {
@@ -48,15 +49,15 @@
 }
 
 impl History {
-    /// As it is stored: times to the thousandth of a logarithm.
+    /// Packs the history, with logarithms rounded to thousandths.
     pub fn pack(&self) -> Packed {
         let mut bytes = Vec::with_capacity(self.jobs.len() * JOB_BYTES);
-        for j in &self.jobs {
-            bytes.extend_from_slice(&j.id_hash.to_le_bytes());
-            bytes.extend_from_slice(&j.image_hash.to_le_bytes());
-            bytes.extend_from_slice(&j.ln_estimate.map_or(NO_LN, pack_ln).to_le_bytes());
-            bytes.extend_from_slice(&pack_ln(j.mean).to_le_bytes());
-            bytes.push(j.runs);
+        for job in &self.jobs {
+            bytes.extend_from_slice(&job.id_hash.to_le_bytes());
+            bytes.extend_from_slice(&job.image_hash.to_le_bytes());
+            bytes.extend_from_slice(&job.ln_estimate.map_or(NO_LN, pack_ln).to_le_bytes());
+            bytes.extend_from_slice(&pack_ln(job.mean).to_le_bytes());
+            bytes.push(job.runs);
         }
         let mut packed = Packed {
             jobs: BASE64.encode(bytes),
@@ -69,10 +70,10 @@
         packed
     }
 
-    /// Reads what is stored; none if it is damaged or too long.
+    /// Unpacks a history. Returns `None` if it is damaged or too long.
     pub fn unpack(packed: &Packed) -> Option<History> {
-        let most = (JOBS_PER_CLASS_MAX * JOB_BYTES).div_ceil(3) * 4;
-        if packed.jobs.len() > most || packed.checksum != packed.computed_checksum() {
+        let max_chars = (JOBS_PER_CLASS_MAX * JOB_BYTES).div_ceil(3) * 4;
+        if packed.jobs.len() > max_chars || packed.checksum != packed.computed_checksum() {
             return None;
         }
         let bytes = BASE64.decode(&packed.jobs).ok()?;
@@ -80,13 +81,13 @@
             return None;
         }
         let jobs = bytes.chunks_exact(JOB_BYTES).map(|b| {
-            let two = |at: usize| u16::from_le_bytes([b[at], b[at + 1]]);
-            let expect = two(6);
+            let u16_at = |at: usize| u16::from_le_bytes([b[at], b[at + 1]]);
+            let packed_estimate = u16_at(6);
             JobSample {
                 id_hash: u32::from_le_bytes([b[0], b[1], b[2], b[3]]),
-                image_hash: two(4),
-                ln_estimate: (expect != NO_LN).then(|| unpack_ln(expect)),
-                mean: unpack_ln(two(8)),
+                image_hash: u16_at(4),
+                ln_estimate: (packed_estimate != NO_LN).then(|| unpack_ln(packed_estimate)),
+                mean: unpack_ln(u16_at(8)),
                 runs: b[10],
             }
         });
--- a/crates/runtime-estimates/tests/estimates.rs
+++ b/crates/runtime-estimates/tests/estimates.rs
@@ -1,5 +1,4 @@
-//! Stories of estimates: histories with known truth go in, and what is said of the next run is
-//! held against it.
+//! Checks estimates on histories that are drawn from known distributions.
 
 use glenmount_runtime_estimates::constants::CLASSES_MAX;
 use glenmount_runtime_estimates::estimator::{JobDescription, RunTimeEstimator};
@@ -8,32 +7,33 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Normal};
 
-struct Source {
+/// Draws jobs from known distributions.
+struct RunSource {
     rng: SmallRng,
-    next: u64,
+    next_job: u64,
 }
 
-impl Source {
-    fn new(seed: u64) -> Source {
-        Source {
+impl RunSource {
+    fn new(seed: u64) -> RunSource {
+        RunSource {
             rng: SmallRng::seed_from_u64(seed),
-            next: 0,
+            next_job: 0,
         }
     }
     fn normal(&mut self, sd: f64) -> f64 {
         Normal::new(0.0, sd).unwrap().sample(&mut self.rng)
     }
-    /// A job whose tasks take about `secs`, by its owner's word `owner_estimate_s`.
+    /// Returns the runs of a job whose tasks take about `run_time_s`.
     fn job(
         &mut self,
         class: &str,
-        secs: f64,
+        run_time_s: f64,
         owner_estimate_s: f64,
         tasks: u32,
-        within: f64,
+        within_job_sd: f64,
     ) -> Vec<Run> {
-        self.next += 1;
-        let job = format!("j-{}", self.next);
+        self.next_job += 1;
+        let job = format!("j-{}", self.next_job);
         (0..tasks)
             .map(|_| Run {
                 team: "red".into(),
@@ -41,49 +41,53 @@
                 image: "img".into(),
                 job: job.clone(),
                 owner_estimate_s,
-                run_time_s: secs * self.normal(within).exp(),
+                run_time_s: run_time_s * self.normal(within_job_sd).exp(),
                 outcome: RunOutcome::Completed,
             })
             .collect()
     }
 }
 
-/// Errors of estimates in logarithms, and whether the runs lay within their intervals.
+/// Errors of estimates in logarithms, and the number of runs within their intervals.
 #[derive(Default)]
 struct Score {
     errors: Vec<f64>,
-    owner: Vec<f64>,
-    within: usize,
+    owner_errors: Vec<f64>,
+    covered: usize,
 }
 
 impl Score {
-    fn note(&mut self, book: &mut RunTimeEstimator, run: &Run) {
-        let e = book.distribution(&JobDescription::from(run)).estimate();
-        assert!(e.low_s <= e.median_s && e.median_s <= e.high_s);
-        self.errors.push((run.run_time_s / e.median_s).ln().abs());
-        self.owner
+    fn record(&mut self, estimator: &mut RunTimeEstimator, run: &Run) {
+        let estimate = estimator
+            .distribution(&JobDescription::from(run))
+            .estimate();
+        assert!(estimate.low_s <= estimate.median_s && estimate.median_s <= estimate.high_s);
+        self.errors
+            .push((run.run_time_s / estimate.median_s).ln().abs());
+        self.owner_errors
             .push((run.run_time_s / run.owner_estimate_s).ln().abs());
-        self.within += usize::from((e.low_s..=e.high_s).contains(&run.run_time_s));
+        self.covered += usize::from((estimate.low_s..=estimate.high_s).contains(&run.run_time_s));
     }
-    fn covered(&self) -> f64 {
-        self.within as f64 / self.errors.len() as f64
+    fn coverage(&self) -> f64 {
+        self.covered as f64 / self.errors.len() as f64
     }
     fn median(values: &[f64]) -> f64 {
-        let mut v = values.to_vec();
-        v.sort_by(f64::total_cmp);
-        v[v.len() / 2]
+        let mut sorted = values.to_vec();
+        sorted.sort_by(f64::total_cmp);
+        sorted[sorted.len() / 2]
     }
 }
 
-fn median_s(book: &mut RunTimeEstimator, run: &Run) -> f64 {
-    book.distribution(&JobDescription::from(run))
+fn median_s(estimator: &mut RunTimeEstimator, run: &Run) -> f64 {
+    estimator
+        .distribution(&JobDescription::from(run))
         .estimate()
         .median_s
 }
 
 #[test]
-fn intervals_hold_what_they_say_on_work_of_many_kinds() {
-    // Spread of jobs, error of owners, spread within jobs, tasks.
+fn intervals_cover_about_ninety_percent_for_several_kinds_of_work() {
+    // Deviation between jobs, error of the owner's estimates, deviation within jobs, tasks.
     let kinds = [
         (0.7, 0.5, 0.2, 20),
         (0.3, 0.5, 0.1, 1),
@@ -93,277 +97,294 @@
     for (i, (spread, error, within, tasks)) in kinds.into_iter().enumerate() {
         let mut score = Score::default();
         for seed in 0..12 {
-            let (mut s, mut book) = (Source::new(seed), RunTimeEstimator::default());
+            let (mut source, mut estimator) = (RunSource::new(seed), RunTimeEstimator::default());
             for n in 0..60 {
-                let secs = 40.0 * s.normal(spread).exp();
-                let expect = secs * s.normal(error).exp();
-                let runs = s.job("redraw", secs, expect, tasks, within);
+                let secs = 40.0 * source.normal(spread).exp();
+                let owner_estimate_s = secs * source.normal(error).exp();
+                let runs = source.job("redraw", secs, owner_estimate_s, tasks, within);
                 for (t, run) in runs.iter().enumerate() {
                     if n >= 10 && t < 3 {
-                        score.note(&mut book, run);
+                        score.record(&mut estimator, run);
                     }
-                    book.add_run(run);
+                    estimator.add_run(run);
                 }
             }
         }
-        let covered = score.covered();
-        assert!((0.85..=0.96).contains(&covered), "kind {i}: {covered}");
-        let (own, owner) = (Score::median(&score.errors), Score::median(&score.owner));
+        let coverage = score.coverage();
+        assert!((0.85..=0.96).contains(&coverage), "kind {i}: {coverage}");
+        let (own, owner) = (
+            Score::median(&score.errors),
+            Score::median(&score.owner_errors),
+        );
         assert!(own < owner, "kind {i}: {own} against the owner's {owner}");
     }
 }
 
 #[test]
-fn a_job_known_by_its_own_runs_is_estimated_far_better_than_by_its_owner() {
+fn estimates_of_a_class_with_history_have_half_the_error_of_the_owners() {
     let mut score = Score::default();
-    let (mut s, mut book) = (Source::new(5), RunTimeEstimator::default());
+    let (mut source, mut estimator) = (RunSource::new(5), RunTimeEstimator::default());
     for n in 0..80 {
-        let secs = 40.0 * s.normal(0.2).exp();
-        let expect = secs * s.normal(0.6).exp();
-        for run in s.job("report", secs, expect, 1, 0.1) {
+        let secs = 40.0 * source.normal(0.2).exp();
+        let owner_estimate_s = secs * source.normal(0.6).exp();
+        for run in source.job("report", secs, owner_estimate_s, 1, 0.1) {
             if n >= 10 {
-                score.note(&mut book, &run);
+                score.record(&mut estimator, &run);
             }
-            book.add_run(&run);
+            estimator.add_run(&run);
         }
     }
-    let (own, owner) = (Score::median(&score.errors), Score::median(&score.owner));
+    let (own, owner) = (
+        Score::median(&score.errors),
+        Score::median(&score.owner_errors),
+    );
     assert!(own <= owner / 2.0, "{own} against {owner}");
 }
 
 #[test]
-fn without_history_the_owner_is_believed_and_their_bias_learned_from_other_work() {
-    let (mut s, mut book) = (Source::new(1), RunTimeEstimator::default());
-    let run = s.job("new", 100.0, 100.0, 1, 0.0).remove(0);
-    let first = book.distribution(&JobDescription::from(&run)).estimate();
+fn without_history_the_owners_estimate_is_corrected_by_the_bias_of_other_classes() {
+    let (mut source, mut estimator) = (RunSource::new(1), RunTimeEstimator::default());
+    let run = source.job("new", 100.0, 100.0, 1, 0.0).remove(0);
+    let first = estimator
+        .distribution(&JobDescription::from(&run))
+        .estimate();
     assert!((first.median_s / 100.0).ln().abs() < 0.02);
     assert!(
         first.high_s > 200.0 && first.low_s < 50.0,
-        "not at all sure"
+        "the interval is too narrow"
     );
-    // Today everything takes twice what owners say.
+    // All runs take twice the owners' estimates.
     for class in ["a", "b", "c"] {
         for _ in 0..6 {
-            let secs = 60.0 * s.normal(0.3).exp();
-            let expect = secs / 2.0 * s.normal(0.1).exp();
-            for run in s.job(class, secs, expect, 1, 0.05) {
-                book.add_run(&run);
+            let secs = 60.0 * source.normal(0.3).exp();
+            let owner_estimate_s = secs / 2.0 * source.normal(0.1).exp();
+            for run in source.job(class, secs, owner_estimate_s, 1, 0.05) {
+                estimator.add_run(&run);
             }
         }
     }
-    let then = median_s(&mut book, &run);
-    assert!((150.0..230.0).contains(&then), "{then}");
-    // Nothing is known at all, and no owner's word either.
-    let silent = Run {
+    let corrected = median_s(&mut estimator, &run);
+    assert!((150.0..230.0).contains(&corrected), "{corrected}");
+    // A team without history, and no owner's estimate.
+    let without_estimate = Run {
         owner_estimate_s: 0.0,
         team: "other".into(),
         ..run
     };
-    let e = book.distribution(&JobDescription::from(&silent)).estimate();
-    assert!(e.high_s / e.low_s > 20.0);
+    let estimate = estimator
+        .distribution(&JobDescription::from(&without_estimate))
+        .estimate();
+    assert!(estimate.high_s / estimate.low_s > 20.0);
 }
 
 #[test]
-fn a_doubled_class_is_followed_within_five_runs_and_a_freak_is_not() {
-    let mut followed = Vec::new();
+fn a_change_of_level_is_followed_within_five_runs_and_an_outlier_is_ignored() {
+    let mut delays_runs = Vec::new();
     for seed in 0..20 {
-        let (mut s, mut book) = (Source::new(seed), RunTimeEstimator::default());
-        let night = |s: &mut Source, book: &mut RunTimeEstimator, secs: f64| {
-            let secs = secs * s.normal(0.12).exp();
-            let run = s.job("report", secs, 120.0, 1, 0.05).remove(0);
-            let before = median_s(book, &run);
-            book.add_run(&run);
+        let (mut source, mut estimator) = (RunSource::new(seed), RunTimeEstimator::default());
+        let run_once = |source: &mut RunSource, estimator: &mut RunTimeEstimator, secs: f64| {
+            let secs = secs * source.normal(0.12).exp();
+            let run = source.job("report", secs, 120.0, 1, 0.05).remove(0);
+            let before = median_s(estimator, &run);
+            estimator.add_run(&run);
             before
         };
         for _ in 0..20 {
-            night(&mut s, &mut book, 120.0);
+            run_once(&mut source, &mut estimator, 120.0);
         }
-        // One that takes ten times as long.
-        night(&mut s, &mut book, 1_200.0);
-        let after = night(&mut s, &mut book, 120.0);
+        // An outlier: ten times as long.
+        run_once(&mut source, &mut estimator, 1_200.0);
+        let after = run_once(&mut source, &mut estimator, 120.0);
         assert!((after / 120.0).ln().abs() < 0.15, "seed {seed}: {after}");
         for _ in 0..8 {
-            night(&mut s, &mut book, 120.0);
+            run_once(&mut source, &mut estimator, 120.0);
         }
         let mut runs = 0;
-        while (night(&mut s, &mut book, 240.0) / 240.0).ln().abs() > 0.25 {
+        while (run_once(&mut source, &mut estimator, 240.0) / 240.0)
+            .ln()
+            .abs()
+            > 0.25
+        {
             runs += 1;
             assert!(runs < 40);
         }
-        followed.push(runs);
+        delays_runs.push(runs);
     }
-    followed.sort();
-    assert!(followed[17] <= 5, "{followed:?}");
+    delays_runs.sort();
+    assert!(delays_runs[17] <= 5, "{delays_runs:?}");
 }
 
 #[test]
-fn estimates_off_by_half_for_a_day_are_corrected() {
-    let (mut s, mut book) = (Source::new(9), RunTimeEstimator::default());
-    let mut day = |book: &mut RunTimeEstimator, off: f64, jobs: usize| {
+fn owners_estimates_with_a_bias_of_half_for_a_day_are_corrected() {
+    let (mut source, mut estimator) = (RunSource::new(9), RunTimeEstimator::default());
+    let mut day = |estimator: &mut RunTimeEstimator, bias: f64, jobs: usize| {
         let mut errors = Vec::new();
         for _ in 0..jobs {
-            let secs = 50.0 * s.normal(0.8).exp();
-            let expect = secs * off * s.normal(0.1).exp();
-            for run in s.job("map", secs, expect, 1, 0.05) {
-                errors.push((run.run_time_s / median_s(book, &run)).ln().abs());
-                book.add_run(&run);
+            let secs = 50.0 * source.normal(0.8).exp();
+            let owner_estimate_s = secs * bias * source.normal(0.1).exp();
+            for run in source.job("map", secs, owner_estimate_s, 1, 0.05) {
+                errors.push((run.run_time_s / median_s(estimator, &run)).ln().abs());
+                estimator.add_run(&run);
             }
         }
         errors
     };
-    day(&mut book, 1.0, 30);
-    let low = day(&mut book, 0.5, 20);
+    day(&mut estimator, 1.0, 30);
+    let low = day(&mut estimator, 0.5, 20);
     assert!(Score::median(&low[6..]) < 0.2, "{low:?}");
-    let high = day(&mut book, 1.5, 20);
+    let high = day(&mut estimator, 1.5, 20);
     assert!(Score::median(&high[6..]) < 0.2, "{high:?}");
 }
 
 #[test]
-fn two_kinds_of_work_in_one_class() {
-    let (mut s, mut book) = (Source::new(3), RunTimeEstimator::default());
-    let kind = |s: &mut Source, long: bool| {
-        let secs = if long { 3_600.0 } else { 120.0 } * s.normal(0.15).exp();
-        // The owner says the same of both.
-        s.job("nightly", secs, 600.0, 4, 0.05)
+fn a_class_with_two_kinds_of_work_has_two_modes() {
+    let (mut source, mut estimator) = (RunSource::new(3), RunTimeEstimator::default());
+    let kind = |source: &mut RunSource, long: bool| {
+        let secs = if long { 3_600.0 } else { 120.0 } * source.normal(0.15).exp();
+        // The owner gives the same estimate for both.
+        source.job("nightly", secs, 600.0, 4, 0.05)
     };
     for i in 0..24 {
-        for run in kind(&mut s, i % 2 == 0) {
-            book.add_run(&run);
+        for run in kind(&mut source, i % 2 == 0) {
+            estimator.add_run(&run);
         }
     }
-    let runs = kind(&mut s, true);
-    let first = book
+    let runs = kind(&mut source, true);
+    let first = estimator
         .distribution(&JobDescription::from(&runs[0]))
         .estimate();
     assert!(first.low_s < 200.0 && first.high_s > 2_500.0, "{first:?}");
-    // The first task tells which it is.
-    book.add_run(&runs[0]);
-    let known = book
+    // The first completed task determines the kind.
+    estimator.add_run(&runs[0]);
+    let known = estimator
         .distribution(&JobDescription::from(&runs[1]))
         .estimate();
     assert!(known.low_s > 2_000.0 && known.high_s < 6_500.0, "{known:?}");
-    // One that has run for ten minutes is of the long kind as well.
-    let other = kind(&mut s, true).remove(0);
-    let left = book
+    // A run that has lasted ten minutes is of the long kind, too.
+    let other = kind(&mut source, true).remove(0);
+    let left = estimator
         .distribution(&JobDescription::from(&other))
         .remaining_s(600.0, 0.5);
     assert!((2_000.0..4_000.0).contains(&left), "{left}");
 }
 
 #[test]
-fn images_tell_kinds_apart() {
-    let (mut s, mut book) = (Source::new(4), RunTimeEstimator::default());
-    let run = |s: &mut Source, image: &str, secs: f64| Run {
+fn images_distinguish_kinds_of_work() {
+    let (mut source, mut estimator) = (RunSource::new(4), RunTimeEstimator::default());
+    let run = |source: &mut RunSource, image: &str, secs: f64| Run {
         image: image.into(),
-        ..s.job("nightly", secs, 0.0, 1, 0.1).remove(0)
+        ..source.job("nightly", secs, 0.0, 1, 0.1).remove(0)
     };
     for _ in 0..8 {
-        let r = run(&mut s, "short", 100.0);
-        book.add_run(&r);
-        let r = run(&mut s, "long", 1_000.0);
-        book.add_run(&r);
+        let r = run(&mut source, "short", 100.0);
+        estimator.add_run(&r);
+        let r = run(&mut source, "long", 1_000.0);
+        estimator.add_run(&r);
     }
-    let long = run(&mut s, "long", 1_000.0);
-    let e = median_s(&mut book, &long);
-    assert!((700.0..1_300.0).contains(&e), "{e}");
+    let long = run(&mut source, "long", 1_000.0);
+    let estimate = median_s(&mut estimator, &long);
+    assert!((700.0..1_300.0).contains(&estimate), "{estimate}");
 }
 
 #[test]
-fn runs_cut_short_say_at_least_and_never_short() {
-    let (mut s, mut book) = (Source::new(6), RunTimeEstimator::default());
-    let cut = |s: &mut Source, secs: f64| Run {
+fn interrupted_runs_are_lower_bounds_and_never_shorten_estimates() {
+    let (mut source, mut estimator) = (RunSource::new(6), RunTimeEstimator::default());
+    let interrupted = |source: &mut RunSource, secs: f64| Run {
         outcome: RunOutcome::LowerBound,
-        ..s.job("long", secs, 100.0, 1, 0.0).remove(0)
+        ..source.job("long", secs, 100.0, 1, 0.0).remove(0)
     };
-    let before = median_s(&mut book, &cut(&mut Source::new(0), 1.0));
+    let before = median_s(&mut estimator, &interrupted(&mut RunSource::new(0), 1.0));
     for _ in 0..10 {
-        let r = cut(&mut s, 20.0);
-        book.add_run(&r);
+        let r = interrupted(&mut source, 20.0);
+        estimator.add_run(&r);
     }
-    let short = median_s(&mut book, &cut(&mut Source::new(0), 1.0));
+    let short = median_s(&mut estimator, &interrupted(&mut RunSource::new(0), 1.0));
     assert!((short / before).ln().abs() < 0.2, "{before} {short}");
-    // All lasted longer than anybody said.
+    // All runs lasted longer than the estimate.
     for _ in 0..10 {
-        let r = cut(&mut s, 2_000.0);
-        book.add_run(&r);
+        let r = interrupted(&mut source, 2_000.0);
+        estimator.add_run(&r);
     }
-    let long = median_s(&mut book, &cut(&mut Source::new(0), 1.0));
+    let long = median_s(&mut estimator, &interrupted(&mut RunSource::new(0), 1.0));
     assert!(long > 2_000.0, "{long}");
-    // A job of which one task was lost and the others completed is known by these.
-    let runs = s.job("long", 3_000.0, 100.0, 6, 0.05);
+    // The completed tasks of a job determine its estimate although one task was lost.
+    let runs = source.job("long", 3_000.0, 100.0, 6, 0.05);
     let lost = Run {
         outcome: RunOutcome::LowerBound,
         run_time_s: 4_000.0,
         ..runs[0].clone()
     };
     for run in runs.iter().chain([&lost]) {
-        book.add_run(run);
+        estimator.add_run(run);
     }
-    let e = median_s(&mut book, &runs[0]);
-    assert!((2_600.0..3_500.0).contains(&e), "{e}");
+    let estimate = median_s(&mut estimator, &runs[0]);
+    assert!((2_600.0..3_500.0).contains(&estimate), "{estimate}");
 }
 
 #[test]
-fn ten_thousand_classes_leave_the_most_used() {
-    let (mut s, mut book) = (Source::new(8), RunTimeEstimator::default());
+fn ten_thousand_classes_do_not_evict_the_most_used_class() {
+    let (mut source, mut estimator) = (RunSource::new(8), RunTimeEstimator::default());
     for i in 0..10_000 {
-        for run in s.job(&format!("c{i}"), 10.0, 10.0, 1, 0.1) {
-            book.add_run(&run);
+        for run in source.job(&format!("c{i}"), 10.0, 10.0, 1, 0.1) {
+            estimator.add_run(&run);
         }
         if i % 50 == 0 {
-            for run in s.job("busy", 77.0, 10.0, 1, 0.01) {
-                book.add_run(&run);
+            for run in source.job("busy", 77.0, 10.0, 1, 0.01) {
+                estimator.add_run(&run);
             }
         }
     }
-    assert_eq!(book.len(), CLASSES_MAX);
-    let run = s.job("busy", 77.0, 10.0, 1, 0.01).remove(0);
-    let e = median_s(&mut book, &run);
-    assert!((70.0..85.0).contains(&e), "{e}");
+    assert_eq!(estimator.len(), CLASSES_MAX);
+    let run = source.job("busy", 77.0, 10.0, 1, 0.01).remove(0);
+    let estimate = median_s(&mut estimator, &run);
+    assert!((70.0..85.0).contains(&estimate), "{estimate}");
 }
 
 #[test]
-fn what_is_recorded_once_counts_once() {
-    let (mut s, mut book) = (Source::new(2), RunTimeEstimator::default());
-    let runs = s.job("report", 60.0, 60.0, 5, 0.1);
-    runs[..3].iter().for_each(|r| book.add_run(r));
-    let id = book.classes_to_record()[0];
-    let (_, _, whole, batches) = book.updated_record(id).unwrap();
+fn each_run_is_recorded_once() {
+    let (mut source, mut estimator) = (RunSource::new(2), RunTimeEstimator::default());
+    let runs = source.job("report", 60.0, 60.0, 5, 0.1);
+    runs[..3].iter().for_each(|r| estimator.add_run(r));
+    let id = estimator.classes_to_record()[0];
+    let (_, _, whole, batches) = estimator.updated_record(id).unwrap();
     assert_eq!(whole.runs, 3);
-    // More come while the record is under way, which then fails for certain, and then succeeds.
-    book.mark_recorded(id, &batches);
-    runs[3..].iter().for_each(|r| book.add_run(r));
-    book.restore_unrecorded(id, &batches);
-    let (_, _, whole, batches) = book.updated_record(id).unwrap();
+    // Further runs end during the first write, which certainly fails. The second write succeeds.
+    estimator.mark_recorded(id, &batches);
+    runs[3..].iter().for_each(|r| estimator.add_run(r));
+    estimator.restore_unrecorded(id, &batches);
+    let (_, _, whole, batches) = estimator.updated_record(id).unwrap();
     assert_eq!((whole.runs, whole.jobs().len()), (5, 1));
-    book.mark_recorded(id, &batches);
-    book.set_record(id, "red", "report", whole);
-    assert!(book.classes_to_record().is_empty());
-    assert_eq!(book.classes().next().unwrap().2.runs, 5);
+    estimator.mark_recorded(id, &batches);
+    estimator.set_record(id, "red", "report", whole);
+    assert!(estimator.classes_to_record().is_empty());
+    assert_eq!(estimator.classes().next().unwrap().2.runs, 5);
 }
 
-/// By hand, with `--ignored --nocapture`: processor time per run counted and per estimate, and
-/// bytes of a record.
+/// Prints processor time per added run and per estimate, and the size of a record. Run by hand with
+/// `--ignored --nocapture`.
 #[test]
 #[ignore]
-fn cost() {
-    let (mut s, mut book) = (Source::new(2), RunTimeEstimator::default());
+fn processor_time_and_record_size() {
+    let (mut source, mut estimator) = (RunSource::new(2), RunTimeEstimator::default());
     let runs: Vec<Run> = (0..400)
         .flat_map(|i| {
-            let secs = 40.0 * s.normal(0.7).exp();
-            let expect = secs * s.normal(0.5).exp();
-            s.job(&format!("c{}", i % 8), secs, expect, 25, 0.3)
+            let secs = 40.0 * source.normal(0.7).exp();
+            let owner_estimate_s = secs * source.normal(0.5).exp();
+            source.job(&format!("c{}", i % 8), secs, owner_estimate_s, 25, 0.3)
         })
         .collect();
-    let begun = std::time::Instant::now();
-    runs.iter().for_each(|r| book.add_run(r));
-    println!("count: {:?}", begun.elapsed() / runs.len() as u32);
-    let begun = std::time::Instant::now();
-    let ask = runs.iter().take(2_000);
-    let sum: f64 = ask.map(|r| median_s(&mut book, r)).sum();
-    println!("estimate: {:?} ({sum:.0})", begun.elapsed() / 2_000);
-    let id = book.classes_to_record()[0];
-    let (.., whole, _) = book.updated_record(id).unwrap();
+    let started = std::time::Instant::now();
+    runs.iter().for_each(|r| estimator.add_run(r));
+    println!("count: {:?}", started.elapsed() / runs.len() as u32);
+    let started = std::time::Instant::now();
+    let queried = runs.iter().take(2_000);
+    let sum: f64 = queried.map(|r| median_s(&mut estimator, r)).sum();
+    println!("estimate: {:?} ({sum:.0})", started.elapsed() / 2_000);
+    let id = estimator.classes_to_record()[0];
+    let (.., whole, _) = estimator.updated_record(id).unwrap();
     let bytes = serde_json::to_string(&whole.pack()).unwrap().len();
-    println!("record: {bytes} bytes, of random {}", s.rng.gen::<u8>());
+    println!(
+        "record: {bytes} bytes, of random {}",
+        source.rng.gen::<u8>()
+    );
 }
--- a/crates/runtime-estimates/tests/mixture.rs
+++ b/crates/runtime-estimates/tests/mixture.rs
@@ -1,4 +1,4 @@
-//! Mixtures: quantiles, conditioning, and parts that are no numbers.
+//! Quantiles and conditioning of mixtures, and invalid components.
 
 use glenmount_runtime_estimates::constants::DEFAULT_MEDIAN_S;
 use glenmount_runtime_estimates::mixture::{Component, Mixture};
@@ -12,20 +12,20 @@
 }
 
 #[test]
-fn one_task_tells_which_of_two_kinds_a_job_is() {
-    let part = |mean| Component {
+fn one_completed_task_determines_which_of_two_kinds_a_job_is() {
+    let component = |mean| Component {
         weight: 0.5,
         mean,
         var: 0.02,
     };
-    let two = Mixture::new(vec![part(2.0), part(6.0)]);
+    let two = Mixture::new(vec![component(2.0), component(6.0)]);
     let known = two.posterior(5.9, 1.0, 0.04).with_added_variance(0.04);
     assert!(known.cdf(4.0) < 0.01);
     assert!((known.quantile(0.5) - 5.95).abs() < 0.1);
 }
 
 #[test]
-fn what_has_lasted_long_is_not_about_to_end_at_once() {
+fn remaining_time_stays_positive_for_long_runs() {
     let m = Mixture::normal(100f64.ln(), 0.04);
     assert!((m.remaining_s(0.0, 0.5) - 100.0).abs() < 1.0);
     assert!(m.remaining_s(90.0, 0.5) > 10.0);
@@ -33,12 +33,12 @@
 }
 
 #[test]
-fn what_is_no_number_leaves_the_least_that_can_be_said() {
-    let part = Component {
+fn invalid_components_leave_the_default_distribution() {
+    let component = Component {
         weight: f64::NAN,
         mean: 1.0,
         var: 1.0,
     };
-    let m = Mixture::new(vec![part]);
+    let m = Mixture::new(vec![component]);
     assert!((m.quantile(0.5).exp() - DEFAULT_MEDIAN_S).abs() < 1.0);
 }
--- a/crates/runtime-estimates/tests/records.rs
+++ b/crates/runtime-estimates/tests/records.rs
@@ -1,4 +1,4 @@
-//! Records are read back as written, and what is broken is refused without harm.
+//! Packed histories are read back as written, and damaged ones are rejected.
 
 use glenmount_runtime_estimates::estimator::{JobDescription, RunTimeEstimator};
 use glenmount_runtime_estimates::history::{History, Packed, RunBatch};
@@ -31,19 +31,26 @@
     history
 }
 
-fn sound(book: &mut RunTimeEstimator, run: &Run) {
-    let d = book.distribution(&JobDescription::from(run));
-    let e = d.estimate();
-    assert!(e.low_s > 0.0 && e.low_s <= e.median_s && e.median_s <= e.high_s);
-    assert!(e.high_s.is_finite());
+fn check_estimates(estimator: &mut RunTimeEstimator, run: &Run) {
+    let distribution = estimator.distribution(&JobDescription::from(run));
+    let estimate = distribution.estimate();
+    assert!(
+        estimate.low_s > 0.0
+            && estimate.low_s <= estimate.median_s
+            && estimate.median_s <= estimate.high_s
+    );
+    assert!(estimate.high_s.is_finite());
     for elapsed in [0.0, 1.0, 1e3, 1e9] {
-        let (soon, late) = (d.remaining_s(elapsed, 0.1), d.remaining_s(elapsed, 0.9));
+        let (soon, late) = (
+            distribution.remaining_s(elapsed, 0.1),
+            distribution.remaining_s(elapsed, 0.9),
+        );
         assert!(soon >= 0.0 && soon <= late + 0.01 * late && late.is_finite());
     }
 }
 
 proptest! {
-    // The same cases every time.
+    // A fixed seed draws the same cases in each run.
     #![proptest_config(ProptestConfig {
         cases: 200,
         rng_seed: RngSeed::Fixed(17),
@@ -52,7 +59,7 @@
     })]
 
     #[test]
-    fn records_are_read_as_written(runs in runs()) {
+    fn packed_histories_are_read_as_written(runs in runs()) {
         let history = history(&runs);
         let packed = history.pack();
         let text = serde_json::to_string(&packed).unwrap();
@@ -64,21 +71,21 @@
             prop_assert_eq!((a.id_hash, a.image_hash, a.runs), (b.id_hash, b.image_hash, b.runs));
             prop_assert!((a.mean - b.mean).abs() < 1e-3);
         }
-        // What was read once more is the very same: no drift over restarts.
+        // Packing again yields the same bytes, so that values do not drift over restarts.
         prop_assert_eq!(read.pack(), packed);
     }
 
-    /// However absurd the runs, estimates are finite and in order.
+    /// Estimates are finite and in order for arbitrary runs.
     #[test]
-    fn estimates_stay_sound(runs in runs(), asked in runs()) {
-        let mut book = RunTimeEstimator::default();
-        runs.iter().for_each(|r| book.add_run(r));
-        asked.iter().take(5).for_each(|r| sound(&mut book, r));
+    fn estimates_are_finite_and_in_order(runs in runs(), queried in runs()) {
+        let mut estimator = RunTimeEstimator::default();
+        runs.iter().for_each(|r| estimator.add_run(r));
+        queried.iter().take(5).for_each(|r| check_estimates(&mut estimator, r));
     }
 
-    /// A record with any byte changed is refused.
+    /// A packed history with one changed bit is rejected.
     #[test]
-    fn damage_is_found(runs in runs(), at in any::<prop::sample::Index>(), bit in 0..7u8) {
+    fn damage_is_detected(runs in runs(), at in any::<prop::sample::Index>(), bit in 0..7u8) {
         let text = serde_json::to_string(&history(&runs).pack()).unwrap();
         let mut bytes = text.clone().into_bytes();
         let at = at.index(bytes.len());
@@ -89,9 +96,9 @@
         }
     }
 
-    /// Nobody's bytes do harm: refused, or sound.
+    /// Arbitrary packed histories are rejected.
     #[test]
-    fn anything_is_refused_or_sound(jobs in "[A-Za-z0-9+/]{0,400}", numbers in any::<[u32; 4]>()) {
+    fn arbitrary_packed_histories_are_rejected(jobs in "[A-Za-z0-9+/]{0,400}", numbers in any::<[u32; 4]>()) {
         let text = format!(
             r#"{{"j":"{jobs}","w":{},"k":{},"n":{},"s":{}}}"#,
             numbers[0], numbers[1], numbers[2], numbers[3]
@@ -101,9 +108,9 @@
         }
     }
 
-    /// Nothing depends on how runs were split over nodes and records, but rounding.
+    /// The split of runs over controllers and records makes no difference beyond rounding.
     #[test]
-    fn counting_in_parts_is_counting_at_once(runs in runs(), cut in any::<prop::sample::Index>()) {
+    fn runs_in_two_batches_count_as_in_one(runs in runs(), cut in any::<prop::sample::Index>()) {
         let done: Vec<Run> = (runs.into_iter())
             .filter(|r| r.outcome == RunOutcome::Completed)
             .map(|r| Run { job: "j-1".into(), ..r })
@@ -116,16 +123,16 @@
             runs[1..].iter().for_each(|r| all.add(&RunBatch::from_run(r)));
             all
         };
-        let mut parts = History::default();
+        let mut in_two_batches = History::default();
         for part in [&done[..cut], &done[cut..]] {
             if !part.is_empty() {
-                parts.add_batch(&sum(part));
+                in_two_batches.add_batch(&sum(part));
             }
         }
         let mut whole = History::default();
         whole.add_batch(&sum(&done));
-        prop_assert!((parts.jobs()[0].mean - whole.jobs()[0].mean).abs() < 1e-6);
-        // To the thousandth that is stored.
-        prop_assert_eq!(parts.pack(), whole.pack());
+        prop_assert!((in_two_batches.jobs()[0].mean - whole.jobs()[0].mean).abs() < 1e-6);
+        // Equal to the thousandths that are stored.
+        prop_assert_eq!(in_two_batches.pack(), whole.pack());
     }
 }
