--- a/crates/loadtest/src/users/operator.rs
+++ b/crates/loadtest/src/users/operator.rs
@@ -6,7 +6,9 @@
 use crate::processes::settings::team_name;
 use crate::sync::lock;
 use glenmount_core::configuration::{PolicySettings, TeamSettings};
-use glenmountctl::config::{apply, Change, ConfigFailure, FileLimits, Records};
+use glenmountctl::config::{
+    apply, ConfigFailure, ConfigurationChange, ConfigurationStore, FileLimits,
+};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::time::{sleep, sleep_until, Duration};
@@ -105,13 +107,13 @@
         let begun_ms = self.environment.now_ms();
         let (address, limits) = (self.state_store.to_string(), self.limits);
         let outcome = tokio::task::spawn_blocking(move || {
-            let change = Change {
+            let change = ConfigurationChange {
                 settings: &settings,
                 limits,
-                expect: None,
+                expected_version: None,
                 note: CHANGE_NOTE,
             };
-            apply(&Records::new(&address), &change)
+            apply(&ConfigurationStore::new(&address), &change)
         });
         let failure = match outcome.await {
             Ok(Ok(_)) => {
