--- a/crates/runtime-estimates/src/history/mod.rs
+++ b/crates/runtime-estimates/src/history/mod.rs
@@ -1,4 +1,5 @@
-//! A class's latest jobs: what is remembered, how it is stored, and the distribution it makes.
+//! The history of a class: its latest jobs, their packed form in the state store, and the distribution of run times
+//! that follows from them.
 
 mod distribution;
 mod packed;
@@ -7,92 +8,96 @@
 pub use packed::Packed;
 
 use crate::constants::{
-    JOBS_PER_CLASS, MAX_RUNS_PER_JOB, WITHIN_MAX_TASKS, WITHIN_SD, WITHIN_TASKS,
+    JOBS_PER_CLASS_MAX, RUNS_PER_JOB_MAX, WITHIN_JOB_MAX_TASKS, WITHIN_JOB_PRIOR_TASKS,
+    WITHIN_JOB_SD,
 };
-use crate::{ln_expect, End, Run};
+use crate::{ln_owner_estimate, Run, RunOutcome};
 
-/// One job's runs, as far as they were counted.
+/// The counted runs of one job.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Job {
-    /// A hash of its id.
-    pub tag: u32,
-    /// A hash of its image's name.
-    pub image: u16,
+pub struct JobSample {
+    /// A hash of the job's id.
+    pub id_hash: u32,
+    /// A hash of the image's name.
+    pub image_hash: u16,
     /// Logarithm of the owner's estimate.
-    pub expect: Option<f64>,
-    /// Mean logarithm of its tasks' run times; the longest of those cut short, if none completed.
+    pub ln_estimate: Option<f64>,
+    /// Mean logarithm of the run times of completed tasks. If none completed, the largest logarithm of the
+    /// interrupted ones.
     pub mean: f64,
-    /// Tasks counted: 0 if all were cut short.
+    /// Completed tasks that count; 0 if all runs were interrupted.
     pub runs: u8,
 }
 
-/// Sums over runs of one job until they are recorded.
+/// Runs of one job that are not recorded yet, summed up.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Batch {
-    /// What is counted so far.
-    pub job: Job,
-    /// Squared deviations from the mean.
+pub struct RunBatch {
+    /// The runs counted so far.
+    pub job: JobSample,
+    /// Sum of the squared deviations from the mean.
     squared_deviations: f64,
 }
 
-impl Batch {
-    /// Of a single run.
-    pub fn of(run: &Run) -> Batch {
-        Batch {
-            job: Job {
-                tag: job_tag(&run.job),
-                image: image_tag(&run.image),
-                expect: ln_expect(run.expect_s),
-                mean: run.ln_secs(),
-                runs: u8::from(run.end == End::Done),
+impl RunBatch {
+    /// Creates a batch of a single run.
+    pub fn from_run(run: &Run) -> RunBatch {
+        RunBatch {
+            job: JobSample {
+                id_hash: job_hash(&run.job),
+                image_hash: image_hash(&run.image),
+                ln_estimate: ln_owner_estimate(run.owner_estimate_s),
+                mean: run.ln_run_time(),
+                runs: u8::from(run.outcome == RunOutcome::Completed),
             },
             squared_deviations: 0.0,
         }
     }
 
     /// Adds runs of the same job.
-    pub fn add(&mut self, other: &Batch) {
-        let (a, b) = (f64::from(self.job.runs), f64::from(other.job.runs));
-        if a + b == 0.0 {
+    pub fn add(&mut self, other: &RunBatch) {
+        let (own_runs, other_runs) = (f64::from(self.job.runs), f64::from(other.job.runs));
+        if own_runs + other_runs == 0.0 {
             self.job.mean = self.job.mean.max(other.job.mean);
         } else {
-            let apart = other.job.mean - self.job.mean;
-            if a > 0.0 && b > 0.0 {
-                self.squared_deviations += apart * apart * a * b / (a + b);
+            let mean_difference = other.job.mean - self.job.mean;
+            if own_runs > 0.0 && other_runs > 0.0 {
+                self.squared_deviations +=
+                    mean_difference * mean_difference * own_runs * other_runs
+                        / (own_runs + other_runs);
             }
             self.squared_deviations += other.squared_deviations;
-            self.job.mean += apart * b / (a + b);
+            self.job.mean += mean_difference * other_runs / (own_runs + other_runs);
             self.job.runs = self
                 .job
                 .runs
                 .saturating_add(other.job.runs)
-                .min(MAX_RUNS_PER_JOB);
+                .min(RUNS_PER_JOB_MAX);
         }
-        if self.job.expect.is_none() {
-            self.job.expect = other.job.expect;
+        if self.job.ln_estimate.is_none() {
+            self.job.ln_estimate = other.job.ln_estimate;
         }
     }
 }
 
-/// The hash of a job's id that is stored.
-pub fn job_tag(id: &str) -> u32 {
-    crate::hash(&[id]) as u32
+/// Returns the hash of a job's id that records hold.
+pub fn job_hash(id: &str) -> u32 {
+    crate::stable_hash(&[id]) as u32
 }
 
-/// The hash of an image's name that is stored.
-pub fn image_tag(image: &str) -> u16 {
-    crate::hash(&[image]) as u16
+/// Returns the hash of an image's name that records hold.
+pub fn image_hash(image: &str) -> u16 {
+    crate::stable_hash(&[image]) as u16
 }
 
-/// The latest jobs of a class of a team, latest last.
+/// The latest jobs of a class, latest last.
 #[derive(Clone, Debug, PartialEq)]
 pub struct History {
-    jobs: Vec<Job>,
+    jobs: Vec<JobSample>,
     /// Variance of tasks within a job, in squared logarithms.
-    within_var: f64,
-    /// Tasks that it rests on.
-    within_tasks: f64,
-    /// Completed runs counted in all.
+    within_job_var: f64,
+    /// Weight of that variance, in tasks.
+    within_job_tasks: f64,
+    /// Completed runs counted since the beginning.
     pub runs: u64,
 }
 
@@ -100,57 +105,62 @@
     fn default() -> History {
         History {
             jobs: Vec::new(),
-            within_var: WITHIN_SD * WITHIN_SD,
-            within_tasks: WITHIN_TASKS,
+            within_job_var: WITHIN_JOB_SD * WITHIN_JOB_SD,
+            within_job_tasks: WITHIN_JOB_PRIOR_TASKS,
             runs: 0,
         }
     }
 }
 
 impl History {
-    /// The jobs that are remembered, latest last.
-    pub fn jobs(&self) -> &[Job] {
+    /// Returns the jobs, latest last.
+    pub fn jobs(&self) -> &[JobSample] {
         &self.jobs
     }
 
-    /// The latest job with this tag.
-    pub fn job(&self, tag: u32) -> Option<&Job> {
-        self.jobs.iter().rev().find(|j| j.tag == tag)
+    /// Returns the latest job whose id has this hash.
+    pub fn job(&self, id_hash: u32) -> Option<&JobSample> {
+        self.jobs.iter().rev().find(|j| j.id_hash == id_hash)
     }
 
-    /// Counts a job's runs, once. More runs of one that it holds are added to that.
-    pub fn take(&mut self, batch: &Batch) {
+    /// Adds the runs of a job. If the history holds the job already, they are added to its runs.
+    pub fn add_batch(&mut self, batch: &RunBatch) {
         self.runs = self.runs.saturating_add(u64::from(batch.job.runs));
-        let mut squares = batch.squared_deviations;
+        let mut squared_deviations = batch.squared_deviations;
         let mut tasks = f64::from(batch.job.runs.saturating_sub(1));
-        match self.jobs.iter_mut().find(|j| j.tag == batch.job.tag) {
-            Some(known) => {
-                let mut sum = Batch {
-                    job: *known,
+        match self
+            .jobs
+            .iter_mut()
+            .find(|j| j.id_hash == batch.job.id_hash)
+        {
+            Some(same_job) => {
+                let mut sum = RunBatch {
+                    job: *same_job,
                     squared_deviations: 0.0,
                 };
                 sum.add(batch);
-                squares = sum.squared_deviations;
-                tasks += f64::from(u8::from(known.runs > 0 && batch.job.runs > 0));
-                *known = sum.job;
+                squared_deviations = sum.squared_deviations;
+                tasks += f64::from(u8::from(same_job.runs > 0 && batch.job.runs > 0));
+                *same_job = sum.job;
             }
             None => {
                 self.jobs.push(batch.job);
-                if self.jobs.len() > JOBS_PER_CLASS {
+                if self.jobs.len() > JOBS_PER_CLASS_MAX {
                     self.jobs.remove(0);
                 }
             }
         }
         if tasks > 0.0 {
-            let known = self.within_tasks.min(WITHIN_MAX_TASKS);
-            self.within_var = (self.within_var * known + squares) / (known + tasks);
-            self.within_tasks = (known + tasks).min(WITHIN_MAX_TASKS);
+            let earlier_tasks = self.within_job_tasks.min(WITHIN_JOB_MAX_TASKS);
+            self.within_job_var = (self.within_job_var * earlier_tasks + squared_deviations)
+                / (earlier_tasks + tasks);
+            self.within_job_tasks = (earlier_tasks + tasks).min(WITHIN_JOB_MAX_TASKS);
         }
     }
 
-    /// Mean logarithms by which run times exceed the owner's estimates, latest last.
-    pub fn excess(&self) -> impl DoubleEndedIterator<Item = f64> + '_ {
+    /// Returns the logarithms by which the mean run times of jobs exceed their owner's estimates, latest last.
+    pub fn ln_excesses(&self) -> impl DoubleEndedIterator<Item = f64> + '_ {
         let done = self.jobs.iter().filter(|j| j.runs > 0);
-        done.filter_map(|j| Some(j.mean - j.expect?))
+        done.filter_map(|j| Some(j.mean - j.ln_estimate?))
     }
 }
