--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -225,9 +225,11 @@
         let Some(spec) = spec.filter(|spec| spec.kind == JobKind::Array) else {
             return;
         };
-        let last_heartbeat = self.run_times.last_heartbeats.get(&machine);
         let until = match outcome {
-            AttemptOutcome::Terminated => last_heartbeat.map_or(0, |(_, at)| *at),
+            AttemptOutcome::Terminated => {
+                let last_heartbeat = self.run_times.last_heartbeats.get(&machine);
+                last_heartbeat.map_or(0, |(_, at)| *at)
+            }
             _ => self.now,
         };
         let run_s = until.saturating_sub(observed.since) as f64 / 1e3;
--- a/crates/runtime-estimates/src/constants.rs
+++ b/crates/runtime-estimates/src/constants.rs
@@ -1,8 +1,8 @@
 //! The constants of the estimates. Values in logarithms are natural logarithms of seconds.
 
-/// Shortest run time told apart.
+/// Shortest run time that estimates distinguish.
 pub const MIN_RUN_S: f64 = 0.1;
-/// Longest run time told apart: thirty days.
+/// Longest run time that estimates distinguish: thirty days.
 pub const MAX_RUN_S: f64 = 2_592_000.0;
 /// Jobs kept per class, in some 300 bytes. The latest jobs weigh 12 jobs in all (1 / (1 - JOB_DECAY)). Twice as many
 /// are kept, so that a job that is dropped weighs little.
--- a/crates/simulation/src/previous_version.rs
+++ b/crates/simulation/src/previous_version.rs
@@ -1,6 +1,9 @@
 //! Storage formats of the previous version, which supports only format 1. Records that a controller of that version
 //! reads or writes are converted through these types: it ignores unknown fields, and drops them when it writes the
 //! record again.
+//!
+//! The types are copies of that version's. They don't share code with the core's, so that they stay as they were when
+//! the core's change.
 
 use glenmount_core::controller::{Event, StateOperation, StateResponse};
 use glenmount_core::state::formats::OLDEST;
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -244,20 +244,18 @@
     fn check_open(&mut self, request: &PendingRequest, state: JobState) {
         let (id, now_ms) = (&request.job, self.now_ms);
         let view = &self.user_views[id];
-        if let Some(completed_ms) = view.completed_ms {
-            let violation = format!("went_back: {id} was done, now {state:?}");
+        let final_states = [
+            (view.completed_ms, "done"),
+            (view.cancelled_ms, "cancelled"),
+        ];
+        for (told_ms, final_state) in final_states {
+            let Some(told_ms) = told_ms else {
+                continue;
+            };
+            let violation = format!("went_back: {id} was {final_state}, now {state:?}");
             self.metrics.overlaps.record_outdated_answer(
                 request.sent_ms,
-                completed_ms,
-                now_ms,
-                &violation,
-            );
-        }
-        if let Some(cancelled_ms) = view.cancelled_ms {
-            let violation = format!("went_back: {id} was cancelled, now {state:?}");
-            self.metrics.overlaps.record_outdated_answer(
-                request.sent_ms,
-                cancelled_ms,
+                told_ms,
                 now_ms,
                 &violation,
             );
