--- a/crates/xtask/src/baseline.rs
+++ b/crates/xtask/src/baseline.rs
@@ -1,4 +1,4 @@
-//! The base: figures of earlier runs, each from an entry of the journal that it names.
+//! The baseline: figures of earlier benchmark runs, each taken from a journal entry that the baseline names.
 
 use crate::file_error::FileError;
 use crate::journal::{self, HashedEntry, JournalError};
@@ -7,36 +7,36 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why there is no base, or none of these entries. Most name an entry by its id.
+/// The reason why a baseline cannot be read or created. Most messages name an entry by its id.
 #[derive(Debug, Error)]
 pub enum BaselineError {
-    /// An entry can't be read.
+    /// A journal entry cannot be read.
     #[error(transparent)]
     Journal(#[from] JournalError),
-    /// The base's file can't be read or written.
+    /// The baseline's file cannot be read or written.
     #[error(transparent)]
     File(#[from] FileError),
-    /// The base's file is no base.
+    /// The file does not hold a baseline.
     #[error("{}: {source}", path.display())]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: serde_json::Error,
     },
-    /// The base can't be written as JSON.
+    /// The baseline cannot be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// An entry without a site.
+    /// The entry names no site.
     #[error("{0}: it names no site")]
     NoSite(String),
-    /// A run whose figures say nothing.
-    #[error("{0}: it did not end well, or the sources changed")]
+    /// The run failed, or the sources changed during it, so its figures are not valid.
+    #[error("{0}: the run failed, or the sources changed during it")]
     NotSound(String),
-    /// An entry that was named before.
+    /// The entry is listed twice.
     #[error("{0}: named twice")]
     Duplicate(String),
-    /// A run that broke a rule, or was not played to its end.
+    /// The run broke a rule or was aborted.
     #[error("{id}: a rule was broken on {day}")]
     RuleBroken {
         /// The entry's id.
@@ -44,91 +44,91 @@
         /// The day's name.
         day: String,
     },
-    /// An entry whose file has changed since.
-    #[error("{0}: the entry is not the one that the base names")]
+    /// The entry's file has changed since the baseline was created.
+    #[error("{0}: the entry has changed since the base was created")]
     EntryChanged(String),
-    /// A base that was edited.
+    /// The baseline's figures have been edited.
     #[error("the base's figures are not those of the entries that it names")]
     FiguresChanged,
 }
 
-/// Where a figure comes from.
+/// The journal entry that a figure comes from.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct BaseEntry {
+pub struct BaselineEntry {
     /// The entry's id.
     pub id: String,
-    /// Of the entry's file, so that a figure can't change under the base.
+    /// SHA-256 of the entry's file, which reveals later changes.
     pub sha256: String,
 }
 
-/// Figures of one site. A day played several times has several.
+/// The figures of one site. A day that was run several times has several figures.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct SiteFigures {
-    /// Full scores.
+    /// Scores of the full set of days.
     #[serde(default)]
     pub score: Vec<f64>,
-    /// Figures of each day.
+    /// Scores of each day.
     #[serde(default)]
     pub days: BTreeMap<String, Vec<f64>>,
 }
 
-/// Figures to compare with, and where they come from.
+/// The figures to compare with, and the entries that they come from.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
-pub struct Base {
+pub struct Baseline {
     /// The entries that the figures are taken from.
-    pub entries: Vec<BaseEntry>,
-    /// Figures by the site's name.
+    pub entries: Vec<BaselineEntry>,
+    /// The figures by site name.
     pub sites: BTreeMap<String, SiteFigures>,
 }
 
-impl Base {
-    /// A base of these entries.
+impl Baseline {
+    /// Creates a baseline from journal entries.
     ///
     /// # Errors
     ///
-    /// Names the entry that must not serve as one.
-    pub fn of(runs: &[HashedEntry]) -> Result<Base, BaselineError> {
-        let mut base = Base::default();
-        for HashedEntry { entry, sha256 } in runs {
+    /// Names the entry that is not valid in a baseline.
+    pub fn from_entries(hashed_entries: &[HashedEntry]) -> Result<Baseline, BaselineError> {
+        let mut baseline = Baseline::default();
+        for HashedEntry { entry, sha256 } in hashed_entries {
             let id = &entry.id;
             let site = (entry.site.as_ref()).ok_or_else(|| BaselineError::NoSite(id.clone()))?;
-            if !entry.ok || entry.edited_meanwhile {
+            if !entry.succeeded || entry.sources_changed {
                 return Err(BaselineError::NotSound(id.clone()));
             }
-            if base.entries.iter().any(|s| s.id == *id) {
+            if baseline.entries.iter().any(|earlier| earlier.id == *id) {
                 return Err(BaselineError::Duplicate(id.clone()));
             }
-            let known = base.sites.entry(site.clone()).or_default();
-            if !entry.quick() {
-                known.score.extend(entry.score);
+            let figures = baseline.sites.entry(site.clone()).or_default();
+            if !entry.is_quick() {
+                figures.score.extend(entry.score);
             }
             for day in &entry.days {
-                if !day.rules.is_empty() || day.fault.is_some() {
+                if !day.broken_rules.is_empty() || day.abort_reason.is_some() {
                     return Err(BaselineError::RuleBroken {
                         id: id.clone(),
                         day: day.name.clone(),
                     });
                 }
-                // Drawn days never come again.
+                // Randomly drawn days are never run again.
                 if !is_drawn(&day.name) {
-                    let figures = known.days.entry(day.name.clone()).or_default();
-                    figures.extend(day.score);
+                    let day_scores = figures.days.entry(day.name.clone()).or_default();
+                    day_scores.extend(day.score);
                 }
             }
-            base.entries.push(BaseEntry {
+            baseline.entries.push(BaselineEntry {
                 id: id.clone(),
                 sha256: sha256.clone(),
             });
         }
-        Ok(base)
+        Ok(baseline)
     }
 
-    /// Reads a recorded base.
+    /// Reads a baseline from a file.
     ///
     /// # Errors
     ///
     /// Names the file.
-    pub fn read(path: &Path) -> Result<Base, BaselineError> {
+    pub fn read(path: &Path) -> Result<Baseline, BaselineError> {
         let text = std::fs::read(path).map_err(FileError::at(path))?;
         serde_json::from_slice(&text).map_err(|source| BaselineError::Malformed {
             path: path.to_path_buf(),
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Records the base.
+    /// Writes the baseline to a file.
     ///
     /// # Errors
     ///
@@ -146,29 +146,28 @@
         Ok(std::fs::write(path, text + "\n").map_err(FileError::at(path))?)
     }
 
-    /// Whether the journal still holds the entries that the base names, with the figures that it
-    /// took from them.
+    /// Verifies that the journal still holds the baseline's entries, and that the baseline's figures are theirs.
     ///
     /// # Errors
     ///
     /// Names the entry that is missing or has changed.
-    pub fn confirm(&self, journal: &Path) -> Result<(), BaselineError> {
-        let mut runs = Vec::new();
-        for BaseEntry { id, sha256 } in &self.entries {
-            let run = journal::read(&journal::find(journal, id)?)?;
-            if run.sha256 != *sha256 {
+    pub fn verify(&self, journal: &Path) -> Result<(), BaselineError> {
+        let mut hashed_entries = Vec::new();
+        for BaselineEntry { id, sha256 } in &self.entries {
+            let hashed_entry = journal::read(&journal::find(journal, id)?)?;
+            if hashed_entry.sha256 != *sha256 {
                 return Err(BaselineError::EntryChanged(id.clone()));
             }
-            runs.push(run);
+            hashed_entries.push(hashed_entry);
         }
-        match Base::of(&runs)? == *self {
+        match Baseline::from_entries(&hashed_entries)? == *self {
             true => Ok(()),
             false => Err(BaselineError::FiguresChanged),
         }
     }
 }
 
-/// Whether a day was drawn for one run: it has a seed or a run's mark in its name.
+/// Returns whether a day was drawn randomly for one run. Its name then holds a seed or identifies the run.
 pub fn is_drawn(name: &str) -> bool {
     name.contains(" --seed") || name.starts_with("fresh-") || name.starts_with("hunt-")
 }
--- a/crates/xtask/src/comparison.rs
+++ b/crates/xtask/src/comparison.rs
@@ -1,214 +1,229 @@
-//! What a run's entries say against the base.
+//! Compares the journal entries of a run with the baseline.
 
-use crate::baseline::{is_drawn, Base};
+use crate::baseline::{is_drawn, Baseline};
 use crate::journal::{Day, Entry};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// What a figure may lose: less is noise, by the users' word.
-pub const MAX_FALL: f64 = 0.03;
+/// Largest decrease of a figure that counts as noise, as the users defined it.
+pub const MAX_DECREASE: f64 = 0.03;
 
-/// A day of which less than this share of any class or team was served counts as failed, by the users'
-/// word.
+/// A day fails if less than this share of the work of a class or team was served, as the users defined it.
 pub const MIN_SERVED_SHARE: f64 = 0.5;
 
-/// Rounding of figures, which have four digits.
+/// Tolerance for the rounding of figures to four digits.
 const FIGURE_TOLERANCE: f64 = 1e-6;
 
-/// The name under which the days that were drawn for one run are taken together.
-const DRAWN: &str = "drawn";
+/// Name of the row for all randomly drawn days.
+const DRAWN_DAYS: &str = "drawn";
 
-/// A template that can't be filled in.
+/// A template cannot be rendered.
 #[derive(Debug, Error)]
 #[error("template: {0:#}")]
 pub struct TemplateError(#[from] minijinja::Error);
 
-/// One line of the table. Templates know the fields by their names here.
+/// One row of the table. Templates use the serialised names of the fields.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct ComparisonRow {
     /// The site's name.
     pub site: String,
-    /// A day's name, `hunted` for all of a hunt, or `score` for the site's figure.
-    pub what: String,
-    /// Plays that it is the mean of.
-    pub plays: usize,
-    /// The mean of their figures, 0 to 1.
+    /// The day's name, `drawn` for all randomly drawn days, or `score` for the site's score.
+    #[serde(rename = "what")]
+    pub name: String,
+    /// Number of runs.
+    #[serde(rename = "plays")]
+    pub runs: usize,
+    /// The mean figure of the runs, from 0 to 1.
     pub figure: Option<f64>,
-    /// The lowest figure of the base.
+    /// The lowest figure of the baseline.
     pub base: Option<f64>,
-    /// How many figures the base has.
-    pub of: usize,
-    /// The figure less that of the base.
+    /// Number of figures of the baseline.
+    #[serde(rename = "of")]
+    pub base_count: usize,
+    /// The difference of `figure` and `base`.
     pub change: Option<f64>,
-    /// Why it fails, if it does.
-    pub fails: Option<String>,
-    /// It is a fall that more plays may show to be luck.
-    pub fell: bool,
+    /// The reason why the row fails, if it does.
+    #[serde(rename = "fails")]
+    pub failure: Option<String>,
+    /// Whether the figure decreased. Further runs may show that this was noise.
+    #[serde(rename = "fell")]
+    pub has_decreased: bool,
 }
 
-/// One row for each site's figure and each day, several plays of a day taken together. Sites that
-/// were to be played and have no entry fail.
-pub fn rows(base: &Base, wanted: &[String], entries: &[Entry]) -> Vec<ComparisonRow> {
+/// Returns one row for the score of each site and for each day, with several runs of a day combined. Requested sites
+/// without an entry fail.
+pub fn compare(baseline: &Baseline, requested: &[String], entries: &[Entry]) -> Vec<ComparisonRow> {
     let mut rows = Vec::new();
-    for site in wanted {
-        let of: Vec<&Entry> = (entries.iter())
+    for site in requested {
+        let of_site: Vec<&Entry> = (entries.iter())
             .filter(|e| e.site.as_ref() == Some(site))
             .collect();
-        rows.extend(site_rows(base, site, &of));
+        rows.extend(site_rows(baseline, site, &of_site));
     }
     for entry in entries {
-        let known = entry.site.as_ref().is_some_and(|s| wanted.contains(s));
-        if !known {
-            let mut row = empty(entry.site.as_deref().unwrap_or("-"), &entry.id);
+        let is_requested = entry.site.as_ref().is_some_and(|s| requested.contains(s));
+        if !is_requested {
+            let mut row = empty_row(entry.site.as_deref().unwrap_or("-"), &entry.id);
             let error = entry
                 .error
                 .as_deref()
                 .unwrap_or("it names no site asked for");
-            row.fails = Some(error.to_string());
+            row.failure = Some(error.to_string());
             rows.push(row);
         }
     }
     rows
 }
 
-fn empty(site: &str, what: &str) -> ComparisonRow {
+fn empty_row(site: &str, name: &str) -> ComparisonRow {
     ComparisonRow {
         site: site.into(),
-        what: what.into(),
-        plays: 0,
+        name: name.into(),
+        runs: 0,
         figure: None,
         base: None,
-        of: 0,
+        base_count: 0,
         change: None,
-        fails: None,
-        fell: false,
+        failure: None,
+        has_decreased: false,
     }
 }
 
-fn site_rows(base: &Base, site: &str, entries: &[&Entry]) -> Vec<ComparisonRow> {
+fn site_rows(baseline: &Baseline, site: &str, entries: &[&Entry]) -> Vec<ComparisonRow> {
     let mut rows = Vec::new();
     if entries.is_empty() {
-        let mut row = empty(site, "score");
-        row.fails = Some("not played".into());
+        let mut row = empty_row(site, "score");
+        row.failure = Some("not played".into());
         return vec![row];
     }
-    let known = base.sites.get(site);
+    let site_figures = baseline.sites.get(site);
     let scores: Vec<f64> = (entries.iter())
-        .filter(|e| e.cmd == "score" && !e.quick())
+        .filter(|e| e.command == "score" && !e.is_quick())
         .filter_map(|e| e.score)
         .collect();
-    let full = known.map_or(&[][..], |k| &k.score);
+    let base_scores = site_figures.map_or(&[][..], |figures| &figures.score);
     if !scores.is_empty() {
-        rows.push(compared(empty(site, "score"), &scores, full));
+        rows.push(with_figures(empty_row(site, "score"), &scores, base_scores));
     }
-    let mut days: BTreeMap<&str, Plays> = BTreeMap::new();
+    let mut days: BTreeMap<&str, DayRuns> = BTreeMap::new();
     for entry in entries {
-        if !entry.ok || entry.edited_meanwhile {
-            let why = entry.error.as_deref();
-            let why = why.unwrap_or("it did not end well, or the sources changed meanwhile");
-            days.entry("all").or_default().troubles.push(why.into());
+        if !entry.succeeded || entry.sources_changed {
+            let error = entry.error.as_deref();
+            let reason = error.unwrap_or("the run failed, or the sources changed during it");
+            days.entry("all").or_default().failures.push(reason.into());
         }
         for day in &entry.days {
             let name = match is_drawn(&day.name) {
-                true => DRAWN,
+                true => DRAWN_DAYS,
                 false => day.name.as_str(),
             };
-            let plays = days.entry(name).or_default();
-            plays.figures.extend(day.score);
-            let troubles = troubles(day);
+            let runs = days.entry(name).or_default();
+            runs.figures.extend(day.score);
+            let failures = day_failures(day);
             match name {
-                DRAWN => {
-                    let named = troubles.iter().map(|what| format!("{}: {what}", day.name));
-                    plays.troubles.extend(named);
+                DRAWN_DAYS => {
+                    let named = failures
+                        .iter()
+                        .map(|failure| format!("{}: {failure}", day.name));
+                    runs.failures.extend(named);
                 }
-                _ => plays.troubles.extend(troubles),
+                _ => runs.failures.extend(failures),
             }
         }
     }
-    for (name, plays) in days {
-        let of = known.and_then(|k| k.days.get(name));
-        let mut row = compared(empty(site, name), &plays.figures, of.map_or(&[], |v| v));
-        if !plays.troubles.is_empty() {
-            row.fails = Some(plays.troubles.join("; "));
-            row.fell = false;
+    for (name, runs) in days {
+        let base_figures = site_figures.and_then(|figures| figures.days.get(name));
+        let mut row = with_figures(
+            empty_row(site, name),
+            &runs.figures,
+            base_figures.map_or(&[], |v| v),
+        );
+        if !runs.failures.is_empty() {
+            row.failure = Some(runs.failures.join("; "));
+            row.has_decreased = false;
         }
         rows.push(row);
     }
     rows
 }
 
-/// All plays of a day.
+/// All runs of a day.
 #[derive(Default)]
-struct Plays {
+struct DayRuns {
     figures: Vec<f64>,
-    /// What makes the day fail whatever its figures are.
-    troubles: Vec<String>,
+    /// Reasons why the day fails regardless of its figures.
+    failures: Vec<String>,
 }
 
-/// What makes a day fail whatever its figure is.
-fn troubles(day: &Day) -> Vec<String> {
-    let mut found = Vec::new();
-    if !day.rules.is_empty() {
+/// Returns the reasons why a day fails regardless of its figure.
+fn day_failures(day: &Day) -> Vec<String> {
+    let mut failures = Vec::new();
+    if !day.broken_rules.is_empty() {
         let broken = day
-            .rules
+            .broken_rules
             .iter()
             .map(|(rule, count)| format!("{count} {rule}"));
         let broken: Vec<String> = broken.collect();
-        found.push(format!("rules broken: {}", broken.join(", ")));
+        failures.push(format!("rules broken: {}", broken.join(", ")));
     }
-    if let Some(fault) = &day.fault {
-        found.push(format!("not played to its end: {fault}"));
+    if let Some(reason) = &day.abort_reason {
+        failures.push(format!("not played to its end: {reason}"));
     }
-    if day.restarts > 0.0 {
-        found.push(format!("{} controllers ended by themselves", day.restarts));
+    if day.controller_exits > 0.0 {
+        failures.push(format!(
+            "{} controllers ended by themselves",
+            day.controller_exits
+        ));
     }
-    for (of, _, share) in day.served.iter().filter(|s| s.2 < MIN_SERVED_SHARE) {
-        found.push(format!("only {share:.2} of {of} was served"));
+    for (name, _, share) in day.served.iter().filter(|s| s.2 < MIN_SERVED_SHARE) {
+        failures.push(format!("only {share:.2} of {name} was served"));
     }
     if day.score.is_none() {
-        found.push("it has no figure".into());
+        failures.push("it has no figure".into());
     }
-    found
+    failures
 }
 
-fn compared(mut row: ComparisonRow, figures: &[f64], base: &[f64]) -> ComparisonRow {
-    row.plays = figures.len();
-    row.of = base.len();
-    row.base = base.iter().copied().reduce(f64::min);
+fn with_figures(mut row: ComparisonRow, figures: &[f64], base_figures: &[f64]) -> ComparisonRow {
+    row.runs = figures.len();
+    row.base_count = base_figures.len();
+    row.base = base_figures.iter().copied().reduce(f64::min);
     if !figures.is_empty() {
         row.figure = Some(figures.iter().sum::<f64>() / figures.len() as f64);
     }
-    if let (Some(now), Some(before)) = (row.figure, row.base) {
-        row.change = Some(now - before);
-        // Figures have four digits: what is 0.03 in them is no more than that.
-        row.fell = now < before - MAX_FALL - FIGURE_TOLERANCE;
-        if row.fell {
-            row.fails = Some(format!("fell by more than {MAX_FALL}"));
+    if let (Some(figure), Some(base)) = (row.figure, row.base) {
+        row.change = Some(figure - base);
+        // A decrease of 0.03 in figures of four digits is within the limit.
+        row.has_decreased = figure < base - MAX_DECREASE - FIGURE_TOLERANCE;
+        if row.has_decreased {
+            row.failure = Some(format!("fell by more than {MAX_DECREASE}"));
         }
     }
     row
 }
 
-/// The table, from a template so that a report in another form needs no code.
+/// Renders the table from a template, so that a report in another form needs no code.
 ///
 /// # Errors
 ///
-/// If the template makes no sense.
+/// If the template is invalid.
 pub fn table(rows: &[ComparisonRow], template: &str) -> Result<String, TemplateError> {
-    let mut env = minijinja::Environment::new();
-    env.set_keep_trailing_newline(true);
-    env.add_filter("fixed", |x: Option<f64>, digits: usize| {
+    let mut environment = minijinja::Environment::new();
+    environment.set_keep_trailing_newline(true);
+    environment.add_filter("fixed", |x: Option<f64>, digits: usize| {
         x.map_or("-".to_string(), |x| format!("{x:.digits$}"))
     });
-    env.add_filter("signed", |x: Option<f64>| {
+    environment.add_filter("signed", |x: Option<f64>| {
         x.map_or("-".to_string(), |x| format!("{x:+.3}"))
     });
-    env.add_filter("wide", |s: String, n: usize| format!("{s:<n$}"));
-    let failed = rows.iter().filter(|r| r.fails.is_some()).count();
+    environment.add_filter("wide", |text: String, width: usize| {
+        format!("{text:<width$}")
+    });
+    let failed = rows.iter().filter(|r| r.failure.is_some()).count();
     let context = minijinja::context! { rows => rows, failed => failed };
-    Ok(env.render_str(template, context)?)
+    Ok(environment.render_str(template, context)?)
 }
 
-/// The usual template.
-pub const TABLE: &str = include_str!("../templates/table.txt");
+/// The default template.
+pub const DEFAULT_TEMPLATE: &str = include_str!("../templates/table.txt");
--- a/crates/xtask/src/experiment/error.rs
+++ b/crates/xtask/src/experiment/error.rs
@@ -1,39 +1,39 @@
-//! Why days can't be played, or what was played can't be written.
+//! Errors of experiments.
 
 use crate::file_error::FileError;
 use indicatif::style::TemplateError;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why days can't be played, or what was played can't be written.
+/// The reason why days cannot be simulated or the results cannot be written.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
-    /// A file can't be read or written.
+    /// A file cannot be read or written.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A file that describes no days.
+    /// The file does not describe days.
     #[error("{}: {problem}", path.display())]
     Description {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error in the file.
         problem: String,
     },
-    /// A day that can't be played.
+    /// A day cannot be simulated.
     #[error("{0}")]
-    Play(String),
-    /// The progress bar's template.
+    Day(String),
+    /// The template of the progress bar is invalid.
     #[error(transparent)]
     ProgressBar(#[from] TemplateError),
-    /// The figures can't be written as JSON.
+    /// The figures cannot be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A plot can't be drawn.
+    /// A plot cannot be drawn.
     #[error("{}: {problem}", path.display())]
     Plot {
         /// The plot's file.
         path: PathBuf,
-        /// What the library says.
+        /// The error of the library.
         problem: String,
     },
 }
--- a/crates/xtask/src/file_error.rs
+++ b/crates/xtask/src/file_error.rs
@@ -1,21 +1,21 @@
-//! Files that can't be read or written.
+//! Errors of reading and writing files, with the path.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A file or folder that can't be read or written.
+/// A file or folder cannot be read or written.
 #[derive(Debug, Error)]
 #[error("{}: {source}", path.display())]
 pub struct FileError {
-    /// Which.
+    /// The path.
     pub path: PathBuf,
-    /// Why.
+    /// The cause.
     pub source: io::Error,
 }
 
 impl FileError {
-    /// Names the path in errors of reading or writing it.
+    /// Adds the path to an error.
     pub fn at(path: &Path) -> impl Fn(io::Error) -> FileError + '_ {
         |source| FileError {
             path: path.to_path_buf(),
--- a/crates/xtask/src/journal.rs
+++ b/crates/xtask/src/journal.rs
@@ -1,4 +1,4 @@
-//! Entries of the bench's journal, as far as the comparison reads them.
+//! Reads the entries of the benchmark's journal, with the fields that the comparison needs.
 
 use crate::file_error::FileError;
 use serde::Deserialize;
@@ -7,37 +7,37 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Bytes of an entry at most: known ones take some 20 KiB.
+/// Largest entry. Known entries take some 20 KiB.
 const MAX_ENTRY_BYTES: u64 = 8 << 20;
-/// Entries read from one journal at most.
+/// Largest number of entries in a journal.
 const MAX_ENTRIES: usize = 100_000;
 
-/// Why a journal, or an entry of it, can't be read.
+/// The reason why a journal or one of its entries cannot be read.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// A file or the journal's folder can't be read.
+    /// A file or the journal's folder cannot be read.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A file larger than any entry.
+    /// The file is too large.
     #[error("{}: {bytes} bytes, at most {MAX_ENTRY_BYTES}", path.display())]
     TooLarge {
         /// The file.
         path: PathBuf,
-        /// Its size.
+        /// The file's size.
         bytes: u64,
     },
-    /// A file that is no entry.
+    /// The file does not hold an entry.
     #[error("{}: {source}", path.display())]
     Entry {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: EntryError,
     },
-    /// More files than any journal has.
+    /// The journal has too many files.
     #[error("{}: more than {MAX_ENTRIES} entries", .0.display())]
     TooManyEntries(PathBuf),
-    /// No file's name ends in the id.
+    /// No file's name ends with the id.
     #[error("{}: no entry {id}", journal.display())]
     Missing {
         /// The journal's folder.
@@ -45,7 +45,7 @@
         /// The id.
         id: String,
     },
-    /// The names of several files end in the id.
+    /// The names of several files end with the id.
     #[error("{}: several entries {id}", journal.display())]
     Ambiguous {
         /// The journal's folder.
@@ -55,90 +55,93 @@
     },
 }
 
-/// Why a text is no entry.
+/// The reason why a text is no entry.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// It is no JSON, or a field is missing or of another type.
+    /// The text is no JSON, or a field is missing or of another type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A figure that would pass any comparison.
+    /// The figure is outside the range from 0 to 1 and would pass any comparison.
     #[error("{field}: {figure} is not from 0 to 1")]
     Figure {
-        /// Which: its day, if it is a day's, and its name.
+        /// The field's name, with the day if it is a day's.
         field: String,
-        /// Its value.
+        /// The value.
         figure: f64,
     },
 }
 
-/// One run of the bench on one site.
+/// One run of the benchmark on one site.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Entry {
-    /// Its id, which its file's name ends in.
+    /// The id, with which the file's name ends.
     pub id: String,
-    /// The bench's command: `score`, `hunt` or `run`.
-    pub cmd: String,
+    /// The benchmark's command: `score`, `hunt` or `run`.
+    #[serde(rename = "cmd")]
+    pub command: String,
     /// The command's arguments.
-    #[serde(default)]
-    pub argv: Vec<String>,
+    #[serde(rename = "argv", default)]
+    pub arguments: Vec<String>,
     /// The site's name.
     pub site: Option<String>,
-    /// Whether it ended well.
-    pub ok: bool,
-    /// Why not.
+    /// Whether the run succeeded.
+    #[serde(rename = "ok")]
+    pub succeeded: bool,
+    /// The error, if it failed.
     pub error: Option<String>,
-    /// 0 to 1; none where only single days were played.
+    /// The site's score from 0 to 1, or `None` if only single days were run.
     pub score: Option<f64>,
-    /// Days that were played.
+    /// The days of the run.
     #[serde(default)]
     pub days: Vec<Day>,
-    /// The sources changed while it ran, so its figures belong to neither.
-    #[serde(default)]
-    pub edited_meanwhile: bool,
+    /// Whether the sources changed during the run, so that its figures belong to no version.
+    #[serde(rename = "edited_meanwhile", default)]
+    pub sources_changed: bool,
 }
 
-/// One day of a run.
+/// The result of one simulated day of a run.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Day {
-    /// Its name; days drawn for one run have a seed or a mark in it.
+    /// The day's name. Randomly drawn days have a seed in it or identify the run.
     pub name: String,
-    /// 0 to 1; a broken rule makes it 0.
+    /// The score from 0 to 1; 0 if a rule was broken.
     pub score: Option<f64>,
-    /// Rules broken, and how often.
-    #[serde(default)]
-    pub rules: BTreeMap<String, serde_json::Value>,
-    /// Why it could not be played to its end.
-    pub fault: Option<serde_json::Value>,
-    /// Controllers that ended by themselves.
-    #[serde(default)]
-    pub restarts: f64,
-    /// Each class and team, its share of all that was asked, and the share of that which was served.
-    /// Entries of earlier benches have none.
+    /// The number of violations of each broken rule.
+    #[serde(rename = "rules", default)]
+    pub broken_rules: BTreeMap<String, serde_json::Value>,
+    /// The reason why the day was aborted.
+    #[serde(rename = "fault")]
+    pub abort_reason: Option<serde_json::Value>,
+    /// Number of controllers that exited by themselves.
+    #[serde(rename = "restarts", default)]
+    pub controller_exits: f64,
+    /// Each class and team, with its share of the requested work and the served share of that. Entries of earlier
+    /// versions of the benchmark have none.
     #[serde(default)]
     pub served: Vec<(String, f64, f64)>,
 }
 
 impl Entry {
-    /// Whether it is a score of the site's rough days only: its site figure compares with nothing.
-    pub fn quick(&self) -> bool {
-        self.argv.iter().any(|a| a == "--quick")
+    /// Returns whether the run is a score of the site's roughest days only, so that its score is not comparable.
+    pub fn is_quick(&self) -> bool {
+        self.arguments.iter().any(|a| a == "--quick")
     }
 }
 
-/// An entry with the hash of its file.
+/// A journal entry with the hash of its file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HashedEntry {
     /// The entry.
     pub entry: Entry,
-    /// The hash of its file, in hexadecimal digits.
+    /// The SHA-256 hash of the file in hexadecimal digits.
     pub sha256: String,
 }
 
-/// Reads one entry.
+/// Reads an entry from a file.
 ///
 /// # Errors
 ///
-/// Names the file and, where there is one, the field.
+/// Names the file and, if possible, the field.
 pub fn read(path: &Path) -> Result<HashedEntry, JournalError> {
     let metadata = std::fs::metadata(path).map_err(FileError::at(path))?;
     if metadata.len() > MAX_ENTRY_BYTES {
@@ -158,18 +161,18 @@
     })
 }
 
-/// An entry's text.
+/// Parses the text of an entry.
 ///
 /// # Errors
 ///
-/// Figures outside of 0 to 1 are refused: they would pass any comparison.
+/// If the text is no entry. Figures outside the range from 0 to 1 are rejected, because they would pass any comparison.
 pub fn parse(text: &[u8]) -> Result<Entry, EntryError> {
     let entry: Entry = serde_json::from_slice(text)?;
     check_figure("score".into(), entry.score)?;
     for day in &entry.days {
         check_figure(format!("days, {}: score", day.name), day.score)?;
-        for (of, _, share) in &day.served {
-            check_figure(format!("days, {}: served, {of}", day.name), Some(*share))?;
+        for (name, _, share) in &day.served {
+            check_figure(format!("days, {}: served, {name}", day.name), Some(*share))?;
         }
     }
     Ok(entry)
@@ -182,43 +185,43 @@
     }
 }
 
-/// SHA-256 in hexadecimal digits.
+/// Returns the SHA-256 hash in hexadecimal digits.
 pub fn hash(bytes: &[u8]) -> String {
     let digest = Sha256::digest(bytes);
     digest.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Files of a journal in the order in which their runs began.
+/// Returns the files of a journal in the order in which the runs started.
 ///
 /// # Errors
 ///
-/// If the folder can't be read, or has more files than any journal.
+/// If the folder cannot be read or has too many files.
 pub fn files(journal: &Path) -> Result<Vec<PathBuf>, JournalError> {
-    let listed = std::fs::read_dir(journal).map_err(FileError::at(journal))?;
-    let mut found: Vec<PathBuf> = listed
+    let dir_entries = std::fs::read_dir(journal).map_err(FileError::at(journal))?;
+    let mut files: Vec<PathBuf> = dir_entries
         .filter_map(|f| Some(f.ok()?.path()))
         .filter(|p| p.extension().is_some_and(|e| e == "json"))
         .collect();
-    if found.len() > MAX_ENTRIES {
+    if files.len() > MAX_ENTRIES {
         return Err(JournalError::TooManyEntries(journal.to_path_buf()));
     }
-    found.sort();
-    Ok(found)
+    files.sort();
+    Ok(files)
 }
 
-/// The file of the entry with this id: names end in it.
+/// Returns the file of the entry with this id, with which its name ends.
 ///
 /// # Errors
 ///
-/// If no file or several have it.
+/// If there is no such file or several.
 pub fn find(journal: &Path, id: &str) -> Result<PathBuf, JournalError> {
-    let ends = format!("-{id}.json");
-    let mut named = files(journal)?.into_iter().filter(|p| {
+    let suffix = format!("-{id}.json");
+    let mut matching = files(journal)?.into_iter().filter(|p| {
         let name = p.file_name().and_then(|n| n.to_str());
-        name.is_some_and(|n| n.ends_with(&ends))
+        name.is_some_and(|n| n.ends_with(&suffix))
     });
     let (folder, id) = (journal.to_path_buf(), id.to_string());
-    match (named.next(), named.next()) {
+    match (matching.next(), matching.next()) {
         (Some(path), None) => Ok(path),
         (None, _) => Err(JournalError::Missing {
             journal: folder,
--- a/crates/xtask/src/known_red.rs
+++ b/crates/xtask/src/known_red.rs
@@ -1,5 +1,5 @@
-//! Tests that are known to fail for a real fault: a short list in the repository. They are run with all others
-//! and printed with their results; any other failure, and any fault of the list itself, fails the check.
+//! Checks the tests against a short list of known failures in the repository. All tests run; the listed ones are
+//! printed with their results. Any other failure, or an invalid list, fails the check.
 
 use crate::file_error::FileError;
 use serde_json::Value;
@@ -10,22 +10,22 @@
 use std::process::Command;
 use thiserror::Error;
 
-/// Lines that the list may have: what fails is mended, not collected.
+/// Largest number of lines of the list, so that failures are fixed and not collected.
 pub const MAX_LISTED: usize = 3;
 
-/// Why the list is refused, or the tests fail in spite of it. Lines are counted from 1.
+/// The reason why the list is rejected or the check fails. Lines are counted from 1.
 #[derive(Debug, Error)]
 pub enum KnownRedError {
-    /// The list can't be read.
+    /// The list cannot be read.
     #[error(transparent)]
     File(#[from] FileError),
     /// The list is too long.
     #[error("line {line}: at most {MAX_LISTED} tests may be listed")]
     TooMany {
-        /// The first line too many.
+        /// The first line above the limit.
         line: usize,
     },
-    /// A line without one of its fields.
+    /// A line lacks a field.
     #[error("line {line}: {field} is missing")]
     MissingField {
         /// The line's number.
@@ -33,13 +33,13 @@
         /// The field's name.
         field: &'static str,
     },
-    /// A line whose test is not named in full.
+    /// A line does not name its test in full.
     #[error("line {line}: test is not PACKAGE/TARGET/TEST")]
     TestName {
         /// The line's number.
         line: usize,
     },
-    /// A test that an earlier line has.
+    /// A test is on an earlier line, too.
     #[error("line {line}: {test} is listed twice")]
     Duplicate {
         /// The later line's number.
@@ -47,39 +47,39 @@
         /// The test.
         test: Test,
     },
-    /// A target crashed, or was not built.
+    /// A target crashed or was not built.
     #[error("{0} ended without a result")]
     NoResult(String),
-    /// A test failed that is not known to.
+    /// A test failed that is not listed.
     #[error("{0} failed and is not listed")]
     NotListed(Test),
-    /// A package was not built, as an example.
+    /// `cargo test` failed for another reason, for example because a package was not built.
     #[error("cargo test failed, though no test did")]
     Unexplained,
     /// A listed test did not run.
     #[error("{0} is listed and does not exist")]
     NoSuchTest(Test),
-    /// A command can't be run.
+    /// A command cannot be run.
     #[error("{command}: {source}")]
     Command {
         /// The command line.
         command: String,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// What `cargo metadata` printed can't be read.
+    /// The output of `cargo metadata` cannot be parsed.
     #[error(transparent)]
     Metadata(#[from] serde_json::Error),
 }
 
-/// A test by its package, its target (`lib`, or the file under `tests`) and its whole name.
+/// The full name of a test.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Test {
     /// The package's name.
     pub package: String,
-    /// `lib`, `doc`, or the file's name without its ending.
+    /// The target: `lib`, `doc`, or the file's name without its extension.
     pub target: String,
-    /// The test's name with its modules.
+    /// The test's name, with its modules.
     pub name: String,
 }
 
@@ -94,17 +94,17 @@
 pub struct KnownFailure {
     /// The test.
     pub test: Test,
-    /// The fault that makes it fail.
+    /// The cause of the failure.
     pub cause: String,
-    /// Where that is tracked.
+    /// The issue that tracks it.
     pub issue: String,
 }
 
-/// Reads the list: one line each, `PACKAGE/TARGET/TEST, cause, issue`.
+/// Parses the list, whose lines have the form `PACKAGE/TARGET/TEST, cause, issue`.
 ///
 /// # Errors
 ///
-/// Names the first line that is wrong.
+/// Names the first invalid line.
 pub fn parse_list(text: &str) -> Result<Vec<KnownFailure>, KnownRedError> {
     let mut listed: Vec<KnownFailure> = Vec::new();
     for (i, text) in text.lines().enumerate() {
@@ -112,12 +112,12 @@
         if line > MAX_LISTED {
             return Err(KnownRedError::TooMany { line });
         }
-        let known = parse_line(line, text)?;
-        if listed.iter().any(|earlier| earlier.test == known.test) {
-            let test = known.test;
+        let failure = parse_line(line, text)?;
+        if listed.iter().any(|earlier| earlier.test == failure.test) {
+            let test = failure.test;
             return Err(KnownRedError::Duplicate { line, test });
         }
-        listed.push(known);
+        listed.push(failure);
     }
     Ok(listed)
 }
@@ -144,40 +144,41 @@
     })
 }
 
-/// What `cargo test` of one package printed, target by target.
+/// The results of `cargo test` for one package.
 #[derive(Debug, Default, PartialEq)]
 pub struct PackageRun {
     /// Whether each test passed.
     pub tests: BTreeMap<Test, bool>,
-    /// Whether `cargo test` itself ended well.
+    /// Whether `cargo test` succeeded.
     pub succeeded: bool,
-    /// Targets that ended without saying how their tests went: they crashed, or were not built.
-    pub broken: Vec<String>,
+    /// Targets without a test result, because they crashed or were not built.
+    pub targets_without_result: Vec<String>,
 }
 
-/// Reads what a package's tests printed, standard output and errors in order.
+/// Parses the output of a package's tests, with standard output and standard error in order.
 pub fn parse_output(package: &str, output: &str, succeeded: bool) -> PackageRun {
-    let mut ran = PackageRun {
+    let mut run = PackageRun {
         succeeded,
         ..PackageRun::default()
     };
-    let mut open: Option<String> = None;
+    let mut current_target: Option<String> = None;
     for line in output.lines() {
         if let Some(target) = target_of(line) {
-            ran.broken.extend(open.replace(target));
+            run.targets_without_result
+                .extend(current_target.replace(target));
         } else if line.starts_with("test result: ") {
-            open = None;
-        } else if let (Some(target), Some((name, passed))) = (&open, result_of(line)) {
+            current_target = None;
+        } else if let (Some(target), Some((name, passed))) = (&current_target, result_of(line)) {
             let test = Test {
                 package: package.into(),
                 target: target.clone(),
                 name: name.into(),
             };
-            ran.tests.insert(test, passed);
+            run.tests.insert(test, passed);
         }
     }
-    ran.broken.extend(open);
-    ran
+    run.targets_without_result.extend(current_target);
+    run
 }
 
 fn target_of(line: &str) -> Option<String> {
@@ -202,22 +203,30 @@
     }
 }
 
-/// Whether all is well but the tests that are listed: the lines to be printed.
+/// Checks that no test failed but the listed ones. Returns one line per listed test, to be printed.
 ///
 /// # Errors
 ///
-/// The first thing that is wrong.
-pub fn judge(listed: &[KnownFailure], runs: &[PackageRun]) -> Result<Vec<String>, KnownRedError> {
+/// The first error found.
+pub fn evaluate(
+    listed: &[KnownFailure],
+    runs: &[PackageRun],
+) -> Result<Vec<String>, KnownRedError> {
     let is_listed = |test: &Test| listed.iter().any(|known| known.test == *test);
     let tests = || runs.iter().flat_map(|run| &run.tests);
-    if let Some(target) = runs.iter().flat_map(|run| &run.broken).next() {
+    if let Some(target) = runs
+        .iter()
+        .flat_map(|run| &run.targets_without_result)
+        .next()
+    {
         return Err(KnownRedError::NoResult(target.clone()));
     }
     if let Some((test, _)) = tests().find(|(test, passed)| !**passed && !is_listed(test)) {
         return Err(KnownRedError::NotListed(test.clone()));
     }
-    let unexplained = |run: &PackageRun| !run.succeeded && run.tests.values().all(|passed| *passed);
-    if runs.iter().any(unexplained) {
+    let is_unexplained =
+        |run: &PackageRun| !run.succeeded && run.tests.values().all(|passed| *passed);
+    if runs.iter().any(is_unexplained) {
         return Err(KnownRedError::Unexplained);
     }
     let line = |known: &KnownFailure| {
@@ -231,7 +240,7 @@
     listed.iter().map(line).collect()
 }
 
-/// Packages of the workspace.
+/// Returns the names of the workspace's packages.
 fn packages() -> Result<Vec<String>, KnownRedError> {
     let mut cargo = Command::new("cargo");
     cargo.args(["metadata", "--no-deps", "--locked", "--format-version", "1"]);
@@ -249,17 +258,17 @@
     }
 }
 
-/// Runs all tests; those that are listed are printed, all others must pass.
+/// Runs all tests. Listed ones may fail and are printed; all others must pass.
 ///
 /// # Errors
 ///
-/// The first thing that is wrong, of the list or of the tests.
+/// The first error in the list or the tests.
 pub fn check(list: &Path) -> Result<Vec<String>, KnownRedError> {
     let text = std::fs::read_to_string(list).map_err(FileError::at(list))?;
     let listed = parse_list(&text)?;
     let mut runs = Vec::new();
     for package in packages()? {
-        // In one stream, so that each target's results follow its name.
+        // One stream for both outputs keeps each target's results after its name.
         let command = format!("cargo test --locked --no-fail-fast -p {package} 2>&1");
         let out = Command::new("sh").args(["-c", &command]).output();
         let out = out.map_err(command_error(&command))?;
@@ -267,5 +276,5 @@
         print!("{output}");
         runs.push(parse_output(&package, &output, out.status.success()));
     }
-    judge(&listed, &runs)
+    evaluate(&listed, &runs)
 }
--- a/crates/xtask/src/lib.rs
+++ b/crates/xtask/src/lib.rs
@@ -1,5 +1,5 @@
-//! The regression check: entries of the bench's journal against a base that is recorded in the
-//! repository. The binary plays the sets; everything that decides is here.
+//! The tasks of `cargo run -p xtask`: the regression check, which compares entries of the benchmark's journal with a
+//! baseline in the repository, simulated experiments, and the check of known failures.
 
 #![warn(missing_docs)]
 
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! `cargo run -p xtask -- regress ...`: the regression set in one command.
+//! The command line of the regression check, simulated experiments and related tasks.
 
 use bench::{Bench, BenchError};
 use clap::{Args, Parser, Subcommand};
@@ -7,8 +7,8 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use thiserror::Error;
-use xtask::baseline::{Base, BaselineError};
-use xtask::comparison::{rows, table, ComparisonRow, TemplateError, TABLE};
+use xtask::baseline::{Baseline, BaselineError};
+use xtask::comparison::{compare, table, ComparisonRow, TemplateError, DEFAULT_TEMPLATE};
 use xtask::digest::{self, DigestError};
 use xtask::experiment::{self, ExperimentError};
 use xtask::journal::{self, Entry, HashedEntry, JournalError};
@@ -23,10 +23,10 @@
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
-    /// The bench's journal
+    /// Folder of the benchmark's journal
     #[arg(long, global = true, default_value = "journal")]
     journal: PathBuf,
-    /// The recorded base
+    /// File of the baseline
     #[arg(long, global = true, default_value = "regression/base.json")]
     base: PathBuf,
     #[command(subcommand)]
@@ -35,52 +35,52 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a set on the bench, then compares what it left in the journal with the base
+    /// Runs a set of sites on the benchmark and compares its journal entries with the baseline
     Regress(RegressArguments),
-    /// Plays runs in the simulation and prints a digest of all that the controllers did in each
+    /// Runs simulations and prints a digest of all effects of the controllers in each
     Digest {
-        /// Runs of random faults
+        /// Number of runs with random faults
         #[arg(long, default_value_t = 20)]
         seeds: u64,
-        /// Runs at once
+        /// Number of simultaneous runs
         #[arg(long, default_value_t = 4)]
         jobs: usize,
-        /// Described days to be played as well
+        /// Files with described days to run as well
         days: Vec<PathBuf>,
     },
-    /// Compares entries that the journal has already
+    /// Compares entries of the journal with the baseline
     Compare {
-        /// Their ids
+        /// Ids of the entries
         #[arg(required = true)]
         ids: Vec<String>,
         #[arg(long)]
         template: Option<PathBuf>,
     },
-    /// Plays described days in the project's own world, with several seeds and variants side by side
+    /// Simulates described days with several seeds and variants
     Experiment {
-        /// Days and variants (TOML)
+        /// Files with days and variants (TOML)
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Plays of each day with each variant
+        /// Number of runs of each day with each variant
         #[arg(long, default_value_t = 4)]
         seeds: u32,
         /// The first seed
         #[arg(long, default_value_t = 1)]
         from: u64,
-        /// Plays at once
+        /// Number of simultaneous runs
         #[arg(long, default_value_t = 4)]
         jobs: usize,
-        /// Where tables, figures and plots are written
+        /// Folder for tables, figures and plots
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Runs all tests; those listed as known to fail are printed, all others must pass
+    /// Runs all tests; listed ones may fail and are printed, all others must pass
     KnownRed {
-        /// One line each: PACKAGE/TARGET/TEST, cause, issue; three at most
+        /// The list, with up to three lines: PACKAGE/TARGET/TEST, cause, issue
         #[arg(default_value = "KNOWN-RED.txt")]
         list: PathBuf,
     },
-    /// Writes a site of another size than the users' file has, limits as they are
+    /// Writes variants of the users' site files with other sizes and the same rate limits
     Larger {
         /// The users' site files
         #[arg(required = true)]
@@ -91,7 +91,7 @@
         #[arg(long)]
         out: PathBuf,
     },
-    /// Makes these entries the base: the commit of it names them
+    /// Creates the baseline from these entries, which the commit message must name
     Base {
         #[arg(required = true)]
         ids: Vec<String>,
@@ -100,32 +100,32 @@
 
 #[derive(Args)]
 struct RegressArguments {
-    /// What is played
+    /// Set of sites
     set: RegressionSet,
-    /// The bench's program
+    /// The benchmark program
     #[arg(long)]
     bench: PathBuf,
-    /// The users' kit, which has the site files
+    /// The users' kit, which holds the site files
     #[arg(long)]
     kit: PathBuf,
-    /// Said in the journal: tried, expected
+    /// Note for the journal: the change and the expected effect
     #[arg(long)]
     why: String,
-    /// The two roughest days of each site only
+    /// Runs only the two roughest days of each site
     #[arg(long)]
     quick: bool,
-    /// Days of each site's hunt with the full set
+    /// Number of days of each site's hunt in the full set
     #[arg(long, default_value_t = 4)]
     hunt: u32,
-    /// How often a day that fell is played again before it counts: its mean is compared
+    /// Number of further runs of a day whose figure decreased; the mean of all runs counts
     #[arg(long, default_value_t = 2)]
     again: u32,
-    /// A template for the table instead of the usual one
+    /// Template for the table instead of the default one
     #[arg(long)]
     template: Option<PathBuf>,
 }
 
-/// Why a command failed. Messages name the flag, file or field at fault.
+/// The reason why a command failed. Messages name the flag, file or field at fault.
 #[derive(Debug, Error)]
 enum XtaskError {
     #[error(transparent)]
@@ -161,13 +161,14 @@
     }
 }
 
-/// Whether nothing failed.
+/// Runs the command and returns whether nothing failed.
 fn run(args: Cli) -> Result<bool, XtaskError> {
     match args.command {
         Command::Base { ids } => {
-            let base = Base::of(&named(&args.journal, &ids)?)?;
-            base.write(&args.base)?;
-            println!("{}: {} entries", args.base.display(), base.entries.len());
+            let baseline = Baseline::from_entries(&read_entries(&args.journal, &ids)?)?;
+            baseline.write(&args.base)?;
+            let count = baseline.entries.len();
+            println!("{}: {count} entries", args.base.display());
             Ok(true)
         }
         Command::KnownRed { list } => {
@@ -185,89 +186,94 @@
         Command::Experiment {
             files,
             seeds,
-            from,
-            jobs,
+            from: first_seed,
+            jobs: threads,
             out,
         } => {
-            let plan = experiment::Plan { seeds, from, jobs };
-            let results = experiment::play(&files, &plan)?;
+            let plan = experiment::Plan {
+                seeds,
+                first_seed,
+                threads,
+            };
+            let results = experiment::run(&files, &plan)?;
             print!("{}", experiment::table(&results));
-            if let Some(dir) = out {
-                experiment::write(&results, &dir)?;
+            if let Some(folder) = out {
+                experiment::write(&results, &folder)?;
             }
             Ok(results
                 .iter()
-                .all(|r| r.broken.is_empty() && r.outcome.failed().is_empty()))
+                .all(|r| r.broken_rules.is_empty() && r.outcome.failed().is_empty()))
         }
         Command::Digest { seeds, jobs, days } => {
-            for line in digest::lines(seeds, &days, jobs)? {
+            for line in digest::digest_lines(seeds, &days, jobs)? {
                 println!("{line}");
             }
             Ok(true)
         }
         Command::Compare { ids, template } => {
-            let base = confirmed(&args.base, &args.journal)?;
-            let entries = entries(named(&args.journal, &ids)?);
+            let baseline = read_verified_baseline(&args.base, &args.journal)?;
+            let entries = without_hashes(read_entries(&args.journal, &ids)?);
             let sites: BTreeSet<String> = entries.iter().filter_map(|e| e.site.clone()).collect();
             let sites: Vec<String> = sites.into_iter().collect();
-            show(&rows(&base, &sites, &entries), template.as_deref())
+            print_table(&compare(&baseline, &sites, &entries), template.as_deref())
         }
         Command::Regress(arguments) => regress(&args.base, args.journal, arguments),
     }
 }
 
-/// Plays a set, and days that fell again; whether nothing failed.
+/// Runs a set, and repeats the days whose figures decreased. Returns whether nothing failed.
 fn regress(base: &Path, journal: PathBuf, args: RegressArguments) -> Result<bool, XtaskError> {
-    let base = confirmed(base, &journal)?;
+    let baseline = read_verified_baseline(base, &journal)?;
     let sites = args.set.sites(&args.kit)?;
     let names: Vec<String> = sites.iter().map(|s| RegressionSet::name(s)).collect();
     let mut bench = Bench {
         program: args.bench,
         journal,
-        why: args.why,
+        note: args.why,
         entries: Vec::new(),
     };
-    let mut score: Vec<&str> = sites.iter().filter_map(|s| s.to_str()).collect();
-    score.extend(args.quick.then_some("--quick"));
-    bench.play("score", &score)?;
+    let mut score_arguments: Vec<&str> = sites.iter().filter_map(|s| s.to_str()).collect();
+    score_arguments.extend(args.quick.then_some("--quick"));
+    bench.run("score", &score_arguments)?;
     if args.set == RegressionSet::Full && args.hunt > 0 {
         let days = args.hunt.to_string();
         for site in &sites {
-            bench.play("hunt", &[&*site.to_string_lossy(), "--days", &days])?;
+            bench.run("hunt", &[&*site.to_string_lossy(), "--days", &days])?;
         }
     }
     for _ in 0..args.again {
-        for row in rows(&base, &names, &bench.entries) {
+        for row in compare(&baseline, &names, &bench.entries) {
             let site = sites.iter().find(|s| RegressionSet::name(s) == row.site);
-            if let (true, Some(site), true) = (row.fell, site, row.what != "score") {
-                bench.play("run", &[&*site.to_string_lossy(), &row.what])?;
+            if let (true, Some(site), true) = (row.has_decreased, site, row.name != "score") {
+                bench.run("run", &[&*site.to_string_lossy(), &row.name])?;
             }
         }
     }
-    let rows = rows(&base, &names, &bench.entries);
-    show(&rows, args.template.as_deref())
+    let rows = compare(&baseline, &names, &bench.entries);
+    print_table(&rows, args.template.as_deref())
 }
 
-fn show(rows: &[ComparisonRow], template: Option<&Path>) -> Result<bool, XtaskError> {
+/// Prints the table and returns whether there are rows and none failed.
+fn print_table(rows: &[ComparisonRow], template: Option<&Path>) -> Result<bool, XtaskError> {
     let text = match template {
         Some(path) => std::fs::read_to_string(path).map_err(XtaskError::TemplateFile)?,
-        None => TABLE.to_string(),
+        None => DEFAULT_TEMPLATE.to_string(),
     };
     print!("{}", table(rows, &text)?);
-    Ok(!rows.is_empty() && rows.iter().all(|r| r.fails.is_none()))
+    Ok(!rows.is_empty() && rows.iter().all(|r| r.failure.is_none()))
 }
 
-fn confirmed(base: &Path, journal: &Path) -> Result<Base, BaselineError> {
-    let known = Base::read(base)?;
-    known.confirm(journal)?;
-    Ok(known)
+fn read_verified_baseline(base: &Path, journal: &Path) -> Result<Baseline, BaselineError> {
+    let baseline = Baseline::read(base)?;
+    baseline.verify(journal)?;
+    Ok(baseline)
 }
 
-fn named(journal: &Path, ids: &[String]) -> Result<Vec<HashedEntry>, JournalError> {
-    let one = |id: &String| journal::read(&journal::find(journal, id)?);
-    ids.iter().map(one).collect()
+fn read_entries(journal: &Path, ids: &[String]) -> Result<Vec<HashedEntry>, JournalError> {
+    let read = |id: &String| journal::read(&journal::find(journal, id)?);
+    ids.iter().map(read).collect()
 }
 
-fn entries(read: Vec<HashedEntry>) -> Vec<Entry> {
-    read.into_iter().map(|r| r.entry).collect()
+fn without_hashes(entries: Vec<HashedEntry>) -> Vec<Entry> {
+    entries.into_iter().map(|hashed| hashed.entry).collect()
 }
--- a/crates/xtask/src/regression_set.rs
+++ b/crates/xtask/src/regression_set.rs
@@ -1,9 +1,9 @@
-//! What is played when: sites by their files under the users' kit.
+//! The sets of sites for the regression check, by their files in the users' kit.
 
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A site file that the users' kit does not have.
+/// The users' kit lacks a site file.
 #[derive(Debug, Error)]
 #[error("--kit: no site file {}", .0.display())]
 pub struct MissingSite(pub PathBuf);
@@ -11,14 +11,14 @@
 /// A set of sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum RegressionSet {
-    /// The two large fleets: before what touches storage, membership, timers or messages.
+    /// The two large fleets, for changes of storage, membership, timers or messages.
     Fleet,
-    /// The operators' deployments and those named next: before every landing.
+    /// The operators' current and next deployments, before each merge.
     Operators,
-    /// The large fleets once more, whose recorded days are meetings of troubles: with what touches
-    /// cancellations, reports, commands or transactions.
+    /// The two large fleets with days on which several faults coincide, for changes of cancellations, heartbeats,
+    /// commands or transactions.
     Hunt,
-    /// All, in full, with a hunt on each: every third landing.
+    /// All sites in full, with a hunt on each, at every third merge.
     Full,
 }
 
@@ -38,11 +38,11 @@
 ];
 
 impl RegressionSet {
-    /// Site files.
+    /// Returns the site files of the set.
     ///
     /// # Errors
     ///
-    /// The first that does not exist.
+    /// Names the first file that does not exist.
     pub fn sites(self, kit: &Path) -> Result<Vec<PathBuf>, MissingSite> {
         let names: Vec<&str> = match self {
             RegressionSet::Fleet => FLEET.to_vec(),
@@ -59,7 +59,7 @@
             .collect()
     }
 
-    /// A site's name is its file's.
+    /// Returns the name of a site, which is that of its file.
     pub fn name(site: &Path) -> String {
         let stem = site.file_stem().and_then(|s| s.to_str());
         stem.unwrap_or_default().to_string()
--- a/crates/xtask/src/site_variant/division.rs
+++ b/crates/xtask/src/site_variant/division.rs
@@ -1,15 +1,15 @@
-//! Other numbers of zones and teams, over which what the file has is divided.
+//! Divides the machines and quotas of a site over other numbers of zones and teams.
 
 use super::values::{list, nodes_of, number};
 use super::SiteVariantError;
 use toml::{Table, Value};
 
-/// How many times its even share a team may use at most, when there are more teams than in the file.
+/// Largest limit of a team, in even shares of the sum of limits.
 const MAX_LIMIT_SHARES: f64 = 4.0;
-/// Processors that a team may use at the least, so that one task fits.
+/// Smallest limit of a team, so that one task fits.
 const MIN_LIMIT_CPUS: f64 = 200.0;
 
-/// As many zones, the file's own first, with the machines of each type spread evenly over them.
+/// Changes the number of zones, with the file's zones first, and spreads the machines of each type evenly over them.
 pub(super) fn spread_over_zones(site: &mut Table, count: usize) -> Result<(), SiteVariantError> {
     let zones = nodes_of(site)?.get("zones").and_then(Value::as_array);
     let zones = zones.ok_or(SiteVariantError::Missing("nodes.zones"))?;
@@ -28,16 +28,16 @@
     Ok(())
 }
 
-/// Adds up entries that agree in `same`, and writes one for each zone with its part of the sums.
+/// Sums the entries that agree in the fields `same`, and writes one entry per zone with its part of the sums.
 fn spread_entries(site: &mut Table, name: &str, same: &[&str], sums: &[&str], zones: &[String]) {
     let entries: Vec<Table> = list(site, name).map(|entry| entry.clone()).collect();
     let mut groups: Vec<Table> = Vec::new();
     for entry in entries {
-        let like = |group: &&mut Table| {
+        let is_same = |group: &&mut Table| {
             same.iter()
                 .all(|field| group.get(*field) == entry.get(*field))
         };
-        match groups.iter_mut().find(like) {
+        match groups.iter_mut().find(is_same) {
             Some(group) => {
                 for field in sums {
                     let sum = number(group.get(*field)) + number(entry.get(*field));
@@ -64,7 +64,7 @@
     site.insert(name.into(), Value::Array(spread));
 }
 
-/// As many teams, which share what the file's are guaranteed; any team may submit any job.
+/// Replaces the teams by `count` teams that share the guaranteed processors evenly. Each team may submit each job.
 pub(super) fn divide_teams(site: &mut Table, count: usize) {
     let sum = |site: &mut Table, field: &str| -> f64 {
         list(site, "teams")
@@ -72,14 +72,14 @@
             .sum()
     };
     let (cpus, cpus_max) = (sum(site, "cpus"), sum(site, "cpus_max"));
-    let share = |whole: f64| whole / count as f64;
+    let share = |sum: f64| sum / count as f64;
     let teams = (0..count).map(|n| {
         let mut team = Table::new();
         team.insert("name".into(), format!("team-{n:04}").into());
         team.insert("weight".into(), 1.0.into());
         team.insert("cpus".into(), share(cpus).into());
-        let most = (share(cpus_max) * MAX_LIMIT_SHARES).max(MIN_LIMIT_CPUS);
-        team.insert("cpus_max".into(), most.into());
+        let limit = (share(cpus_max) * MAX_LIMIT_SHARES).max(MIN_LIMIT_CPUS);
+        team.insert("cpus_max".into(), limit.into());
         Value::Table(team)
     });
     let teams = teams.collect();
--- a/crates/xtask/src/site_variant/error.rs
+++ b/crates/xtask/src/site_variant/error.rs
@@ -1,14 +1,14 @@
-//! Why a variant of a site can't be made.
+//! Errors of site variants.
 
-use super::sizes::MAX_BACK_S;
+use super::sizes::MAX_RESTART_DELAY_S;
 use crate::file_error::FileError;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a variant of a site can't be made.
+/// The reason why a variant of a site cannot be created.
 #[derive(Debug, Error)]
 pub enum SiteVariantError {
-    /// A factor that makes no sense.
+    /// A factor is out of range.
     #[error("{flag}: {factor} is not from 0.1 to 10")]
     Factor {
         /// The command line's flag.
@@ -16,26 +16,26 @@
         /// Its value.
         factor: f64,
     },
-    /// A number that makes no sense.
+    /// A number is out of range.
     #[error("{flag}: {count} is not from 1 to {max}")]
     Count {
         /// The command line's flag.
         flag: &'static str,
         /// Its value.
         count: usize,
-        /// The highest that makes sense.
+        /// The largest valid value.
         max: usize,
     },
-    /// Seconds to a restart that make no sense.
-    #[error("--back-s: {0} is not from 0 to {MAX_BACK_S}")]
-    BackSeconds(f64),
+    /// The restart delay is out of range.
+    #[error("--back-s: {0} is not from 0 to {MAX_RESTART_DELAY_S}")]
+    RestartDelay(f64),
     /// The site file lacks a field.
     #[error("{0}: missing")]
     Missing(&'static str),
-    /// A field of the site file that is to grow is not a number.
+    /// A field of the site file that is scaled is not a number.
     #[error("{0}: not a number")]
     NotANumber(String),
-    /// A file can't be read or written.
+    /// A file cannot be read or written.
     #[error(transparent)]
     File(#[from] FileError),
     /// The site file is no TOML.
@@ -43,18 +43,18 @@
     Toml {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: toml::de::Error,
     },
-    /// No variant can be made of this site file.
+    /// No variant of this site file can be created.
     #[error("{}: {source}", path.display())]
     Site {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: Box<SiteVariantError>,
     },
-    /// The variant can't be written as TOML.
+    /// The variant cannot be written as TOML.
     #[error(transparent)]
     Serialize(#[from] toml::ser::Error),
 }
--- a/crates/xtask/src/site_variant/mod.rs
+++ b/crates/xtask/src/site_variant/mod.rs
@@ -1,6 +1,6 @@
-//! Sites of other sizes than the users' files have: machines, jobs and teams' processors times a factor,
-//! other numbers of zones, teams and controllers, longer jobs; all limits as they are. Written outside the
-//! repository, since they are the users'.
+//! Creates variants of the users' site files with other sizes: machines, jobs and quotas times a factor, other numbers
+//! of zones, teams and controllers, longer jobs. Rate limits stay unchanged. Variants are written outside the repository,
+//! since the site files belong to the users.
 
 mod division;
 mod error;
@@ -18,28 +18,28 @@
 use toml::{Table, Value};
 use values::nodes_of;
 
-/// The site with everything that grows grown.
+/// Returns the variant of a site.
 ///
 /// # Errors
 ///
-/// If the sizes make no sense, or a field of the site is missing or not a number.
+/// If the sizes are out of range, or a field of the site is missing or not a number.
 pub fn vary(site: &Table, sizes: &Sizes) -> Result<Table, SiteVariantError> {
     sizes.check()?;
     let mut site = site.clone();
     let name = site.get("name").and_then(Value::as_str);
     let name = name.ok_or(SiteVariantError::Missing("name"))?.to_string();
     site.insert("name".into(), format!("{name}{}", sizes.suffix()).into());
-    if let Some(seconds) = sizes.back_s {
+    if let Some(seconds) = sizes.restart_delay_s {
         nodes_of(&mut site)?.insert("restart_delay_s".into(), seconds.into());
     }
-    if let Some(count) = sizes.nodes {
+    if let Some(count) = sizes.controllers {
         nodes_of(&mut site)?.insert("count".into(), count.into());
     }
     scale_site(&mut site, sizes.factor)?;
-    if let Some(factor) = sizes.tasks {
+    if let Some(factor) = sizes.tasks_factor {
         scale_arrays(&mut site, "tasks", factor)?;
     }
-    if let Some(factor) = sizes.run {
+    if let Some(factor) = sizes.run_time_factor {
         scale_arrays(&mut site, "run_s", factor)?;
     }
     if let Some(zones) = sizes.zones {
@@ -51,11 +51,11 @@
     Ok(site)
 }
 
-/// Writes the variant and the page of messages that it names into a folder. Returns the variant's path.
+/// Writes the variant and the file of messages that it names to a folder. Returns the variant's path.
 ///
 /// # Errors
 ///
-/// Names the file that can't be read or written, or of which no variant can be made.
+/// Names the file that cannot be read or written, or of which no variant can be created.
 pub fn write(path: &Path, sizes: &Sizes, out: &Path) -> Result<PathBuf, SiteVariantError> {
     let text = std::fs::read_to_string(path).map_err(FileError::at(path))?;
     let site: Table = text.parse().map_err(|source| SiteVariantError::Toml {
--- a/crates/xtask/src/site_variant/scaling.rs
+++ b/crates/xtask/src/site_variant/scaling.rs
@@ -1,10 +1,10 @@
-//! What grows by a factor.
+//! Multiplies fields of a site by a factor.
 
 use super::values::{list, scale};
 use super::SiteVariantError;
 use toml::{Table, Value};
 
-/// What is multiplied: lists of the site file, and fields of their entries.
+/// The fields that grow with a site, by the list of the site file whose entries have them.
 const SCALED_FIELDS: [(&str, &[&str]); 5] = [
     ("capacity", &["count", "spot"]),
     ("machines", &["count"]),
@@ -13,10 +13,10 @@
     ("arrivals", &["rate"]),
 ];
 
-/// Multiplies all that grows with a site.
+/// Multiplies the fields that grow with a site.
 pub(super) fn scale_site(site: &mut Table, factor: f64) -> Result<(), SiteVariantError> {
     for (name, fields) in SCALED_FIELDS {
-        // Arrivals stand with each class of jobs.
+        // The arrivals are in the entries of the job classes.
         let entries = match name {
             "arrivals" => list(site, "jobs"),
             _ => list(site, name),
@@ -40,7 +40,7 @@
     Ok(())
 }
 
-/// Sizes of arrays times a factor: medians, quantiles and bounds of a distribution.
+/// Multiplies the medians, quantiles and bounds of a distribution of array jobs by a factor.
 pub(super) fn scale_arrays(
     site: &mut Table,
     field: &str,
--- a/crates/xtask/src/site_variant/values.rs
+++ b/crates/xtask/src/site_variant/values.rs
@@ -1,9 +1,9 @@
-//! Numbers, lists and tables of a site file.
+//! Access to numbers, lists and tables of a site file.
 
 use super::SiteVariantError;
 use toml::{Table, Value};
 
-/// Multiplies a number; whether it is one.
+/// Multiplies a number. Returns whether the value is a number.
 pub(super) fn scale(value: &mut Value, factor: f64) -> bool {
     match value {
         Value::Integer(n) => *n = (*n as f64 * factor).round() as i64,
@@ -13,7 +13,7 @@
     true
 }
 
-/// A number; 0 for anything else.
+/// Returns a number, or 0 for any other value.
 pub(super) fn number(value: Option<&Value>) -> f64 {
     match value {
         Some(Value::Integer(n)) => *n as f64,
@@ -22,7 +22,7 @@
     }
 }
 
-/// The tables of a list; none if there is no such list.
+/// Returns the tables in a list, or none if there is no such list.
 pub(super) fn list<'a>(site: &'a mut Table, name: &str) -> impl Iterator<Item = &'a mut Table> {
     let entries = site.get_mut(name).and_then(Value::as_array_mut);
     entries
@@ -31,7 +31,7 @@
         .filter_map(Value::as_table_mut)
 }
 
-/// The table of the controllers.
+/// Returns the table of the controllers.
 pub(super) fn nodes_of(site: &mut Table) -> Result<&mut Table, SiteVariantError> {
     let nodes = site.get_mut("nodes").and_then(Value::as_table_mut);
     nodes.ok_or(SiteVariantError::Missing("nodes"))
--- a/crates/xtask/src/tests.rs
+++ b/crates/xtask/src/tests.rs
@@ -1,4 +1,4 @@
-//! Subcommands and flags that scripts use.
+//! Checks the subcommands and flags, which scripts use.
 
 #[path = "../../glenmount/src/tests/command_line_surface.rs"]
 mod command_line_surface;
@@ -8,7 +8,7 @@
 use command_line_surface::command_line_surface;
 
 #[test]
-fn subcommands_and_flags_are_as_published() {
+fn subcommands_and_flags_match_the_sample() {
     let surface = command_line_surface(Cli::command());
     assert_eq!(surface, include_str!("../tests/samples/command_line.txt"));
 }
